--- a/rollout/answers.go
+++ b/rollout/answers.go
@@ -2,36 +2,35 @@
 
 import "time"
 
-// Take takes one answer of the version from the exposure budget. It returns
-// false if the version is stopped, this host's part of the budget is spent, or
-// too many answers are under way without evidence; the request must then go
-// to another version. It always returns true for a version without a rule, and
-// for one that is cleared and not stopped.
+// Take charges one answer of the version to the exposure budget. It returns
+// false if the version is stopped, this host's part of the budget is used up,
+// or pacing allows no further answer in flight; the request must then go to
+// another version. It always returns true for a version without a rule, and for
+// one that is cleared and not stopped.
 func (t *Tracker) Take(model, version string) bool {
 	return t.take(Key{model, version}, true)
 }
 
-// TakeBound is Take for a request that can't go to another version, such as
-// one of a session that is bound to this one: too many answers under way are
-// no reason to refuse it.
+// TakeBound is Take without pacing, for a request that can't go to another
+// version, such as one of a session that is bound to this version.
 func (t *Tracker) TakeBound(model, version string) bool {
 	return t.take(Key{model, version}, false)
 }
 
-func (t *Tracker) take(key Key, paced bool) bool {
+func (t *Tracker) take(key Key, enforcePacing bool) bool {
 	taken := false
-	t.with(key, func(s *shard, e *entry, now time.Time) {
+	t.withEntry(key, func(s *shard, e *entry, now time.Time) {
 		if _, stopped := s.stopped(e.rule.Key()); stopped {
 			return
 		}
-		t.claimShare(e)
-		before := e.own.weight()
-		taken = e.take(now, t.hostCount(), paced)
-		if e.own.weight() != before {
-			t.mark(e, e.own.Host)
+		t.assignEqualPart(e)
+		before := e.own.counterSum()
+		taken = e.take(now, t.hostCount(), enforcePacing)
+		if e.own.counterSum() != before {
+			t.recordChange(e, e.own.Host)
 		}
-		if t.options.Granted && e.wantsGrant() {
-			t.want()
+		if t.options.Granted && e.needsGrant() {
+			t.signalGrantNeeded()
 		}
 	}, func(s *shard) {
 		taken = true
@@ -39,58 +38,59 @@
 	return taken
 }
 
-// claimShare takes the host's part of the budget, once for each epoch, where
-// parts aren't granted.
-func (t *Tracker) claimShare(e *entry) {
+// assignEqualPart sets the host's part of the budget to an equal share, once
+// for each epoch, unless parts are granted.
+func (t *Tracker) assignEqualPart(e *entry) {
 	if t.options.Granted || e.own.Granted > 0 || e.rule.Budget <= 0 {
 		return
 	}
 	e.own.Granted = uint64(e.rule.Budget / t.hostCount())
 }
 
-// Return gives back an answer that was taken and never sent to an upstream.
+// Return refunds an answer that was taken and whose request was never sent to
+// an upstream.
 func (t *Tracker) Return(model, version string) {
-	t.with(Key{model, version}, func(_ *shard, e *entry, _ time.Time) {
-		e.giveBack()
-		t.mark(e, e.own.Host)
+	t.withEntry(Key{model, version}, func(_ *shard, e *entry, _ time.Time) {
+		e.returnUnsent()
+		t.recordChange(e, e.own.Host)
 	}, nil)
 }
 
-// Abandon ends an answer that was taken, may have run, and shows nothing of the
-// version, for example because the caller left. It stays counted against the
-// budget.
+// Abandon ends an answer that was taken, may have run, and gives no evidence
+// about the version, for example because the caller disconnected. It stays
+// charged to the budget.
 func (t *Tracker) Abandon(model, version string) {
-	t.with(Key{model, version}, func(_ *shard, e *entry, _ time.Time) {
+	t.withEntry(Key{model, version}, func(_ *shard, e *entry, _ time.Time) {
 		e.abandon()
-		t.mark(e, e.own.Host)
+		t.recordChange(e, e.own.Host)
 	}, nil)
 }
 
-// Observe takes in what an answer showed. Each answer taken ends with one call
-// of Observe, Abandon or Return.
+// Observe records the outcome of an answer. Each answer taken ends with one
+// call of Observe, Abandon or Return.
 func (t *Tracker) Observe(model, version string, outcome Outcome) {
-	t.with(Key{model, version}, func(s *shard, e *entry, now time.Time) {
-		e.settle()
+	t.withEntry(Key{model, version}, func(s *shard, e *entry, now time.Time) {
+		e.endInFlight()
 		t.count(s, e, outcomeCounters(outcome, e.rule.MaxLatencyMs), now)
 	}, nil)
 }
 
-// Rate takes in a rating that came after the answer was observed.
+// Rate records a rating that arrived after the answer was observed.
 func (t *Tracker) Rate(model, version string, rating float64) {
-	t.with(Key{model, version}, func(s *shard, e *entry, now time.Time) {
+	t.withEntry(Key{model, version}, func(s *shard, e *entry, now time.Time) {
 		var delta Counters
-		delta.rate(ratingBucket(rating), 1)
+		delta.addRatings(ratingBucket(rating), 1)
 		t.count(s, e, &delta, now)
 	}, nil)
 }
 
 func (t *Tracker) count(s *shard, e *entry, delta *Counters, now time.Time) {
 	e.count(delta, now)
-	t.mark(e, e.own.Host)
-	t.judge(s, e, now)
+	t.recordChange(e, e.own.Host)
+	t.evaluate(s, e, now)
 }
 
-// outcomeCounters turns an outcome into counters of one answer.
+// outcomeCounters returns the counters of one answer with the given outcome.
 func outcomeCounters(outcome Outcome, maxLatencyMs int) *Counters {
 	c := &Counters{Answers: 1}
 	if outcome.Err {
@@ -104,7 +104,7 @@
 		c.Slow = 1
 	}
 	if outcome.Rated {
-		c.rate(ratingBucket(outcome.Rating), 1)
+		c.addRatings(ratingBucket(outcome.Rating), 1)
 	}
 	return c
 }
@@ -113,12 +113,12 @@
 	return min(RatingBuckets-1, max(0, int(rating*RatingBuckets)))
 }
 
-// Cleared says whether the evidence showed that the version keeps its limits.
-// A version without a rule counts as cleared. A cleared version can still be
-// stopped.
+// Cleared reports whether the evidence showed that the version keeps its
+// limits. A version without a rule counts as cleared. A cleared version can
+// still be stopped.
 func (t *Tracker) Cleared(model, version string) bool {
 	cleared := false
-	t.with(Key{model, version}, func(_ *shard, e *entry, _ time.Time) {
+	t.withEntry(Key{model, version}, func(_ *shard, e *entry, _ time.Time) {
 		cleared = e.cleared
 	}, func(*shard) {
 		cleared = true
--- a/rollout/bench_test.go
+++ b/rollout/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// peersEvidence is what the given number of hosts export of one version.
+// peersEvidence returns the exports of n hosts for one version.
 func peersEvidence(n int) []Evidence {
 	var list []Evidence
 	clock := newClock()
@@ -33,11 +33,11 @@
 		b.Run(fmt.Sprint(hosts, "hosts"), func(b *testing.B) {
 			tracker := newTracker("a", newClock(), rule)
 			tracker.Merge(peersEvidence(hosts))
-			news := peersEvidence(1)
-			for b.Loop() { // one peer has news
-				news[0].Total.Answers++
-				news[0].Segments[0].Counters.Answers++
-				tracker.Merge(news)
+			update := peersEvidence(1)
+			for b.Loop() { // one peer's evidence changes
+				update[0].Total.Answers++
+				update[0].Segments[0].Counters.Answers++
+				tracker.Merge(update)
 			}
 		})
 	}
--- a/rollout/budget_test.go
+++ b/rollout/budget_test.go
@@ -13,7 +13,7 @@
 	"github.com/quetzalweir/quetzalweir/storage/memory"
 )
 
-// smallRule has a budget that random actions can reach.
+// smallRule has a budget small enough for random actions to use up.
 var smallRule = VersionRule{
 	Model:        "m",
 	Version:      "2",
@@ -23,8 +23,8 @@
 	MinRating:    0.6,
 }
 
-// cluster is a model of hosts that exchange evidence in any order, with loss
-// and repetition, and that are replaced.
+// cluster simulates hosts that exchange evidence in any order, with loss and
+// repetition, and that are replaced by new incarnations.
 type cluster struct {
 	clock    *fakeClock
 	granted  bool
@@ -32,10 +32,10 @@
 	hosts    []*Tracker
 	granters []*Granter
 	table    *faulty.Table
-	// sent are exports that may be delivered at any time, repeatedly.
-	sent  [][]Evidence
-	taken int
-	next  int
+	// exports may be delivered at any time and repeatedly.
+	exports    [][]Evidence
+	taken      int
+	nextHostID int
 }
 
 func newCluster(n int, granted bool) *cluster {
@@ -48,10 +48,10 @@
 	return c
 }
 
-// replace starts a new incarnation that knows nothing.
+// replace starts a new incarnation of a host, without any evidence.
 func (c *cluster) replace(i int) {
-	name := fmt.Sprint("host-", c.next)
-	c.next++
+	name := fmt.Sprint("host-", c.nextHostID)
+	c.nextHostID++
 	c.hosts[i] = New(Options{Host: name, Clock: c.clock.Now, Granted: c.granted, Pacing: Pacing{Off: true}})
 	c.hosts[i].SetHosts(c.size)
 	c.hosts[i].SetVersions([]VersionRule{smallRule})
@@ -76,7 +76,7 @@
 				host.Return("m", "2")
 			}
 		},
-		"send":    func(t *rapid.T) { c.sent = append(c.sent, c.hosts[pick(t)].Export()) },
+		"send":    func(t *rapid.T) { c.exports = append(c.exports, c.hosts[pick(t)].Export()) },
 		"deliver": func(t *rapid.T) { c.deliver(t, pick(t)) },
 		"leave and come back": func(t *rapid.T) {
 			host := c.hosts[pick(t)]
@@ -92,8 +92,8 @@
 }
 
 func (c *cluster) deliver(t *rapid.T, to int) {
-	if len(c.sent) > 0 {
-		c.hosts[to].Merge(c.sent[rapid.IntRange(0, len(c.sent)-1).Draw(t, "message")])
+	if len(c.exports) > 0 {
+		c.hosts[to].Merge(c.exports[rapid.IntRange(0, len(c.exports)-1).Draw(t, "message")])
 	}
 }
 
@@ -132,17 +132,17 @@
 	is := is.New(t)
 	c := newCluster(2, false)
 	busy, idle := c.hosts[0], c.hosts[1]
-	is.Equal(c.drain(busy), 20)
-	idle.Take("m", "2") // takes its part
+	is.Equal(c.takeUntilRefused(busy), 20)
+	idle.Take("m", "2") // sets its part of the budget
 	idle.Merge(busy.Export())
 	busy.Merge(idle.Export())
-	is.Equal(c.drain(busy), 19/transferShare)
+	is.Equal(c.takeUntilRefused(busy), 19/transferDivisor)
 	idle.Merge(busy.Export())
 	busy.Merge(idle.Export())
-	is.True(c.drain(busy) > 0) // another denial, another part
+	is.True(c.takeUntilRefused(busy) > 0) // a further denial causes a further transfer
 }
 
-func (c *cluster) drain(t *Tracker) (n int) {
+func (c *cluster) takeUntilRefused(t *Tracker) (n int) {
 	for t.Take("m", "2") {
 		n++
 	}
@@ -158,18 +158,18 @@
 	is.NoErr(c.hosts[0].Refill(t.Context(), c.granters[0]))
 	row, _, err := c.granters[0].read(t.Context(), grantName(Claim{Key: smallRule.Key(), Epoch: smallRule.Epoch}))
 	is.NoErr(err)
-	is.Equal(uint64(c.drain(c.hosts[0])), row.sum()) // both claims are there
+	is.Equal(uint64(c.takeUntilRefused(c.hosts[0])), row.sum()) // both claims are counted
 }
 
 func TestGrantsStayNearTheEvidence(t *testing.T) {
 	is := is.New(t)
 	claim := Claim{Budget: 1000, Hosts: 4}
-	is.Equal(claim.part(0), uint64(4))
-	is.Equal(claim.part(GrantInitial-1), uint64(1))
-	is.Equal(claim.part(GrantInitial), uint64(0))
+	is.Equal(claim.nextGrant(0), uint64(4))
+	is.Equal(claim.nextGrant(GrantInitial-1), uint64(1))
+	is.Equal(claim.nextGrant(GrantInitial), uint64(0))
 	claim.Good = 1000
-	is.Equal(claim.part(999), uint64(1))
-	is.Equal(claim.part(1000), uint64(0))
+	is.Equal(claim.nextGrant(999), uint64(1))
+	is.Equal(claim.nextGrant(1000), uint64(0))
 }
 
 func TestNoClaimsWithoutNewEvidence(t *testing.T) {
@@ -177,7 +177,7 @@
 	c := newCluster(1, true)
 	host := c.hosts[0]
 	refill := func() {
-		c.drain(host)
+		c.takeUntilRefused(host)
 		is.NoErr(host.Refill(t.Context(), c.granters[0]))
 	}
 	for range 3 * GrantInitial { // all that is granted without evidence
@@ -193,9 +193,9 @@
 	is.True(host.TakeBound("m", "2"))
 }
 
-// A host whose part of a budget is used up or not there yet asks for one with the very request
-// that meets this. One that waited for its next round refused sessions that another host had
-// bound to the version, though the budget was unspent.
+// A request that finds the host's part of a budget used up or not yet granted signals Wanted.
+// A host that waited for its next periodic refill instead refused sessions that another host
+// had bound to the version, although budget was left.
 func TestPartThatRunsLowIsWantedAtOnce(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(2, true)
@@ -213,7 +213,7 @@
 	is.NoErr(host.Refill(ctx, c.granters[0]))
 	taken := 0
 	for !wanted() {
-		is.True(host.TakeBound("m", "2")) // half of the part is left when the next one is wanted
+		is.True(host.TakeBound("m", "2")) // half of the part is left when the next one is requested
 		taken++
 	}
 	is.True(taken > 1)
--- a/rollout/compare_test.go
+++ b/rollout/compare_test.go
@@ -8,46 +8,46 @@
 	"github.com/matryer/is"
 )
 
-// drawn are two versions that answer in turn at random.
-type drawn struct {
-	oldRate, newRate float64
-	// share is the new version's part of the answers.
+// simulatedVersions are two versions whose answers are drawn at random.
+type simulatedVersions struct {
+	baselineRate, candidateRate float64
+	// share is the proportion of the answers that the candidate gives.
 	share float64
 }
 
-// end is how a comparison that is looked at after each answer ended.
-type end struct {
+// comparisonResult is the result of a comparison that is evaluated after each answer.
+type comparisonResult struct {
 	stopped bool
 	cleared bool
-	// answers of the new version until then.
+	// answers is the number of the candidate's answers up to the end.
 	answers int
 }
 
 const (
-	testAlpha     = 0.002
-	testTolerance = 0.2
-	testClear     = 0.05
-	mostAnswers   = 150
+	testAlpha      = 0.002
+	testTolerance  = 0.2
+	testClearAlpha = 0.05
+	maxAnswers     = 150
 )
 
-// compare draws answers until the new version is stopped, or until it has given
-// mostAnswers; cleared says that it was cleared on the way.
-func (d drawn) compare(rng *rand.Rand) end {
-	var old, fresh Sample
-	var e end
-	for fresh.Total < mostAnswers {
+// compare draws answers until the candidate is stopped or has given maxAnswers. The result is
+// cleared if the candidate was cleared at any time before.
+func (d simulatedVersions) compare(rng *rand.Rand) comparisonResult {
+	var baseline, candidate Sample
+	var e comparisonResult
+	for candidate.Total < maxAnswers {
 		if rng.Float64() >= d.share {
-			old.add(rng.Float64() < d.oldRate)
+			baseline.add(rng.Float64() < d.baselineRate)
 			continue
 		}
-		fresh.add(rng.Float64() < d.newRate)
-		if Worse(old, fresh, testAlpha) {
+		candidate.add(rng.Float64() < d.candidateRate)
+		if Worse(baseline, candidate, testAlpha) {
 			e.stopped = true
 			break
 		}
-		e.cleared = e.cleared || Cleared(old, fresh, testTolerance, testClear)
+		e.cleared = e.cleared || Cleared(baseline, candidate, testTolerance, testClearAlpha)
 	}
-	e.answers = fresh.Total
+	e.answers = candidate.Total
 	return e
 }
 
@@ -58,9 +58,9 @@
 	}
 }
 
-// repeat returns the parts of the runs that were stopped and cleared, and the mean number
-// of the new version's answers of those that were stopped.
-func (d drawn) repeat(runs int) (stopped, cleared, answers float64) {
+// repeat returns the proportions of runs that were stopped and cleared, and the mean number of
+// the candidate's answers in the runs that were stopped.
+func (d simulatedVersions) repeat(runs int) (stopped, cleared, answers float64) {
 	rng := rand.New(rand.NewPCG(7, 11))
 	for range runs {
 		e := d.compare(rng)
@@ -75,57 +75,57 @@
 	return stopped / float64(runs), cleared / float64(runs), answers / max(1, stopped)
 }
 
-// Versions that are alike are hardly ever stopped, however often one looks.
+// Candidates with the baseline's rate are rarely stopped, though tested after every answer.
 func TestComparisonOfLikeVersions(t *testing.T) {
 	for _, rate := range []float64{0, 0.005, 0.02, 0.2, 0.5} {
 		for _, share := range []float64{0.03, 0.18, 0.5} {
 			t.Run(fmt.Sprint(rate, share), func(t *testing.T) {
 				is := is.New(t)
-				stopped, cleared, _ := drawn{rate, rate, share}.repeat(1000)
-				most := 2 * testAlpha
+				stopped, cleared, _ := simulatedVersions{rate, rate, share}.repeat(1000)
+				maxStopped := 2 * testAlpha
 				if rate == 0.5 && share == 0.5 {
-					most = 10 * testAlpha // the old rate is as uncertain as the new one
+					maxStopped = 10 * testAlpha // the baseline's rate is as uncertain as the candidate's
 				}
-				is.True(stopped <= most)
+				is.True(stopped <= maxStopped)
 				if rate <= 0.2 {
-					is.True(cleared > 0.95) // a version that is no worse is completed
+					is.True(cleared > 0.95) // a candidate that is no worse is cleared
 				}
 			})
 		}
 	}
 }
 
-// Versions that are worse are stopped, the worse the sooner, and not cleared.
+// Worse candidates are stopped, sooner the worse they are, and rarely cleared.
 func TestComparisonOfWorseVersions(t *testing.T) {
 	tests := []struct {
-		drawn
+		simulatedVersions
 		answers float64
 	}{
-		{drawn{0, 0.5, 0.03}, 7},
-		{drawn{0, 0.5, 0.18}, 11},
-		{drawn{0.02, 0.5, 0.18}, 13},
-		{drawn{0.02, 0.5, 0.5}, 20},
-		{drawn{0.2, 0.55, 0.18}, 40},
-		{drawn{0, 0.2, 0.18}, 30}, // at the tolerance: cleared in less than testClear
-		{drawn{0, 1, 0.18}, 5},
+		{simulatedVersions{0, 0.5, 0.03}, 7},
+		{simulatedVersions{0, 0.5, 0.18}, 11},
+		{simulatedVersions{0.02, 0.5, 0.18}, 13},
+		{simulatedVersions{0.02, 0.5, 0.5}, 20},
+		{simulatedVersions{0.2, 0.55, 0.18}, 40},
+		{simulatedVersions{0, 0.2, 0.18}, 30}, // at the tolerance: cleared in less than testClear
+		{simulatedVersions{0, 1, 0.18}, 5},
 	}
 	for _, test := range tests {
-		t.Run(fmt.Sprint(test.drawn), func(t *testing.T) {
+		t.Run(fmt.Sprint(test.simulatedVersions), func(t *testing.T) {
 			is := is.New(t)
 			stopped, cleared, answers := test.repeat(1000)
 			is.True(stopped > 0.99)
 			is.True(answers <= test.answers)
-			is.True(cleared <= 1.4*testClear) // of a thousand runs
+			is.True(cleared <= 1.4*testClearAlpha) // allows for the variance of 1000 runs
 		})
 	}
 }
 
-// Counts of several hosts may be added in any order.
+// Worse depends on sums only, so the counts of several hosts may be added in any order.
 func TestComparisonDependsOnSums(t *testing.T) {
 	tests := []struct {
-		desc       string
-		old, fresh Sample
-		want       bool
+		desc                string
+		baseline, candidate Sample
+		want                bool
 	}{
 		{"nothing yet", Sample{}, Sample{}, false},
 		{"two failures can be chance", Sample{0, 30}, Sample{2, 2}, false},
@@ -133,13 +133,13 @@
 		{"as bad as the old version", Sample{20, 100}, Sample{4, 20}, false},
 		{"far worse than a poor old version", Sample{14, 100}, Sample{11, 16}, true},
 		{"rare failures", Sample{0, 100}, Sample{3, 100}, false},
-		{"no record of the old version", Sample{}, Sample{3, 3}, false},
-		{"many failures without a record", Sample{}, Sample{10, 10}, true},
+		{"no answers of the old version", Sample{}, Sample{3, 3}, false},
+		{"many failures without answers of the old version", Sample{}, Sample{10, 10}, true},
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(Worse(test.old, test.fresh, testAlpha), test.want)
+			is.Equal(Worse(test.baseline, test.candidate, testAlpha), test.want)
 		})
 	}
 }
--- a/rollout/criteria.go
+++ b/rollout/criteria.go
@@ -2,34 +2,35 @@
 
 import "math"
 
-// criterion is one limit of a rule with its two tests.
+// criterion is one limit of a rule with its two tests. counts returns the number
+// of occurrences of each value that the tests take.
 type criterion struct {
 	reason Reason
 	counts func(c *Counters) []uint64
-	// stop finds evidence against the version, clear evidence for it.
+	// stop tests whether the limit is violated, clear whether it is kept.
 	stop  *meanTest
 	clear *meanTest
 }
 
-// criteria are the limits of one rule that count.
+// criteria are the limits of one rule that are tested.
 type criteria struct {
 	list       []criterion
 	confidence Confidence
 }
 
-// binary are the values of a yes or no observation.
-var binary = []float64{0, 1}
+// binaryValues are the values of a Boolean observation.
+var binaryValues = []float64{0, 1}
 
 func newCriteria(rule VersionRule, confidence Confidence) criteria {
 	c := criteria{confidence: confidence.withDefaults()}
 	if rule.MaxErrorRate < 1 {
-		c.addShare(ReasonErrors, max(rule.MaxErrorRate, MinErrorRate), errorCounts)
+		c.addProportion(ReasonErrors, max(rule.MaxErrorRate, MinErrorRate), errorCounts)
 	}
 	if rule.MaxLatencyMs > 0 {
-		c.addShare(ReasonLatency, slowShare, slowCounts)
+		c.addProportion(ReasonLatency, maxSlowShare, slowCounts)
 	}
 	if rule.MinRating > 0 {
-		c.addRating(rule.MinRating)
+		c.addMeanRating(rule.MinRating)
 	}
 	return c
 }
@@ -42,22 +43,24 @@
 	return []uint64{c.Timed - min(c.Slow, c.Timed), c.Slow}
 }
 
-// addShare adds a limit that a share must stay below.
-func (c *criteria) addShare(reason Reason, limit float64, counts func(*Counters) []uint64) {
+// addProportion adds a limit that a proportion must stay below.
+func (c *criteria) addProportion(reason Reason, limit float64, counts func(*Counters) []uint64) {
 	c.list = append(c.list, criterion{
 		reason: reason,
 		counts: counts,
-		stop:   newMeanTest(above, limit, binary),
-		clear:  newMeanTest(below, limit, binary),
+		stop:   newMeanTest(above, limit, binaryValues),
+		clear:  newMeanTest(below, limit, binaryValues),
 	})
 }
 
-// maxMinRating keeps the limit below 1, where no rating could be above it.
+// maxMinRating is the highest limit of the mean rating that is tested: with a
+// limit of 1, no rating could be above it.
 const maxMinRating = 0.999
 
-// addRating adds a limit that the mean rating must stay above. Each test
-// takes the edge of a bucket that speaks against its own finding.
-func (c *criteria) addRating(limit float64) {
+// addMeanRating adds a limit that the mean rating must stay above. Both tests
+// are conservative: each uses the edge of a bucket that makes its own finding
+// less likely.
+func (c *criteria) addMeanRating(limit float64) {
 	limit = min(limit, maxMinRating)
 	low := make([]float64, RatingBuckets)
 	high := make([]float64, RatingBuckets)
@@ -73,27 +76,27 @@
 	})
 }
 
-// violated returns the first limit that the evidence shows to be broken, at
+// violated returns the first limit that the evidence shows to be violated, at
 // the error probability alpha for all limits together.
 func (c *criteria) violated(counters *Counters, alpha float64) (reason Reason, strength float64, ok bool) {
 	threshold := math.Log(float64(len(c.list)) / alpha)
 	for i := range c.list {
 		k := &c.list[i]
-		if s := k.stop.logStrength(k.counts(counters)); s >= threshold {
+		if s := k.stop.logWealth(k.counts(counters)); s >= threshold {
 			return k.reason, math.Exp(s), true
 		}
 	}
 	return "", 0, false
 }
 
-// satisfied says whether the evidence shows that every limit is kept. Each
-// limit is tested at the full error probability: a version outside one limit
-// must pass that limit's own test.
+// satisfied reports whether the evidence shows that every limit is kept. Each
+// limit is tested at the full error probability: a version that violates one
+// limit can be cleared only by passing that limit's test.
 func (c *criteria) satisfied(counters *Counters) bool {
 	threshold := math.Log(1 / c.confidence.FalseClear)
 	for i := range c.list {
 		k := &c.list[i]
-		if k.clear.logStrength(k.counts(counters)) < threshold {
+		if k.clear.logWealth(k.counts(counters)) < threshold {
 			return false
 		}
 	}
--- a/rollout/doc.go
+++ b/rollout/doc.go
@@ -1,13 +1,14 @@
-// Package rollout bounds the exposure to a version that is rolling in.
+// Package rollout bounds the exposure to a model version while it is rolled
+// out.
 //
-// Each entry host has a Tracker. It takes every answer from a budget that all
-// hosts share, gathers what the answers show (errors, time to first token,
-// ratings), and stops the version when the evidence against it is strong, or
-// clears it when the evidence for it is. Hosts exchange evidence and stops
-// with whatever transport they have; nothing in the package does I/O but
-// Granter, which claims parts of the budget from the platform's table.
+// Each entry host has a Tracker. It charges every answer of the version to a
+// budget that all hosts share, counts errors, times to first token and ratings,
+// and stops the version when the evidence shows that it violates a limit, or
+// clears it when the evidence shows that it keeps all of them. The caller
+// transports evidence and stops between hosts. Only Granter does I/O: it claims
+// parts of the budget from the platform's table.
 //
-// The entry host embeds both. Parts that aren't granted by the table keep
-// within the budget only as long as no more hosts take part than SetHosts said,
-// and a version that is worse than its limits by little can use up its budget.
+// The entry host embeds both. Without a Granter, the budget holds only as long
+// as no more hosts take part than SetHosts was given. A version that is only
+// slightly worse than its limits can use up its budget before it is stopped.
 package rollout
--- a/rollout/entry.go
+++ b/rollout/entry.go
@@ -3,16 +3,16 @@
 import "time"
 
 const (
-	// SegmentLength is the length of the periods that evidence is also
-	// counted by. Without them, a long good record would hide that a version
-	// turned bad.
+	// SegmentLength is the length of the periods by which evidence is counted
+	// besides the total. Without them, a long record of good answers would hide
+	// that a version has become bad.
 	SegmentLength = 15 * time.Second
-	segmentsKept  = 8
+	maxSegments   = 8
 )
 
-// spans are the numbers of periods, up to the present one, that are tested
-// together: short ones find a sudden change, long ones a small one.
-var spans = [...]int64{1, 2, 4, segmentsKept}
+// spans are the numbers of periods, up to the current one, that are tested
+// together: short spans detect a sudden change, long ones a small change.
+var spans = [...]int64{1, 2, 4, maxSegments}
 
 // entry is the state of one version in one epoch. It is guarded by the lock
 // of its shard.
@@ -22,57 +22,58 @@
 	pacing   Pacing
 	own      Evidence
 	peers    map[string]*Evidence
-	// sum is the total of all hosts, recent that of each of the spans up to
-	// the period recentNumber.
+	// sum is the total of all hosts, recent the total for each of the spans
+	// that end with the period recentNumber.
 	sum          Counters
 	recent       [len(spans)]Counters
 	recentNumber int64
-	// peersUnderWay is how many answers of the peers weren't observed yet.
-	peersUnderWay uint64
-	// pending holds when the answers under way were taken, oldest first.
-	pending []time.Time
-	cleared bool
-	// lastGrant is the size of the last part that was granted.
+	// peersInFlight is the number of answers of all peers that haven't ended.
+	peersInFlight uint64
+	// inFlightSince holds the times at which the answers in flight were taken,
+	// oldest first.
+	inFlightSince []time.Time
+	cleared       bool
+	// lastGrant is the size of the last grant.
 	lastGrant uint64
-	// claimAtGood is how many good answers must be known before the next claim:
-	// the last one found nothing to grant.
-	claimAtGood uint64
-	// changed is, for each host, the tracker's change number at its last
-	// change.
-	changed map[string]uint64
-	// served is, for each peer, its count of denials that was answered with a
-	// transfer.
-	served map[string]uint64
+	// minGoodForClaim is the number of good answers below which no further
+	// claim is made, because the last claim was granted nothing.
+	minGoodForClaim uint64
+	// lastChanges holds, for each host, the tracker's change number of the last
+	// change of its evidence.
+	lastChanges map[string]uint64
+	// servedDenials holds, for each peer, the count of denials for which this
+	// host last considered a transfer.
+	servedDenials map[string]uint64
 }
 
 func newEntry(host string, rule VersionRule, options Options) *entry {
 	return &entry{
-		rule:     rule,
-		criteria: newCriteria(rule, options.Confidence),
-		pacing:   options.Pacing.withDefaults(),
-		own:      Evidence{Host: host, Model: rule.Model, Version: rule.Version, Epoch: rule.Epoch},
-		peers:    make(map[string]*Evidence),
-		changed:  make(map[string]uint64),
-		served:   make(map[string]uint64),
+		rule:          rule,
+		criteria:      newCriteria(rule, options.Confidence),
+		pacing:        options.Pacing.withDefaults(),
+		own:           Evidence{Host: host, Model: rule.Model, Version: rule.Version, Epoch: rule.Epoch},
+		peers:         make(map[string]*Evidence),
+		lastChanges:   make(map[string]uint64),
+		servedDenials: make(map[string]uint64),
 	}
 }
 
-// remaining returns how many answers this host may still take.
+// remaining returns the number of answers that this host may still take.
 func (e *entry) remaining() uint64 {
 	in := e.own.Granted + e.own.Returned
 	for _, p := range e.peers {
 		in += p.givenTo(e.own.Host)
 	}
-	out := e.own.Taken + e.own.given()
+	out := e.own.Taken + e.own.givenTotal()
 	if out >= in {
 		return 0
 	}
 	return in - out
 }
 
-// take takes one answer if the version is cleared or the budget and the pace
-// allow it. Without paced only the budget counts.
-func (e *entry) take(now time.Time, hosts int, paced bool) bool {
+// take takes one answer if the version is cleared, or if the budget and, with
+// enforcePacing, the pacing allow it.
+func (e *entry) take(now time.Time, hosts int, enforcePacing bool) bool {
 	if e.cleared || e.rule.Budget <= 0 {
 		return true
 	}
@@ -80,20 +81,21 @@
 		e.own.Denied++
 		return false
 	}
-	if paced && !e.pacing.Off && !e.paced(now, hosts) {
+	if enforcePacing && !e.pacing.Off && !e.pacingAllows(now, hosts) {
 		return false
 	}
 	e.own.Taken++
-	e.pending = append(e.pending, now)
+	e.inFlightSince = append(e.inFlightSince, now)
 	return true
 }
 
-// paced says whether one more answer may be under way.
-func (e *entry) paced(now time.Time, hosts int) bool {
-	for len(e.pending) > 0 && now.Sub(e.pending[0]) >= e.pacing.ObserveTimeout {
+// pacingAllows reports whether one more answer may be in flight. Answers in
+// flight for longer than the timeout are abandoned first.
+func (e *entry) pacingAllows(now time.Time, hosts int) bool {
+	for len(e.inFlightSince) > 0 && now.Sub(e.inFlightSince[0]) >= e.pacing.ObserveTimeout {
 		e.abandon()
 	}
-	if len(e.pending) >= window(e.pacing.Initial, e.pacing.Growth, e.sum.good(), hosts) {
+	if len(e.inFlightSince) >= maxInFlight(e.pacing.Initial, e.pacing.Growth, e.sum.good(), hosts) {
 		return false
 	}
 	if e.rule.MinRating <= 0 {
@@ -102,35 +104,36 @@
 	taken := e.own.Taken - e.own.Returned
 	rated := e.own.Total.Rated()
 	unrated := int(taken) - int(rated)
-	return unrated < window(e.pacing.InitialUnrated, e.pacing.UnratedGrowth, e.sum.Rated(), hosts)
+	return unrated < maxInFlight(e.pacing.InitialUnrated, e.pacing.UnratedGrowth, e.sum.Rated(), hosts)
 }
 
-// giveBack returns an answer that was taken and never sent.
-func (e *entry) giveBack() {
+// returnUnsent refunds an answer that was taken and whose request was never
+// sent.
+func (e *entry) returnUnsent() {
 	if e.own.Returned >= e.own.Taken {
 		return
 	}
 	e.own.Returned++
-	e.settle()
+	e.endInFlight()
 }
 
 // abandon ends an answer without an observation.
 func (e *entry) abandon() {
-	if len(e.pending) == 0 {
+	if len(e.inFlightSince) == 0 {
 		return
 	}
 	e.own.Abandoned++
-	e.settle()
+	e.endInFlight()
 }
 
-// settle ends one answer under way.
-func (e *entry) settle() {
-	if len(e.pending) > 0 {
-		e.pending = e.pending[1:]
+// endInFlight removes the oldest answer in flight.
+func (e *entry) endInFlight() {
+	if len(e.inFlightSince) > 0 {
+		e.inFlightSince = e.inFlightSince[1:]
 	}
 }
 
-// count adds an observation to the total, the sums and the present period.
+// count adds an observation to the total, the sums and the current period.
 func (e *entry) count(delta *Counters, now time.Time) {
 	e.own.Total.add(delta)
 	e.sum.add(delta)
@@ -150,31 +153,31 @@
 	return now.UnixNano() / int64(SegmentLength)
 }
 
-// merge takes in a peer's evidence and says whether it was news.
+// merge merges a peer's evidence and reports whether it changed.
 func (e *entry) merge(peer *Evidence) bool {
-	known := e.peers[peer.Host]
-	if known == nil {
+	stored := e.peers[peer.Host]
+	if stored == nil {
 		copied := peer.clone()
 		e.peers[peer.Host] = &copied
 		return true
 	}
-	before := known.weight()
-	known.merge(peer)
-	return known.weight() != before
+	before := stored.counterSum()
+	stored.merge(peer)
+	return stored.counterSum() != before
 }
 
-// total recomputes the sums over all hosts.
-func (e *entry) total(now time.Time) {
+// recomputeSums recomputes the sums over all hosts.
+func (e *entry) recomputeSums(now time.Time) {
 	e.sum = e.own.Total.clone()
-	e.peersUnderWay = 0
+	e.peersInFlight = 0
 	for _, p := range e.peers {
 		e.sum.add(&p.Total)
-		e.peersUnderWay += p.underWay()
+		e.peersInFlight += p.inFlight()
 	}
 	e.sumRecent(now)
 }
 
-// sumRecent adds up the spans over all hosts.
+// sumRecent recomputes the sums of the spans over all hosts.
 func (e *entry) sumRecent(now time.Time) {
 	e.recentNumber = segmentNumber(now)
 	for i, span := range spans {
@@ -195,25 +198,27 @@
 	}
 }
 
-// underWay returns how many answers of all hosts weren't observed yet.
-func (e *entry) underWay() uint64 {
+// inFlight returns the number of answers of all hosts that haven't ended.
+func (e *entry) inFlight() uint64 {
 	if e.cleared {
-		return 0 // no longer counted
+		return 0 // answers of a cleared version aren't counted
 	}
-	return e.own.underWay() + e.peersUnderWay
+	return e.own.inFlight() + e.peersInFlight
 }
 
-// violated runs the tests against the version. Answers under way count as
-// good: failures often come sooner than good answers, and would otherwise be
-// compared with too few of them.
+// violated tests whether the version violates a limit. Answers in flight count
+// as good: failures often end sooner than good answers, and their rate would
+// otherwise be overestimated.
 func (e *entry) violated(counters *Counters, alpha float64) (Reason, float64, bool) {
-	cautious := *counters
-	cautious.Answers += e.underWay()
-	return e.criteria.violated(&cautious, alpha)
+	withInFlight := *counters
+	withInFlight.Answers += e.inFlight()
+	return e.criteria.violated(&withInFlight, alpha)
 }
 
-// verdict tests the evidence. It clears the entry, or returns a stop.
-func (e *entry) verdict(now time.Time) (Stop, bool) {
+// runTests tests the evidence of the epoch and of each span. It returns a stop
+// if a limit is violated, and otherwise marks the entry as cleared if all limits
+// are shown to be kept.
+func (e *entry) runTests(now time.Time) (Stop, bool) {
 	counters := &e.sum
 	reason, strength, bad := e.violated(counters, e.criteria.confidence.FalseStop)
 	for i := 0; i < len(e.recent) && !bad; i++ {
@@ -247,22 +252,22 @@
 	}
 }
 
-// transferShare is the divisor of what remains that one denial of a peer
-// moves to it.
-const transferShare = 4
+// transferDivisor is the divisor of the remaining budget that gives the part
+// transferred to a peer that was denied answers.
+const transferDivisor = 4
 
-// transfer gives part of what remains to a peer that was denied answers since
-// the last transfer. It says whether anything was given.
+// transfer transfers part of the remaining budget to a peer that was denied
+// answers since the last transfer. It reports whether anything was transferred.
 func (e *entry) transfer(peer string) bool {
 	evidence := e.peers[peer]
-	if evidence == nil || evidence.Denied <= e.served[peer] {
+	if evidence == nil || evidence.Denied <= e.servedDenials[peer] {
 		return false
 	}
-	e.served[peer] = evidence.Denied
-	give := e.remaining() / transferShare
+	e.servedDenials[peer] = evidence.Denied
+	give := e.remaining() / transferDivisor
 	if give == 0 {
 		return false
 	}
-	e.own.raiseGiven(Transfer{To: peer, Answers: e.own.givenTo(peer) + give})
+	e.own.mergeTransfer(Transfer{To: peer, Answers: e.own.givenTo(peer) + give})
 	return true
 }
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// RatingBuckets is the number of equal buckets that ratings are counted in.
+// RatingBuckets is the number of equal buckets into which ratings are counted.
 const RatingBuckets = 50
 
-// Counters count what answers showed. They only rise.
+// Counters count the observed outcomes of answers. They never decrease.
 type Counters struct {
 	Answers uint64 `json:"answers"`
 	Errors  uint64 `json:"errors,omitempty"`
-	// Timed counts the first tokens that were measured, Slow those above the
-	// limit.
+	// Timed counts the answers whose time to first token was measured, Slow
+	// those that were above the limit.
 	Timed   uint64  `json:"timed,omitempty"`
 	Slow    uint64  `json:"slow,omitempty"`
 	Ratings Ratings `json:"ratings,omitempty"`
@@ -21,41 +21,43 @@
 
 // Segment holds the counters of one period of SegmentLength.
 type Segment struct {
-	// Number is the period's start in units of SegmentLength since 1970.
+	// Number is the period's start in units of SegmentLength since the Unix
+	// epoch (1970).
 	Number   int64    `json:"number"`
 	Counters Counters `json:"counters"`
 }
 
-// Transfer is how much of its budget a host gave to another in total.
+// Transfer is the total part of its budget that a host transferred to another.
 type Transfer struct {
 	To      string `json:"to"`
 	Answers uint64 `json:"answers"`
 }
 
-// Evidence is what one host counted for one version in one epoch. Only that
-// host raises it; two copies are merged by taking the maximum of each field.
+// Evidence holds the counts of one host for one version in one epoch. Only that
+// host increases them; two copies are merged by taking the maximum of each field.
 type Evidence struct {
 	Host    string `json:"host"`
 	Model   string `json:"model"`
 	Version string `json:"version"`
 	Epoch   uint64 `json:"epoch"`
-	// Granted is the host's part of the budget, Given what it passed on.
+	// Granted is the host's part of the budget, Given the parts of it that the
+	// host transferred to others.
 	Granted uint64     `json:"granted"`
 	Given   []Transfer `json:"given,omitempty"`
-	// Taken counts answers taken from the budget, Returned those given back
-	// because they were never sent.
+	// Taken counts the answers charged to the budget, Returned those refunded
+	// because the request was never sent to an upstream.
 	Taken    uint64 `json:"taken"`
 	Returned uint64 `json:"returned,omitempty"`
-	// Abandoned counts answers that ended without an observation.
+	// Abandoned counts the answers that ended without an observation.
 	Abandoned uint64 `json:"abandoned,omitempty"`
-	// Denied counts answers refused because the host's part was spent.
+	// Denied counts the answers refused because the host's part was used up.
 	Denied uint64 `json:"denied,omitempty"`
-	// Total covers the epoch, Segments its last periods.
+	// Total covers the whole epoch, Segments its last periods.
 	Total    Counters  `json:"total"`
 	Segments []Segment `json:"segments,omitempty"`
 }
 
-// Key returns the version that the evidence is about.
+// Key returns the version that the evidence belongs to.
 func (e *Evidence) Key() Key { return Key{Model: e.Model, Version: e.Version} }
 
 // Rated returns the number of ratings.
@@ -67,7 +69,8 @@
 	return sum
 }
 
-// MeanRating returns the mean of the buckets' middles; 0 without ratings.
+// MeanRating returns the mean rating, each rating counted as the middle of its
+// bucket; 0 without ratings.
 func (c *Counters) MeanRating() float64 {
 	sum, n := 0.0, uint64(0)
 	for b, count := range c.Ratings {
@@ -80,7 +83,7 @@
 	return sum / float64(n)
 }
 
-// good returns the number of answers that were neither failed nor slow.
+// good returns the number of answers that neither failed nor were slow.
 func (c *Counters) good() uint64 {
 	return c.Answers - min(c.Answers, c.Errors+c.Slow)
 }
@@ -92,12 +95,12 @@
 	c.Timed += d.Timed
 	c.Slow += d.Slow
 	for b, n := range d.Ratings {
-		c.rate(b, n)
+		c.addRatings(b, n)
 	}
 }
 
-// rate adds n ratings to a bucket; buckets out of range are ignored.
-func (c *Counters) rate(bucket int, n uint64) {
+// addRatings adds n ratings to a bucket; buckets out of range are ignored.
+func (c *Counters) addRatings(bucket int, n uint64) {
 	if bucket < 0 || bucket >= RatingBuckets {
 		return
 	}
@@ -107,8 +110,8 @@
 	c.Ratings[bucket] += n
 }
 
-// raise raises each counter of c to that of d.
-func (c *Counters) raise(d *Counters) {
+// mergeMax sets each counter of c to the maximum of c's and d's.
+func (c *Counters) mergeMax(d *Counters) {
 	c.Answers = max(c.Answers, d.Answers)
 	c.Errors = max(c.Errors, d.Errors)
 	c.Timed = max(c.Timed, d.Timed)
@@ -130,26 +133,27 @@
 	return d
 }
 
-// merge raises e to other, which has the same host, version and epoch.
+// merge sets each counter of e to the maximum of e's and other's. Both have the
+// same host, version and epoch.
 func (e *Evidence) merge(other *Evidence) {
 	e.Granted = max(e.Granted, other.Granted)
 	e.Taken = max(e.Taken, other.Taken)
 	e.Returned = max(e.Returned, other.Returned)
 	e.Abandoned = max(e.Abandoned, other.Abandoned)
 	e.Denied = max(e.Denied, other.Denied)
-	e.Total.raise(&other.Total)
+	e.Total.mergeMax(&other.Total)
 	for _, t := range other.Given {
-		e.raiseGiven(t)
+		e.mergeTransfer(t)
 	}
 	for i := range other.Segments {
 		s := &other.Segments[i]
 		if c := e.segment(s.Number); c != nil {
-			c.raise(&s.Counters)
+			c.mergeMax(&s.Counters)
 		}
 	}
 }
 
-func (e *Evidence) raiseGiven(t Transfer) {
+func (e *Evidence) mergeTransfer(t Transfer) {
 	for i := range e.Given {
 		if e.Given[i].To == t.To {
 			e.Given[i].Answers = max(e.Given[i].Answers, t.Answers)
@@ -159,20 +163,22 @@
 	e.Given = append(e.Given, t)
 }
 
-// underWay returns how many answers were taken and not yet observed.
-func (e *Evidence) underWay() uint64 {
+// inFlight returns the number of answers that were taken and haven't ended.
+func (e *Evidence) inFlight() uint64 {
 	ended := e.Returned + e.Abandoned + e.Total.Answers
 	return e.Taken - min(e.Taken, ended)
 }
 
-// weight rises with every change of the evidence.
-func (e *Evidence) weight() uint64 {
+// counterSum returns the sum of all counters. It increases with every change of
+// the evidence, since counters never decrease.
+func (e *Evidence) counterSum() uint64 {
 	c := &e.Total
 	total := c.Answers + c.Errors + c.Timed + c.Slow + c.Rated()
-	return e.Granted + e.given() + e.Taken + e.Returned + e.Abandoned + e.Denied + total
+	return e.Granted + e.givenTotal() + e.Taken + e.Returned + e.Abandoned + e.Denied + total
 }
 
-// givenTo returns how much the host gave to another.
+// givenTo returns the total part of the budget that the host transferred to
+// another.
 func (e *Evidence) givenTo(host string) uint64 {
 	for _, t := range e.Given {
 		if t.To == host {
@@ -182,7 +188,7 @@
 	return 0
 }
 
-func (e *Evidence) given() uint64 {
+func (e *Evidence) givenTotal() uint64 {
 	sum := uint64(0)
 	for _, t := range e.Given {
 		sum += t.Answers
@@ -190,15 +196,15 @@
 	return sum
 }
 
-// segment returns the counters of a period, made if needed, or nil if the
-// period is older than those that are kept.
+// segment returns the counters of a period, creating them if needed, or nil if
+// the period is older than all stored ones.
 func (e *Evidence) segment(number int64) *Counters {
 	for i := range e.Segments {
 		if e.Segments[i].Number == number {
 			return &e.Segments[i].Counters
 		}
 	}
-	if len(e.Segments) < segmentsKept {
+	if len(e.Segments) < maxSegments {
 		e.Segments = append(e.Segments, Segment{Number: number})
 		return &e.Segments[len(e.Segments)-1].Counters
 	}
@@ -215,8 +221,8 @@
 	return &e.Segments[oldest].Counters
 }
 
-// keepSegments drops all but the last n periods.
-func (e *Evidence) keepSegments(n int) {
+// keepLastSegments removes all but the last n periods.
+func (e *Evidence) keepLastSegments(n int) {
 	slices.SortFunc(e.Segments, func(a, b Segment) int { return cmp.Compare(b.Number, a.Number) })
 	e.Segments = e.Segments[:min(n, len(e.Segments))]
 }
--- a/rollout/exchange.go
+++ b/rollout/exchange.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Export returns all evidence that this host has, for other hosts to merge.
+// Export returns all evidence that this host stores, for other hosts to merge.
 func (t *Tracker) Export() []Evidence {
 	evidence, _ := t.ExportSince(0)
 	return evidence
 }
 
-// ExportSince returns the evidence that changed after the mark, which an
-// earlier call returned, and the mark for the next call.
-func (t *Tracker) ExportSince(mark uint64) (evidence []Evidence, next uint64) {
-	next = t.changes.Load()
+// ExportSince returns the evidence that changed after the change number since,
+// which an earlier call returned as next, and the number for the next call.
+func (t *Tracker) ExportSince(since uint64) (evidence []Evidence, next uint64) {
+	next = t.lastChange.Load()
 	for i := range t.shards {
 		s := &t.shards[i]
 		s.mu.Lock()
 		for _, e := range s.entries {
-			evidence = e.export(evidence, mark)
+			evidence = e.export(evidence, since)
 		}
 		s.mu.Unlock()
 	}
@@ -27,44 +27,45 @@
 	return evidence, next
 }
 
-// sentSegments is how many of the last periods ExportOwn sends: the earlier ones
-// were sent when they were new.
-const sentSegments = 2
+// ownExportSegments is the number of last periods that ExportOwn includes: the
+// earlier ones were exported when they were current.
+const ownExportSegments = 2
 
 // ExportOwn is ExportSince for this host's own evidence and its last periods
-// only. It suits hosts that all exchange with each other; one that missed
-// messages, or came late, needs Export from time to time.
-func (t *Tracker) ExportOwn(mark uint64) (evidence []Evidence, next uint64) {
-	all, next := t.ExportSince(mark)
+// only. It suits a full mesh of hosts; a host that missed messages or joined
+// late needs the result of Export from time to time.
+func (t *Tracker) ExportOwn(since uint64) (evidence []Evidence, next uint64) {
+	all, next := t.ExportSince(since)
 	for i := range all {
 		if all[i].Host == t.options.Host {
-			all[i].keepSegments(sentSegments)
+			all[i].keepLastSegments(ownExportSegments)
 			evidence = append(evidence, all[i])
 		}
 	}
 	return evidence, next
 }
 
-// Merge takes in evidence of other hosts. It may come repeatedly and out of
-// order, and evidence about a rule that this host doesn't have yet is kept.
+// Merge merges evidence of other hosts. It may be received repeatedly and out
+// of order. Evidence for a rule that this host doesn't have yet is stored.
 func (t *Tracker) Merge(evidence []Evidence) {
 	now := t.options.Clock()
-	touched := make(map[Key]bool)
+	changedKeys := make(map[Key]bool)
 	for i := range evidence {
-		if t.mergeOne(&evidence[i]) {
-			touched[evidence[i].Key()] = true
+		if t.mergeRecord(&evidence[i]) {
+			changedKeys[evidence[i].Key()] = true
 		}
 	}
-	for key := range touched {
-		t.with(key, func(s *shard, e *entry, _ time.Time) {
-			e.total(now)
-			t.judge(s, e, now)
+	for key := range changedKeys {
+		t.withEntry(key, func(s *shard, e *entry, _ time.Time) {
+			e.recomputeSums(now)
+			t.evaluate(s, e, now)
 		}, nil)
 	}
 }
 
-// mergeOne merges one record and says whether its sums must be recomputed.
-func (t *Tracker) mergeOne(evidence *Evidence) bool {
+// mergeRecord merges one record and reports whether the version's sums must be
+// recomputed.
+func (t *Tracker) mergeRecord(evidence *Evidence) bool {
 	key := evidence.Key()
 	s := t.shard(key)
 	s.mu.Lock()
@@ -72,7 +73,7 @@
 	e := s.entries[key]
 	switch {
 	case e == nil || evidence.Epoch > e.rule.Epoch:
-		s.keepEarly(evidence)
+		s.storePendingEvidence(evidence)
 		return false
 	case evidence.Epoch < e.rule.Epoch || evidence.Host == e.own.Host:
 		return false
@@ -80,9 +81,9 @@
 	if !e.merge(evidence) {
 		return false
 	}
-	t.mark(e, evidence.Host)
+	t.recordChange(e, evidence.Host)
 	if e.transfer(evidence.Host) {
-		t.mark(e, e.own.Host)
+		t.recordChange(e, e.own.Host)
 	}
 	return true
 }
--- a/rollout/grant.go
+++ b/rollout/grant.go
@@ -10,13 +10,14 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// GrantPrefix is the start of the keys of the table's rows about budgets.
+// GrantPrefix is the key prefix of the table rows that hold budget grants.
 const GrantPrefix = "exposure/"
 
-// grantAttempts bounds how often a claim is tried when others write the row.
+// grantAttempts is the number of attempts to commit a claim when other hosts
+// write the row concurrently.
 const grantAttempts = 4
 
-// Claim asks for a part of a version's budget.
+// Claim is a request for a part of a version's budget.
 type Claim struct {
 	Key   Key
 	Epoch uint64
@@ -24,25 +25,25 @@
 	Budget int
 	// Hosts is the number of entry hosts.
 	Hosts int
-	// Good is how many good answers all hosts observed. The parts granted
-	// stay within GrantInitial plus GrantGrowth times Good, so that many hosts
-	// can't spend the budget before there is evidence.
+	// Good is the number of good answers that all hosts observed. The sum of
+	// the grants stays within GrantInitial plus GrantGrowth times Good, so that
+	// many hosts can't use up the budget before there is evidence.
 	Good uint64
 }
 
-// Limits of how much of a budget is granted ahead of the evidence.
+// Limits of the part of a budget that is granted ahead of the evidence.
 const (
 	GrantInitial = 32
 	GrantGrowth  = 3
 )
 
-// grantRow is the value of a row: what each host incarnation was granted.
+// grantRow is the value of a row: the total granted to each host incarnation.
 type grantRow struct {
 	Granted map[string]uint64 `json:"granted"`
 }
 
-// Granter claims parts of budgets from the platform's table. A part that a
-// host was granted and didn't use before it ended is lost to the others: the
+// Granter claims parts of budgets from the platform's table. What a host was
+// granted and didn't use before it terminated isn't granted again, so that the
 // sum of all answers stays within the budget.
 type Granter struct {
 	table storage.Table
@@ -54,12 +55,13 @@
 	return &Granter{table: table, host: host}
 }
 
-// Claim asks for a further part and returns all that this host was ever
-// granted of the budget. It is safe to repeat after any error: the row holds
-// the host's total, so a claim whose answer was lost is found, not doubled.
+// Claim claims a further part of the budget and returns the total that this
+// host was ever granted. It is safe to repeat after any error: the row holds
+// the host's total, so a grant whose response was lost is included in the next
+// result. The repeated claim may still be granted a further part.
 func (g *Granter) Claim(ctx context.Context, claim Claim) (total uint64, err error) {
 	for range grantAttempts {
-		total, err = g.try(ctx, claim)
+		total, err = g.tryClaim(ctx, claim)
 		if !errors.Is(err, storage.ErrConflict) {
 			break
 		}
@@ -70,17 +72,17 @@
 	return total, nil
 }
 
-func (g *Granter) try(ctx context.Context, claim Claim) (uint64, error) {
+func (g *Granter) tryClaim(ctx context.Context, claim Claim) (uint64, error) {
 	name := grantName(claim)
 	row, version, err := g.read(ctx, name)
 	if err != nil {
 		return 0, err
 	}
-	part := claim.part(row.sum())
-	if part == 0 {
+	grant := claim.nextGrant(row.sum())
+	if grant == 0 {
 		return row.Granted[g.host], nil
 	}
-	row.Granted[g.host] += part
+	row.Granted[g.host] += grant
 	value, err := json.Marshal(row)
 	if err != nil {
 		return 0, fmt.Errorf("encode grants: %w", err)
@@ -122,9 +124,10 @@
 	return sum
 }
 
-// part returns how much of the rest is granted at once: a fraction, so that
-// the last answers are spread over many hosts, and at least one.
-func (c Claim) part(granted uint64) uint64 {
+// nextGrant returns how much is granted by one claim: a fraction of what is
+// left, so that the last answers are spread over many hosts, and at least one;
+// 0 if nothing is left.
+func (c Claim) nextGrant(granted uint64) uint64 {
 	limit := min(uint64(max(0, c.Budget)), GrantInitial+GrantGrowth*c.Good)
 	if granted >= limit {
 		return 0
@@ -133,27 +136,27 @@
 	return max(1, rest/uint64(2*max(1, c.Hosts)))
 }
 
-// Wanted is readable when answers that were taken or denied call for a further part of a
-// budget.
-func (t *Tracker) Wanted() <-chan struct{} { return t.wanted }
+// Wanted returns a channel that receives an element when Take or TakeBound finds that this
+// host needs a further part of a budget.
+func (t *Tracker) Wanted() <-chan struct{} { return t.grantNeeded }
 
-func (t *Tracker) want() {
+func (t *Tracker) signalGrantNeeded() {
 	select {
-	case t.wanted <- struct{}{}:
-	default: // it is known
+	case t.grantNeeded <- struct{}{}:
+	default: // already signalled
 	}
 }
 
-// Claims returns what this host should claim: the parts of the versions that
-// are neither stopped nor cleared, whose use was asked for and whose rest is
-// at most half of what was last granted.
+// Claims returns the claims that this host should make: for the versions that
+// are neither stopped nor cleared, have been requested on this host, and have
+// at most half of the last grant left.
 func (t *Tracker) Claims() []Claim {
 	var claims []Claim
 	for i := range t.shards {
 		s := &t.shards[i]
 		s.mu.Lock()
 		for key, e := range s.entries {
-			if _, stopped := s.stopped(key); !stopped && e.wantsGrant() {
+			if _, stopped := s.stopped(key); !stopped && e.needsGrant() {
 				claims = append(claims, e.claim(t.hostCount()))
 			}
 		}
@@ -163,9 +166,9 @@
 	return claims
 }
 
-// Grant sets what this host was granted in total for a version in an epoch.
-// Another epoch's total is ignored. One that isn't higher than before says that
-// nothing was left, and no claim is made until there is more evidence.
+// Grant sets the total that this host was granted for a version in an epoch.
+// The total of another epoch is ignored. If it isn't higher than before, nothing
+// was left, and no further claim is made until there is more evidence.
 func (t *Tracker) Grant(key Key, epoch, total uint64) {
 	s := t.shard(key)
 	s.mu.Lock()
@@ -175,39 +178,40 @@
 		return
 	}
 	if total <= e.own.Granted {
-		e.claimAtGood = e.sum.good() + 1
+		e.minGoodForClaim = e.sum.good() + 1
 		return
 	}
 	e.lastGrant = total - e.own.Granted
 	e.own.Granted = total
-	t.mark(e, e.own.Host)
+	t.recordChange(e, e.own.Host)
 }
 
-// Refill claims what is wanted and grants it. It is called every second or so
-// on hosts with Options.Granted, and when Wanted says so, and goes on with the other versions when one
-// claim fails.
+// Refill makes the claims that Claims returns and applies the grants. On hosts
+// with Options.Granted it is called about every second and whenever Wanted
+// receives an element. If one claim fails, it continues with the other versions
+// and returns the joined errors.
 func (t *Tracker) Refill(ctx context.Context, granter *Granter) error {
-	var failed error
+	var errs error
 	for _, claim := range t.Claims() {
 		total, err := granter.Claim(ctx, claim)
 		if err != nil {
-			failed = errors.Join(failed, err)
+			errs = errors.Join(errs, err)
 			continue
 		}
 		t.Grant(claim.Key, claim.Epoch, total)
 	}
-	return failed
+	return errs
 }
 
-func (e *entry) wantsGrant() bool {
+func (e *entry) needsGrant() bool {
 	if e.cleared || e.rule.Budget <= 0 {
 		return false
 	}
-	if e.sum.good() < e.claimAtGood {
+	if e.sum.good() < e.minGoodForClaim {
 		return false
 	}
-	asked := e.own.Taken > 0 || e.own.Denied > 0
-	return asked && e.remaining() <= e.lastGrant/2
+	used := e.own.Taken > 0 || e.own.Denied > 0
+	return used && e.remaining() <= e.lastGrant/2
 }
 
 func (e *entry) claim(hosts int) Claim {
--- a/rollout/helpers_test.go
+++ b/rollout/helpers_test.go
@@ -7,7 +7,7 @@
 
 var start = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// fakeClock is moved by hand.
+// fakeClock is a clock that only Advance moves.
 type fakeClock struct {
 	mu  sync.Mutex
 	now time.Time
@@ -45,9 +45,9 @@
 	return t
 }
 
-// takeAll takes answers until it is refused, observing each, and returns how
-// many it got, at most limit.
-func takeAll(t *Tracker, limit int, outcome Outcome) int {
+// takeAndObserve takes answers until one is refused, observes each with the
+// outcome, and returns their number, at most limit.
+func takeAndObserve(t *Tracker, limit int, outcome Outcome) int {
 	for n := range limit {
 		if !t.Take("m", "2") {
 			return n
--- a/rollout/pacing.go
+++ b/rollout/pacing.go
@@ -14,24 +14,25 @@
 	DefaultObserveTimeout = 2 * time.Minute
 )
 
-// Pacing bounds how many answers may be under way without evidence, since
-// answers that are already taken can't be called back when the version turns
-// out bad. The bounds are for all hosts together; each host takes its part.
-// Zero fields mean the defaults.
+// Pacing bounds the answers in flight, since answers that were already taken
+// can't be recalled when the version proves bad. The bounds are for all hosts
+// together; each host uses an equal part of them. Zero fields mean the
+// defaults.
 type Pacing struct {
-	// Off switches pacing off.
+	// Off disables pacing.
 	Off bool
-	// Initial answers may be unobserved at first, and Growth more for each
-	// observed one.
+	// Initial is the number of answers that may be in flight at first, Growth
+	// the number by which each good answer increases it.
 	Initial float64
 	Growth  float64
-	// InitialUnrated answers may be unrated at first, and UnratedGrowth more
-	// for each rated one, where ratings count. At least one answer in
-	// UnratedGrowth must be rated, or the version is held back.
+	// InitialUnrated is the number of answers that may be unrated at first,
+	// UnratedGrowth the number by which each rated answer increases it. Both
+	// apply only to rules with a MinRating. If fewer than one answer in
+	// UnratedGrowth is rated, the version is slowed to the rate of ratings.
 	InitialUnrated float64
 	UnratedGrowth  float64
-	// ObserveTimeout is when an answer that was never observed stops counting
-	// as under way.
+	// ObserveTimeout is the time after which an answer that was never observed
+	// is no longer counted as in flight.
 	ObserveTimeout time.Duration
 }
 
@@ -44,8 +45,8 @@
 	return p
 }
 
-// window returns one host's part of initial + growth*seen, at least 1.
-func window(initial, growth float64, seen uint64, hosts int) int {
-	all := initial + growth*float64(seen)
+// maxInFlight returns one host's part of initial + growth*observed, at least 1.
+func maxInFlight(initial, growth float64, observed uint64, hosts int) int {
+	all := initial + growth*float64(observed)
 	return max(1, int(all/float64(hosts)))
 }
--- a/rollout/ratings.go
+++ b/rollout/ratings.go
@@ -6,11 +6,12 @@
 	"fmt"
 )
 
-// Ratings counts ratings by bucket; it is nil or RatingBuckets long. In JSON
-// it is a list of bucket and count in turn, without the empty buckets.
+// Ratings counts ratings by bucket; it is nil or has RatingBuckets elements. In
+// JSON it is a list of alternating bucket numbers and counts, without the empty
+// buckets.
 type Ratings []uint64
 
-var errOddRatings = errors.New("rollout: a bucket without a count")
+var errOddRatings = errors.New("rollout: ratings: last bucket has no count")
 
 // MarshalJSON implements json.Marshaler.
 func (r Ratings) MarshalJSON() ([]byte, error) {
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -6,13 +6,13 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// Key names a version of a model.
+// Key identifies a version of a model.
 type Key struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
 }
 
-// VersionRule bounds the exposure to one version.
+// VersionRule holds the limits and the exposure budget of one version.
 type VersionRule struct {
 	Model   string
 	Version string
@@ -20,47 +20,49 @@
 	// epoch of every manifest that contains it: a higher epoch starts with a
 	// full budget, no evidence and no stop.
 	Epoch uint64
-	// Budget is how many answers all hosts together may give until the
-	// version is cleared; 0 means no limit.
+	// Budget is the number of answers that all hosts together may give before
+	// the version is cleared; 0 means no limit.
 	Budget int
-	// MaxErrorRate is from 0 to 1. Limits below MinErrorRate are raised to it.
+	// MaxErrorRate is the limit of the error rate, from 0 to 1. Limits below
+	// MinErrorRate are raised to it.
 	MaxErrorRate float64
-	// MinRating is from 0 to 1; 0 means that ratings don't count.
+	// MinRating is the limit of the mean rating, from 0 to 1; 0 means that
+	// ratings aren't tested.
 	MinRating float64
-	// MaxLatencyMs is the limit of the first token's 95th percentile in
-	// milliseconds; 0 means that latency doesn't count.
+	// MaxLatencyMs is the limit of the 95th percentile of the time to first
+	// token, in milliseconds; 0 means that latency isn't tested.
 	MaxLatencyMs int
 }
 
-// Key returns the version that the rule is about.
+// Key returns the version that the rule applies to.
 func (r VersionRule) Key() Key { return Key{Model: r.Model, Version: r.Version} }
 
-// Outcome is what one answer showed.
+// Outcome is the observed result of one answer.
 type Outcome struct {
-	// Err says that the version failed the request.
+	// Err is true if the version failed the request.
 	Err bool
-	// Rating is from 0 to 1 and counts if Rated is true. A rating that comes
-	// later is given to Tracker.Rate.
+	// Rating is from 0 to 1; it is used only if Rated is true. A rating that
+	// arrives later is passed to Tracker.Rate.
 	Rating float64
 	Rated  bool
-	// FirstToken is the time to the first token; 0 if it wasn't measured.
+	// FirstToken is the time to first token; 0 if it wasn't measured.
 	FirstToken time.Duration
 }
 
-// Reason says which limit a version was stopped for.
+// Reason is the limit for which a version was stopped.
 type Reason string
 
 const (
 	// ReasonErrors means that the error rate is above MaxErrorRate.
 	ReasonErrors Reason = "errors"
-	// ReasonLatency means that more than 5% of first tokens are above
-	// MaxLatencyMs.
+	// ReasonLatency means that more than 5% of the times to first token are
+	// above MaxLatencyMs.
 	ReasonLatency Reason = "latency"
 	// ReasonRating means that the mean rating is below MinRating.
 	ReasonRating Reason = "rating"
 )
 
-// Summary is the evidence behind a stop, for operators and auditors.
+// Summary is the evidence for a stop, for operators and auditors.
 type Summary struct {
 	Answers    uint64  `json:"answers"`
 	Errors     uint64  `json:"errors"`
@@ -68,28 +70,29 @@
 	Slow       uint64  `json:"slow"`
 	Rated      uint64  `json:"rated"`
 	MeanRating float64 `json:"mean_rating"`
-	// Strength is the e-value of the test that stopped the version: under a
+	// Strength is the e-value of the test that stopped the version: for a
 	// version within its limits it exceeds x with a probability below 1/x.
 	Strength float64 `json:"strength"`
 }
 
-// Stop is the fact that a version takes no new work in an epoch. It holds
-// until a rule with a higher epoch.
+// Stop records that a version takes no new requests in an epoch. It stays in
+// force until a rule with a higher epoch is set.
 type Stop struct {
 	Model   string  `json:"model"`
 	Version string  `json:"version"`
 	Epoch   uint64  `json:"epoch"`
 	Reason  Reason  `json:"reason"`
 	Summary Summary `json:"summary"`
-	// Host is the entry host that found the stop, At when it did.
+	// Host is the entry host that stopped the version, At the time at which it
+	// did.
 	Host string    `json:"host"`
 	At   time.Time `json:"at"`
 }
 
-// Key returns the version that the stop is about.
+// Key returns the version that the stop applies to.
 func (s Stop) Key() Key { return Key{Model: s.Model, Version: s.Version} }
 
-// before orders stops of one version and epoch, so that all hosts end with
+// before orders stops of one version and epoch, so that all hosts converge on
 // the same one.
 func (s Stop) before(t Stop) bool {
 	if !s.At.Equal(t.At) {
@@ -104,10 +107,10 @@
 	Host string
 	// Clock is the source of time; nil means time.Now.
 	Clock storage.Clock
-	// Granted says that the host's part of each budget comes from Grant only.
+	// Granted means that the host's part of each budget is set only by Grant.
 	// Otherwise it is the budget divided by the number of hosts.
 	Granted bool
-	// Pacing bounds answers that are not yet observed.
+	// Pacing bounds the answers in flight.
 	Pacing Pacing
 	// Confidence sets the error probabilities of the tests.
 	Confidence Confidence
--- a/rollout/rules.go
+++ b/rollout/rules.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// retiredKept bounds, for each shard, the versions without a rule whose
-// evidence and stops are kept.
-const retiredKept = 256
+// maxVersionsWithoutRule bounds, for each shard, the versions without a rule
+// whose evidence and stops are stored.
+const maxVersionsWithoutRule = 256
 
-// SetVersions replaces the rules. The state of a rule with the same epoch is
-// kept; a higher epoch starts anew; a lower one than before is ignored. A
-// version that is no longer in the list is no longer bounded or stopped; to
-// keep a stop, keep the rule. A rule with budget 0 has no bound but is tested.
+// SetVersions replaces the rules. A rule with the same epoch keeps its state, a
+// higher epoch starts with new state, and a lower epoch is ignored. A version
+// that is no longer in the list is no longer bounded or stopped; to keep a stop
+// in force, keep the rule. A version with budget 0 is tested but not bounded.
 func (t *Tracker) SetVersions(rules []VersionRule) {
 	for i := range t.shards {
 		t.setShard(&t.shards[i], rules)
@@ -27,11 +27,11 @@
 			t.setRule(s, previous[rule.Key()], rule, now)
 		}
 	}
-	// Versions that left the list stay known by their stops and by their own
-	// evidence, in case an outdated list brings them back at the same epoch.
+	// Stops and evidence of removed versions are retained, in case an outdated
+	// list restores the version at the same epoch.
 	for key, e := range previous {
 		if s.entries[key] == nil {
-			s.retire(key, e)
+			s.storeRetired(key, e)
 		}
 	}
 }
@@ -47,13 +47,13 @@
 	if stop, ok := s.stops[key]; ok && stop.Epoch < rule.Epoch {
 		delete(s.stops, key)
 	}
-	t.takeEarly(s, e, now)
+	t.applyPendingEvidence(s, e, now)
 }
 
-// takeEarly merges the evidence that came before the rule.
-func (t *Tracker) takeEarly(s *shard, e *entry, now time.Time) {
+// applyPendingEvidence merges the evidence that was received before the rule.
+func (t *Tracker) applyPendingEvidence(s *shard, e *entry, now time.Time) {
 	key := e.rule.Key()
-	for host, evidence := range s.early[key] {
+	for host, evidence := range s.pendingEvidence[key] {
 		if evidence.Epoch != e.rule.Epoch {
 			continue
 		}
@@ -62,49 +62,51 @@
 		} else {
 			e.merge(evidence)
 		}
-		t.mark(e, host)
-		delete(s.early[key], host)
+		t.recordChange(e, host)
+		delete(s.pendingEvidence[key], host)
 	}
-	if len(s.early[key]) == 0 {
-		delete(s.early, key)
+	if len(s.pendingEvidence[key]) == 0 {
+		delete(s.pendingEvidence, key)
 	}
-	e.total(now)
-	t.judge(s, e, now)
+	e.recomputeSums(now)
+	t.evaluate(s, e, now)
 }
 
-// retire keeps an entry's evidence as if it had come early.
-func (s *shard) retire(key Key, e *entry) {
-	s.keepEarly(&e.own)
+// storeRetired stores the evidence of an entry whose rule was removed, as if it
+// had been received before the rule.
+func (s *shard) storeRetired(key Key, e *entry) {
+	s.storePendingEvidence(&e.own)
 	for _, p := range e.peers {
-		s.keepEarly(p)
+		s.storePendingEvidence(p)
 	}
 }
 
-// keepEarly stores evidence without a rule, within retiredKept versions.
-func (s *shard) keepEarly(evidence *Evidence) {
+// storePendingEvidence stores evidence of a version without a rule, for at most
+// maxVersionsWithoutRule versions.
+func (s *shard) storePendingEvidence(evidence *Evidence) {
 	key := evidence.Key()
-	hosts := s.early[key]
+	hosts := s.pendingEvidence[key]
 	if hosts == nil {
-		if len(s.early) >= retiredKept {
-			s.dropOldestEarly()
+		if len(s.pendingEvidence) >= maxVersionsWithoutRule {
+			s.evictOldestPending()
 		}
 		hosts = make(map[string]*Evidence)
-		s.early[key] = hosts
+		s.pendingEvidence[key] = hosts
 	}
-	known := hosts[evidence.Host]
+	stored := hosts[evidence.Host]
 	switch {
-	case known == nil || known.Epoch < evidence.Epoch:
+	case stored == nil || stored.Epoch < evidence.Epoch:
 		copied := evidence.clone()
 		hosts[evidence.Host] = &copied
-	case known.Epoch == evidence.Epoch:
-		known.merge(evidence)
+	case stored.Epoch == evidence.Epoch:
+		stored.merge(evidence)
 	}
 }
 
-func (s *shard) dropOldestEarly() {
+func (s *shard) evictOldestPending() {
 	var oldest Key
 	lowest := uint64(0)
-	for key, hosts := range s.early {
+	for key, hosts := range s.pendingEvidence {
 		epoch := uint64(0)
 		for _, evidence := range hosts {
 			epoch = max(epoch, evidence.Epoch)
@@ -113,5 +115,5 @@
 			oldest, lowest = key, epoch
 		}
 	}
-	delete(s.early, oldest)
+	delete(s.pendingEvidence, oldest)
 }
--- a/rollout/sequential.go
+++ b/rollout/sequential.go
@@ -9,13 +9,13 @@
 // defaults.
 type Confidence struct {
 	// FalseStop bounds the probability that a version within its limits is
-	// ever stopped by its whole evidence.
+	// ever stopped by the evidence of the whole epoch.
 	FalseStop float64
 	// FalseClear bounds the probability that a version outside a limit is
 	// cleared.
 	FalseClear float64
 	// FalseStopSpan bounds the probability that a version within its limits
-	// is stopped by the evidence of one span of adjoining periods.
+	// is stopped by the evidence of one span of consecutive periods.
 	FalseStopSpan float64
 }
 
@@ -26,13 +26,13 @@
 	DefaultFalseStopSpan = 1e-6
 )
 
-// MinErrorRate is the lowest limit of an error rate that is tested: below it
-// no reasonable number of answers could clear a version.
+// MinErrorRate is the lowest limit of an error rate that is tested: with a
+// lower one, no reasonable number of answers could clear a version.
 const MinErrorRate = 0.001
 
-// slowShare is the share of first tokens that may be above the limit of the
-// 95th percentile.
-const slowShare = 0.05
+// maxSlowShare is the proportion of times to first token that may be above the
+// limit of the 95th percentile.
+const maxSlowShare = 0.05
 
 func (c Confidence) withDefaults() Confidence {
 	c.FalseStop = cmp.Or(c.FalseStop, DefaultFalseStop)
@@ -41,64 +41,66 @@
 	return c
 }
 
-// bets are the fractions of the highest permitted bet that a meanTest mixes.
+// bets are the bets that a meanTest mixes, as fractions of the highest one
+// permitted.
 var bets = []float64{0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.35, 0.5, 0.7, 0.85, 0.95}
 
-// side is the alternative that a meanTest looks for.
-type side int
+// alternative is the alternative hypothesis of a meanTest: the side of the
+// limit on which the mean is.
+type alternative int
 
 const (
-	above side = iota
+	above alternative = iota
 	below
 )
 
 // meanTest is a sequential test of the mean of values from 0 to 1 against a
 // limit. It is a uniform mixture of test martingales with fixed bets: each
 // value x multiplies the wealth of a bet b by 1+b*(x-limit). Under the null
-// hypothesis the wealth exceeds 1/alpha at any time with a probability of at
-// most alpha (Ville's inequality), however often it is looked at. Fixed bets
-// make it independent of the values' order, so the counters of many hosts can
-// be added up first. For errors it is a mixture of sequential probability
-// ratio tests. See Waudby-Smith and Ramdas, "Estimating means of bounded
-// random variables by betting".
+// hypothesis the wealth ever exceeds 1/alpha with a probability of at most
+// alpha (Ville's inequality), however often it is tested. With fixed bets the
+// result doesn't depend on the order of the values, so the counters of many
+// hosts can be added up first. For errors it is a mixture of sequential
+// probability ratio tests. See Waudby-Smith and Ramdas, "Estimating means of
+// bounded random variables by betting".
 type meanTest struct {
-	// logs[b][v] is the logarithm of the factor of bet b at value v.
-	logs [][]float64
+	// logFactors[b][v] is the logarithm of the factor of bet b for value v.
+	logFactors [][]float64
 }
 
-// newMeanTest tests whether the mean is on the given side of limit, which is
-// above 0 and below 1, for values from the list.
-func newMeanTest(s side, limit float64, values []float64) *meanTest {
-	t := &meanTest{logs: make([][]float64, len(bets))}
+// newMeanTest returns a test of whether the mean is on the given side of limit,
+// which is above 0 and below 1. All observed values are in the list.
+func newMeanTest(s alternative, limit float64, values []float64) *meanTest {
+	t := &meanTest{logFactors: make([][]float64, len(bets))}
 	for i, bet := range bets {
 		lambda := bet / limit
 		if s == below {
 			lambda = -bet / (1 - limit)
 		}
-		t.logs[i] = make([]float64, len(values))
+		t.logFactors[i] = make([]float64, len(values))
 		for v, x := range values {
-			t.logs[i][v] = math.Log1p(lambda * (x - limit))
+			t.logFactors[i][v] = math.Log1p(lambda * (x - limit))
 		}
 	}
 	return t
 }
 
-// logStrength returns the logarithm of the wealth after counts[v] occurrences
+// logWealth returns the logarithm of the wealth after counts[v] occurrences
 // of each value.
-func (t *meanTest) logStrength(counts []uint64) float64 {
-	logs := make([]float64, len(t.logs))
+func (t *meanTest) logWealth(counts []uint64) float64 {
+	logWealths := make([]float64, len(t.logFactors))
 	highest := math.Inf(-1)
-	for i, row := range t.logs {
+	for i, row := range t.logFactors {
 		for v, n := range counts {
 			if n != 0 {
-				logs[i] += float64(n) * row[v]
+				logWealths[i] += float64(n) * row[v]
 			}
 		}
-		highest = max(highest, logs[i])
+		highest = max(highest, logWealths[i])
 	}
 	sum := 0.0
-	for _, l := range logs {
+	for _, l := range logWealths {
 		sum += math.Exp(l - highest)
 	}
-	return highest + math.Log(sum/float64(len(logs)))
+	return highest + math.Log(sum/float64(len(logWealths)))
 }
--- a/rollout/sequential_test.go
+++ b/rollout/sequential_test.go
@@ -13,7 +13,7 @@
 func TestMeanTestIsAMartingale(t *testing.T) {
 	tests := []struct {
 		desc  string
-		side  side
+		side  alternative
 		limit float64
 	}{
 		{"above a low limit", above, 0.02},
@@ -24,18 +24,18 @@
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
 			is := is.New(t)
-			test := newMeanTest(tt.side, tt.limit, binary)
-			for _, row := range test.logs { // the expected factor at the limit is 1
+			test := newMeanTest(tt.side, tt.limit, binaryValues)
+			for _, row := range test.logFactors { // the expected factor at the limit is 1
 				mean := (1-tt.limit)*math.Exp(row[0]) + tt.limit*math.Exp(row[1])
 				is.True(math.Abs(mean-1) < 1e-9)
 			}
-			is.Equal(test.logStrength([]uint64{0, 0}), 0.0)
+			is.Equal(test.logWealth([]uint64{0, 0}), 0.0)
 		})
 	}
 }
 
-// TestFalseVerdictsAreRare looks after every answer, as trackers do, at
-// versions exactly on a limit, the hardest case.
+// TestFalseVerdictsAreRare tests versions that are exactly on a limit, the
+// hardest case, after every answer, as trackers do.
 func TestFalseVerdictsAreRare(t *testing.T) {
 	const runs, answers, limit = 1000, 600, 0.05
 	is := is.New(t)
@@ -43,7 +43,7 @@
 	rnd := rand.New(rand.NewPCG(1, 1))
 	stopped, cleared := 0, 0
 	for range runs {
-		s, k := verdictOf(&c, rnd, answers, limit)
+		s, k := stoppedOrCleared(&c, rnd, answers, limit)
 		stopped += s
 		cleared += k
 	}
@@ -52,7 +52,7 @@
 	is.True(cleared <= runs*2*DefaultFalseClear)
 }
 
-func verdictOf(c *criteria, rnd *rand.Rand, answers int, errorRate float64) (stopped, cleared int) {
+func stoppedOrCleared(c *criteria, rnd *rand.Rand, answers int, errorRate float64) (stopped, cleared int) {
 	counters := &Counters{}
 	for range answers {
 		counters.Answers++
@@ -74,8 +74,8 @@
 	e := Evidence{Host: host, Model: "m", Version: "2", Epoch: 5, Granted: number("granted")}
 	e.Taken = number("taken")
 	e.Total = Counters{Answers: number("answers"), Errors: number("errors")}
-	e.Total.rate(rapid.IntRange(0, RatingBuckets-1).Draw(t, "bucket"), number("ratings"))
-	e.raiseGiven(Transfer{To: "x", Answers: number("given")})
+	e.Total.addRatings(rapid.IntRange(0, RatingBuckets-1).Draw(t, "bucket"), number("ratings"))
+	e.mergeTransfer(Transfer{To: "x", Answers: number("given")})
 	return e
 }
 
@@ -89,13 +89,13 @@
 		for _, other := range []*Evidence{&a, &b} {
 			right.merge(other)
 		}
-		if left.weight() != right.weight() || left.Total.MeanRating() != right.Total.MeanRating() {
+		if left.counterSum() != right.counterSum() || left.Total.MeanRating() != right.Total.MeanRating() {
 			t.Fatalf("%+v and %+v differ", left, right)
 		}
 	})
 }
 
-func TestEvidenceTravelsAsJSON(t *testing.T) {
+func TestEvidenceJSONRoundTrip(t *testing.T) {
 	is := is.New(t)
 	evidence := peersEvidence(1)
 	data, err := json.Marshal(evidence)
@@ -106,5 +106,5 @@
 	is.Equal(decoded, evidence)
 	var ratings Ratings
 	is.True(ratings.UnmarshalJSON([]byte("[1]")) != nil)
-	is.NoErr(ratings.UnmarshalJSON([]byte("[999,1]"))) // out of range is dropped
+	is.NoErr(ratings.UnmarshalJSON([]byte("[999,1]"))) // a bucket out of range is ignored
 }
--- a/rollout/stops.go
+++ b/rollout/stops.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Stopped says whether the version takes no new work, and why.
+// Stopped returns the stop of the version, and whether it is stopped.
 func (t *Tracker) Stopped(model, version string) (Stop, bool) {
 	key := Key{model, version}
 	s := t.shard(key)
@@ -14,7 +14,7 @@
 	return s.stopped(key)
 }
 
-// Stops returns all stops that this host knows, for other hosts to adopt.
+// Stops returns all stops that this host stores, for other hosts to adopt.
 func (t *Tracker) Stops() []Stop {
 	stops := []Stop{}
 	for i := range t.shards {
@@ -31,9 +31,9 @@
 	return stops
 }
 
-// AdoptStop takes over a stop that another host found, and says whether it
-// was new. It applies to rules up to its epoch, also to rules that come later;
-// only a rule with a higher epoch ends it.
+// AdoptStop stores a stop from another host and reports whether it changed the
+// stored one. The stop applies to rules up to its epoch, including rules that
+// are set later; only a rule with a higher epoch ends it.
 func (t *Tracker) AdoptStop(stop Stop) bool {
 	s := t.shard(stop.Key())
 	s.mu.Lock()
@@ -44,8 +44,8 @@
 	return s.addStop(stop)
 }
 
-// stopped returns the stop of a version that has a rule. Stops that a rule
-// outdates are deleted when the rule is set.
+// stopped returns the stop of a version that has a rule. Stops of lower epochs
+// are deleted when a rule is set.
 func (s *shard) stopped(key Key) (Stop, bool) {
 	if s.entries[key] == nil {
 		return Stop{}, false
@@ -54,17 +54,18 @@
 	return stop, ok
 }
 
-// addStop keeps the stop with the highest epoch, and among equals the first.
-// Stops of versions without a rule are kept up to retiredKept.
+// addStop stores the stop with the highest epoch, and among equal epochs the
+// earliest. It reports whether the stored stop changed. Stops of versions
+// without a rule are stored up to maxVersionsWithoutRule.
 func (s *shard) addStop(stop Stop) bool {
-	known, ok := s.stops[stop.Key()]
-	if ok && known.Epoch > stop.Epoch {
+	stored, ok := s.stops[stop.Key()]
+	if ok && stored.Epoch > stop.Epoch {
 		return false
 	}
-	if ok && known.Epoch == stop.Epoch && !stop.before(known) {
+	if ok && stored.Epoch == stop.Epoch && !stop.before(stored) {
 		return false
 	}
-	if !ok && s.entries[stop.Key()] == nil && len(s.stops) >= retiredKept {
+	if !ok && s.entries[stop.Key()] == nil && len(s.stops) >= maxVersionsWithoutRule {
 		return false
 	}
 	s.stops[stop.Key()] = stop
@@ -79,13 +80,13 @@
 	return cmp.Or(compareKeys(a.Key(), b.Key()), cmp.Compare(a.Host, b.Host))
 }
 
-// export appends the records that changed after the mark.
-func (e *entry) export(list []Evidence, mark uint64) []Evidence {
-	if e.changed[e.own.Host] > mark {
+// export appends the records whose last change number is above since.
+func (e *entry) export(list []Evidence, since uint64) []Evidence {
+	if e.lastChanges[e.own.Host] > since {
 		list = append(list, e.own.clone())
 	}
 	for host, p := range e.peers {
-		if e.changed[host] > mark {
+		if e.lastChanges[host] > since {
 			list = append(list, p.clone())
 		}
 	}
--- a/rollout/tracker.go
+++ b/rollout/tracker.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// trackerShards is the number of parts of a Tracker with a lock of their own.
+// trackerShards is the number of shards of a Tracker, each with its own lock.
 const trackerShards = 16
 
 // Tracker holds the rules, the evidence and the stops on one host. It is safe
@@ -16,11 +16,11 @@
 type Tracker struct {
 	options Options
 	hosts   atomic.Int64
-	// changes numbers the changes of evidence, for ExportSince.
-	changes atomic.Uint64
-	shards  [trackerShards]shard
-	// wanted has an entry while a part of a budget is to be claimed.
-	wanted chan struct{}
+	// lastChange is the number of the last change of evidence, for ExportSince.
+	lastChange atomic.Uint64
+	shards     [trackerShards]shard
+	// grantNeeded holds an element while a part of a budget is to be claimed.
+	grantNeeded chan struct{}
 }
 
 // shard holds the versions whose keys hash to it.
@@ -28,22 +28,23 @@
 	mu      sync.Mutex
 	entries map[Key]*entry
 	stops   map[Key]Stop
-	// early is evidence of epochs that this host has no rule for yet.
-	early map[Key]map[string]*Evidence
+	// pendingEvidence holds, by version and host, the evidence of epochs for
+	// which this host has no rule.
+	pendingEvidence map[Key]map[string]*Evidence
 }
 
-// New returns a Tracker without rules, which permits every version.
+// New returns a Tracker without rules, which allows every version.
 func New(options Options) *Tracker {
 	if options.Clock == nil {
 		options.Clock = time.Now
 	}
-	t := &Tracker{options: options, wanted: make(chan struct{}, 1)}
+	t := &Tracker{options: options, grantNeeded: make(chan struct{}, 1)}
 	t.hosts.Store(1)
 	for i := range t.shards {
 		t.shards[i] = shard{
-			entries: make(map[Key]*entry),
-			stops:   make(map[Key]Stop),
-			early:   make(map[Key]map[string]*Evidence),
+			entries:         make(map[Key]*entry),
+			stops:           make(map[Key]Stop),
+			pendingEvidence: make(map[Key]map[string]*Evidence),
 		}
 	}
 	return t
@@ -58,34 +59,36 @@
 	return &t.shards[d.Sum64()%trackerShards]
 }
 
-// SetHosts sets the number of entry hosts, at least 1. It divides the pace
-// and, unless Options.Granted is set, the budgets: a host takes its part of a
-// budget once, when it first uses the rule, and later numbers don't change
-// it. That keeps the sum within the budget only if no more than n incarnations
-// of hosts take part in the epoch. With Options.Granted it always holds.
+// SetHosts sets the number of entry hosts, at least 1. The pacing bounds are
+// divided by it and, unless Options.Granted is set, the budgets too: a host
+// computes its part of a budget once, when it first uses the rule, and later
+// numbers don't change it. The sum of the parts then stays within the budget
+// only if no more than n incarnations of hosts take part in the epoch. With
+// Options.Granted it always does.
 func (t *Tracker) SetHosts(n int) {
 	t.hosts.Store(int64(max(1, n)))
 }
 
 func (t *Tracker) hostCount() int { return int(t.hosts.Load()) }
 
-// judge runs the tests and records a stop.
-func (t *Tracker) judge(s *shard, e *entry, now time.Time) {
+// evaluate runs the tests and stores the stop if one of them fails.
+func (t *Tracker) evaluate(s *shard, e *entry, now time.Time) {
 	if _, stopped := s.stopped(e.rule.Key()); stopped {
 		return
 	}
-	if stop, bad := e.verdict(now); bad {
+	if stop, bad := e.runTests(now); bad {
 		s.addStop(stop)
 	}
 }
 
-// mark notes that a host's evidence changed.
-func (t *Tracker) mark(e *entry, host string) {
-	e.changed[host] = t.changes.Add(1)
+// recordChange records that a host's evidence changed, for ExportSince.
+func (t *Tracker) recordChange(e *entry, host string) {
+	e.lastChanges[host] = t.lastChange.Add(1)
 }
 
-// with runs f on the entry of a version that has a rule, and otherwise none.
-func (t *Tracker) with(key Key, f func(s *shard, e *entry, now time.Time), none func(s *shard)) {
+// withEntry locks the version's shard and calls f with the version's entry, or
+// noRule, which may be nil, if the version has no rule.
+func (t *Tracker) withEntry(key Key, f func(s *shard, e *entry, now time.Time), noRule func(s *shard)) {
 	now := t.options.Clock()
 	s := t.shard(key)
 	s.mu.Lock()
@@ -94,7 +97,7 @@
 		f(s, e, now)
 		return
 	}
-	if none != nil {
-		none(s)
+	if noRule != nil {
+		noRule(s)
 	}
 }
--- a/rollout/tracker_test.go
+++ b/rollout/tracker_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-func TestVersionsWithoutARuleAreFree(t *testing.T) {
+func TestVersionsWithoutARuleAreUnrestricted(t *testing.T) {
 	is := is.New(t)
 	tracker := newTracker("a", newClock(), rule)
 	is.True(tracker.Take("m", "1"))
@@ -31,7 +31,7 @@
 		t.Run(tt.desc, func(t *testing.T) {
 			is := is.New(t)
 			tracker := newTracker("a", newClock(), rule)
-			n := takeAll(tracker, 700, tt.outcome)
+			n := takeAndObserve(tracker, 700, tt.outcome)
 			t.Logf("stopped after %d answers", n)
 			is.True(n < 40)
 			stop, ok := tracker.Stopped("m", "2")
@@ -47,8 +47,8 @@
 func TestClearing(t *testing.T) {
 	is := is.New(t)
 	tracker := newTracker("a", newClock(), rule)
-	n := takeAll(tracker, 5000, good)
-	is.Equal(n, 5000) // no budget after clearing
+	n := takeAndObserve(tracker, 5000, good)
+	is.Equal(n, 5000) // the budget doesn't apply after clearing
 	is.True(tracker.Cleared("m", "2"))
 	is.True(tracker.Export()[0].Taken < uint64(rule.Budget))
 }
@@ -57,10 +57,10 @@
 	is := is.New(t)
 	clock := newClock()
 	tracker := newTracker("a", clock, rule)
-	takeAll(tracker, 20000, good)
-	clock.Advance(segmentsKept * SegmentLength)
-	n := takeAll(tracker, 500, Outcome{Err: true})
-	is.True(n < 10) // the long good record doesn't hide it
+	takeAndObserve(tracker, 20000, good)
+	clock.Advance(maxSegments * SegmentLength)
+	n := takeAndObserve(tracker, 500, Outcome{Err: true})
+	is.True(n < 10) // the earlier good answers don't hide the failures
 	stop, _ := tracker.Stopped("m", "2")
 	is.Equal(stop.Reason, ReasonErrors)
 }
@@ -77,7 +77,7 @@
 	}
 	is.Equal(takeOnly(), DefaultInitial)
 	tracker.Observe("m", "2", good)
-	is.Equal(takeOnly(), 2) // one ended, and one more by its evidence
+	is.Equal(takeOnly(), 2) // one answer ended, and its evidence allows one more
 	tracker.Return("m", "2")
 	is.Equal(takeOnly(), 1)
 	clock.Advance(DefaultObserveTimeout)
@@ -88,9 +88,9 @@
 	is := is.New(t)
 	tracker := newTracker("a", newClock(), rule)
 	unrated := Outcome{FirstToken: time.Millisecond}
-	is.Equal(takeAll(tracker, 700, unrated), DefaultInitialUnrated)
+	is.Equal(takeAndObserve(tracker, 700, unrated), DefaultInitialUnrated)
 	tracker.Rate("m", "2", 0.9)
-	is.Equal(takeAll(tracker, 700, unrated), DefaultUnratedGrowth+1)
+	is.Equal(takeAndObserve(tracker, 700, unrated), DefaultUnratedGrowth+1)
 }
 
 func TestStopHoldsUntilANewEpoch(t *testing.T) {
@@ -98,12 +98,12 @@
 	tracker := newTracker("a", newClock(), rule)
 	stop := Stop{Model: "m", Version: "2", Epoch: rule.Epoch, Reason: ReasonErrors, Host: "b", At: start}
 	is.True(tracker.AdoptStop(stop))
-	is.True(!tracker.AdoptStop(stop)) // no news
+	is.True(!tracker.AdoptStop(stop)) // already stored
 	is.True(!tracker.Take("m", "2"))
 	tracker.SetVersions([]VersionRule{rule}) // the same epoch
 	is.True(!tracker.Take("m", "2"))
 	tracker.SetVersions(nil)
-	tracker.SetVersions([]VersionRule{rule}) // left and came back
+	tracker.SetVersions([]VersionRule{rule}) // removed and restored
 	is.True(!tracker.Take("m", "2"))
 
 	renewed := rule
@@ -119,7 +119,7 @@
 	is := is.New(t)
 	tracker := newTracker("a", newClock())
 	tracker.AdoptStop(Stop{Model: "m", Version: "2", Epoch: rule.Epoch, At: start})
-	is.Equal(len(tracker.Stops()), 1) // passed on meanwhile
+	is.Equal(len(tracker.Stops()), 1) // exported before its rule is set
 	tracker.SetVersions([]VersionRule{rule})
 	is.True(!tracker.Take("m", "2"))
 }
@@ -140,7 +140,7 @@
 	is := is.New(t)
 	clock := newClock()
 	a, b := newTracker("a", clock, rule), newTracker("b", clock, rule)
-	for range 2 { // too few on either host alone
+	for range 2 { // too few for a stop on either host alone
 		a.Observe("m", "2", Outcome{Err: true})
 		b.Observe("m", "2", Outcome{Err: true})
 	}
@@ -190,7 +190,7 @@
 	for range 60 {
 		tracker.Take("m", "2")
 	}
-	for range 3 { // 5% of those under way, as is permitted
+	for range 3 { // 5% of those in flight, which is within the limit
 		tracker.Observe("m", "2", Outcome{Err: true})
 	}
 	_, stopped := tracker.Stopped("m", "2")
@@ -208,7 +208,7 @@
 	for range smallRule.Budget {
 		is.True(tracker.TakeBound("m", "2"))
 	}
-	is.True(!tracker.TakeBound("m", "2")) // the budget holds
+	is.True(!tracker.TakeBound("m", "2")) // the budget is enforced
 }
 
 func TestAbandonedAnswersEnd(t *testing.T) {
@@ -220,11 +220,11 @@
 	is.True(tracker.Take("m", "2"))
 	is.True(!tracker.Take("m", "2"))
 	evidence := tracker.Export()[0]
-	is.Equal(evidence.underWay(), uint64(DefaultInitial))
-	is.Equal(evidence.Taken, uint64(DefaultInitial+1)) // still counted
+	is.Equal(evidence.inFlight(), uint64(DefaultInitial))
+	is.Equal(evidence.Taken, uint64(DefaultInitial+1)) // still charged to the budget
 }
 
-// TestSizeOfEvidence has 1.4 answers a second, a seventh of 10, each rated.
+// TestSizeOfEvidence observes 1.4 rated answers a second, a seventh of 10.
 func TestSizeOfEvidence(t *testing.T) {
 	is := is.New(t)
 	clock := newClock()
