--- a/quota/adjust.go
+++ b/quota/adjust.go
@@ -11,62 +11,63 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// adjust takes over what a row states and commits the holding that the policy
-// goes for. A commit that failed without effect is left to the next pass.
+// adjust applies an account's row and commits the holding that decide returns.
+// A commit that failed with a conflict is retried by the next reconciliation.
 func (l *Limiter) adjust(ctx context.Context, b *bucket, row storage.Row, period time.Duration) error {
 	full, err := parseAccountRow(row)
 	if err != nil {
 		return err
 	}
 	own := l.lease.Load()
-	current, dead := full.without(l.isDead)
-	l.observe(b, current, own.id)
-	v := view{
-		needs: b.measure(l.opts.Clock(), period),
-		held:  b.control.held,
-		free:  current.free(),
-		hosts: len(l.hosts),
+	current, expired := full.withoutExpired(l.isExpired)
+	l.applyRow(b, current, own.id)
+	v := decisionInput{
+		demandStats: b.measureDemand(l.opts.Clock(), period),
+		held:        b.state.held,
+		free:        current.free(),
+		hosts:       len(l.hostRows),
 	}
-	v.wanted, v.entitled, v.excess = current.scarcity(own.id, v.fair())
+	v.othersShortage, v.othersEntitled, v.othersExcess = current.sumOthers(own.id, v.fairShare())
 	d := decide(v)
-	b.control.short = v.refused && d.slots <= b.control.held
-	if d.slots == b.control.held && !wishChanged(current.wish(own.id), d.wants) && b.control.open == nil {
+	b.state.short = v.refused && d.slots <= b.state.held
+	if d.slots == b.state.held && !shortageChanged(current.shortageOf(own.id), d.shortage) && b.state.unresolved == nil {
 		return nil
 	}
-	return l.change(ctx, b, current, dead, d)
+	return l.commitHolding(ctx, b, current, expired, d)
 }
 
-// wishChanged reports whether a wish differs enough to be written.
-func wishChanged(old, wish int) bool {
-	if (old == 0) != (wish == 0) {
+// shortageChanged reports whether a shortage differs enough to be committed.
+func shortageChanged(old, shortage int) bool {
+	if (old == 0) != (shortage == 0) {
 		return true
 	}
-	difference := wish - old
-	return max(difference, -difference) > old/hysteresis
+	difference := shortage - old
+	return max(difference, -difference) > old/hysteresisDivisor
 }
 
-// isDead reports whether a holder has no host row. The list of hosts may be
-// older than the account's row, so a commit that relies on it has the row's
-// absence among its conditions.
-func (l *Limiter) isDead(id string) bool {
-	_, alive := l.hosts[id]
+// isExpired reports whether a holder has no host row. The host rows may have
+// been read before the account's row, so a commit that removes a holder has the
+// absence of its host row as a condition.
+func (l *Limiter) isExpired(id string) bool {
+	_, alive := l.hostRows[id]
 	return !alive
 }
 
-// observe takes over what the row states of this host. Only this host changes
-// its holding while it is registered, so a row that is a little old will do.
-func (l *Limiter) observe(b *bucket, row accountRow, id string) {
-	c := &b.control
+// applyRow updates the account's state from its row. While this host is
+// registered, no other host changes its holding, so a slightly stale row is
+// correct.
+func (l *Limiter) applyRow(b *bucket, row accountRow, id string) {
+	c := &b.state
 	c.held = row.heldBy(id)
-	if c.open != nil && c.open.base != row.version {
-		c.open = nil
+	if c.unresolved != nil && c.unresolved.baseVersion != row.version {
+		c.unresolved = nil
 	}
-	certain := c.held
-	if c.open != nil {
-		certain = min(certain, c.open.held)
+	confirmed := c.held
+	if c.unresolved != nil {
+		confirmed = min(confirmed, c.unresolved.held)
 	}
 	now := l.opts.Clock()
-	b.hold(now, l.leaseEnd(), certain, 0)
+	b.setOwnSlots(now, l.leaseEnd(), confirmed, 0)
 	c.holders = c.holders[:0]
 	for _, h := range row.Holdings {
 		if h.Holder != id {
@@ -76,50 +77,51 @@
 	sort.Slice(c.holders, func(i, j int) bool { return c.holders[i].Slots > c.holders[j].Slots })
 }
 
-// change commits a holding. Slots that are given back are no longer spent from
-// before the commit; slots that are taken are spent after it.
-func (l *Limiter) change(ctx context.Context, b *bucket, row accountRow, dead []string, d decision) error {
-	c := &b.control
+// commitHolding commits a decision. Slots that are given back are no longer used
+// from before the commit; slots that are taken are used only after it.
+func (l *Limiter) commitHolding(ctx context.Context, b *bucket, row accountRow, expired []string, d decision) error {
+	c := &b.state
 	now := l.opts.Clock()
 	if d.slots < c.held {
-		certain := d.slots
-		if c.open != nil {
-			certain = min(certain, c.open.held)
+		confirmed := d.slots
+		if c.unresolved != nil {
+			confirmed = min(confirmed, c.unresolved.held)
 		}
-		d.slots = max(d.slots, b.hold(now, l.leaseEnd(), certain, 0))
+		d.slots = max(d.slots, b.setOwnSlots(now, l.leaseEnd(), confirmed, 0))
 	}
 	id := l.lease.Load().id
-	next, fresh := row.with(id, d)
-	_, err := l.commitRow(ctx, b.account, next, dead)
+	next, neverHeld := row.withDecision(id, d)
+	_, err := l.commitRow(ctx, b.account, next, expired)
 	now = l.opts.Clock()
 	switch {
 	case err == nil:
-		c.open = nil
+		c.unresolved = nil
 		c.held = d.slots
-		b.hold(now, l.leaseEnd(), d.slots, fresh)
+		b.setOwnSlots(now, l.leaseEnd(), d.slots, neverHeld)
 		return nil
 	case errors.Is(err, storage.ErrConflict):
 		return nil
 	case errors.Is(err, storage.ErrUnavailable):
 		return err
 	}
-	l.markOpen(b, row.version, d.slots)
+	l.recordUnresolved(b, row.version, d.slots)
 	return err
 }
 
-// markOpen limits the host to what it holds whether or not the commit, and any
-// earlier open one, takes effect.
-func (l *Limiter) markOpen(b *bucket, base uint64, held int) {
-	c := &b.control
-	if c.open != nil && c.open.base == base {
-		held = min(held, c.open.held)
+// recordUnresolved records a commit whose outcome is unknown and limits the host
+// to the slots that it holds whether or not this commit, and any earlier
+// unresolved one, takes effect.
+func (l *Limiter) recordUnresolved(b *bucket, baseVersion uint64, held int) {
+	c := &b.state
+	if c.unresolved != nil && c.unresolved.baseVersion == baseVersion {
+		held = min(held, c.unresolved.held)
 	}
-	c.open = &openCommit{base: base, held: held}
+	c.unresolved = &unresolvedCommit{baseVersion: baseVersion, held: held}
 	now := l.opts.Clock()
-	b.hold(now, l.leaseEnd(), min(c.held, held), 0)
+	b.setOwnSlots(now, l.leaseEnd(), min(c.held, held), 0)
 }
 
-func (l *Limiter) commitRow(ctx context.Context, account string, row accountRow, dead []string) (uint64, error) {
+func (l *Limiter) commitRow(ctx context.Context, account string, row accountRow, expired []string) (uint64, error) {
 	value, err := json.Marshal(row)
 	if err != nil {
 		return 0, fmt.Errorf("quota: encode row: %w", err)
@@ -129,7 +131,7 @@
 		Conditions: []storage.Condition{{Key: key, Version: row.version}},
 		Puts:       []storage.Put{{Key: key, Value: value}},
 	}
-	for _, id := range dead {
+	for _, id := range expired {
 		txn.Conditions = append(txn.Conditions, storage.Condition{Key: hostKey(id)})
 	}
 	return l.commit(ctx, txn)
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -6,59 +6,64 @@
 	"time"
 )
 
-// defaultRetryAfter is the advice when the present slots can never do.
+// defaultRetryAfter is returned when the current slots can never allow the
+// request.
 const defaultRetryAfter = time.Second
 
-// Refusals up to a part of the requests and a number besides are put down to
-// chance, not to a lack of slots.
+// Refusals up to a ratio of the requests plus a constant are attributed to
+// random variation, not to a lack of slots.
 const (
-	toleratedRefusals = 0.02
-	toleratedCount    = 2
+	toleratedRefusalRatio = 0.02
+	toleratedRefusals     = 2
 )
 
-// demandWeight is the weight of the last period in the decayed demand.
+// demandWeight is the weight of the last measurement period in the moving
+// average of the demand.
 const demandWeight = 0.25
 
-// jump is the factor between recent and decayed demand from which on the
-// recent one counts.
-const jump = 2
+// demandJumpFactor is the ratio between recent and average demand above which
+// the recent demand is used.
+const demandJumpFactor = 2
 
-// term is a number of slots up to a time.
-type term struct {
+// timedSlots is a number of slots that is valid until a time.
+type timedSlots struct {
 	slots int
 	until time.Time
 }
 
-// bucket is an account's token bucket on this host. Its rate and depth follow
-// the slots that the host may spend.
+// bucket is an account's token bucket on this host. Its rate and depth are
+// proportional to the slots that the host may use.
 type bucket struct {
 	account string
-	// floor is the number of slots spent without a lease.
+	// floor is the number of slots that the host may use without a lease.
 	floor float64
 
 	mu    sync.Mutex
 	limit Limit
-	// own is the number of slots held by the row, as far as it is certain.
-	own int
-	// lent are slots that other hosts spend, loans slots of other hosts.
-	lent, loans []term
-	tokens      float64
-	last        time.Time
-	// asked sums what was asked since the last pass, refused what was refused.
-	asked, refused float64
-	// pressing says that something was refused since Run last looked.
-	pressing bool
-	// demand is the decayed rate of what is asked, in requests per second, and
-	// recent its rate of the last second.
-	demand float64
-	recent recentRate
-
-	// control is used by the background pass alone.
-	control control
+	// ownSlots is the number of slots that the row certainly assigns to this
+	// host, whatever the outcome of an unresolved commit.
+	ownSlots int
+	// lentSlots are own slots lent to other hosts, borrowedSlots slots of other
+	// hosts.
+	lentSlots, borrowedSlots []timedSlots
+	tokens                   float64
+	filledAt                 time.Time
+	// requested and refused count requests since the last measurement.
+	requested, refused float64
+	// newlyRefused is true if requests were refused since demand was last
+	// measured, also by an urgent reconciliation.
+	newlyRefused bool
+	// demand is the moving average of the requested rate, in requests per
+	// second, recentDemand the requested rate of the last few seconds.
+	demand       float64
+	recentDemand recentRate
+
+	// state is used only by the goroutine of Run.
+	state reconcileState
 }
 
 func newBucket(limit Limit, floor float64, now time.Time) *bucket {
-	b := &bucket{account: limit.Account, last: now}
+	b := &bucket{account: limit.Account, filledAt: now}
 	b.setLimit(now, time.Time{}, limit, floor)
 	return b
 }
@@ -66,34 +71,34 @@
 func (b *bucket) setLimit(now, leaseEnd time.Time, limit Limit, floor float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.advance(now, leaseEnd)
+	b.refill(now, leaseEnd)
 	limit.Burst = max(1, limit.Burst)
 	b.limit = limit
 	b.floor = 0
 	if floor > 0 {
-		b.floor = max(floor*Slots, float64(b.least()))
+		b.floor = max(floor*Slots, float64(b.minSlots()))
 	}
 }
 
-// least is the smallest number of slots that lets one request through.
-func (b *bucket) least() int {
+// minSlots returns the smallest number of slots that allows one request.
+func (b *bucket) minSlots() int {
 	return int(math.Ceil(Slots / b.limit.Burst))
 }
 
-// take spends n if the slots have given that much. leaseEnd is the end of the
-// host's lease.
+// take spends n tokens if the bucket has them; otherwise it returns the time to
+// wait. leaseEnd is the end of the host's lease.
 func (b *bucket) take(now, leaseEnd time.Time, n float64) (bool, time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.advance(now, leaseEnd)
-	b.asked += n
-	b.recent.add(now, n)
+	b.refill(now, leaseEnd)
+	b.requested += n
+	b.recentDemand.add(now, n)
 	if b.tokens >= n {
 		b.tokens -= n
 		return true, 0
 	}
 	b.refused += n
-	b.pressing = true
+	b.newlyRefused = true
 	return false, b.retryAfter(now, leaseEnd, n)
 }
 
@@ -109,16 +114,16 @@
 func (b *bucket) rate(slots float64) float64  { return b.limit.Rate * slots / Slots }
 func (b *bucket) depth(slots float64) float64 { return b.limit.Burst * slots / Slots }
 
-// spendable is the number of slots that the host may spend at a time.
+// spendable returns the number of slots that the host may use at a time.
 func (b *bucket) spendable(at, leaseEnd time.Time) float64 {
 	slots := b.floor
 	if at.Before(leaseEnd) {
-		slots = float64(b.own - sum(b.lent, at))
+		slots = float64(b.ownSlots - validSlots(b.lentSlots, at))
 	}
-	return slots + float64(sum(b.loans, at))
+	return slots + float64(validSlots(b.borrowedSlots, at))
 }
 
-func sum(terms []term, at time.Time) int {
+func validSlots(terms []timedSlots, at time.Time) int {
 	n := 0
 	for _, t := range terms {
 		if at.Before(t.until) {
@@ -128,36 +133,37 @@
 	return n
 }
 
-// advance lets the bucket fill until now, in steps between the times at which
-// slots end, so that no slot gives anything after its end.
-func (b *bucket) advance(now, leaseEnd time.Time) {
-	for b.last.Before(now) {
-		next := b.nextEnd(now, leaseEnd)
-		slots := b.spendable(b.last, leaseEnd)
-		b.tokens += b.rate(slots) * next.Sub(b.last).Seconds()
+// refill adds tokens up to now, in steps between the times at which slots
+// expire, so that no slot yields tokens after it expired.
+func (b *bucket) refill(now, leaseEnd time.Time) {
+	for b.filledAt.Before(now) {
+		next := b.nextExpiry(now, leaseEnd)
+		slots := b.spendable(b.filledAt, leaseEnd)
+		b.tokens += b.rate(slots) * next.Sub(b.filledAt).Seconds()
 		b.tokens = min(b.tokens, b.depth(slots))
-		b.last = next
+		b.filledAt = next
 	}
-	b.tokens = min(b.tokens, b.depth(b.spendable(b.last, leaseEnd)))
-	b.lent = unexpired(b.lent, b.last)
-	b.loans = unexpired(b.loans, b.last)
+	b.tokens = min(b.tokens, b.depth(b.spendable(b.filledAt, leaseEnd)))
+	b.lentSlots = unexpired(b.lentSlots, b.filledAt)
+	b.borrowedSlots = unexpired(b.borrowedSlots, b.filledAt)
 }
 
-// nextEnd is the first end of a loan or of the lease after last, or now.
-func (b *bucket) nextEnd(now, leaseEnd time.Time) time.Time {
+// nextExpiry returns when the next loan or the lease expires after filledAt, but
+// at most now.
+func (b *bucket) nextExpiry(now, leaseEnd time.Time) time.Time {
 	next := now
-	if b.last.Before(leaseEnd) && leaseEnd.Before(next) {
+	if b.filledAt.Before(leaseEnd) && leaseEnd.Before(next) {
 		next = leaseEnd
 	}
-	for _, t := range b.loans {
-		if b.last.Before(t.until) && t.until.Before(next) {
+	for _, t := range b.borrowedSlots {
+		if b.filledAt.Before(t.until) && t.until.Before(next) {
 			next = t.until
 		}
 	}
 	return next
 }
 
-func unexpired(terms []term, at time.Time) []term {
+func unexpired(terms []timedSlots, at time.Time) []timedSlots {
 	kept := terms[:0]
 	for _, t := range terms {
 		if at.Before(t.until) {
@@ -167,82 +173,86 @@
 	return kept
 }
 
-// hold changes the host's own slots, though not below those lent out, and
-// returns the number held. Slots that no host ever held bring their depth.
-func (b *bucket) hold(now, leaseEnd time.Time, slots, fresh int) int {
+// setOwnSlots sets the host's own slots, but not below those lent out, and
+// returns the number set. Slots that no host ever held start with full depth.
+func (b *bucket) setOwnSlots(now, leaseEnd time.Time, slots, neverHeld int) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.advance(now, leaseEnd)
-	b.own = max(slots, sum(b.lent, now))
-	b.tokens += b.depth(float64(fresh))
+	b.refill(now, leaseEnd)
+	b.ownSlots = max(slots, validSlots(b.lentSlots, now))
+	b.tokens += b.depth(float64(neverHeld))
 	b.tokens = min(b.tokens, b.depth(b.spendable(now, leaseEnd)))
-	return b.own
+	return b.ownSlots
 }
 
-// forfeit drops all that the host held under a lease that it lost.
-func (b *bucket) forfeit() {
+// dropHoldings drops the own slots and tokens after the host lost its lease.
+func (b *bucket) dropHoldings() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.own = 0
-	b.lent = nil
+	b.ownSlots = 0
+	b.lentSlots = nil
 	b.tokens = 0
-	b.control = control{}
+	b.state = reconcileState{}
 }
 
-// needs is what a pass over the rows knows of an account's demand.
-type needs struct {
-	// slots is the demand in slots of the limit.
-	slots float64
-	// refused says that more than a few requests were refused.
+// demandStats holds an account's demand on this host and the slots to meet it.
+type demandStats struct {
+	// demandSlots is the number of slots whose rate equals the demand.
+	demandSlots float64
+	// refused is true if more requests were refused than tolerated.
 	refused bool
-	// least is the smallest number of slots that lets one request through.
-	least int
-	// own, lent and loans are the slots held, lent out and borrowed.
-	own, lent, loans int
+	// minSlots is the smallest number of slots that allows one request.
+	minSlots int
+	// ownSlots, lentSlots and borrowedSlots are the numbers of slots held, lent
+	// out and borrowed.
+	ownSlots, lentSlots, borrowedSlots int
 }
 
-// measure tells the demand. A positive period ends a period of that length.
-func (b *bucket) measure(now time.Time, period time.Duration) needs {
+// measureDemand returns the demand. A positive period ends the measurement
+// period, which had that length.
+func (b *bucket) measureDemand(now time.Time, period time.Duration) demandStats {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if period > 0 {
-		b.demand += (b.asked/period.Seconds() - b.demand) * demandWeight
+		b.demand += (b.requested/period.Seconds() - b.demand) * demandWeight
 	}
-	n := needs{
-		slots:   b.inSlots(b.expected(now)),
-		refused: b.isRefusing(),
-		least:   b.least(),
-		lent:    sum(b.lent, now),
-		own:     b.own,
-		loans:   sum(b.loans, now),
+	n := demandStats{
+		demandSlots:   b.slotsForRate(b.expectedDemand(now)),
+		refused:       b.exceedsToleratedRefusals(),
+		minSlots:      b.minSlots(),
+		lentSlots:     validSlots(b.lentSlots, now),
+		ownSlots:      b.ownSlots,
+		borrowedSlots: validSlots(b.borrowedSlots, now),
 	}
-	b.pressing = false
+	b.newlyRefused = false
 	if period > 0 {
-		b.asked = 0
+		b.requested = 0
 		b.refused = 0
 	}
 	return n
 }
 
-// expected is the demand to reckon with: the decayed rate, unless that of the
-// last moments is so far off that chance doesn't explain it.
-func (b *bucket) expected(now time.Time) float64 {
-	recent := b.recent.rate(now)
-	if recent > jump*b.demand || recent < b.demand/jump {
+// expectedDemand returns the expected demand in requests per second: the moving
+// average, or the recent rate if the two differ by more than random variation
+// explains.
+func (b *bucket) expectedDemand(now time.Time) float64 {
+	recent := b.recentDemand.rate(now)
+	if recent > demandJumpFactor*b.demand || recent < b.demand/demandJumpFactor {
 		return recent
 	}
 	return b.demand
 }
 
-// isRefusing reports whether more is refused than by chance.
-func (b *bucket) isRefusing() bool {
-	if b.own < b.least() {
+// exceedsToleratedRefusals reports whether more requests were refused than
+// random variation explains.
+func (b *bucket) exceedsToleratedRefusals() bool {
+	if b.ownSlots < b.minSlots() {
 		return b.refused > 0
 	}
-	return b.refused > toleratedRefusals*b.asked+toleratedCount
+	return b.refused > toleratedRefusalRatio*b.requested+toleratedRefusals
 }
 
-// inSlots converts requests per second.
-func (b *bucket) inSlots(rate float64) float64 {
+// slotsForRate converts requests per second to slots.
+func (b *bucket) slotsForRate(rate float64) float64 {
 	return rate / b.limit.Rate * Slots
 }
--- a/quota/example_test.go
+++ b/quota/example_test.go
@@ -20,7 +20,7 @@
 	}()
 	granted := false
 	for !granted {
-		// The first requests may come before the host holds slots.
+		// Requests are refused until Run has obtained slots.
 		granted, _ = limiter.Take("acme", 1)
 		time.Sleep(10 * time.Millisecond)
 	}
--- a/quota/lease.go
+++ b/quota/lease.go
@@ -13,14 +13,15 @@
 // lease is the host's lease on its holdings. It is immutable.
 type lease struct {
 	id string
-	// version is the host row's.
+	// version is the version of the host row.
 	version uint64
-	// start is when the last confirmed renewal began.
+	// start is the time at which the last confirmed renewal started.
 	start time.Time
 	ttl   time.Duration
 }
 
-// end is when the lease lapses, by a clock that counts suspensions.
+// end returns when the lease expires, by a clock that advances during
+// suspension; the zero time if l is nil.
 func (l *lease) end() time.Time {
 	if l == nil {
 		return time.Time{}
@@ -28,7 +29,8 @@
 	return l.start.Add(l.ttl)
 }
 
-// leaseEnd is when the host's holdings stop counting.
+// leaseEnd returns when the host's holdings expire; the zero time if it holds no
+// lease or is leaving.
 func (l *Limiter) leaseEnd() time.Time {
 	if l.leaving.Load() {
 		return time.Time{}
@@ -36,11 +38,11 @@
 	return l.lease.Load().end()
 }
 
-// renew registers the host or renews its lease when that is due.
+// renew registers the host, or renews its lease if that is due.
 func (l *Limiter) renew(ctx context.Context) error {
 	now := l.opts.Clock()
 	held := l.lease.Load()
-	if held != nil && now.Sub(held.start) < l.opts.renewEvery() {
+	if held != nil && now.Sub(held.start) < l.opts.renewalAge() {
 		return nil
 	}
 	next := lease{start: now, ttl: l.opts.TTL}
@@ -49,33 +51,33 @@
 		next.id = held.id
 		version = held.version
 	} else {
-		next.id = l.newID()
+		next.id = l.holderID()
 	}
-	l.attempt++
+	l.renewalAttempt++
 	revision, err := l.writeHostRow(ctx, next.id, version)
 	if err == nil {
 		next.version = revision
 		l.lease.Store(&next)
-		l.candidate = ""
+		l.pendingID = ""
 		return nil
 	}
 	if errors.Is(err, storage.ErrUnavailable) {
 		return err
 	}
-	return l.settleRenewal(ctx, next, held)
+	return l.resolveRenewal(ctx, next, held)
 }
 
-// newID keeps one name until it is registered, so that a registration whose
-// answer was lost is found again.
-func (l *Limiter) newID() string {
-	if l.candidate == "" {
-		l.candidate = l.opts.Host + "." + l.opts.NewID()
+// holderID returns the ID for the next registration. It keeps one ID until it
+// is registered, so that a registration whose response was lost can be found.
+func (l *Limiter) holderID() string {
+	if l.pendingID == "" {
+		l.pendingID = l.opts.Host + "." + l.opts.NewID()
 	}
-	return l.candidate
+	return l.pendingID
 }
 
 func (l *Limiter) writeHostRow(ctx context.Context, id string, version uint64) (uint64, error) {
-	value, err := json.Marshal(hostRow{Attempt: l.attempt, TTLMillis: l.opts.TTL.Milliseconds()})
+	value, err := json.Marshal(hostRow{Attempt: l.renewalAttempt, TTLMillis: l.opts.TTL.Milliseconds()})
 	if err != nil {
 		return 0, fmt.Errorf("quota: encode host row: %w", err)
 	}
@@ -86,12 +88,13 @@
 	})
 }
 
-// settleRenewal finds out what became of a renewal without a clear answer.
-func (l *Limiter) settleRenewal(ctx context.Context, next lease, held *lease) error {
+// resolveRenewal reads the host row to determine the outcome of a renewal that
+// failed or whose outcome is unknown.
+func (l *Limiter) resolveRenewal(ctx context.Context, next lease, held *lease) error {
 	row, err := l.get(ctx, hostKey(next.id))
 	if errors.Is(err, storage.ErrNotFound) {
 		if held != nil {
-			l.forfeit()
+			l.dropLease()
 		}
 		return nil
 	}
@@ -103,8 +106,8 @@
 		return fmt.Errorf("quota: decode row %s: %w", row.Key, err)
 	}
 	next.version = row.Version
-	if value.Attempt != l.attempt {
-		// An earlier attempt came late. When it began isn't known any more.
+	if value.Attempt != l.renewalAttempt {
+		// An earlier attempt took effect late; its start time wasn't stored.
 		if held == nil {
 			next.start = time.Time{}
 		} else {
@@ -112,66 +115,69 @@
 		}
 	}
 	l.lease.Store(&next)
-	l.candidate = ""
+	l.pendingID = ""
 	return nil
 }
 
-// forfeit gives up everything under a lease that others ended.
-func (l *Limiter) forfeit() {
+// dropLease drops the lease and all holdings after another host deleted the
+// host row.
+func (l *Limiter) dropLease() {
 	l.lease.Store(nil)
-	l.candidate = ""
-	for _, b := range l.all() {
-		b.forfeit()
+	l.pendingID = ""
+	for _, b := range l.allBuckets() {
+		b.dropHoldings()
 	}
 }
 
-// sighting is when a version of another host's row was first seen.
-type sighting struct {
+// observedVersion is a version of another host's row and when this host first
+// read it.
+type observedVersion struct {
 	version uint64
 	at      time.Time
 }
 
-// refreshHosts reads the hosts' rows and deletes those whose lease is over.
+// refreshHosts reads the host rows and deletes those whose lease has expired.
 func (l *Limiter) refreshHosts(ctx context.Context) error {
 	rows, err := l.list(ctx, hostPrefix)
 	if err != nil {
 		return err
 	}
-	// The time is read after the rows: each was written before it.
+	// The clock is read after the rows, so each row was written before now.
 	now := l.opts.Clock()
 	own := l.lease.Load()
-	seen := make(map[string]sighting, len(rows))
+	seen := make(map[string]observedVersion, len(rows))
 	for _, row := range rows {
 		id := hostID(row.Key)
-		s, known := l.hosts[id]
+		s, known := l.hostRows[id]
 		if !known || s.version != row.Version {
-			s = sighting{version: row.Version, at: now}
+			s = observedVersion{version: row.Version, at: now}
 		}
-		if own != nil && id == own.id || !l.lapsed(row, s, now) || l.remove(ctx, row) != nil {
+		if own != nil && id == own.id || !l.leaseExpired(row, s, now) || l.deleteHostRow(ctx, row) != nil {
 			seen[id] = s
 		}
 	}
-	l.hosts = seen
+	l.hostRows = seen
 	if own != nil {
 		if _, registered := seen[own.id]; !registered {
-			l.forfeit()
+			l.dropLease()
 		}
 	}
 	return nil
 }
 
-// lapsed reports whether the holder of a row counts its lease as over.
-func (l *Limiter) lapsed(row storage.Row, s sighting, now time.Time) bool {
+// leaseExpired reports whether the lease of a row has certainly expired by its
+// holder's clock too. A row that can't be decoded never expires.
+func (l *Limiter) leaseExpired(row storage.Row, s observedVersion, now time.Time) bool {
 	var value hostRow
 	if json.Unmarshal(row.Value, &value) != nil {
 		return false
 	}
 	ttl := time.Duration(value.TTLMillis) * time.Millisecond
-	return now.Sub(s.at) > withMargin(ttl)
+	return now.Sub(s.at) > withClockMargin(ttl)
 }
 
-// remove deletes a host's row unless it was renewed meanwhile.
-func (l *Limiter) remove(ctx context.Context, row storage.Row) error {
+// deleteHostRow deletes a host's row unless it was renewed since it was read.
+func (l *Limiter) deleteHostRow(ctx context.Context, row storage.Row) error {
 	_, err := l.commit(ctx, storage.Txn{
 		Conditions: []storage.Condition{{Key: row.Key, Version: row.Version}},
 		Deletes:    []string{row.Key},
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -12,54 +12,57 @@
 )
 
 const (
-	// listPage is the number of rows in one read of the table.
-	listPage = 500
-	// urgentGap is the least time between passes that refusals call for.
-	urgentGap = 200 * time.Millisecond
-	// leaveRetry is the time between attempts to give up the lease.
-	leaveRetry = 200 * time.Millisecond
+	// listPageSize is the maximum number of rows in one read of the table.
+	listPageSize = 500
+	// minUrgentInterval is the minimum time between reconciliations that are
+	// triggered by refusals.
+	minUrgentInterval = 200 * time.Millisecond
+	// leaveRetryInterval is the time between attempts to release the lease.
+	leaveRetryInterval = 200 * time.Millisecond
 )
 
-// buckets are the accounts with limits, by name. A map in use isn't changed.
+// buckets holds the buckets of the accounts with limits, by account name. It is
+// never modified after it is stored in a Limiter.
 type buckets map[string]*bucket
 
-// Limiter limits accounts on one host. Take, Lend and SetLimits are safe for
-// concurrent use; Run runs once.
+// Limiter enforces the accounts' limits on one host. Take, Lend and SetLimits
+// are safe for concurrent use; Run is called once.
 type Limiter struct {
 	opts    Options
 	lease   atomic.Pointer[lease]
 	buckets atomic.Pointer[buckets]
 	leaving atomic.Bool
 	epoch   atomic.Uint64
-	// refusals wakes Run when Take has refused.
-	refusals chan struct{}
-	// changes wakes Run when an account has got a limit.
-	changes chan struct{}
-
-	// The fields below belong to the goroutine of Run.
-
-	// attempt numbers renewals, candidate is a name not yet registered.
-	attempt   uint64
-	candidate string
-	hosts     map[string]sighting
-	measured  time.Time
+	// refusalSignal wakes Run after Take refused a request.
+	refusalSignal chan struct{}
+	// limitSignal wakes Run after an account without a limit got one.
+	limitSignal chan struct{}
+
+	// The fields below are used only by the goroutine of Run.
+
+	// renewalAttempt numbers renewals. pendingID is a holder ID that isn't
+	// registered yet.
+	renewalAttempt uint64
+	pendingID      string
+	hostRows       map[string]observedVersion
+	lastMeasured   time.Time
 }
 
-// New returns a limiter that refuses accounts with limits until Run has got
-// slots for them.
+// New returns a Limiter. It refuses requests of accounts with limits until Run
+// has obtained slots for them.
 func New(opts Options) *Limiter {
 	l := &Limiter{
-		opts:     opts.withDefaults(),
-		refusals: make(chan struct{}, 1),
-		changes:  make(chan struct{}, 1),
+		opts:          opts.withDefaults(),
+		refusalSignal: make(chan struct{}, 1),
+		limitSignal:   make(chan struct{}, 1),
 	}
 	l.buckets.Store(&buckets{})
 	return l
 }
 
-// SetLimits replaces all limits by those of a manifest epoch. One that is
-// older than the limits in force is ignored. It isn't called concurrently with
-// itself.
+// SetLimits replaces all limits by those of a manifest epoch. An epoch older
+// than that of the current limits is ignored. SetLimits must not be called
+// concurrently with itself.
 func (l *Limiter) SetLimits(epoch uint64, limits []Limit) {
 	if epoch < l.epoch.Load() {
 		return
@@ -77,90 +80,92 @@
 			b.setLimit(now, l.leaseEnd(), limit, l.opts.Floor)
 		} else {
 			b = newBucket(limit, l.opts.Floor, now)
-			defer wake(l.changes)
+			defer signal(l.limitSignal)
 		}
 		next[limit.Account] = b
 	}
 	l.buckets.Store(&next)
 }
 
-// Take spends n requests of an account's limit. If it returns false, nothing
-// is spent, and retryAfter is when the present slots will have given enough.
-// An account without a limit always may. Take does no I/O.
+// Take spends n requests of an account's limit. If it returns false, nothing is
+// spent, and retryAfter is the time until the current slots allow n requests.
+// Requests of an account without a limit are always allowed. Take does no I/O.
 func (l *Limiter) Take(account string, n float64) (ok bool, retryAfter time.Duration) {
-	b := l.find(account)
+	b := l.bucketOf(account)
 	if b == nil {
 		return true, 0
 	}
 	now := l.opts.Clock()
 	ok, retryAfter = b.take(now, l.leaseEnd(), n)
 	if !ok {
-		wake(l.refusals)
+		signal(l.refusalSignal)
 	}
 	return ok, retryAfter
 }
 
-func (l *Limiter) find(account string) *bucket {
+func (l *Limiter) bucketOf(account string) *bucket {
 	return (*l.buckets.Load())[account]
 }
 
-func (l *Limiter) all() buckets {
+func (l *Limiter) allBuckets() buckets {
 	return *l.buckets.Load()
 }
 
-func wake(c chan<- struct{}) {
+func signal(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
 	}
 }
 
-// Run keeps the lease and moves slots to where the demand is, until ctx ends.
-// The lease is left to lapse; Leave gives it up.
+// Run renews the lease and adjusts the host's slots to its demand until ctx is
+// done. It doesn't release the lease, which then expires; Leave releases it.
 func (l *Limiter) Run(ctx context.Context) {
 	ticker := time.NewTicker(l.opts.Interval)
 	defer ticker.Stop()
-	failed := l.pass(ctx) != nil
+	failed := l.reconcile(ctx) != nil
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			failed = l.pass(ctx) != nil
-		case <-l.changes:
-			failed = l.pass(ctx) != nil
-		case <-l.refusals:
-			// After a failure the table is left alone until the next pass.
+			failed = l.reconcile(ctx) != nil
+		case <-l.limitSignal:
+			failed = l.reconcile(ctx) != nil
+		case <-l.refusalSignal:
+			// After a failure the table isn't called until the next
+			// reconciliation.
 			if failed {
-				l.borrowAll(ctx)
+				l.requestLoans(ctx)
 			} else {
-				failed = l.urgentPass(ctx) != nil
+				failed = l.reconcileUrgent(ctx) != nil
 			}
-			_ = wait.For(ctx, urgentGap)
+			_ = wait.For(ctx, minUrgentInterval)
 		}
 	}
 }
 
-// Leave ends all spending and gives the slots back at once, for a planned
-// stop. Run must have returned. It waits for loans to end first, and tries
-// until it succeeds or ctx ends; in that case the lease lapses in its time.
+// Leave refuses all further requests and releases the host's slots, for a
+// planned shutdown. Run must have returned. Leave first waits until all slots
+// lent out have expired, and retries until it succeeds or ctx is done; in the
+// latter case the lease expires after its TTL.
 func (l *Limiter) Leave(ctx context.Context) error {
 	l.leaving.Store(true)
 	now := l.opts.Clock()
-	_ = wait.For(ctx, l.lastLoan(now).Sub(now))
+	_ = wait.For(ctx, l.lastLoanEnd(now).Sub(now))
 	for {
 		err := l.endLease(ctx)
 		if err == nil {
 			return nil
 		}
-		_ = wait.For(ctx, leaveRetry)
+		_ = wait.For(ctx, leaveRetryInterval)
 		if ctx.Err() != nil {
 			return fmt.Errorf("quota: leave: %w", errors.Join(ctx.Err(), err))
 		}
 	}
 }
 
-// endLease deletes the host's row, which frees all its slots at once.
+// endLease deletes the host's row, which frees all its slots.
 func (l *Limiter) endLease(ctx context.Context) error {
 	held := l.lease.Load()
 	if held == nil {
@@ -173,15 +178,15 @@
 	if err != nil {
 		return err
 	}
-	return l.remove(ctx, row)
+	return l.deleteHostRow(ctx, row)
 }
 
-// lastLoan is the latest end of the slots lent out, or now.
-func (l *Limiter) lastLoan(now time.Time) time.Time {
+// lastLoanEnd returns when the last of the slots lent out expire, at least now.
+func (l *Limiter) lastLoanEnd(now time.Time) time.Time {
 	last := now
-	for _, b := range l.all() {
+	for _, b := range l.allBuckets() {
 		b.mu.Lock()
-		for _, t := range b.lent {
+		for _, t := range b.lentSlots {
 			if t.until.After(last) {
 				last = t.until
 			}
--- a/quota/limiter_test.go
+++ b/quota/limiter_test.go
@@ -14,79 +14,79 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// twoHosts has one account; the first host holds all of it and spends what it
-// has saved up on each call of drain.
-func twoHosts(t *testing.T) (s *sim, m *meter, drain func(l *Limiter)) {
+// twoHosts returns a simulation with one account. The first host holds all slots.
+// takeMany takes all requests that a limiter allows at the moment.
+func twoHosts(t *testing.T) (s *sim, m *limitChecker, takeMany func(l *Limiter)) {
 	limit := Limit{Account: "acme", Rate: 100, Burst: 100}
 	s = newSim(1, []Limit{limit})
-	m = newMeter(limit.Rate*(1+clockError), limit.Burst)
-	drain = func(l *Limiter) {
+	m = newLimitChecker(limit.Rate*(1+clockError), limit.Burst)
+	takeMany = func(l *Limiter) {
 		for range 1000 {
 			if ok, _ := l.Take("acme", 1); ok {
 				m.spend(s.now, 1)
 			}
 		}
 	}
-	drain(s.hosts[0])
-	is.New(t).NoErr(s.hosts[0].pass(t.Context()))
+	takeMany(s.hosts[0])
+	is.New(t).NoErr(s.hosts[0].reconcile(t.Context()))
 	s.hosts = append(s.hosts, s.newHost(1))
-	return s, m, drain
+	return s, m, takeMany
 }
 
 func TestLeaseCountsFromTheStartOfARenewal(t *testing.T) {
 	is := is.New(t)
-	s, m, drain := twoHosts(t)
+	s, m, takeMany := twoHosts(t)
 	first, second := s.hosts[0], s.hosts[1]
 	s.now = s.now.Add(simTTL / 2)
 	s.table.SetHooks(nil, func() {
 		s.table.SetHooks(nil, nil)
-		is.NoErr(second.pass(t.Context()))
+		is.NoErr(second.reconcile(t.Context()))
 		s.now = s.now.Add(simTTL - simInterval)
 	})
-	// The first host is stopped between the renewal's effect and its answer.
+	// The first host is suspended between the renewal's effect and its response.
 	is.NoErr(first.renew(t.Context()))
 	for range 40 {
 		s.now = s.now.Add(2 * time.Second)
-		drain(first)
-		drain(second)
-		is.NoErr(second.pass(t.Context()))
-		drain(second)
+		takeMany(first)
+		takeMany(second)
+		is.NoErr(second.reconcile(t.Context()))
+		takeMany(second)
 	}
 	is.True(m.overshoot < 1e-6)
-	is.Equal(second.all()["acme"].own, Slots) // it did take over
+	is.Equal(second.allBuckets()["acme"].ownSlots, Slots) // the second host took over all slots
 }
 
 func TestLateReleaseIsNotSpent(t *testing.T) {
 	is := is.New(t)
-	s, m, drain := twoHosts(t)
+	s, m, takeMany := twoHosts(t)
 	first, second := s.hosts[0], s.hosts[1]
-	bucket := first.all()["acme"]
+	bucket := first.allBuckets()["acme"]
 	for range 20 {
-		if bucket.control.open != nil {
+		if bucket.state.unresolved != nil {
 			break
 		}
 		s.now = s.now.Add(simInterval)
 		s.table.HoldNext(1)
-		_ = first.pass(t.Context())
+		_ = first.reconcile(t.Context())
 	}
-	is.True(bucket.control.open != nil) // gives back half, or not yet
+	is.True(bucket.state.unresolved != nil) // the commit gives back half, now or later
 	s.table.HoldNext(0)
 	s.now = s.now.Add(time.Second)
-	drain(first)
+	takeMany(first)
 	s.table.DropNext(1)
-	_ = first.pass(t.Context()) // would now rather keep all
-	is.Equal(bucket.control.held, Slots)
+	_ = first.reconcile(t.Context()) // demand has risen, so it decides to keep all
+	is.Equal(bucket.state.held, Slots)
 	s.table.Heal()
 	s.table.Deliver()
 	for range 10 {
 		s.now = s.now.Add(time.Second)
-		drain(second)
-		is.NoErr(second.pass(t.Context()))
-		drain(second)
-		drain(first)
+		takeMany(second)
+		is.NoErr(second.reconcile(t.Context()))
+		takeMany(second)
+		takeMany(first)
 	}
 	is.True(m.overshoot < 1e-6)
-	is.True(second.all()["acme"].own > 0) // it did take what was given back
+	is.True(second.allBuckets()["acme"].ownSlots > 0) // the second host took what was given back
 }
 
 func TestLoanHasOneSpenderAtATime(t *testing.T) {
@@ -96,18 +96,18 @@
 	for _, delay := range []time.Duration{0, time.Second, DefaultLoanTerm, 10 * time.Second} {
 		lender, borrower := newBucket(limit, 0, at(0)), newBucket(limit, 0, at(0))
 		leaseEnd := at(time.Minute)
-		lender.hold(at(0), leaseEnd, Slots, 0)
-		// The request and the answer each take the delay.
+		lender.setOwnSlots(at(0), leaseEnd, Slots, 0)
+		// The request and the response are each delayed by delay.
 		loan, err := lender.lend(at(delay), leaseEnd, Slots/2, DefaultLoanTerm)
 		is.NoErr(err)
-		borrower.borrow(at(0), at(2*delay), leaseEnd, loan)
+		borrower.addLoan(at(0), at(2*delay), leaseEnd, loan)
 		for now := 2 * delay; now < time.Minute; now += 100 * time.Millisecond {
 			lent := lender.spendable(at(now), leaseEnd)
 			borrowed := borrower.spendable(at(now), time.Time{})
 			is.True(lent+borrowed <= Slots)
-			is.True(now < DefaultLoanTerm || borrowed == 0) // ends by when it was asked for
+			is.True(now < DefaultLoanTerm || borrowed == 0) // the term counts from the request
 		}
-		is.Equal(lender.spendable(at(withMargin(delay+DefaultLoanTerm)), leaseEnd), float64(Slots))
+		is.Equal(lender.spendable(at(withClockMargin(delay+DefaultLoanTerm)), leaseEnd), float64(Slots))
 	}
 }
 
@@ -115,14 +115,14 @@
 	is := is.New(t)
 	at := func(s int) time.Time { return simStart.Add(time.Duration(s) * time.Second) }
 	b := newBucket(Limit{Account: "acme", Rate: 8, Burst: 8000}, 0, at(0))
-	b.hold(at(0), at(10), Slots/2, 0)
-	b.borrow(at(0), at(0), at(10), Loan{Slots: Slots / 4, Term: 20 * time.Second})
-	b.borrow(at(0), at(0), at(10), Loan{Slots: Slots / 8, Term: 5 * time.Second})
-	b.advance(at(15), at(10))
+	b.setOwnSlots(at(0), at(10), Slots/2, 0)
+	b.addLoan(at(0), at(0), at(10), Loan{Slots: Slots / 4, Term: 20 * time.Second})
+	b.addLoan(at(0), at(0), at(10), Loan{Slots: Slots / 8, Term: 5 * time.Second})
+	b.refill(at(15), at(10))
 	// Ten seconds at 4/s, fifteen at 2/s, five at 1/s.
 	is.Equal(b.tokens, 40.0+30+5)
-	b.advance(at(25), at(10))
-	is.Equal(b.tokens, 0.0) // no slots, nothing saved up
+	b.refill(at(25), at(10))
+	is.Equal(b.tokens, 0.0) // without slots there are no tokens
 }
 
 func TestFloorBoundsSpendingWithoutLease(t *testing.T) {
@@ -135,11 +135,11 @@
 	for i := range hosts {
 		s.hosts = append(s.hosts, s.newHost(i))
 	}
-	m := newMeter(limit.Rate*hosts*floor*(1+clockError), limit.Burst*hosts*floor)
+	m := newLimitChecker(limit.Rate*hosts*floor*(1+clockError), limit.Burst*hosts*floor)
 	for range 600 {
 		s.now = s.now.Add(100 * time.Millisecond)
 		for _, l := range s.hosts {
-			_ = l.pass(t.Context())
+			_ = l.reconcile(t.Context())
 			for range 3 {
 				if ok, _ := l.Take("acme", 1); ok {
 					m.spend(s.now, 1)
@@ -148,7 +148,7 @@
 		}
 	}
 	is.True(m.overshoot < 1e-6)
-	is.True(m.spent > 0.9*60*limit.Rate*hosts*floor) // the floor is there to be used
+	is.True(m.spent > 0.9*60*limit.Rate*hosts*floor) // the floor can be used
 }
 
 func TestTakeWithoutSlots(t *testing.T) {
@@ -156,27 +156,27 @@
 	s := newSim(1, []Limit{{Account: "acme", Rate: 10, Burst: 5}, {Account: "free"}})
 	l := s.hosts[0]
 	ok, retryAfter := l.Take("acme", 1)
-	is.True(!ok) // nothing is spent before slots are held
+	is.True(!ok) // nothing is allowed before the host holds slots
 	is.Equal(retryAfter, defaultRetryAfter)
 	ok, _ = l.Take("free", 1000)
 	is.True(ok) // no limit
-	is.NoErr(l.pass(t.Context()))
+	is.NoErr(l.reconcile(t.Context()))
 	for range 2 {
 		ok, _ = l.Take("acme", 1)
-		is.True(ok) // half of the limit stands ready on the only host
+		is.True(ok) // the only host holds half of the limit as its reserve
 	}
 	ok, retryAfter = l.Take("acme", 1)
 	is.True(!ok)
 	s.now = s.now.Add(retryAfter + 20*time.Millisecond)
 	ok, _ = l.Take("acme", 1)
-	is.True(ok) // the advice was right
+	is.True(ok) // retryAfter was right
 }
 
 func TestSetLimits(t *testing.T) {
 	is := is.New(t)
 	s := newSim(1, []Limit{{Account: "acme", Rate: 1000, Burst: 1000}})
 	l := s.hosts[0]
-	is.NoErr(l.pass(t.Context()))
+	is.NoErr(l.reconcile(t.Context()))
 	l.SetLimits(3, []Limit{{Account: "acme", Rate: 10, Burst: 10}})
 	l.SetLimits(2, []Limit{{Account: "acme", Rate: 500, Burst: 500}})
 	granted := 0
@@ -185,7 +185,7 @@
 			granted++
 		}
 	}
-	is.Equal(granted, 5) // saved-up requests over the new depth are gone; the older epoch is ignored
+	is.Equal(granted, 5) // tokens above the new depth are dropped; the older epoch is ignored
 	l.SetLimits(4, nil)
 	ok, _ := l.Take("acme", 1000)
 	is.True(ok)
@@ -210,8 +210,8 @@
 		synctest.Wait()
 		is.NoErr(first.Leave(t.Context()))
 		ok, _ := first.Take("acme", 1)
-		is.True(!ok) // a host that left spends nothing
-		// Refusals wake the second host, which takes over all slots at once.
+		is.True(!ok) // a host that left allows nothing
+		// Refusals wake Run on the second host, which takes over all slots at once.
 		granted := 0
 		for range 300 {
 			time.Sleep(10 * time.Millisecond)
@@ -219,7 +219,7 @@
 				granted++
 			}
 		}
-		is.True(granted > 250) // 100 a second, of which it had about half
+		is.True(granted > 250) // of 300 at 100 a second; before, the host had about half of that
 		cancel()
 		synctest.Wait()
 	})
@@ -228,7 +228,7 @@
 func BenchmarkTake(b *testing.B) {
 	s := newSim(1, []Limit{{Account: "acme", Rate: 1e12, Burst: 1e12}})
 	l := s.hosts[0]
-	if err := l.pass(b.Context()); err != nil {
+	if err := l.reconcile(b.Context()); err != nil {
 		b.Fatal(err)
 	}
 	l.opts.Clock = time.Now
--- a/quota/loan.go
+++ b/quota/loan.go
@@ -6,38 +6,39 @@
 	"time"
 )
 
-// ErrNoLoan means that the lender has no slots to spare.
-var ErrNoLoan = errors.New("quota: nothing to lend")
+// ErrNoLoan means that the lender has no slots to lend.
+var ErrNoLoan = errors.New("quota: no slots to lend")
 
-// LoanRequest asks another host for slots.
+// LoanRequest is a request to another host to lend slots.
 type LoanRequest struct {
 	Account string `json:"account"`
 	Slots   int    `json:"slots"`
 }
 
-// Loan is a number of slots for a time. The borrower counts the term from
-// before it asked, the lender from after it agreed; so the slots have one
-// spender at any time, though an answer may be lost.
+// Loan is a number of slots lent for a term. The borrower counts the term from
+// before it sent the request, the lender from after it received it and with a
+// margin for clock speeds. So at most one host uses the slots at any time, even
+// if the response is lost.
 type Loan struct {
 	Slots int `json:"slots"`
-	// Term is how long the loan lasts, in nanoseconds.
+	// Term is the duration of the loan, in nanoseconds.
 	Term time.Duration `json:"term"`
-	// Tokens is the part of the lender's saved-up requests that goes along.
+	// Tokens is the part of the lender's tokens that is transferred with the
+	// slots.
 	Tokens float64 `json:"tokens"`
 }
 
-// Peers reaches other hosts.
+// Peers sends loan requests to other hosts.
 type Peers interface {
-	// Borrow hands the request to the Lend method of the host that holds
-	// slots under the name of holder: Options.Host, a dot, and a suffix
-	// without dots.
+	// Borrow passes the request to Limiter.Lend on the host with the given
+	// holder ID, which is Options.Host, a dot, and a suffix without dots.
 	Borrow(ctx context.Context, holder string, request LoanRequest) (Loan, error)
 }
 
-// Lend answers another host's request. It gives no more than this host can do
-// without, and fails with ErrNoLoan if that is nothing.
+// Lend handles another host's loan request. It lends no more slots than this
+// host doesn't need itself, and returns ErrNoLoan if there are none.
 func (l *Limiter) Lend(request LoanRequest) (Loan, error) {
-	b := l.find(request.Account)
+	b := l.bucketOf(request.Account)
 	if b == nil || l.leaving.Load() {
 		return Loan{}, ErrNoLoan
 	}
@@ -45,71 +46,72 @@
 	return b.lend(now, l.leaseEnd(), request.Slots, l.opts.LoanTerm)
 }
 
-func (b *bucket) lend(now, leaseEnd time.Time, want int, length time.Duration) (Loan, error) {
+func (b *bucket) lend(now, leaseEnd time.Time, want int, term time.Duration) (Loan, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	until := now.Add(withMargin(length))
+	until := now.Add(withClockMargin(term))
 	if !until.Before(leaseEnd) {
 		return Loan{}, ErrNoLoan
 	}
-	b.advance(now, leaseEnd)
-	mine := b.own - sum(b.lent, now)
-	keep := int(headroom * b.inSlots(b.expected(now)))
-	slots := min(want, mine-max(keep, b.least()))
+	b.refill(now, leaseEnd)
+	ownUnlent := b.ownSlots - validSlots(b.lentSlots, now)
+	keep := int(demandHeadroom * b.slotsForRate(b.expectedDemand(now)))
+	slots := min(want, ownUnlent-max(keep, b.minSlots()))
 	if slots <= 0 {
 		return Loan{}, ErrNoLoan
 	}
 	tokens := b.tokens * float64(slots) / b.spendable(now, leaseEnd)
 	b.tokens -= tokens
-	b.lent = append(b.lent, term{slots: slots, until: until})
-	return Loan{Slots: slots, Term: length, Tokens: tokens}, nil
+	b.lentSlots = append(b.lentSlots, timedSlots{slots: slots, until: until})
+	return Loan{Slots: slots, Term: term, Tokens: tokens}, nil
 }
 
-// borrow adds a loan that was asked for at a time.
-func (b *bucket) borrow(asked, now, leaseEnd time.Time, loan Loan) {
-	until := asked.Add(loan.Term)
+// addLoan adds a loan that was requested at requestedAt.
+func (b *bucket) addLoan(requestedAt, now, leaseEnd time.Time, loan Loan) {
+	until := requestedAt.Add(loan.Term)
 	if !now.Before(until) || loan.Slots <= 0 {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.advance(now, leaseEnd)
-	b.loans = append(b.loans, term{slots: loan.Slots, until: until})
+	b.refill(now, leaseEnd)
+	b.borrowedSlots = append(b.borrowedSlots, timedSlots{slots: loan.Slots, until: until})
 	b.tokens += max(0, loan.Tokens)
 	b.tokens = min(b.tokens, b.depth(b.spendable(now, leaseEnd)))
 }
 
-// borrowAll asks for loans for the accounts that refuse.
-func (l *Limiter) borrowAll(ctx context.Context) {
+// requestLoans requests a loan for each account that is short of slots.
+func (l *Limiter) requestLoans(ctx context.Context) {
 	if l.opts.Peers == nil || l.leaving.Load() {
 		return
 	}
-	for _, b := range l.sorted() {
-		if b.control.short || b.isShort() {
-			l.borrow(ctx, b)
+	for _, b := range l.sortedBuckets() {
+		if b.state.short || b.hasNewShortage() {
+			l.requestLoan(ctx, b)
 		}
 	}
 }
 
-// borrow asks one other holder for what the host is short of. It stays with a
-// holder that lends, and goes on to the next largest after one that doesn't.
-func (l *Limiter) borrow(ctx context.Context, b *bucket) {
-	c := &b.control
-	asked := l.opts.Clock()
-	n := b.measure(asked, 0)
-	missing := int(tightHeadroom*n.slots) - (n.own - n.lent + n.loans)
+// requestLoan requests the missing slots of an account from one other holder.
+// After a success the next request goes to the same holder, after a failure to
+// the next largest.
+func (l *Limiter) requestLoan(ctx context.Context, b *bucket) {
+	c := &b.state
+	requestedAt := l.opts.Clock()
+	n := b.measureDemand(requestedAt, 0)
+	missing := int(scarceHeadroom*n.demandSlots) - (n.ownSlots - n.lentSlots + n.borrowedSlots)
 	if len(c.holders) == 0 || missing <= 0 {
 		return
 	}
-	holder := c.holders[c.lender%len(c.holders)].Holder
-	request := LoanRequest{Account: b.account, Slots: max(n.least, missing)}
+	holder := c.holders[c.nextLender%len(c.holders)].Holder
+	request := LoanRequest{Account: b.account, Slots: max(n.minSlots, missing)}
 	ctx, cancel := context.WithTimeout(ctx, l.opts.Timeout)
 	defer cancel()
 	loan, err := l.opts.Peers.Borrow(ctx, holder, request)
 	if err != nil {
-		c.lender++
+		c.nextLender++
 		return
 	}
 	now := l.opts.Clock()
-	b.borrow(asked, now, l.leaseEnd(), loan)
+	b.addLoan(requestedAt, now, l.leaseEnd(), loan)
 }
--- a/quota/options.go
+++ b/quota/options.go
@@ -11,7 +11,7 @@
 )
 
 // Slots is the number of equal slots of each account's limit. It is part of
-// the row format: hosts that disagree on it would overspend.
+// the row format: hosts with different values would exceed the limit.
 const Slots = 4096
 
 // Defaults of Options.
@@ -27,36 +27,38 @@
 	Account string
 	// Rate is in requests per second; 0 or less means no limit.
 	Rate float64
-	// Burst is how many requests may come at once; below 1 counts as 1.
+	// Burst is the number of requests allowed at once; below 1 counts as 1.
 	Burst float64
 }
 
-// Options sets up a Limiter. Zero values take the defaults.
+// Options configures a Limiter. Zero values mean the defaults.
 type Options struct {
 	Table storage.Table
-	// Host names this host; holdings are under this name and a random suffix.
+	// Host is this host's name; its holdings are recorded under this name and a
+	// random suffix.
 	Host string
-	// Peers reaches other hosts for loans; nil means that there are none.
+	// Peers requests loans from other hosts; nil disables loans.
 	Peers Peers
-	// Clock gives the time; default boottime.Now. It must not stand still while
-	// the process is stopped.
+	// Clock is the source of time; default boottime.Now. It must advance while
+	// the process is stopped or the machine is suspended.
 	Clock storage.Clock
-	// TTL is the lease on all holdings of the host; default 10 min. A host
-	// can spend for up to TTL without the table, and the slots of a host that
-	// died stay unused for a little more than TTL.
+	// TTL is the duration of the lease on all holdings of the host; default
+	// 10 min. A host can use its slots for up to TTL while the table is
+	// unreachable, and the slots of a host that crashed stay unused for a
+	// little more than TTL.
 	TTL time.Duration
-	// Interval is the time between passes over the rows; default 5 s.
+	// Interval is the time between reconciliations with the rows; default 5 s.
 	Interval time.Duration
 	// Timeout bounds each call of the table or a peer; default 2 s.
 	Timeout time.Duration
-	// LoanTerm is how long a loan lasts; default 5 s.
+	// LoanTerm is the duration of a loan; default 5 s.
 	LoanTerm time.Duration
-	// Floor is the part of each limit, from 0 to 1, that the host spends
-	// while it holds no lease; default 0. Each host without a lease can add
-	// this much to the limit.
+	// Floor is the part of each limit, from 0 to 1, that the host allows
+	// while it holds no lease; default 0. Each host without a lease can exceed
+	// the limit by this part.
 	Floor float64
-	// NewID makes the random suffix of the holder's name, without dots;
-	// default a UUID.
+	// NewID returns the random suffix of the holder ID, without dots; default
+	// a UUID.
 	NewID func() string
 }
 
@@ -74,13 +76,13 @@
 	return o
 }
 
-// renewEvery is how old a lease is when it is renewed.
-func (o Options) renewEvery() time.Duration {
+// renewalAge returns the age at which a lease is renewed.
+func (o Options) renewalAge() time.Duration {
 	return o.TTL / 4
 }
 
-// withMargin lengthens a time that another host's clock measures, since clocks
-// run at unlike speeds: 2% and a second.
-func withMargin(d time.Duration) time.Duration {
+// withClockMargin lengthens a duration that another host's clock also measures
+// by 2% and a second, since clocks run at different speeds.
+func withClockMargin(d time.Duration) time.Duration {
 	return d + d/50 + time.Second
 }
--- a/quota/pass.go
+++ b/quota/pass.go
@@ -9,38 +9,40 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// control is what the background pass knows of an account.
-type control struct {
-	// held is the holding that the row was last seen to state.
+// reconcileState is the state of an account between reconciliations.
+type reconcileState struct {
+	// held is this host's holding as last read from or written to the row.
 	held int
-	// open is a commit without a clear answer; nil if there is none.
-	open *openCommit
-	// holders are the other holders last seen, largest first.
+	// unresolved is a commit whose outcome is unknown; nil if there is none.
+	unresolved *unresolvedCommit
+	// holders are the other holders in the row as last read, largest first.
 	holders []holding
-	// lender is the place in holders of the one asked next.
-	lender int
-	// short says that the last pass left the account short of slots.
+	// nextLender is the index in holders, modulo its length, of the holder from
+	// which the next loan is requested.
+	nextLender int
+	// short is true if the last reconciliation left the account short of slots.
 	short bool
 }
 
-// openCommit is a commit whose effect is unknown, now or later. It can take
-// effect only while the row has the version that it was made for.
-type openCommit struct {
-	base uint64
-	held int
+// unresolvedCommit is a commit whose outcome is unknown. It may still take
+// effect, but only while the row has the version baseVersion.
+type unresolvedCommit struct {
+	baseVersion uint64
+	held        int
 }
 
-// pass renews the lease and goes over all accounts. Loans are for when the
-// table doesn't answer: with it, lent slots would only be slower to move.
-func (l *Limiter) pass(ctx context.Context) error {
-	err := l.readAndAdjust(ctx)
+// reconcile renews the lease and adjusts the holdings of all accounts. Loans are
+// requested only if that fails: while the table is reachable, lent slots would
+// only be slower to reassign.
+func (l *Limiter) reconcile(ctx context.Context) error {
+	err := l.reconcileAll(ctx)
 	if err != nil {
-		l.borrowAll(ctx)
+		l.requestLoans(ctx)
 	}
 	return err
 }
 
-func (l *Limiter) readAndAdjust(ctx context.Context) error {
+func (l *Limiter) reconcileAll(ctx context.Context) error {
 	if err := l.renew(ctx); err != nil {
 		return err
 	}
@@ -51,7 +53,7 @@
 		return err
 	}
 	if l.lease.Load() == nil {
-		// Others ended it; the next pass registers anew.
+		// Another host deleted the row; the next reconciliation registers again.
 		return nil
 	}
 	listed, err := l.list(ctx, accountPrefix)
@@ -62,8 +64,8 @@
 	for _, row := range listed {
 		rows[row.Key] = row
 	}
-	period := l.period()
-	for _, b := range l.sorted() {
+	period := l.startMeasurement()
+	for _, b := range l.sortedBuckets() {
 		row := rows[accountKey(b.account)]
 		if err := l.adjust(ctx, b, row, period); err != nil {
 			return err
@@ -72,20 +74,21 @@
 	return nil
 }
 
-// urgentPass goes over the accounts that began to refuse since the last pass.
-func (l *Limiter) urgentPass(ctx context.Context) error {
+// reconcileUrgent adjusts the holdings of the accounts that urgentBuckets
+// returns, or reconciles all accounts if the host holds no lease.
+func (l *Limiter) reconcileUrgent(ctx context.Context) error {
 	if l.lease.Load() == nil {
-		return l.pass(ctx)
+		return l.reconcile(ctx)
 	}
 	err := l.adjustUrgent(ctx)
 	if err != nil {
-		l.borrowAll(ctx)
+		l.requestLoans(ctx)
 	}
 	return err
 }
 
 func (l *Limiter) adjustUrgent(ctx context.Context) error {
-	urgent := l.urgent()
+	urgent := l.urgentBuckets()
 	if len(urgent) == 0 {
 		return nil
 	}
@@ -104,39 +107,43 @@
 	return nil
 }
 
-// urgent lists the accounts that refuse, but for those that were found short
-// already: the next regular pass is soon enough for them.
-func (l *Limiter) urgent() []*bucket {
+// urgentBuckets returns the accounts that started to refuse requests, except
+// those that the last reconciliation left short: for them, the next regular
+// reconciliation is soon enough.
+func (l *Limiter) urgentBuckets() []*bucket {
 	var list []*bucket
-	for _, b := range l.sorted() {
-		if !b.control.short && b.isShort() {
+	for _, b := range l.sortedBuckets() {
+		if !b.state.short && b.hasNewShortage() {
 			list = append(list, b)
 		}
 	}
 	return list
 }
 
-// isShort reports whether more is refused than by chance.
-func (b *bucket) isShort() bool {
+// hasNewShortage reports whether requests were refused since the last
+// measurement, and more than tolerated.
+func (b *bucket) hasNewShortage() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.pressing && b.isRefusing()
+	return b.newlyRefused && b.exceedsToleratedRefusals()
 }
 
-// period is the time since demand was last measured.
-func (l *Limiter) period() time.Duration {
+// startMeasurement starts a measurement period and returns the length of the
+// previous one; 0 if there was none.
+func (l *Limiter) startMeasurement() time.Duration {
 	now := l.opts.Clock()
-	last := l.measured
-	l.measured = now
+	last := l.lastMeasured
+	l.lastMeasured = now
 	if last.IsZero() {
 		return 0
 	}
 	return now.Sub(last)
 }
 
-// sorted lists the buckets in the order of names, so that runs are alike.
-func (l *Limiter) sorted() []*bucket {
-	all := l.all()
+// sortedBuckets returns the buckets sorted by account, so that the order of
+// operations is deterministic.
+func (l *Limiter) sortedBuckets() []*bucket {
+	all := l.allBuckets()
 	list := make([]*bucket, 0, len(all))
 	for _, b := range all {
 		list = append(list, b)
--- a/quota/plan.go
+++ b/quota/plan.go
@@ -1,129 +1,138 @@
 package quota
 
 const (
-	// headroom is how much more than its demand a host holds, as a factor.
-	headroom = 1.5
-	// tightHeadroom is the same where others are short.
-	tightHeadroom = 1.2
-	// hysteresis is the part of a holding below which a change isn't worth a
-	// commit.
-	hysteresis = 4
-	// fineHysteresis is the same where others are short.
-	fineHysteresis = 16
+	// demandHeadroom is the factor of a host's target holding over its demand.
+	demandHeadroom = 1.5
+	// scarceHeadroom is the same factor while other hosts are short of slots.
+	scarceHeadroom = 1.2
+	// hysteresisDivisor gives the smallest change that is committed, as the
+	// holding divided by it.
+	hysteresisDivisor = 4
+	// scarceHysteresisDivisor is the same divisor while other hosts are short
+	// of slots.
+	scarceHysteresisDivisor = 16
 )
 
-// view is what a host knows when it decides on its holding of an account.
-type view struct {
-	needs
-	// held is the present holding by the row, free what nobody holds.
+// decisionInput is the state from which a host decides on its holding of an
+// account.
+type decisionInput struct {
+	demandStats
+	// held is the host's number of slots according to the row, free the number
+	// that no host holds.
 	held, free int
-	// hosts is the number of hosts with a lease, this one among them.
+	// hosts is the number of hosts with a lease, including this one.
 	hosts int
-	// wanted is what other hosts are short of, entitled the part of it that
-	// doesn't bring them over the fair part.
-	wanted, entitled int
-	// excess is what other hosts hold over the fair part.
-	excess int
+	// othersShortage is the number of slots that other hosts are short of,
+	// othersEntitled the part of it up to their fair share.
+	othersShortage, othersEntitled int
+	// othersExcess is the number of slots that other hosts hold above their
+	// fair share.
+	othersExcess int
 }
 
-// decision is the holding that a host goes for.
+// decision is the holding that a host commits.
 type decision struct {
 	slots int
-	// wants is how much the host is short of, which others have to give up as
-	// far as they hold more than the fair part.
-	wants int
+	// shortage is the number of slots that the host is short of. Others give
+	// them up as far as they hold more than the fair share.
+	shortage int
 }
 
-// decide is the policy, a pure function. A host keeps a standing part, so that
-// a first request needn't wait for the table; takes what its demand needs
-// while slots are free; gives back what it has too much of. If slots are
-// scarce, division is max-min fair: hosts give up what they don't need, and
-// those that hold more than the fair part give up, in proportion, what others
-// need to come up to it.
-func decide(v view) decision {
-	fair := v.fair()
+// decide returns the new holding; it is a pure function. A host keeps a reserve,
+// so that a first request needn't wait for the table, takes free slots to meet
+// its demand, and gives back slots that it doesn't need. If slots are scarce,
+// the division is max-min fair: hosts give up what they don't need, and those
+// that hold more than the fair share give up, in proportion, what others need
+// to reach it.
+func decide(v decisionInput) decision {
+	fair := v.fairShare()
 	target := v.target(fair)
-	part := v.entitledPart(fair)
-	if part == 0 && target > v.held && (v.refused || v.worthIt(target)) {
-		slots := v.held + min(target-v.held, v.available(fair))
-		return decision{slots: slots, wants: v.claim(slots)}
+	part := v.owedToOthers(fair)
+	if part == 0 && target > v.held && (v.refused || v.differsEnough(target)) {
+		slots := v.held + min(target-v.held, v.takeable(fair))
+		return decision{slots: slots, shortage: v.shortage(slots)}
 	}
-	slots := v.held - max(part, v.spare())
-	if v.worthIt(target) {
+	slots := v.held - max(part, v.surplus())
+	if v.differsEnough(target) {
 		slots = min(slots, target)
 	}
-	slots = max(slots, v.lent)
-	return decision{slots: slots, wants: v.claim(slots)}
+	slots = max(slots, v.lentSlots)
+	return decision{slots: slots, shortage: v.shortage(slots)}
 }
 
-// worthIt reports whether a target differs enough from the holding.
-func (v view) worthIt(target int) bool {
+// differsEnough reports whether a target differs enough from the holding to be
+// committed.
+func (v decisionInput) differsEnough(target int) bool {
 	difference := target - v.held
-	return max(difference, -difference) > v.held/hysteresis
+	return max(difference, -difference) > v.held/hysteresisDivisor
 }
 
-// target is the holding that the host would like.
-func (v view) target(fair int) int {
-	target := max(v.standing(fair), int(headroom*v.slots))
+// target returns the holding that meets the host's demand, ignoring scarcity.
+func (v decisionInput) target(fair int) int {
+	target := max(v.reserve(fair), int(demandHeadroom*v.demandSlots))
 	if v.refused {
-		target = max(target, v.held+v.held/hysteresis, v.least)
+		target = max(target, v.held+v.held/hysteresisDivisor, v.minSlots)
 	}
 	return min(target, Slots)
 }
 
-// standing is held without demand: half the fair part, if that lets a request
-// through, else the least that does, if there is enough for all hosts.
-func (v view) standing(fair int) int {
-	if fair < v.least {
+// reserve returns the number of slots that the host holds without demand: half
+// the fair share, or the minimum for one request if that is more. It is 0 if
+// the fair share is below that minimum.
+func (v decisionInput) reserve(fair int) int {
+	if fair < v.minSlots {
 		return 0
 	}
-	return max(fair/2, v.least)
+	return max(fair/2, v.minSlots)
 }
 
-// fair is each host's equal part.
-func (v view) fair() int { return Slots / max(1, v.hosts) }
+// fairShare returns each host's equal share of the slots.
+func (v decisionInput) fairShare() int { return Slots / max(1, v.hosts) }
 
-// need is held as long as the fair part allows it, though others be short.
-func (v view) need() int {
-	return max(int(tightHeadroom*v.slots), v.least)
+// need returns the number of slots that the host keeps, up to the fair share,
+// even while others are short.
+func (v decisionInput) need() int {
+	return max(int(scarceHeadroom*v.demandSlots), v.minSlots)
 }
 
-// available is what the host may take of the free slots: its need up to the
-// fair part, beyond it only what others aren't short of.
-func (v view) available(fair int) int {
+// takeable returns the number of free slots that the host may take: its need up
+// to the fair share, and beyond it only what others aren't short of.
+func (v decisionInput) takeable(fair int) int {
 	own := max(0, min(fair, v.need())-v.held)
-	return min(v.free, max(own, v.free-v.wanted))
+	return min(v.free, max(own, v.free-v.othersShortage))
 }
 
-// claim is what the host is short of with a number of slots.
-func (v view) claim(slots int) int {
+// shortage returns the number of slots that the host is short of if it holds
+// slots.
+func (v decisionInput) shortage(slots int) int {
 	if !v.refused {
 		return 0
 	}
 	missing := min(v.need(), Slots) - slots
-	if missing <= slots/hysteresis {
+	if missing <= slots/hysteresisDivisor {
 		return 0
 	}
 	return missing
 }
 
-// spare is what the host holds beyond its need, as far as others are short.
-func (v view) spare() int {
-	spare := min(v.wanted-v.free, v.held-v.need())
-	if spare <= v.held/fineHysteresis {
+// surplus returns the number of slots that the host holds beyond its need, up
+// to what others are short of beyond the free slots.
+func (v decisionInput) surplus() int {
+	spare := min(v.othersShortage-v.free, v.held-v.need())
+	if spare <= v.held/scarceHysteresisDivisor {
 		return 0
 	}
 	return spare
 }
 
-// entitledPart is the host's part of what others need to come up to the fair
-// part, by how much it holds over that itself.
-func (v view) entitledPart(fair int) int {
-	missing := v.entitled - v.free
+// owedToOthers returns the host's part of the slots that others need to reach
+// the fair share, in proportion to its own excess over it.
+func (v decisionInput) owedToOthers(fair int) int {
+	missing := v.othersEntitled - v.free
 	excess := v.held - fair
 	if missing <= 0 || excess <= 0 {
 		return 0
 	}
-	total := excess + v.excess
+	total := excess + v.othersExcess
 	return min(excess, (missing*excess+total-1)/total)
 }
--- a/quota/recent.go
+++ b/quota/recent.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// recentWindow is the length of the windows that recentRate counts in.
-const recentWindow = 2 * time.Second
+// rateWindow is the length of the windows in which recentRate counts.
+const rateWindow = 2 * time.Second
 
-// recentRate is the rate of the last whole window or the present one.
+// recentRate measures the rate of the last complete and the current window.
 type recentRate struct {
 	start    time.Time
 	count    float64
@@ -13,19 +13,20 @@
 }
 
 func (r *recentRate) add(now time.Time, n float64) {
-	r.roll(now)
+	r.advanceWindow(now)
 	r.count += n
 }
 
-// rate is in units per second.
+// rate returns the higher of the rates of the last complete and the current
+// window, in units per second.
 func (r *recentRate) rate(now time.Time) float64 {
-	r.roll(now)
-	return max(r.previous, r.count/recentWindow.Seconds())
+	r.advanceWindow(now)
+	return max(r.previous, r.count/rateWindow.Seconds())
 }
 
-func (r *recentRate) roll(now time.Time) {
+func (r *recentRate) advanceWindow(now time.Time) {
 	elapsed := now.Sub(r.start)
-	if elapsed < recentWindow {
+	if elapsed < rateWindow {
 		return
 	}
 	r.previous = r.count / elapsed.Seconds()
--- a/quota/row.go
+++ b/quota/row.go
@@ -19,27 +19,28 @@
 
 func hostKey(id string) string { return hostPrefix + id }
 
-// holding is the slots of one holder.
+// holding is a number of slots of one holder.
 type holding struct {
 	Holder string `json:"holder"`
 	Slots  int    `json:"slots"`
 }
 
-// accountRow is the value of an account's row.
+// accountRow is the value of an account's row. Its version is that of the table
+// row, 0 for a row that doesn't exist.
 type accountRow struct {
-	// Fresh is the number of slots that were never held.
-	Fresh    int       `json:"fresh,omitempty"`
-	Holdings []holding `json:"holdings,omitempty"`
-	// Wanting are hosts that are short of slots, with how many.
-	Wanting []holding `json:"wanting,omitempty"`
+	// NeverHeld is the number of slots that no host ever held.
+	NeverHeld int       `json:"fresh,omitempty"`
+	Holdings  []holding `json:"holdings,omitempty"`
+	// Shortages holds the hosts that need more slots, with the number missing.
+	Shortages []holding `json:"wanting,omitempty"`
 
 	version uint64
 }
 
-// parseAccountRow reads a row; the zero Row is one that doesn't exist.
+// parseAccountRow decodes a row; the zero Row stands for one that doesn't exist.
 func parseAccountRow(row storage.Row) (accountRow, error) {
 	if row.Version == 0 {
-		return accountRow{Fresh: Slots}, nil
+		return accountRow{NeverHeld: Slots}, nil
 	}
 	r := accountRow{version: row.Version}
 	if err := json.Unmarshal(row.Value, &r); err != nil {
@@ -48,7 +49,7 @@
 	return r, nil
 }
 
-// heldBy returns the slots of a holder.
+// heldBy returns the number of slots of a holder.
 func (r accountRow) heldBy(id string) int {
 	for _, h := range r.Holdings {
 		if h.Holder == id {
@@ -58,7 +59,7 @@
 	return 0
 }
 
-// free is the number of slots without a holder.
+// free returns the number of slots without a holder.
 func (r accountRow) free() int {
 	n := Slots
 	for _, h := range r.Holdings {
@@ -67,9 +68,9 @@
 	return n
 }
 
-// wish returns what a host is short of.
-func (r accountRow) wish(id string) int {
-	for _, w := range r.Wanting {
+// shortageOf returns the number of slots that a host is short of.
+func (r accountRow) shortageOf(id string) int {
+	for _, w := range r.Shortages {
 		if w.Holder == id {
 			return w.Slots
 		}
@@ -77,11 +78,11 @@
 	return 0
 }
 
-// scarcity sums the state of all hosts but one against a fair part: what they
-// are short of, how much of that brings them up to the fair part, and what
-// they hold over it.
-func (r accountRow) scarcity(id string, fair int) (wanted, entitled, excess int) {
-	for _, w := range r.Wanting {
+// sumOthers compares all hosts but one with the fair share and returns three
+// sums: the slots that they are short of, the part of these that brings them up
+// to the fair share, and the slots that they hold above it.
+func (r accountRow) sumOthers(id string, fair int) (wanted, entitled, excess int) {
+	for _, w := range r.Shortages {
 		if w.Holder != id {
 			wanted += w.Slots
 			entitled += min(w.Slots, max(0, fair-r.heldBy(w.Holder)))
@@ -95,40 +96,42 @@
 	return wanted, entitled, excess
 }
 
-// without returns the row without dead holders, and which of them held slots.
-func (r accountRow) without(dead func(id string) bool) (accountRow, []string) {
-	var gone []string
-	kept := accountRow{Fresh: r.Fresh, version: r.version}
+// withoutExpired returns the row without expired holders, and those of them
+// that held slots.
+func (r accountRow) withoutExpired(expired func(id string) bool) (accountRow, []string) {
+	var removed []string
+	kept := accountRow{NeverHeld: r.NeverHeld, version: r.version}
 	for _, h := range r.Holdings {
-		if dead(h.Holder) {
-			gone = append(gone, h.Holder)
+		if expired(h.Holder) {
+			removed = append(removed, h.Holder)
 			continue
 		}
 		kept.Holdings = append(kept.Holdings, h)
 	}
-	for _, w := range r.Wanting {
-		if !dead(w.Holder) {
-			kept.Wanting = append(kept.Wanting, w)
+	for _, w := range r.Shortages {
+		if !expired(w.Holder) {
+			kept.Shortages = append(kept.Shortages, w)
 		}
 	}
-	return kept, gone
+	return kept, removed
 }
 
-// with returns the row with a holder's slots and wish set. Slots that were
-// never held go first; their number is returned.
-func (r accountRow) with(id string, d decision) (accountRow, int) {
-	fresh := min(r.Fresh, max(0, d.slots-r.heldBy(id)))
+// withDecision returns the row with a holder's slots and shortage set. Slots
+// that were never held are assigned first; their number is returned too.
+func (r accountRow) withDecision(id string, d decision) (accountRow, int) {
+	neverHeld := min(r.NeverHeld, max(0, d.slots-r.heldBy(id)))
 	next := accountRow{
-		Fresh:    r.Fresh - fresh,
-		Holdings: replace(r.Holdings, id, d.slots),
-		Wanting:  replace(r.Wanting, id, d.wants),
-		version:  r.version,
+		NeverHeld: r.NeverHeld - neverHeld,
+		Holdings:  withSlots(r.Holdings, id, d.slots),
+		Shortages: withSlots(r.Shortages, id, d.shortage),
+		version:   r.version,
 	}
-	return next, fresh
+	return next, neverHeld
 }
 
-// replace returns the list with a holder's number set; 0 leaves it out.
-func replace(list []holding, id string, slots int) []holding {
+// withSlots returns the list with a holder's number of slots set; 0 removes the
+// holder.
+func withSlots(list []holding, id string, slots int) []holding {
 	next := slices.DeleteFunc(slices.Clone(list), func(h holding) bool { return h.Holder == id })
 	if slots > 0 {
 		next = append(next, holding{Holder: id, Slots: slots})
@@ -138,10 +141,10 @@
 
 // hostRow is the value of a host's row.
 type hostRow struct {
-	// Attempt numbers the renewals, so that one whose answer was lost is
-	// found again.
+	// Attempt numbers the renewals, so that a renewal whose response was lost
+	// can be recognized.
 	Attempt uint64 `json:"attempt"`
-	// TTLMillis is the lease in milliseconds.
+	// TTLMillis is the duration of the lease in milliseconds.
 	TTLMillis int64 `json:"ttl_millis"`
 }
 
--- a/quota/sim_test.go
+++ b/quota/sim_test.go
@@ -15,43 +15,44 @@
 const (
 	simTTL      = time.Minute
 	simInterval = 5 * time.Second
-	// clockError is how far the fastest host clock is off.
+	// clockError is the relative error of the fastest and slowest host clocks.
 	clockError = 0.005
 )
 
 var simStart = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 
-// meter checks spending against a limit over every window: it is a token
-// bucket of the whole limit, which must never be overdrawn.
-type meter struct {
+// limitChecker checks that spending stays within a limit over every window: it
+// is a token bucket of the whole limit, which must never be overdrawn.
+type limitChecker struct {
 	rate, burst float64
-	level       float64
+	tokens      float64
 	last        time.Time
 	spent       float64
-	// overshoot is by how much the bucket was overdrawn at worst.
+	// overshoot is the largest number of tokens by which the bucket was
+	// overdrawn.
 	overshoot float64
 }
 
-func newMeter(rate, burst float64) *meter {
-	return &meter{rate: rate, burst: burst, level: burst, last: simStart}
+func newLimitChecker(rate, burst float64) *limitChecker {
+	return &limitChecker{rate: rate, burst: burst, tokens: burst, last: simStart}
 }
 
-func (m *meter) refill(now time.Time) {
-	m.level = min(m.burst, m.level+m.rate*now.Sub(m.last).Seconds())
+func (m *limitChecker) refill(now time.Time) {
+	m.tokens = min(m.burst, m.tokens+m.rate*now.Sub(m.last).Seconds())
 	m.last = now
 }
 
-func (m *meter) spend(now time.Time, n float64) {
+func (m *limitChecker) spend(now time.Time, n float64) {
 	m.refill(now)
-	m.level -= n
+	m.tokens -= n
 	m.spent += n
-	m.overshoot = max(m.overshoot, -m.level)
+	m.overshoot = max(m.overshoot, -m.tokens)
 }
 
-// allows reports whether the limit as a whole had room.
-func (m *meter) allows(now time.Time, n float64) bool {
+// allows reports whether the whole limit allows n more requests.
+func (m *limitChecker) allows(now time.Time, n float64) bool {
 	m.refill(now)
-	return m.level >= n
+	return m.tokens >= n
 }
 
 // sim runs limiters of several hosts in one goroutine and virtual time.
@@ -62,11 +63,11 @@
 	limits []Limit
 	floor  float64
 	ttl    time.Duration
-	// cut cuts hosts from each other, loseLoans loses answers of loans.
-	cut, loseLoans bool
-	// loanDelay is the time that the request and the answer of a loan take.
+	// partitioned makes loan requests fail; loseLoans drops their responses.
+	partitioned, loseLoans bool
+	// loanDelay is the delay of a loan's request and of its response.
 	loanDelay time.Duration
-	made      int
+	lastID    int
 	loans     int
 }
 
@@ -78,7 +79,7 @@
 	return s
 }
 
-// newHost starts a limiter whose clock runs at its own speed.
+// newHost returns a limiter whose clock has its own speed.
 func (s *sim) newHost(i int) *Limiter {
 	speed := 1 + clockError*float64(i%3-1)
 	l := New(Options{
@@ -88,7 +89,7 @@
 		TTL:      s.ttl,
 		Interval: simInterval,
 		Floor:    s.floor,
-		NewID:    func() string { s.made++; return fmt.Sprint(s.made) },
+		NewID:    func() string { s.lastID++; return fmt.Sprint(s.lastID) },
 		Clock: func() time.Time {
 			return simStart.Add(time.Duration(float64(s.now.Sub(simStart)) * speed))
 		},
@@ -97,11 +98,11 @@
 	return l
 }
 
-var errCut = errors.New("no connection")
+var errPartitioned = errors.New("no connection")
 
 func (s *sim) Borrow(_ context.Context, holder string, request LoanRequest) (Loan, error) {
-	if s.cut {
-		return Loan{}, errCut
+	if s.partitioned {
+		return Loan{}, errPartitioned
 	}
 	for _, l := range s.hosts {
 		if held := l.lease.Load(); held == nil || held.id != holder {
@@ -111,17 +112,17 @@
 		loan, err := l.Lend(request)
 		s.now = s.now.Add(s.loanDelay)
 		if s.loseLoans {
-			return Loan{}, errCut
+			return Loan{}, errPartitioned
 		}
 		if err == nil {
 			s.loans++
 		}
 		return loan, err
 	}
-	return Loan{}, errCut
+	return Loan{}, errPartitioned
 }
 
-// rows parses all account rows and checks that no slot is held twice.
+// checkRows decodes all account rows and checks that no slot is held twice.
 func (s *sim) checkRows() error {
 	rows, err := memoryRows(s)
 	if err != nil {
@@ -132,8 +133,8 @@
 		if err != nil {
 			return err
 		}
-		if r.free() < r.Fresh || r.Fresh < 0 {
-			return fmt.Errorf("row %s: %d free of which %d fresh", row.Key, r.free(), r.Fresh)
+		if r.free() < r.NeverHeld || r.NeverHeld < 0 {
+			return fmt.Errorf("row %s: %d free, of which %d were never held", row.Key, r.free(), r.NeverHeld)
 		}
 		for _, h := range r.Holdings {
 			if h.Slots < 0 || !strings.HasPrefix(h.Holder, "host-") {
@@ -146,5 +147,5 @@
 
 func memoryRows(s *sim) ([]storage.Row, error) {
 	s.table.SetDown(false)
-	return s.table.List(context.Background(), accountPrefix, "", listPage)
+	return s.table.List(context.Background(), accountPrefix, "", listPageSize)
 }
--- a/quota/table.go
+++ b/quota/table.go
@@ -21,7 +21,7 @@
 			return nil, err
 		}
 		all = append(all, page...)
-		if len(page) < listPage {
+		if len(page) < listPageSize {
 			return all, nil
 		}
 		after = page[len(page)-1].Key
@@ -31,7 +31,7 @@
 func (l *Limiter) listPage(ctx context.Context, prefix, after string) ([]storage.Row, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.opts.Timeout)
 	defer cancel()
-	return l.opts.Table.List(ctx, prefix, after, listPage)
+	return l.opts.Table.List(ctx, prefix, after, listPageSize)
 }
 
 func (l *Limiter) commit(ctx context.Context, txn storage.Txn) (uint64, error) {
