--- a/cascade/learner.go
+++ b/cascade/learner.go
@@ -22,34 +22,34 @@
 type Options struct {
 	// Clock is the source of time; nil means time.Now.
 	Clock storage.Clock
-	// Seed makes the exploration repeatable.
+	// Seed seeds the random exploration, which makes it reproducible.
 	Seed uint64
-	// Policy decides.
+	// Policy is the policy that decides.
 	Policy Policy
-	// Groups bounds the groups of requests whose statistics are kept; 0 means
-	// DefaultGroups. A group takes about 400 bytes a step.
+	// Groups is the maximum number of request groups whose statistics are
+	// kept; 0 means DefaultGroups. A group takes about 400 bytes a step.
 	Groups int
 }
 
-// Sample is what one answer of a step showed.
+// Sample is the observed result of one answer of a step.
 type Sample struct {
 	Cascade string
 	Account string
 	Class   string
-	// PromptTokens is the length of the prompt; 0 if unknown.
+	// PromptTokens is the length of the prompt in tokens; 0 if unknown.
 	PromptTokens int
-	// Step is the index of the step among all of the cascade.
+	// Step is the index of the step among all steps of the cascade.
 	Step int
-	// Escalated says that the step before was tried first.
+	// Escalated is true if the previous step was tried first.
 	Escalated bool
 	// Rating is from 0 to 1, or Unrated.
 	Rating float64
-	// Latency is the time to the whole answer; 0 if not measured.
+	// Latency is the time to the complete answer; 0 if not measured.
 	Latency time.Duration
 }
 
-// Learner keeps statistics and decides by them. It is safe for concurrent use
-// and holds nothing that must last.
+// Learner keeps statistics and decides by them. It is safe for concurrent use.
+// Its state needn't be persisted.
 type Learner struct {
 	policy Policy
 	clock  storage.Clock
@@ -60,26 +60,26 @@
 
 type shard struct {
 	mu     sync.Mutex
-	groups *simplelru.LRU[group, *groupStats]
+	groups *simplelru.LRU[group, *groupRecord]
 }
 
-// randomSource is a seeded source under a lock.
+// randomSource is a seeded random source guarded by a mutex.
 type randomSource struct {
 	mu  sync.Mutex
 	rnd *rand.Rand
 }
 
-// group names a group of requests. Empty account and class stand for all, as
-// does size 0.
+// group identifies a group of requests. An empty account or class means all of
+// them, as does sizeClass 0.
 type group struct {
-	cascade string
-	account string
-	class   string
-	size    int
+	cascade   string
+	account   string
+	class     string
+	sizeClass int
 }
 
-// groupsOf returns the groups that a request belongs to, the widest first.
-// Each is the prior of the next.
+// groupsOf returns the groups that a request belongs to, the widest first. The
+// estimate of each group is the prior of the next one's.
 func groupsOf(cascade, account, class string, promptTokens int) []group {
 	groups := []group{
 		{cascade: cascade},
@@ -91,7 +91,8 @@
 	return groups
 }
 
-// sizeClass groups prompt lengths by powers of four, from 1 up.
+// sizeClass returns the class of a prompt length, from 1 up; each class covers a
+// factor of four.
 func sizeClass(tokens int) int { return (bits.Len(uint(tokens)) + 1) / 2 }
 
 // NewLearner returns a Learner without statistics.
@@ -106,17 +107,17 @@
 	l.random.rnd = rand.New(rand.NewPCG(options.Seed, 0))
 	for i := range l.shards {
 		size := max(1, options.Groups/learnerShards)
-		groups, err := simplelru.NewLRU[group, *groupStats](size, nil)
+		groups, err := simplelru.NewLRU[group, *groupRecord](size, nil)
 		if err != nil {
-			panic(err) // the size is positive
+			panic(err) // can't happen: the size is positive
 		}
 		l.shards[i].groups = groups
 	}
 	return l
 }
 
-// Learn takes in an answer of a step. It is Observe for callers that don't
-// tell cascades and prompt lengths apart; a step above 0 counts as escalated.
+// Learn records an answer of a step. It is Observe for callers that don't
+// distinguish cascades and prompt lengths; a step above 0 counts as escalated.
 func (l *Learner) Learn(account, class string, step int, rating float64, latency time.Duration) {
 	l.Observe(Sample{
 		Account:   account,
@@ -128,22 +129,23 @@
 	})
 }
 
-// Observe takes in an answer of a step.
+// Observe records an answer of a step.
 func (l *Learner) Observe(s Sample) {
 	now := l.clock()
 	for _, g := range groupsOf(s.Cascade, s.Account, s.Class, s.PromptTokens) {
-		l.change(g, now, func(stats *groupStats) { stats.learn(s) })
+		l.withGroup(g, now, func(stats *groupRecord) { stats.record(s) })
 	}
 }
 
-// change runs f on the statistics of a group, made if needed.
-func (l *Learner) change(g group, now time.Time, f func(*groupStats)) {
+// withGroup calls f with the statistics of a group, which are created if needed
+// and decayed to now.
+func (l *Learner) withGroup(g group, now time.Time, f func(*groupRecord)) {
 	shard := l.shard(g)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
 	stats, ok := shard.groups.Get(g)
 	if !ok {
-		stats = &groupStats{decayedAt: now}
+		stats = &groupRecord{decayedAt: now}
 		shard.groups.Add(g, stats)
 	}
 	stats.decay(now)
@@ -161,12 +163,12 @@
 	return &l.shards[d.Sum64()%learnerShards]
 }
 
-// ObserveRater takes in how long a rating took, and whether it came in time.
+// ObserveRater records how long a rating took, and whether it succeeded in time.
 func (l *Learner) ObserveRater(took time.Duration, ok bool) {
 	l.rater.observe(took, ok, l.clock())
 }
 
-// Decide fills in the view's statistics and decides.
+// Decide sets the view's statistics and returns the policy's plan.
 func (l *Learner) Decide(v View) Plan {
 	v.Stats = l.stats(&v)
 	v.Rater = l.rater.stats(l.clock())
@@ -175,8 +177,8 @@
 	return l.policy.Decide(v, l.random.rnd)
 }
 
-// stats estimates each step from the narrowest group, drawn to the wider
-// ones.
+// stats returns the estimates of each step from the narrowest group, with the
+// wider groups as priors.
 func (l *Learner) stats(v *View) []StepStats {
 	estimates := make([]StepStats, len(v.Steps))
 	for i := range estimates {
@@ -184,13 +186,14 @@
 	}
 	now := l.clock()
 	for _, g := range groupsOf(v.Cascade, v.Account, v.Class, v.PromptTokens) {
-		l.change(g, now, func(stats *groupStats) { stats.refine(estimates, v.Target) })
+		l.withGroup(g, now, func(stats *groupRecord) { stats.refineEstimates(estimates, v.Target) })
 	}
 	return estimates
 }
 
-// refine replaces the estimates by those of a narrower group.
-func (g *groupStats) refine(estimates []StepStats, target float64) {
+// refineEstimates replaces the estimates by those of this narrower group, with
+// the previous ones as priors.
+func (g *groupRecord) refineEstimates(estimates []StepStats, target float64) {
 	for i := range min(len(estimates), len(g.steps)) {
 		step, estimate := &g.steps[i], &estimates[i]
 		estimate.Accept = step.first.probability(target, estimate.Accept)
--- a/cascade/learner_test.go
+++ b/cascade/learner_test.go
@@ -17,7 +17,7 @@
 	return NewLearner(Options{Clock: func() time.Time { return now }, Seed: 1}), &now
 }
 
-func learn(l *Learner, account string, rating float64, n int) {
+func observeMany(l *Learner, account string, rating float64, n int) {
 	for range n {
 		l.Observe(Sample{Cascade: "c", Account: account, Class: "x", Rating: rating, Latency: time.Second})
 	}
@@ -28,20 +28,20 @@
 	return l.stats(&v)[0]
 }
 
-func TestAccountsAreToldApart(t *testing.T) {
+func TestStatsArePerAccount(t *testing.T) {
 	is := is.New(t)
 	l, _ := newTestLearner()
-	learn(l, "easy", 0.9, 200)
-	learn(l, "hard", 0.2, 200)
+	observeMany(l, "easy", 0.9, 200)
+	observeMany(l, "hard", 0.2, 200)
 	is.True(statsOf(l, "easy", 0.7).Accept > 0.9)
 	is.True(statsOf(l, "hard", 0.7).Accept < 0.1)
-	unknown := statsOf(l, "new", 0.7).Accept // that of all accounts
+	unknown := statsOf(l, "new", 0.7).Accept // the estimate over all accounts
 	is.True(unknown > 0.2 && unknown < 0.8)
 	is.True(statsOf(l, "hard", 0.1).Accept > 0.9) // a lower target
 	is.Equal(statsOf(l, "easy", 0.7).Latency, time.Second)
 }
 
-func TestPromptLengthsAreToldApart(t *testing.T) {
+func TestStatsArePerPromptLength(t *testing.T) {
 	is := is.New(t)
 	l, _ := newTestLearner()
 	for range 200 {
@@ -59,37 +59,37 @@
 func TestOldRatingsLoseWeight(t *testing.T) {
 	is := is.New(t)
 	l, now := newTestLearner()
-	learn(l, "a", 0.9, 200)
+	observeMany(l, "a", 0.9, 200)
 	before := statsOf(l, "a", 0.7).Samples
 	*now = now.Add(statsHalfLife)
 	is.True(math.Abs(statsOf(l, "a", 0.7).Samples-before/2) < 1)
 }
 
-func TestUnratedAnswersTeachLatencyOnly(t *testing.T) {
+func TestUnratedAnswersUpdateLatencyOnly(t *testing.T) {
 	is := is.New(t)
 	l, _ := newTestLearner()
-	learn(l, "a", Unrated, 5)
+	observeMany(l, "a", Unrated, 5)
 	stats := statsOf(l, "a", 0.7)
 	is.Equal(stats.Samples, 0.0)
 	is.Equal(stats.Latency, time.Second)
 }
 
-func TestTheRaterIsTriedAgain(t *testing.T) {
+func TestRaterIsRetried(t *testing.T) {
 	is := is.New(t)
 	l, now := newTestLearner()
 	for range 50 {
 		l.ObserveRater(time.Second, false)
 	}
-	is.True(l.rater.stats(*now).Failure > raterDown)
+	is.True(l.rater.stats(*now).Failure > raterDownFailureShare)
 	*now = now.Add(raterHalfLife)
-	is.True(l.rater.stats(*now).Failure < raterDown)
+	is.True(l.rater.stats(*now).Failure < raterDownFailureShare)
 }
 
 func TestGroupsAreBounded(t *testing.T) {
 	is := is.New(t)
 	l, _ := newTestLearner()
 	for i := range 3 * DefaultGroups {
-		learn(l, fmt.Sprint("account-", i), 0.5, 1)
+		observeMany(l, fmt.Sprint("account-", i), 0.5, 1)
 	}
 	kept := 0
 	for i := range l.shards {
--- a/cascade/policy_test.go
+++ b/cascade/policy_test.go
@@ -12,7 +12,8 @@
 	"github.com/quetzalweir/quetzalweir/manifest"
 )
 
-// view is a cascade of a cheap and a dear step with 70% acceptance.
+// view returns a view of a cascade with a cheap and an expensive step and 70%
+// acceptance, changed by change.
 func view(change func(v *View)) View {
 	v := View{
 		Steps: []StepInfo{
@@ -36,13 +37,13 @@
 		start  int
 		reason Reason
 	}{
-		{"the saving pays", func(*View) {}, 0, ReasonCheapest},
+		{"the saving exceeds the escalations", func(*View) {}, 0, ReasonCheapest},
 		{"hardly ever accepted", func(v *View) { v.Stats[0].Accept = 0.05 }, 1, ReasonCheapest},
 		{"no saving", func(v *View) { v.Steps[0].Cost = 9 }, 1, ReasonCheapest},
 		{"ample time", func(v *View) { v.Remaining = time.Minute }, 0, ReasonCheapest},
 		{"no time to escalate", func(v *View) { v.Remaining = 4 * time.Second }, 1, ReasonDeadline},
 		{"the rater is down and answers escalate", func(v *View) { v.Rater.Failure = 1 }, 1, ReasonCheapest},
-		{"the rater is down and answers are taken", func(v *View) {
+		{"the rater is down and answers are accepted", func(v *View) {
 			v.Rater.Failure = 1
 			v.OnRaterFailure = manifest.Accept
 			v.Stats[0].Accept = 0.95
@@ -51,7 +52,7 @@
 			v.Rater.Failure = 1
 			v.OnRaterFailure = manifest.Accept
 		}, 1, ReasonCheapest},
-		{"a learnt latency counts", func(v *View) {
+		{"a measured latency replaces the expected one", func(v *View) {
 			v.Remaining = 6 * time.Second
 			v.Stats[0].Latency = 5 * time.Second
 		}, 1, ReasonDeadline},
@@ -74,7 +75,7 @@
 	is.Equal(plan.Delay, 1800*time.Millisecond)
 }
 
-func TestARaterThatIsDownIsNotWaitedFor(t *testing.T) {
+func TestRaterTimeoutIsShortWhileRaterIsDown(t *testing.T) {
 	is := is.New(t)
 	plan := Policy{}.Decide(view(func(v *View) { v.Rater.Failure = 0.9 }), nil)
 	is.Equal(plan.RaterTimeout, 100*time.Millisecond)
@@ -94,12 +95,13 @@
 	is.True(explored > 0)
 	is.True(float64(explored) < 2*DefaultExploreMin*requests)
 	late := view(func(v *View) { v.Remaining = time.Second })
-	for range requests { // never against the deadline
+	for range requests { // an earlier step would miss the deadline
 		is.Equal(Policy{}.Decide(late, rnd).Start, 1)
 	}
 }
 
-// TestTheBestStartIsChosen compares with all starts of random cascades.
+// TestTheBestStartIsChosen compares the chosen start with all others, for random
+// cascades.
 func TestTheBestStartIsChosen(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := View{Target: 0.7, OnRaterFailure: manifest.Escalate}
@@ -110,7 +112,7 @@
 		}
 		chosen := Policy{}.Decide(v, nil)
 		for start := range v.Steps {
-			if other := v.expect(start); other.Cost < chosen.Cost {
+			if other := v.planFrom(start); other.Cost < chosen.Cost {
 				t.Fatalf("start %d costs %v, chosen %d costs %v", start, other.Cost, chosen.Start, chosen.Cost)
 			}
 		}
--- a/cascade/stats.go
+++ b/cascade/stats.go
@@ -6,22 +6,23 @@
 )
 
 const (
-	// ratingBuckets is the number of equal buckets that ratings are kept in,
-	// so that a change of the target needs no new statistics.
+	// ratingBuckets is the number of equal buckets of the rating histograms.
+	// With a histogram, statistics stay valid when the target changes.
 	ratingBuckets = 40
-	// sampleWindow is the number of ratings after which the oldest count for
-	// about a third.
-	sampleWindow = 300
-	// statsHalfLife is the time in which statistics lose half of their weight.
+	// ratingWindow is the number of further ratings after which a rating's
+	// weight has decayed to about a third.
+	ratingWindow = 300
+	// statsHalfLife is the time in which the weight of ratings halves.
 	statsHalfLife = 30 * time.Minute
-	// priorWeight is the weight, in ratings, of what is known of the wider
+	// priorWeight is the weight, in ratings, of the estimate of the wider
 	// group.
 	priorWeight = 8
-	// latencyGain is the weight of a new measurement in a mean latency.
-	latencyGain = 0.1
+	// latencySampleWeight is the weight of a new measurement in the moving
+	// average of the latency.
+	latencySampleWeight = 0.1
 )
 
-// histogram is a decayed count of ratings.
+// histogram holds decayed counts of ratings.
 type histogram struct {
 	buckets [ratingBuckets]float32
 	total   float64
@@ -35,7 +36,7 @@
 }
 
 func (h *histogram) add(rating float64) {
-	h.scale(1 - 1.0/sampleWindow)
+	h.scale(1 - 1.0/ratingWindow)
 	h.buckets[bucketOf(rating)]++
 	h.total++
 }
@@ -44,9 +45,9 @@
 	return min(ratingBuckets-1, max(0, int(rating*ratingBuckets)))
 }
 
-// accepted returns the weight of the ratings that reach the target. Of the
-// target's own bucket it counts the part above the target.
-func (h *histogram) accepted(target float64) float64 {
+// acceptedWeight returns the weight of the ratings that reach the target. Of the
+// bucket that contains the target, it counts the part above the target.
+func (h *histogram) acceptedWeight(target float64) float64 {
 	b := bucketOf(target)
 	sum := float64(h.buckets[b]) * (float64(b+1) - target*ratingBuckets)
 	for _, n := range h.buckets[b+1:] {
@@ -55,28 +56,29 @@
 	return sum
 }
 
-// probability estimates how often a rating reaches the target, drawn to the
-// prior while there are few ratings.
+// probability estimates the probability that a rating reaches the target. The
+// prior counts like priorWeight ratings.
 func (h *histogram) probability(target, prior float64) float64 {
-	return (h.accepted(target) + priorWeight*prior) / (h.total + priorWeight)
+	return (h.acceptedWeight(target) + priorWeight*prior) / (h.total + priorWeight)
 }
 
-// stepStats is the record of one step.
-type stepStats struct {
+// stepRecord holds the statistics of one step, for requests that started there
+// and for escalated ones.
+type stepRecord struct {
 	first     histogram
 	escalated histogram
-	// latency is a mean in seconds; 0 without a measurement.
+	// latency is the moving average in seconds; 0 if not measured.
 	latency float64
 }
 
-// groupStats is the record of one group of requests.
-type groupStats struct {
-	steps     []stepStats
+// groupRecord holds the statistics of one group of requests.
+type groupRecord struct {
+	steps     []stepRecord
 	decayedAt time.Time
 }
 
-// decay lets old ratings lose weight.
-func (g *groupStats) decay(now time.Time) {
+// decay reduces the weight of old ratings.
+func (g *groupRecord) decay(now time.Time) {
 	elapsed := now.Sub(g.decayedAt)
 	if elapsed < statsHalfLife/16 {
 		return
@@ -89,21 +91,21 @@
 	}
 }
 
-// maxSteps bounds the steps of a cascade that are recorded.
+// maxSteps is the maximum number of steps of a cascade that are recorded.
 const maxSteps = 8
 
-func (g *groupStats) step(i int) *stepStats {
+func (g *groupRecord) stepAt(i int) *stepRecord {
 	if i < 0 || i >= maxSteps {
-		return &stepStats{}
+		return &stepRecord{}
 	}
 	for len(g.steps) <= i {
-		g.steps = append(g.steps, stepStats{})
+		g.steps = append(g.steps, stepRecord{})
 	}
 	return &g.steps[i]
 }
 
-func (g *groupStats) learn(s Sample) {
-	step := g.step(s.Step)
+func (g *groupRecord) record(s Sample) {
+	step := g.stepAt(s.Step)
 	if s.Latency > 0 {
 		step.observeLatency(s.Latency.Seconds())
 	}
@@ -117,10 +119,10 @@
 	step.first.add(s.Rating)
 }
 
-func (s *stepStats) observeLatency(seconds float64) {
+func (s *stepRecord) observeLatency(seconds float64) {
 	if s.latency == 0 {
 		s.latency = seconds
 		return
 	}
-	s.latency += latencyGain * (seconds - s.latency)
+	s.latency += latencySampleWeight * (seconds - s.latency)
 }
