--- a/admission/class.go
+++ b/admission/class.go
@@ -2,32 +2,33 @@
 
 import "time"
 
-// class is the waiting work of one priority class: start-time fair queueing
-// over its flows, and its account of the minimum share.
+// class holds the waiting entries of one priority class, served by start-time
+// fair queueing over its flows, and its credit from the minimum share.
 type class struct {
 	name     string
 	minShare float64
-	// rank is the place in strict order, 0 first.
+	// rank is the position in strict order; 0 is the highest class.
 	rank int
-	// credit is the service time that the class may claim before higher ones.
+	// credit is the service time that the class may use before higher classes.
 	credit time.Duration
-	// arrivals is the service time asked for per second, a decayed average.
-	arrivals rate
+	// arrivals is the decayed rate of arriving service time, in seconds per
+	// second.
+	arrivals decayedRate
 
 	flows map[string]*flow
-	// serve orders backlogged flows by virtual start time.
-	serve indexedHeap[*flow]
-	// backlogs orders backlogged flows by backlog, largest first.
-	backlogs indexedHeap[*flow]
-	// idle orders flows without entries by virtual finish time.
-	idle indexedHeap[*flow]
-	// virtual is the start time of the entry served last.
-	virtual float64
+	// startOrder orders backlogged flows by virtual start time.
+	startOrder indexedHeap[*flow]
+	// backlogOrder orders backlogged flows by weighted backlog, largest first.
+	backlogOrder indexedHeap[*flow]
+	// idleOrder orders flows without waiting entries by virtual finish time.
+	idleOrder indexedHeap[*flow]
+	// virtualTime is the virtual start time of the entry served last.
+	virtualTime float64
 
-	count int
-	work  time.Duration
-	// weight is the sum over backlogged flows.
-	weight float64
+	waiting     int
+	waitingWork time.Duration
+	// backloggedWeight is the sum of the weights of backlogged flows.
+	backloggedWeight float64
 }
 
 func newClass(options ClassOptions, rank int) *class {
@@ -36,111 +37,115 @@
 		minShare: options.MinShare,
 		rank:     rank,
 		flows:    make(map[string]*flow),
-		serve: indexedHeap[*flow]{
-			less:  servedBefore,
-			index: func(f *flow) *int { return &f.serveIndex },
+		startOrder: indexedHeap[*flow]{
+			less:  startsBefore,
+			index: func(f *flow) *int { return &f.startIndex },
 		},
-		backlogs: indexedHeap[*flow]{
-			less:  func(a, b *flow) bool { return a.backlog() > b.backlog() },
+		backlogOrder: indexedHeap[*flow]{
+			less:  func(a, b *flow) bool { return a.weightedBacklog() > b.weightedBacklog() },
 			index: func(f *flow) *int { return &f.backlogIndex },
 		},
-		idle: indexedHeap[*flow]{
-			less:  func(a, b *flow) bool { return a.finish < b.finish },
+		idleOrder: indexedHeap[*flow]{
+			less:  func(a, b *flow) bool { return a.virtualFinish < b.virtualFinish },
 			index: func(f *flow) *int { return &f.idleIndex },
 		},
 	}
 }
 
-// servedBefore orders backlogged flows by virtual start time, and equal ones
+// startsBefore orders backlogged flows by virtual start time, and equal ones
 // by arrival.
-func servedBefore(a, b *flow) bool {
-	if a.start != b.start {
-		return a.start < b.start
+func startsBefore(a, b *flow) bool {
+	if a.virtualStart != b.virtualStart {
+		return a.virtualStart < b.virtualStart
 	}
-	return a.head().seq < b.head().seq
+	return a.head().arrival < b.head().arrival
 }
 
-// flowOf returns the account's flow, with the weight of its latest ticket.
+// flowOf returns the account's flow, created if needed, and sets its weight to
+// that of the ticket.
 func (c *class) flowOf(t Ticket) *flow {
 	f, ok := c.flows[t.Account]
 	if !ok {
 		f = newFlow(c, t.Account)
 		c.flows[t.Account] = f
-		c.idle.push(f)
+		c.idleOrder.push(f)
 	}
 	weight := float64(max(1, t.Weight))
-	if f.count > 0 {
-		c.weight += weight - f.weight
+	if f.waiting > 0 {
+		c.backloggedWeight += weight - f.weight
 	}
 	f.weight = weight
-	c.backlogs.fix(f)
+	c.backlogOrder.fix(f)
 	return f
 }
 
 func (c *class) add(e *Entry) {
 	f := e.flow
-	c.count++
-	c.work += e.estimate
+	c.waiting++
+	c.waitingWork += e.estimate
 	f.append(e)
-	if f.count > 1 {
-		c.serve.fix(f)
-		c.backlogs.fix(f)
+	if f.waiting > 1 {
+		c.startOrder.fix(f)
+		c.backlogOrder.fix(f)
 		return
 	}
-	f.start = max(c.virtual, f.finish)
-	c.weight += f.weight
-	c.idle.remove(f)
-	c.serve.push(f)
-	c.backlogs.push(f)
+	f.virtualStart = max(c.virtualTime, f.virtualFinish)
+	c.backloggedWeight += f.weight
+	c.idleOrder.remove(f)
+	c.startOrder.push(f)
+	c.backlogOrder.push(f)
 }
 
-// drop takes a waiting entry out without serving it.
-func (c *class) drop(e *Entry) {
+// remove removes a waiting entry without charging its flow.
+func (c *class) remove(e *Entry) {
 	f := e.flow
-	c.count--
-	c.work -= e.estimate
-	if f.count == 1 {
-		c.weight -= f.weight
-		c.serve.remove(f)
-		c.backlogs.remove(f)
-		c.idle.push(f)
+	c.waiting--
+	c.waitingWork -= e.estimate
+	if f.waiting == 1 {
+		c.backloggedWeight -= f.weight
+		c.startOrder.remove(f)
+		c.backlogOrder.remove(f)
+		c.idleOrder.push(f)
 		f.unlink(e)
 		return
 	}
 	f.unlink(e)
-	c.serve.fix(f)
-	c.backlogs.fix(f)
+	c.startOrder.fix(f)
+	c.backlogOrder.fix(f)
 }
 
-// head is the entry that fair queueing serves next; the class has one.
+// head returns the entry that fair queueing serves next. The class must have a
+// waiting entry.
 func (c *class) head() *Entry {
-	return c.serve.min().head()
+	return c.startOrder.min().head()
 }
 
-// charge advances virtual time past an entry that begins to run.
-func (c *class) charge(f *flow, e *Entry) {
-	c.virtual = f.start
-	f.finish = f.start + e.cost()/f.weight
-	f.start = f.finish
-	if f.count > 0 {
-		c.serve.fix(f)
+// chargeStart advances the virtual time to an entry that starts to run and
+// charges its cost to its flow.
+func (c *class) chargeStart(f *flow, e *Entry) {
+	c.virtualTime = f.virtualStart
+	f.virtualFinish = f.virtualStart + e.cost()/f.weight
+	f.virtualStart = f.virtualFinish
+	if f.waiting > 0 {
+		c.startOrder.fix(f)
 	} else {
-		c.idle.fix(f)
+		c.idleOrder.fix(f)
 	}
-	c.forgetIdle()
+	c.removeIdleFlows()
 }
 
-// chargeAtOnce is charge for an entry that never waited.
-func (c *class) chargeAtOnce(e *Entry) {
-	e.flow.start = max(c.virtual, e.flow.finish)
-	c.charge(e.flow, e)
+// chargeUnqueued is chargeStart for an entry that never waited.
+func (c *class) chargeUnqueued(e *Entry) {
+	e.flow.virtualStart = max(c.virtualTime, e.flow.virtualFinish)
+	c.chargeStart(e.flow, e)
 }
 
-// forgetIdle drops flows that have no claim or debt left.
-func (c *class) forgetIdle() {
-	for c.idle.len() > 0 && c.idle.min().finish < c.virtual {
-		f := c.idle.min()
-		c.idle.remove(f)
+// removeIdleFlows removes idle flows whose virtual finish time has passed; they
+// would be served like new flows.
+func (c *class) removeIdleFlows() {
+	for c.idleOrder.len() > 0 && c.idleOrder.min().virtualFinish < c.virtualTime {
+		f := c.idleOrder.min()
+		c.idleOrder.remove(f)
 		delete(c.flows, f.account)
 	}
 }
--- a/admission/dispatch.go
+++ b/admission/dispatch.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// dispatch runs waiting entries while places are free.
+// dispatch starts waiting entries while slots are free.
 func (s *Scheduler) dispatch(now time.Duration) {
 	for s.running < s.capacity && s.queued > 0 {
-		c := s.pick()
+		c := s.nextClass()
 		e := c.head()
 		s.dequeue(e)
 		if now > e.latestStart {
-			s.settle(e, s.unmeetable(now, e, 0))
+			s.refuseWaiting(e, s.unmeetableError(now, e, 0))
 			continue
 		}
-		c.charge(e.flow, e)
-		s.run(now, e)
-		s.settled = append(s.settled, e)
+		c.chargeStart(e.flow, e)
+		s.start(now, e)
+		s.decided = append(s.decided, e)
 	}
 }
 
-// pick returns the class served next: the highest that has credit for its
-// first entry, else the highest that waits.
-func (s *Scheduler) pick() *class {
+// nextClass returns the class served next: the highest class with enough credit
+// for its first entry, else the highest class with a waiting entry.
+func (s *Scheduler) nextClass() *class {
 	var highest *class
 	for _, c := range s.classes {
-		if c.count == 0 {
+		if c.waiting == 0 {
 			continue
 		}
 		if c.minShare > 0 && c.credit >= c.head().estimate {
@@ -36,13 +36,14 @@
 	return highest
 }
 
-// run gives an entry a place and each class its share of the service time.
-func (s *Scheduler) run(now time.Duration, e *Entry) {
+// start assigns a slot to an entry and credits each class with its minimum share
+// of the service time.
+func (s *Scheduler) start(now time.Duration, e *Entry) {
 	e.state = Running
 	e.startedAt = now
 	s.running++
 	s.runningWork += e.estimate
-	s.ends.push(e)
+	s.byExpectedEnd.push(e)
 	for _, c := range s.classes {
 		c.credit += time.Duration(c.minShare * float64(e.estimate))
 		c.credit = min(c.credit, s.maxCredit(c))
@@ -51,17 +52,18 @@
 	own.credit = max(0, own.credit-e.estimate)
 }
 
-// release takes back the place of a running entry.
+// release frees the slot of a running entry.
 func (s *Scheduler) release(e *Entry) {
 	s.running--
 	s.runningWork -= e.estimate
-	s.ends.remove(e)
+	s.byExpectedEnd.remove(e)
 }
 
-// maxCredit lets a class with a share save up for at least one entry.
+// maxCredit returns the limit of a class's credit: its minimum share over
+// creditWindow, but enough for at least one entry.
 func (s *Scheduler) maxCredit(c *class) time.Duration {
 	limit := time.Duration(c.minShare * float64(s.capacity) * float64(creditWindow))
-	if c.count > 0 {
+	if c.waiting > 0 {
 		limit = max(limit, c.head().estimate)
 	}
 	return max(limit, s.meanService)
--- a/admission/doc.go
+++ b/admission/doc.go
@@ -1,17 +1,18 @@
 // Package admission decides which requests run now, which wait, and which are
-// refused at once.
+// refused immediately.
 //
-// A Queue guards a number of concurrent requests. Classes go in strict order,
-// each with a minimum share of capacity; within a class, start-time fair
-// queueing divides capacity between client accounts by weight. A request that
-// can't meet its deadline is refused as soon as that is known, on arrival or
-// while it waits, never held until the deadline has passed.
+// A Queue limits the number of concurrent requests. Priority classes are served
+// in strict order, each with a minimum share of the capacity; within a class,
+// start-time fair queueing divides the capacity between client accounts by
+// weight. A request that can't meet its deadline is refused as soon as that is
+// predicted, on arrival or while it waits, rather than when the deadline has
+// passed.
 //
-// Scheduler is the decision itself: a state machine without goroutines, locks
-// or timers, driven by explicit time. Queue adds the waiting. RetryBudget
-// bounds retries to a part of first attempts.
+// Scheduler implements the decisions as a state machine without goroutines,
+// locks or timers; the caller passes the time. Queue adds blocking callers and a
+// timer. RetryBudget limits retries to a ratio of first attempts.
 //
-// The entry host has a Queue before its upstreams. A Queue knows only what it
-// admitted itself: it promises nothing about other hosts' load, and it doesn't
-// stop work that has begun.
+// The entry host has a Queue before its upstreams. A Queue accounts only for
+// requests that it admitted itself: it guarantees nothing about other hosts'
+// load, and it doesn't cancel running requests.
 package admission
--- a/admission/entry.go
+++ b/admission/entry.go
@@ -2,59 +2,60 @@
 
 import "time"
 
-// State is where an entry stands.
+// State is the state of an entry.
 type State int
 
 const (
-	// Waiting is in the queue.
+	// Waiting means that the entry is in the queue.
 	Waiting State = iota
-	// Running holds a place of the capacity.
+	// Running means that the entry holds a slot.
 	Running
-	// Refused was answered without running.
+	// Refused means that the entry was refused without running.
 	Refused
-	// Finished gave its place back, or was cancelled.
+	// Finished means that the entry released its slot or was cancelled.
 	Finished
 )
 
-// Entry is a request in a Scheduler. The caller sets Ticket and leaves the
-// rest to the Scheduler.
+// Entry is a request in a Scheduler. The caller sets Ticket; the Scheduler sets
+// the other fields.
 type Entry struct {
 	Ticket Ticket
 
 	state State
-	// err is why the entry was refused.
+	// err is the reason for which the entry was refused.
 	err error
 	// estimate is the expected service time, corrected at submission.
 	estimate time.Duration
-	// latestStart is the last time, since the Scheduler's start, at which the
-	// deadline can still be met.
+	// latestStart is the latest time, since the Scheduler's epoch, at which the
+	// entry can start and still meet its deadline.
 	latestStart time.Duration
-	// startedAt is when the entry began to run.
+	// startedAt is when the entry started to run, since the Scheduler's epoch.
 	startedAt time.Duration
 
 	flow *flow
-	// tag is the virtual start time as last predicted.
-	tag float64
+	// predictedStart is the virtual start time as last predicted.
+	predictedStart float64
 	// prev and next link the entries of one level of a flow.
 	prev, next *Entry
 	level      *level
-	// seq numbers the waiting entries in order of arrival.
-	seq uint64
-	// heapIndex is the place in the expiry heap while the entry waits, and in
-	// the heap of expected ends while it runs.
+	// arrival numbers the waiting entries in order of arrival.
+	arrival uint64
+	// heapIndex is the index in the heap by latest start while the entry waits,
+	// and in the heap by expected end while it runs.
 	heapIndex int
-	// ready is closed when a waiting entry runs or is refused; used by Queue.
+	// ready is closed when a waiting entry starts or is refused; it is used only
+	// by Queue.
 	ready chan struct{}
 }
 
-// State returns where the entry stands.
+// State returns the state of the entry.
 func (e *Entry) State() State { return e.state }
 
-// Err returns why the entry was refused: *UnmeetableError, *FullError or
-// ErrUnknownClass.
+// Err returns the reason for which the entry was refused: *UnmeetableError,
+// *FullError or ErrUnknownClass; nil if it wasn't refused.
 func (e *Entry) Err() error { return e.err }
 
-// cost is the work charged to the account.
+// cost returns the work charged to the account.
 func (e *Entry) cost() float64 {
 	if e.Ticket.Cost > 0 {
 		return e.Ticket.Cost
@@ -62,5 +63,5 @@
 	return e.estimate.Seconds()
 }
 
-// expectedEnd is when a running entry is expected to give its place back.
+// expectedEnd returns when a running entry is expected to release its slot.
 func (e *Entry) expectedEnd() time.Duration { return e.startedAt + e.estimate }
--- a/admission/errors.go
+++ b/admission/errors.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// ErrUnknownClass means that a ticket names no configured class.
+// ErrUnknownClass means that a ticket's class isn't configured.
 var ErrUnknownClass = errors.New("admission: unknown class")
 
-// UnmeetableError refuses a request whose deadline can't be met. The request
-// was not run.
+// UnmeetableError means that a request was refused because its deadline can't
+// be met. The request did not run.
 type UnmeetableError struct {
-	// RetryAfter is when the same request is expected to meet a deadline as
-	// far ahead; zero means that it never can.
+	// RetryAfter is the time after which the same request is expected to meet a
+	// deadline equally far ahead; zero means that it never can.
 	RetryAfter time.Duration
 }
 
@@ -22,10 +22,10 @@
 	return fmt.Sprintf("admission: deadline can't be met, retry after %v", e.RetryAfter)
 }
 
-// FullError refuses a request because the queue is full. The request was not
-// run.
+// FullError means that a request was refused because the queue is full. The
+// request did not run.
 type FullError struct {
-	// RetryAfter is when the queue is expected to have room.
+	// RetryAfter is the time after which the queue is expected to have room.
 	RetryAfter time.Duration
 }
 
--- a/admission/example_test.go
+++ b/admission/example_test.go
@@ -29,9 +29,9 @@
 	fmt.Println("first:", err)
 	_, err = queue.Admit(ctx, ticket)
 	var unmeetable *admission.UnmeetableError
-	fmt.Println("second refused at once:", errors.As(err, &unmeetable))
+	fmt.Println("second refused immediately:", errors.As(err, &unmeetable))
 	grant.Done()
 	// Output:
 	// first: <nil>
-	// second refused at once: true
+	// second refused immediately: true
 }
--- a/admission/flow.go
+++ b/admission/flow.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// flow is the waiting work of one account in one class.
+// flow holds the waiting entries of one account in one class.
 type flow struct {
 	account string
 	class   *class
 	weight  float64
-	// levels hold the entries by rising Priority; none is empty.
-	levels []*level
-	count  int
-	// work is the expected service time of all entries.
-	work time.Duration
-	// start is the virtual start time of the first entry, by which backlogged
-	// flows are served.
-	start float64
-	// finish is the virtual finish time of the entry served last.
-	finish float64
+	// levels holds the entries by ascending Priority; no level is empty.
+	levels  []*level
+	waiting int
+	// waitingWork is the expected service time of all waiting entries.
+	waitingWork time.Duration
+	// virtualStart is the virtual start time of the first entry. Backlogged
+	// flows are served in its order.
+	virtualStart float64
+	// virtualFinish is the virtual finish time of the entry served last.
+	virtualFinish float64
 
-	serveIndex, backlogIndex, idleIndex int
+	startIndex, backlogIndex, idleIndex int
 }
 
-// level is a list of entries of one priority in order of arrival.
+// level is a list of the entries of one priority in order of arrival.
 type level struct {
 	priority    int
 	first, last *Entry
@@ -35,16 +35,16 @@
 		account:      account,
 		class:        c,
 		weight:       1,
-		serveIndex:   noIndex,
-		backlogIndex: noIndex,
-		idleIndex:    noIndex,
+		startIndex:   notInHeap,
+		backlogIndex: notInHeap,
+		idleIndex:    notInHeap,
 	}
 }
 
-// backlog is the work in proportion to the weight, by which the flow that
-// takes most of a full queue is found.
-func (f *flow) backlog() float64 {
-	return f.work.Seconds() / f.weight
+// weightedBacklog returns the waiting work divided by the weight. The flow with
+// the largest one gives way when the queue is full.
+func (f *flow) weightedBacklog() float64 {
+	return f.waitingWork.Seconds() / f.weight
 }
 
 func (f *flow) append(e *Entry) {
@@ -57,28 +57,28 @@
 		l.first = e
 	}
 	l.last = e
-	f.count++
-	f.work += e.estimate
+	f.waiting++
+	f.waitingWork += e.estimate
 }
 
 func (f *flow) levelOf(priority int) *level {
-	i, found := f.find(priority)
+	i, found := f.findLevel(priority)
 	if !found {
 		f.levels = slices.Insert(f.levels, i, &level{priority: priority})
 	}
 	return f.levels[i]
 }
 
-func (f *flow) find(priority int) (int, bool) {
+func (f *flow) findLevel(priority int) (int, bool) {
 	return slices.BinarySearchFunc(f.levels, priority, func(l *level, p int) int {
 		return l.priority - p
 	})
 }
 
-// head is the entry served next.
+// head returns the entry that is served first.
 func (f *flow) head() *Entry { return f.levels[0].first }
 
-// tail is the entry served last.
+// tail returns the entry that is served last.
 func (f *flow) tail() *Entry { return f.levels[len(f.levels)-1].last }
 
 func (f *flow) unlink(e *Entry) {
@@ -94,10 +94,10 @@
 		l.last = e.prev
 	}
 	e.prev, e.next, e.level = nil, nil, nil
-	f.count--
-	f.work -= e.estimate
+	f.waiting--
+	f.waitingWork -= e.estimate
 	if l.first == nil {
-		i, _ := f.find(l.priority)
+		i, _ := f.findLevel(l.priority)
 		f.levels = slices.Delete(f.levels, i, i+1)
 	}
 }
--- a/admission/heap.go
+++ b/admission/heap.go
@@ -1,20 +1,20 @@
 package admission
 
-// noIndex marks an item that isn't in a heap.
-const noIndex = -1
+// notInHeap is the index of an item that isn't in a heap.
+const notInHeap = -1
 
-// indexedHeap is a binary heap whose items know their places, so that any
+// indexedHeap is a binary heap whose items store their indexes, so that any
 // item can be moved or removed in O(log n).
 type indexedHeap[T any] struct {
 	items []T
 	less  func(a, b T) bool
-	// index gives access to where an item keeps its place.
+	// index returns a pointer to an item's index.
 	index func(T) *int
 }
 
 func (h *indexedHeap[T]) len() int { return len(h.items) }
 
-// min returns the first item of a heap that isn't empty.
+// min returns the first item. The heap must not be empty.
 func (h *indexedHeap[T]) min() T { return h.items[0] }
 
 func (h *indexedHeap[T]) push(item T) {
@@ -23,10 +23,10 @@
 	h.up(len(h.items) - 1)
 }
 
-// remove takes an item out; one that isn't in the heap is left alone.
+// remove removes an item; it does nothing if the item isn't in the heap.
 func (h *indexedHeap[T]) remove(item T) {
 	i := *h.index(item)
-	if i == noIndex {
+	if i == notInHeap {
 		return
 	}
 	last := len(h.items) - 1
@@ -34,7 +34,7 @@
 	var zero T
 	h.items[last] = zero
 	h.items = h.items[:last]
-	*h.index(item) = noIndex
+	*h.index(item) = notInHeap
 	if i < last {
 		h.fixAt(i)
 	}
@@ -42,7 +42,7 @@
 
 // fix restores the order after an item's key changed.
 func (h *indexedHeap[T]) fix(item T) {
-	if i := *h.index(item); i != noIndex {
+	if i := *h.index(item); i != notInHeap {
 		h.fixAt(i)
 	}
 }
@@ -65,17 +65,17 @@
 
 func (h *indexedHeap[T]) down(i int) {
 	for {
-		least := i
+		smallest := i
 		for child := 2*i + 1; child <= 2*i+2 && child < len(h.items); child++ {
-			if h.less(h.items[child], h.items[least]) {
-				least = child
+			if h.less(h.items[child], h.items[smallest]) {
+				smallest = child
 			}
 		}
-		if least == i {
+		if smallest == i {
 			return
 		}
-		h.swap(i, least)
-		i = least
+		h.swap(i, smallest)
+		i = smallest
 	}
 }
 
--- a/admission/predict.go
+++ b/admission/predict.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// estimate is the expected service time of a ticket.
+// estimate returns the expected service time of a ticket.
 func (s *Scheduler) estimate(t Ticket) time.Duration {
 	if t.Estimate <= 0 {
 		return s.meanService
@@ -15,182 +15,184 @@
 	return time.Duration(float64(t.Estimate) * s.correction)
 }
 
-// latestStart is the last moment at which the deadline can be met.
+// latestStart returns the latest time at which an entry can start and still meet
+// its deadline.
 func (s *Scheduler) latestStart(e *Entry) time.Duration {
 	if e.Ticket.Deadline.IsZero() {
-		return never
+		return unbounded
 	}
 	return e.Ticket.Deadline.Sub(s.epoch) - e.estimate
 }
 
-// learn corrects the estimates by an actual service time.
-func (s *Scheduler) learn(actual, estimate time.Duration) {
-	s.meanService += time.Duration(meanWeight * float64(actual-s.meanService))
+// updateEstimates updates the mean service time and the correction of estimates
+// with an actual service time.
+func (s *Scheduler) updateEstimates(actual, estimate time.Duration) {
+	s.meanService += time.Duration(sampleWeight * float64(actual-s.meanService))
 	if estimate <= 0 {
 		return
 	}
 	ratio := float64(actual) / float64(estimate)
 	ratio = min(max(ratio, minCorrection), maxCorrection)
-	s.correction += meanWeight * (ratio - s.correction)
+	s.correction += sampleWeight * (ratio - s.correction)
 }
 
-// workAhead is the service time of the class that fair queueing puts before a
-// new entry of the flow: the flow's own work, and in the same proportion that
-// of the other flows.
+// workAhead returns the service time in the class that fair queueing serves
+// before a new entry of the flow: the flow's own work, and that of the other
+// flows in proportion to their weights.
 func (s *Scheduler) workAhead(f *flow) time.Duration {
 	c := f.class
-	if f.count == 0 {
+	if f.waiting == 0 {
 		return 0
 	}
-	fair := time.Duration(float64(f.work) * c.weight / f.weight)
-	return min(fair, c.work)
+	fairWork := time.Duration(float64(f.waitingWork) * c.backloggedWeight / f.weight)
+	return min(fairWork, c.waitingWork)
 }
 
-// outlook is what a class can expect of the capacity at one time.
-type outlook struct {
-	// higher is the waiting work of higher classes.
-	higher time.Duration
-	// slots is the capacity left beside the higher classes' coming work and
-	// the lower classes' minimum shares.
+// forecast is the capacity that a class can expect to get, as of one time.
+type forecast struct {
+	// higherWork is the waiting work of higher classes.
+	higherWork time.Duration
+	// slots is the capacity left after the higher classes' expected arrivals
+	// and the lower classes' minimum shares.
 	slots float64
-	// shareSlots is the class's minimum share of the capacity.
-	shareSlots float64
-	// credit is the unused minimum share.
+	// minShareSlots is the class's minimum share of the capacity, in slots.
+	minShareSlots float64
+	// credit is the unused minimum share, in service time.
 	credit time.Duration
-	// firstFree is the expected time until a place becomes free.
-	firstFree time.Duration
+	// untilSlotFree is the expected time until a slot becomes free.
+	untilSlotFree time.Duration
 }
 
-func (s *Scheduler) outlook(now time.Duration, c *class) outlook {
-	o := outlook{
-		slots:      float64(s.capacity),
-		shareSlots: c.minShare * float64(s.capacity),
-		credit:     c.credit,
-		firstFree:  s.untilFirstFree(now),
+func (s *Scheduler) forecast(now time.Duration, c *class) forecast {
+	o := forecast{
+		slots:         float64(s.capacity),
+		minShareSlots: c.minShare * float64(s.capacity),
+		credit:        c.credit,
+		untilSlotFree: s.untilSlotFree(now),
 	}
 	for _, other := range s.classes {
 		switch {
 		case other.rank < c.rank:
-			o.higher += other.work
-			o.slots -= other.arrivals.read(now)
-		case other.rank > c.rank && other.count > 0:
+			o.higherWork += other.waitingWork
+			o.slots -= other.arrivals.valueAt(now)
+		case other.rank > c.rank && other.waiting > 0:
 			o.slots -= other.minShare * float64(s.capacity)
 		}
 	}
 	return o
 }
 
-// wait is the expected wait of an entry with the given work of its own class
-// ahead. It is the shorter of two ways: in strict order, after the higher
-// classes; or by the class's minimum share. It returns never if neither comes
-// to an end.
-func (o outlook) wait(ahead, estimate time.Duration) time.Duration {
-	strict := divide(o.higher+ahead, o.slots)
-	share := divide(max(0, ahead+estimate-o.credit), o.shareSlots)
-	wait := min(strict, share)
-	if wait == never {
-		return never
-	}
-	return wait + o.firstFree
+// wait returns the expected wait of an entry with the given work of its own
+// class ahead: the shorter of the waits in strict order, after the higher
+// classes, and by the class's minimum share. It returns unbounded if both are.
+func (o forecast) wait(ahead, estimate time.Duration) time.Duration {
+	inStrictOrder := timeFor(o.higherWork+ahead, o.slots)
+	byMinShare := timeFor(max(0, ahead+estimate-o.credit), o.minShareSlots)
+	wait := min(inStrictOrder, byMinShare)
+	if wait == unbounded {
+		return unbounded
+	}
+	return wait + o.untilSlotFree
 }
 
-// predict is the expected wait of a new entry.
-func (s *Scheduler) predict(now time.Duration, f *flow, estimate time.Duration) time.Duration {
+// predictWait returns the expected wait of a new entry.
+func (s *Scheduler) predictWait(now time.Duration, f *flow, estimate time.Duration) time.Duration {
 	if s.running < s.capacity && s.queued == 0 {
 		return 0
 	}
-	return s.outlook(now, f.class).wait(s.workAhead(f), estimate)
+	return s.forecast(now, f.class).wait(s.workAhead(f), estimate)
 }
 
-// untilFirstFree is the expected time until a place becomes free: until the
-// first expected end, but no more than with ends spread evenly, since several
-// running entries may each end early.
-func (s *Scheduler) untilFirstFree(now time.Duration) time.Duration {
+// untilSlotFree returns the expected time until a slot becomes free: the time to
+// the first expected end, but at most the interval between ends that are evenly
+// spread, since any of several running entries may end early.
+func (s *Scheduler) untilSlotFree(now time.Duration) time.Duration {
 	if s.running < s.capacity || s.running == 0 {
 		return 0
 	}
-	first := max(0, s.ends.min().expectedEnd()-now)
-	spread := s.runningWork / time.Duration(s.running) / time.Duration(s.running)
-	return min(first, spread)
+	untilFirstEnd := max(0, s.byExpectedEnd.min().expectedEnd()-now)
+	evenlySpread := s.runningWork / time.Duration(s.running) / time.Duration(s.running)
+	return min(untilFirstEnd, evenlySpread)
 }
 
-func divide(work time.Duration, slots float64) time.Duration {
+func timeFor(work time.Duration, slots float64) time.Duration {
 	if slots <= 0 {
-		return never
+		return unbounded
 	}
 	wait := float64(work) / slots
 	if wait >= math.MaxInt64/4 {
-		return never
+		return unbounded
 	}
 	return time.Duration(wait)
 }
 
-// tooLate reports whether the deadline is missed after a wait.
-func (e *Entry) tooLate(now, wait time.Duration) bool {
-	if e.latestStart == never {
+// missesDeadline reports whether the entry misses its deadline if it starts after
+// wait.
+func (e *Entry) missesDeadline(now, wait time.Duration) bool {
+	if e.latestStart == unbounded {
 		return false
 	}
-	return wait == never || now+wait > e.latestStart
+	return wait == unbounded || now+wait > e.latestStart
 }
 
-// unmeetable is the refusal of an entry with a predicted wait.
-func (s *Scheduler) unmeetable(now time.Duration, e *Entry, wait time.Duration) error {
-	allowed := e.Ticket.Deadline.Sub(s.epoch) - now
-	if wait == never {
+// unmeetableError returns the error that refuses an entry with a predicted wait.
+func (s *Scheduler) unmeetableError(now time.Duration, e *Entry, wait time.Duration) error {
+	untilDeadline := e.Ticket.Deadline.Sub(s.epoch) - now
+	if wait == unbounded {
 		return &UnmeetableError{RetryAfter: maxRetryAfter}
 	}
-	if s.running < s.capacity && s.queued == 0 && e.estimate > allowed {
+	if s.running < s.capacity && s.queued == 0 && e.estimate > untilDeadline {
 		return &UnmeetableError{}
 	}
-	return &UnmeetableError{RetryAfter: clampRetry(wait + e.estimate - allowed)}
+	return &UnmeetableError{RetryAfter: clampRetryAfter(wait + e.estimate - untilDeadline)}
 }
 
-// recheck predicts each waiting entry anew, in the order of service, and
-// refuses those that can't be met. An entry that is refused no longer delays
-// those after it.
+// recheck predicts the wait of each waiting entry again, in service order, and
+// refuses those that can't meet their deadlines. A refused entry no longer
+// delays those after it.
 func (s *Scheduler) recheck(now time.Duration) {
 	s.recheckAt = now + recheckInterval
 	for _, c := range s.classes {
-		if c.count == 0 {
+		if c.waiting == 0 {
 			continue
 		}
 		var ahead time.Duration
-		o := s.outlook(now, c)
-		for _, e := range s.inOrder(c) {
+		o := s.forecast(now, c)
+		for _, e := range s.inServiceOrder(c) {
 			wait := o.wait(ahead, e.estimate)
-			if e.tooLate(now, wait) {
+			if e.missesDeadline(now, wait) {
 				s.dequeue(e)
-				s.settle(e, s.unmeetable(now, e, wait))
+				s.refuseWaiting(e, s.unmeetableError(now, e, wait))
 				continue
 			}
 			ahead += e.estimate
 		}
 	}
-	clear(s.ordered[:cap(s.ordered)])
+	clear(s.serviceOrder[:cap(s.serviceOrder)])
 }
 
-// inOrder lists a class's entries in the order of service. The slice is valid
-// until the next call.
-func (s *Scheduler) inOrder(c *class) []*Entry {
-	s.ordered = s.ordered[:0]
-	for _, f := range c.serve.items {
-		tag := f.start
+// inServiceOrder returns a class's waiting entries in service order. The slice is
+// valid until the next call.
+func (s *Scheduler) inServiceOrder(c *class) []*Entry {
+	s.serviceOrder = s.serviceOrder[:0]
+	for _, f := range c.startOrder.items {
+		predictedStart := f.virtualStart
 		for _, l := range f.levels {
 			for e := l.first; e != nil; e = e.next {
-				e.tag = tag
-				tag += e.cost() / f.weight
-				s.ordered = append(s.ordered, e)
+				e.predictedStart = predictedStart
+				predictedStart += e.cost() / f.weight
+				s.serviceOrder = append(s.serviceOrder, e)
 			}
 		}
 	}
-	slices.SortFunc(s.ordered, func(a, b *Entry) int {
+	slices.SortFunc(s.serviceOrder, func(a, b *Entry) int {
 		switch {
-		case a.tag < b.tag:
+		case a.predictedStart < b.predictedStart:
 			return -1
-		case a.tag > b.tag:
+		case a.predictedStart > b.predictedStart:
 			return 1
 		}
-		return cmp.Compare(a.seq, b.seq)
+		return cmp.Compare(a.arrival, b.arrival)
 	})
-	return s.ordered
+	return s.serviceOrder
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -8,35 +8,35 @@
 	"time"
 )
 
-// Queue admits requests of concurrent callers. All its methods are safe for
-// concurrent use; each holds one lock for O(log n) steps, but for SetCapacity
-// and a recheck each 20 ms while requests wait, which pass over the queue.
+// Queue admits requests of concurrent callers. All methods are safe for
+// concurrent use. Each holds one lock for O(log n) steps, except SetCapacity and
+// a check every 20 ms while requests wait, which iterate over the whole queue.
 type Queue struct {
 	clock func() time.Time
 
-	mu    sync.Mutex
-	core  *Scheduler
-	timer *time.Timer
-	// timerAt is when the timer fires; zero if it is stopped.
+	mu        sync.Mutex
+	scheduler *Scheduler
+	timer     *time.Timer
+	// timerAt is when the timer fires; zero if it isn't running.
 	timerAt time.Time
 }
 
-// Grant is a place of the capacity. Its holder calls Done once.
+// Grant is a slot held by an admitted request. Its holder calls Done once.
 type Grant struct {
 	queue *Queue
 	entry Entry
 	done  atomic.Bool
 }
 
-// New returns a queue.
+// New returns an empty Queue.
 func New(options Options) *Queue {
 	options = options.withDefaults()
-	return &Queue{clock: options.Clock, core: NewScheduler(options)}
+	return &Queue{clock: options.Clock, scheduler: NewScheduler(options)}
 }
 
-// Admit waits for a place. It returns *UnmeetableError as soon as the deadline
-// can't be met, *FullError if there is no room to wait, ErrUnknownClass, or
-// the context's error. With an error the request holds no place.
+// Admit waits for a slot. It returns *UnmeetableError as soon as the deadline is
+// predicted to be missed, *FullError if the queue is full, ErrUnknownClass, or
+// the context's error. If it returns an error, the request holds no slot.
 func (q *Queue) Admit(ctx context.Context, ticket Ticket) (*Grant, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, fmt.Errorf("admission: %w", err)
@@ -44,91 +44,93 @@
 	g := &Grant{queue: q}
 	g.entry.Ticket = ticket
 	if q.submit(&g.entry) {
-		return g.outcome()
+		return g.result()
 	}
 	select {
 	case <-g.entry.ready:
-		return g.outcome()
+		return g.result()
 	case <-ctx.Done():
 		q.cancel(&g.entry)
 		return nil, fmt.Errorf("admission: %w", ctx.Err())
 	}
 }
 
-// Done gives the place back; further calls do nothing.
+// Done releases the slot; further calls do nothing.
 func (g *Grant) Done() {
 	if g.done.Swap(true) {
 		return
 	}
-	g.queue.apply(func(now time.Time) []*Entry { return g.queue.core.Finish(now, &g.entry) })
+	g.queue.apply(func(now time.Time) []*Entry { return g.queue.scheduler.Finish(now, &g.entry) })
 }
 
-// SetCapacity changes the number of concurrent requests, for example by load
-// reports. Running requests stay; waiting ones that can't meet their deadline
-// any more are refused at once.
+// SetCapacity changes the number of concurrent requests, for example after load
+// reports. Running requests continue; waiting ones that can no longer meet their
+// deadlines are refused immediately.
 func (q *Queue) SetCapacity(n int) {
-	q.apply(func(now time.Time) []*Entry { return q.core.SetCapacity(now, n) })
+	q.apply(func(now time.Time) []*Entry { return q.scheduler.SetCapacity(now, n) })
 }
 
-// SetClasses changes the classes. Requests that wait in a class that is gone
-// are served after all others.
+// SetClasses replaces the classes. Requests that wait in a removed class are
+// served after all others.
 func (q *Queue) SetClasses(classes []ClassOptions) {
-	q.apply(func(now time.Time) []*Entry { return q.core.SetClasses(now, classes) })
+	q.apply(func(now time.Time) []*Entry { return q.scheduler.SetClasses(now, classes) })
 }
 
-// Stats returns the present numbers.
+// Stats returns the current numbers.
 func (q *Queue) Stats() Stats {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.core.Stats()
+	return q.scheduler.Stats()
 }
 
-// submit reports whether the entry is decided; if not, its ready is set.
+// submit reports whether the entry was started or refused. If not, it waits, and
+// its ready channel is set.
 func (q *Queue) submit(e *Entry) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.wake(q.core.Submit(q.clock(), e))
+	q.notify(q.scheduler.Submit(q.clock(), e))
 	if e.state != Waiting {
 		return true
 	}
 	e.ready = make(chan struct{})
-	q.schedule()
+	q.setTimer()
 	return false
 }
 
 func (q *Queue) cancel(e *Entry) {
-	q.apply(func(now time.Time) []*Entry { return q.core.Cancel(now, e) })
+	q.apply(func(now time.Time) []*Entry { return q.scheduler.Cancel(now, e) })
 }
 
-// outcome is called when the entry is decided, which nothing else changes.
-func (g *Grant) outcome() (*Grant, error) {
+// result returns the result of Admit. The entry was started or refused before,
+// so its state doesn't change concurrently.
+func (g *Grant) result() (*Grant, error) {
 	if g.entry.err != nil {
 		return nil, g.entry.err
 	}
 	return g, nil
 }
 
-// apply runs one step of the scheduler and passes its results on.
+// apply runs one step of the scheduler and notifies the callers of its entries.
 func (q *Queue) apply(step func(now time.Time) []*Entry) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.wake(step(q.clock()))
-	q.schedule()
+	q.notify(step(q.clock()))
+	q.setTimer()
 }
 
-// wake tells the waiting callers of settled entries.
-func (q *Queue) wake(settled []*Entry) {
-	for _, e := range settled {
+// notify unblocks the callers of entries that were started or refused.
+func (q *Queue) notify(decided []*Entry) {
+	for _, e := range decided {
 		if e.ready != nil {
 			close(e.ready)
 		}
 	}
 }
 
-// schedule sets the timer for the scheduler's next step. A timer that fires
-// early only calls Advance for nothing, so it isn't moved back.
-func (q *Queue) schedule() {
-	next, ok := q.core.Next()
+// setTimer sets the timer for the scheduler's next step. A timer that fires
+// early only causes a needless call of Advance, so it isn't postponed.
+func (q *Queue) setTimer() {
+	next, ok := q.scheduler.Next()
 	if !ok {
 		return
 	}
@@ -147,6 +149,6 @@
 func (q *Queue) advance() {
 	q.apply(func(now time.Time) []*Entry {
 		q.timerAt = time.Time{}
-		return q.core.Advance(now)
+		return q.scheduler.Advance(now)
 	})
 }
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -16,16 +16,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		q := New(Options{Capacity: 1, Classes: testClasses})
-		held, err := q.Admit(t.Context(), Ticket{Class: "report", Estimate: second})
+		grant, err := q.Admit(t.Context(), Ticket{Class: "report", Estimate: second})
 		is.NoErr(err)
 		begin := time.Now()
 		var unmeetable *UnmeetableError
-		// The holder overruns, so the wait turns out longer than predicted.
+		// The running request exceeds its estimate, so the wait is longer than predicted.
 		_, err = q.Admit(t.Context(), Ticket{Class: "report", Estimate: second, Deadline: begin.Add(4 * second)})
 		is.True(errors.As(err, &unmeetable))
-		is.True(time.Since(begin) < 4*second) // not held to its deadline
-		held.Done()
-		held.Done()
+		is.True(time.Since(begin) < 4*second) // refused before its deadline
+		grant.Done()
+		grant.Done()
 		is.Equal(q.Stats(), Stats{Capacity: 1})
 	})
 }
@@ -34,7 +34,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		q := New(Options{Capacity: 1, Classes: testClasses})
-		held, err := q.Admit(t.Context(), Ticket{Class: "report", Estimate: second})
+		grant, err := q.Admit(t.Context(), Ticket{Class: "report", Estimate: second})
 		is.NoErr(err)
 		ctx, cancel := context.WithTimeout(t.Context(), second)
 		defer cancel()
@@ -43,7 +43,7 @@
 		_, err = q.Admit(ctx, Ticket{Class: "report"})
 		is.True(errors.Is(err, context.DeadlineExceeded))
 		is.Equal(q.Stats(), Stats{Capacity: 1, Running: 1})
-		held.Done()
+		grant.Done()
 	})
 }
 
@@ -53,13 +53,13 @@
 		const capacity, callers = 3, 60
 		q := New(Options{Capacity: capacity, Classes: testClasses})
 		var mu sync.Mutex
-		running, most, ran := 0, 0, 0
+		running, maxRunning, admitted := 0, 0, 0
 		enter := func(by int) {
 			mu.Lock()
 			defer mu.Unlock()
 			running += by
-			most = max(most, running)
-			ran += max(0, by)
+			maxRunning = max(maxRunning, running)
+			admitted += max(0, by)
 		}
 		var wg sync.WaitGroup
 		for i := range callers {
@@ -75,8 +75,8 @@
 			})
 		}
 		wg.Wait()
-		is.Equal(ran, callers)   // without deadlines, all run
-		is.Equal(most, capacity) // at most the capacity at once, and all of it used
+		is.Equal(admitted, callers)    // without deadlines, all run
+		is.Equal(maxRunning, capacity) // at most the capacity at once, and all of it used
 		is.Equal(q.Stats(), Stats{Capacity: capacity})
 	})
 }
@@ -113,14 +113,14 @@
 
 // BenchmarkRecheck measures one pass over 900 waiting entries.
 func BenchmarkRecheck(b *testing.B) {
-	s, _ := benchLine(900, 1000)
+	s, _ := newLoadedScheduler(900, 1000)
 	b.ReportAllocs()
 	for b.Loop() {
 		s.recheck(0)
 	}
 }
 
-func benchLine(waiting, accounts int) (*Scheduler, *Entry) {
+func newLoadedScheduler(waiting, accounts int) (*Scheduler, *Entry) {
 	s := NewScheduler(Options{Capacity: 1, Classes: testClasses, MaxQueue: waiting + 2})
 	running := &Entry{Ticket: ticket("holder", "report", time.Millisecond, 0)}
 	s.Submit(start, running)
@@ -130,7 +130,7 @@
 	return s, running
 }
 
-// BenchmarkAdmitFree measures Admit and Done with free places, in parallel.
+// BenchmarkAdmitFree measures Admit and Done with free slots, in parallel.
 func BenchmarkAdmitFree(b *testing.B) {
 	for _, accounts := range []int{10, 1000} {
 		b.Run(fmt.Sprintf("accounts=%d", accounts), func(b *testing.B) {
--- a/admission/rate.go
+++ b/admission/rate.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// rateWindow is the time constant of decayed averages.
+// rateWindow is the time constant of the decay.
 const rateWindow = 2 * time.Second
 
-// rate is an exponentially decayed rate, in units per second.
-type rate struct {
-	value float64
-	at    time.Duration
+// decayedRate is an exponentially decayed rate, in units per second.
+type decayedRate struct {
+	value     float64
+	updatedAt time.Duration
 }
 
-func (r *rate) add(now time.Duration, units float64) {
-	r.value = r.read(now) + units/rateWindow.Seconds()
-	r.at = now
+func (r *decayedRate) add(now time.Duration, units float64) {
+	r.value = r.valueAt(now) + units/rateWindow.Seconds()
+	r.updatedAt = now
 }
 
-func (r *rate) read(now time.Duration) float64 {
-	return r.value * math.Exp(-float64(now-r.at)/float64(rateWindow))
+func (r *decayedRate) valueAt(now time.Duration) float64 {
+	return r.value * math.Exp(-float64(now-r.updatedAt)/float64(rateWindow))
 }
--- a/admission/retry.go
+++ b/admission/retry.go
@@ -9,24 +9,24 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// budgetWindow is the time constant with which unused retries are forgotten,
-// so that a long quiet time doesn't pay for a storm.
+// budgetWindow is the time constant with which unused retries expire, so that a
+// long quiet period doesn't pay for a retry storm.
 const budgetWindow = 10 * time.Second
 
-// RetryBudget bounds retries to a part of first attempts plus a small constant
+// RetryBudget limits retries to a ratio of first attempts plus a small constant
 // rate. It is safe for concurrent use.
 type RetryBudget struct {
 	ratio     float64
 	perSecond float64
 	clock     storage.Clock
 
-	mu      sync.Mutex
-	balance float64
-	at      time.Time
+	mu        sync.Mutex
+	balance   float64
+	updatedAt time.Time
 }
 
-// NewRetryBudget returns a budget of ratio retries for each first attempt, and
-// of perSecond retries a second besides. A nil clock means boottime.Now.
+// NewRetryBudget returns a budget of ratio retries for each first attempt, plus
+// perSecond retries a second. A nil clock means boottime.Now.
 func NewRetryBudget(ratio, perSecond float64, clock storage.Clock) *RetryBudget {
 	if clock == nil {
 		clock = boottime.Now
@@ -36,7 +36,7 @@
 		perSecond: perSecond,
 		clock:     clock,
 		balance:   perSecond,
-		at:        clock(),
+		updatedAt: clock(),
 	}
 }
 
@@ -44,15 +44,16 @@
 func (b *RetryBudget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.refresh()
+	b.decayBalance()
 	b.balance += b.ratio
 }
 
-// Withdraw takes one retry. If it returns false, the caller doesn't retry.
+// Withdraw spends one retry. If it returns false, the budget is used up and the
+// caller must not retry.
 func (b *RetryBudget) Withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.refresh()
+	b.decayBalance()
 	if b.balance < 1 {
 		return false
 	}
@@ -60,19 +61,20 @@
 	return true
 }
 
-// refresh lets the balance decay and adds the constant rate.
-func (b *RetryBudget) refresh() {
+// decayBalance decays the balance towards its equilibrium under the constant
+// rate.
+func (b *RetryBudget) decayBalance() {
 	now := b.clock()
-	elapsed := now.Sub(b.at)
+	elapsed := now.Sub(b.updatedAt)
 	if elapsed <= 0 {
 		return
 	}
-	b.at = now
+	b.updatedAt = now
 	decay := math.Exp(-float64(elapsed) / float64(budgetWindow))
-	rest := b.perSecond * budgetWindow.Seconds()
+	equilibrium := b.perSecond * budgetWindow.Seconds()
 	if b.perSecond > 0 {
-		// A balance that rests below 1 would never pay for a retry.
-		rest = max(rest, 2)
+		// With an equilibrium below 1, the balance would never allow a retry.
+		equilibrium = max(equilibrium, 2)
 	}
-	b.balance = rest + (b.balance-rest)*decay
+	b.balance = equilibrium + (b.balance-equilibrium)*decay
 }
--- a/admission/room.go
+++ b/admission/room.go
@@ -7,51 +7,52 @@
 	maxRetryAfter = 5 * time.Second
 )
 
-// makeRoom drops a waiting entry in favour of a new one when the queue is
-// full. A lower class that has more than its minimum share of the queue gives
-// way first, else the account of the same class with the largest backlog for
-// its weight. It returns false if the new entry is the one to refuse.
-func (s *Scheduler) makeRoom(e *Entry) bool {
-	victim := s.victim(e)
-	if victim == nil {
+// evictFor refuses a waiting entry in favour of a new one when the queue is
+// full: of the lowest class, below that of the new entry, that has more than its
+// minimum share of the queue, else of the account of the same class with the
+// largest weighted backlog. It returns false if the new entry is the one to
+// refuse.
+func (s *Scheduler) evictFor(e *Entry) bool {
+	evicted := s.evictionCandidate(e)
+	if evicted == nil {
 		return false
 	}
-	s.dequeue(victim)
-	s.settle(victim, &FullError{RetryAfter: s.drainTime()})
+	s.dequeue(evicted)
+	s.refuseWaiting(evicted, &FullError{RetryAfter: s.drainTime()})
 	return true
 }
 
-func (s *Scheduler) victim(e *Entry) *Entry {
+func (s *Scheduler) evictionCandidate(e *Entry) *Entry {
 	own := e.flow.class
 	for rank := len(s.classes) - 1; rank > own.rank; rank-- {
 		c := s.classes[rank]
-		if float64(c.count) > c.minShare*float64(s.maxQueue) {
-			return c.backlogs.min().tail()
+		if float64(c.waiting) > c.minShare*float64(s.maxQueue) {
+			return c.backlogOrder.min().tail()
 		}
 	}
-	if own.count == 0 {
+	if own.waiting == 0 {
 		return nil
 	}
-	largest := own.backlogs.min()
-	backlog := (e.flow.work + e.estimate).Seconds() / e.flow.weight
-	if largest == e.flow || largest.backlog() <= backlog {
+	largest := own.backlogOrder.min()
+	backlog := (e.flow.waitingWork + e.estimate).Seconds() / e.flow.weight
+	if largest == e.flow || largest.weightedBacklog() <= backlog {
 		return nil
 	}
 	return largest.tail()
 }
 
-// drainTime is how long the present queue takes.
+// drainTime returns the time in which the current queue is expected to drain.
 func (s *Scheduler) drainTime() time.Duration {
 	if s.capacity == 0 {
 		return maxRetryAfter
 	}
 	var work time.Duration
 	for _, c := range s.classes {
-		work += c.work
+		work += c.waitingWork
 	}
-	return clampRetry(work / time.Duration(s.capacity))
+	return clampRetryAfter(work / time.Duration(s.capacity))
 }
 
-func clampRetry(d time.Duration) time.Duration {
+func clampRetryAfter(d time.Duration) time.Duration {
 	return min(max(d, minRetryAfter), maxRetryAfter)
 }
--- a/admission/scheduler.go
+++ b/admission/scheduler.go
@@ -6,34 +6,36 @@
 )
 
 const (
-	// recheckInterval is how often waiting entries are predicted anew.
+	// recheckInterval is the interval at which the waits of waiting entries are
+	// predicted again.
 	recheckInterval = 20 * time.Millisecond
-	// never is later than any time that is met.
-	never = time.Duration(math.MaxInt64)
-	// creditWindow bounds a class's unused minimum share to what it has in
-	// this time.
+	// unbounded is an infinite wait, and the latest start without a deadline.
+	unbounded = time.Duration(math.MaxInt64)
+	// creditWindow is the time over which a class can accumulate its unused
+	// minimum share.
 	creditWindow = time.Second
-	// initialEstimate stands for the mean service time before any is known.
+	// initialEstimate is the mean service time assumed before the first sample.
 	initialEstimate = 100 * time.Millisecond
-	// meanWeight is the weight of a new sample in the mean service time and
+	// sampleWeight is the weight of a new sample in the mean service time and
 	// in the correction of estimates.
-	meanWeight = 1.0 / 64
+	sampleWeight = 1.0 / 64
 	// minCorrection and maxCorrection bound the correction of estimates.
 	minCorrection = 0.25
 	maxCorrection = 4
 )
 
 // Scheduler decides which entries run. It has no goroutines, locks or timers:
-// time is an argument and never goes back. It isn't safe for concurrent use.
+// the caller passes the time, which must not decrease. It isn't safe for
+// concurrent use.
 type Scheduler struct {
 	maxQueue int
 	capacity int
-	// classes are in strict order; retired ones stand at the end until their
-	// last entry leaves.
+	// classes are in strict order; removed ones stay at the end until a later
+	// change of classes finds them empty.
 	classes []*class
 	byName  map[string]*class
 
-	// epoch is the time of the first call; other times count from it.
+	// epoch is the time of the first call; durations since it represent times.
 	epoch   time.Time
 	started bool
 
@@ -41,22 +43,22 @@
 	// runningWork is the sum of the running entries' estimates.
 	runningWork time.Duration
 	queued      int
-	// expiry orders waiting entries by their latest start.
-	expiry indexedHeap[*Entry]
-	// ends orders running entries by their expected ends.
-	ends      indexedHeap[*Entry]
-	arrived   uint64
-	recheckAt time.Duration
+	// byLatestStart orders waiting entries by their latest start.
+	byLatestStart indexedHeap[*Entry]
+	// byExpectedEnd orders running entries by their expected end.
+	byExpectedEnd indexedHeap[*Entry]
+	arrivals      uint64
+	recheckAt     time.Duration
 	// meanService is the decayed mean of actual service times.
 	meanService time.Duration
 	// correction is the decayed ratio of actual to estimated service times.
 	correction float64
 
-	settled []*Entry
-	ordered []*Entry
+	decided      []*Entry
+	serviceOrder []*Entry
 }
 
-// NewScheduler returns a scheduler; Options.Clock isn't used.
+// NewScheduler returns an empty Scheduler; it doesn't use Options.Clock.
 func NewScheduler(options Options) *Scheduler {
 	options = options.withDefaults()
 	s := &Scheduler{
@@ -65,11 +67,11 @@
 		byName:      make(map[string]*class),
 		meanService: initialEstimate,
 		correction:  1,
-		expiry: indexedHeap[*Entry]{
+		byLatestStart: indexedHeap[*Entry]{
 			less:  func(a, b *Entry) bool { return a.latestStart < b.latestStart },
 			index: func(e *Entry) *int { return &e.heapIndex },
 		},
-		ends: indexedHeap[*Entry]{
+		byExpectedEnd: indexedHeap[*Entry]{
 			less:  func(a, b *Entry) bool { return a.expectedEnd() < b.expectedEnd() },
 			index: func(e *Entry) *int { return &e.heapIndex },
 		},
@@ -78,100 +80,101 @@
 	return s
 }
 
-// Submit decides on a new entry: afterwards it runs, waits or is refused.
-// Like each method below, it returns the waiting entries that the call made
-// run or refused; the slice is valid until the next call.
+// Submit starts, queues or refuses a new entry. Like each method below, it
+// returns the waiting entries that the call started or refused; the slice is
+// valid until the next call.
 func (s *Scheduler) Submit(at time.Time, e *Entry) []*Entry {
-	now := s.begin(at)
-	e.heapIndex = noIndex
+	now := s.startCall(at)
+	e.heapIndex = notInHeap
 	c, ok := s.byName[e.Ticket.Class]
 	if !ok {
 		s.refuse(e, ErrUnknownClass)
-		return s.settled
+		return s.decided
 	}
 	e.estimate = s.estimate(e.Ticket)
 	e.latestStart = s.latestStart(e)
-	s.expire(now)
+	s.refuseExpired(now)
 	e.flow = c.flowOf(e.Ticket)
-	wait := s.predict(now, e.flow, e.estimate)
-	if e.tooLate(now, wait) {
-		s.refuse(e, s.unmeetable(now, e, wait))
-		return s.settled
+	wait := s.predictWait(now, e.flow, e.estimate)
+	if e.missesDeadline(now, wait) {
+		s.refuse(e, s.unmeetableError(now, e, wait))
+		return s.decided
 	}
 	if s.running < s.capacity && s.queued == 0 {
 		c.arrivals.add(now, e.estimate.Seconds())
-		c.chargeAtOnce(e)
-		s.run(now, e)
-		return s.settled
+		c.chargeUnqueued(e)
+		s.start(now, e)
+		return s.decided
 	}
-	if s.queued >= s.maxQueue && !s.makeRoom(e) {
+	if s.queued >= s.maxQueue && !s.evictFor(e) {
 		s.refuse(e, &FullError{RetryAfter: s.drainTime()})
-		return s.settled
+		return s.decided
 	}
 	s.enqueue(now, e)
 	s.dispatch(now)
-	return s.settled
+	return s.decided
 }
 
-// Finish gives back the place of a running entry.
+// Finish releases the slot of a running entry.
 func (s *Scheduler) Finish(at time.Time, e *Entry) []*Entry {
-	now := s.begin(at)
+	now := s.startCall(at)
 	if e.state != Running {
-		return s.settled
+		return s.decided
 	}
 	e.state = Finished
 	s.release(e)
-	s.learn(now-e.startedAt, e.Ticket.Estimate)
-	s.expire(now)
+	s.updateEstimates(now-e.startedAt, e.Ticket.Estimate)
+	s.refuseExpired(now)
 	s.dispatch(now)
-	return s.settled
+	return s.decided
 }
 
-// Cancel withdraws an entry, running or waiting.
+// Cancel removes a running or waiting entry.
 func (s *Scheduler) Cancel(at time.Time, e *Entry) []*Entry {
-	now := s.begin(at)
+	now := s.startCall(at)
 	switch e.state {
 	case Running:
-		// A cancelled service time says nothing about the estimates.
+		// The service time is incomplete, so estimates aren't updated.
 		s.release(e)
 	case Waiting:
 		s.dequeue(e)
 	default:
-		return s.settled
+		return s.decided
 	}
 	e.state = Finished
 	s.dispatch(now)
-	return s.settled
+	return s.decided
 }
 
-// SetCapacity changes the number of concurrent entries. Running entries stay;
-// waiting ones that can't be met any more are refused at once.
+// SetCapacity changes the number of concurrent entries. Running entries
+// continue; waiting ones that can no longer meet their deadlines are refused.
 func (s *Scheduler) SetCapacity(at time.Time, capacity int) []*Entry {
-	now := s.begin(at)
+	now := s.startCall(at)
 	s.capacity = max(0, capacity)
-	s.expire(now)
+	s.refuseExpired(now)
 	s.dispatch(now)
 	s.recheck(now)
-	return s.settled
+	return s.decided
 }
 
-// SetClasses changes the classes. Entries that wait in a class that is gone
-// are served after all others.
+// SetClasses replaces the classes. Entries that wait in a removed class are
+// served after all others.
 func (s *Scheduler) SetClasses(at time.Time, classes []ClassOptions) []*Entry {
-	now := s.begin(at)
+	now := s.startCall(at)
 	s.setClasses(classes)
 	s.dispatch(now)
-	return s.settled
+	return s.decided
 }
 
-// Advance lets time pass: waiting entries that can't be met are refused.
+// Advance moves the time on and refuses waiting entries that can't meet their
+// deadlines.
 func (s *Scheduler) Advance(at time.Time) []*Entry {
-	now := s.begin(at)
-	s.expire(now)
+	now := s.startCall(at)
+	s.refuseExpired(now)
 	if s.queued > 0 && now >= s.recheckAt {
 		s.recheck(now)
 	}
-	return s.settled
+	return s.decided
 }
 
 // Next returns when Advance should be called; ok is false if nothing waits.
@@ -180,33 +183,34 @@
 		return time.Time{}, false
 	}
 	next := s.recheckAt
-	if first := s.expiry.min().latestStart; first < next {
-		// One past the last moment, when it has become unmeetable.
+	if first := s.byLatestStart.min().latestStart; first < next {
+		// The entry expires once its latest start has passed.
 		next = first + 1
 	}
 	return s.epoch.Add(next), true
 }
 
-// Stats describes a scheduler at one time.
+// Stats holds the numbers of slots, running and waiting entries at one time.
 type Stats struct {
 	Capacity int
 	Running  int
 	Queued   int
 }
 
-// Stats returns the present numbers.
+// Stats returns the current numbers.
 func (s *Scheduler) Stats() Stats {
 	return Stats{Capacity: s.capacity, Running: s.running, Queued: s.queued}
 }
 
-// begin starts a call and gives its time since the epoch.
-func (s *Scheduler) begin(at time.Time) time.Duration {
+// startCall resets the result of the last call and returns the time since the
+// epoch.
+func (s *Scheduler) startCall(at time.Time) time.Duration {
 	if !s.started {
 		s.epoch = at
 		s.started = true
 	}
-	clear(s.settled)
-	s.settled = s.settled[:0]
+	clear(s.decided)
+	s.decided = s.decided[:0]
 	return at.Sub(s.epoch)
 }
 
@@ -224,7 +228,7 @@
 		ordered = append(ordered, c)
 	}
 	for _, c := range s.classes {
-		if s.byName[c.name] != c && c.count > 0 {
+		if s.byName[c.name] != c && c.waiting > 0 {
 			c.minShare = 0
 			ordered = append(ordered, c)
 		}
@@ -240,33 +244,33 @@
 		s.recheckAt = now + recheckInterval
 	}
 	e.state = Waiting
-	s.arrived++
-	e.seq = s.arrived
+	s.arrivals++
+	e.arrival = s.arrivals
 	e.flow.class.arrivals.add(now, e.estimate.Seconds())
 	e.flow.class.add(e)
 	s.queued++
-	s.expiry.push(e)
+	s.byLatestStart.push(e)
 }
 
 func (s *Scheduler) dequeue(e *Entry) {
-	e.flow.class.drop(e)
+	e.flow.class.remove(e)
 	s.queued--
-	s.expiry.remove(e)
+	s.byLatestStart.remove(e)
 }
 
-// expire refuses the entries whose latest start has passed.
-func (s *Scheduler) expire(now time.Duration) {
-	for s.queued > 0 && s.expiry.min().latestStart < now {
-		e := s.expiry.min()
+// refuseExpired refuses the waiting entries whose latest start has passed.
+func (s *Scheduler) refuseExpired(now time.Duration) {
+	for s.queued > 0 && s.byLatestStart.min().latestStart < now {
+		e := s.byLatestStart.min()
 		s.dequeue(e)
-		s.settle(e, s.unmeetable(now, e, 0))
+		s.refuseWaiting(e, s.unmeetableError(now, e, 0))
 	}
 }
 
-// settle refuses an entry that waited.
-func (s *Scheduler) settle(e *Entry, err error) {
+// refuseWaiting refuses an entry that waited and adds it to the call's result.
+func (s *Scheduler) refuseWaiting(e *Entry, err error) {
 	s.refuse(e, err)
-	s.settled = append(s.settled, e)
+	s.decided = append(s.decided, e)
 }
 
 func (s *Scheduler) refuse(e *Entry, err error) {
--- a/admission/scheduler_test.go
+++ b/admission/scheduler_test.go
@@ -27,8 +27,9 @@
 	return t
 }
 
-// line is a scheduler with one place, held by an entry that began at start.
-func line(t *testing.T, options Options) (*Scheduler, *Entry) {
+// newBusyScheduler returns a scheduler with one slot, and the entry that holds it
+// since start.
+func newBusyScheduler(t *testing.T, options Options) (*Scheduler, *Entry) {
 	t.Helper()
 	options.Capacity = 1
 	s := NewScheduler(options)
@@ -44,15 +45,15 @@
 	return e
 }
 
-// serve lets each running entry take a second, from the given one on, and
-// names the accounts in the order in which they ran.
-func serve(s *Scheduler, running *Entry, n int) []string {
+// runInOrder finishes n entries, each a second after it started, beginning with
+// running, and returns the accounts of the entries started, in order.
+func runInOrder(s *Scheduler, running *Entry, n int) []string {
 	var order []string
 	now := start
 	for range n {
 		now = now.Add(second)
-		settled := s.Finish(now, running)
-		for _, e := range settled {
+		decided := s.Finish(now, running)
+		for _, e := range decided {
 			if e.State() == Running {
 				running = e
 				order = append(order, e.Ticket.Account)
@@ -95,7 +96,7 @@
 			want:    "[a b a a]",
 		},
 		{
-			desc:    "an account of double weight goes twice as often",
+			desc:    "an account of double weight is served twice as often",
 			classes: testClasses,
 			tickets: []Ticket{heavy, heavy, heavy, heavy, ticket("b", "question", second, 0), ticket("b", "question", second, 0)},
 			want:    "[heavy b heavy heavy b heavy]",
@@ -112,11 +113,11 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.desc, func(t *testing.T) {
-			s, holder := line(t, Options{Classes: tc.classes})
+			s, holder := newBusyScheduler(t, Options{Classes: tc.classes})
 			for _, tk := range tc.tickets {
 				submit(s, 0, tk)
 			}
-			is.New(t).Equal(fmt.Sprint(serve(s, holder, len(tc.tickets)+1)), tc.want)
+			is.New(t).Equal(fmt.Sprint(runInOrder(s, holder, len(tc.tickets)+1)), tc.want)
 		})
 	}
 }
@@ -124,16 +125,16 @@
 func TestRefusals(t *testing.T) {
 	var unmeetable *UnmeetableError
 	var full *FullError
-	t.Run("estimate past the deadline with free places", func(t *testing.T) {
+	t.Run("estimate past the deadline with free slots", func(t *testing.T) {
 		is := is.New(t)
 		s := NewScheduler(Options{Capacity: 1, Classes: testClasses})
 		e := submit(s, 0, ticket("a", "report", 2*second, second))
 		is.True(errors.As(e.Err(), &unmeetable))
-		is.Equal(unmeetable.RetryAfter, time.Duration(0)) // coming back doesn't help
+		is.Equal(unmeetable.RetryAfter, time.Duration(0)) // a retry can't succeed either
 	})
 	t.Run("predicted wait past the deadline", func(t *testing.T) {
 		is := is.New(t)
-		s, _ := line(t, Options{Classes: testClasses})
+		s, _ := newBusyScheduler(t, Options{Classes: testClasses})
 		is.Equal(submit(s, 0, ticket("a", "report", second, 0)).State(), Waiting)
 		e := submit(s, 0, ticket("a", "report", second, 2500*time.Millisecond))
 		is.True(errors.As(e.Err(), &unmeetable))
@@ -141,7 +142,7 @@
 	})
 	t.Run("latest start passes while it waits", func(t *testing.T) {
 		is := is.New(t)
-		s, _ := line(t, Options{Classes: testClasses})
+		s, _ := newBusyScheduler(t, Options{Classes: testClasses})
 		e := submit(s, 0, ticket("a", "report", second, 3*second))
 		s.Advance(start.Add(2 * second))
 		is.Equal(e.State(), Waiting)
@@ -160,14 +161,14 @@
 		for range 4 {
 			waiting = append(waiting, submit(s, 0, ticket("a", "report", second, 2500*time.Millisecond)))
 		}
-		settled := s.SetCapacity(start, 1)
-		is.True(len(settled) >= 2) // those behind are told at once
+		decided := s.SetCapacity(start, 1)
+		is.True(len(decided) >= 2) // the last ones are refused immediately
 		is.Equal(waiting[0].State(), Waiting)
 		is.True(errors.As(waiting[3].Err(), &unmeetable))
 		s.SetCapacity(start, 0)
-		is.True(errors.As(waiting[0].Err(), &unmeetable)) // nothing is left to run it
+		is.True(errors.As(waiting[0].Err(), &unmeetable)) // there is no capacity left
 	})
-	t.Run("a request without a deadline outlasts a loss of all capacity", func(t *testing.T) {
+	t.Run("a request without a deadline keeps waiting without any capacity", func(t *testing.T) {
 		is := is.New(t)
 		s := NewScheduler(Options{Classes: testClasses})
 		e := submit(s, 0, ticket("a", "report", second, 0))
@@ -178,17 +179,17 @@
 	})
 	t.Run("a full queue drops the lowest class first, then the largest backlog", func(t *testing.T) {
 		is := is.New(t)
-		s, _ := line(t, Options{Classes: testClasses, MaxQueue: 3})
-		low := submit(s, 0, ticket("a", "narration", second, 0))
-		first := submit(s, 0, ticket("a", "question", second, 0))
-		second1 := submit(s, 0, ticket("a", "question", second, 0))
+		s, _ := newBusyScheduler(t, Options{Classes: testClasses, MaxQueue: 3})
+		lowest := submit(s, 0, ticket("a", "narration", second, 0))
+		oldest := submit(s, 0, ticket("a", "question", second, 0))
+		newest := submit(s, 0, ticket("a", "question", second, 0))
 		small := submit(s, 0, ticket("b", "question", second, 0))
-		is.True(errors.As(low.Err(), &full))
+		is.True(errors.As(lowest.Err(), &full))
 		is.Equal(small.State(), Waiting)
 		is.True(errors.As(submit(s, 0, ticket("a", "question", second, 0)).Err(), &full)) // its own backlog is the largest
 		submit(s, 0, ticket("c", "question", second, 0))
-		is.True(errors.As(second1.Err(), &full)) // the newest of the largest
-		is.Equal(first.State(), Waiting)
+		is.True(errors.As(newest.Err(), &full)) // the newest entry of the largest backlog
+		is.Equal(oldest.State(), Waiting)
 		is.True(full.RetryAfter > 0)
 	})
 	t.Run("unknown class", func(t *testing.T) {
@@ -199,15 +200,15 @@
 
 func TestRetiredClassIsServedLast(t *testing.T) {
 	is := is.New(t)
-	s, holder := line(t, Options{Classes: testClasses})
+	s, holder := newBusyScheduler(t, Options{Classes: testClasses})
 	submit(s, 0, ticket("old", "report", second, 0))
 	submit(s, 0, ticket("n", "narration", second, 0))
 	s.SetClasses(start, testClasses[1:])
 	submit(s, 0, ticket("q", "question", second, 0))
-	is.Equal(fmt.Sprint(serve(s, holder, 4)), "[q n old]")
+	is.Equal(fmt.Sprint(runInOrder(s, holder, 4)), "[q n old]")
 }
 
-// TestSchedulerInvariants drives random steps against what must always hold.
+// TestSchedulerInvariants checks the scheduler's invariants after random steps.
 func TestSchedulerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const maxQueue = 8
@@ -270,7 +271,7 @@
 			t.Fatalf("state %v with error %v", e.State(), e.Err())
 		}
 		if e.State() == Waiting && !e.Ticket.Deadline.IsZero() && e.Ticket.Deadline.Before(now) {
-			t.Fatalf("held past its deadline: %+v", e.Ticket)
+			t.Fatalf("still waiting after its deadline: %+v", e.Ticket)
 		}
 	}
 	stats := s.Stats()
@@ -281,13 +282,13 @@
 		t.Fatalf("%d wait, at most %d", stats.Queued, maxQueue)
 	}
 	if stats.Queued > 0 && stats.Running < capacity {
-		t.Fatalf("%d wait while places are free: %+v", stats.Queued, stats)
+		t.Fatalf("%d wait while slots are free: %+v", stats.Queued, stats)
 	}
 	var work time.Duration
 	for _, c := range s.classes {
-		work += c.work
+		work += c.waitingWork
 	}
-	if count[Waiting] == 0 && (work != 0 || s.expiry.len() != 0) {
+	if count[Waiting] == 0 && (work != 0 || s.byLatestStart.len() != 0) {
 		t.Fatalf("an empty queue holds work %v", work)
 	}
 }
--- a/admission/ticket.go
+++ b/admission/ticket.go
@@ -10,9 +10,9 @@
 // ClassOptions configures a priority class.
 type ClassOptions struct {
 	Name string
-	// MinShare is the part of capacity, from 0 to 1, that the class keeps
-	// under the load of higher ones; default 0. The sum over all classes is at
-	// most 1.
+	// MinShare is the proportion of the capacity, from 0 to 1, that the class
+	// gets under load of higher classes; default 0. The sum over all classes is
+	// at most 1.
 	MinShare float64
 }
 
@@ -22,9 +22,10 @@
 	Capacity int
 	// Classes are the classes, highest priority first.
 	Classes []ClassOptions
-	// MaxQueue bounds the waiting requests of all classes; default 1,024.
+	// MaxQueue is the maximum number of waiting requests of all classes;
+	// default 1,024.
 	MaxQueue int
-	// Clock gives a Queue its time; nil means time.Now.
+	// Clock is a Queue's source of time; nil means time.Now.
 	Clock storage.Clock
 }
 
@@ -38,23 +39,23 @@
 	return o
 }
 
-// Ticket describes a request that asks to run.
+// Ticket describes a request for admission.
 type Ticket struct {
-	// Account is the client account, which shares its class with others.
+	// Account is the client account.
 	Account string
-	// Weight is the account's part in fair queueing; below 1 counts as 1.
+	// Weight is the account's weight in fair queueing; below 1 counts as 1.
 	Weight int
 	// Class is the name of a priority class.
 	Class string
-	// Priority orders requests of one account and class; lower goes first.
+	// Priority orders requests of one account and class; lower is served first.
 	Priority int
 	// Deadline is when the answer must be complete; zero means none.
 	Deadline time.Time
-	// Estimate is the expected time that the request holds its place. Zero
+	// Estimate is the expected time for which the request holds its slot. Zero
 	// means the mean of recent requests.
 	Estimate time.Duration
 	// Cost is the work that fair queueing charges the account, such as
-	// expected tokens; zero means Estimate in seconds. All tickets of a
-	// Queue use one unit.
+	// expected tokens; zero means Estimate in seconds. All tickets of a Queue
+	// use the same unit.
 	Cost float64
 }
