--- a/admission/scheduler.go
+++ b/admission/scheduler.go
@@ -47,7 +47,7 @@
 	byLatestStart indexedHeap[*Entry]
 	// byExpectedEnd orders running entries by their expected end.
 	byExpectedEnd indexedHeap[*Entry]
-	arrivals      uint64
+	lastArrival   uint64
 	recheckAt     time.Duration
 	// meanService is the decayed mean of actual service times.
 	meanService time.Duration
@@ -244,8 +244,8 @@
 		s.recheckAt = now + recheckInterval
 	}
 	e.state = Waiting
-	s.arrivals++
-	e.arrival = s.arrivals
+	s.lastArrival++
+	e.arrival = s.lastArrival
 	e.flow.class.arrivals.add(now, e.estimate.Seconds())
 	e.flow.class.add(e)
 	s.queued++
--- a/quota/options.go
+++ b/quota/options.go
@@ -54,8 +54,8 @@
 	// LoanTerm is the duration of a loan; default 5 s.
 	LoanTerm time.Duration
 	// Floor is the part of each limit, from 0 to 1, that the host allows
-	// while it holds no lease; default 0. Each host without a lease can exceed
-	// the limit by this part.
+	// while it holds no lease; default 0. Each host without a lease can raise
+	// the total allowed by this part.
 	Floor float64
 	// NewID returns the random suffix of the holder ID, without dots; default
 	// a UUID.
