--- a/cascade/learner.go
+++ b/cascade/learner.go
@@ -182,7 +182,7 @@
 func (l *Learner) stats(v *View) []StepStats {
 	estimates := make([]StepStats, len(v.Steps))
 	for i := range estimates {
-		estimates[i] = StepStats{Accept: defaultAccept, Escalated: defaultAccept}
+		estimates[i] = StepStats{AcceptProbability: defaultAccept, EscalatedAcceptProbability: defaultAccept}
 	}
 	now := l.clock()
 	for _, g := range groupsOf(v.Cascade, v.Account, v.Class, v.PromptTokens) {
@@ -196,8 +196,8 @@
 func (g *groupRecord) refineEstimates(estimates []StepStats, target float64) {
 	for i := range min(len(estimates), len(g.steps)) {
 		step, estimate := &g.steps[i], &estimates[i]
-		estimate.Accept = step.first.probability(target, estimate.Accept)
-		estimate.Escalated = step.escalated.probability(target, estimate.Escalated)
+		estimate.AcceptProbability = step.first.probability(target, estimate.AcceptProbability)
+		estimate.EscalatedAcceptProbability = step.escalated.probability(target, estimate.EscalatedAcceptProbability)
 		estimate.Samples = step.first.total
 		if step.latency > 0 {
 			estimate.Latency = time.Duration(step.latency * float64(time.Second))
--- a/cascade/learner_test.go
+++ b/cascade/learner_test.go
@@ -33,11 +33,11 @@
 	l, _ := newTestLearner()
 	observeMany(l, "easy", 0.9, 200)
 	observeMany(l, "hard", 0.2, 200)
-	is.True(statsOf(l, "easy", 0.7).Accept > 0.9)
-	is.True(statsOf(l, "hard", 0.7).Accept < 0.1)
-	unknown := statsOf(l, "new", 0.7).Accept // the estimate over all accounts
+	is.True(statsOf(l, "easy", 0.7).AcceptProbability > 0.9)
+	is.True(statsOf(l, "hard", 0.7).AcceptProbability < 0.1)
+	unknown := statsOf(l, "new", 0.7).AcceptProbability // the estimate over all accounts
 	is.True(unknown > 0.2 && unknown < 0.8)
-	is.True(statsOf(l, "hard", 0.1).Accept > 0.9) // a lower target
+	is.True(statsOf(l, "hard", 0.1).AcceptProbability > 0.9) // a lower target
 	is.Equal(statsOf(l, "easy", 0.7).Latency, time.Second)
 }
 
@@ -50,7 +50,7 @@
 	}
 	accept := func(tokens int) float64 {
 		v := View{Account: "a", PromptTokens: tokens, Target: 0.7, Steps: make([]StepInfo, 2)}
-		return l.stats(&v)[0].Accept
+		return l.stats(&v)[0].AcceptProbability
 	}
 	is.True(accept(60) > 0.9)
 	is.True(accept(25_000) < 0.1)
@@ -80,9 +80,9 @@
 	for range 50 {
 		l.ObserveRater(time.Second, false)
 	}
-	is.True(l.rater.stats(*now).Failure > raterDownFailureShare)
+	is.True(l.rater.stats(*now).FailureRate > raterDownFailureShare)
 	*now = now.Add(raterHalfLife)
-	is.True(l.rater.stats(*now).Failure < raterDownFailureShare)
+	is.True(l.rater.stats(*now).FailureRate < raterDownFailureShare)
 }
 
 func TestGroupsAreBounded(t *testing.T) {
@@ -113,5 +113,5 @@
 	}
 	wg.Wait()
 	v := View{Account: "a", Class: "x", Steps: make([]StepInfo, 2), Target: 0.7}
-	is.True(l.stats(&v)[0].Accept > 0.9)
+	is.True(l.stats(&v)[0].AcceptProbability > 0.9)
 }
--- a/cascade/policy.go
+++ b/cascade/policy.go
@@ -26,14 +26,15 @@
 
 // StepStats holds the measured statistics of a step.
 type StepStats struct {
-	// Accept is the probability that the answer reaches the target if the
-	// request starts at this step, Escalated the same if the request was
-	// escalated from the previous step.
-	Accept    float64
-	Escalated float64
+	// AcceptProbability is the probability that the answer reaches the target
+	// if the request starts at this step, EscalatedAcceptProbability the same
+	// if the request was escalated from the previous step.
+	AcceptProbability          float64
+	EscalatedAcceptProbability float64
 	// Latency is the mean time to the complete answer; 0 if not measured.
 	Latency time.Duration
-	// Samples is the decayed number of ratings behind Accept.
+	// Samples is the decayed number of ratings from which AcceptProbability is
+	// estimated.
 	Samples float64
 }
 
@@ -41,8 +42,9 @@
 type RaterStats struct {
 	// Latency is the mean time that a rating took, including failed ones.
 	Latency time.Duration
-	// Failure is the proportion of ratings that failed or exceeded the timeout.
-	Failure float64
+	// FailureRate is the proportion of ratings that failed or exceeded the
+	// timeout.
+	FailureRate float64
 }
 
 // View holds everything that a decision depends on.
@@ -98,12 +100,12 @@
 
 // Defaults of Policy.
 const (
-	DefaultDelayWeight   = 0.3
-	DefaultDeadlineShare = 0.8
-	DefaultExploreMin    = 0.01
-	DefaultExploreMax    = 0.05
-	DefaultExploreUntil  = 40
-	DefaultMaxMiss       = 0.1
+	DefaultDelayWeight    = 0.3
+	DefaultDeadlineShare  = 0.8
+	DefaultExploreMin     = 0.01
+	DefaultExploreMax     = 0.05
+	DefaultExploreUntil   = 40
+	DefaultMaxUnratedMiss = 0.1
 )
 
 // Policy holds the parameters of the decision. Zero fields mean the defaults.
@@ -121,10 +123,10 @@
 	ExploreMin   float64
 	ExploreMax   float64
 	ExploreUntil float64
-	// MaxMiss bounds the probability that an answer is accepted without a
+	// MaxUnratedMiss bounds the probability that an answer is accepted without a
 	// rating and is below the target, if OnRaterFailure is manifest.Accept. A
 	// step above it isn't used as the start.
-	MaxMiss float64
+	MaxUnratedMiss float64
 }
 
 func (p Policy) withDefaults() Policy {
@@ -133,7 +135,7 @@
 	p.ExploreMin = cmp.Or(p.ExploreMin, DefaultExploreMin)
 	p.ExploreMax = cmp.Or(p.ExploreMax, DefaultExploreMax)
 	p.ExploreUntil = cmp.Or(p.ExploreUntil, DefaultExploreUntil)
-	p.MaxMiss = cmp.Or(p.MaxMiss, DefaultMaxMiss)
+	p.MaxUnratedMiss = cmp.Or(p.MaxUnratedMiss, DefaultMaxUnratedMiss)
 	return p
 }
 
@@ -148,7 +150,7 @@
 	earliest := p.earliestStart(&v)
 	best := v.planFrom(last)
 	for start := last - 1; start >= earliest; start-- {
-		if v.missProbability(start) > p.MaxMiss {
+		if v.missProbability(start) > p.MaxUnratedMiss {
 			continue
 		}
 		if plan := v.planFrom(start); p.weightedCost(&v, plan) < p.weightedCost(&v, best) {
@@ -159,7 +161,7 @@
 	if best.Start > 0 && best.Start == earliest {
 		best.Reason = ReasonDeadline
 	}
-	if best.Start > earliest && v.missProbability(best.Start-1) <= p.MaxMiss && p.shouldExplore(v.stepStats(best.Start-1), rnd) {
+	if best.Start > earliest && v.missProbability(best.Start-1) <= p.MaxUnratedMiss && p.shouldExplore(v.stepStats(best.Start-1), rnd) {
 		best = v.planFrom(best.Start - 1)
 		best.Reason = ReasonExplore
 	}
@@ -222,14 +224,14 @@
 // rated, so that a failed rater doesn't make a cheap model look better.
 func (v *View) acceptProbability(step int, escalated bool) float64 {
 	stats := v.stepStats(step)
-	accept := stats.Accept
+	accept := stats.AcceptProbability
 	if escalated {
-		accept = stats.Escalated
+		accept = stats.EscalatedAcceptProbability
 	}
 	if v.OnRaterFailure == manifest.Accept {
 		return accept
 	}
-	return (1 - v.Rater.Failure) * accept
+	return (1 - v.Rater.FailureRate) * accept
 }
 
 // missProbability returns the probability that the answer of the first step is
@@ -238,7 +240,7 @@
 	if v.OnRaterFailure != manifest.Accept {
 		return 0
 	}
-	return v.Rater.Failure * (1 - v.stepStats(start).Accept)
+	return v.Rater.FailureRate * (1 - v.stepStats(start).AcceptProbability)
 }
 
 // defaultAccept is the acceptance probability assumed for a step without
@@ -249,7 +251,7 @@
 	if step < len(v.Stats) {
 		return v.Stats[step]
 	}
-	return StepStats{Accept: defaultAccept, Escalated: defaultAccept}
+	return StepStats{AcceptProbability: defaultAccept, EscalatedAcceptProbability: defaultAccept}
 }
 
 func (v *View) expectedLatency(step int) time.Duration {
@@ -273,7 +275,7 @@
 )
 
 func (v *View) effectiveRaterTimeout() time.Duration {
-	if v.Rater.Failure < raterDownFailureShare {
+	if v.Rater.FailureRate < raterDownFailureShare {
 		return v.RaterTimeout
 	}
 	return time.Duration(raterDownTimeoutShare * float64(v.RaterTimeout))
--- a/cascade/policy_test.go
+++ b/cascade/policy_test.go
@@ -23,7 +23,7 @@
 		Target:         0.7,
 		RaterTimeout:   time.Second,
 		OnRaterFailure: manifest.Escalate,
-		Stats:          []StepStats{{Accept: 0.7, Escalated: 0.7, Samples: 100}, {}},
+		Stats:          []StepStats{{AcceptProbability: 0.7, EscalatedAcceptProbability: 0.7, Samples: 100}, {}},
 		Rater:          RaterStats{Latency: 200 * time.Millisecond},
 	}
 	change(&v)
@@ -38,18 +38,18 @@
 		reason Reason
 	}{
 		{"the saving exceeds the escalations", func(*View) {}, 0, ReasonCheapest},
-		{"hardly ever accepted", func(v *View) { v.Stats[0].Accept = 0.05 }, 1, ReasonCheapest},
+		{"hardly ever accepted", func(v *View) { v.Stats[0].AcceptProbability = 0.05 }, 1, ReasonCheapest},
 		{"no saving", func(v *View) { v.Steps[0].Cost = 9 }, 1, ReasonCheapest},
 		{"ample time", func(v *View) { v.Remaining = time.Minute }, 0, ReasonCheapest},
 		{"no time to escalate", func(v *View) { v.Remaining = 4 * time.Second }, 1, ReasonDeadline},
-		{"the rater is down and answers escalate", func(v *View) { v.Rater.Failure = 1 }, 1, ReasonCheapest},
+		{"the rater is down and answers escalate", func(v *View) { v.Rater.FailureRate = 1 }, 1, ReasonCheapest},
 		{"the rater is down and answers are accepted", func(v *View) {
-			v.Rater.Failure = 1
+			v.Rater.FailureRate = 1
 			v.OnRaterFailure = manifest.Accept
-			v.Stats[0].Accept = 0.95
+			v.Stats[0].AcceptProbability = 0.95
 		}, 0, ReasonCheapest},
 		{"the rater is down and too many would miss", func(v *View) {
-			v.Rater.Failure = 1
+			v.Rater.FailureRate = 1
 			v.OnRaterFailure = manifest.Accept
 		}, 1, ReasonCheapest},
 		{"a measured latency replaces the expected one", func(v *View) {
@@ -77,7 +77,7 @@
 
 func TestRaterTimeoutIsShortWhileRaterIsDown(t *testing.T) {
 	is := is.New(t)
-	plan := Policy{}.Decide(view(func(v *View) { v.Rater.Failure = 0.9 }), nil)
+	plan := Policy{}.Decide(view(func(v *View) { v.Rater.FailureRate = 0.9 }), nil)
 	is.Equal(plan.RaterTimeout, 100*time.Millisecond)
 }
 
@@ -87,7 +87,7 @@
 	explored := 0
 	const requests = 10_000
 	for range requests {
-		plan := Policy{}.Decide(view(func(v *View) { v.Stats[0].Accept = 0 }), rnd)
+		plan := Policy{}.Decide(view(func(v *View) { v.Stats[0].AcceptProbability = 0 }), rnd)
 		if plan.Reason == ReasonExplore {
 			explored++
 		}
@@ -108,7 +108,7 @@
 		for range rapid.IntRange(2, 5).Draw(t, "steps") {
 			accept := rapid.Float64Range(0, 1).Draw(t, "accept")
 			v.Steps = append(v.Steps, StepInfo{Cost: rapid.Float64Range(1, 50).Draw(t, "cost")})
-			v.Stats = append(v.Stats, StepStats{Accept: accept, Escalated: accept / 2})
+			v.Stats = append(v.Stats, StepStats{AcceptProbability: accept, EscalatedAcceptProbability: accept / 2})
 		}
 		chosen := Policy{}.Decide(v, nil)
 		for start := range v.Steps {
--- a/cascade/rater.go
+++ b/cascade/rater.go
@@ -48,5 +48,5 @@
 func (r *raterState) stats(now time.Time) RaterStats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return RaterStats{Latency: r.latency, Failure: r.failureAt(now)}
+	return RaterStats{Latency: r.latency, FailureRate: r.failureAt(now)}
 }
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -35,8 +35,9 @@
 // proportional to the slots that the host may use.
 type bucket struct {
 	account string
-	// floor is the number of slots that the host may use without a lease.
-	floor float64
+	// unleasedSlots is the number of slots that the host may use without a
+	// lease.
+	unleasedSlots float64
 
 	mu    sync.Mutex
 	limit Limit
@@ -62,21 +63,21 @@
 	state reconcileState
 }
 
-func newBucket(limit Limit, floor float64, now time.Time) *bucket {
+func newBucket(limit Limit, unleasedShare float64, now time.Time) *bucket {
 	b := &bucket{account: limit.Account, filledAt: now}
-	b.setLimit(now, time.Time{}, limit, floor)
+	b.setLimit(now, time.Time{}, limit, unleasedShare)
 	return b
 }
 
-func (b *bucket) setLimit(now, leaseEnd time.Time, limit Limit, floor float64) {
+func (b *bucket) setLimit(now, leaseEnd time.Time, limit Limit, unleasedShare float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refill(now, leaseEnd)
 	limit.Burst = max(1, limit.Burst)
 	b.limit = limit
-	b.floor = 0
-	if floor > 0 {
-		b.floor = max(floor*Slots, float64(b.minSlots()))
+	b.unleasedSlots = 0
+	if unleasedShare > 0 {
+		b.unleasedSlots = max(unleasedShare*Slots, float64(b.minSlots()))
 	}
 }
 
@@ -116,7 +117,7 @@
 
 // spendable returns the number of slots that the host may use at a time.
 func (b *bucket) spendable(at, leaseEnd time.Time) float64 {
-	slots := b.floor
+	slots := b.unleasedSlots
 	if at.Before(leaseEnd) {
 		slots = float64(b.ownSlots - validSlots(b.lentSlots, at))
 	}
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -77,9 +77,9 @@
 		}
 		b, ok := old[limit.Account]
 		if ok {
-			b.setLimit(now, l.leaseEnd(), limit, l.opts.Floor)
+			b.setLimit(now, l.leaseEnd(), limit, l.opts.UnleasedShare)
 		} else {
-			b = newBucket(limit, l.opts.Floor, now)
+			b = newBucket(limit, l.opts.UnleasedShare, now)
 			defer signal(l.limitSignal)
 		}
 		next[limit.Account] = b
--- a/quota/limiter_test.go
+++ b/quota/limiter_test.go
@@ -125,17 +125,17 @@
 	is.Equal(b.tokens, 0.0) // without slots there are no tokens
 }
 
-func TestFloorBoundsSpendingWithoutLease(t *testing.T) {
+func TestUnleasedShareBoundsSpending(t *testing.T) {
 	is := is.New(t)
-	const hosts, floor = 4, 0.05
+	const hosts, share = 4, 0.05
 	limit := Limit{Account: "acme", Rate: 100, Burst: 40}
 	s := newSim(0, []Limit{limit})
-	s.floor = floor
+	s.unleasedShare = share
 	s.table.SetDown(true)
 	for i := range hosts {
 		s.hosts = append(s.hosts, s.newHost(i))
 	}
-	m := newLimitChecker(limit.Rate*hosts*floor*(1+clockError), limit.Burst*hosts*floor)
+	m := newLimitChecker(limit.Rate*hosts*share*(1+clockError), limit.Burst*hosts*share)
 	for range 600 {
 		s.now = s.now.Add(100 * time.Millisecond)
 		for _, l := range s.hosts {
@@ -148,7 +148,7 @@
 		}
 	}
 	is.True(m.overshoot < 1e-6)
-	is.True(m.spent > 0.9*60*limit.Rate*hosts*floor) // the floor can be used
+	is.True(m.spent > 0.9*60*limit.Rate*hosts*share) // the share is usable without a lease
 }
 
 func TestTakeWithoutSlots(t *testing.T) {
--- a/quota/options.go
+++ b/quota/options.go
@@ -53,10 +53,10 @@
 	Timeout time.Duration
 	// LoanTerm is the duration of a loan; default 5 s.
 	LoanTerm time.Duration
-	// Floor is the part of each limit, from 0 to 1, that the host allows
+	// UnleasedShare is the part of each limit, from 0 to 1, that the host allows
 	// while it holds no lease; default 0. Each host without a lease can raise
 	// the total allowed by this part.
-	Floor float64
+	UnleasedShare float64
 	// NewID returns the random suffix of the holder ID, without dots; default
 	// a UUID.
 	NewID func() string
--- a/quota/sim_test.go
+++ b/quota/sim_test.go
@@ -57,12 +57,12 @@
 
 // sim runs limiters of several hosts in one goroutine and virtual time.
 type sim struct {
-	now    time.Time
-	table  *faulty.Table
-	hosts  []*Limiter
-	limits []Limit
-	floor  float64
-	ttl    time.Duration
+	now           time.Time
+	table         *faulty.Table
+	hosts         []*Limiter
+	limits        []Limit
+	unleasedShare float64
+	ttl           time.Duration
 	// partitioned makes loan requests fail; loseLoans drops their responses.
 	partitioned, loseLoans bool
 	// loanDelay is the delay of a loan's request and of its response.
@@ -83,13 +83,13 @@
 func (s *sim) newHost(i int) *Limiter {
 	speed := 1 + clockError*float64(i%3-1)
 	l := New(Options{
-		Table:    s.table,
-		Host:     fmt.Sprint("host-", i),
-		Peers:    s,
-		TTL:      s.ttl,
-		Interval: simInterval,
-		Floor:    s.floor,
-		NewID:    func() string { s.lastID++; return fmt.Sprint(s.lastID) },
+		Table:         s.table,
+		Host:          fmt.Sprint("host-", i),
+		Peers:         s,
+		TTL:           s.ttl,
+		Interval:      simInterval,
+		UnleasedShare: s.unleasedShare,
+		NewID:         func() string { s.lastID++; return fmt.Sprint(s.lastID) },
 		Clock: func() time.Time {
 			return simStart.Add(time.Duration(float64(s.now.Sub(simStart)) * speed))
 		},
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -40,10 +40,10 @@
 	Model   string `json:"model"`
 	Version string `json:"version"`
 	Epoch   uint64 `json:"epoch"`
-	// Granted is the host's part of the budget, Given the parts of it that the
-	// host transferred to others.
-	Granted uint64     `json:"granted"`
-	Given   []Transfer `json:"given,omitempty"`
+	// Granted is the host's part of the budget, Transfers the parts of it that
+	// the host transferred to others.
+	Granted   uint64     `json:"granted"`
+	Transfers []Transfer `json:"given,omitempty"`
 	// Taken counts the answers charged to the budget, Returned those refunded
 	// because the request was never sent to an upstream.
 	Taken    uint64 `json:"taken"`
@@ -142,7 +142,7 @@
 	e.Abandoned = max(e.Abandoned, other.Abandoned)
 	e.Denied = max(e.Denied, other.Denied)
 	e.Total.mergeMax(&other.Total)
-	for _, t := range other.Given {
+	for _, t := range other.Transfers {
 		e.mergeTransfer(t)
 	}
 	for i := range other.Segments {
@@ -154,13 +154,13 @@
 }
 
 func (e *Evidence) mergeTransfer(t Transfer) {
-	for i := range e.Given {
-		if e.Given[i].To == t.To {
-			e.Given[i].Answers = max(e.Given[i].Answers, t.Answers)
+	for i := range e.Transfers {
+		if e.Transfers[i].To == t.To {
+			e.Transfers[i].Answers = max(e.Transfers[i].Answers, t.Answers)
 			return
 		}
 	}
-	e.Given = append(e.Given, t)
+	e.Transfers = append(e.Transfers, t)
 }
 
 // inFlight returns the number of answers that were taken and haven't ended.
@@ -180,7 +180,7 @@
 // givenTo returns the total part of the budget that the host transferred to
 // another.
 func (e *Evidence) givenTo(host string) uint64 {
-	for _, t := range e.Given {
+	for _, t := range e.Transfers {
 		if t.To == host {
 			return t.Answers
 		}
@@ -190,7 +190,7 @@
 
 func (e *Evidence) givenTotal() uint64 {
 	sum := uint64(0)
-	for _, t := range e.Given {
+	for _, t := range e.Transfers {
 		sum += t.Answers
 	}
 	return sum
@@ -229,7 +229,7 @@
 
 func (e *Evidence) clone() Evidence {
 	c := *e
-	c.Given = append([]Transfer(nil), e.Given...)
+	c.Transfers = append([]Transfer(nil), e.Transfers...)
 	c.Total = e.Total.clone()
 	c.Segments = make([]Segment, len(e.Segments))
 	for i := range e.Segments {
