--- a/internal/entry/chooseversion.go
+++ b/internal/entry/chooseversion.go
@@ -67,7 +67,7 @@
 	case err != nil && ctx.Err() != nil:
 		f.rollout.Abandon(model, version)
 	default:
-		outcome := rollout.Outcome{Err: r.Faulted}
+		outcome := rollout.Outcome{Failed: r.Faulted}
 		if !r.FirstFrame.IsZero() {
 			outcome.FirstToken = r.FirstFrame.Sub(started)
 		}
@@ -82,7 +82,7 @@
 // request that is to blame says nothing of the version.
 func (f *chooseVersion) observe(r *Request, outcome rollout.Outcome) {
 	model, version := r.Model, r.Version.Name
-	if !outcome.Err || r.brokeAt == nil {
+	if !outcome.Failed || r.brokeAt == nil {
 		f.rollout.Observe(model, version, outcome)
 		return
 	}
@@ -198,7 +198,7 @@
 	if i < 0 {
 		return f.move(ctx, r, open, bound)
 	}
-	if exposed(open[i]) && !f.rollout.TakeBound(r.Model, bound.Version) {
+	if exposed(open[i]) && !f.rollout.TakeUnpaced(r.Model, bound.Version) {
 		return open[i], "", resultcode.New(resultcode.ExposureSpent, "the session's version has spent its exposure budget")
 	}
 	f.setBinding(r, bound)
@@ -233,7 +233,7 @@
 	if i < 0 {
 		return v, "", resultcode.New(resultcode.NoPermittedVersion, "the session was moved to %s, which isn't open here", moved.Version)
 	}
-	if exposed(open[i]) && !f.rollout.TakeBound(r.Model, moved.Version) {
+	if exposed(open[i]) && !f.rollout.TakeUnpaced(r.Model, moved.Version) {
 		return open[i], "", resultcode.New(resultcode.ExposureSpent, "the session's version has spent its exposure budget")
 	}
 	f.setBinding(r, moved)
--- a/internal/entry/evidence.go
+++ b/internal/entry/evidence.go
@@ -195,7 +195,7 @@
 	for {
 		pause := refillPause
 		h.rollout.SetHosts(len(h.members.Members()))
-		if err := h.rollout.Refill(ctx, granter); err != nil {
+		if err := h.rollout.ClaimGrants(ctx, granter); err != nil {
 			h.log.Warn().Str("event", "exposure-refill").Err(err).Msg("")
 			pause = refillInterval
 		}
@@ -205,7 +205,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-h.rollout.Wanted():
+		case <-h.rollout.GrantNeeded():
 		case <-time.After(refillInterval):
 		}
 	}
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -218,7 +218,7 @@
 	h.queues = newQueues(s)
 	h.retries = admission.NewRetryBudget(retryRatio, retriesPerSecond, nil)
 	h.pool = balance.NewPool(balance.Options{Host: s.ID, Zone: s.Zone, Seed: rand.Uint64(), Selector: s.Selector})
-	h.rollout = rollout.New(rollout.Options{Host: h.incarnation, Granted: true})
+	h.rollout = rollout.New(rollout.Options{Host: h.incarnation, GrantedOnly: true})
 	h.cascade = cascade.NewLearner(cascade.Options{})
 	h.sampler = newSampler(h.platform.Rater, h.rollout)
 }
--- a/internal/experiment/rollout/canary.go
+++ b/internal/experiment/rollout/canary.go
@@ -47,7 +47,7 @@
 
 func (c *canary) observe(o exposure.Outcome) {
 	c.counters.Answers++
-	if o.Err {
+	if o.Failed {
 		c.counters.Errors++
 	}
 	if o.FirstToken > maxLatency {
--- a/internal/experiment/rollout/comparison.go
+++ b/internal/experiment/rollout/comparison.go
@@ -45,7 +45,7 @@
 		if exposure.Worse(old, fresh, comparisonAlpha) {
 			c.stopped = fresh.Total
 		}
-		if c.cleared == 0 && exposure.Cleared(old, fresh, comparisonTolerance, comparisonClear) {
+		if c.cleared == 0 && exposure.NotWorse(old, fresh, comparisonTolerance, comparisonClear) {
 			c.cleared = fresh.Total
 		}
 	}
--- a/internal/experiment/rollout/tracked.go
+++ b/internal/experiment/rollout/tracked.go
@@ -54,10 +54,10 @@
 		for i := range s.hosts {
 			name := fmt.Sprint("host-", i)
 			host := exposure.New(exposure.Options{
-				Host:    name,
-				Clock:   clock,
-				Granted: v.granted,
-				Pacing:  exposure.Pacing{Off: v.unpaced},
+				Host:        name,
+				Clock:       clock,
+				GrantedOnly: v.granted,
+				Pacing:      exposure.Pacing{Off: v.unpaced},
 			})
 			host.SetHosts(s.hosts)
 			host.SetVersions([]exposure.VersionRule{rule})
@@ -76,7 +76,7 @@
 	for i, from := range c.hosts {
 		if c.variant.granted && !(c.variant.tableDown && c.exchanges > 1) {
 			// A failed claim is tried again at the next exchange.
-			_ = from.Refill(context.Background(), c.granters[i])
+			_ = from.ClaimGrants(context.Background(), c.granters[i])
 		}
 		if i >= reachable || c.variant.silent {
 			continue
--- a/internal/experiment/rollout/world.go
+++ b/internal/experiment/rollout/world.go
@@ -54,7 +54,7 @@
 
 func (b behaviour) draw(rnd *rand.Rand) (outcome exposure.Outcome, rating float64, length time.Duration) {
 	if rnd.Float64() < b.errorRate {
-		return exposure.Outcome{Err: true}, 0, errorDelay
+		return exposure.Outcome{Failed: true}, 0, errorDelay
 	}
 	outcome.FirstToken = simulate.LogNormal(rnd, b.firstToken, b.sigma)
 	rating = min(1, max(0, b.rating+ratingDeviation*rnd.NormFloat64()))
@@ -63,7 +63,7 @@
 
 // isBad says whether an auditor would count the answer against the version.
 func isBad(outcome exposure.Outcome, rating float64) bool {
-	return outcome.Err || outcome.FirstToken > maxLatency || rating < minRating
+	return outcome.Failed || outcome.FirstToken > maxLatency || rating < minRating
 }
 
 // setting is one cell of the measurement.
@@ -166,7 +166,7 @@
 	if counted && isBad(outcome, rating) {
 		w.result.bad++
 	}
-	rated := !outcome.Err && w.rnd.Float64() < w.setting.ratedShare
+	rated := !outcome.Failed && w.rnd.Float64() < w.setting.ratedShare
 	w.queue.After(length, func() { w.answered(p, outcome, rating, rated) })
 }
 
--- a/internal/gateway/evidence.go
+++ b/internal/gateway/evidence.go
@@ -221,8 +221,8 @@
 		}
 	}
 	v := total(routes)
-	return rollout.Cleared(failures(v.Old), failures(v.New), failedTolerance, clearAlpha) &&
-		rollout.Cleared(slowness(v.Old), slowness(v.New), slowTolerance, clearAlpha)
+	return rollout.NotWorse(failures(v.Old), failures(v.New), failedTolerance, clearAlpha) &&
+		rollout.NotWorse(slowness(v.Old), slowness(v.New), slowTolerance, clearAlpha)
 }
 
 func failures(t exchange.Tally) rollout.Sample {
--- a/rollout/answers.go
+++ b/rollout/answers.go
@@ -11,9 +11,9 @@
 	return t.take(Key{model, version}, true)
 }
 
-// TakeBound is Take without pacing, for a request that can't go to another
+// TakeUnpaced is Take without pacing, for a request that can't go to another
 // version, such as one of a session that is bound to this version.
-func (t *Tracker) TakeBound(model, version string) bool {
+func (t *Tracker) TakeUnpaced(model, version string) bool {
 	return t.take(Key{model, version}, false)
 }
 
@@ -29,7 +29,7 @@
 		if e.own.counterSum() != before {
 			t.recordChange(e, e.own.Host)
 		}
-		if t.options.Granted && e.needsGrant() {
+		if t.options.GrantedOnly && e.needsGrant() {
 			t.signalGrantNeeded()
 		}
 	}, func(s *shard) {
@@ -41,7 +41,7 @@
 // assignEqualPart sets the host's part of the budget to an equal share, once
 // for each epoch, unless parts are granted.
 func (t *Tracker) assignEqualPart(e *entry) {
-	if t.options.Granted || e.own.Granted > 0 || e.rule.Budget <= 0 {
+	if t.options.GrantedOnly || e.own.Granted > 0 || e.rule.Budget <= 0 {
 		return
 	}
 	e.own.Granted = uint64(e.rule.Budget / t.hostCount())
@@ -93,7 +93,7 @@
 // outcomeCounters returns the counters of one answer with the given outcome.
 func outcomeCounters(outcome Outcome, maxLatencyMs int) *Counters {
 	c := &Counters{Answers: 1}
-	if outcome.Err {
+	if outcome.Failed {
 		c.Errors = 1
 	}
 	if outcome.FirstToken > 0 {
--- a/rollout/bench_test.go
+++ b/rollout/bench_test.go
@@ -10,7 +10,7 @@
 	var list []Evidence
 	clock := newClock()
 	for i := range n {
-		host := New(Options{Host: fmt.Sprint("host-", i), Clock: clock.Now, Granted: true})
+		host := New(Options{Host: fmt.Sprint("host-", i), Clock: clock.Now, GrantedOnly: true})
 		host.SetVersions([]VersionRule{rule})
 		for range 20 {
 			host.Observe("m", "2", good)
--- a/rollout/budget_test.go
+++ b/rollout/budget_test.go
@@ -52,7 +52,7 @@
 func (c *cluster) replace(i int) {
 	name := fmt.Sprint("host-", c.nextHostID)
 	c.nextHostID++
-	c.hosts[i] = New(Options{Host: name, Clock: c.clock.Now, Granted: c.granted, Pacing: Pacing{Off: true}})
+	c.hosts[i] = New(Options{Host: name, Clock: c.clock.Now, GrantedOnly: c.granted, Pacing: Pacing{Off: true}})
 	c.hosts[i].SetHosts(c.size)
 	c.hosts[i].SetVersions([]VersionRule{smallRule})
 	c.granters[i] = NewGranter(c.table, name)
@@ -107,7 +107,7 @@
 	case "dropped":
 		c.table.DropNext(1)
 	}
-	_ = c.hosts[i].Refill(context.Background(), c.granters[i])
+	_ = c.hosts[i].ClaimGrants(context.Background(), c.granters[i])
 }
 
 func TestBudgetIsNeverExceeded(t *testing.T) {
@@ -154,8 +154,8 @@
 	c := newCluster(1, true)
 	is.True(!c.hosts[0].Take("m", "2")) // nothing granted yet
 	c.table.LoseNext(1)
-	is.True(c.hosts[0].Refill(t.Context(), c.granters[0]) != nil)
-	is.NoErr(c.hosts[0].Refill(t.Context(), c.granters[0]))
+	is.True(c.hosts[0].ClaimGrants(t.Context(), c.granters[0]) != nil)
+	is.NoErr(c.hosts[0].ClaimGrants(t.Context(), c.granters[0]))
 	row, _, err := c.granters[0].read(t.Context(), grantName(Claim{Key: smallRule.Key(), Epoch: smallRule.Epoch}))
 	is.NoErr(err)
 	is.Equal(uint64(c.takeUntilRefused(c.hosts[0])), row.sum()) // both claims are counted
@@ -178,7 +178,7 @@
 	host := c.hosts[0]
 	refill := func() {
 		c.takeUntilRefused(host)
-		is.NoErr(host.Refill(t.Context(), c.granters[0]))
+		is.NoErr(host.ClaimGrants(t.Context(), c.granters[0]))
 	}
 	for range 3 * GrantInitial { // all that is granted without evidence
 		refill()
@@ -190,10 +190,10 @@
 	is.Equal(c.table.Counts().Gets, before)
 	host.Observe("m", "2", Outcome{})
 	refill()
-	is.True(host.TakeBound("m", "2"))
+	is.True(host.TakeUnpaced("m", "2"))
 }
 
-// A request that finds the host's part of a budget used up or not yet granted signals Wanted.
+// A request that finds the host's part of a budget used up or not yet granted signals GrantNeeded.
 // A host that waited for its next periodic refill instead refused sessions that another host
 // had bound to the version, although budget was left.
 func TestPartThatRunsLowIsWantedAtOnce(t *testing.T) {
@@ -202,20 +202,20 @@
 	host, ctx := c.hosts[0], context.Background()
 	wanted := func() bool {
 		select {
-		case <-host.Wanted():
+		case <-host.GrantNeeded():
 			return true
 		default:
 			return false
 		}
 	}
-	is.True(!host.TakeBound("m", "2"))
+	is.True(!host.TakeUnpaced("m", "2"))
 	is.True(wanted())
-	is.NoErr(host.Refill(ctx, c.granters[0]))
+	is.NoErr(host.ClaimGrants(ctx, c.granters[0]))
 	taken := 0
 	for !wanted() {
-		is.True(host.TakeBound("m", "2")) // half of the part is left when the next one is requested
+		is.True(host.TakeUnpaced("m", "2")) // half of the part is left when the next one is requested
 		taken++
 	}
 	is.True(taken > 1)
-	is.True(host.TakeBound("m", "2"))
+	is.True(host.TakeUnpaced("m", "2"))
 }
--- a/rollout/compare.go
+++ b/rollout/compare.go
@@ -30,13 +30,13 @@
 	return test.logWealth(candidate.counts()) >= math.Log(1/alpha)
 }
 
-// Cleared reports whether the candidate's rate of bad answers exceeds the baseline's by less
+// NotWorse reports whether the candidate's rate of bad answers exceeds the baseline's by less
 // than tolerance. A candidate that exceeds it by more is ever cleared with a probability of
 // at most alpha. It is the sequential probability ratio test of the baseline's rate against
 // one that is higher by the tolerance: with a tolerance of 0.2 and an alpha of 0.05, a
 // healthy candidate is cleared after 15 answers, and after about 45 where the baseline has
 // 20% bad answers.
-func Cleared(baseline, candidate Sample, tolerance, alpha float64) bool {
+func NotWorse(baseline, candidate Sample, tolerance, alpha float64) bool {
 	limit := min(maxLimit, lowerRate(baseline)+tolerance)
 	healthyRate := max(minHealthyRate, lowerRate(baseline))
 	good, bad := float64(candidate.Total-candidate.Bad), float64(candidate.Bad)
@@ -44,7 +44,7 @@
 	return ratio >= math.Log(1/alpha)
 }
 
-// minHealthyRate is the lowest rate of bad answers that Cleared assumes of a healthy
+// minHealthyRate is the lowest rate of bad answers that NotWorse assumes of a healthy
 // candidate.
 const minHealthyRate = 0.01
 
--- a/rollout/compare_test.go
+++ b/rollout/compare_test.go
@@ -45,7 +45,7 @@
 			e.stopped = true
 			break
 		}
-		e.cleared = e.cleared || Cleared(baseline, candidate, testTolerance, testClearAlpha)
+		e.cleared = e.cleared || NotWorse(baseline, candidate, testTolerance, testClearAlpha)
 	}
 	e.answers = candidate.Total
 	return e
--- a/rollout/example_test.go
+++ b/rollout/example_test.go
@@ -21,7 +21,7 @@
 		host.SetVersions(rules)
 	}
 	for hostA.Take("quotes", "2") {
-		hostA.Observe("quotes", "2", rollout.Outcome{Err: true})
+		hostA.Observe("quotes", "2", rollout.Outcome{Failed: true})
 	}
 	for _, stop := range hostA.Stops() {
 		hostB.AdoptStop(stop)
--- a/rollout/grant.go
+++ b/rollout/grant.go
@@ -136,9 +136,9 @@
 	return max(1, rest/uint64(2*max(1, c.Hosts)))
 }
 
-// Wanted returns a channel that receives an element when Take or TakeBound finds that this
+// GrantNeeded returns a channel that receives an element when Take or TakeUnpaced finds that this
 // host needs a further part of a budget.
-func (t *Tracker) Wanted() <-chan struct{} { return t.grantNeeded }
+func (t *Tracker) GrantNeeded() <-chan struct{} { return t.grantNeeded }
 
 func (t *Tracker) signalGrantNeeded() {
 	select {
@@ -186,11 +186,11 @@
 	t.recordChange(e, e.own.Host)
 }
 
-// Refill makes the claims that Claims returns and applies the grants. On hosts
-// with Options.Granted it is called about every second and whenever Wanted
+// ClaimGrants makes the claims that Claims returns and applies the grants. On hosts
+// with Options.GrantedOnly it is called about every second and whenever GrantNeeded
 // receives an element. If one claim fails, it continues with the other versions
 // and returns the joined errors.
-func (t *Tracker) Refill(ctx context.Context, granter *Granter) error {
+func (t *Tracker) ClaimGrants(ctx context.Context, granter *Granter) error {
 	var errs error
 	for _, claim := range t.Claims() {
 		total, err := granter.Claim(ctx, claim)
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -40,7 +40,7 @@
 // Outcome is the observed result of one answer.
 type Outcome struct {
 	// Err is true if the version failed the request.
-	Err bool
+	Failed bool
 	// Rating is from 0 to 1; it is used only if Rated is true. A rating that
 	// arrives later is passed to Tracker.Rate.
 	Rating float64
@@ -107,9 +107,9 @@
 	Host string
 	// Clock is the source of time; nil means time.Now.
 	Clock storage.Clock
-	// Granted means that the host's part of each budget is set only by Grant.
+	// GrantedOnly means that the host's part of each budget is set only by Grant.
 	// Otherwise it is the budget divided by the number of hosts.
-	Granted bool
+	GrantedOnly bool
 	// Pacing bounds the answers in flight.
 	Pacing Pacing
 	// Confidence sets the error probabilities of the tests.
--- a/rollout/tracker.go
+++ b/rollout/tracker.go
@@ -60,11 +60,11 @@
 }
 
 // SetHosts sets the number of entry hosts, at least 1. The pacing bounds are
-// divided by it and, unless Options.Granted is set, the budgets too: a host
+// divided by it and, unless Options.GrantedOnly is set, the budgets too: a host
 // computes its part of a budget once, when it first uses the rule, and later
 // numbers don't change it. The sum of the parts then stays within the budget
 // only if no more than n incarnations of hosts take part in the epoch. With
-// Options.Granted it always does.
+// Options.GrantedOnly it always does.
 func (t *Tracker) SetHosts(n int) {
 	t.hosts.Store(int64(max(1, n)))
 }
--- a/rollout/tracker_test.go
+++ b/rollout/tracker_test.go
@@ -23,7 +23,7 @@
 		outcome Outcome
 		want    Reason
 	}{
-		{"errors", Outcome{Err: true}, ReasonErrors},
+		{"errors", Outcome{Failed: true}, ReasonErrors},
 		{"slow first tokens", Outcome{FirstToken: 2 * time.Second, Rated: true, Rating: 0.9}, ReasonLatency},
 		{"poor ratings", Outcome{FirstToken: time.Millisecond, Rated: true, Rating: 0.3}, ReasonRating},
 	}
@@ -59,7 +59,7 @@
 	tracker := newTracker("a", clock, rule)
 	takeAndObserve(tracker, 20000, good)
 	clock.Advance(maxSegments * SegmentLength)
-	n := takeAndObserve(tracker, 500, Outcome{Err: true})
+	n := takeAndObserve(tracker, 500, Outcome{Failed: true})
 	is.True(n < 10) // the earlier good answers don't hide the failures
 	stop, _ := tracker.Stopped("m", "2")
 	is.Equal(stop.Reason, ReasonErrors)
@@ -141,8 +141,8 @@
 	clock := newClock()
 	a, b := newTracker("a", clock, rule), newTracker("b", clock, rule)
 	for range 2 { // too few for a stop on either host alone
-		a.Observe("m", "2", Outcome{Err: true})
-		b.Observe("m", "2", Outcome{Err: true})
+		a.Observe("m", "2", Outcome{Failed: true})
+		b.Observe("m", "2", Outcome{Failed: true})
 	}
 	_, stopped := a.Stopped("m", "2")
 	is.True(!stopped)
@@ -156,7 +156,7 @@
 	clock := newClock()
 	a, b := newTracker("a", clock, rule), newTracker("b", clock)
 	for range 4 {
-		a.Observe("m", "2", Outcome{Err: true})
+		a.Observe("m", "2", Outcome{Failed: true})
 	}
 	b.Merge(a.Export())
 	b.SetVersions([]VersionRule{rule})
@@ -191,7 +191,7 @@
 		tracker.Take("m", "2")
 	}
 	for range 3 { // 5% of those in flight, which is within the limit
-		tracker.Observe("m", "2", Outcome{Err: true})
+		tracker.Observe("m", "2", Outcome{Failed: true})
 	}
 	_, stopped := tracker.Stopped("m", "2")
 	is.True(!stopped)
@@ -206,9 +206,9 @@
 	is := is.New(t)
 	tracker := newTracker("a", newClock(), smallRule)
 	for range smallRule.Budget {
-		is.True(tracker.TakeBound("m", "2"))
+		is.True(tracker.TakeUnpaced("m", "2"))
 	}
-	is.True(!tracker.TakeBound("m", "2")) // the budget is enforced
+	is.True(!tracker.TakeUnpaced("m", "2")) // the budget is enforced
 }
 
 func TestAbandonedAnswersEnd(t *testing.T) {
