--- a/internal/stall/stall_test.go
+++ b/internal/stall/stall_test.go
@@ -14,11 +14,11 @@
 	"github.com/quetzalweir/quetzalweir/internal/stall"
 )
 
-func TestGuardEndsSilentCallsOnly(t *testing.T) {
+func TestGuardEndsStalledCallsOnly(t *testing.T) {
 	const silence = time.Second
 	tests := []struct {
 		desc     string
-		progress []time.Duration // pauses before each part
+		progress []time.Duration // the pauses before each part
 		ended    time.Duration   // 0: not ended by the guard
 	}{
 		{"nothing comes", nil, silence},
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestReaderTellsOfEachPart(t *testing.T) {
+func TestReaderReportsEachPart(t *testing.T) {
 	is := is.New(t)
 	total := 0
 	data, err := io.ReadAll(stall.Reader{Reader: strings.NewReader("answer"), Received: func(n int) { total += n }})
@@ -61,7 +61,7 @@
 	is.Equal(total, len(data))
 }
 
-// fillingReader fills what it is given before it returns, as the reader of a chunked
+// fillingReader fills the buffer that it is given before it returns, as the reader of a chunked
 // HTTP body does, at rate bytes a second.
 type fillingReader struct{ left, rate int }
 
@@ -75,10 +75,10 @@
 	return n, nil
 }
 
-// io.ReadAll reads into buffers that grow with what came. A reader that fills them was
-// silent for seconds while bytes came all the time, and an answer of 750 kB at 160 kB a
-// second was given up after 490 kB at each try: received_bytes=492097 took_ms=3117.
-func TestProgressIsToldWhileALargeBufferFills(t *testing.T) {
+// io.ReadAll reads into buffers that grow with the data. A reader that fills them returned
+// nothing for seconds although data arrived all the time, so an answer of 750 kB at 160 kB a
+// second was canceled after 490 kB at each attempt: received_bytes=492097 took_ms=3117.
+func TestReaderReportsProgressWhileALargeBufferFills(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const silence, size, rate = 800 * time.Millisecond, 4 << 20, 40 << 10
