--- a/internal/exchange/assign.go
+++ b/internal/exchange/assign.go
@@ -9,97 +9,99 @@
 	"github.com/quetzalweir/quetzalweir/internal/boottime"
 )
 
-// A hub of one zone serves the hosts of another badly: each message crosses zones, for
-// which operators pay, and one hub has the hosts of several zones. So where a zone has
-// hosts enough, the seed that they report to names one of them as their hub, the strongest.
-// That host goes on reporting to the seed, for all of its followers at once. Hosts beyond
-// what one hub serves get another one of their zone in the same way.
+// A hub that serves hosts of another availability zone causes cross-zone traffic, which
+// operators pay for, and it serves the hosts of several zones. If a zone has enough hosts, the
+// seed that they report to therefore names the strongest of them as their hub. That host keeps
+// reporting to the seed, on behalf of all its followers. Hosts beyond the capacity of one hub
+// get another hub of their zone in the same way.
 
 const (
-	// electAfter is the time from a zone's first report to the naming of its hub, in
-	// which the zone's stronger hosts report, too: when all hosts start at once they do
-	// so within 300 ms.
-	electAfter = 500 * time.Millisecond
-	// avoidHub is how long a host isn't sent back to a hub that didn't answer it: the
-	// hub's last report may be as old as WorkAge.
-	avoidHub = 2 * time.Second
+	// electionDelay is the time from a zone's first report to the election of its hub. It lets
+	// the zone's stronger hosts report too: when all hosts start at once, they all report
+	// within 300 ms.
+	electionDelay = 500 * time.Millisecond
+	// failedHubBackoff is how long a host isn't assigned again to a hub that failed to answer
+	// it. The hub's last report to the seed may still count for WorkAge.
+	failedHubBackoff = 2 * time.Second
 )
 
-// zoneHubs are the hubs of one zone that a hub named.
+// zoneHubs holds the hubs that this hub has named for one zone.
 type zoneHubs struct {
-	// since is when the zone's first host reported here.
-	since time.Time
-	// named are the hubs' names, in the order in which they were named.
+	// firstReportAt is when the zone's first host reported here.
+	firstReportAt time.Time
+	// named holds the hubs' names, in the order in which they were elected.
 	named []string
-	// assigned counts the hosts that were sent to each since the time of count: they
-	// show in its reports a moment later.
-	assigned map[string]int
-	count    time.Time
-	// sent are the hosts that were sent to hubs, and when: their last reports here count
-	// for a while yet.
-	sent map[string]time.Time
+	// assigned counts the hosts that were assigned to each hub since assignedSince. The hubs'
+	// own reports include these hosts only a moment later.
+	assigned      map[string]int
+	assignedSince time.Time
+	// reassignedAt holds when each host was assigned to another hub. Its last report here still
+	// counts for a while.
+	reassignedAt map[string]time.Time
 }
 
-// assign names the address of the hub that a host is to report to in place of this one;
-// empty if it is to stay.
+// assign returns the address of the hub that a host should report to instead of this one, or ""
+// if the host should stay.
 func (h *hub) assign(from string, r Report) string {
 	if r.Address == "" || r.Hosts > 1 {
 		return "" // a hub itself, or a host that can't be one
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.dropOld()
-	z := h.zoneHubs(r.Zone)
+	h.dropExpired()
+	z := h.currentZoneHubs(r.Zone)
 	if slices.Contains(z.named, from) {
 		return ""
 	}
-	delete(z.sent, from) // it didn't go
-	direct := h.direct(r.Zone)
-	if r.Zone == h.zone && len(direct) <= h.ownShare() {
+	delete(z.reassignedAt, from) // the host still reports here
+	direct := h.directHosts(r.Zone)
+	if r.Zone == h.zone && len(direct) <= h.directLimit() {
 		return ""
 	}
 	if r.Zone != h.zone && len(z.named) == 0 && len(direct) < minFollowers {
 		return ""
 	}
-	hub := h.withRoom(z)
-	if hub == "" && boottime.Since(z.since) >= electAfter {
-		hub = h.elect(z, r.Zone, direct)
+	hub := h.leastLoadedHub(z)
+	if hub == "" && boottime.Since(z.firstReportAt) >= electionDelay {
+		hub = h.electHubs(z, r.Zone, direct)
 	}
 	if hub == "" || hub == from {
 		return ""
 	}
 	z.assigned[hub]++
-	z.sent[from] = boottime.Now()
+	z.reassignedAt[from] = boottime.Now()
 	return h.reports[hub].report.Address
 }
 
-// ownShare is how many hosts of its own zone this one serves beside the hubs that report here:
-// with more in all it relays to a part of them only. The lock is held.
-func (h *hub) ownShare() int { return max(0, maxFollowers-h.reporters().hubs) }
+// directLimit returns how many hosts of its own zone this hub serves directly, besides the hubs
+// that report here. With more than maxFollowers in all, the hub relays tables to some of them
+// only. The caller holds the lock.
+func (h *hub) directLimit() int { return max(0, maxFollowers-h.reporters().hubs) }
 
-// zoneHubs are the zone's hubs that still report. The lock is held.
-func (h *hub) zoneHubs(zone string) *zoneHubs {
+// currentZoneHubs returns the zone's entry, without hubs and assignments that have expired. The
+// caller holds the lock.
+func (h *hub) currentZoneHubs(zone string) *zoneHubs {
 	z := h.zones[zone]
 	now := boottime.Now()
 	if z == nil {
-		z = &zoneHubs{since: now, sent: make(map[string]time.Time)}
+		z = &zoneHubs{firstReportAt: now, reassignedAt: make(map[string]time.Time)}
 		h.zones[zone] = z
 	}
-	z.named = slices.DeleteFunc(z.named, func(name string) bool { _, reports := h.reports[name]; return !reports })
-	maps.DeleteFunc(z.sent, func(_ string, at time.Time) bool { return now.Sub(at) > WorkAge })
-	if z.assigned == nil || now.Sub(z.count) > WorkAge {
-		z.assigned, z.count = make(map[string]int), now
+	z.named = slices.DeleteFunc(z.named, func(name string) bool { _, ok := h.reports[name]; return !ok })
+	maps.DeleteFunc(z.reassignedAt, func(_ string, at time.Time) bool { return now.Sub(at) > WorkAge })
+	if z.assigned == nil || now.Sub(z.assignedSince) > WorkAge {
+		z.assigned, z.assignedSince = make(map[string]int), now
 	}
 	return z
 }
 
-// direct are the names of the hosts of a zone that reported here which do so for themselves
-// alone, without those that were just sent to hubs. The lock is held.
-func (h *hub) direct(zone string) []string {
+// directHosts returns the names of the zone's hosts that report here for themselves alone,
+// except those that were just assigned to another hub. The caller holds the lock.
+func (h *hub) directHosts(zone string) []string {
 	var names []string
 	z := h.zones[zone]
 	for name, got := range h.reports {
-		if _, sent := z.sent[name]; sent {
+		if _, sent := z.reassignedAt[name]; sent {
 			continue
 		}
 		if got.report.Zone == zone && got.hosts == 1 && !got.fromHub && got.report.Address != "" {
@@ -109,9 +111,9 @@
 	return names
 }
 
-// withRoom is the zone's hub that serves fewest hosts; empty if none can serve more. The lock
-// is held.
-func (h *hub) withRoom(z *zoneHubs) string {
+// leastLoadedHub returns the zone's hub that serves the fewest hosts, or "" if all of them are
+// full. The caller holds the lock.
+func (h *hub) leastLoadedHub(z *zoneHubs) string {
 	hub, fewest := "", maxFollowers
 	for _, name := range z.named {
 		if n := h.reports[name].hosts + z.assigned[name]; n < fewest {
@@ -121,17 +123,17 @@
 	return hub
 }
 
-// elect names as many hubs as the zone needs, one at least, the strongest of the hosts that
-// aren't hubs, and returns one of them; empty if there is no host. All are named at once: a
-// strong host that follows the first one doesn't report here, and can't be named any more.
-// The lock is held.
-func (h *hub) elect(z *zoneHubs, zone string, direct []string) string {
+// electHubs names as many hubs as the zone needs, at least one, and returns one of them, or ""
+// if there is no candidate. It picks the strongest hosts that aren't hubs yet. All are named at
+// once: a strong host that has been assigned to the first hub no longer reports here and can't
+// be named later. The caller holds the lock.
+func (h *hub) electHubs(z *zoneHubs, zone string, direct []string) string {
 	hosts := len(direct)
 	for _, name := range z.named {
 		hosts += h.reports[name].hosts
 	}
 	if zone == h.zone {
-		hosts -= h.ownShare()
+		hosts -= h.directLimit()
 	}
 	need := (hosts + maxFollowers - 1) / maxFollowers
 	direct = slices.DeleteFunc(direct, func(name string) bool { return name == h.self || slices.Contains(z.named, name) })
@@ -146,11 +148,12 @@
 		h.log.Info().Str("event", "hub-named").Str("hub", name).Str("zone", zone).
 			Float64("strength", h.reports[name].report.Strength).Int("among", len(direct)).Int("need", need).Msg("")
 	}
-	return h.withRoom(z)
+	return h.leastLoadedHub(z)
 }
 
-// pending says that the host will be sent to a hub of its zone soon. The lock is held.
-func (h *hub) pending(r Report) bool {
+// awaitsHub reports whether the host's zone will get a hub of its own soon. The caller holds
+// the lock.
+func (h *hub) awaitsHub(r Report) bool {
 	z := h.zones[r.Zone]
-	return r.Zone != h.zone && z != nil && len(z.named) == 0 && len(h.direct(r.Zone)) >= minFollowers
+	return r.Zone != h.zone && z != nil && len(z.named) == 0 && len(h.directHosts(r.Zone)) >= minFollowers
 }
--- a/internal/exchange/assign_test.go
+++ b/internal/exchange/assign_test.go
@@ -12,8 +12,9 @@
 	"github.com/rs/zerolog"
 )
 
-// reporting has hosts of a zone report to the hub, and returns where each is sent.
-func reporting(t *testing.T, h *hub, zone string, names ...string) map[string]string {
+// reportAll sends a report of each named host to the hub, and returns the hub that each is
+// assigned to.
+func reportAll(t *testing.T, h *hub, zone string, names ...string) map[string]string {
 	t.Helper()
 	sent := make(map[string]string)
 	for _, name := range names {
@@ -42,25 +43,25 @@
 		is := is.New(t)
 		h := newHub(Options{Host: "seed", Zone: "z1"}, zerolog.Nop())
 		names := hostNames(minFollowers, "strong")
-		for _, to := range reporting(t, h, "z2", names...) {
-			is.Equal(to, "") // stronger hosts may come yet
+		for _, to := range reportAll(t, h, "z2", names...) {
+			is.Equal(to, "") // stronger hosts may still report
 		}
-		time.Sleep(electAfter)
-		for name, to := range reporting(t, h, "z2", names...) {
+		time.Sleep(electionDelay)
+		for name, to := range reportAll(t, h, "z2", names...) {
 			if name == "strong" {
-				is.Equal(to, "") // it goes on reporting here
+				is.Equal(to, "") // it keeps reporting here
 			} else {
 				is.Equal(to, "to strong")
 			}
 		}
-		is.Equal(reporting(t, h, "z1", "host of this zone")["host of this zone"], "")
+		is.Equal(reportAll(t, h, "z1", "host of this zone")["host of this zone"], "")
 
-		// The hub reports for all; the seed counts them and sends newcomers there.
+		// The hub reports for all; the seed counts them and assigns new hosts to it.
 		time.Sleep(WorkAge + time.Millisecond)
 		_, err := h.exchange(t.Context(), "strong", Report{Zone: "z2", Address: "to strong", Hosts: 9})
 		is.NoErr(err)
-		is.Equal(reporting(t, h, "z2", "newcomer")["newcomer"], "to strong")
-		is.Equal(h.hosts(toHost), 10)
+		is.Equal(reportAll(t, h, "z2", "newcomer")["newcomer"], "to strong")
+		is.Equal(h.hostCount(toHost), 10)
 		is.Equal(h.followers(), 2)
 	})
 }
@@ -70,9 +71,9 @@
 		is := is.New(t)
 		h := newHub(Options{Host: "seed", Zone: "z1"}, zerolog.Nop())
 		names := hostNames(minFollowers - 1)
-		reporting(t, h, "z2", names...)
-		time.Sleep(electAfter)
-		for _, to := range reporting(t, h, "z2", names...) {
+		reportAll(t, h, "z2", names...)
+		time.Sleep(electionDelay)
+		for _, to := range reportAll(t, h, "z2", names...) {
 			is.Equal(to, "")
 		}
 	})
@@ -83,26 +84,26 @@
 		is := is.New(t)
 		h := newHub(Options{Host: "seed", Zone: "z1"}, zerolog.Nop())
 		names := hostNames(minFollowers)
-		reporting(t, h, "z2", append(names, "strong")...)
-		time.Sleep(electAfter)
-		is.Equal(reporting(t, h, "z2", append(names, "strong")...)["host-0"], "to strong")
-		time.Sleep(WorkAge + time.Millisecond) // the hub reports no more, its hosts come back
-		reporting(t, h, "z2", names...)
-		to := reporting(t, h, "z2", names...)["host-0"]
+		reportAll(t, h, "z2", append(names, "strong")...)
+		time.Sleep(electionDelay)
+		is.Equal(reportAll(t, h, "z2", append(names, "strong")...)["host-0"], "to strong")
+		time.Sleep(WorkAge + time.Millisecond) // the hub no longer reports, its hosts return
+		reportAll(t, h, "z2", names...)
+		to := reportAll(t, h, "z2", names...)["host-0"]
 		is.True(to != "" && to != "to strong")
 	})
 }
 
-// Hosts beyond what one hub serves get another one, also in the hub's own zone.
+// Hosts beyond the capacity of one hub get another one, also in the hub's own zone.
 func TestMoreHostsThanOneHubServes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		h := newHub(Options{Host: "seed", Zone: "z1"}, zerolog.Nop())
 		names := hostNames(3*maxFollowers, "strong")
-		reporting(t, h, "z1", names...)
-		time.Sleep(electAfter)
+		reportAll(t, h, "z1", names...)
+		time.Sleep(electionDelay)
 		counts := make(map[string]int)
-		for _, to := range reporting(t, h, "z1", names...) {
+		for _, to := range reportAll(t, h, "z1", names...) {
 			counts[to]++
 		}
 		is.True(len(counts) >= 3)
@@ -112,20 +113,20 @@
 	})
 }
 
-// Two hosts that report to each other don't count each other's sums again and again.
+// Two hosts that report to each other don't count each other's sums repeatedly.
 func TestHostsThatReportToEachOther(t *testing.T) {
 	is := is.New(t)
 	h := newHub(Options{Host: "one", Zone: "z1"}, zerolog.Nop())
-	h.take("one", Report{Zone: "z1", Address: "to one", Work: Work{1: 10}})
-	h.take("other", Report{Zone: "z1", Address: "to other", Hosts: 7, Work: Work{1: 70}})
-	report, _ := h.subtree(Report{}, 0, "to other")
+	h.record("one", Report{Zone: "z1", Address: "to one", Work: Work{1: 10}})
+	h.record("other", Report{Zone: "z1", Address: "to other", Hosts: 7, Work: Work{1: 70}})
+	report, _ := h.subtreeReport(Report{}, 0, "to other")
 	is.Equal(report.Hosts, 1)
 	is.Equal(report.Work, Work{1: 10})
 }
 
-// Of a zone with more hosts than one hub serves, the seed's own hub goes on with as many as
-// it can serve, and passes the store's word on to the hubs of the others: without followers
-// of its own it told them nothing, and each of theirs read the store.
+// In a zone with more hosts than one hub serves, the seed's own hub keeps as many as it can
+// serve, and relays table updates to the zone's other hubs. Without followers of its own it
+// relayed nothing to them, and each of their followers read the store.
 func TestSeedOfALargeZoneRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -141,26 +142,26 @@
 				is.True(h.member.Relays())
 			case n > 1:
 				hubs++
-				is.True(h.member.hub.told.Load())
+				is.True(h.member.hub.receivesTables.Load())
 			}
 		}
 		is.True(seeds > 0 && hubs > 0)
 	})
 }
 
-// A seed that has hubs as followers alone relays to them: they speak for many hosts.
+// A seed whose only followers are hubs relays to them: they report for many hosts.
 func TestSeedOfHubsRelays(t *testing.T) {
 	is := is.New(t)
 	h := newHub(Options{Host: "seed", Zone: "z1"}, zerolog.Nop())
-	h.take("seed", Report{Zone: "z1"})
-	h.take("hub", Report{Zone: "z2", Hosts: minFollowers - 2})
+	h.record("seed", Report{Zone: "z1"})
+	h.record("hub", Report{Zone: "z2", Hosts: minFollowers - 2})
 	is.True(!h.relays())
-	h.take("hub", Report{Zone: "z2", Hosts: minFollowers - 1})
+	h.record("hub", Report{Zone: "z2", Hosts: minFollowers - 1})
 	is.True(h.relays())
 	is.True(h.relaysTo("hub"))
 }
 
-// The hubs of a zone are its strongest hosts, also the second and third one.
+// All hubs of a zone are among its strongest hosts, including the second and third one.
 func TestHubsAreTheStrongestHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -179,7 +180,7 @@
 		for i := range names {
 			report(i)
 		}
-		time.Sleep(electAfter)
+		time.Sleep(electionDelay)
 		followers := make(map[string]int)
 		for i := range names {
 			if to := report(len(names) - 1 - i); to != "" {
@@ -194,26 +195,26 @@
 	})
 }
 
-// A seed with many hubs below it relays to all that report to it: with 64 hosts of its own
-// zone besides, it told some of them nothing for as long as they stayed.
+// A seed with many hubs below it relays to all that report to it. When it also served 64 hosts
+// of its own zone, it relayed nothing to some of them for as long as they stayed.
 func TestSeedOfManyHubsRelaysToAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		h := newHub(Options{Host: "seed", Zone: "z1"}, zerolog.Nop())
 		const hubs = 16
-		at := make(map[string]int) // how many hosts each hub speaks for
+		hubHosts := make(map[string]int) // the number of hosts that each hub reports for
 		names := append(hostNames(150), "seed")
 		for range 40 {
 			for i := range hubs {
 				name := fmt.Sprint("hub-", i)
-				h.take(name, Report{Zone: "z2", Address: "to " + name, Hosts: 50})
+				h.record(name, Report{Zone: "z2", Address: "to " + name, Hosts: 50})
 			}
-			for hub, n := range at {
-				h.take(hub, Report{Zone: "z1", Address: "to " + hub, Hosts: n + 1})
+			for hub, n := range hubHosts {
+				h.record(hub, Report{Zone: "z1", Address: "to " + hub, Hosts: n + 1})
 			}
 			var stayed []string
 			for _, name := range names {
-				if at[name] > 0 {
+				if hubHosts[name] > 0 {
 					stayed = append(stayed, name)
 					continue
 				}
@@ -222,7 +223,7 @@
 				if reply.Assigned == "" {
 					stayed = append(stayed, name)
 				} else {
-					at[strings.TrimPrefix(reply.Assigned, "to ")]++
+					hubHosts[strings.TrimPrefix(reply.Assigned, "to ")]++
 				}
 			}
 			names = stayed
@@ -232,7 +233,7 @@
 		for _, name := range names {
 			is.True(h.relaysTo(name))
 		}
-		for hub, n := range at {
+		for hub, n := range hubHosts {
 			is.True(n < maxFollowers)
 			is.True(h.relaysTo(hub))
 		}
--- a/internal/exchange/choose.go
+++ b/internal/exchange/choose.go
@@ -13,76 +13,76 @@
 	"github.com/quetzalweir/quetzalweir/ratelease"
 )
 
-// look chooses the hub: the first seed of this host's zone in the seeds' order,
-// this host itself if it is that; otherwise one that all hosts of the zone choose
-// alike. A zone isn't known before the seed answered.
-func (m *Member) look(ctx context.Context, net network) {
-	reached := m.reach(ctx, net)
-	m.lookAt = boottime.Now().Add(m.lookPause(len(reached) > 0))
-	found := m.best(reached)
+// findHub chooses this host's hub among the seeds that answer: the first seed of this host's
+// zone in the configured order, which may be this host itself. Without one, all hosts of the
+// zone choose the same seed of another zone. A seed's zone isn't known before it has answered.
+func (m *Member) findHub(ctx context.Context, net network) {
+	reached := m.probeSeeds(ctx, net)
+	m.nextProbeAt = boottime.Now().Add(m.nextProbeDelay(len(reached) > 0))
+	found := m.chooseHub(reached)
 	if found == m.current {
 		return
 	}
-	m.goTo(found)
-	m.home = found
+	m.switchHub(found)
+	m.homeSeed = found
 	if found == "" {
 		return
 	}
-	m.log.Info().Str("event", "hub-found").Str("hub", m.current).Str("zone", m.zones[m.current]).Int("reached", len(reached)).Msg("")
+	m.log.Info().Str("event", "hub-found").Str("hub", m.current).Str("zone", m.seedZones[m.current]).Int("reached", len(reached)).Msg("")
 }
 
-// lookPause is the time until the next look for a hub: longer with each look that found
-// none.
-func (m *Member) lookPause(found bool) time.Duration {
+// nextProbeDelay returns the time until the next probe of the seeds. It grows with each probe
+// that no seed answered.
+func (m *Member) nextProbeDelay(found bool) time.Duration {
 	if found {
-		m.noHub = 0
-		return retryHub
+		m.failedProbes = 0
+		return hubRetryInterval
 	}
-	pause := min(retryNoHub<<m.noHub, retryHub)
-	m.noHub = min(m.noHub+1, maxLookDoublings)
+	pause := min(noHubRetryInterval<<m.failedProbes, hubRetryInterval)
+	m.failedProbes = min(m.failedProbes+1, maxProbeDoublings)
 	return pause/2 + rand.N(pause)
 }
 
-// goTo makes the address the hub that this host reports to.
-func (m *Member) goTo(address string) {
+// switchHub makes the address the hub that this host reports to.
+func (m *Member) switchHub(address string) {
 	m.hub.forgetHub(m.current)
 	m.current = address
-	m.told.Store(&address)
+	m.currentHub.Store(&address)
 	m.hubSince = boottime.Now()
-	m.readsSince, m.toldReads = 0, 0
+	m.hubReadsSeq, m.forwardedReadsSeq = 0, 0
 	m.limits, m.granted = ratelease.Follower{}, nil
-	m.tellAnew()
+	m.resendSightings()
 }
 
-// goOver goes over to the hub that the present one named.
-func (m *Member) goOver(assigned string) {
-	if assigned == "" || assigned == m.options.Listen || assigned == m.current || boottime.Now().Before(m.avoid[assigned]) {
+// acceptAssignment switches to the hub that the current one assigned.
+func (m *Member) acceptAssignment(assigned string) {
+	if assigned == "" || assigned == m.options.Listen || assigned == m.current || boottime.Now().Before(m.avoidUntil[assigned]) {
 		return
 	}
 	m.log.Info().Str("event", "hub-assigned").Str("hub", assigned).Str("by", m.current).Msg("")
-	m.goTo(assigned)
+	m.switchHub(assigned)
 }
 
-// lose notes that the hub doesn't answer. A host that was sent to it goes back to the
-// seed that did so; any other one looks for another seed.
-func (m *Member) lose(net network, err error) {
+// hubFailed handles a hub that doesn't answer. A host that had been assigned to it returns to
+// the seed that assigned it; any other host looks for another seed.
+func (m *Member) hubFailed(net network, err error) {
 	lost := m.current
 	m.log.Warn().Str("event", "hub-lost").Str("hub", lost).Err(err).Msg("")
 	net.forget(lost)
-	if lost != m.home {
-		m.avoid[lost] = boottime.Now().Add(avoidHub)
-		m.goTo(m.home)
+	if lost != m.homeSeed {
+		m.avoidUntil[lost] = boottime.Now().Add(failedHubBackoff)
+		m.switchHub(m.homeSeed)
 		return
 	}
-	m.goTo("")
-	m.lookAt = time.Time{}
+	m.switchHub("")
+	m.nextProbeAt = time.Time{}
 }
 
-// reach asks all seeds at once, so that several dead ones cost no more time than
-// one, and returns those that answered in the seeds' order. Once one of this host's
-// zone has answered, the others are waited for a moment only: when all hosts return at
-// once, some seeds take longer than the one that matters.
-func (m *Member) reach(ctx context.Context, net network) []string {
+// probeSeeds queries all seeds at once, so that several dead ones take no longer than one, and
+// returns those that answered, in the configured order. Once a seed of this host's zone has
+// answered, it waits for the others only for otherSeedsWait: when all hosts restart at once,
+// some seeds answer later than the one that is needed.
+func (m *Member) probeSeeds(ctx context.Context, net network) []string {
 	type answer struct{ seed, zone string }
 	answers := make(chan answer, len(m.options.Seeds))
 	for _, seed := range m.options.Seeds {
@@ -91,9 +91,9 @@
 			continue
 		}
 		go func() {
-			reply, err := ask(ctx, net, seed, Report{Zone: m.options.Zone, Look: true})
+			reply, err := callWithTimeout(ctx, net, seed, Report{Zone: m.options.Zone, Probe: true})
 			if err != nil {
-				net.forget(seed) // a seed may be gone for good; the next look dials anew
+				net.forget(seed) // the seed may be gone for good; the next probe dials again
 			}
 			answers <- answer{seed, reply.Zone}
 		}()
@@ -107,9 +107,9 @@
 				continue
 			}
 			reached[a.seed] = true
-			m.zones[a.seed] = a.zone
+			m.seedZones[a.seed] = a.zone
 			if a.zone == m.options.Zone && enough == nil {
-				enough = time.After(reachOthers)
+				enough = time.After(otherSeedsWait)
 			}
 			continue
 		case <-enough:
@@ -119,32 +119,32 @@
 	return slices.DeleteFunc(slices.Clone(m.options.Seeds), func(seed string) bool { return !reached[seed] })
 }
 
-// reachOthers is how long the other seeds are waited for once one of the own zone has
-// answered: some round trips between zones.
-const reachOthers = 50 * time.Millisecond
+// otherSeedsWait is how long probeSeeds waits for the other seeds after one of its own zone has
+// answered: several round trips between zones.
+const otherSeedsWait = 50 * time.Millisecond
 
-// best is the hub among the seeds that answered; empty if there is none.
-func (m *Member) best(reached []string) string {
-	if i := slices.IndexFunc(reached, func(seed string) bool { return m.zones[seed] == m.options.Zone }); i >= 0 {
+// chooseHub returns the hub among the seeds that answered, or "" if none did.
+func (m *Member) chooseHub(reached []string) string {
+	if i := slices.IndexFunc(reached, func(seed string) bool { return m.seedZones[seed] == m.options.Zone }); i >= 0 {
 		return reached[i]
 	}
 	if len(reached) == 0 {
 		return ""
 	}
-	return slices.MaxFunc(reached, func(a, b string) int { return cmp.Compare(m.weight(a), m.weight(b)) })
+	return slices.MaxFunc(reached, func(a, b string) int { return cmp.Compare(m.seedWeight(a), m.seedWeight(b)) })
 }
 
-// settled says that no better hub can be found: the seeds before this one are
-// known to be of other zones.
-func (m *Member) settled() bool {
+// hubIsFinal reports whether no better hub can be found: all seeds before the current one are
+// known to be in other zones.
+func (m *Member) hubIsFinal() bool {
 	if m.current == "" {
 		return false
 	}
-	if m.current != m.home {
-		return true // named by a seed
+	if m.current != m.homeSeed {
+		return true // assigned by a seed
 	}
 	for _, seed := range m.options.Seeds {
-		zone, known := m.zones[seed]
+		zone, known := m.seedZones[seed]
 		switch {
 		case !known:
 			return false
@@ -155,10 +155,10 @@
 	return true
 }
 
-// weight orders the seeds of other zones, the same on all hosts of this one.
-func (m *Member) weight(seed string) uint64 { return hash(m.options.Zone, seed) }
+// seedWeight ranks the seeds of other zones in the same order on all hosts of this zone.
+func (m *Member) seedWeight(seed string) uint64 { return hash(m.options.Zone, seed) }
 
-// hash spreads texts evenly, the same on all hosts.
+// hash maps the strings to an evenly distributed number that is the same on all hosts.
 func hash(parts ...string) uint64 {
 	h := fnv.New64a()
 	for _, p := range parts {
--- a/internal/exchange/evidence.go
+++ b/internal/exchange/evidence.go
@@ -6,13 +6,13 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// Tally counts answers of one version.
+// Tally counts the answers of one version.
 type Tally struct {
 	Answers int `json:"answers"`
 	Failed  int `json:"failed,omitempty"`
 	Slow    int `json:"slow,omitempty"`
-	// From names the upstreams that gave bad answers: bit hash(upstream) modulo 64
-	// of each.
+	// From marks the upstreams that gave bad answers: each sets the bit hash(upstream) modulo
+	// 64.
 	From uint64 `json:"from,omitempty"`
 }
 
@@ -24,15 +24,16 @@
 	t.From |= o.From
 }
 
-// Blame notes the upstream of a bad answer.
+// Blame records the upstream of a bad answer.
 func (t *Tally) Blame(upstream string) {
 	t.From |= 1 << (hash(upstream) % 64)
 }
 
-// Sources is the number of upstreams that gave bad answers, at least: two may share a bit.
+// Sources returns a lower bound of the number of upstreams that gave bad answers: two upstreams
+// may share a bit.
 func (t *Tally) Sources() int { return bits.OnesCount64(t.From) }
 
-// Versions are the answers of the version that is rolled out and of the one before.
+// Versions holds the counts of the version that is being rolled out and of the previous one.
 type Versions struct {
 	Old Tally `json:"old"`
 	New Tally `json:"new"`
@@ -44,50 +45,51 @@
 	v.New.Add(o.New)
 }
 
-// Evidence is what hosts saw of a roll-out.
+// Evidence holds the answers that hosts counted during a roll-out.
 type Evidence struct {
 	Service string `json:"service"`
-	// Order is the store's revision of the operators' order; evidence of
-	// different orders isn't added.
+	// Order is the store's revision of the operators' roll-out order. Counts of different
+	// orders aren't added up.
 	Order storage.Revision `json:"order"`
-	// Routes are the counts by route.
+	// Routes holds the counts by route.
 	Routes map[string]Versions `json:"routes"`
 }
 
-// evidenceOf names what evidence is about.
-type evidenceOf struct {
+// evidenceKey identifies the roll-out that counts belong to.
+type evidenceKey struct {
 	service string
 	order   storage.Revision
 }
 
-// addEvidence adds evidence to the sums.
-func addEvidence(sums map[evidenceOf]map[string]Versions, list []Evidence) {
+// addEvidence adds the counts in list to sums.
+func addEvidence(sums map[evidenceKey]map[string]Versions, list []Evidence) {
 	for _, e := range list {
-		of := evidenceOf{e.Service, e.Order}
-		if sums[of] == nil {
-			sums[of] = make(map[string]Versions)
+		key := evidenceKey{e.Service, e.Order}
+		if sums[key] == nil {
+			sums[key] = make(map[string]Versions)
 		}
 		for route, counts := range e.Routes {
-			sum := sums[of][route]
+			sum := sums[key][route]
 			sum.Add(counts)
-			sums[of][route] = sum
+			sums[key][route] = sum
 		}
 	}
 }
 
-// evidence is what all hosts but one, of any zone, saw of the roll-outs under way.
-func (h *hub) evidence(self string, who audience) []Evidence {
+// otherEvidence returns the sums over all hosts of any zone, except self, for the roll-outs in
+// progress.
+func (h *hub) otherEvidence(self string, to audience) []Evidence {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	sums := make(map[evidenceOf]map[string]Versions)
+	sums := make(map[evidenceKey]map[string]Versions)
 	for host, got := range h.reports {
-		if host != self && who.hears(got) {
+		if host != self && to.includes(got) {
 			addEvidence(sums, got.report.Evidence)
 		}
 	}
 	var list []Evidence
-	for of, routes := range sums {
-		list = append(list, Evidence{Service: of.service, Order: of.order, Routes: routes})
+	for key, routes := range sums {
+		list = append(list, Evidence{Service: key.service, Order: key.order, Routes: routes})
 	}
 	return list
 }
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -34,24 +34,24 @@
 		report("a", "z1", Work{NameOf("u1"): 2, NameOf("u2"): 1})
 		report("far", "z2", Work{NameOf("u1"): 50})
 		report("b", "z1", Work{NameOf("u1"): 3})
-		reply := report("b", "z1", Work{NameOf("u1"): 4}) // its own isn't counted
+		reply := report("b", "z1", Work{NameOf("u1"): 4}) // the host's own work isn't counted
 		is.Equal(reply.Zone, "z1")
 		is.Equal(reply.Work, Work{NameOf("u1"): 52, NameOf("u2"): 1})
 		is.Equal(report("a", "z1", nil).Work, Work{NameOf("u1"): 54}) // the newest report
 
-		time.Sleep(WorkAge + time.Millisecond) // the others say nothing more
+		time.Sleep(WorkAge + time.Millisecond) // the others' reports expire
 		is.Equal(len(report("a", "z1", nil).Work), 0)
 	})
 }
 
-// Each hub's followers are counted once, however many hubs ask each other.
+// Each hub's followers are counted once, however many hubs query each other.
 func TestHubsAddEachOthersFollowers(t *testing.T) {
 	is := is.New(t)
 	one, two, three := newHub(Options{Zone: "z1"}, zerolog.Nop()), newHub(Options{Zone: "z2"}, zerolog.Nop()), newHub(Options{Zone: "z3"}, zerolog.Nop())
 	hubs := map[string]*hub{"one": one, "two": two, "three": three}
 	bad := Evidence{Service: "s", Order: 7, Routes: map[string]Versions{"r": {New: Tally{Answers: 2, Failed: 1}}}}
 	for name, h := range hubs {
-		h.take("host of "+name, Report{Work: Work{NameOf("u"): 10}, Evidence: []Evidence{bad}})
+		h.record("host of "+name, Report{Work: Work{NameOf("u"): 10}, Evidence: []Evidence{bad}})
 	}
 	for range 5 {
 		for _, asker := range hubs {
@@ -61,13 +61,13 @@
 				}
 				reply, err := asked.exchange(t.Context(), "another hub", Report{Hub: true})
 				is.NoErr(err)
-				asker.takeHub(name, reply, reply.Hosts)
+				asker.recordHub(name, reply, reply.Hosts)
 			}
 		}
 	}
 	for _, h := range hubs {
-		is.Equal(h.followers(), 1) // a hub that asks isn't a follower
-		is.Equal(h.hosts(toHost), 3)
+		is.Equal(h.followers(), 1) // a hub that queries isn't a follower
+		is.Equal(h.hostCount(toHost), 3)
 		reply, err := h.exchange(t.Context(), "me", Report{})
 		is.NoErr(err)
 		is.Equal(reply.Work, Work{NameOf("u"): 30})
@@ -75,35 +75,35 @@
 	}
 }
 
-// A host is told the busiest upstreams where there are too many for a short message.
-func TestBusiestUpstreamsAreTold(t *testing.T) {
+// If the upstreams are too many for a short message, the busiest ones are sent.
+func TestBusiestUpstreamsAreReported(t *testing.T) {
 	is := is.New(t)
 	h := newHub(Options{Zone: "z1"}, zerolog.Nop())
 	work := make(Work)
-	for i := range 10 * maxTold {
+	for i := range 10 * maxReportedUpstreams {
 		work[NameOf(fmt.Sprint("u", i))] = float64(i)
 	}
-	h.take("a", Report{Work: work})
-	told := h.others("b", toHost)
-	is.Equal(len(told), maxTold)
-	is.Equal(told[NameOf(fmt.Sprint("u", 10*maxTold-1))], float64(10*maxTold-1))
+	h.record("a", Report{Work: work})
+	reported := h.otherWork("b", toHost)
+	is.Equal(len(reported), maxReportedUpstreams)
+	is.Equal(reported[NameOf(fmt.Sprint("u", 10*maxReportedUpstreams-1))], float64(10*maxReportedUpstreams-1))
 }
 
-// A host that changes its hub tells the new one nothing of roll-outs until the old one
-// has forgotten its evidence.
+// A host that switches its hub sends the new one no evidence until the old one's copy has
+// expired.
 func TestEvidenceIsNotCountedTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		seen := []Evidence{{Service: "s", Order: 7}}
 		m := New(Options{Zone: "z1", Work: func() Work { return nil }, Evidence: func() []Evidence { return seen }}, zerolog.Nop())
 		m.hubSince = time.Now()
-		is.Equal(len(m.own().Evidence), 0)
+		is.Equal(len(m.ownReport().Evidence), 0)
 		time.Sleep(WorkAge + time.Millisecond)
-		is.Equal(m.own().Evidence, seen)
+		is.Equal(m.ownReport().Evidence, seen)
 	})
 }
 
-func TestTallyNamesSources(t *testing.T) {
+func TestTallyCountsSources(t *testing.T) {
 	is := is.New(t)
 	var one, other Tally
 	one.Blame("u1")
@@ -120,9 +120,9 @@
 	of := func(service string, order storage.Revision, failed int) Evidence {
 		return Evidence{Service: service, Order: order, Routes: map[string]Versions{"r": {New: Tally{Answers: 2 * failed, Failed: failed}}}}
 	}
-	h.take("a", Report{Zone: "z1", Evidence: []Evidence{of("s", 7, 1)}})
-	h.take("b", Report{Zone: "z2", Evidence: []Evidence{of("s", 7, 2)}}) // zones don't matter here
-	h.take("c", Report{Zone: "z1", Evidence: []Evidence{of("s", 8, 4)}}) // another order
+	h.record("a", Report{Zone: "z1", Evidence: []Evidence{of("s", 7, 1)}})
+	h.record("b", Report{Zone: "z2", Evidence: []Evidence{of("s", 7, 2)}}) // the sums include all zones
+	h.record("c", Report{Zone: "z1", Evidence: []Evidence{of("s", 8, 4)}}) // another order
 	reply, err := h.exchange(t.Context(), "me", Report{Zone: "z1", Evidence: []Evidence{of("s", 7, 100)}})
 	is.NoErr(err)
 	sums := make(map[storage.Revision]Tally)
@@ -149,26 +149,26 @@
 			is := is.New(t)
 			h := newHub(Options{Zone: "z1"}, zerolog.Nop())
 			for i := range test.followers {
-				h.take(fmt.Sprint("host-", i), Report{Zone: "z1"})
+				h.record(fmt.Sprint("host-", i), Report{Zone: "z1"})
 			}
-			told := 0
+			relayed := 0
 			for i := range test.followers {
 				if h.relaysTo(fmt.Sprint("host-", i)) {
-					told++
+					relayed++
 				}
 			}
-			is.True(told >= test.least && told <= test.highest)
+			is.True(relayed >= test.least && relayed <= test.highest)
 		})
 	}
 }
 
-// A hub whose followers are gone stops asking the store for them.
+// A hub that no longer has followers stops querying the store for them.
 func TestRelayEndsWithItsFollowers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		h := newHub(Options{Zone: "z1"}, zerolog.Nop())
 		for i := range minFollowers {
-			h.take(fmt.Sprint(i), Report{Zone: "z1"})
+			h.record(fmt.Sprint(i), Report{Zone: "z1"})
 		}
 		is.True(h.relays())
 		time.Sleep(WorkAge + time.Millisecond)
@@ -194,18 +194,18 @@
 		t.Run(test.desc, func(t *testing.T) {
 			is := is.New(t)
 			m := New(Options{Zone: test.zone}, zerolog.Nop())
-			m.zones = zones
-			is.Equal(m.best(test.reached), test.want)
+			m.seedZones = zones
+			is.Equal(m.chooseHub(test.reached), test.want)
 		})
 	}
 	t.Run("hosts of a zone without seeds agree", func(t *testing.T) {
 		is := is.New(t)
 		one, two := New(Options{Zone: "z9"}, zerolog.Nop()), New(Options{Zone: "z9"}, zerolog.Nop())
-		is.Equal(one.best([]string{"s1", "s2", "s3"}), two.best([]string{"s3", "s1", "s2"}))
+		is.Equal(one.chooseHub([]string{"s1", "s2", "s3"}), two.chooseHub([]string{"s3", "s1", "s2"}))
 	})
 }
 
-// installation is hosts on loopback.
+// installation runs hosts on loopback addresses.
 type installation struct {
 	t     *testing.T
 	keys  storage.Table
@@ -244,7 +244,7 @@
 	return address
 }
 
-// start runs a host with the work in flight until the test or the host's stop.
+// start runs a host with the given work in flight until the test ends or the host is stopped.
 func (in *installation) start(name, listen string, work Work, tables map[string]*feed.Watcher) *host {
 	h := &host{}
 	h.member = New(Options{
@@ -270,43 +270,43 @@
 	return h
 }
 
-// eventually waits until the condition holds; the bound is generous.
-func eventually(t *testing.T, what string, holds func() bool) {
+// eventually waits until the condition holds; the timeout is generous.
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if holds() {
+		if condition() {
 			return
 		}
 	}
 	t.Fatal("never: " + what)
 }
 
-func TestHostsHearOfEachOther(t *testing.T) {
+func TestHostsReceiveEachOthersWork(t *testing.T) {
 	in := newInstallation(t, 2)
 	first := in.start("hub-1", in.seeds[0], Work{NameOf("u"): 1}, nil)
 	second := in.start("hub-2", in.seeds[1], Work{NameOf("u"): 2}, nil)
 	third := in.start("host", freeAddress(t), Work{NameOf("u"): 4}, nil)
-	hears := func(h *host, want float64) func() bool {
+	otherWorkIs := func(h *host, want float64) func() bool {
 		return func() bool { work, _ := h.others(); return work[NameOf("u")] == want }
 	}
-	eventually(t, "the hub knows both others", hears(first, 6))
-	eventually(t, "the other seed knows both others", hears(second, 5))
-	eventually(t, "the host knows both hubs", hears(third, 3))
+	eventually(t, "the hub has the work of both others", otherWorkIs(first, 6))
+	eventually(t, "the other seed has the work of both others", otherWorkIs(second, 5))
+	eventually(t, "the host has the work of both hubs", otherWorkIs(third, 3))
 
 	first.stop()
-	eventually(t, "the host goes on by the other seed", hears(third, 2))
-	eventually(t, "the other seed is the hub now", hears(second, 4))
+	eventually(t, "the host switches to the other seed", otherWorkIs(third, 2))
+	eventually(t, "the other seed is the hub now", otherWorkIs(second, 4))
 }
 
-// Seeds that are gone for good don't keep a host from the one that is left for
-// longer than one of them would.
-func TestDeadSeedsAreAskedAtOnce(t *testing.T) {
+// Several dead seeds delay the connection to the living one no longer than a single dead seed
+// would.
+func TestDeadSeedsAreProbedConcurrently(t *testing.T) {
 	is := is.New(t)
 	in := newInstallation(t, 1)
 	in.start("hub", in.seeds[0], nil, nil)
 	living := in.seeds[0]
 	for range 4 {
-		silent, err := net.Listen("tcp", "127.0.0.1:0") // accepts and says nothing
+		silent, err := net.Listen("tcp", "127.0.0.1:0") // accepts and sends nothing
 		is.NoErr(err)
 		t.Cleanup(func() { silent.Close() })
 		in.seeds = append([]string{silent.Addr().String()}, in.seeds...)
@@ -323,20 +323,20 @@
 	defer client.Close()
 	eventually(t, "the living seed answers", func() bool {
 		began := time.Now()
-		reached := m.reach(t.Context(), peerNetwork{client})
+		reached := m.probeSeeds(t.Context(), peerNetwork{client})
 		return len(reached) == 1 && reached[0] == living && time.Since(began) < 3*callTimeout
 	})
 }
 
-// Without a hub, what was heard grows old and isn't replaced.
-func TestNoHub(t *testing.T) {
+// Without a hub, the last received work grows old and isn't replaced.
+func TestWorkAgesWithoutHub(t *testing.T) {
 	is := is.New(t)
 	in := newInstallation(t, 1)
 	hub := in.start("hub", in.seeds[0], nil, nil)
 	alone := in.start("host", freeAddress(t), nil, nil)
-	eventually(t, "the host hears from the hub", func() bool { _, at := alone.others(); return !at.IsZero() })
+	eventually(t, "the host receives work from the hub", func() bool { _, at := alone.others(); return !at.IsZero() })
 	hub.stop()
-	eventually(t, "what it heard is too old to count", func() bool { _, at := alone.others(); return time.Since(at) > 2*WorkAge })
+	eventually(t, "the received work is too old to count", func() bool { _, at := alone.others(); return time.Since(at) > 2*WorkAge })
 	_, at := alone.others()
 	is.True(!at.IsZero())
 }
@@ -369,13 +369,13 @@
 	return f.calls
 }
 
-type ignore struct{}
+type discardHandler struct{}
 
-func (ignore) Replace([]feed.Row, storage.Revision) {}
-func (ignore) Change(feed.Row)                      {}
+func (discardHandler) Replace([]feed.Row, storage.Revision) {}
+func (discardHandler) Change(feed.Row)                      {}
 
-// With enough followers the hub's word replaces their own calls.
-func TestHubRelaysTheStoresWord(t *testing.T) {
+// With enough followers, the hub's table updates replace the followers' own calls of the store.
+func TestHubRelaysTableUpdates(t *testing.T) {
 	is := is.New(t)
 	in := newInstallation(t, 1)
 	sources := make([]*fixedTable, minFollowers+1)
@@ -387,7 +387,7 @@
 			listen = in.seeds[0]
 		}
 		relays := func() bool { return i == 0 && len(members) > 0 && members[0].Relays() }
-		w := feed.NewWatcher("t", sources[i], ignore{}, feed.Options{Hold: time.Second, Relays: relays}, zerolog.Nop())
+		w := feed.NewWatcher("t", sources[i], discardHandler{}, feed.Options{Hold: time.Second, Relays: relays}, zerolog.Nop())
 		if i == 0 {
 			members = append(members, in.start("hub", listen, nil, map[string]*feed.Watcher{"t": w}).member)
 		} else {
@@ -405,7 +405,7 @@
 		})
 	}
 	eventually(t, "the hub relays", members[0].Relays)
-	eventually(t, "no follower calls for two of its usual times", func() bool {
+	eventually(t, "no follower calls the store for twice its hold time", func() bool {
 		before := 0
 		for _, s := range sources[1:] {
 			before += s.count()
@@ -424,7 +424,7 @@
 	is := is.New(t)
 	table := memory.New()
 	_, err := sharedKey(t.Context(), table, false)
-	is.True(errors.Is(err, storage.ErrNotFound)) // only some hosts make it
+	is.True(errors.Is(err, storage.ErrNotFound)) // only seeds create the key
 	keys := make([]peer.Key, 8)
 	var group sync.WaitGroup
 	for i := range keys {
@@ -438,7 +438,7 @@
 	}
 	group.Wait()
 	for _, key := range keys {
-		is.Equal(key.Secret, keys[0].Secret) // one of them won
+		is.Equal(key.Secret, keys[0].Secret) // all use the first one's
 	}
 	is.Equal(len(keys[0].Secret), peer.MinSecretBytes)
 	later, err := sharedKey(t.Context(), table, false)
@@ -446,12 +446,13 @@
 	is.Equal(later.Secret, keys[0].Secret)
 }
 
-// What a host of a large installation sends and is told stays within its part of the
-// traffic for control, 7 KB a second, also while all engines have work.
-func TestExchangeStaysWithinItsBytes(t *testing.T) {
+// The reports and replies of a host of a large installation stay within its budget for control
+// traffic, 7 KB a second, even while all engines have work.
+func TestExchangeStaysWithinItsTrafficBudget(t *testing.T) {
 	tests := []struct {
 		hosts, engines int
-		// reads are the shared parts that engines read for the first time in a second.
+		// reads is the number of shared prompt prefixes that engines process for the first time
+		// in a second.
 		reads int
 	}{
 		{9, 9, 10},
@@ -472,19 +473,19 @@
 					if i < test.reads/7 {
 						r.Reads[NameOf(fmt.Sprintf("i-%010d", i))] = []placement.Key{4123456789}
 					}
-					h.take(fmt.Sprint("host-", i), r)
+					h.record(fmt.Sprint("host-", i), r)
 					if i == 0 {
 						sent, err := json.Marshal(r)
 						is.NoErr(err)
 						total += len(sent)
 					}
 				}
-				reply := Reply{Zone: "z1", Hosts: test.hosts, Work: h.others("host-0", toHost)}
+				reply := Reply{Zone: "z1", Hosts: test.hosts, Work: h.otherWork("host-0", toHost)}
 				reply.Reads, reply.ReadsLast = h.readsSince(since, "host-0", toHost)
 				since = reply.ReadsLast
-				told, err := json.Marshal(reply)
+				received, err := json.Marshal(reply)
 				is.NoErr(err)
-				total += len(told)
+				total += len(received)
 			}
 			perSecond := float64(total) / 7 * exchanges
 			t.Logf("%d hosts, %d engines: %.0f bytes a second", test.hosts, test.engines, perSecond)
@@ -503,7 +504,7 @@
 	is.NoErr(err)
 	var got Report
 	is.NoErr(json.Unmarshal(data, &got))
-	is.Equal(got.Work, Work{NameOf("a"): 12, NameOf("b"): maxWork}) // whole milliseconds, up to a minute
+	is.Equal(got.Work, Work{NameOf("a"): 12, NameOf("b"): maxWork}) // rounded to milliseconds, capped at about a minute
 	is.Equal(got.Reads, report.Reads)
 	for _, bad := range []string{`{"work":"AAA"}`, `{"work":"!"}`, `{"work":7}`, `{"reads":"AAAAAAA"}`} {
 		is.True(json.Unmarshal([]byte(bad), &got) != nil)
--- a/internal/exchange/fleet_test.go
+++ b/internal/exchange/fleet_test.go
@@ -20,9 +20,8 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// These tests run the exchange of whole installations in virtual time: the members and
-// the watchers of the store's tables are the real ones, the network and the store are of
-// the test.
+// These tests run the exchange of whole installations in virtual time. The members and the
+// watchers of the store's tables are the real ones; the network and the store are simulated.
 
 // fleetStore is a store with one table of many rows.
 type fleetStore struct {
@@ -58,7 +57,7 @@
 	return s.revision
 }
 
-// storePage is the most rows of one answer, storeDelay the time for it.
+// storePage is the maximum number of rows in one answer, storeDelay the latency of an answer.
 const (
 	storePage  = 500
 	storeDelay = 5 * time.Millisecond
@@ -89,7 +88,7 @@
 	s.mu.Lock()
 	s.calls++
 	s.mu.Unlock()
-	over := time.After(wait)
+	timeout := time.After(wait)
 	for {
 		s.mu.Lock()
 		page := feed.Page{Revision: s.revision, Clock: time.Since(s.start)}
@@ -110,7 +109,7 @@
 		}
 		select {
 		case <-changed:
-		case <-over:
+		case <-timeout:
 			received(1)
 			return page, nil
 		case <-ctx.Done():
@@ -125,7 +124,8 @@
 	return s.calls, s.lists
 }
 
-// fleetHost is a host of the installation: what it knows of the table, and its traffic.
+// fleetHost is a host of the installation, with its copy of the table's revisions and its
+// traffic.
 type fleetHost struct {
 	name, zone, address string
 	member              *Member
@@ -133,14 +133,14 @@
 	quarantine          *fleetQuarantine
 	stop                context.CancelFunc
 
-	mu    sync.Mutex
-	known map[string]storage.Revision
-	// heard is when the row of a revision came.
-	heard map[storage.Revision]time.Time
-	work  Work
-	bytes int
-	// holding is what the host may send of leased requests, contact what it knows of its
-	// hub, limits what it knows of upstreams' limits.
+	mu        sync.Mutex
+	revisions map[string]storage.Revision
+	// receivedAt is when each revision's row arrived.
+	receivedAt map[storage.Revision]time.Time
+	work       Work
+	bytes      int
+	// holding holds the grants for leased upstreams, contact the state of the contact to the
+	// hub, limits the upstreams' limits that the host has.
 	holding ratelease.Holding
 	contact ratelease.Contact
 	limits  map[ratelease.Upstream]*hostLimit
@@ -155,16 +155,16 @@
 func (h *fleetHost) Change(row feed.Row) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.known[row.Key] = row.Revision
-	if _, ok := h.heard[row.Revision]; !ok {
-		h.heard[row.Revision] = time.Now()
+	h.revisions[row.Key] = row.Revision
+	if _, ok := h.receivedAt[row.Revision]; !ok {
+		h.receivedAt[row.Revision] = time.Now()
 	}
 }
 
 func (h *fleetHost) rows() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return len(h.known)
+	return len(h.revisions)
 }
 
 func (h *fleetHost) others() Work {
@@ -185,28 +185,28 @@
 	return h.bytes
 }
 
-// fleet is the installation.
+// fleet simulates an installation.
 type fleet struct {
 	t     *testing.T
 	store *fleetStore
 	hosts []*fleetHost
 	seeds []string
 
-	// running are the hosts' parts.
+	// running waits for the hosts' goroutines.
 	running sync.WaitGroup
 
-	mu sync.Mutex
-	at map[string]*fleetHost
-	// cold are the upstreams that all hosts believe cold, cut says whether two hosts
-	// can't reach each other; nil if all can.
-	cold []ratelease.Upstream
-	cut  func(from, to *fleetHost) bool
+	mu        sync.Mutex
+	byAddress map[string]*fleetHost
+	// cold lists the upstreams that all hosts treat as cold. disconnected reports whether two
+	// hosts can't reach each other; nil if all can.
+	cold         []ratelease.Upstream
+	disconnected func(from, to *fleetHost) bool
 }
 
-// newFleet starts hosts in zones; the first hosts of the first three zones are seeds, and
-// one host in ten has a strong link.
+// newFleet starts hosts in zones. The first hosts of the first three zones are seeds, and the
+// first three hosts of each zone have a fast link.
 func newFleet(t *testing.T, hosts, zones, rows int) *fleet {
-	f := &fleet{t: t, store: newFleetStore(rows), at: make(map[string]*fleetHost)}
+	f := &fleet{t: t, store: newFleetStore(rows), byAddress: make(map[string]*fleetHost)}
 	for i := range hosts {
 		h := &fleetHost{name: fmt.Sprint("host-", i), zone: fmt.Sprint("zone-", i%zones), address: fmt.Sprint("10.0.0.", i)}
 		f.hosts = append(f.hosts, h)
@@ -216,30 +216,30 @@
 	}
 	for i, h := range f.hosts {
 		f.start(h, i < 3*zones)
-		time.Sleep(startsApart)
+		time.Sleep(startInterval)
 	}
 	t.Cleanup(func() {
 		for _, h := range f.hosts {
 			h.stop()
 		}
 		f.running.Wait()
-		time.Sleep(callTimeout) // questions to other hubs that are on their way
+		time.Sleep(callTimeout) // for queries to other hubs that are in flight
 	})
 	return f
 }
 
-// startsApart is the time between the starts of two hosts: 440 start within 138 ms. Hosts
-// that start in the same instant have timers that lapse together, on which the race
-// detector crashes in its own code (see the note on membership).
-const startsApart = 313 * time.Microsecond
+// startInterval is the time between the starts of two hosts: 440 start within 138 ms. Hosts
+// that start at the same instant have timers that expire together, which makes the race
+// detector itself crash (see the note on membership).
+const startInterval = 313 * time.Microsecond
 
-// start starts a host that knows nothing.
+// start starts a host without any data.
 func (f *fleet) start(h *fleetHost, strong bool) {
-	h.known, h.heard = make(map[string]storage.Revision), make(map[storage.Revision]time.Time)
+	h.revisions, h.receivedAt = make(map[string]storage.Revision), make(map[storage.Revision]time.Time)
 	h.mu.Lock()
 	h.contact, h.limits = ratelease.NewContact(time.Now()), make(map[ratelease.Upstream]*hostLimit)
 	h.mu.Unlock()
-	// A watcher that was stopped may still ask the member that it belonged to.
+	// A stopped watcher may still call the member that it belonged to.
 	var member *Member
 	options := feed.Options{
 		Relays:     func() bool { return member.Relays() },
@@ -261,7 +261,7 @@
 		Tables: map[string]*feed.Watcher{"t": h.watcher},
 		Work:   func() Work { return Work{NameOf("u"): 1} },
 		Leased: func(roots int) []ratelease.Grant { return append(f.coldGrants(roots), h.limitGrants(roots)...) },
-		Limits: h.limitWords, KnownLimits: h.knownLimits, TakeLimits: h.takeLimits,
+		Limits: h.newLimits, KnownLimits: h.knownLimits, TakeLimits: h.takeLimits,
 		TakeHolding: func(holding ratelease.Holding, rooted time.Time) {
 			h.mu.Lock()
 			defer h.mu.Unlock()
@@ -280,16 +280,16 @@
 		cancel()
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		delete(f.at, h.address)
+		delete(f.byAddress, h.address)
 	}
 	f.mu.Lock()
-	f.at[h.address] = h
+	f.byAddress[h.address] = h
 	f.mu.Unlock()
 	f.running.Go(func() { h.watcher.Run(ctx) })
 	f.running.Go(func() { member.follow(ctx, &fleetNetwork{fleet: f, from: h}) })
 }
 
-// coldGrants are a root's parts of the cold upstreams.
+// coldGrants returns a root's grants for the cold upstreams.
 func (f *fleet) coldGrants(roots int) []ratelease.Grant {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -301,7 +301,7 @@
 	return grants
 }
 
-// fleetNetwork carries one host's reports. A host that is gone answers nothing.
+// fleetNetwork carries one host's reports. A host that is gone doesn't answer.
 type fleetNetwork struct {
 	fleet *fleet
 	from  *fleetHost
@@ -313,8 +313,8 @@
 
 func (n *fleetNetwork) call(ctx context.Context, address string, report Report) (Reply, error) {
 	n.fleet.mu.Lock()
-	to := n.fleet.at[address]
-	if to != nil && n.fleet.cut != nil && n.fleet.cut(n.from, to) {
+	to := n.fleet.byAddress[address]
+	if to != nil && n.fleet.disconnected != nil && n.fleet.disconnected(n.from, to) {
 		to = nil
 	}
 	n.fleet.mu.Unlock()
@@ -335,57 +335,56 @@
 	if err != nil {
 		return Reply{}, err
 	}
-	told, err := json.Marshal(reply)
+	received, err := json.Marshal(reply)
 	if err != nil {
 		return Reply{}, err
 	}
 	time.Sleep(delay)
 	for _, h := range []*fleetHost{n.from, to} {
-		h.count(len(sent) + len(told))
+		h.count(len(sent) + len(received))
 	}
 	return reply, nil
 }
 
-// all says whether every host fulfils the condition.
-func (f *fleet) all(holds func(h *fleetHost) bool) bool {
-	return !slices.ContainsFunc(f.hosts, func(h *fleetHost) bool { return !holds(h) })
+// allHosts reports whether every host fulfils the condition.
+func (f *fleet) allHosts(condition func(h *fleetHost) bool) bool {
+	return !slices.ContainsFunc(f.hosts, func(h *fleetHost) bool { return !condition(h) })
 }
 
-// within waits until every host fulfils the condition, for the span at most.
-func (f *fleet) within(span time.Duration, holds func(h *fleetHost) bool) (took time.Duration, ok bool) {
+// waitAll waits until every host fulfils the condition, or the timeout expires.
+func (f *fleet) waitAll(timeout time.Duration, condition func(h *fleetHost) bool) (took time.Duration, ok bool) {
 	start := time.Now()
-	for time.Since(start) < span {
-		if f.all(holds) {
+	for time.Since(start) < timeout {
+		if f.allHosts(condition) {
 			return time.Since(start), true
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	return span, false
+	return timeout, false
 }
 
 // fleetSize is the size of an installation.
 type fleetSize struct{ hosts, zones int }
 
-// fleetSizes are the installations that the budgets hold for. The race detector crashes in
-// its own code where many timers of a bubble lapse at once (see the note on membership),
-// more often the larger the fleet is: it watches the smallest one, which runs the same code.
+// fleetSizes returns the installations that the budgets hold for. The race detector itself
+// crashes when many timers of a bubble expire at once (see the note on membership), more often
+// the larger the fleet is. It therefore runs only the smallest one, which uses the same code.
 func fleetSizes() []fleetSize {
-	if underRace {
+	if raceEnabled {
 		return []fleetSize{{30, 3}}
 	}
 	return []fleetSize{{30, 3}, {195, 5}, {440, 32}}
 }
 
-// In steady state a handful of hosts follow the store, whatever the installation's size;
-// each host's part of the traffic and the busiest one's stay within bounds, and a change
-// is known everywhere soon.
+// In steady state only a few hosts query the store, whatever the installation's size. The mean
+// traffic of a host stays within its budget, and a change reaches all hosts soon.
 func TestFleetInSteadyState(t *testing.T) {
 	const (
 		span = 10 * time.Second
-		// callsPerSecond: three seeds ask every 0.7 s.
+		// callsPerSecond: three seeds query every 0.7 s.
 		callsPerSecond = 6
-		// bytesPerSecond is a host's part for control; what a hub sends for its
-		// followers counts for the hub, too.
+		// bytesPerSecond is a host's budget for control traffic. What a hub sends to its
+		// followers counts for the hub as well.
 		bytesPerSecond = 7_000
 		changeWithin   = time.Second
 	)
@@ -411,16 +410,16 @@
 				for _, bytes := range traffic {
 					sum += bytes
 				}
-				mean := float64(sum) / 2 / float64(len(traffic)) / span.Seconds() // each byte was counted at both ends
+				mean := float64(sum) / 2 / float64(len(traffic)) / span.Seconds() // each byte is counted at both ends
 				revision := f.store.put("i-000007")
-				took, ok := f.within(5*time.Second, func(h *fleetHost) bool { return h.watcher.Revision() >= revision })
-				t.Logf("%d hosts: %.1f calls of the store a second, bytes a second: mean %.0f, busiest %d; a change is everywhere after %v",
+				took, ok := f.waitAll(5*time.Second, func(h *fleetHost) bool { return h.watcher.Revision() >= revision })
+				t.Logf("%d hosts: %.1f calls of the store a second, bytes a second: mean %.0f, busiest %d; a change reaches all hosts after %v",
 					size.hosts, rate, mean, traffic[len(traffic)-1]/int(span.Seconds()), took)
 				is.True(rate <= callsPerSecond)
 				is.True(mean <= bytesPerSecond)
 				is.True(ok && took <= changeWithin)
 				// Each host is counted once.
-				is.True(f.all(func(h *fleetHost) bool { return h.others()[NameOf("u")] == float64(size.hosts-1) }))
+				is.True(f.allHosts(func(h *fleetHost) bool { return h.others()[NameOf("u")] == float64(size.hosts-1) }))
 			})
 		})
 	}
@@ -434,7 +433,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				f := newFleet(t, size.hosts, size.zones, rows)
-				took, ok := f.within(10*time.Second, func(h *fleetHost) bool { return h.rows() == rows })
+				took, ok := f.waitAll(10*time.Second, func(h *fleetHost) bool { return h.rows() == rows })
 				_, lists := f.store.count()
 				t.Logf("%d hosts have the table after %v; %d pages were read from the store", size.hosts, took, lists)
 				is.True(ok && took < 2*time.Second)
@@ -444,12 +443,12 @@
 	}
 }
 
-// All upstreams start within two seconds, after the hosts. The word of hubs ended meanwhile,
-// and each of their followers read the store's changes page by page.
+// All upstreams start within two seconds, after the hosts. The hubs once stopped relaying
+// meanwhile, and each of their followers read the store's changes page by page.
 func TestFleetWhoseUpstreamsAllStart(t *testing.T) {
 	const upstreamsPerHost, span = 10, 2 * time.Second
 	sizes := []fleetSize{{195, 5}, {440, 5}}
-	if underRace {
+	if raceEnabled {
 		sizes = []fleetSize{{30, 3}}
 	}
 	for _, size := range sizes {
@@ -464,19 +463,19 @@
 					f.store.put(fmt.Sprintf("i-%06d", i))
 					time.Sleep(span / time.Duration(upstreams))
 				}
-				took, ok := f.within(10*time.Second, func(h *fleetHost) bool { return h.rows() == upstreams })
+				took, ok := f.waitAll(10*time.Second, func(h *fleetHost) bool { return h.rows() == upstreams })
 				after, _ := f.store.count()
-				t.Logf("%d hosts know %d upstreams %v after the last one started; %d calls of the store", size.hosts, upstreams, took, after-calls)
-				is.True(ok && took < 2*time.Second) // feed.Options.Heed
+				t.Logf("%d hosts have %d upstreams %v after the last one started; %d calls of the store", size.hosts, upstreams, took, after-calls)
+				is.True(ok && took < 2*time.Second) // the default of feed.Options.Heed
 				seeds := 3*int((span+took)/feed.RelayGather) + 3*(upstreams/storePage+1)
-				is.True(after-calls <= seeds+size.hosts/10) // hardly a host but the seeds asks the store
+				is.True(after-calls <= seeds+size.hosts/10) // few hosts other than the seeds query the store
 			})
 		})
 	}
 }
 
-// The hub of a zone is lost: its hosts find another within two seconds and hear the
-// store's word there; no herd meets the store.
+// The hub of a zone fails. Its hosts find another one within two seconds and receive table
+// updates there, without all calling the store at once.
 func TestFleetLosesAHub(t *testing.T) {
 	for _, size := range fleetSizes() {
 		t.Run(fmt.Sprint(size.hosts), func(t *testing.T) {
@@ -496,12 +495,12 @@
 				lost.stop()
 				f.hosts = slices.DeleteFunc(f.hosts, func(h *fleetHost) bool { return h == lost })
 				time.Sleep(2 * time.Second)
-				is.True(f.all(func(h *fleetHost) bool { return h.member.Hub() != "" && h.member.Hub() != lost.address }))
+				is.True(f.allHosts(func(h *fleetHost) bool { return h.member.Hub() != "" && h.member.Hub() != lost.address }))
 				revision := f.store.put("i-000007")
-				took, ok := f.within(5*time.Second, func(h *fleetHost) bool { return h.watcher.Revision() >= revision })
+				took, ok := f.waitAll(5*time.Second, func(h *fleetHost) bool { return h.watcher.Revision() >= revision })
 				time.Sleep(time.Second)
 				after, _ := f.store.count()
-				t.Logf("%d calls in the three seconds after the loss; a change is everywhere after %v", after-calls, took)
+				t.Logf("%d calls in the three seconds after the loss; a change reaches all hosts after %v", after-calls, took)
 				is.True(ok && took < time.Second)
 				is.True(after-calls < 100)
 			})
@@ -509,8 +508,8 @@
 	}
 }
 
-// All seeds are lost for good: the zones' hubs go on for their hosts, and changes are
-// heard everywhere.
+// All seeds fail for good. The zones' hubs keep serving their hosts, and changes still reach
+// all hosts.
 func TestFleetLosesItsSeeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -523,8 +522,8 @@
 		f.hosts = f.hosts[3:]
 		time.Sleep(3 * time.Second)
 		revision := f.store.put("i-000007")
-		took, ok := f.within(10*time.Second, func(h *fleetHost) bool { return h.watcher.Revision() >= revision })
-		t.Logf("a change is everywhere after %v", took)
+		took, ok := f.waitAll(10*time.Second, func(h *fleetHost) bool { return h.watcher.Revision() >= revision })
+		t.Logf("a change reaches all hosts after %v", took)
 		is.True(ok && took < 2*time.Second)
 	})
 }
--- a/internal/exchange/follow.go
+++ b/internal/exchange/follow.go
@@ -8,7 +8,7 @@
 	"github.com/quetzalweir/quetzalweir/ratelease"
 )
 
-// follow exchanges with the hub until the context ends.
+// follow exchanges reports with the hub until the context ends.
 func (m *Member) follow(ctx context.Context, net network) {
 	ticker := time.NewTicker(Interval)
 	defer ticker.Stop()
@@ -21,149 +21,154 @@
 	}
 }
 
-// step makes one exchange, after a look for a better hub if it is time for that.
+// step makes one exchange, after a probe for a better hub if one is due.
 func (m *Member) step(ctx context.Context, net network) {
-	if !m.settled() && boottime.Now().After(m.lookAt) {
-		m.look(ctx, net)
+	if !m.hubIsFinal() && boottime.Now().After(m.nextProbeAt) {
+		m.findHub(ctx, net)
 	}
-	m.noteRole()
+	m.updateJudging()
 	switch m.current {
 	case "":
-		m.heard.Store(false)
+		m.hubAnswered.Store(false)
 	case m.options.Listen:
 		report := m.report()
-		m.noteLeads(true)
-		m.hub.noteKnowsLimits(true)
-		m.takeOwnReport(report)
-		m.untoldLimits = m.untoldLimits[len(report.Limits):]
-		m.takeOwn(report.WantTimings)
-		m.holdAsRoot()
-		m.holdOwn()
+		m.setHasFollowers(true)
+		m.hub.setHasAllLimits(true)
+		m.recordOwnReport(report)
+		m.unsentLimits = m.unsentLimits[len(report.Limits):]
+		m.applyOwnHub(report.WantTimings)
+		m.assignRootLease()
+		m.applyOwnLease()
 		m.askHubs(ctx, net)
 	default:
 		m.exchange(ctx, net)
 	}
 }
 
-// exchange makes one exchange with the hub, for this host and those that it leads.
+// exchange makes one exchange with the hub, on behalf of this host and its followers.
 func (m *Member) exchange(ctx context.Context, net network) {
-	leads := m.hub.leads()
-	m.noteLeads(leads)
-	report, told := m.report(), told{}
-	toldLimits := len(report.Limits)
-	report.ReadsSince, report.LimitsKnown, report.Holds = m.readsSince, m.limits.Mark(), ratelease.Digest(m.granted)
-	if leads {
-		report, told = m.leadersReport(report)
+	hasFollowers := m.hub.hasFollowers()
+	m.setHasFollowers(hasFollowers)
+	report, upTo := m.report(), forwarded{}
+	sentLimits := len(report.Limits)
+	report.ReadsSince, report.LimitsMark, report.GrantsDigest = m.hubReadsSeq, m.limits.Mark(), ratelease.Digest(m.granted)
+	if hasFollowers {
+		report, upTo = m.aggregateReport(report)
 	}
-	asked := boottime.Now()
-	reply, err := ask(ctx, net, m.current, report)
-	m.heard.Store(err == nil)
-	m.hub.told.Store(err == nil && reply.Relays)
+	requestedAt := boottime.Now()
+	reply, err := callWithTimeout(ctx, net, m.current, report)
+	m.hubAnswered.Store(err == nil)
+	m.hub.receivesTables.Store(err == nil && reply.Relays)
 	if err != nil {
-		m.lose(net, err)
+		m.hubFailed(net, err)
 		return
 	}
-	m.takeStanding(reply.Standing)
-	m.takeLease(reply, asked)
-	m.untoldLimits = m.untoldLimits[toldLimits:]
-	m.takeHubLimits(reply.Limits, leads)
-	if leads {
-		m.toldReads, m.toldSightings, m.readsSince, m.toldLimits = told.reads, told.sightings, reply.ReadsLast, told.limits
-		m.hub.takeHub(m.current, reply, max(0, reply.Hosts-report.Hosts))
-		m.takeOwn(report.WantTimings)
+	m.applyStanding(reply.Standing)
+	m.acceptLease(reply, requestedAt)
+	m.unsentLimits = m.unsentLimits[sentLimits:]
+	m.applyHubLimits(reply.Limits, hasFollowers)
+	if hasFollowers {
+		m.forwardedReadsSeq, m.forwardedSightingsSeq, m.hubReadsSeq, m.forwardedLimitsMark = upTo.reads, upTo.sightings, reply.ReadsLast, upTo.limits
+		m.hub.recordHub(m.current, reply, max(0, reply.Hosts-report.Hosts))
+		m.applyOwnHub(report.WantTimings)
 	} else {
-		m.unseen = Sightings{} // the hub has them
-		m.readsSince, m.ownSince = reply.ReadsLast, 0
-		m.take(reply, asked)
+		m.unsentSightings = Sightings{} // the hub has them
+		m.hubReadsSeq, m.ownHubReadsSeq = reply.ReadsLast, 0
+		m.apply(reply, requestedAt)
 	}
-	m.offer(reply, asked)
-	m.goOver(reply.Assigned)
+	m.offerTables(reply, requestedAt)
+	m.acceptAssignment(reply.Assigned)
 }
 
-// told is up to which numbers of the own hub a report tells what that was told.
-type told struct {
+// forwarded holds the positions in this host's own hub up to which a report forwards its data
+// to the hub above.
+type forwarded struct {
 	reads, sightings uint64
 	limits           ratelease.Mark
 }
 
-// leadersReport is the report for this host and its followers, and what it tells up to.
-// Evidence waits until the hub before has forgotten it.
-func (m *Member) leadersReport(own Report) (report Report, upTo told) {
-	m.takeOwnReport(own)
-	m.untold = make(Reads) // the own hub has them
-	report, upTo.reads = m.hub.subtree(own, m.toldReads, m.current)
-	report.Sightings, upTo.sightings = m.hub.sightingsSince(m.toldSightings, m.current)
-	limits := m.hub.limitsSince(m.toldLimits, toHub)
+// aggregateReport returns the report on behalf of this host and its followers, and the
+// positions up to which it forwards. Evidence is left out until the previous hub's copy has
+// expired.
+func (m *Member) aggregateReport(own Report) (report Report, upTo forwarded) {
+	m.recordOwnReport(own)
+	m.unsentReads = make(Reads) // this host's own hub has them
+	report, upTo.reads = m.hub.subtreeReport(own, m.forwardedReadsSeq, m.current)
+	report.Sightings, upTo.sightings = m.hub.sightingsSince(m.forwardedSightingsSeq, m.current)
+	limits := m.hub.limitsSince(m.forwardedLimitsMark, toHub)
 	report.Limits, upTo.limits = limits.Words, limits.Mark
-	if !m.alone() {
+	if !m.previousHubExpired() {
 		report.Evidence = nil
 	}
 	return report, upTo
 }
 
-// takeOwnReport tells the own hub what this host reports.
-func (m *Member) takeOwnReport(own Report) {
-	m.hub.take(m.options.Host, own)
-	m.hub.takeLimits(false, own.Limits, false)
-	m.takeOwnSightings(own.Sightings)
+// recordOwnReport passes this host's report to its own hub.
+func (m *Member) recordOwnReport(own Report) {
+	m.hub.record(m.options.Host, own)
+	m.hub.recordLimits(false, own.Limits, false)
+	m.recordOwnSightings(own.Sightings)
 }
 
-// takeOwnSightings tells the own hub what this host saw.
-func (m *Member) takeOwnSightings(s Sightings) {
-	m.hub.takeSightings(m.options.Host, s)
-	m.unseen = Sightings{}
+// recordOwnSightings passes this host's sightings to its own hub.
+func (m *Member) recordOwnSightings(s Sightings) {
+	m.hub.recordSightings(m.options.Host, s)
+	m.unsentSightings = Sightings{}
 }
 
-// offer passes the store's word on to the tables' watchers.
-func (m *Member) offer(reply Reply, asked time.Time) {
+// offerTables passes the hub's table updates to the tables' watchers.
+func (m *Member) offerTables(reply Reply, requestedAt time.Time) {
 	for name, w := range m.options.Tables {
-		news, ok := reply.Tables[name]
+		update, ok := reply.Tables[name]
 		switch {
 		case ok:
-			w.Offer(news.news(), asked)
-		case !reply.Relays && !reply.Later && reply.Assigned == "":
+			w.Offer(update.decode(), requestedAt)
+		case !reply.Relays && !reply.TablePending && reply.Assigned == "":
 			w.NoOffer()
 		}
 	}
 }
 
-// takeOwn takes what the own hub knows of the other hosts, with their timings or without.
-func (m *Member) takeOwn(timings bool) {
-	sums := m.hub.sums(m.options.Host, m.ownSince, toHost)
-	if timings {
-		sums.Timings = m.hub.toldTimings(m.options.Host, toHost)
+// applyOwnHub applies the other hosts' data that this host's own hub has, including their
+// timings if requested.
+func (m *Member) applyOwnHub(withTimings bool) {
+	sums := m.hub.otherSums(m.options.Host, m.ownHubReadsSeq, toHost)
+	if withTimings {
+		sums.Timings = m.hub.otherTimings(m.options.Host, toHost)
 	}
-	m.ownSince = sums.ReadsLast
-	m.takeOwnLimits()
-	m.take(sums, boottime.Now())
+	m.ownHubReadsSeq = sums.ReadsLast
+	m.applyOwnHubLimits()
+	m.apply(sums, boottime.Now())
 }
 
-// take takes what a hub told of the other hosts, as of a time.
-func (m *Member) take(reply Reply, at time.Time) {
+// apply passes the other hosts' data in a reply, as of the given time, to the callbacks in
+// Options.
+func (m *Member) apply(reply Reply, at time.Time) {
 	m.options.Others(reply.Work, at)
-	m.takeHosts(reply.Hosts)
-	m.takeEvidence(reply.Evidence)
-	m.takeReads(reply.Reads)
+	m.applyHostCount(reply.Hosts)
+	m.applyEvidence(reply.Evidence)
+	m.applyReads(reply.Reads)
 	if m.options.TakeTimings != nil && len(reply.Timings) > 0 {
 		m.options.TakeTimings(reply.Timings)
 	}
 }
 
-// takeReads takes the others' reads. The hub has this host's.
-func (m *Member) takeReads(reads Reads) {
-	m.untold = make(Reads)
+// applyReads passes on the other hosts' reads. It also drops this host's unsent reads, which
+// the hub has received.
+func (m *Member) applyReads(reads Reads) {
+	m.unsentReads = make(Reads)
 	if m.options.TakeReads != nil && len(reads) > 0 {
 		m.options.TakeReads(reads)
 	}
 }
 
-func (m *Member) takeHosts(n int) {
+func (m *Member) applyHostCount(n int) {
 	if m.options.Hosts != nil && n > 0 {
 		m.options.Hosts(n)
 	}
 }
 
-func (m *Member) takeEvidence(list []Evidence) {
+func (m *Member) applyEvidence(list []Evidence) {
 	if m.options.TakeEvidence != nil && len(list) > 0 {
 		m.options.TakeEvidence(list)
 	}
--- a/internal/exchange/hub.go
+++ b/internal/exchange/hub.go
@@ -18,160 +18,163 @@
 
 // hub answers the reports of other hosts.
 type hub struct {
-	// self is this host's name, linkMbps the rate of its network link.
+	// self is this host's name; linkMbps is the bandwidth of its network link.
 	self     string
 	zone     string
 	linkMbps float64
 	tables   map[string]*feed.Watcher
-	// quarantine is told what followers saw; nil without one.
+	// quarantine receives the followers' sightings. It may be nil.
 	quarantine Quarantine
 	log        zerolog.Logger
 
-	// relaying is what relays said last.
-	relaying atomic.Bool
-	// told says that another hub tells this one the store's word.
-	told atomic.Bool
+	// wasRelaying is the last result of relays.
+	wasRelaying atomic.Bool
+	// receivesTables reports whether another hub relays table updates to this one.
+	receivesTables atomic.Bool
 
 	mu      sync.Mutex
-	reports map[string]received
+	reports map[string]receivedReport
 	reads   readLog
 	timings map[string]Timings
-	// sightings are what this hub was told of upstreams that ended.
+	// sightings holds the received sightings, for other hubs.
 	sightings sightingLog
-	// zones are the hubs that this one named, by zone.
+	// zones holds the hubs that this one has named, by zone.
 	zones map[string]*zoneHubs
-	// lessor hands on the parts of upstreams' requests that this host holds.
+	// lessor divides the parts of the upstreams' limits that this host holds among the hosts
+	// that report here.
 	lessor *ratelease.Lessor
-	// limits are what this hub was told of upstreams' limits.
+	// limits holds the upstreams' limits that this hub has received.
 	limits *ratelease.Log
-	// knowsLimits says that the hub that this one reports to has told all that it knows, or
-	// this one is a root.
-	knowsLimits bool
-	startedAt   time.Time
-	// rootedAt is when a root of the tree stood behind what this host holds.
-	rootedAt time.Time
+	// hasAllLimits reports whether the hub that this one reports to has sent all its limits, or
+	// this host is a root.
+	hasAllLimits bool
+	startedAt    time.Time
+	// lastRootedAt is when this host's grants last derived from a root of the hub tree.
+	lastRootedAt time.Time
 }
 
-// received is a host's latest report, or what another hub told of its followers.
-type received struct {
+// receivedReport is a host's latest report, or another hub's data on its followers.
+type receivedReport struct {
 	report Report
 	at     time.Time
-	// fromHub says that another hub told it, hosts for how many it speaks.
+	// fromHub marks another hub's reply to a query. hosts is the number of hosts that the data
+	// cover.
 	fromHub bool
 	hosts   int
 }
 
-// audience is whom a hub tells something.
+// audience is the kind of host that data are sent to.
 type audience int
 
 const (
-	// toHost: a host hears what all others told.
+	// toHost: a host receives the data of all others.
 	toHost audience = iota
-	// toHub: another hub hears what this one's own followers told; it adds up the
-	// hubs itself, so that nothing goes round.
+	// toHub: another hub receives only the data of this hub's own followers. It adds up the
+	// hubs' sums itself, so nothing is counted twice.
 	toHub
 )
 
-// hears says whether the audience is told the report.
-func (a audience) hears(r received) bool { return a == toHost || !r.fromHub }
+// includes reports whether the report is sent to the audience.
+func (a audience) includes(r receivedReport) bool { return a == toHost || !r.fromHub }
 
-// maxTold bounds the upstreams whose work a host is told, the busiest first, and with
-// that a host's part of the exchange to the 7 KB a second that control may take: an
-// upstream takes 8 bytes of each answer.
-const maxTold = 100
+// maxReportedUpstreams bounds the upstreams whose work is sent to a host, the busiest first.
+// With 8 bytes for each upstream in each reply, this keeps a host within the 7 KB a second
+// allowed for control traffic.
+const maxReportedUpstreams = 100
 
 func newHub(options Options, log zerolog.Logger) *hub {
 	return &hub{
 		self: options.Host, zone: options.Zone, linkMbps: options.LinkMbps, tables: options.Tables, quarantine: options.Quarantine, log: log,
-		reports: make(map[string]received), timings: make(map[string]Timings), zones: make(map[string]*zoneHubs),
+		reports: make(map[string]receivedReport), timings: make(map[string]Timings), zones: make(map[string]*zoneHubs),
 		lessor: ratelease.NewLessor(boottime.Now()), limits: ratelease.NewLog(uint64(rand.Uint32())), startedAt: boottime.Now(),
 	}
 }
 
-// exchange takes a host's report, or another hub's question, and answers it.
+// exchange records a host's report and answers it, or answers another hub's query.
 func (h *hub) exchange(_ context.Context, from string, r Report) (Reply, error) {
 	switch {
-	case r.Look:
+	case r.Probe:
 		return Reply{Zone: h.zone}, nil
 	case r.Hub:
-		reply := h.sums(from, r.ReadsSince, toHub)
+		reply := h.otherSums(from, r.ReadsSince, toHub)
 		if r.WantTimings {
-			reply.Timings = h.toldTimings(from, toHub)
+			reply.Timings = h.otherTimings(from, toHub)
 		}
 		reply.Sightings, reply.SightingsLast = h.sightingsSince(r.SightingsSince, r.Address)
-		reply.Limits = h.limitsSince(r.LimitsKnown, toHub)
+		reply.Limits = h.limitsSince(r.LimitsMark, toHub)
 		reply.Standing = h.standing(toHub)
 		if h.relays() {
-			reply.Tables, _ = h.news(from, r, true)
+			reply.Tables, _ = h.tableUpdates(from, r, true)
 		}
 		return reply, nil
 	}
-	h.take(from, r)
-	h.takeSightings(from, r.Sightings)
-	h.takeLimits(false, r.Limits, false)
-	h.noteRelaying()
-	reply := h.sums(from, r.ReadsSince, toHost)
+	h.record(from, r)
+	h.recordSightings(from, r.Sightings)
+	h.recordLimits(false, r.Limits, false)
+	h.updateRelaying()
+	reply := h.otherSums(from, r.ReadsSince, toHost)
 	if r.WantTimings {
-		reply.Timings = h.toldTimings(from, toHost)
+		reply.Timings = h.otherTimings(from, toHost)
 	}
 	reply.Standing = h.standing(toHost)
-	reply.Lease, reply.Rooted = h.lease(from, r.Holds), h.rooted()
-	reply.Limits = h.limitsSince(r.LimitsKnown, toHost)
+	reply.Lease, reply.Rooted = h.leaseFor(from, r.GrantsDigest), h.rooted()
+	reply.Limits = h.limitsSince(r.LimitsMark, toHost)
 	reply.Assigned = h.assign(from, r)
 	reply.Relays = h.relaysTo(from)
-	reply.Tables, reply.Later = h.news(from, r, reply.Relays)
+	reply.Tables, reply.TablePending = h.tableUpdates(from, r, reply.Relays)
 	return reply, nil
 }
 
-// sums is what a host or another hub is told of the others.
-func (h *hub) sums(self string, readsSince uint64, who audience) Reply {
-	reply := Reply{Zone: h.zone, Hosts: h.hosts(who), Work: h.others(self, who), Evidence: h.evidence(self, who)}
-	reply.Reads, reply.ReadsLast = h.readsSince(readsSince, self, who)
+// otherSums returns the part of a reply that sums up the other hosts' data.
+func (h *hub) otherSums(self string, readsSince uint64, to audience) Reply {
+	reply := Reply{Zone: h.zone, Hosts: h.hostCount(to), Work: h.otherWork(self, to), Evidence: h.otherEvidence(self, to)}
+	reply.Reads, reply.ReadsLast = h.readsSince(readsSince, self, to)
 	return reply
 }
 
-// take keeps a host's report in place of its last one.
-func (h *hub) take(from string, r Report) {
+// record replaces a host's last report.
+func (h *hub) record(from string, r Report) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.reports[from] = received{report: r, at: boottime.Now(), hosts: max(1, r.Hosts)}
+	h.reports[from] = receivedReport{report: r, at: boottime.Now(), hosts: max(1, r.Hosts)}
 	h.reads.add(from, false, r.Reads)
-	h.takeTimings(from, r.Timings)
+	h.recordTimings(from, r.Timings)
 }
 
-// readsSince is what others than the host read after a number, and the number of the last.
-func (h *hub) readsSince(number uint64, self string, who audience) (Reads, uint64) {
+// readsSince returns the reads of hosts other than self after the sequence number, and the last
+// sequence number.
+func (h *hub) readsSince(number uint64, self string, to audience) (Reads, uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.reads.since(number, self, who), h.reads.last
+	return h.reads.since(number, self, to), h.reads.last
 }
 
-// others sums the work of all hosts but one, of any zone: a host may choose any zone's
-// upstreams.
-func (h *hub) others(self string, who audience) Work {
+// otherWork sums the work of all hosts except self, of any zone: a host may send requests to
+// upstreams of any zone.
+func (h *hub) otherWork(self string, to audience) Work {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.dropOld()
+	h.dropExpired()
 	sum := make(Work)
 	for host, got := range h.reports {
-		if host == self || !who.hears(got) {
+		if host == self || !to.includes(got) {
 			continue
 		}
 		for upstream, work := range got.report.Work {
 			sum[upstream] += work
 		}
 	}
-	return busiest(sum, maxTold)
+	return busiest(sum, maxReportedUpstreams)
 }
 
 // busiest keeps the upstreams with the most work.
-func busiest(work Work, most int) Work {
-	if len(work) <= most {
+func busiest(work Work, limit int) Work {
+	if len(work) <= limit {
 		return work
 	}
 	amounts := slices.Sorted(maps.Values(work))
-	least := amounts[len(amounts)-most]
-	kept := make(Work, most)
+	least := amounts[len(amounts)-limit]
+	kept := make(Work, limit)
 	for id, w := range work {
 		if w >= least {
 			kept[id] = w
@@ -180,19 +183,20 @@
 	return kept
 }
 
-// relays says whether enough hosts rely on this one, by their own reports or over hubs that
-// report here for them.
+// relays reports whether enough hosts depend on this one to relay table updates. It counts
+// hosts that report here and those behind hubs that do.
 func (h *hub) relays() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.reporters().hosts >= minFollowers
 }
 
-// noteRelaying has the tables' watchers ask the store more often at once when hosts begin
-// to rely on this one: a call that the store holds for long tells them nothing meanwhile.
-func (h *hub) noteRelaying() {
+// updateRelaying makes the tables' watchers query the store more often as soon as this hub
+// starts to relay. Otherwise a call that the store holds for a long time would delay the first
+// update.
+func (h *hub) updateRelaying() {
 	relays := h.relays()
-	if relays == h.relaying.Swap(relays) || !relays {
+	if relays == h.wasRelaying.Swap(relays) || !relays {
 		return
 	}
 	for _, w := range h.tables {
@@ -200,21 +204,21 @@
 	}
 }
 
-// followers counts the hosts that report here, this one included. A hub that reports
-// for others is one.
+// followers returns the number of hosts that report here, including this one. A hub that
+// reports on behalf of others counts as one.
 func (h *hub) followers() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.reporters().all
 }
 
-// reporters counts the hosts that report here, the hubs among them, and the hosts for which all
-// of them speak.
+// reporters holds the number of hosts that report here, the number of hubs among them, and the
+// number of hosts that all of them report for.
 type reporters struct{ all, hubs, hosts int }
 
-// reporters counts those of now. The lock is held.
+// reporters counts the current reports. The caller holds the lock.
 func (h *hub) reporters() (n reporters) {
-	h.dropOld()
+	h.dropExpired()
 	for _, got := range h.reports {
 		if got.fromHub {
 			continue
@@ -228,22 +232,22 @@
 	return n
 }
 
-// hosts counts the hosts that the audience hears of.
-func (h *hub) hosts(who audience) int {
+// hostCount returns the number of hosts whose data the audience receives.
+func (h *hub) hostCount(to audience) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.dropOld()
+	h.dropExpired()
 	n := 0
 	for _, got := range h.reports {
-		if who.hears(got) {
+		if to.includes(got) {
 			n += got.hosts
 		}
 	}
 	return n
 }
 
-// dropOld forgets the hosts that say nothing any more. The lock is held.
-func (h *hub) dropOld() {
+// dropExpired drops the reports that are older than WorkAge. The caller holds the lock.
+func (h *hub) dropExpired() {
 	for host, got := range h.reports {
 		if boottime.Since(got.at) > WorkAge {
 			delete(h.reports, host)
--- a/internal/exchange/hubs.go
+++ b/internal/exchange/hubs.go
@@ -8,84 +8,85 @@
 	"github.com/quetzalweir/quetzalweir/ratelease"
 )
 
-// question is what a hub knows of asking another one.
-type question struct {
-	// underWay says that an answer is waited for, next is when the next question may go
-	// out, readsSince the number up to which the other hub's reads are known.
-	underWay   bool
-	next       time.Time
+// hubQuery is the state of this hub's queries to another hub.
+type hubQuery struct {
+	// inFlight reports whether an answer is pending. retryAt is the earliest time of the next
+	// query. readsSince is the sequence number of the last of the other hub's reads that was
+	// received.
+	inFlight   bool
+	retryAt    time.Time
 	readsSince uint64
-	// sightingsSince is the same for its sightings, answered says that the last question
-	// was answered.
+	// sightingsSince is the same for the other hub's sightings. answered reports whether it
+	// answered the last query.
 	sightingsSince uint64
 	answered       bool
-	// limits is the same for its words of limits.
-	limits ratelease.Mark
+	// limitsMark is the position in the other hub's log of limits up to which it was received.
+	limitsMark ratelease.Mark
 }
 
-// askHubs asks the other hubs for the sums of their followers, each by itself, so that a
-// dead one delays nothing.
+// askHubs queries each of the other seeds for the sums over its followers, concurrently, so
+// that a dead one delays nothing.
 func (m *Member) askHubs(ctx context.Context, net network) {
 	for _, seed := range m.options.Seeds {
 		if seed == m.options.Listen {
 			continue
 		}
-		known, ok := m.begin(seed)
+		state, ok := m.beginQuery(seed)
 		if !ok {
 			continue
 		}
 		report := Report{
-			Zone: m.options.Zone, Address: m.options.Listen, Hub: true, ReadsSince: known.readsSince, SightingsSince: known.sightingsSince, LimitsKnown: known.limits, Revisions: m.revisions(),
+			Zone: m.options.Zone, Address: m.options.Listen, Hub: true, ReadsSince: state.readsSince, SightingsSince: state.sightingsSince, LimitsMark: state.limitsMark, Revisions: m.revisions(),
 			WantTimings: m.exchanges%timingsEvery == 1,
 		}
-		asked := boottime.Now()
+		requestedAt := boottime.Now()
 		go func() {
-			reply, err := ask(ctx, net, seed, report)
+			reply, err := callWithTimeout(ctx, net, seed, report)
 			if err != nil {
 				net.forget(seed)
-				m.end(seed, question{next: boottime.Now().Add(retryHub), readsSince: known.readsSince, sightingsSince: known.sightingsSince, limits: known.limits})
+				m.endQuery(seed, hubQuery{retryAt: boottime.Now().Add(hubRetryInterval), readsSince: state.readsSince, sightingsSince: state.sightingsSince, limitsMark: state.limitsMark})
 				return
 			}
-			m.hub.takeHub(seed, reply, reply.Hosts)
-			m.hub.takeLimits(true, reply.Limits.Words, false)
-			m.takeStanding(reply.Standing)
-			m.offerIfLost(reply, asked)
-			m.end(seed, question{readsSince: reply.ReadsLast, sightingsSince: reply.SightingsLast, limits: reply.Limits.Mark, answered: true})
+			m.hub.recordHub(seed, reply, reply.Hosts)
+			m.hub.recordLimits(true, reply.Limits.Words, false)
+			m.applyStanding(reply.Standing)
+			m.offerTablesIfDisconnected(reply, requestedAt)
+			m.endQuery(seed, hubQuery{readsSince: reply.ReadsLast, sightingsSince: reply.SightingsLast, limitsMark: reply.Limits.Mark, answered: true})
 		}()
 	}
 }
 
-// offerIfLost passes another hub's word of the store on to the watchers that can't hear
-// the store themselves: the store may turn single hosts away.
-func (m *Member) offerIfLost(reply Reply, asked time.Time) {
+// offerTablesIfDisconnected passes another hub's table updates to those watchers that can't
+// reach the store themselves: the store may reject single hosts.
+func (m *Member) offerTablesIfDisconnected(reply Reply, requestedAt time.Time) {
 	for name, w := range m.options.Tables {
-		if news, ok := reply.Tables[name]; ok {
-			w.OfferIfLost(news.news(), asked)
+		if update, ok := reply.Tables[name]; ok {
+			w.OfferIfLost(update.decode(), requestedAt)
 		}
 	}
 }
 
-// begin says whether a hub may be asked, and what is known of it: no question is under way,
-// and the last one didn't fail just now.
-func (m *Member) begin(hub string) (known question, ok bool) {
+// beginQuery returns the state of the queries to a hub, and whether it may be queried now: no
+// query is in flight, and the last one didn't fail within hubRetryInterval.
+func (m *Member) beginQuery(hub string) (state hubQuery, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	q := m.others[hub]
+	q := m.hubQueries[hub]
 	if q == nil {
-		q = &question{}
-		m.others[hub] = q
+		q = &hubQuery{}
+		m.hubQueries[hub] = q
 	}
-	if q.underWay || boottime.Now().Before(q.next) {
-		return question{}, false
+	if q.inFlight || boottime.Now().Before(q.retryAt) {
+		return hubQuery{}, false
 	}
-	q.underWay = true
+	q.inFlight = true
 	return *q, true
 }
 
-// end notes that a question to a hub is over, and what is known of it then.
-func (m *Member) end(hub string, known question) {
+// endQuery records the state after a query has ended.
+func (m *Member) endQuery(hub string, state hubQuery) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	*m.others[hub] = known
-	m.noteSeeds()
+	*m.hubQueries[hub] = state
+	m.updateSeedsAnswered()
 }
--- a/internal/exchange/key.go
+++ b/internal/exchange/key.go
@@ -15,33 +15,33 @@
 )
 
 const (
-	// keyRow is the row of the key, in a table of its own.
+	// keyRow is the row that holds the key, in a table of its own.
 	keyRow = "hosts"
-	// keyID names the key in the hosts' handshake.
+	// keyID is the key's ID in the handshake between hosts.
 	keyID = "installation"
-	// keyTimeout bounds a call of the store for the key.
+	// keyTimeout bounds one read or creation of the key in the store.
 	keyTimeout = time.Second
-	// keyDelay gives those that make the key time to do so when a whole
-	// installation starts, which spares the others a second call.
+	// keyDelay is how long other hosts wait before they read the key when a whole installation
+	// starts. The seeds create it meanwhile, which saves the others a second call.
 	keyDelay = 300 * time.Millisecond
-	// keyRetry is the time between two tries to read the key: nothing but the
-	// exchange waits for it.
+	// keyRetry is the time between two attempts to read the key. Only the exchange depends on
+	// it.
 	keyRetry = time.Second
 )
 
-// errShortKey means that the row of the key holds something else.
+// errShortKey means that the key's row doesn't hold a usable key.
 var errShortKey = errors.New("exchange: the key is too short")
 
-// sharedKey reads the hosts' common key, and makes it if it isn't there, or is none, and
-// the host may. Whoever may read the store belongs to the installation, so hosts need
-// no other secret. Of two hosts that make one at the same time, the second finds
-// the first one's.
-func sharedKey(ctx context.Context, table storage.Table, mayMake bool) (peer.Key, error) {
+// sharedKey reads the hosts' common key. If it is missing or unusable, and mayMake is set,
+// sharedKey creates it. Every host with access to the store belongs to the installation, so
+// hosts need no other shared secret. If two hosts create the key at the same time, the second
+// one uses the first one's.
+func sharedKey(ctx context.Context, table storage.Table, mayCreate bool) (peer.Key, error) {
 	ctx, cancel := context.WithTimeout(ctx, keyTimeout)
 	defer cancel()
 	row, err := table.Get(ctx, keyRow)
 	unusable := err == nil && len(row.Value) < peer.MinSecretBytes
-	if mayMake && (unusable || errors.Is(err, storage.ErrNotFound)) {
+	if mayCreate && (unusable || errors.Is(err, storage.ErrNotFound)) {
 		secret := make([]byte, peer.MinSecretBytes)
 		rand.Read(secret) // never fails: crypto/rand ends the process if there is no randomness
 		if err := putKey(ctx, table, secret, row.Version); err != nil {
@@ -58,7 +58,8 @@
 	return peer.Key{ID: keyID, Secret: row.Value}, nil
 }
 
-// putKey writes the key in place of the row's version, unless another host was first.
+// putKey writes the key unless the row's version has changed, which means that another host
+// wrote it first.
 func putKey(ctx context.Context, table storage.Table, secret []byte, version uint64) error {
 	_, err := table.Commit(ctx, storage.Txn{
 		Conditions: []storage.Condition{{Key: keyRow, Version: version}},
@@ -70,27 +71,27 @@
 	return err
 }
 
-// keepKey writes the key again where the store came back from a copy that lacks it: a host
-// that starts would make another one. The hosts that may make it do so.
-func (m *Member) keepKey(ctx context.Context, key peer.Key) {
+// restoreKey writes the key again after the store was restored from a backup that lacks it.
+// Otherwise a host that starts would create a different one. Only the seeds do so.
+func (m *Member) restoreKey(ctx context.Context, key peer.Key) {
 	if !slices.Contains(m.options.Seeds, m.options.Listen) {
 		return
 	}
-	kept := m.era()
+	writtenEra := m.storeEra()
 	wait.Every(ctx, keyRetry, func() {
-		era := m.era()
-		if era == kept {
+		era := m.storeEra()
+		if era == writtenEra {
 			return
 		}
 		if err := m.writeKey(ctx, key); err != nil {
 			m.log.Warn().Str("event", "key-unsaved").Uint64("era", era).Err(err).Msg("")
 			return
 		}
-		kept = era
+		writtenEra = era
 	})
 }
 
-// writeKey writes the key if no host has.
+// writeKey writes the key if the row is missing.
 func (m *Member) writeKey(ctx context.Context, key peer.Key) error {
 	ctx, cancel := context.WithTimeout(ctx, keyTimeout)
 	defer cancel()
@@ -105,8 +106,8 @@
 	return putKey(ctx, m.options.Keys, key.Secret, 0)
 }
 
-// era is the store's, as far as its tables tell.
-func (m *Member) era() uint64 {
+// storeEra returns the newest era of the store among its tables' revisions.
+func (m *Member) storeEra() uint64 {
 	newest := uint64(0)
 	for _, w := range m.options.Tables {
 		newest = max(newest, w.Revision().Era())
@@ -114,17 +115,16 @@
 	return newest
 }
 
-// key reads the hosts' common key until it is there; a host that may be a hub
-// makes it.
-func (m *Member) key(ctx context.Context) (peer.Key, error) {
-	mayMake := slices.Contains(m.options.Seeds, m.options.Listen)
-	if m.options.FirstStart && !mayMake {
+// awaitKey reads the hosts' common key, and retries until it exists. A seed creates it.
+func (m *Member) awaitKey(ctx context.Context) (peer.Key, error) {
+	mayCreate := slices.Contains(m.options.Seeds, m.options.Listen)
+	if m.options.FirstStart && !mayCreate {
 		if err := wait.For(ctx, keyDelay); err != nil {
 			return peer.Key{}, err
 		}
 	}
 	for {
-		key, err := sharedKey(ctx, m.options.Keys, mayMake)
+		key, err := sharedKey(ctx, m.options.Keys, mayCreate)
 		if err == nil {
 			return key, nil
 		}
--- a/internal/exchange/key_test.go
+++ b/internal/exchange/key_test.go
@@ -15,7 +15,7 @@
 	"github.com/quetzalweir/quetzalweir/storage/memory"
 )
 
-// returningTable is a table of a store that comes back from a copy.
+// returningTable is a table of a store that is restored from a backup.
 type returningTable struct{ era atomic.Uint64 }
 
 func (r *returningTable) page() feed.Page {
@@ -34,7 +34,7 @@
 	return r.page(), ctx.Err()
 }
 
-// A copy without the hosts' key gets it back, from the seeds alone and once.
+// If the restored backup lacks the hosts' key, the seeds alone write it again, and once.
 func TestKeyIsWrittenAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -44,19 +44,19 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		for _, seed := range []string{"10.0.0.1", "10.0.0.2", "10.0.0.9"} {
-			w := feed.NewWatcher("t", source, ignore{}, feed.Options{}, zerolog.Nop())
+			w := feed.NewWatcher("t", source, discardHandler{}, feed.Options{}, zerolog.Nop())
 			m := New(Options{
 				Host: seed, Listen: seed, Seeds: []string{"10.0.0.1", "10.0.0.2"}, Keys: keys, Tables: map[string]*feed.Watcher{"t": w},
 			}, zerolog.Nop())
 			go w.Run(ctx)
-			go m.keepKey(ctx, key)
+			go m.restoreKey(ctx, key)
 		}
 		time.Sleep(2 * keyRetry)
 		_, err = keys.Commit(ctx, storage.Txn{Deletes: []string{keyRow}})
 		is.NoErr(err)
 		time.Sleep(2 * keyRetry)
 		_, err = keys.Get(ctx, keyRow)
-		is.True(err != nil) // within an era nobody looks
+		is.True(err != nil) // the seeds check only after a change of era
 		source.era.Store(1)
 		time.Sleep(3 * keyRetry)
 		row, err := keys.Get(ctx, keyRow)
--- a/internal/exchange/lease.go
+++ b/internal/exchange/lease.go
@@ -13,17 +13,18 @@
 // Lease is ratelease.Lease on the wire.
 type Lease struct {
 	Grants Grants `json:"grants,omitempty"`
-	// Same says that the grants are those that the host said it has.
-	Same  bool  `json:"same,omitempty"`
-	ForMs int64 `json:"for_ms"`
-	Roots int   `json:"roots"`
+	// Unchanged reports that the grants are those whose digest the host sent; Grants is empty
+	// then.
+	Unchanged bool  `json:"same,omitempty"`
+	ForMs     int64 `json:"for_ms"`
+	Roots     int   `json:"roots"`
 }
 
-// Grants are parts of upstreams' requests.
+// Grants lists the granted parts of the upstreams' request limits.
 type Grants []ratelease.Grant
 
-// grantSize is the size of a grant in messages, before it is written as text: the upstream
-// and two counts.
+// grantSize is the size of an encoded grant in bytes, before base64: the upstream and two
+// counts.
 const grantSize = 8 + 1 + 1
 
 // MarshalJSON implements json.Marshaler.
@@ -49,9 +50,9 @@
 	return nil
 }
 
-// lease is what the host gets of this one's holding; has is the digest of the grants that it
-// has already.
-func (h *hub) lease(host string, has uint64) Lease {
+// leaseFor returns the host's part of this host's lease. knownDigest is the digest of the
+// grants that the host already has.
+func (h *hub) leaseFor(host string, knownDigest uint64) Lease {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	l, digest := h.lessor.Lease(host, boottime.Now())
@@ -59,28 +60,28 @@
 		return Lease{}
 	}
 	wire := Lease{ForMs: l.For.Milliseconds(), Roots: l.Roots}
-	if wire.Same = digest == has; !wire.Same {
+	if wire.Unchanged = digest == knownDigest; !wire.Unchanged {
 		wire.Grants = l.Grants
 	}
 	return wire
 }
 
-// lease is what the reply grants; had are the grants that the host reported to have.
-func (l Lease) lease(had Grants) ratelease.Lease {
+// decode returns the lease. previous are the grants whose digest the host sent.
+func (l Lease) decode(previous Grants) ratelease.Lease {
 	grants := l.Grants
-	if l.Same {
-		grants = had
+	if l.Unchanged {
+		grants = previous
 	}
 	return ratelease.Lease{Grants: grants, For: time.Duration(l.ForMs) * time.Millisecond, Roots: l.Roots}
 }
 
-// hold begins a lease that this host was given when it asked, and decides who gets it. This
-// host itself is one of those that report here, also where nobody else does: those that did
-// may hold a lease for a moment.
-func (h *hub) hold(l ratelease.Lease, asked time.Time) {
+// assignLease starts a lease that was granted to a request sent at requestedAt, and divides it
+// among the hosts that report here. This host always counts as one of them, even if no other
+// host reports here any more: hosts that did may still hold a lease for a moment.
+func (h *hub) assignLease(l ratelease.Lease, requestedAt time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.dropOld()
+	h.dropExpired()
 	now := boottime.Now()
 	reporters := map[string]int{h.self: 1}
 	for name, got := range h.reports {
@@ -88,65 +89,66 @@
 			reporters[name] = got.hosts
 		}
 	}
-	holding := ratelease.Hold(l, asked, nil)
+	holding := ratelease.Hold(l, requestedAt, nil)
 	h.lessor.Assign(holding.Lease(now), reporters, now)
 }
 
-// rooted says whether this host's holding comes from a root, or it is one.
-func (h *hub) rooted() bool { return boottime.Since(h.rootedLast()) < ratelease.LeaseTime }
+// rooted reports whether this host's grants derive from a root of the hub tree, or it is a
+// root.
+func (h *hub) rooted() bool { return boottime.Since(h.lastRooted()) < ratelease.LeaseTime }
 
-// rootedLast is when a root of the tree stood behind what this host holds.
-func (h *hub) rootedLast() time.Time {
+// lastRooted returns when this host's grants last derived from a root of the hub tree.
+func (h *hub) lastRooted() time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.rootedAt
+	return h.lastRootedAt
 }
 
-// noteRooted takes in that a root stood behind what this host holds at the time.
-func (h *hub) noteRooted(at time.Time) {
+// setRootedAt records that this host's grants derived from a root at the given time.
+func (h *hub) setRootedAt(at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.rootedAt = at
+	h.lastRootedAt = at
 }
 
-// takeLease takes what the hub granted to this host and those that report to it.
-func (m *Member) takeLease(reply Reply, asked time.Time) {
-	lease := reply.Lease.lease(m.granted)
+// acceptLease takes over the lease that the hub granted to this host and its followers.
+func (m *Member) acceptLease(reply Reply, requestedAt time.Time) {
+	lease := reply.Lease.decode(m.granted)
 	m.granted = lease.Grants
 	if reply.Rooted {
-		m.hub.noteRooted(asked)
+		m.hub.setRootedAt(requestedAt)
 	}
-	m.hub.hold(lease, asked)
-	m.holdOwn()
+	m.hub.assignLease(lease, requestedAt)
+	m.applyOwnLease()
 }
 
-// holdAsRoot has a root of the tree hold its part of all upstreams that are leased.
-func (m *Member) holdAsRoot() {
+// assignRootLease makes a root of the hub tree hold its own part of all leased upstreams.
+func (m *Member) assignRootLease() {
 	if m.options.Leased == nil {
 		return
 	}
 	roots := len(m.options.Seeds)
-	m.hub.noteRooted(boottime.Now())
-	m.hub.hold(ratelease.Root(m.options.Leased(roots), roots), boottime.Now())
+	m.hub.setRootedAt(boottime.Now())
+	m.hub.assignLease(ratelease.Root(m.options.Leased(roots), roots), boottime.Now())
 }
 
-// holdOwn takes what this host gets of its own holding.
-func (m *Member) holdOwn() {
+// applyOwnLease takes over this host's part of the lease that its own hub divides.
+func (m *Member) applyOwnLease() {
 	if m.options.TakeHolding == nil {
 		return
 	}
 	now := boottime.Now()
-	lease := m.hub.lease(m.options.Host, 0).lease(nil)
-	if own := m.unledRoot(); len(own) > 0 {
+	lease := m.hub.leaseFor(m.options.Host, 0).decode(nil)
+	if own := m.unusedRootGrants(); len(own) > 0 {
 		lease = ratelease.Root(ratelease.Merge(own, lease.Grants), len(m.options.Seeds))
 	}
 	m.holding = ratelease.Hold(lease, now, &m.holding)
-	m.options.TakeHolding(m.holding, m.hub.rootedLast())
+	m.options.TakeHolding(m.holding, m.hub.lastRooted())
 }
 
-// unledRoot is what a seed hands out that reports to another one of its zone, to itself
-// alone: nobody else has it.
-func (m *Member) unledRoot() []ratelease.Grant {
+// unusedRootGrants returns the root's part of a seed that reports to another seed of its zone.
+// The seed uses this part alone: no other host has it.
+func (m *Member) unusedRootGrants() []ratelease.Grant {
 	seeds, self := m.options.Seeds, m.options.Listen
 	if m.options.Leased == nil || m.current == self || !slices.Contains(seeds, self) || boottime.Since(m.hub.startedAt) < ratelease.Handover {
 		return nil
--- a/internal/exchange/lease_test.go
+++ b/internal/exchange/lease_test.go
@@ -16,27 +16,27 @@
 	"github.com/quetzalweir/quetzalweir/ratelease"
 )
 
-// The load of these tests: a zone's upstreams return at once, idle, and each host would
-// send all that it has to them. Hosts send as much as their leases permit at every moment,
-// so the greatest number that reaches an upstream in a second is what the leases permit.
+// The load of these tests: all upstreams of a zone restart at once and are idle, and each host
+// would send all its requests to them. Hosts always send as much as their leases permit, so the
+// greatest number of requests that reaches an upstream in a second is what the leases permit.
 
-// coldBound permits 32 requests in a second.
+// coldBound permits 32 requests a second.
 var coldBound = ratelease.Bound{Rate: 18, Overrun: 1.5, Spare: 5}
 
-// coldSends are the sends to cold upstreams.
+// coldSends records the requests sent to cold upstreams.
 type coldSends struct {
 	at map[ratelease.Upstream][]time.Time
-	// windows are the hosts' own counts; a host that starts again has none.
+	// windows holds the hosts' own counts; a host that restarts begins without any.
 	windows map[string]map[ratelease.Upstream]*ratelease.Window
-	// careless is a host that sends what it likes; none if it is empty.
-	careless string
+	// nonCompliant is a host that ignores its leases; empty for none.
+	nonCompliant string
 }
 
 func newColdSends() *coldSends {
 	return &coldSends{at: make(map[ratelease.Upstream][]time.Time), windows: make(map[string]map[ratelease.Upstream]*ratelease.Window)}
 }
 
-// send has each host send what it may.
+// send makes each host send as much as it may.
 func (s *coldSends) send(f *fleet) {
 	now := time.Now()
 	for _, h := range f.hosts {
@@ -48,7 +48,7 @@
 			windows = make(map[ratelease.Upstream]*ratelease.Window)
 			s.windows[h.name] = windows
 		}
-		if h.name == s.careless {
+		if h.name == s.nonCompliant {
 			for _, u := range f.cold {
 				s.at[u] = append(s.at[u], now)
 			}
@@ -68,14 +68,15 @@
 	}
 }
 
-// run sends for a span.
+// run sends for the span.
 func (s *coldSends) run(f *fleet, span time.Duration) {
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		s.send(f)
 	}
 }
 
-// most is the greatest number of sends to one upstream in any second, rate the mean one.
+// most returns the greatest number of requests sent to one upstream in any second, and the mean
+// rate.
 func (s *coldSends) most() (most int, rate float64) {
 	for _, at := range s.at {
 		from := 0
@@ -92,7 +93,7 @@
 	return most, rate
 }
 
-// coldFleet is an installation with cold upstreams.
+// coldFleet starts an installation with cold upstreams.
 func coldFleet(t *testing.T, size fleetSize, cold int) *fleet {
 	f := newFleet(t, size.hosts, size.zones, 10)
 	for i := range cold {
@@ -101,7 +102,7 @@
 	return f
 }
 
-// restart ends hosts and starts them again, a moment later.
+// restart stops the hosts and starts them again a moment later.
 func (f *fleet) restart(s *coldSends, hosts ...*fleetHost) {
 	for _, h := range hosts {
 		h.stop()
@@ -113,25 +114,26 @@
 	time.Sleep(50 * time.Millisecond)
 	for _, h := range hosts {
 		f.start(h, false)
-		time.Sleep(startsApart)
+		time.Sleep(startInterval)
 	}
 }
 
-// isolate cuts the hosts that the function names from the others, or joins all of them.
-func (f *fleet) isolate(apart func(h *fleetHost) bool) {
+// isolate disconnects the hosts that match from all others. A nil function reconnects all
+// hosts.
+func (f *fleet) isolate(isolated func(h *fleetHost) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if apart == nil {
-		f.cut = nil
+	if isolated == nil {
+		f.disconnected = nil
 		return
 	}
-	f.cut = func(from, to *fleetHost) bool { return apart(from) != apart(to) }
+	f.disconnected = func(from, to *fleetHost) bool { return isolated(from) != isolated(to) }
 }
 
-// coldScenes are what goes wrong while upstreams are cold.
-var coldScenes = []struct {
+// coldScenarios are faults that occur while upstreams are cold.
+var coldScenarios = []struct {
 	name string
-	play func(f *fleet, s *coldSends, rnd *rand.Rand)
+	run  func(f *fleet, s *coldSends, rnd *rand.Rand)
 }{
 	{"nothing", func(f *fleet, s *coldSends, _ *rand.Rand) { s.run(f, 3*time.Second) }},
 	{"all hosts start again", func(f *fleet, s *coldSends, _ *rand.Rand) {
@@ -177,29 +179,29 @@
 	}},
 }
 
-// sceneSizes are the installations that scenes are played on, sceneSeeds is with how many
-// seeds each.
-func sceneSizes() []fleetSize {
-	if underRace {
+// scenarioSizes returns the installations that scenarios run on; scenarioSeeds returns the
+// number of random seeds for each.
+func scenarioSizes() []fleetSize {
+	if raceEnabled {
 		return []fleetSize{{7, 3}, {30, 3}}
 	}
 	return []fleetSize{{7, 3}, {77, 3}, {440, 32}}
 }
 
-func sceneSeeds(size fleetSize) uint64 {
-	if size.hosts < 100 && !underRace {
+func scenarioSeeds(size fleetSize) uint64 {
+	if size.hosts < 100 && !raceEnabled {
 		return 4
 	}
 	return 1
 }
 
-// Whatever hosts believe of each other, no cold upstream gets more than is permitted in
-// any second.
+// Whatever stale data the hosts have of each other, no cold upstream gets more requests in any
+// second than the bound permits.
 func TestColdUpstreamsOfAFleet(t *testing.T) {
-	for _, size := range sceneSizes() {
-		seeds := sceneSeeds(size)
-		for _, scene := range coldScenes {
-			t.Run(fmt.Sprint(size.hosts, " hosts, ", scene.name), func(t *testing.T) {
+	for _, size := range scenarioSizes() {
+		seeds := scenarioSeeds(size)
+		for _, scenario := range coldScenarios {
+			t.Run(fmt.Sprint(size.hosts, " hosts, ", scenario.name), func(t *testing.T) {
 				greatest, mean := 0, 0.0
 				for seed := range seeds {
 					synctest.Test(t, func(t *testing.T) {
@@ -207,7 +209,7 @@
 						f := coldFleet(t, size, 20+rnd.IntN(81))
 						s := newColdSends()
 						s.run(f, 5*time.Second)
-						scene.play(f, s, rnd)
+						scenario.run(f, s, rnd)
 						s.run(f, 2*time.Second)
 						most, rate := s.most()
 						greatest, mean = max(greatest, most), mean+rate/float64(seeds)
@@ -216,29 +218,29 @@
 				t.Logf("%d in a second at most, %.0f permitted; %.1f a second in the mean", greatest, coldBound.Permitted(), mean)
 				is := is.New(t)
 				is.True(greatest <= int(coldBound.Permitted()))
-				is.True(mean > coldBound.Rate/4) // they aren't left idle
+				is.True(mean > coldBound.Rate/4) // the upstreams aren't left idle
 			})
 		}
 	}
 }
 
-// One host that heeds no lease breaks the bound, and the count shows it.
-func TestOneCarelessHostShows(t *testing.T) {
+// A single host that ignores its leases exceeds the bound, and the test's count detects it.
+func TestNonCompliantHostExceedsTheBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := coldFleet(t, fleetSize{30, 3}, 20)
 		s := newColdSends()
-		s.careless = f.hosts[20].name
+		s.nonCompliant = f.hosts[20].name
 		s.run(f, 5*time.Second)
 		most, _ := s.most()
 		is.New(t).True(most > int(coldBound.Permitted()))
 	})
 }
 
-func TestLeaseInMessages(t *testing.T) {
+func TestLeaseOnTheWire(t *testing.T) {
 	is := is.New(t)
 	for _, lease := range []Lease{
 		{Grants: Grants{{Upstream: 1, Parts: 1, Of: 4}, {Upstream: 1 << 63, Parts: 16, Of: 16}}, ForMs: 900, Roots: 3},
-		{Same: true, ForMs: 1200, Roots: 3},
+		{Unchanged: true, ForMs: 1200, Roots: 3},
 	} {
 		data, err := json.Marshal(Reply{Lease: lease})
 		is.NoErr(err)
@@ -248,24 +250,25 @@
 	}
 }
 
-// A host that has what it is granted isn't sent it again.
-func TestLeaseThatIsTheSame(t *testing.T) {
+// A host isn't sent grants again that it already has.
+func TestUnchangedLeaseIsNotSentAgain(t *testing.T) {
 	is := is.New(t)
 	h := newHub(Options{Host: "hub"}, zerolog.Nop())
 	h.lessor = ratelease.NewLessor(boottime.Now().Add(-time.Minute))
-	h.reports["host"] = received{at: boottime.Now(), hosts: 1}
+	h.reports["host"] = receivedReport{at: boottime.Now(), hosts: 1}
 	grants := []ratelease.Grant{{Upstream: 1, Parts: 4, Of: 4}, {Upstream: 2, Parts: 4, Of: 4}, {Upstream: 3, Parts: 4, Of: 4}}
-	h.hold(ratelease.Root(grants, 3), boottime.Now())
-	first := h.lease("host", 0)
-	is.True(len(first.Grants) > 0 && !first.Same)
-	again := h.lease("host", ratelease.Digest(first.Grants))
-	is.Equal(again, Lease{Same: true, ForMs: again.ForMs, Roots: 3})
-	is.Equal(again.lease(first.Grants).Grants, []ratelease.Grant(first.Grants))
-	h.hold(ratelease.Root(grants[:1], 3), boottime.Now())
-	is.True(!h.lease("host", ratelease.Digest(first.Grants)).Same)
+	h.assignLease(ratelease.Root(grants, 3), boottime.Now())
+	first := h.leaseFor("host", 0)
+	is.True(len(first.Grants) > 0 && !first.Unchanged)
+	again := h.leaseFor("host", ratelease.Digest(first.Grants))
+	is.Equal(again, Lease{Unchanged: true, ForMs: again.ForMs, Roots: 3})
+	is.Equal(again.decode(first.Grants).Grants, []ratelease.Grant(first.Grants))
+	h.assignLease(ratelease.Root(grants[:1], 3), boottime.Now())
+	is.True(!h.leaseFor("host", ratelease.Digest(first.Grants)).Unchanged)
 }
 
-// A seed that reports to another one of its zone uses its own root's part: nobody else has it.
+// A seed that reports to another seed of its zone uses its own root's part, which no other host
+// has.
 func TestSeedThatReportsToAnotherUsesItsPart(t *testing.T) {
 	is := is.New(t)
 	grant := ratelease.Grant{Upstream: 1, Parts: 1, Of: 1}
@@ -277,13 +280,13 @@
 	}, zerolog.Nop())
 	m.current = "a"
 	share := func() ratelease.Share {
-		m.holdOwn()
+		m.applyOwnLease()
 		s, _ := held.Share(1, boottime.Now())
 		return s
 	}
-	is.Equal(share().Parts, 0) // leases of its former run may last
+	is.Equal(share().Parts, 0) // leases from before its restart may still be valid
 	m.hub.startedAt = boottime.Now().Add(-ratelease.Handover)
 	is.Equal(share().Part(), 1.0/3)
 	m.options.Listen = "d"
-	is.Equal(share().Parts, 0) // it is no seed
+	is.Equal(share().Parts, 0) // the host isn't a seed
 }
--- a/internal/exchange/limits.go
+++ b/internal/exchange/limits.go
@@ -11,82 +11,82 @@
 	"github.com/quetzalweir/quetzalweir/ratelease"
 )
 
-// LimitWords are words of limits in a message.
-type LimitWords []ratelease.Word
+// LimitUpdates are changes of upstreams' limits on the wire.
+type LimitUpdates []ratelease.Word
 
 const (
-	// limitWordSize is the size of a word in messages, before it is written as text: the
-	// upstream, the limit, and the age up to maxWordAge.
-	limitWordSize = 8 + 4 + 2
-	maxWordAge    = math.MaxUint16 * time.Millisecond
-	// limitEnded stands for no limit in messages.
-	limitEnded = -1
-	// maxLimitWords bounds the words in a message: 4 KB.
-	maxLimitWords = 224
+	// limitEntrySize is the size of an encoded update in bytes, before base64: the upstream,
+	// the limit, and the age up to maxLimitAge.
+	limitEntrySize = 8 + 4 + 2
+	maxLimitAge    = math.MaxUint16 * time.Millisecond
+	// noLimitValue encodes that the upstream no longer has a limit.
+	noLimitValue = -1
+	// maxLimitUpdates bounds the updates in one message to 4 KB.
+	maxLimitUpdates = 224
 )
 
 // MarshalJSON implements json.Marshaler.
-func (w LimitWords) MarshalJSON() ([]byte, error) {
-	packed := make([]byte, 0, limitWordSize*len(w))
+func (w LimitUpdates) MarshalJSON() ([]byte, error) {
+	packed := make([]byte, 0, limitEntrySize*len(w))
 	for _, word := range w {
 		limit := float32(word.Limit)
 		if word.Ended {
-			limit = limitEnded
+			limit = noLimitValue
 		}
 		packed = binary.BigEndian.AppendUint64(packed, uint64(word.Upstream))
 		packed = binary.BigEndian.AppendUint32(packed, math.Float32bits(limit))
-		packed = binary.BigEndian.AppendUint16(packed, uint16(min(maxWordAge, max(0, word.Age))/time.Millisecond))
+		packed = binary.BigEndian.AppendUint16(packed, uint16(min(maxLimitAge, max(0, word.Age))/time.Millisecond))
 	}
 	return marshalPacked(packed)
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
-func (w *LimitWords) UnmarshalJSON(data []byte) error {
-	packed, err := unmarshalPacked(data, limitWordSize)
+func (w *LimitUpdates) UnmarshalJSON(data []byte) error {
+	packed, err := unmarshalPacked(data, limitEntrySize)
 	if err != nil {
 		return err
 	}
-	*w = make(LimitWords, 0, len(packed)/limitWordSize)
-	for entry := range slices.Chunk(packed, limitWordSize) {
+	*w = make(LimitUpdates, 0, len(packed)/limitEntrySize)
+	for entry := range slices.Chunk(packed, limitEntrySize) {
 		word := ratelease.Word{Upstream: ratelease.Upstream(binary.BigEndian.Uint64(entry)), Age: time.Duration(binary.BigEndian.Uint16(entry[12:])) * time.Millisecond}
 		limit := math.Float32frombits(binary.BigEndian.Uint32(entry[8:]))
 		if limit >= 0 {
 			word.Limit = ratelease.Limit(limit)
 		} else {
-			word.Ended = true // or not a number
+			word.Ended = true // negative or NaN
 		}
 		*w = append(*w, word)
 	}
 	return nil
 }
 
-// LimitNews is ratelease.News on the wire.
-type LimitNews struct {
-	Words LimitWords     `json:"words,omitempty"`
+// LimitBatch is ratelease.News on the wire.
+type LimitBatch struct {
+	Words LimitUpdates   `json:"words,omitempty"`
 	Mark  ratelease.Mark `json:"mark"`
 	Whole bool           `json:"whole,omitempty"`
 }
 
-func (n LimitNews) news() ratelease.News {
+func (n LimitBatch) decode() ratelease.News {
 	return ratelease.News{Words: n.Words, Mark: n.Mark, Whole: n.Whole}
 }
 
-// limitsSince is what the audience is told of limits.
-func (h *hub) limitsSince(known ratelease.Mark, who audience) LimitNews {
+// limitsSince returns the limits after the mark that are sent to the audience.
+func (h *hub) limitsSince(known ratelease.Mark, to audience) LimitBatch {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	news := h.limits.Since(known, maxLimitWords, who == toHub, boottime.Now())
-	whole := news.Whole && h.knowsLimits && boottime.Since(h.startedAt) >= retellTime
-	return LimitNews{Words: news.Words, Mark: news.Mark, Whole: whole}
+	news := h.limits.Since(known, maxLimitUpdates, to == toHub, boottime.Now())
+	whole := news.Whole && h.hasAllLimits && boottime.Since(h.startedAt) >= limitRelearnTime
+	return LimitBatch{Words: news.Words, Mark: news.Mark, Whole: whole}
 }
 
-// retellTime is how long a hub that started waits for the words that its followers and other
-// hubs tell it again.
-const retellTime = 3 * time.Second
+// limitRelearnTime is how long a hub that has started waits for its followers and other hubs to
+// send their limits again, before it claims to have all of them.
+const limitRelearnTime = 3 * time.Second
 
-// takeLimits takes what a host or another hub told; whole says that it is all that the hub
-// knows that this one reports to.
-func (h *hub) takeLimits(fromHub bool, words []ratelease.Word, whole bool) {
+// recordLimits records limits that a host or another hub sent. whole means that they are all
+// the limits of the hub that this one reports to.
+func (h *hub) recordLimits(fromHub bool, words []ratelease.Word, whole bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := boottime.Now()
@@ -96,69 +96,69 @@
 	}
 }
 
-// takeHubLimits takes what the hub told that this host reports to. One that leads others
-// passes it on to them.
-func (m *Member) takeHubLimits(news LimitNews, leads bool) {
-	words, anew, whole := m.limits.Take(news.news())
-	if anew {
-		m.retellLimits()
+// applyHubLimits applies the limits in the hub's reply. A host with followers passes them on
+// through its own hub.
+func (m *Member) applyHubLimits(batch LimitBatch, hasFollowers bool) {
+	words, reset, whole := m.limits.Take(batch.decode())
+	if reset {
+		m.resendLimits()
 	}
-	m.hub.noteKnowsLimits(m.limits.Whole())
-	if leads {
-		m.hub.takeLimits(true, words, whole)
+	m.hub.setHasAllLimits(m.limits.Whole())
+	if hasFollowers {
+		m.hub.recordLimits(true, words, whole)
 		return
 	}
-	m.tellLimits(words, whole)
+	m.deliverLimits(words, whole)
 }
 
-// retellLimits has a hub that may know nothing told what this host and those that it leads
-// know.
-func (m *Member) retellLimits() {
-	m.toldLimits = ratelease.Mark{}
-	if m.options.KnownLimits != nil && !m.leading {
-		m.untoldLimits = m.options.KnownLimits()
+// resendLimits makes the next reports repeat all limits of this host and its followers, for a
+// hub that may have none.
+func (m *Member) resendLimits() {
+	m.forwardedLimitsMark = ratelease.Mark{}
+	if m.options.KnownLimits != nil && !m.hasFollowers {
+		m.unsentLimits = m.options.KnownLimits()
 	}
 }
 
-// limitWords are what the next report tells of limits.
-func (m *Member) limitWords() []ratelease.Word {
+// nextLimitUpdates returns the limit updates for the next report.
+func (m *Member) nextLimitUpdates() []ratelease.Word {
 	if m.options.Limits == nil {
 		return nil
 	}
-	m.untoldLimits = append(m.untoldLimits, m.options.Limits()...)
-	return m.untoldLimits[:min(maxLimitWords, len(m.untoldLimits))]
+	m.unsentLimits = append(m.unsentLimits, m.options.Limits()...)
+	return m.unsentLimits[:min(maxLimitUpdates, len(m.unsentLimits))]
 }
 
-// noteKnowsLimits says whether the hub that this one reports to has told all of its words,
-// or this one is a root.
-func (h *hub) noteKnowsLimits(knows bool) {
+// setHasAllLimits records whether the hub that this one reports to has sent all its limits, or
+// this host is a root.
+func (h *hub) setHasAllLimits(hasAll bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.knowsLimits = knows
+	h.hasAllLimits = hasAll
 }
 
-// takeOwnLimits takes what the own hub knows.
-func (m *Member) takeOwnLimits() {
-	words, _, whole := m.ownLimits.Take(m.hub.limitsSince(m.ownLimits.Mark(), toHost).news())
-	m.tellLimits(words, whole)
+// applyOwnHubLimits applies the limits that this host's own hub has.
+func (m *Member) applyOwnHubLimits() {
+	words, _, whole := m.ownLimits.Take(m.hub.limitsSince(m.ownLimits.Mark(), toHost).decode())
+	m.deliverLimits(words, whole)
 }
 
-func (m *Member) tellLimits(words []ratelease.Word, whole bool) {
+func (m *Member) deliverLimits(words []ratelease.Word, whole bool) {
 	if m.options.TakeLimits != nil && (whole || len(words) > 0) {
 		m.options.TakeLimits(words, whole)
 	}
 }
 
-// noteLeads has this host hear all words of limits again when it begins to lead others or
-// ends to: its own hub knows them only while it leads.
-func (m *Member) noteLeads(leads bool) {
-	if leads != m.leading {
-		m.leading = leads
+// setHasFollowers records whether this host has followers. When that changes, it requests all
+// limits again: this host's own hub has them only while it has followers.
+func (m *Member) setHasFollowers(hasFollowers bool) {
+	if hasFollowers != m.hasFollowers {
+		m.hasFollowers = hasFollowers
 		m.limits, m.ownLimits = ratelease.Follower{}, ratelease.Follower{}
 	}
 }
 
 var (
-	_ json.Marshaler   = LimitWords{}
-	_ json.Unmarshaler = (*LimitWords)(nil)
+	_ json.Marshaler   = LimitUpdates{}
+	_ json.Unmarshaler = (*LimitUpdates)(nil)
 )
--- a/internal/exchange/limits_test.go
+++ b/internal/exchange/limits_test.go
@@ -14,19 +14,19 @@
 	"github.com/quetzalweir/quetzalweir/ratelease"
 )
 
-// The load of these tests: upstreams in need name limits, each host hears of that by its own
-// requests, and every host has more requests than all limits together permit. What a host
-// sends goes to the upstreams that are open to it, so what reaches a limited one is what
-// the hosts' leases permit.
+// The load of these tests: overloaded upstreams announce limits, each host learns them from the
+// answers to its own requests, and every host has more requests than all limits together
+// permit. Hosts send to any upstream that accepts requests, so what reaches a limited upstream
+// is what the hosts' leases permit.
 
-// hostLimit is what a host knows of an upstream's limit.
+// hostLimit is a host's record of an upstream's limit.
 type hostLimit struct {
 	named   ratelease.Named
 	bucket  ratelease.Bucket
 	pending bool
 }
 
-// limit is the host's record of the upstream. The lock is held.
+// limit returns the host's record of the upstream. The caller holds the lock.
 func (h *fleetHost) limit(u ratelease.Upstream) *hostLimit {
 	if h.limits[u] == nil {
 		h.limits[u] = &hostLimit{}
@@ -47,7 +47,7 @@
 	return grants
 }
 
-func (h *fleetHost) limitWords() []ratelease.Word {
+func (h *fleetHost) newLimits() []ratelease.Word {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var words []ratelease.Word
@@ -75,20 +75,20 @@
 func (h *fleetHost) takeLimits(words []ratelease.Word, whole bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	told := make(map[ratelease.Upstream]bool)
+	received := make(map[ratelease.Upstream]bool)
 	for _, word := range words {
-		told[word.Upstream] = true
+		received[word.Upstream] = true
 		h.limit(word.Upstream).named.Take(word, time.Now())
 	}
 	for u, l := range h.limits {
-		if whole && l.named.Told() && !told[u] {
+		if whole && l.named.Told() && !received[u] {
 			l.named.Take(ratelease.Word{Upstream: u, Ended: true}, time.Now())
 		}
 	}
 }
 
-// sends says whether the host may send the upstream a request now, and counts it.
-func (h *fleetHost) sends(u ratelease.Upstream, now time.Time) bool {
+// trySend reports whether the host may send a request to the upstream now, and counts it.
+func (h *fleetHost) trySend(u ratelease.Upstream, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	l := h.limit(u)
@@ -106,8 +106,8 @@
 	return true
 }
 
-// hears takes in an answer.
-func (h *fleetHost) hears(u ratelease.Upstream, limit ratelease.Limit, named bool, sentAt time.Time) {
+// observe processes an answer.
+func (h *fleetHost) observe(u ratelease.Upstream, limit ratelease.Limit, named bool, sentAt time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	l := h.limit(u)
@@ -120,35 +120,37 @@
 	}
 }
 
-// limitedUpstream is an upstream that names a limit for a while.
+// limitedUpstream is an upstream that announces a limit for a while.
 type limitedUpstream struct {
 	name  ratelease.Upstream
 	limit ratelease.Limit
-	// from and until are when it names the limit.
+	// from and until are when it announces the limit.
 	from, until time.Time
-	// sent are the arrivals of hosts that had been told for half a second, all are all while
-	// it had the limit.
-	sent, all []time.Time
-	after     int
+	// informedSends are the requests of hosts that had observed the limit at least half a
+	// second before. allSends are all requests while it announced the limit. sendsAfterLimit
+	// counts the requests while it announces none.
+	informedSends, allSends []time.Time
+	sendsAfterLimit         int
 }
 
-func (u *limitedUpstream) names(now time.Time) bool {
+func (u *limitedUpstream) namesLimit(now time.Time) bool {
 	return !now.Before(u.from) && now.Before(u.until)
 }
 
-// limitPlay is the traffic of a fleet to upstreams with limits.
-type limitPlay struct {
+// limitTraffic is the traffic of a fleet to upstreams with limits.
+type limitTraffic struct {
 	fleet     *fleet
 	upstreams []*limitedUpstream
 	rnd       *rand.Rand
-	// told is when a host passed on a limit first, since its start.
-	told map[*fleetHost]map[ratelease.Upstream]time.Time
-	// excused are hosts that started or were cut lately, until a time.
-	excused map[*fleetHost]time.Time
-	answers []pendingAnswer
+	// firstObservedAt is when each host first observed each limit since its start.
+	firstObservedAt map[*fleetHost]map[ratelease.Upstream]time.Time
+	// excusedUntil holds the hosts that recently started or were disconnected; their requests
+	// don't count until then.
+	excusedUntil map[*fleetHost]time.Time
+	answers      []pendingAnswer
 }
 
-// pendingAnswer is an answer that is on its way.
+// pendingAnswer is an answer in transit.
 type pendingAnswer struct {
 	host     *fleetHost
 	upstream *limitedUpstream
@@ -157,61 +159,61 @@
 	named    bool
 }
 
-// answerTime is the time to an answer's head.
+// answerTime is the time until an answer's headers arrive.
 const answerTime = 80 * time.Millisecond
 
-func newLimitPlay(f *fleet, rnd *rand.Rand, limits int) *limitPlay {
-	p := &limitPlay{fleet: f, rnd: rnd, told: make(map[*fleetHost]map[ratelease.Upstream]time.Time), excused: make(map[*fleetHost]time.Time)}
+func newLimitTraffic(f *fleet, rnd *rand.Rand, limits int) *limitTraffic {
+	p := &limitTraffic{fleet: f, rnd: rnd, firstObservedAt: make(map[*fleetHost]map[ratelease.Upstream]time.Time), excusedUntil: make(map[*fleetHost]time.Time)}
 	for i := range limits {
 		p.upstreams = append(p.upstreams, &limitedUpstream{name: ratelease.UpstreamOf(fmt.Sprint("u-", i)), limit: ratelease.Limit(rnd.IntN(60)) / 10})
 	}
 	return p
 }
 
-// step has each host try some upstreams, and hear answers.
-func (p *limitPlay) step() {
+// step processes the answers that are due, and makes each host try some upstreams.
+func (p *limitTraffic) step() {
 	now := time.Now()
 	for len(p.answers) > 0 && !p.answers[0].at.After(now) {
 		a := p.answers[0]
 		p.answers = p.answers[1:]
-		a.host.hears(a.upstream.name, a.upstream.limit, a.named, a.sentAt)
-		if _, ok := p.told[a.host][a.upstream.name]; a.named && !ok {
-			if p.told[a.host] == nil {
-				p.told[a.host] = make(map[ratelease.Upstream]time.Time)
+		a.host.observe(a.upstream.name, a.upstream.limit, a.named, a.sentAt)
+		if _, ok := p.firstObservedAt[a.host][a.upstream.name]; a.named && !ok {
+			if p.firstObservedAt[a.host] == nil {
+				p.firstObservedAt[a.host] = make(map[ratelease.Upstream]time.Time)
 			}
-			p.told[a.host][a.upstream.name] = now
+			p.firstObservedAt[a.host][a.upstream.name] = now
 		}
 	}
 	for _, h := range p.fleet.hosts {
 		for range 2 {
 			u := p.upstreams[p.rnd.IntN(len(p.upstreams))]
-			if !h.sends(u.name, now) {
+			if !h.trySend(u.name, now) {
 				continue
 			}
-			p.answers = append(p.answers, pendingAnswer{host: h, upstream: u, sentAt: now, at: now.Add(answerTime), named: u.names(now)})
-			told, ok := p.told[h][u.name]
+			p.answers = append(p.answers, pendingAnswer{host: h, upstream: u, sentAt: now, at: now.Add(answerTime), named: u.namesLimit(now)})
+			observedAt, ok := p.firstObservedAt[h][u.name]
 			switch {
-			case !u.names(now):
-				u.after++
-			case ok && now.Sub(told) >= 500*time.Millisecond && now.After(p.excused[h]):
-				u.sent = append(u.sent, now)
+			case !u.namesLimit(now):
+				u.sendsAfterLimit++
+			case ok && now.Sub(observedAt) >= 500*time.Millisecond && now.After(p.excusedUntil[h]):
+				u.informedSends = append(u.informedSends, now)
 				fallthrough
 			default:
-				u.all = append(u.all, now)
+				u.allSends = append(u.allSends, now)
 			}
 		}
 	}
 }
 
-func (p *limitPlay) run(span time.Duration) {
+func (p *limitTraffic) run(span time.Duration) {
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		p.step()
 	}
 }
 
-// most is the greatest number of arrivals in four seconds of windows that end later than a
-// time.
-func mostOf(at []time.Time, after time.Time) int {
+// maxPerWindow returns the greatest number of arrivals in a window of four seconds that ends
+// after the given time.
+func maxPerWindow(at []time.Time, after time.Time) int {
 	most, from := 0, 0
 	for i := range at {
 		for at[i].Sub(at[from]) >= 4*time.Second {
@@ -224,17 +226,17 @@
 	return most
 }
 
-// contactTime is from the first naming to the windows that count, and how long a host is
-// excused that started or was cut off.
-const contactTime = 3 * time.Second
+// settleTime is the time from the first announcement to the windows that count, and how long a
+// host is excused after it started or was reconnected.
+const settleTime = 3 * time.Second
 
-// limitScenes are what goes wrong while upstreams name limits.
-var limitScenes = []struct {
+// limitScenarios are faults that occur while upstreams announce limits.
+var limitScenarios = []struct {
 	name string
-	play func(p *limitPlay)
+	run  func(p *limitTraffic)
 }{
-	{"nothing", func(p *limitPlay) { p.run(10 * time.Second) }},
-	{"hosts start again one after the other, hubs among them", func(p *limitPlay) {
+	{"nothing", func(p *limitTraffic) { p.run(10 * time.Second) }},
+	{"hosts start again one after the other, hubs among them", func(p *limitTraffic) {
 		for range 10 {
 			n := len(p.fleet.hosts)
 			if p.rnd.IntN(2) == 0 {
@@ -245,11 +247,11 @@
 		}
 		p.run(5 * time.Second)
 	}},
-	{"all hosts start again", func(p *limitPlay) {
+	{"all hosts start again", func(p *limitTraffic) {
 		p.restart(p.fleet.hosts...)
 		p.run(10 * time.Second)
 	}},
-	{"a zone is cut off, and joined again", func(p *limitPlay) {
+	{"a zone is cut off, and joined again", func(p *limitTraffic) {
 		zone := p.fleet.hosts[p.rnd.IntN(len(p.fleet.hosts))].zone
 		for range 3 {
 			p.isolate(func(h *fleetHost) bool { return h.zone == zone })
@@ -259,7 +261,7 @@
 		}
 		p.run(5 * time.Second)
 	}},
-	{"limits change", func(p *limitPlay) {
+	{"limits change", func(p *limitTraffic) {
 		for range 8 {
 			u := p.upstreams[p.rnd.IntN(len(p.upstreams))]
 			u.limit *= ratelease.Limit(0.9 + 0.2*p.rnd.Float64())
@@ -268,12 +270,12 @@
 	}},
 }
 
-// restart starts hosts again. They are excused until their hubs know them.
-func (p *limitPlay) restart(hosts ...*fleetHost) {
+// restart restarts hosts. They are excused until their hubs have their limits.
+func (p *limitTraffic) restart(hosts ...*fleetHost) {
 	for _, h := range hosts {
 		h.stop()
-		delete(p.told, h)
-		p.excused[h] = time.Now().Add(contactTime)
+		delete(p.firstObservedAt, h)
+		p.excusedUntil[h] = time.Now().Add(settleTime)
 		p.answers = slices.DeleteFunc(p.answers, func(a pendingAnswer) bool { return a.host == h })
 	}
 	time.Sleep(50 * time.Millisecond)
@@ -282,72 +284,73 @@
 		h.holding = ratelease.Holding{}
 		h.mu.Unlock()
 		p.fleet.start(h, false)
-		time.Sleep(startsApart)
+		time.Sleep(startInterval)
 	}
 }
 
-// isolate cuts hosts off, or joins all. Those that were cut off are excused for a while.
-func (p *limitPlay) isolate(apart func(h *fleetHost) bool) {
-	p.fleet.isolate(apart)
+// isolate disconnects hosts, or reconnects all. Those that were disconnected are excused for a
+// while.
+func (p *limitTraffic) isolate(isolated func(h *fleetHost) bool) {
+	p.fleet.isolate(isolated)
 	for _, h := range p.fleet.hosts {
-		if apart != nil && apart(h) {
-			p.excused[h] = time.Now().Add(time.Hour)
-		} else if apart == nil && !p.excused[h].IsZero() {
-			p.excused[h] = time.Now().Add(contactTime)
+		if isolated != nil && isolated(h) {
+			p.excusedUntil[h] = time.Now().Add(time.Hour)
+		} else if isolated == nil && !p.excusedUntil[h].IsZero() {
+			p.excusedUntil[h] = time.Now().Add(settleTime)
 		}
 	}
 }
 
-// Whatever hosts believe of each other, those that were told of a limit keep it together;
-// the limit is used, and its end is noticed.
+// Whatever stale data the hosts have of each other, those that have learned a limit keep it
+// together. The limit is used, and the hosts notice when it ends.
 func TestLimitsOfAFleet(t *testing.T) {
-	for _, size := range sceneSizes() {
-		seeds := sceneSeeds(size)
-		for _, scene := range limitScenes {
-			t.Run(fmt.Sprint(size.hosts, " hosts, ", scene.name), func(t *testing.T) {
+	for _, size := range scenarioSizes() {
+		seeds := scenarioSeeds(size)
+		for _, scenario := range limitScenarios {
+			t.Run(fmt.Sprint(size.hosts, " hosts, ", scenario.name), func(t *testing.T) {
 				for seed := range seeds {
-					synctest.Test(t, func(t *testing.T) { playLimits(t, size, scene.play, seed) })
+					synctest.Test(t, func(t *testing.T) { runLimitScenario(t, size, scenario.run, seed) })
 				}
 			})
 		}
 	}
 }
 
-func playLimits(t *testing.T, size fleetSize, scene func(*limitPlay), seed uint64) {
+func runLimitScenario(t *testing.T, size fleetSize, scenario func(*limitTraffic), seed uint64) {
 	is := is.New(t)
 	rnd := rand.New(rand.NewPCG(seed, 2))
 	f := newFleet(t, size.hosts, size.zones, 10)
-	p := newLimitPlay(f, rnd, 4+rnd.IntN(8))
+	p := newLimitTraffic(f, rnd, 4+rnd.IntN(8))
 	time.Sleep(5 * time.Second)
 	from := time.Now()
 	for _, u := range p.upstreams {
 		u.from, u.until = from, from.Add(time.Hour)
 	}
 	p.run(5 * time.Second)
-	scene(p)
+	scenario(p)
 	span := time.Since(from)
 	for _, u := range p.upstreams {
 		u.until = time.Now()
 	}
 	var used, most, permitted float64
 	for _, u := range p.upstreams {
-		got := mostOf(u.sent, u.from.Add(contactTime))
+		got := maxPerWindow(u.informedSends, u.from.Add(settleTime))
 		if float64(got) > u.limit.Permitted() {
 			t.Errorf("%v a second: %d in a window, %.0f permitted", u.limit, got, u.limit.Permitted())
 		}
 		if float64(got)/u.limit.Permitted() > most/max(1, permitted) {
 			most, permitted = float64(got), u.limit.Permitted()
 		}
-		used += float64(len(u.all)) / span.Seconds() / float64(u.limit+0.25)
+		used += float64(len(u.allSends)) / span.Seconds() / float64(u.limit+0.25)
 	}
 	p.run(15 * time.Second)
 	late := 0
 	for _, u := range p.upstreams {
-		u.after = 0
+		u.sendsAfterLimit = 0
 	}
 	p.run(2 * time.Second)
 	for _, u := range p.upstreams {
-		if float64(u.after) <= u.limit.Permitted()*2 {
+		if float64(u.sendsAfterLimit) <= u.limit.Permitted()*2 {
 			late++
 		}
 	}
@@ -357,17 +360,17 @@
 	is.Equal(late, 0)
 }
 
-func TestLimitWordsInMessages(t *testing.T) {
+func TestLimitUpdatesOnTheWire(t *testing.T) {
 	is := is.New(t)
-	words := LimitWords{
+	words := LimitUpdates{
 		{Upstream: 1 << 63, Limit: 1.5, Age: 250 * time.Millisecond},
 		{Upstream: 2, Ended: true},
 		{Upstream: 3, Limit: 0, Age: time.Hour},
 	}
 	data, err := json.Marshal(words)
 	is.NoErr(err)
-	var got LimitWords
+	var got LimitUpdates
 	is.NoErr(json.Unmarshal(data, &got))
-	words[2].Age = maxWordAge
+	words[2].Age = maxLimitAge
 	is.Equal(got, words)
 }
--- a/internal/exchange/member.go
+++ b/internal/exchange/member.go
@@ -16,148 +16,150 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// Options are what a member needs.
+// Options configures a Member.
 type Options struct {
 	// Host and Zone are this host's name and availability zone.
 	Host string
 	Zone string
-	// Listen is the address for other hosts, Seeds are those of the hosts that
-	// may be hubs; they may be stale.
+	// Listen is the address for other hosts. Seeds are the addresses of the hosts that may be
+	// hubs; some may be out of date.
 	Listen string
 	Seeds  []string
-	// LinkMbps is the rate of this host's network link in Mbit/s, Cores its part of a
-	// processor; 0 where they aren't known.
+	// LinkMbps is the bandwidth of this host's network link in Mbit/s, Cores the number of
+	// processor cores that it may use. Both are 0 if unknown.
 	LinkMbps float64
 	Cores    float64
-	// Keys is the table of the store that holds the key which hosts prove to each
-	// other to have.
+	// Keys is the store's table that holds the key with which hosts authenticate to each other.
 	Keys storage.Table
-	// Tables are the watchers of the store's tables by name.
+	// Tables holds the watchers of the store's tables by table name.
 	Tables map[string]*feed.Watcher
-	// Work returns the host's own work in flight by upstream.
+	// Work returns this host's own work in flight by upstream.
 	Work func() Work
-	// Others takes the other hosts' work by upstream, as of a time. It isn't called
+	// Others receives the other hosts' work by upstream, as of the given time. It isn't called
 	// while no hub answers.
 	Others func(work Work, at time.Time)
-	// Hosts takes the number of hosts, this one included. It may be nil.
+	// Hosts receives the number of hosts, including this one. It may be nil.
 	Hosts func(n int)
-	// Reads returns what upstreams were sent for the first time since the last call;
-	// TakeReads takes what the others sent. Both may be nil.
+	// Reads returns the shared prompt prefixes that were sent to upstreams for the first time
+	// since the last call. TakeReads receives the other hosts' reads. Both may be nil.
 	Reads     func() Reads
 	TakeReads func(Reads)
-	// Timings returns what this host's answers told of models' paces; TakeTimings takes
-	// what the others' told. Both may be nil.
+	// Timings returns the speeds of models that this host measured. TakeTimings receives the
+	// other hosts' measurements. Both may be nil.
 	Timings     func() Timings
 	TakeTimings func(Timings)
-	// FirstStart says that the whole installation starts for the first time: the key
-	// is made then.
+	// FirstStart reports that the whole installation starts for the first time, so the key is
+	// yet to be created.
 	FirstStart bool
-	// Leased returns the upstreams whose requests are leased, with all parts that one of so
-	// many roots has; TakeHolding takes the parts that this host has, and when a root of the tree stood
-	// behind them last. Both may be nil.
+	// Leased returns the grants of one root, out of the given number of roots, for all leased
+	// upstreams. TakeHolding receives the grants that this host holds, and when they last
+	// derived from a root of the hub tree. Both may be nil.
 	Leased      func(roots int) []ratelease.Grant
 	TakeHolding func(holding ratelease.Holding, rootedAt time.Time)
-	// Limits returns what this host's upstreams told of their limits that its hub hasn't
-	// repeated yet, KnownLimits all that it knows; TakeLimits takes what the hub repeats, of all hosts.
-	// All may be nil.
+	// Limits returns the limits that this host's upstreams announced and the hub hasn't sent
+	// back yet. KnownLimits returns all limits that this host has. TakeLimits receives the
+	// limits of all hosts from the hub. All may be nil.
 	Limits      func() []ratelease.Word
 	KnownLimits func() []ratelease.Word
 	TakeLimits  func(words []ratelease.Word, whole bool)
-	// Quarantine keeps what hosts see of requests that end upstreams. It may be nil.
+	// Quarantine tracks the requests that end upstreams. It may be nil.
 	Quarantine Quarantine
-	// Evidence returns what this host saw of the roll-outs under way; TakeEvidence
-	// takes what the others saw. Both may be nil.
+	// Evidence returns this host's counts for the roll-outs in progress. TakeEvidence receives
+	// the other hosts' counts. Both may be nil.
 	Evidence     func() []Evidence
 	TakeEvidence func([]Evidence)
 }
 
-// Member is one host's part in the exchange.
+// Member takes part in the exchange on behalf of one host.
 type Member struct {
 	options Options
 	hub     *hub
 	log     zerolog.Logger
-	// zones are the zones of the seeds that answered.
-	zones map[string]string
-	// current is the address of this host's hub, empty without one; home is the seed
-	// that was found, which may have named another hub. avoid are hubs that didn't
-	// answer, and until when this host isn't sent back to them.
-	current string
-	home    string
-	avoid   map[string]time.Time
-	// lookAt is when the next look for a hub is due, noHub how many looks in a row
-	// found none.
-	lookAt time.Time
-	noHub  int
-	// hubSince is when the hub was chosen. Until the hub before has forgotten this
-	// host's evidence it tells the new one none: counted twice, a few bad answers could
+	// seedZones holds the zones of the seeds that have answered, by address.
+	seedZones map[string]string
+	// current is the address of this host's hub, empty without one. homeSeed is the seed that
+	// findHub chose; it may have assigned another hub. avoidUntil holds the hubs that didn't
+	// answer, and the times until which this host accepts no assignment to them.
+	current    string
+	homeSeed   string
+	avoidUntil map[string]time.Time
+	// nextProbeAt is when the next probe of the seeds is due. failedProbes counts consecutive
+	// probes that no seed answered.
+	nextProbeAt  time.Time
+	failedProbes int
+	// hubSince is when the current hub was chosen. Until the previous hub's copy of this host's
+	// evidence has expired, none is sent to the new one: counted twice, a few bad answers could
 	// stop a sound version.
 	hubSince time.Time
 
-	// untold are the reads that the hub wasn't told yet, readsSince is the number up to
-	// which the hub's are known. Of a host that leads others, ownSince is the same for
-	// its own hub, toldReads the number of the own hub up to which the other was told.
-	untold     Reads
-	readsSince uint64
-	ownSince   uint64
-	toldReads  uint64
-	// granted are the grants that the hub gave last, holding is what this host has of them.
+	// unsentReads holds the reads that the hub hasn't received yet. hubReadsSeq is the sequence
+	// number of the last of the hub's reads that this host has. For a host with followers,
+	// ownHubReadsSeq is the same for its own hub, and forwardedReadsSeq is the number of its
+	// own hub's last read that was forwarded to the hub above.
+	unsentReads       Reads
+	hubReadsSeq       uint64
+	ownHubReadsSeq    uint64
+	forwardedReadsSeq uint64
+	// granted holds the hub's last grants; holding is this host's own part of them.
 	granted Grants
 	holding ratelease.Holding
-	// limits follows what the hub knows of upstreams' limits, ownLimits what this host's own
-	// hub does. toldLimits is the number of the own hub up to which the other was told.
-	limits, ownLimits ratelease.Follower
-	toldLimits        ratelease.Mark
-	// untoldLimits are words that the hub wasn't told yet.
-	untoldLimits []ratelease.Word
-	// leading says that other hosts report to this one.
-	leading bool
+	// limits tracks the hub's log of limits, ownLimits that of this host's own hub.
+	// forwardedLimitsMark is the position in the own hub's log up to which it was forwarded to
+	// the hub above.
+	limits, ownLimits   ratelease.Follower
+	forwardedLimitsMark ratelease.Mark
+	// unsentLimits holds limit updates that the hub hasn't received yet.
+	unsentLimits []ratelease.Word
+	// hasFollowers reports whether other hosts report to this one.
+	hasFollowers bool
 	// exchanges counts the reports.
 	exchanges int
-	// unseen are the sightings that the hub wasn't told yet. Of a host that leads others,
-	// toldSightings is the number of the own hub up to which the other was told.
-	unseen        Sightings
-	toldSightings uint64
-
-	// heard says that the hub answered the last exchange, told is current for others
-	// than Run.
-	heard atomic.Bool
-	told  atomic.Pointer[string]
-	// seedsAnswer says that all other seeds answered this one's last questions.
-	seedsAnswer atomic.Bool
+	// unsentSightings holds the sightings that the hub hasn't received yet. For a host with
+	// followers, forwardedSightingsSeq is the number of its own hub's last sighting that was
+	// forwarded to the hub above.
+	unsentSightings       Sightings
+	forwardedSightingsSeq uint64
+
+	// hubAnswered reports whether the hub answered the last exchange. currentHub is a copy of
+	// current that goroutines other than Run may read.
+	hubAnswered atomic.Bool
+	currentHub  atomic.Pointer[string]
+	// seedsAnswered reports whether all other seeds answered this one's last queries.
+	seedsAnswered atomic.Bool
 
 	mu sync.Mutex
-	// others are the questions to the other hubs, by their address.
-	others map[string]*question
+	// hubQueries holds the state of the queries to the other hubs, by address.
+	hubQueries map[string]*hubQuery
 }
 
 // New returns a member; Run runs it.
 func New(options Options, log zerolog.Logger) *Member {
 	return &Member{
-		options: options, log: log, hub: newHub(options, log), zones: make(map[string]string),
-		avoid: make(map[string]time.Time), untold: make(Reads), others: make(map[string]*question),
+		options: options, log: log, hub: newHub(options, log), seedZones: make(map[string]string),
+		avoidUntil: make(map[string]time.Time), unsentReads: make(Reads), hubQueries: make(map[string]*hubQuery),
 	}
 }
 
-// Relays says whether other hosts rely on this one for the store's word.
+// Relays reports whether other hosts depend on this one for table updates.
 func (m *Member) Relays() bool { return m.hub.relays() }
 
-// Heard says whether the hub answered the last exchange.
-func (m *Member) Heard() bool { return m.heard.Load() }
+// Heard reports whether the hub answered the last exchange.
+func (m *Member) Heard() bool { return m.hubAnswered.Load() }
 
-// Hub is the address of this host's hub; empty without one.
+// Hub returns the address of this host's hub, or "" without one.
 func (m *Member) Hub() string {
-	if hub := m.told.Load(); hub != nil {
+	if hub := m.currentHub.Load(); hub != nil {
 		return *hub
 	}
 	return ""
 }
 
-// Followers counts the hosts that report to this one, itself included.
+// Followers returns the number of hosts that report to this one, including itself.
 func (m *Member) Followers() int { return m.hub.followers() }
 
-// Run takes part until the context ends.
+// Run takes part in the exchange until the context ends.
 func (m *Member) Run(ctx context.Context) {
-	key, err := m.key(ctx)
+	key, err := m.awaitKey(ctx)
 	if err != nil {
 		return // the context ended
 	}
@@ -174,50 +176,50 @@
 	}
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(ctx) }()
-	kept := make(chan struct{})
+	keyLoopDone := make(chan struct{})
 	go func() {
-		defer close(kept)
-		m.keepKey(ctx, key)
+		defer close(keyLoopDone)
+		m.restoreKey(ctx, key)
 	}()
 	m.follow(ctx, peerNetwork{client})
-	<-kept
+	<-keyLoopDone
 	if err := errors.Join(client.Close(), <-served); err != nil {
 		m.log.Warn().Str("event", "exchange-end").Err(err).Msg("")
 	}
 }
 
-// report is what the hub is told: the host's own state and its new reads.
+// report returns the next report: this host's state and its unsent reads, sightings and limits.
 func (m *Member) report() Report {
 	if m.options.Reads != nil {
-		m.untold.add(m.options.Reads())
+		m.unsentReads.add(m.options.Reads())
 	}
-	m.noteSightings()
-	report := m.own()
-	report.Reads, report.Sightings = m.untold, m.unseen
-	report.Limits = m.limitWords()
+	m.collectSightings()
+	report := m.ownReport()
+	report.Reads, report.Sightings = m.unsentReads, m.unsentSightings
+	report.Limits = m.nextLimitUpdates()
 	if m.exchanges++; m.options.Timings != nil && m.exchanges%timingsEvery == 1 {
 		report.WantTimings, report.Timings = true, m.options.Timings()
 	}
 	return report
 }
 
-// own is this host's report.
-func (m *Member) own() Report {
+// ownReport returns the part of the report that holds this host's current state.
+func (m *Member) ownReport() Report {
 	report := Report{
 		Zone: m.options.Zone, Address: m.options.Listen, Strength: m.options.LinkMbps * m.options.Cores,
 		Work: m.options.Work(), Revisions: m.revisions(),
 	}
-	if m.options.Evidence != nil && m.alone() {
+	if m.options.Evidence != nil && m.previousHubExpired() {
 		report.Evidence = m.options.Evidence()
 	}
 	return report
 }
 
-// alone says that the present hub is the only one that has this host's report: the one
-// before has forgotten it.
-func (m *Member) alone() bool { return boottime.Since(m.hubSince) > WorkAge }
+// previousHubExpired reports whether the previous hub has dropped this host's report, so that
+// only the current one has it.
+func (m *Member) previousHubExpired() bool { return boottime.Since(m.hubSince) > WorkAge }
 
-// revisions are the newest that this host knows of the store's tables.
+// revisions returns the newest revisions of the store's tables that this host has.
 func (m *Member) revisions() map[string]storage.Revision {
 	revisions := make(map[string]storage.Revision, len(m.options.Tables))
 	for name, w := range m.options.Tables {
--- a/internal/exchange/network.go
+++ b/internal/exchange/network.go
@@ -8,9 +8,9 @@
 
 // network carries reports to other hosts.
 type network interface {
-	// call tells the host at the address the report and returns its reply.
+	// call sends the report to the host at the address and returns its reply.
 	call(ctx context.Context, address string, report Report) (Reply, error)
-	// forget drops the connection to the address: the next call dials anew.
+	// forget drops the connection to the address; the next call dials again.
 	forget(address string)
 }
 
@@ -27,8 +27,8 @@
 
 func (n peerNetwork) forget(address string) { n.client.Forget(address) }
 
-// ask makes one call, which ends after callTimeout.
-func ask(ctx context.Context, net network, address string, report Report) (Reply, error) {
+// callWithTimeout makes one call that is bounded by callTimeout.
+func callWithTimeout(ctx context.Context, net network, address string, report Report) (Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return net.call(ctx, address, report)
--- a/internal/exchange/quarantine.go
+++ b/internal/exchange/quarantine.go
@@ -5,31 +5,31 @@
 	"github.com/quetzalweir/quetzalweir/quarantine"
 )
 
-// Quarantine is what a host keeps of requests that end upstreams. Hosts tell their hub
-// what they saw, and hubs tell each other; those hubs that are seeds judge. Back come the
-// upstreams that ended, the suspects and the verdicts.
+// Quarantine tracks the requests that end upstreams. Hosts send their sightings to their hub,
+// and hubs exchange them with each other; the hubs that are seeds reach verdicts. Hosts receive
+// the upstreams that ended, the suspects and the verdicts in return.
 type Quarantine interface {
-	// Sightings are what this host saw since the last call, Recent what it saw lately:
-	// a new hub is told that.
+	// Sightings returns this host's sightings since the last call. Recent returns its recent
+	// ones, which a new hub needs.
 	Sightings() Sightings
 	Recent() Sightings
-	// Take takes what others saw and returns what of it was new.
+	// Take records other hosts' sightings and returns those that were new.
 	Take(Sightings) Sightings
-	// Standing is what this host's followers are told, TakeStanding takes the hub's.
+	// Standing returns what this host's followers are sent. TakeStanding receives the hub's.
 	Standing() Standing
 	TakeStanding(Standing)
-	// Judges says whether this host judges by what it knows: it hears from all others, or
-	// from none.
+	// Judges sets whether this host reaches verdicts itself: it does if it receives the
+	// sightings of all other hosts, or of none.
 	Judges(bool)
 }
 
-// Sightings are losses, and suspects that were answered.
+// Sightings lists losses, and suspected requests that were answered.
 type Sightings struct {
 	Losses   Losses  `json:"losses,omitempty"`
 	Answered Digests `json:"answered,omitempty"`
 }
 
-// IsZero says whether there are none; such are left out of messages.
+// IsZero reports whether there are no sightings; they are left out of messages then.
 func (s Sightings) IsZero() bool { return len(s.Losses)+len(s.Answered) == 0 }
 
 func (s *Sightings) add(o Sightings) {
@@ -37,34 +37,34 @@
 	s.Answered = append(s.Answered, o.Answered...)
 }
 
-// maxSightings bounds the sightings in one report and what a host keeps for its hub: the
-// oldest go first. When a third of 12,000 upstreams is lost, a host of 440 has about a
-// hundred.
+// maxSightings bounds the sightings in one report, and those that a host keeps for its hub; the
+// oldest are dropped first. When a third of 12,000 upstreams is lost, each of 440 hosts has
+// about a hundred.
 const maxSightings = 256
 
-// bounded keeps the newest.
+// bounded keeps the newest maxSightings of each kind.
 func (s Sightings) bounded() Sightings {
 	s.Losses = s.Losses[max(0, len(s.Losses)-maxSightings):]
 	s.Answered = s.Answered[max(0, len(s.Answered)-maxSightings):]
 	return s
 }
 
-// Standing is what is known of upstreams that ended and of the requests to blame.
+// Standing lists the upstreams that ended, the suspected requests and the verdicts.
 type Standing struct {
 	Ended    Endings              `json:"ended,omitempty"`
 	Suspects Suspects             `json:"suspects,omitempty"`
 	Verdicts []quarantine.Verdict `json:"verdicts,omitempty"`
 }
 
-// IsZero says whether there is nothing to tell.
+// IsZero reports whether there is nothing to send.
 func (s Standing) IsZero() bool { return len(s.Ended)+len(s.Suspects)+len(s.Verdicts) == 0 }
 
-// takeSightings keeps what a host or another hub told, as far as it was new.
-func (h *hub) takeSightings(from string, s Sightings) {
+// recordSightings records the new ones among a host's or another hub's sightings.
+func (h *hub) recordSightings(from string, s Sightings) {
 	if h.quarantine == nil || s.IsZero() {
 		return
 	}
-	if from != h.self { // this host knows its own
+	if from != h.self { // the quarantine has this host's own already
 		s = h.quarantine.Take(s)
 	}
 	h.mu.Lock()
@@ -72,75 +72,76 @@
 	h.sightings.add(from, s, boottime.Now())
 }
 
-// sightingsSince is what this hub was told after a number by others than the hub at the
-// address.
+// sightingsSince returns the sightings after the sequence number, except those that came from
+// the hub at the address.
 func (h *hub) sightingsSince(number uint64, address string) (Sightings, uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.sightings.since(number, hubKey(address), boottime.Now())
 }
 
-// standing is what a follower is told, or another hub, which knows all but the verdicts
-// by itself.
-func (h *hub) standing(who audience) Standing {
+// standing returns what a follower is sent. Another hub is sent the verdicts only: it derives
+// the rest from the sightings.
+func (h *hub) standing(to audience) Standing {
 	if h.quarantine == nil {
 		return Standing{}
 	}
 	s := h.quarantine.Standing()
-	if who == toHub {
+	if to == toHub {
 		return Standing{Verdicts: s.Verdicts}
 	}
 	return s
 }
 
-// takeStanding takes what a hub told.
-func (m *Member) takeStanding(s Standing) {
+// applyStanding passes a hub's standing to the quarantine.
+func (m *Member) applyStanding(s Standing) {
 	if m.options.Quarantine != nil && !s.IsZero() {
 		m.options.Quarantine.TakeStanding(s)
 	}
 }
 
-// noteSightings adds what this host saw since the last report to what its hub wasn't told.
-func (m *Member) noteSightings() {
+// collectSightings adds this host's sightings since the last report to those that its hub
+// hasn't received yet.
+func (m *Member) collectSightings() {
 	if m.options.Quarantine != nil {
-		m.unseen.add(m.options.Quarantine.Sightings())
-		m.unseen = m.unseen.bounded()
+		m.unsentSightings.add(m.options.Quarantine.Sightings())
+		m.unsentSightings = m.unsentSightings.bounded()
 	}
 }
 
-// tellAnew has the next report tell a new hub all that this host saw lately.
-func (m *Member) tellAnew() {
-	m.toldSightings = 0
+// resendSightings makes the next report send all recent sightings to a new hub.
+func (m *Member) resendSightings() {
+	m.forwardedSightingsSeq = 0
 	if m.options.Quarantine != nil {
-		m.unseen = m.options.Quarantine.Recent().bounded()
+		m.unsentSightings = m.options.Quarantine.Recent().bounded()
 	}
 }
 
-// noteRole tells the quarantine whether this host judges. Hosts with a hub leave that to
-// it: they don't know what else ran at the upstreams that ended.
-func (m *Member) noteRole() {
+// updateJudging sets whether this host reaches verdicts. A host with a hub leaves that to the
+// hub: the host has no data on the other requests that ran at the upstreams that ended.
+func (m *Member) updateJudging() {
 	if m.options.Quarantine != nil {
 		m.options.Quarantine.Judges(m.current == "" || m.current == m.options.Listen)
 	}
 }
 
-// Told says whether the verdicts of all others reach this host over its hub, or over the
-// other seeds if it is one.
+// Told reports whether this host receives the verdicts of all others, through its hub or, for a
+// seed, from the other seeds.
 func (m *Member) Told() bool {
 	if m.Hub() != m.options.Listen {
 		return m.Heard()
 	}
-	return m.seedsAnswer.Load()
+	return m.seedsAnswered.Load()
 }
 
-// noteSeeds notes whether all other seeds answered this host's last question. The lock is
-// held.
-func (m *Member) noteSeeds() {
+// updateSeedsAnswered records whether all other seeds answered this host's last query. The
+// caller holds the lock.
+func (m *Member) updateSeedsAnswered() {
 	answer := true
 	for _, seed := range m.options.Seeds {
-		if q := m.others[seed]; seed != m.options.Listen && (q == nil || !q.answered) {
+		if q := m.hubQueries[seed]; seed != m.options.Listen && (q == nil || !q.answered) {
 			answer = false
 		}
 	}
-	m.seedsAnswer.Store(answer)
+	m.seedsAnswered.Store(answer)
 }
--- a/internal/exchange/quarantine_test.go
+++ b/internal/exchange/quarantine_test.go
@@ -23,8 +23,8 @@
 	return d
 }
 
-// Messages say what they were made of, and what can't be read is refused.
-func TestQuarantineMessages(t *testing.T) {
+// Messages decode to what was encoded, and malformed ones are rejected.
+func TestQuarantineOnTheWire(t *testing.T) {
 	is := is.New(t)
 	report := Report{Sightings: Sightings{
 		Losses:   Losses{{Digest: testDigest(1), Incarnation: 7, Age: 1500 * time.Millisecond, Ran: 30 * time.Millisecond}, {Digest: testDigest(2), Incarnation: 9}},
@@ -46,13 +46,13 @@
 	var back Reply
 	is.NoErr(json.Unmarshal(data, &back))
 	want := reply.Standing
-	want.Ended[1].Age = 65535 * time.Millisecond // the longest that is told
+	want.Ended[1].Age = 65535 * time.Millisecond // the longest age on the wire
 	want.Suspects[1].Events = 255
 	is.Equal(back.Standing, want)
 
 	quiet, err := json.Marshal(Report{Zone: "z"})
 	is.NoErr(err)
-	is.Equal(string(quiet), `{"zone":"z"}`) // nothing is said where there is nothing
+	is.Equal(string(quiet), `{"zone":"z"}`) // empty fields are left out
 	for _, text := range []string{`{"sightings":{"losses":"AAAA"}}`, `{"sightings":{"losses":5}}`, `{"sightings":{"answered":"?"}}`} {
 		is.True(json.Unmarshal([]byte(text), &read) != nil)
 	}
@@ -71,7 +71,7 @@
 	})
 }
 
-// A hub's log is bounded, and who asks gets the oldest that it doesn't know first.
+// A hub's log is bounded, and a reader gets the oldest sightings that it doesn't have first.
 func TestSightingLog(t *testing.T) {
 	is := is.New(t)
 	var l sightingLog
@@ -93,19 +93,19 @@
 	}
 	is.Equal(got, maxSightingLog)
 	is.Equal(number, l.last)
-	s, _ := l.since(l.last+50, "other", now) // a number of a former hub
+	s, _ := l.since(l.last+50, "other", now) // a number from a previous hub
 	is.Equal(len(s.Losses), maxSightings)
-	s, last := l.since(l.last-10, "host", now) // it told them itself
+	s, last := l.since(l.last-10, "host", now) // the asker sent them itself
 	is.True(s.IsZero())
 	is.Equal(last, l.last)
 }
 
-// fleetQuarantine is one host's part in the tests: its judgements are the real ones.
+// fleetQuarantine is one host's quarantine; its verdicts come from the real tracker.
 type fleetQuarantine struct {
 	mu       sync.Mutex
 	tracker  *quarantine.Tracker
 	judges   bool
-	untold   Sightings
+	unsent   Sightings
 	recent   Sightings
 	verdicts map[quarantine.Digest]quarantine.Verdict
 }
@@ -114,15 +114,15 @@
 	return &fleetQuarantine{tracker: quarantine.NewTracker(), judges: true, verdicts: make(map[quarantine.Digest]quarantine.Verdict)}
 }
 
-func (q *fleetQuarantine) lose(d quarantine.Digest, incarnation quarantine.Incarnation) {
+func (q *fleetQuarantine) recordLoss(d quarantine.Digest, incarnation quarantine.Incarnation) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.tracker.Lose(quarantine.Loss{Digest: d, Incarnation: incarnation, At: boottime.Elapsed()})
-	q.untold.Losses = append(q.untold.Losses, AgedLoss{Digest: d, Incarnation: incarnation})
+	q.unsent.Losses = append(q.unsent.Losses, AgedLoss{Digest: d, Incarnation: incarnation})
 	q.recent.Losses = append(q.recent.Losses, AgedLoss{Digest: d, Incarnation: incarnation})
 }
 
-func (q *fleetQuarantine) knows(d quarantine.Digest) bool {
+func (q *fleetQuarantine) hasVerdict(d quarantine.Digest) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	_, ok := q.verdicts[d]
@@ -132,9 +132,9 @@
 func (q *fleetQuarantine) Sightings() Sightings {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	untold := q.untold
-	q.untold = Sightings{}
-	return untold
+	unsent := q.unsent
+	q.unsent = Sightings{}
+	return unsent
 }
 
 func (q *fleetQuarantine) Recent() Sightings {
@@ -186,26 +186,27 @@
 	q.judges = judges
 }
 
-// toldWithin is the time after the third end within which every host has to know a request
-// that ends upstreams.
-const toldWithin = 3 * time.Second
+// verdictDeadline is the time after the third upstream ended by which every host must have the
+// verdict on the request that ended them.
+const verdictDeadline = 3 * time.Second
 
-// spoil has upstreams end with the request at hosts of three zones, and other requests
-// beside it.
-func (f *fleet) spoil(d quarantine.Digest, first quarantine.Incarnation, hosts ...*fleetHost) {
+// endUpstreams records that one upstream at each of the hosts ended with the request, and with
+// other requests that ran beside it.
+func (f *fleet) endUpstreams(d quarantine.Digest, first quarantine.Incarnation, hosts ...*fleetHost) {
 	for i, h := range hosts {
 		incarnation := first + quarantine.Incarnation(i)
-		h.quarantine.lose(d, incarnation)
+		h.quarantine.recordLoss(d, incarnation)
 		for j, beside := range f.hosts[:min(10, len(f.hosts))] {
-			beside.quarantine.lose(testDigest(1000*uint64(incarnation)+uint64(j)), incarnation)
+			beside.quarantine.recordLoss(testDigest(1000*uint64(incarnation)+uint64(j)), incarnation)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-// A request that ends upstreams at three hosts of different zones is known everywhere in
-// time, also when the hub of a zone is lost meanwhile, and nothing else is judged.
-func TestFleetHearsOfARequestThatEndsUpstreams(t *testing.T) {
+// The verdict on a request that ended upstreams at three hosts of different zones reaches all
+// hosts in time, even if the hub of a zone fails meanwhile, and no other request gets a
+// verdict.
+func TestVerdictReachesTheWholeFleet(t *testing.T) {
 	for _, size := range append(fleetSizes(), fleetSize{7, 3}) {
 		for _, loseHub := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%d, hub lost %v", size.hosts, loseHub), func(t *testing.T) {
@@ -214,7 +215,7 @@
 					f := newFleet(t, size.hosts, size.zones, 50)
 					time.Sleep(10 * time.Second)
 					d, n := testDigest(1), len(f.hosts)
-					f.spoil(d, 1, f.hosts[n-1], f.hosts[n-2], f.hosts[n-3])
+					f.endUpstreams(d, 1, f.hosts[n-1], f.hosts[n-2], f.hosts[n-3])
 					if loseHub {
 						for _, h := range f.hosts {
 							if h.address == f.hosts[n-1].member.Hub() {
@@ -224,10 +225,10 @@
 							}
 						}
 					}
-					took, ok := f.within(toldWithin, func(h *fleetHost) bool { return h.quarantine.knows(d) })
-					t.Logf("%d hosts know it after %v", size.hosts, took)
+					took, ok := f.waitAll(verdictDeadline, func(h *fleetHost) bool { return h.quarantine.hasVerdict(d) })
+					t.Logf("%d hosts have the verdict after %v", size.hosts, took)
 					is.True(ok)
-					is.True(f.all(func(h *fleetHost) bool {
+					is.True(f.allHosts(func(h *fleetHost) bool {
 						h.quarantine.mu.Lock()
 						defer h.quarantine.mu.Unlock()
 						return len(h.quarantine.verdicts) == 1
@@ -238,43 +239,43 @@
 	}
 }
 
-// A host that starts later hears of a verdict from its hub.
-func TestAHostThatStartsHearsOfVerdicts(t *testing.T) {
+// A host that starts later receives the verdict from its hub.
+func TestStartingHostReceivesVerdicts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 30, 3, 50)
 		time.Sleep(5 * time.Second)
 		d, last := testDigest(1), f.hosts[29]
-		f.spoil(d, 1, f.hosts[5], f.hosts[10], f.hosts[15])
+		f.endUpstreams(d, 1, f.hosts[5], f.hosts[10], f.hosts[15])
 		last.stop()
 		time.Sleep(2 * time.Second)
 		f.start(last, false)
-		took, ok := f.within(2*time.Second, func(h *fleetHost) bool { return h.quarantine.knows(d) })
-		t.Logf("the host that started knows it after %v", took)
+		took, ok := f.waitAll(2*time.Second, func(h *fleetHost) bool { return h.quarantine.hasVerdict(d) })
+		t.Logf("the host that started has the verdict after %v", took)
 		is.True(ok)
 	})
 }
 
-// A host that was suspended doesn't go by what others said before that.
+// A host that was suspended ignores the reports from before its suspension.
 func TestReportsAgeDuringASuspension(t *testing.T) {
 	is := is.New(t)
 	for _, d := range []time.Duration{time.Second, 5 * time.Second, 20 * time.Second} {
 		h := newHub(Options{Host: "self"}, zerolog.Nop())
-		h.take("other", Report{Work: Work{NameOf("u"): 5}})
-		is.Equal(h.others("self", toHost)[NameOf("u")], 5.0)
+		h.record("other", Report{Work: Work{NameOf("u"): 5}})
+		is.Equal(h.otherWork("self", toHost)[NameOf("u")], 5.0)
 		undo := boottime.Simulate(d)
-		is.Equal(len(h.others("self", toHost)), 0)
+		is.Equal(len(h.otherWork("self", toHost)), 0)
 		undo()
 	}
 }
 
-// A third of all upstreams is lost at once, with ten requests at each: what hosts tell of it
-// is bounded, and nothing is judged.
+// A third of all upstreams is lost at once, each with ten requests. The traffic that hosts send
+// about it stays bounded, and no request gets a verdict.
 func TestMassLossIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const hosts = 60
-		f := newFleet(t, hosts, 5, 50) // two zones have named hubs
+		f := newFleet(t, hosts, 5, 50) // in two zones a seed named the hub
 		time.Sleep(5 * time.Second)
 		before := 0
 		for _, h := range f.hosts {
@@ -282,7 +283,7 @@
 		}
 		for incarnation := range quarantine.Incarnation(8 * hosts) {
 			for i := range uint64(10) {
-				f.hosts[(uint64(incarnation)+i)%hosts].quarantine.lose(testDigest(uint64(incarnation)*10+i), 100+incarnation)
+				f.hosts[(uint64(incarnation)+i)%hosts].quarantine.recordLoss(testDigest(uint64(incarnation)*10+i), 100+incarnation)
 			}
 		}
 		time.Sleep(10 * time.Second)
@@ -291,7 +292,7 @@
 			after += h.traffic()
 			is.Equal(len(h.quarantine.verdicts), 0)
 		}
-		for incarnation := range quarantine.Incarnation(8 * hosts) { // the seeds know of all
+		for incarnation := range quarantine.Incarnation(8 * hosts) { // the seeds have all losses
 			for i := range uint64(10) {
 				is.True(!f.hosts[0].quarantine.tracker.Lose(quarantine.Loss{
 					Digest: testDigest(uint64(incarnation)*10 + i), Incarnation: 100 + incarnation, At: boottime.Elapsed() - 10*time.Second,
@@ -304,17 +305,18 @@
 	})
 }
 
-// A new hub is told what the host saw lately: the one before may not have passed it on.
-func TestANewHubIsToldAnew(t *testing.T) {
+// A new hub receives the host's recent sightings again: the previous hub may not have passed
+// them on.
+func TestNewHubReceivesRecentSightings(t *testing.T) {
 	is := is.New(t)
 	q := newFleetQuarantine()
 	m := New(Options{Quarantine: q, Work: func() Work { return nil }}, zerolog.Nop())
-	q.lose(testDigest(1), 1)
+	q.recordLoss(testDigest(1), 1)
 	is.Equal(len(m.report().Sightings.Losses), 1)
-	m.unseen = Sightings{} // the hub answered
-	m.toldSightings = 5
+	m.unsentSightings = Sightings{} // the hub answered
+	m.forwardedSightingsSeq = 5
 	is.Equal(len(m.report().Sightings.Losses), 0)
-	m.goTo("another")
+	m.switchHub("another")
 	is.Equal(len(m.report().Sightings.Losses), 1)
-	is.Equal(m.toldSightings, uint64(0))
+	is.Equal(m.forwardedSightingsSeq, uint64(0))
 }
--- a/internal/exchange/quarantinewire.go
+++ b/internal/exchange/quarantinewire.go
@@ -9,16 +9,16 @@
 	"github.com/quetzalweir/quetzalweir/quarantine"
 )
 
-// Losses are losses in messages, in 24 bytes each: a digest, an upstream, the age, and how long
-// the request had been there.
+// Losses are losses on the wire, in 24 bytes each: a digest, an upstream, the age, and how long
+// the request had been running there.
 type Losses []AgedLoss
 
-// AgedLoss is a loss and how long ago it was.
+// AgedLoss is a loss and its age.
 type AgedLoss struct {
 	Digest      quarantine.Digest
 	Incarnation quarantine.Incarnation
 	Age         time.Duration
-	// Ran is for how long the request had been there at the end.
+	// Ran is how long the request had been at the upstream when that ended.
 	Ran time.Duration
 }
 
@@ -39,13 +39,13 @@
 func (l *Losses) UnmarshalJSON(data []byte) (err error) {
 	*l, err = unmarshalList(data, lossSize, func(entry []byte) AgedLoss {
 		return AgedLoss{
-			Digest: quarantine.Digest(entry[:16]), Incarnation: quarantine.Incarnation(binary.BigEndian.Uint32(entry[16:])), Age: age(entry[20:]), Ran: age(entry[22:]),
+			Digest: quarantine.Digest(entry[:16]), Incarnation: quarantine.Incarnation(binary.BigEndian.Uint32(entry[16:])), Age: decodeAge(entry[20:]), Ran: decodeAge(entry[22:]),
 		}
 	})
 	return err
 }
 
-// Digests are digests in messages.
+// Digests are request digests on the wire.
 type Digests []quarantine.Digest
 
 const digestSize = 16
@@ -66,10 +66,11 @@
 	return err
 }
 
-// Endings are upstreams that ended.
+// Endings lists upstreams that ended.
 type Endings []Ending
 
-// Ending is an upstream that ended, how long ago, and whether a judged request explains it.
+// Ending holds an upstream that ended, how long ago that was, and whether a request with a
+// verdict explains it.
 type Ending struct {
 	Incarnation quarantine.Incarnation
 	Age         time.Duration
@@ -95,20 +96,21 @@
 // UnmarshalJSON implements json.Unmarshaler.
 func (e *Endings) UnmarshalJSON(data []byte) (err error) {
 	*e, err = unmarshalList(data, endingSize, func(entry []byte) Ending {
-		return Ending{Incarnation: quarantine.Incarnation(binary.BigEndian.Uint32(entry)), Age: age(entry[4:]), Explained: entry[6] != 0}
+		return Ending{Incarnation: quarantine.Incarnation(binary.BigEndian.Uint32(entry)), Age: decodeAge(entry[4:]), Explained: entry[6] != 0}
 	})
 	return err
 }
 
-// Suspects are suspicions in messages.
+// Suspects are suspicions on the wire.
 type Suspects []AgedSuspicion
 
-// AgedSuspicion is a suspicion that hosts pass on.
+// AgedSuspicion is a suspicion and its age.
 type AgedSuspicion struct {
 	Digest quarantine.Digest
 	Events int
-	// Age is how long ago the host said so that knows of it itself, so that it doesn't go
-	// round; FirstAge how long ago the first upstream ended with it.
+	// Age is the time since a host with first-hand data last raised the suspicion; passing it
+	// on doesn't renew it. FirstAge is the time since the first upstream ended with the
+	// request.
 	Age, FirstAge time.Duration
 }
 
@@ -130,22 +132,22 @@
 	*s, err = unmarshalList(data, suspectSize, func(entry []byte) AgedSuspicion {
 		return AgedSuspicion{
 			Digest: quarantine.Digest(entry[:digestSize]), Events: int(entry[digestSize]),
-			Age: age(entry[digestSize+1:]), FirstAge: age(entry[digestSize+3:]),
+			Age: decodeAge(entry[digestSize+1:]), FirstAge: decodeAge(entry[digestSize+3:]),
 		}
 	})
 	return err
 }
 
-// appendAge appends an age in milliseconds, up to a minute.
+// appendAge appends an age in milliseconds, up to about a minute.
 func appendAge(packed []byte, age time.Duration) []byte {
 	return binary.BigEndian.AppendUint16(packed, uint16(min(math.MaxUint16, max(0, age.Milliseconds()))))
 }
 
-func age(entry []byte) time.Duration {
+func decodeAge(entry []byte) time.Duration {
 	return time.Duration(binary.BigEndian.Uint16(entry)) * time.Millisecond
 }
 
-// marshalList writes a list as one text of entries of a size.
+// marshalList encodes a list as one JSON string of entries of a fixed size.
 func marshalList[T any](list []T, size int, appendEntry func(packed []byte, entry T) []byte) ([]byte, error) {
 	packed := make([]byte, 0, size*len(list))
 	for _, entry := range list {
@@ -154,7 +156,7 @@
 	return marshalPacked(packed)
 }
 
-// unmarshalList reads what marshalList wrote.
+// unmarshalList decodes the output of marshalList.
 func unmarshalList[T any](data []byte, size int, read func(entry []byte) T) ([]T, error) {
 	packed, err := unmarshalPacked(data, size)
 	if err != nil {
--- a/internal/exchange/race_off_test.go
+++ b/internal/exchange/race_off_test.go
@@ -2,5 +2,5 @@
 
 package exchange
 
-// underRace says that the race detector watches.
-const underRace = false
+// raceEnabled reports whether the tests run under the race detector.
+const raceEnabled = false
--- a/internal/exchange/race_on_test.go
+++ b/internal/exchange/race_on_test.go
@@ -2,5 +2,5 @@
 
 package exchange
 
-// underRace says that the race detector watches.
-const underRace = true
+// raceEnabled reports whether the tests run under the race detector.
+const raceEnabled = true
--- a/internal/exchange/sightinglog.go
+++ b/internal/exchange/sightinglog.go
@@ -7,8 +7,8 @@
 	"github.com/quetzalweir/quetzalweir/quarantine"
 )
 
-// sightingLog numbers what a hub was told. Another hub names the last number that it knows
-// and is told the rest; what it knows by another way it drops.
+// sightingLog numbers the sightings that a hub has received. Another hub sends the last number
+// that it has and receives the rest; it drops those that reached it another way.
 type sightingLog struct {
 	entries []sighting
 	last    uint64
@@ -21,11 +21,12 @@
 	at          time.Time
 	ran         time.Duration
 	answered    bool
-	// from is who told it.
+	// from is the host or hub that sent it.
 	from string
 }
 
-// maxSightingLog bounds what a hub keeps for other hubs, in entries of some 60 bytes.
+// maxSightingLog bounds the sightings that a hub keeps for other hubs, in entries of some 60
+// bytes.
 const maxSightingLog = 4096
 
 func (l *sightingLog) add(from string, s Sightings, now time.Time) {
@@ -41,22 +42,23 @@
 	}
 }
 
-// since is what others than the asker told after a number, the oldest first and of
-// maxSightings at most, and the number of the last of these. A number of another hub, or of this one before it
-// started anew, names nothing: all that is known is told.
+// since returns the sightings after the number that didn't come from the asker, the oldest
+// first and at most maxSightings, and the number of the last of them. A number above the last
+// one comes from another hub, or from this one before a restart; all sightings are returned
+// then.
 func (l *sightingLog) since(number uint64, asker string, now time.Time) (Sightings, uint64) {
 	n := len(l.entries)
 	if number <= l.last {
 		n = int(min(uint64(n), l.last-number))
 	}
-	told := l.entries[len(l.entries)-n:]
+	unsent := l.entries[len(l.entries)-n:]
 	last := l.last
-	if len(told) > maxSightings {
-		last -= uint64(len(told) - maxSightings)
-		told = told[:maxSightings]
+	if len(unsent) > maxSightings {
+		last -= uint64(len(unsent) - maxSightings)
+		unsent = unsent[:maxSightings]
 	}
 	var s Sightings
-	for _, e := range told {
+	for _, e := range unsent {
 		switch {
 		case e.from == asker:
 		case e.answered:
--- a/internal/exchange/tables.go
+++ b/internal/exchange/tables.go
@@ -7,90 +7,90 @@
 )
 
 const (
-	// handOnTime is the time for which a hub's network link may be full when all of its
-	// followers start at once and are handed whole tables. It is below callTimeout: an
-	// answer that takes longer is lost, and asked for again.
-	handOnTime = 350 * time.Millisecond
-	// maxHandedBytes bounds a packed table in a message, which takes a third more as
-	// text and may have a MB.
-	maxHandedBytes = 700_000
-	// leastLink is the network link that is taken where none is told, in Mbit/s.
-	leastLink = 10
+	// tableTransferTime is how long a hub's network link may be saturated when all its
+	// followers start at once and receive whole tables. It is below callTimeout: a reply that
+	// takes longer is lost and requested again.
+	tableTransferTime = 350 * time.Millisecond
+	// maxTableBytes bounds a packed table in a message. As base64 it takes a third more, and a
+	// message may have 1 MB.
+	maxTableBytes = 700_000
+	// minLinkMbps is the bandwidth assumed for an unknown network link, in Mbit/s.
+	minLinkMbps = 10
 )
 
-// relaysTo says whether the host is told what the store said: all are, up to
-// maxFollowers, and beyond that a part of them that stays about the same. A hub that
-// another one tells the store's word makes no calls for it, and tells all.
+// relaysTo reports whether table updates are relayed to the host. Up to maxFollowers all hosts
+// receive them, beyond that a mostly stable subset. A hub that receives the updates from
+// another hub makes no extra calls for them and relays them to all.
 func (h *hub) relaysTo(host string) bool {
-	if h.told.Load() {
+	if h.receivesTables.Load() {
 		return true
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := h.reporters()
-	speaksForOthers := h.reports[host].hosts > 1
-	return n.hosts >= minFollowers && (n.all <= maxFollowers || speaksForOthers || hash(host)%uint64(n.all) < maxFollowers)
+	isHub := h.reports[host].hosts > 1
+	return n.hosts >= minFollowers && (n.all <= maxFollowers || isHub || hash(host)%uint64(n.all) < maxFollowers)
 }
 
-// news is what the store told of the tables after the revisions that the host knows.
-// Where that is too much, or the host knows none, it is told the whole table if this
-// host's link bears that. A host that isn't relayed to is told only tables that it
-// doesn't know, if this host's word on them is young. later says that one is likely to
-// come.
-func (h *hub) news(from string, r Report, relays bool) (tables map[string]TableNews, later bool) {
-	tables = make(map[string]TableNews)
-	room, pending := h.room(from, r)
+// tableUpdates returns the changes of the tables after the revisions that the host has. If they
+// are too large, or the host has none, it returns the whole table, provided that this host's
+// link can carry it. A host that isn't relayed to gets only tables that it doesn't have yet,
+// and only if this host's data are recent. pending reports that a missing table will probably
+// follow.
+func (h *hub) tableUpdates(from string, r Report, relays bool) (tables map[string]TableUpdate, pending bool) {
+	tables = make(map[string]TableUpdate)
+	maxBytes, awaitsHub := h.tableByteLimit(from, r)
 	for name, watcher := range h.tables {
 		known := r.Revisions[name]
 		if !relays && known > 0 {
 			continue
 		}
-		n, ok := watcher.News(known, room)
+		n, ok := watcher.News(known, maxBytes)
 		switch {
 		case !ok:
-			later = true // this host is reading it itself
+			pending = true // this hub is still reading the table
 			continue
 		case !relays && watcher.Old():
 			continue
 		}
 		if known == 0 || !n.Complete {
-			if whole, fits := watcher.Whole(room); fits {
+			if whole, fits := watcher.Whole(maxBytes); fits {
 				n = whole
-			} else if pending && known == 0 {
-				later = true
+			} else if awaitsHub && known == 0 {
+				pending = true
 				continue
 			}
 		}
-		tables[name] = encodeNews(n)
+		tables[name] = encodeUpdate(n)
 	}
-	return tables, later
+	return tables, pending
 }
 
-// room is the most bytes of a packed table for the host. pending says that the host gets
-// a hub of its own zone soon, and from that the tables that are too large for this one.
-func (h *hub) room(from string, r Report) (bytes int, pending bool) {
+// tableByteLimit returns the maximum size of a packed table for the host. awaitsHub reports
+// that the host will soon get a hub of its own zone, which can send it larger tables.
+func (h *hub) tableByteLimit(from string, r Report) (maxBytes int, awaitsHub bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	link := max(h.linkMbps, leastLink) * 1e6 / 8
-	share := link * handOnTime.Seconds() / float64(max(1, h.reporters().all))
-	if _, named := h.reports[from]; named && r.Hosts > 1 {
-		share = maxHandedBytes // its followers wait for it
+	link := max(h.linkMbps, minLinkMbps) * 1e6 / 8
+	share := link * tableTransferTime.Seconds() / float64(max(1, h.reporters().all))
+	if _, found := h.reports[from]; found && r.Hosts > 1 {
+		share = maxTableBytes // the hub's followers need the table too
 	}
-	return int(min(maxHandedBytes, share)), h.pending(r)
+	return int(min(maxTableBytes, share)), h.awaitsHub(r)
 }
 
-func encodeNews(n feed.News) TableNews {
-	t := TableNews{
+func encodeUpdate(n feed.News) TableUpdate {
+	t := TableUpdate{
 		Since: n.Since, Revision: n.Revision, Complete: n.Complete, Whole: n.Whole, Packed: n.Packed,
 		AgeMs: n.Age.Milliseconds(), ClockMs: n.Clock.Milliseconds(),
 	}
 	for _, r := range n.Rows {
-		t.Rows = append(t.Rows, NewsRow(r))
+		t.Rows = append(t.Rows, UpdateRow(r))
 	}
 	return t
 }
 
-func (t *TableNews) news() feed.News {
+func (t *TableUpdate) decode() feed.News {
 	n := feed.News{
 		Since:    t.Since,
 		Revision: t.Revision,
--- a/internal/exchange/timings.go
+++ b/internal/exchange/timings.go
@@ -8,19 +8,19 @@
 	"github.com/quetzalweir/quetzalweir/placement"
 )
 
-// Timings are what answers told of the paces of models, by service and model. They are
-// told once in timingsEvery exchanges: they change slowly.
+// Timings holds sums over the measured speeds of models, by service and model. They change
+// slowly and are sent only once in timingsEvery exchanges.
 type Timings map[Name]placement.Timings
 
-// timingsEvery is the number of exchanges between two that tell timings: about a second.
+// timingsEvery is the number of exchanges between two that send timings: about a second.
 const timingsEvery = 7
 
-// timingsSize is the size of an entry in messages: a name and six numbers.
-const timingsSize = 4 + 6*4
+// timingsEntrySize is the size of an encoded entry in bytes: a name and six numbers.
+const timingsEntrySize = 4 + 6*4
 
 // MarshalJSON implements json.Marshaler.
 func (t Timings) MarshalJSON() ([]byte, error) {
-	packed := make([]byte, 0, timingsSize*len(t))
+	packed := make([]byte, 0, timingsEntrySize*len(t))
 	for name, sums := range t {
 		packed = binary.BigEndian.AppendUint32(packed, uint32(name))
 		for _, v := range []float64{sums.Answers, sums.Weight, sums.Tokens, sums.Squares, sums.Times, sums.Products} {
@@ -32,11 +32,11 @@
 
 // UnmarshalJSON implements json.Unmarshaler.
 func (t *Timings) UnmarshalJSON(data []byte) error {
-	packed, err := unmarshalPacked(data, timingsSize)
+	packed, err := unmarshalPacked(data, timingsEntrySize)
 	if err != nil {
 		return err
 	}
-	*t = make(Timings, len(packed)/timingsSize)
+	*t = make(Timings, len(packed)/timingsEntrySize)
 	for len(packed) > 0 {
 		var v [6]float64
 		for i := range v {
@@ -45,7 +45,7 @@
 		(*t)[Name(binary.BigEndian.Uint32(packed))] = placement.Timings{
 			Answers: v[0], Weight: v[1], Tokens: v[2], Squares: v[3], Times: v[4], Products: v[5],
 		}
-		packed = packed[timingsSize:]
+		packed = packed[timingsEntrySize:]
 	}
 	return nil
 }
@@ -59,26 +59,26 @@
 	}
 }
 
-// takeTimings keeps a host's timings, or what another hub told, until newer ones come. The
-// lock is held.
-func (h *hub) takeTimings(key string, t Timings) {
+// recordTimings keeps the timings of a host or another hub until newer ones arrive. The caller
+// holds the lock.
+func (h *hub) recordTimings(key string, t Timings) {
 	if t != nil {
 		h.timings[key] = t
 	}
 }
 
-// toldTimings is what all hosts but one told.
-func (h *hub) toldTimings(self string, who audience) Timings {
+// otherTimings sums the timings of all hosts except self.
+func (h *hub) otherTimings(self string, to audience) Timings {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	sum := make(Timings)
 	for key, t := range h.timings {
-		got, reports := h.reports[key]
-		if !reports {
+		got, ok := h.reports[key]
+		if !ok {
 			delete(h.timings, key)
 			continue
 		}
-		if key != self && who.hears(got) {
+		if key != self && to.includes(got) {
 			sum.add(t)
 		}
 	}
--- a/internal/exchange/work.go
+++ b/internal/exchange/work.go
@@ -12,27 +12,28 @@
 	"github.com/quetzalweir/quetzalweir/placement"
 )
 
-// Name stands for an upstream's id in messages, in four bytes. Two of 12,000 upstreams have
-// the same one in one installation of sixty; each is then believed to have both's work.
+// Name is a four-byte hash that stands for an upstream's ID in messages. Two of 12,000
+// upstreams collide in about one installation of sixty; the sum of both's work then counts for
+// each of them.
 type Name uint32
 
-// NameOf is the name of an upstream.
+// NameOf returns the name of an upstream.
 func NameOf(upstream string) Name { return Name(hash(upstream)) }
 
-// Work is work in flight by upstream: milliseconds of an engine, or requests. In messages
-// it takes eight bytes an upstream; written out with their ids 90 upstreams would take
-// twice a host's 7 KB a second.
+// Work holds the work in flight by upstream: milliseconds of engine time, or requests. An entry
+// takes eight bytes in a message. With upstream IDs written out, 90 upstreams would take twice
+// a host's 7 KB a second.
 type Work map[Name]float64
 
-// workEntry is the size of an entry: a name, and the work up to maxWork.
+// workEntrySize is the size of an encoded entry in bytes: a name, and the work up to maxWork.
 const (
-	workEntry = 6
-	maxWork   = math.MaxUint16
+	workEntrySize = 6
+	maxWork       = math.MaxUint16
 )
 
 // MarshalJSON implements json.Marshaler.
 func (w Work) MarshalJSON() ([]byte, error) {
-	packed := make([]byte, 0, workEntry*len(w))
+	packed := make([]byte, 0, workEntrySize*len(w))
 	for _, name := range slices.Sorted(maps.Keys(w)) {
 		packed = binary.BigEndian.AppendUint32(packed, uint32(name))
 		packed = binary.BigEndian.AppendUint16(packed, uint16(min(maxWork, max(0, math.Round(w[name])))))
@@ -42,22 +43,23 @@
 
 // UnmarshalJSON implements json.Unmarshaler.
 func (w *Work) UnmarshalJSON(data []byte) error {
-	packed, err := unmarshalPacked(data, workEntry)
+	packed, err := unmarshalPacked(data, workEntrySize)
 	if err != nil {
 		return err
 	}
-	*w = make(Work, len(packed)/workEntry)
-	for entry := range slices.Chunk(packed, workEntry) {
+	*w = make(Work, len(packed)/workEntrySize)
+	for entry := range slices.Chunk(packed, workEntrySize) {
 		(*w)[Name(binary.BigEndian.Uint32(entry))] = float64(binary.BigEndian.Uint16(entry[4:]))
 	}
 	return nil
 }
 
-// Reads are the shared parts of prompts that upstreams were sent for the first time.
+// Reads lists the shared prompt prefixes that were sent to upstreams for the first time, by
+// upstream.
 type Reads map[Name][]placement.Key
 
-// readSize is the size of a read in messages, before it is written as text.
-const readSize = 8
+// readEntrySize is the size of an encoded read in bytes, before base64.
+const readEntrySize = 8
 
 // MarshalJSON implements json.Marshaler.
 func (r Reads) MarshalJSON() ([]byte, error) {
@@ -73,12 +75,12 @@
 
 // UnmarshalJSON implements json.Unmarshaler.
 func (r *Reads) UnmarshalJSON(data []byte) error {
-	packed, err := unmarshalPacked(data, readSize)
+	packed, err := unmarshalPacked(data, readEntrySize)
 	if err != nil {
 		return err
 	}
 	*r = make(Reads)
-	for entry := range slices.Chunk(packed, readSize) {
+	for entry := range slices.Chunk(packed, readEntrySize) {
 		name := Name(binary.BigEndian.Uint32(entry))
 		(*r)[name] = append((*r)[name], placement.Key(binary.BigEndian.Uint32(entry[4:])))
 	}
@@ -96,7 +98,7 @@
 	return json.Marshal(base64.RawStdEncoding.EncodeToString(packed))
 }
 
-// unmarshalPacked returns the bytes of a text, whole entries of a size.
+// unmarshalPacked decodes a JSON string of base64 to entries of the given size in bytes.
 func unmarshalPacked(data []byte, entry int) ([]byte, error) {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
