--- a/internal/exchange/fleet_test.go
+++ b/internal/exchange/fleet_test.go
@@ -467,7 +467,7 @@
 				after, _ := f.store.count()
 				t.Logf("%d hosts have %d upstreams %v after the last one started; %d calls of the store", size.hosts, upstreams, took, after-calls)
 				is.True(ok && took < 2*time.Second) // the default of feed.Options.Heed
-				seeds := 3*int((span+took)/feed.RelayGather) + 3*(upstreams/storePage+1)
+				seeds := 3*int((span+took)/feed.RelayBatchDelay) + 3*(upstreams/storePage+1)
 				is.True(after-calls <= seeds+size.hosts/10) // few hosts other than the seeds query the store
 			})
 		})
--- a/internal/exchange/follow.go
+++ b/internal/exchange/follow.go
@@ -124,7 +124,7 @@
 		case ok:
 			w.Offer(update.decode(), requestedAt)
 		case !reply.Relays && !reply.TablePending && reply.Assigned == "":
-			w.NoOffer()
+			w.OfferNothing()
 		}
 	}
 }
--- a/internal/exchange/hub.go
+++ b/internal/exchange/hub.go
@@ -200,7 +200,7 @@
 		return
 	}
 	for _, w := range h.tables {
-		w.Hurry()
+		w.ShortenHold()
 	}
 }
 
--- a/internal/exchange/hubs.go
+++ b/internal/exchange/hubs.go
@@ -61,7 +61,7 @@
 func (m *Member) offerTablesIfDisconnected(reply Reply, requestedAt time.Time) {
 	for name, w := range m.options.Tables {
 		if update, ok := reply.Tables[name]; ok {
-			w.OfferIfLost(update.decode(), requestedAt)
+			w.OfferIfDisconnected(update.decode(), requestedAt)
 		}
 	}
 }
--- a/internal/exchange/tables.go
+++ b/internal/exchange/tables.go
@@ -50,7 +50,7 @@
 		case !ok:
 			pending = true // this hub is still reading the table
 			continue
-		case !relays && watcher.Old():
+		case !relays && watcher.Stale():
 			continue
 		}
 		if known == 0 || !n.Complete {
--- a/internal/feed/arriving_test.go
+++ b/internal/feed/arriving_test.go
@@ -14,8 +14,8 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// arrive tells of a part of an answer at each interval until the time is over.
-func arrive(ctx context.Context, received Received, span time.Duration) error {
+// receiveParts reports a part of an answer at each interval until the span is over.
+func receiveParts(ctx context.Context, received Received, span time.Duration) error {
 	const interval = answerTimeout / 2
 	for end := time.Now().Add(span); time.Now().Before(end); {
 		select {
@@ -28,8 +28,8 @@
 	return nil
 }
 
-// The limit is on silence, also within an answer.
-func TestAnswerThatStopsMidwayIsGivenUp(t *testing.T) {
+// The timeout bounds the time without data within an answer, too.
+func TestAnswerThatStopsMidwayIsCanceled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const arriving = 4 * time.Second
@@ -41,19 +41,19 @@
 				second = time.Since(began)
 				return hang(ctx)
 			}
-			if err := arrive(ctx, source.received, arriving); err != nil {
+			if err := receiveParts(ctx, source.received, arriving); err != nil {
 				return Page{}, err
 			}
 			return hang(ctx)
 		}
 		watch(source, Options{}, arriving+answerTimeout+maxBackoff)
-		is.True(second >= arriving+answerTimeout) // not while it arrived
+		is.True(second >= arriving+answerTimeout) // not while it was arriving
 		is.True(second <= arriving+answerTimeout+maxBackoff)
 	})
 }
 
-// Another watcher's dead connection doesn't end an answer that is arriving: it would
-// be read from its beginning again, for as long as the other's calls fail.
+// Another watcher's dead connection doesn't end an answer that is arriving. Otherwise the
+// answer would be read from its beginning again, for as long as the other watcher's calls fail.
 func TestArrivingAnswerOutlivesAnothersFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -63,7 +63,7 @@
 			if call > 1 {
 				return hang(ctx)
 			}
-			if err := arrive(ctx, long.received, arriving); err != nil {
+			if err := receiveParts(ctx, long.received, arriving); err != nil {
 				return Page{}, err
 			}
 			return Page{Rows: rows(2), Revision: 2}, nil
@@ -83,8 +83,8 @@
 	})
 }
 
-// The first part of an answer tells the watchers that wait for the store's return.
-func TestOthersGoOnWhenAnAnswerBegins(t *testing.T) {
+// The first part of an answer resumes the watchers that wait for the store to recover.
+func TestOthersResumeWhenAnAnswerBegins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const down, arriving = time.Second, 4 * time.Second
@@ -94,7 +94,7 @@
 			if time.Since(began) < down {
 				return Page{}, errors.New("refused")
 			}
-			return Page{}, arrive(ctx, long.received, arriving)
+			return Page{}, receiveParts(ctx, long.received, arriving)
 		}
 		waiting := &scriptedSource{list: func(int) (Page, error) { return Page{Revision: 1}, nil }}
 		var back time.Duration
@@ -117,8 +117,8 @@
 	})
 }
 
-// What an answer tells is as old as its first part: while the rest arrived the store
-// may have changed, and other hosts go by the age that this one tells them.
+// An answer is as old as its first part: the store may have changed while the rest arrived, and
+// other hosts rely on the age that this one reports.
 func TestAgeOfALongAnswer(t *testing.T) {
 	const arriving, clock = 4 * time.Second, time.Hour
 	tests := []struct {
@@ -131,7 +131,7 @@
 				if call > 1 {
 					return hang(ctx)
 				}
-				return Page{Rows: rows(2), Revision: 2, Clock: clock}, arrive(ctx, s.received, arriving)
+				return Page{Rows: rows(2), Revision: 2, Clock: clock}, receiveParts(ctx, s.received, arriving)
 			}
 		}},
 		{"a listing of two pages", func(s *scriptedSource) {
@@ -142,7 +142,7 @@
 					page.Clock += arriving
 					return page, nil
 				}
-				return page, arrive(context.Background(), s.received, arriving)
+				return page, receiveParts(context.Background(), s.received, arriving)
 			}
 		}},
 	}
@@ -164,8 +164,8 @@
 	}
 }
 
-// A store that doesn't know yet what another host told of isn't asked without a pause:
-// all hosts of an installation would do so at the same moment.
+// A store that doesn't have the changes yet that another host announced isn't called without a
+// pause: all hosts of an installation would do so at the same moment.
 func TestUnheldCallsArePaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -179,7 +179,7 @@
 			}
 			return Page{Rows: rows(8), Revision: 8}, nil
 		})
-		tell(w, News{Since: 5, Revision: 8}, behind+time.Second)
+		offerRepeatedly(w, News{Since: 5, Revision: 8}, behind+time.Second)
 		is.Equal(seen.changes, rows(8))
 		is.True(source.polls <= int(behind/minBackoff)+5)
 	})
--- a/internal/feed/call.go
+++ b/internal/feed/call.go
@@ -11,15 +11,15 @@
 
 // Calls counts a watcher's calls of the store since its start.
 type Calls struct {
-	// Answered ended with an answer, lost history included; Failed ended
-	// without one.
+	// Answered counts calls that ended with an answer, including lost history; Failed counts
+	// those that ended without one.
 	Answered uint64
 	Failed   uint64
-	// ReceivedBytes is what came of all answers, also of those that ended early.
+	// ReceivedBytes counts the bytes of all answers, including incomplete ones.
 	ReceivedBytes uint64
 }
 
-// callCounts are the counters behind Calls.
+// callCounts holds the counters that Calls returns.
 type callCounts struct {
 	answered, failed, receivedBytes atomic.Uint64
 }
@@ -30,37 +30,37 @@
 	return Calls{Answered: c.answered.Load(), Failed: c.failed.Load(), ReceivedBytes: c.receivedBytes.Load()}
 }
 
-// storeCall is one call of the store and how far its answer came.
+// storeCall is one call of the store and the progress of its answer.
 type storeCall struct {
-	// kind is "list" or "changes"; hold is how long the store may hold the call.
+	// kind is "list" or "changes". hold is how long the store may hold the call.
 	kind string
 	hold time.Duration
-	// within bounds the time to the answer's first part. Each further one has
-	// answerTimeout: the whole answer takes as long as the link needs for its size.
-	within time.Duration
-	do     func(ctx context.Context, received Received) (Page, error)
+	// firstPartTimeout bounds the time to the first part of the answer. Each further part has
+	// answerTimeout, so the whole answer may take as long as the link needs for its size.
+	firstPartTimeout time.Duration
+	do               func(ctx context.Context, received Received) (Page, error)
 
 	started time.Time
-	// answeredAt is when the answer's first part came, in time since the watcher's
-	// start: what the answer tells is as old as that. 0 before it.
+	// answeredAt is when the first part of the answer arrived, in nanoseconds since the
+	// watcher's start, or 0 before that. The answer's data are as of that time.
 	answeredAt    atomic.Int64
 	receivedBytes atomic.Uint64
 }
 
-// answered is when the store answered; for an answer without parts, now.
-func (c *storeCall) answered(now time.Duration) time.Duration {
+// answerTime returns when the store answered, or now for an answer without parts.
+func (c *storeCall) answerTime(now time.Duration) time.Duration {
 	if at := c.answeredAt.Load(); at != 0 {
 		return time.Duration(at)
 	}
 	return now
 }
 
-// errAbandoned means that a call was given up because another watcher found the
-// store out of reach.
+// errAbandoned means that a call was canceled because another watcher found the store
+// unreachable.
 var errAbandoned = errors.New("feed: call abandoned")
 
-// call makes one call of the store and tells the link what came of it. It returns
-// the answer and when the store gave it, in time since the watcher's start.
+// call makes one call of the store and reports the result to the link. It returns the answer
+// and when the store gave it, as the time since the watcher's start.
 func (w *Watcher) call(ctx context.Context, c *storeCall) (Page, time.Duration, error) {
 	linkCtx, err := w.options.Link.begin(ctx, w)
 	if err != nil {
@@ -69,9 +69,9 @@
 	callCtx, endHeld := w.held.begin(linkCtx, c, w.relayHold())
 	page, err := w.exchange(callCtx, c)
 	endHeld()
-	if err != nil && errors.Is(context.Cause(callCtx), errHurried) {
+	if err != nil && errors.Is(context.Cause(callCtx), errHoldShortened) {
 		w.options.Link.end(w, true)
-		return Page{}, 0, errHurried
+		return Page{}, 0, errHoldShortened
 	}
 	reached := err == nil || errors.Is(err, ErrHistoryLost)
 	abandoned := !reached && linkCtx.Err() != nil
@@ -79,8 +79,8 @@
 	w.countCall(reached)
 	switch {
 	case err == nil:
-		at := c.answered(w.sinceStart())
-		w.noteClock(page.Clock, at)
+		at := c.answerTime(w.sinceStart())
+		w.recordClock(page.Clock, at)
 		w.logLarge(c, page)
 		return page, at, nil
 	case ctx.Err() != nil:
@@ -94,22 +94,22 @@
 	return Page{}, 0, err
 }
 
-// exchange sends the call and reads its answer, until the store is silent for too
+// exchange sends the call and reads its answer. It fails if the store sends nothing for too
 // long.
 func (w *Watcher) exchange(ctx context.Context, c *storeCall) (Page, error) {
-	ctx, guard := stall.WithTimeout(ctx, c.within)
+	ctx, guard := stall.WithTimeout(ctx, c.firstPartTimeout)
 	defer guard.Stop()
 	c.started = time.Now()
 	page, err := c.do(ctx, func(bytes int) {
 		guard.Progress(answerTimeout)
-		w.noteReceived(c, bytes)
+		w.recordReceived(c, bytes)
 	})
 	return page, guard.Explain(err)
 }
 
-// noteReceived takes in a part of a call's answer. The first one tells the link
-// that the store answers.
-func (w *Watcher) noteReceived(c *storeCall, bytes int) {
+// recordReceived counts a part of a call's answer. The first part shows the link that the store
+// answers.
+func (w *Watcher) recordReceived(c *storeCall, bytes int) {
 	w.calls.receivedBytes.Add(uint64(bytes))
 	c.receivedBytes.Add(uint64(bytes))
 	if c.answeredAt.CompareAndSwap(0, int64(w.sinceStart())) {
--- a/internal/feed/calllog_test.go
+++ b/internal/feed/calllog_test.go
@@ -32,8 +32,8 @@
 	return found
 }
 
-// An answer that stops midway, a host that is behind its hub and a store that
-// refuses look alike from outside; a failed call's line tells them apart.
+// An answer that stops midway, a host that is behind its hub, and a store that rejects calls
+// have the same effect from outside. The log line of a failed call distinguishes them.
 func TestFailedCallIsExplained(t *testing.T) {
 	tests := []struct {
 		desc     string
@@ -59,7 +59,7 @@
 				w := NewWatcher("t", source, &recorder{}, Options{}, zerolog.New(&log))
 				ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 				defer cancel()
-				w.Offer(News{Since: 5, Revision: 8}, time.Now()) // too large to be told
+				w.Offer(News{Since: 5, Revision: 8}, time.Now()) // too large to be sent with the update
 				w.Run(ctx)
 
 				failed := events(t, &log, "store-call-failed")
@@ -77,7 +77,7 @@
 	}
 }
 
-// What takes a part of the host's link shows by a line, and the host is no longer
+// An answer that takes up a part of the host's link is logged, and the host is no longer
 // behind.
 func TestLargeAnswerIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/feed/era_test.go
+++ b/internal/feed/era_test.go
@@ -12,11 +12,11 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// at is a revision of an era.
+// at returns a revision of an era.
 func at(era, version uint64) storage.Revision { return storage.NewRevision(era, version) }
 
-// Once, and twice in a row, the store comes back from an older copy: each table is handed on,
-// though its versions are lower, and changes go on from there.
+// The store is restored from an older backup, twice in a row. Each table is passed on although
+// its versions are lower, and changes continue from there.
 func TestTablesOfLaterEras(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -43,8 +43,8 @@
 	})
 }
 
-// Pages of two eras are no table.
-func TestListingAcrossAReturn(t *testing.T) {
+// Pages of two eras don't form a table.
+func TestListingAcrossARestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		source := &scriptedSource{
@@ -66,9 +66,9 @@
 	})
 }
 
-// A host that still holds the old era's word feeds it to none that has the new one; one that
-// has the old is told the whole table of the new.
-func TestWordOfAFormerEra(t *testing.T) {
+// A host that still has an update of the old era doesn't affect one that has the new era. A
+// host that has the old era is sent the whole table of the new one.
+func TestUpdateOfAnEarlierEra(t *testing.T) {
 	is := is.New(t)
 	seen := &recorder{}
 	w := NewWatcher("t", &scriptedSource{}, seen, Options{}, zerolog.Nop())
@@ -77,19 +77,19 @@
 		{Since: at(0, 10), Revision: at(0, 90), Complete: true, Rows: rows(at(0, 90))},
 		{Revision: at(0, 90), Whole: true, Packed: pack(rows(at(0, 90)))},
 	} {
-		w.takeNews(n, time.Now())
+		w.applyUpdate(n, time.Now())
 		is.Equal(w.Revision(), at(1, 20))
 	}
 	is.Equal(len(seen.changes), 0)
 	is.Equal(len(seen.tables), 1)
 
-	n, ok := w.recent.since(at(0, 90)) // what a host that knows the old era is told
+	n, ok := w.recent.since(at(0, 90)) // the update for a host of the old era
 	is.True(ok && !n.Complete && len(n.Rows) == 0)
 	behind := NewWatcher("t", &scriptedSource{}, seen, Options{}, zerolog.Nop())
 	behind.replace(rows(at(0, 90)), at(0, 90), nil)
-	is.True(!behind.takeNews(n, time.Now())) // it has to read the table
-	w.contactAt.Store(1)
+	is.True(!behind.applyUpdate(n, time.Now())) // the host must read the table
+	w.lastAnswerAt.Store(1)
 	whole, ok := w.Whole(1 << 20)
-	is.True(ok && behind.takeNews(whole, time.Now()))
+	is.True(ok && behind.applyUpdate(whole, time.Now()))
 	is.Equal(behind.Revision(), at(1, 20))
 }
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -14,7 +14,7 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// scriptedSource answers calls by functions of the test.
+// scriptedSource answers calls with functions of the test.
 type scriptedSource struct {
 	list    func(call int) (Page, error)
 	changes func(ctx context.Context, call int, since storage.Revision) (Page, error)
@@ -38,7 +38,7 @@
 	return s.changes(ctx, s.polls, since)
 }
 
-// recorder keeps what a watcher handed on.
+// recorder keeps what a watcher passed on.
 type recorder struct {
 	tables  [][]Row
 	changes []Row
@@ -47,13 +47,13 @@
 func (r *recorder) Replace(rows []Row, _ storage.Revision) { r.tables = append(r.tables, rows) }
 func (r *recorder) Change(row Row)                         { r.changes = append(r.changes, row) }
 
-// hang answers nothing until the context ends.
+// hang doesn't answer until the context ends.
 func hang(ctx context.Context) (Page, error) {
 	<-ctx.Done()
 	return Page{}, ctx.Err()
 }
 
-// watch runs a watcher in a bubble of virtual time for the span.
+// watch runs a watcher for the span, in a bubble of virtual time.
 func watch(source *scriptedSource, options Options, span time.Duration) (*Watcher, *recorder) {
 	seen := &recorder{}
 	w := NewWatcher("t", source, seen, options, zerolog.Nop())
@@ -104,7 +104,7 @@
 				return Page{Rows: rows(2), Revision: 9}, nil
 			},
 			changes: func(ctx context.Context, _ int, since storage.Revision) (Page, error) {
-				is.Equal(since, storage.Revision(5)) // what changed between the pages comes again
+				is.Equal(since, storage.Revision(5)) // changes between the pages are sent again
 				return hang(ctx)
 			},
 		}
@@ -113,7 +113,7 @@
 	})
 }
 
-func TestLostHistoryIsReadAgain(t *testing.T) {
+func TestTableIsReadAgainAfterLostHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		source := &scriptedSource{
@@ -132,8 +132,8 @@
 	})
 }
 
-// A listing older than what is known must not bring back what was replaced.
-func TestOldListingIsNotHandedOn(t *testing.T) {
+// A listing older than the watcher's rows must not bring back rows that were replaced.
+func TestOldListingIsNotPassedOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		source := &scriptedSource{
@@ -163,7 +163,7 @@
 		source := &scriptedSource{
 			list: func(int) (Page, error) { return Page{Revision: 1}, nil },
 			changes: func(ctx context.Context, _ int, since storage.Revision) (Page, error) {
-				is.Equal(since, storage.Revision(1)) // it goes on where it was
+				is.Equal(since, storage.Revision(1)) // the watcher continues where it was
 				if time.Since(began) < down {
 					duringOutage = duringOutage || w.Interrupted()
 					return Page{}, errors.New("refused")
@@ -184,9 +184,9 @@
 	})
 }
 
-// A connection on which an answer was lost stays silent; the watcher gives it up
-// soon after the longest time that the store holds a call.
-func TestSilentCallIsGivenUp(t *testing.T) {
+// A connection on which an answer was lost stays silent. The watcher cancels the call soon
+// after the longest time for which the store holds one.
+func TestSilentCallIsCanceled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var second time.Duration
@@ -251,9 +251,9 @@
 	})
 }
 
-// One watcher's failure ends the other's call, which may hang on a dead
-// connection, and only one of them tries the store until it is back.
-func TestWatchersShareWhatTheyKnowOfTheStore(t *testing.T) {
+// One watcher's failure ends the other's call, which may hang on a dead connection, and only
+// one of them calls the store until it recovers.
+func TestWatchersShareTheStoresAvailability(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		began := time.Now()
@@ -294,9 +294,9 @@
 			group.Go(func() { w.Run(ctx) })
 		}
 		group.Wait()
-		is.Equal(tries[1], 0)     // the other one tries
-		is.True(tries[0] < 14)    // at its own pace
-		for _, at := range back { // and both know when it is back
+		is.Equal(tries[1], 0)     // only the other one is the prober
+		is.True(tries[0] < 14)    // with its usual backoff
+		for _, at := range back { // both notice the recovery
 			is.True(at >= downTo && at <= downTo+maxBackoff)
 		}
 	})
--- a/internal/feed/heldcall.go
+++ b/internal/feed/heldcall.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// errHurried means that a held call was given up for one with a shorter hold.
-var errHurried = errors.New("feed: others rely on this host now")
+// errHoldShortened means that a held call was canceled in favor of one with a shorter hold.
+var errHoldShortened = errors.New("feed: held call canceled because other hosts now rely on this one")
 
-// heldCall is the call under way that the store may hold for long.
+// heldCall is the current call that the store may hold for a long time.
 type heldCall struct {
 	mu     sync.Mutex
 	call   *storeCall
 	cancel context.CancelCauseFunc
 }
 
-// begin notes a call that the store may hold for longer than the limit. It returns the
-// call's context and what ends it.
+// begin registers a call that the store may hold for longer than the limit. It returns the
+// call's context and a function that ends it.
 func (h *heldCall) begin(ctx context.Context, c *storeCall, limit time.Duration) (context.Context, func()) {
 	if c.hold <= limit {
 		return ctx, func() {}
@@ -37,36 +37,37 @@
 	h.call, h.cancel = c, cancel
 }
 
-// pauseAfterChange gathers further changes before the next call. Hurry ends the pause.
+// pauseAfterChange waits before the next call so that further changes accumulate. ShortenHold
+// ends the pause.
 func (w *Watcher) pauseAfterChange(ctx context.Context) error {
 	select {
-	case <-w.hurried:
-	default: // no signal from before the pause
+	case <-w.holdShortened:
+	default: // discard a signal from before the pause
 	}
-	timer := time.NewTimer(w.gather())
+	timer := time.NewTimer(w.batchDelay())
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return nil
-	case <-w.hurried:
+	case <-w.holdShortened:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// Hurry gives up the call that the store holds, if it may hold it for longer than one
-// that others rely on and hasn't begun to answer: other hosts begin to rely on this one,
-// and would hear nothing until the call is over.
-func (w *Watcher) Hurry() {
+// ShortenHold cancels the current call if the store may hold it for longer than a relay's calls
+// and hasn't begun to answer. It is called when other hosts begin to rely on this one: they
+// would receive nothing until the call ends.
+func (w *Watcher) ShortenHold() {
 	select {
-	case w.hurried <- struct{}{}:
-	default: // a signal is waiting already
+	case w.holdShortened <- struct{}{}:
+	default: // a signal is already pending
 	}
 	h := &w.held
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.call != nil && h.call.answeredAt.Load() == 0 {
-		h.cancel(errHurried)
+		h.cancel(errHoldShortened)
 	}
 }
--- a/internal/feed/lag.go
+++ b/internal/feed/lag.go
@@ -7,30 +7,29 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// lag is how far a watcher is behind what another host told it of.
+// lag tracks how far a watcher is behind the revision that another host announced.
 type lag struct {
-	// told is the newest revision that has to be read from the store; since is
-	// when the first such word came, in time since the watcher's start, 0 while
-	// there is none.
-	told  atomic.Uint64
-	since atomic.Int64
+	// target is the newest revision that must be read from the store. since is when the first
+	// such announcement came, in nanoseconds since the watcher's start, or 0 without one.
+	target atomic.Uint64
+	since  atomic.Int64
 }
 
-// note takes in that the table's changes up to the revision have to be read.
-func (l *lag) note(revision storage.Revision, now time.Duration) {
-	l.told.Store(max(l.told.Load(), uint64(revision)))
+// add records that the table's changes up to the revision must be read.
+func (l *lag) add(revision storage.Revision, now time.Duration) {
+	l.target.Store(max(l.target.Load(), uint64(revision)))
 	l.since.CompareAndSwap(0, int64(now))
 }
 
-// reached ends the lag if the revision takes in what was told.
-func (l *lag) reached(revision storage.Revision) {
-	if uint64(revision) >= l.told.Load() {
+// advance ends the lag if the revision covers the target.
+func (l *lag) advance(revision storage.Revision) {
+	if uint64(revision) >= l.target.Load() {
 		l.since.Store(0)
 	}
 }
 
-// Behind is the time since another host first told of changes that the watcher
-// hasn't read yet; 0 if there are none.
+// Behind returns the time since another host first announced changes that the watcher hasn't
+// read yet, or 0 if there are none.
 func (w *Watcher) Behind() time.Duration {
 	since := w.lag.since.Load()
 	if since == 0 {
--- a/internal/feed/link.go
+++ b/internal/feed/link.go
@@ -8,32 +8,32 @@
 	"github.com/quetzalweir/quetzalweir/internal/boottime"
 )
 
-// Link is what the watchers of one store share: whether the store answers. When
-// one watcher's call fails, the others give up the calls that they wait on, which
-// may hang on connections that are dead, and leave it to that one to try the store
-// until it answers. So an outage costs the calls of one watcher, and is noticed
-// when the first of several calls shows it.
+// Link holds the state that all watchers of one store share: whether the store answers. When
+// one watcher's call fails, the others cancel their own calls, which may hang on dead
+// connections, and leave it to that watcher to call the store until it answers. An outage
+// therefore costs the calls of only one watcher, and all notice it with the first call that
+// fails.
 //
-// A call whose answer is arriving shows that the store answers. It isn't given up for
-// another's failure, which is then one of a connection: a long answer would have to be
-// read from its beginning again.
+// A call whose answer is arriving shows that the store answers. It isn't canceled when another
+// call fails, since that is then a failure of one connection, and a long answer would have to
+// be read again from its beginning.
 type Link struct {
 	mu sync.Mutex
-	// trying is the watcher that tries the store while it is out of reach; nil
-	// while the store answers.
-	trying *Watcher
-	// returned is closed when the store answers again.
-	returned chan struct{}
-	// returnedAt is when it last did; zero before that.
-	returnedAt time.Time
-	// calls are those under way.
+	// prober is the watcher that calls the store while it is unreachable; nil while the store
+	// answers.
+	prober *Watcher
+	// recovered is closed when the store answers again.
+	recovered chan struct{}
+	// recoveredAt is when the last outage ended; zero before that.
+	recoveredAt time.Time
+	// calls holds the calls in flight.
 	calls map[*Watcher]*linkCall
 }
 
 // linkCall is a watcher's call.
 type linkCall struct {
 	cancel context.CancelFunc
-	// receiving says that its answer is arriving.
+	// receiving reports that the answer is arriving.
 	receiving bool
 }
 
@@ -42,15 +42,15 @@
 	return &Link{calls: make(map[*Watcher]*linkCall)}
 }
 
-// begin waits until the store is believed to answer, or it is the watcher's own
-// turn to try, and returns the context of the watcher's next call.
+// begin waits until the store answers or the watcher is the prober, and returns the context of
+// the watcher's next call.
 func (l *Link) begin(ctx context.Context, w *Watcher) (context.Context, error) {
 	l.mu.Lock()
-	for l.trying != nil && l.trying != w {
-		returned := l.returned
+	for l.prober != nil && l.prober != w {
+		recovered := l.recovered
 		l.mu.Unlock()
 		select {
-		case <-returned:
+		case <-recovered:
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -62,18 +62,18 @@
 	return callCtx, nil
 }
 
-// receiving notes that the answer to the watcher's call is arriving.
+// receiving records that the answer to the watcher's call is arriving.
 func (l *Link) receiving(w *Watcher) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if call, ok := l.calls[w]; ok {
 		call.receiving = true
 	}
-	l.answered(w)
+	l.markReachable(w)
 }
 
-// end ends the watcher's call. Without a result the store is out of reach, unless it
-// is answering another one.
+// end ends the watcher's call. If it failed, the store counts as unreachable, unless it is
+// answering another call.
 func (l *Link) end(w *Watcher, reached bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,27 +81,27 @@
 	delete(l.calls, w)
 	switch {
 	case reached:
-		l.answered(w)
-	case l.trying == nil && !l.anyReceiving():
-		l.trying = w
-		l.returned = make(chan struct{})
+		l.markReachable(w)
+	case l.prober == nil && !l.anyReceiving():
+		l.prober = w
+		l.recovered = make(chan struct{})
 		for _, call := range l.calls {
 			call.cancel()
 		}
 	}
 }
 
-// answered lets the other watchers go on if the watcher was the one to try the store.
-// l.mu is held.
-func (l *Link) answered(w *Watcher) {
-	if l.trying == w {
-		l.trying = nil
-		l.returnedAt = boottime.Now()
-		close(l.returned)
+// markReachable lets the other watchers continue if the watcher was the prober. The caller
+// holds l.mu.
+func (l *Link) markReachable(w *Watcher) {
+	if l.prober == w {
+		l.prober = nil
+		l.recoveredAt = boottime.Now()
+		close(l.recovered)
 	}
 }
 
-// anyReceiving says whether an answer is arriving. l.mu is held.
+// anyReceiving reports whether an answer is arriving. The caller holds l.mu.
 func (l *Link) anyReceiving() bool {
 	for _, call := range l.calls {
 		if call.receiving {
@@ -111,23 +111,23 @@
 	return false
 }
 
-// lost says whether the store is out of reach.
-func (l *Link) lost() bool {
+// unreachable reports whether the store is unreachable.
+func (l *Link) unreachable() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.trying != nil
+	return l.prober != nil
 }
 
-// returnedWithin says whether the store is out of reach, or was within the span.
-func (l *Link) returnedWithin(span time.Duration) bool {
+// recoveredWithin reports whether the store is unreachable, or was within the span.
+func (l *Link) recoveredWithin(span time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.trying != nil || !l.returnedAt.IsZero() && boottime.Since(l.returnedAt) < span
+	return l.prober != nil || !l.recoveredAt.IsZero() && boottime.Since(l.recoveredAt) < span
 }
 
-// leave lets another watcher try the store when this one stops.
-func (l *Link) leave(w *Watcher) {
+// stopProbing lets another watcher call the store if the watcher was the prober.
+func (l *Link) stopProbing(w *Watcher) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.answered(w)
+	l.markReachable(w)
 }
--- a/internal/feed/pack.go
+++ b/internal/feed/pack.go
@@ -12,16 +12,16 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// maxWholeBytes bounds a table that another host hands on, unpacked: the store's own
-// answers are bounded alike.
-const maxWholeBytes = 16 << 20
+// maxTableBytes bounds the unpacked size of a table from another host. The store's own answers
+// have the same limit.
+const maxTableBytes = 16 << 20
 
-// errPacked means that a packed table is damaged.
-var errPacked = errors.New("feed: packed table")
+// errCorruptPacked means that packed rows can't be decoded.
+var errCorruptPacked = errors.New("feed: corrupt packed rows")
 
-// pack encodes rows for another host, compressed: entries of one table are much alike. Each
-// row is its revision, the length of its key, and that of its data and 1 or 0 for a row that
-// was removed, as varints, then key and data.
+// pack encodes and compresses rows for another host: the entries of one table are similar to
+// each other. Each row consists of three varints, followed by key and data: the revision, the
+// key's length, and the data's length plus 1, or 0 for a removed row.
 func pack(rows []Row) []byte {
 	var packed bytes.Buffer
 	w := compressors.Get().(*flate.Writer)
@@ -37,14 +37,14 @@
 		}
 		head = binary.AppendUvarint(head, data)
 		for _, part := range [][]byte{head, []byte(row.Key), row.Data} {
-			_, _ = w.Write(part) // the buffer takes all writes
+			_, _ = w.Write(part) // writes to a buffer never fail
 		}
 	}
 	_ = w.Close()
 	return packed.Bytes()
 }
 
-// compressors are kept for the next packing.
+// compressors are reused between calls of pack.
 var compressors = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(nil, flate.BestSpeed)
 	if err != nil {
@@ -53,30 +53,30 @@
 	return w
 }}
 
-// decompressors are kept for the next unpacking.
+// decompressors are reused between calls of inflate.
 var decompressors = sync.Pool{New: func() any { return flate.NewReader(nil) }}
 
-// usualRatio is about how many times as large rows are unpacked.
-const usualRatio = 8
+// typicalRatio is roughly the ratio of unpacked to packed size.
+const typicalRatio = 8
 
-// inflate returns the bytes that were compressed.
+// inflate decompresses packed rows.
 func inflate(packed []byte) ([]byte, error) {
 	reader := decompressors.Get().(io.ReadCloser)
 	defer decompressors.Put(reader)
 	if err := reader.(flate.Resetter).Reset(bytes.NewReader(packed), nil); err != nil {
-		return nil, fmt.Errorf("%w: %w", errPacked, err)
+		return nil, fmt.Errorf("%w: %w", errCorruptPacked, err)
 	}
-	data := bytes.NewBuffer(make([]byte, 0, usualRatio*len(packed)+bytes.MinRead))
-	if _, err := data.ReadFrom(io.LimitReader(reader, maxWholeBytes+1)); err != nil {
-		return nil, fmt.Errorf("%w: %w", errPacked, err)
+	data := bytes.NewBuffer(make([]byte, 0, typicalRatio*len(packed)+bytes.MinRead))
+	if _, err := data.ReadFrom(io.LimitReader(reader, maxTableBytes+1)); err != nil {
+		return nil, fmt.Errorf("%w: %w", errCorruptPacked, err)
 	}
-	if data.Len() > maxWholeBytes {
-		return nil, fmt.Errorf("%w: more than %d bytes", errPacked, maxWholeBytes)
+	if data.Len() > maxTableBytes {
+		return nil, fmt.Errorf("%w: more than %d bytes", errCorruptPacked, maxTableBytes)
 	}
 	return data.Bytes(), nil
 }
 
-// unpack decodes what pack encoded.
+// unpack decodes the output of pack.
 func unpack(packed []byte) ([]Row, error) {
 	data, err := inflate(packed)
 	if err != nil {
@@ -97,27 +97,27 @@
 	return rows, nil
 }
 
-// packedRow is a row within unpacked bytes.
+// packedRow is a row whose fields refer to the unpacked bytes.
 type packedRow struct {
 	revision  uint64
 	deleted   bool
 	key, data []byte
 }
 
-// unpackRow decodes the first row of the bytes and returns the rest of them.
+// unpackRow decodes the first row and returns the remaining bytes.
 func unpackRow(from []byte) (row packedRow, rest []byte, err error) {
 	var head [3]uint64
 	for i := range head {
 		value, n := binary.Uvarint(from)
 		if n <= 0 {
-			return packedRow{}, nil, errPacked
+			return packedRow{}, nil, errCorruptPacked
 		}
 		head[i], from = value, from[n:]
 	}
 	row.revision, row.deleted = head[0], head[2] == 0
 	keyBytes, dataBytes := head[1], max(head[2], 1)-1
 	if keyBytes > uint64(len(from)) || dataBytes > uint64(len(from))-keyBytes {
-		return packedRow{}, nil, errPacked
+		return packedRow{}, nil, errCorruptPacked
 	}
 	row.key, from = from[:keyBytes], from[keyBytes:]
 	row.data, from = from[:dataBytes:dataBytes], from[dataBytes:]
@@ -128,15 +128,15 @@
 	return Row{Key: string(p.key), Data: p.data, Revision: storage.Revision(p.revision), Deleted: p.deleted}
 }
 
-// Whole is the whole table, for a host that doesn't know it or is far behind. ok is
-// false if the watcher has nothing to tell, or nothing of at most the given bytes.
-func (w *Watcher) Whole(most int) (n News, ok bool) {
-	age, heard := w.Age()
-	if !heard {
+// Whole returns the whole table, for a host that doesn't have it or is far behind. ok is false
+// if the watcher doesn't have the table, or if it takes more than maxPacked bytes.
+func (w *Watcher) Whole(maxPacked int) (n News, ok bool) {
+	age, answered := w.Age()
+	if !answered {
 		return News{}, false
 	}
 	packed, revision, ok := w.recent.whole()
-	if !ok || len(packed) > most {
+	if !ok || len(packed) > maxPacked {
 		return News{}, false
 	}
 	return News{Revision: revision, Whole: true, Packed: packed, Age: age, Clock: w.StoreClock()}, true
--- a/internal/feed/recent.go
+++ b/internal/feed/recent.go
@@ -9,57 +9,57 @@
 )
 
 const (
-	// recentRows is how many changed rows are kept for others at any time.
-	recentRows = 512
-	// recentTime is how long a host that others rely on keeps further ones, up to as many as
-	// the table has: when all upstreams start or end within seconds, hosts that hear of them
-	// a moment late are still told the changes, and with more the whole table is the shorter
-	// message.
-	recentTime = 10 * time.Second
+	// minRecentRows is how many changed rows are always kept for other hosts.
+	minRecentRows = 512
+	// recentMaxAge is how long a host that others rely on keeps further changes, up to the
+	// number of rows in the table. When all upstreams start or end within seconds, hosts that
+	// report a moment late can still be sent the changes; beyond that number the whole table is
+	// the shorter message.
+	recentMaxAge = 10 * time.Second
 )
 
-// recent keeps a table's latest changes in the order of their revisions.
+// recent holds a table's latest changes in the order of their revisions.
 type recent struct {
 	mu      sync.Mutex
 	batches []changeBatch
-	// kept counts the rows in the batches.
-	kept int
-	// floor is the revision after which the rows are complete, revision the
-	// newest that they take in.
+	// rowCount counts the rows in the batches.
+	rowCount int
+	// floor is the revision after which the rows are complete, revision the newest that they
+	// cover.
 	floor    storage.Revision
 	revision storage.Revision
-	listed   bool
+	hasTable bool
 	table    tableCopy
-	// changes are the rows after a revision, packed the same for other hosts.
+	// changes caches the packed rows after one revision, for several hosts.
 	changes packedChanges
 }
 
-// changeBatch are the rows of one answer.
+// changeBatch holds the rows of one answer.
 type changeBatch struct {
 	rows []Row
 	at   time.Time
 }
 
-// packedChanges are the changes after one revision up to another.
+// packedChanges holds the changes after one revision up to another.
 type packedChanges struct {
 	since, revision storage.Revision
 	packed          []byte
 }
 
-// reset begins anew with a whole table; packed are the rows as another host packed them, nil
+// reset starts again with a whole table. packed holds the rows as another host packed them, nil
 // if they come from the store.
 func (r *recent) reset(rows []Row, revision storage.Revision, packed []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.batches, r.kept = nil, 0
+	r.batches, r.rowCount = nil, 0
 	r.floor = revision
 	r.revision = revision
-	r.listed = true
+	r.hasTable = true
 	r.table = newTableCopy(rows, packed)
 }
 
-// add takes in changes up to the revision; packed are the same, nil if they aren't packed.
-// Relays says whether others rely on this host.
+// add appends the changes up to the revision. packed holds the same rows, nil if they aren't
+// packed. relays reports whether other hosts rely on this one.
 func (r *recent) add(rows []Row, packed []byte, revision storage.Revision, relays bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -69,39 +69,38 @@
 	}
 	r.table.apply(rows, packed)
 	r.batches = append(r.batches, changeBatch{rows: rows, at: boottime.Now()})
-	r.kept += len(rows)
-	r.dropOld(relays)
+	r.rowCount += len(rows)
+	r.trim(relays)
 }
 
-// dropOld forgets the rows that are too many.
-func (r *recent) dropOld(relays bool) {
-	for len(r.batches) > 0 && r.kept > recentRows {
+// trim drops the oldest rows beyond the limits.
+func (r *recent) trim(relays bool) {
+	for len(r.batches) > 0 && r.rowCount > minRecentRows {
 		first := &r.batches[0]
-		over := r.kept - recentRows
-		if relays && boottime.Since(first.at) <= recentTime {
-			over = r.kept - max(recentRows, r.table.most())
+		surplus := r.rowCount - minRecentRows
+		if relays && boottime.Since(first.at) <= recentMaxAge {
+			surplus = r.rowCount - max(minRecentRows, r.table.maxRows())
 		}
-		if over <= 0 {
+		if surplus <= 0 {
 			return
 		}
-		over = min(over, len(first.rows))
-		r.floor = first.rows[over-1].Revision
-		r.kept -= over
-		first.rows = first.rows[over:]
+		surplus = min(surplus, len(first.rows))
+		r.floor = first.rows[surplus-1].Revision
+		r.rowCount -= surplus
+		first.rows = first.rows[surplus:]
 		if len(first.rows) == 0 {
 			r.batches = r.batches[1:]
 		}
 	}
 }
 
-// since returns the changes after the revision; ok is false before the first
-// listing.
+// since returns the changes after the revision. ok is false before the first listing.
 func (r *recent) since(revision storage.Revision) (n News, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n = News{Since: revision, Revision: r.revision}
-	if !r.listed || revision < r.floor {
-		return n, r.listed
+	if !r.hasTable || revision < r.floor {
+		return n, r.hasTable
 	}
 	size := 0
 	for _, batch := range r.batches {
@@ -114,14 +113,14 @@
 		}
 	}
 	n.Complete = true
-	if size >= packFrom {
+	if size >= minPackedBytes {
 		n.Packed, n.Rows = r.packChanges(revision, n.Rows), nil
 	}
 	return n, true
 }
 
-// packChanges packs the changes after a revision. Most hosts know the same one, so the last
-// packing does for many. r.mu is held.
+// packChanges packs the changes after a revision. Most hosts are at the same revision, so the
+// last result serves many of them. The caller holds r.mu.
 func (r *recent) packChanges(since storage.Revision, rows []Row) []byte {
 	c := &r.changes
 	if c.packed == nil || c.since != since || c.revision != r.revision {
@@ -134,7 +133,7 @@
 func (r *recent) whole() (packed []byte, revision storage.Revision, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.listed {
+	if !r.hasTable {
 		return nil, 0, false
 	}
 	return r.table.whole(), r.revision, true
--- a/internal/feed/recent_test.go
+++ b/internal/feed/recent_test.go
@@ -15,7 +15,7 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// entryTable is a table of upstreams' entries.
+// entryTable returns a table of upstreams' entries.
 func entryTable(n int) []Row {
 	table := make([]Row, n)
 	for i := range table {
@@ -29,8 +29,8 @@
 	return Row{Key: fmt.Sprintf("i-%08x", i), Revision: storage.Revision(revision), Data: []byte(data)}
 }
 
-// When all of 10,000 upstreams start within two seconds a host a moment behind is told the
-// changes, not the whole table, and of what is over nothing is kept but the latest.
+// When all of 10,000 upstreams start within two seconds, a host that is a moment behind is sent
+// the changes, not the whole table. Once that is over, only the latest changes are kept.
 func TestChangesOfAllUpstreamsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -41,28 +41,28 @@
 		behind := storage.Revision(0)
 		for i := 0; i < upstreams; i += batch {
 			r.add(table[i:i+batch], nil, storage.Revision(i+batch), true)
-			is.True(r.kept <= max(recentRows, 2*(i+batch)))
-			if i%(5*batch) == 4*batch { // told each fifth time
+			is.True(r.rowCount <= max(minRecentRows, 2*(i+batch)))
+			if i%(5*batch) == 4*batch { // sent for every fifth batch
 				n, _ := r.since(behind)
 				is.True(n.Complete)
 				behind = n.Revision
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		is.Equal(r.kept, upstreams)
-		time.Sleep(2 * recentTime)
+		is.Equal(r.rowCount, upstreams)
+		time.Sleep(2 * recentMaxAge)
 		r.add([]Row{entryRow(3, upstreams+1)}, nil, upstreams+1, true)
-		is.Equal(r.kept, recentRows)
+		is.Equal(r.rowCount, minRecentRows)
 
-		var alone recent // no host relies on it
+		var alone recent // of a host that no other relies on
 		alone.reset(nil, 0, nil)
 		alone.add(table, nil, upstreams, false)
-		is.Equal(alone.kept, recentRows)
+		is.Equal(alone.rowCount, minRecentRows)
 	})
 }
 
-// A copy that took changes is the table.
-func TestTableCopyTakesChanges(t *testing.T) {
+// A copy with changes applied equals the table.
+func TestTableCopyAppliesChanges(t *testing.T) {
 	is := is.New(t)
 	want := make(map[string]Row)
 	table := entryTable(6000)
@@ -89,7 +89,7 @@
 			c.apply(batch, pack(batch))
 			batch = nil
 		}
-		is.True(c.changedBytes <= max(leastFold, len(c.packed)))
+		is.True(c.changedBytes <= max(minMergeBytes, len(c.packed)))
 	}
 	c.apply(batch, nil)
 	got, err := unpack(c.whole())
@@ -98,7 +98,8 @@
 	is.Equal(len(c.changes), 0)
 }
 
-// A host that hands no table on holds it in a fifth of its size, also one that was handed it.
+// A host keeps the table in a fifth of its size, whether it packed the table itself or received
+// it packed.
 func TestTableCopyIsSmall(t *testing.T) {
 	is := is.New(t)
 	table := entryTable(12_000)
--- a/internal/feed/relay.go
+++ b/internal/feed/relay.go
@@ -9,147 +9,149 @@
 )
 
 const (
-	// defaultHeed is taken for Options.Heed where a deployment tells none.
-	defaultHeed = 2 * time.Second
-	// relayedPart of Heed is the greatest age of the store's word, as another host passed
-	// it on, at which a watcher makes no calls of its own. A watcher whose relay is cut
-	// off, frozen or gone asks the store itself after this time, and has the answer well
-	// within the rest.
-	relayedPart = 0.65
-	// hubRelayedPart is the same for a watcher that others rely on in turn. It is lower, so that
-	// this one has asked the store and told them before their own words are too old: all of
-	// a hub's followers asked the store at once otherwise.
-	hubRelayedPart = 0.5
-	// relayHoldPart of Heed is how long the store holds a call of a watcher that others
-	// rely on: it passes on what it hears a few times a second, over two hosts at most,
-	// and a lost exchange must not make the word too old.
-	relayHoldPart = 0.35
-	// RelayGather bounds Options.Gather while others rely on the watcher: its
-	// calls serve many hosts, so the age of what they believe counts for more.
-	RelayGather = 200 * time.Millisecond
-	// packFrom is the data of rows, in bytes, from which they are passed on packed.
-	packFrom = 1 << 10
+	// defaultMaxStaleness is the value of Options.Heed where a deployment sets none.
+	defaultMaxStaleness = 2 * time.Second
+	// relayedFraction of Heed is the greatest age of a relayed update at which a watcher makes
+	// no calls of its own. A watcher whose relay is disconnected, suspended or gone calls the
+	// store itself after this time, and has the answer well within the rest.
+	relayedFraction = 0.65
+	// hubRelayedFraction is the same for a watcher that other hosts rely on in turn. It is
+	// lower, so that this watcher has called the store and relayed the answer before the
+	// others' updates are too old: otherwise all of a hub's followers would call the store at
+	// once.
+	hubRelayedFraction = 0.5
+	// relayHoldFraction of Heed is how long the store holds a call of a watcher that other
+	// hosts rely on. The answer is relayed a few times a second, over two hosts at most, and
+	// one failed exchange must not make it too old.
+	relayHoldFraction = 0.35
+	// RelayBatchDelay bounds Options.Gather while other hosts rely on the watcher: its calls
+	// serve many hosts, so the age of their data matters more.
+	RelayBatchDelay = 200 * time.Millisecond
+	// minPackedBytes is the size of rows' data, in bytes, from which they are sent packed.
+	minPackedBytes = 1 << 10
 )
 
-// News is what one host knows of a table, for another one.
+// News is a table update that one host sends to another.
 type News struct {
-	// Since is the revision after which Rows are the table's changes, up to
-	// Revision.
+	// Since is the revision after which Rows are the table's changes, up to Revision.
 	Since    storage.Revision
 	Revision storage.Revision
 	Rows     []Row
-	// Complete says that all changes are told; without it none is.
+	// Complete reports that Rows or Packed hold all changes; otherwise both are empty.
 	Complete bool
-	// Packed are the rows where they are many; Rows is empty then.
+	// Packed holds the rows if they are large; Rows is empty then.
 	Packed []byte
-	// Whole says that Packed is the whole table as of Revision; Since doesn't count then.
+	// Whole reports that Packed is the whole table as of Revision; Since is unused then.
 	Whole bool
 	// Age is the time since the store answered, at the time of the call.
 	Age time.Duration
-	// Clock is the store's steady clock now.
+	// Clock is the store's monotonic clock now.
 	Clock time.Duration
 }
 
-// relayed is the newest word that another host passed on.
+// relayed holds the newest update that another host sent.
 type relayed struct {
-	mu   sync.Mutex
-	news News
-	// at is when the store had answered that host.
-	at time.Time
-	// none says that the other host relays nothing.
-	none bool
-	// wake is signalled with each word.
-	wake chan struct{}
+	mu     sync.Mutex
+	update News
+	// answeredAt is when the store had answered that host.
+	answeredAt time.Time
+	// notRelayed reports that the other host relays nothing.
+	notRelayed bool
+	// updated is signalled with each update.
+	updated chan struct{}
 }
 
-// Offer takes what another host knows of the table. The word is as old as
-// n.Age, and was asked for at the given time.
-func (w *Watcher) Offer(n News, asked time.Time) {
+// Offer receives an update from another host. Its data are as old as n.Age, counted from
+// requestedAt.
+func (w *Watcher) Offer(n News, requestedAt time.Time) {
 	r := &w.relayed
 	r.mu.Lock()
-	r.news = n
-	r.at = asked.Add(-n.Age)
-	r.none = false
+	r.update = n
+	r.answeredAt = requestedAt.Add(-n.Age)
+	r.notRelayed = false
 	r.mu.Unlock()
-	w.noteClock(n.Clock, w.sinceStart())
+	w.recordClock(n.Clock, w.sinceStart())
 	r.signal()
 }
 
-// OfferIfLost is Offer for a host whose own word others rely on: it takes another host's
-// only while its own calls fail. Two that relied on each other would both grow old.
-func (w *Watcher) OfferIfLost(n News, asked time.Time) {
-	if w.lostAt.Load() != 0 || w.options.Link.lost() {
-		w.Offer(n, asked)
+// OfferIfDisconnected is Offer for a host that others rely on: it uses another host's update
+// only while its own calls fail. If two hosts relied on each other, the data of both would grow
+// old.
+func (w *Watcher) OfferIfDisconnected(n News, requestedAt time.Time) {
+	if w.failingSince.Load() != 0 || w.options.Link.unreachable() {
+		w.Offer(n, requestedAt)
 	}
 }
 
-// NoOffer notes that the other host relays nothing, so that waiting for it is in vain.
-func (w *Watcher) NoOffer() {
+// OfferNothing records that the other host relays nothing, so there is no point in waiting for
+// an update.
+func (w *Watcher) OfferNothing() {
 	r := &w.relayed
 	r.mu.Lock()
-	r.none = true
+	r.notRelayed = true
 	r.mu.Unlock()
 	r.signal()
 }
 
 func (r *relayed) signal() {
 	select {
-	case r.wake <- struct{}{}:
-	default: // a signal is waiting already
+	case r.updated <- struct{}{}:
+	default: // a signal is already pending
 	}
 }
 
-// vain says that the other host relays nothing.
-func (r *relayed) vain() bool {
+// unavailable reports that the other host relays nothing.
+func (r *relayed) unavailable() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.none
+	return r.notRelayed
 }
 
-// freshNews returns the other host's word, while it is young enough to rely on.
-func (w *Watcher) freshNews() (n News, at time.Time, ok bool) {
+// freshUpdate returns the other host's last update and its time, and whether it is recent
+// enough to rely on.
+func (w *Watcher) freshUpdate() (n News, at time.Time, ok bool) {
 	r := &w.relayed
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.news, r.at, !r.at.IsZero() && boottime.Since(r.at) < w.reliedAge()
+	return r.update, r.answeredAt, !r.answeredAt.IsZero() && boottime.Since(r.answeredAt) < w.maxRelayedAge()
 }
 
-// reliedAge is the age up to which this watcher relies on another host's word.
-func (w *Watcher) reliedAge() time.Duration {
+// maxRelayedAge returns the age up to which this watcher relies on another host's update.
+func (w *Watcher) maxRelayedAge() time.Duration {
 	if w.relays() {
-		return time.Duration(hubRelayedPart * float64(w.options.Heed))
+		return time.Duration(hubRelayedFraction * float64(w.options.Heed))
 	}
-	return w.relayedAge()
+	return w.followerMaxRelayedAge()
 }
 
-// relayedAge is the age up to which those that no other host relies on do.
-func (w *Watcher) relayedAge() time.Duration {
-	return time.Duration(relayedPart * float64(w.options.Heed))
+// followerMaxRelayedAge returns the same for watchers that no other host relies on.
+func (w *Watcher) followerMaxRelayedAge() time.Duration {
+	return time.Duration(relayedFraction * float64(w.options.Heed))
 }
 
-// relayHold is how long the store holds a call while others rely on the watcher.
+// relayHold returns how long the store holds a call while other hosts rely on the watcher.
 func (w *Watcher) relayHold() time.Duration {
-	return time.Duration(relayHoldPart * float64(w.options.Heed))
+	return time.Duration(relayHoldFraction * float64(w.options.Heed))
 }
 
-// Relying says whether another host's word is young enough to rely on.
+// Relying reports whether another host's last update is recent enough to rely on.
 func (w *Watcher) Relying() bool {
-	_, _, ok := w.freshNews()
+	_, _, ok := w.freshUpdate()
 	return ok
 }
 
-// News is what this watcher knows of the table, for a host that knows it up to
-// the revision; changes are told if they take at most the given bytes packed. ok is
-// false if it has nothing to tell.
-func (w *Watcher) News(since storage.Revision, most int) (n News, ok bool) {
-	age, heard := w.Age()
-	if !heard {
+// News returns the update for a host that has the table up to the revision. The changes are
+// left out if they take more than maxPacked bytes packed. ok is false if the watcher doesn't
+// have the table.
+func (w *Watcher) News(since storage.Revision, maxPacked int) (n News, ok bool) {
+	age, answered := w.Age()
+	if !answered {
 		return News{}, false
 	}
 	if n, ok = w.recent.since(since); !ok {
 		return News{}, false
 	}
-	if len(n.Packed) > most {
+	if len(n.Packed) > maxPacked {
 		n.Packed, n.Complete = nil, false
 	}
 	n.Age = age
@@ -157,7 +159,7 @@
 	return n, true
 }
 
-// Revision is the newest revision that was handed on.
+// Revision returns the newest revision that was passed to the handler.
 func (w *Watcher) Revision() storage.Revision {
 	w.recent.mu.Lock()
 	defer w.recent.mu.Unlock()
--- a/internal/feed/relay_test.go
+++ b/internal/feed/relay_test.go
@@ -15,25 +15,27 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// The times of a watcher without Options.Heed, in floating point as the watcher has them.
+// The limits of a watcher with the default Options.Heed, computed in floating point like its own.
 const (
-	testRelayedAge = time.Duration(relayedPart * float64(defaultHeed))
-	testRelayHold  = time.Duration(relayHoldPart * float64(defaultHeed))
+	testMaxRelayedAge = time.Duration(relayedFraction * float64(defaultMaxStaleness))
+	testRelayHold     = time.Duration(relayHoldFraction * float64(defaultMaxStaleness))
 )
 
-// answers is how a store answers calls for changes; the test changes it while a
-// watcher runs.
-type answers struct {
+// storeAnswers is how a store answers calls for changes; the test changes it while a watcher
+// runs.
+type storeAnswers struct {
 	atomic.Pointer[func(ctx context.Context, since storage.Revision) (Page, error)]
 }
 
-func (a *answers) set(f func(ctx context.Context, since storage.Revision) (Page, error)) { a.Store(&f) }
+func (a *storeAnswers) set(f func(ctx context.Context, since storage.Revision) (Page, error)) {
+	a.Store(&f)
+}
 
-// relayedWatcher runs a watcher of a listed table whose store holds every call at
-// first; the test offers news meanwhile.
-func relayedWatcher(t *testing.T, options Options) (*Watcher, *scriptedSource, *recorder, *answers) {
+// relayedWatcher runs a watcher that has read its table and whose store holds every call at
+// first; the test offers updates meanwhile.
+func relayedWatcher(t *testing.T, options Options) (*Watcher, *scriptedSource, *recorder, *storeAnswers) {
 	t.Helper()
-	var a answers
+	var a storeAnswers
 	a.set(func(ctx context.Context, _ storage.Revision) (Page, error) { return hang(ctx) })
 	source := &scriptedSource{
 		list:    func(int) (Page, error) { return Page{Revision: 5}, nil },
@@ -54,8 +56,8 @@
 	return w, source, seen, &a
 }
 
-// tell offers the news at each interval for the span.
-func tell(w *Watcher, n News, span time.Duration) {
+// offerRepeatedly offers the update at each interval for the span.
+func offerRepeatedly(w *Watcher, n News, span time.Duration) {
 	const interval = 250 * time.Millisecond
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(interval) {
 		w.Offer(n, time.Now())
@@ -63,40 +65,40 @@
 	synctest.Wait()
 }
 
-func TestAnotherHostsWordSparesCalls(t *testing.T) {
+func TestRelayedUpdatesReplaceCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w, source, seen, _ := relayedWatcher(t, Options{})
-		tell(w, News{Since: 5, Revision: 5, Complete: true}, 10*time.Second)
-		first := source.polls // one may have begun before the first word
+		offerRepeatedly(w, News{Since: 5, Revision: 5, Complete: true}, 10*time.Second)
+		first := source.polls // one call may have begun before the first update
 		is.True(first <= 2)
-		tell(w, News{Since: 5, Revision: 8, Complete: true, Rows: rows(7, 8)}, 10*time.Second)
+		offerRepeatedly(w, News{Since: 5, Revision: 8, Complete: true, Rows: rows(7, 8)}, 10*time.Second)
 		is.Equal(source.polls, first)
-		is.Equal(seen.changes, rows(7, 8)) // once, though told often
+		is.Equal(seen.changes, rows(7, 8)) // once, although sent repeatedly
 		is.True(!w.Interrupted())
 		age, ok := w.Age()
 		is.True(ok && age < time.Second)
 
-		// The store is asked soon after the last word.
-		time.Sleep(testRelayedAge + 10*time.Millisecond)
+		// The store is called soon after the last update.
+		time.Sleep(testMaxRelayedAge + 10*time.Millisecond)
 		synctest.Wait()
 		is.Equal(source.polls, first+1)
 		is.Equal(source.hold, DefaultHold)
 	})
 }
 
-// A host that begins to follow a table waits a moment for another host's word.
-func TestFirstWordSparesTheFirstCall(t *testing.T) {
+// A host that begins to follow a table first waits a moment for another host's update.
+func TestFirstUpdateReplacesTheFirstCall(t *testing.T) {
 	const first = time.Second
 	tests := []struct {
-		desc   string
-		wordAt time.Duration
-		relays bool
-		polls  int // by first plus a moment
+		desc     string
+		updateAt time.Duration
+		relays   bool
+		polls    int // shortly after first
 	}{
-		{"the word comes in time", first / 2, false, 0},
-		{"no word", time.Hour, false, 1},
-		{"others rely on this host", time.Hour, true, 2}, // held for a short time each
+		{"the update comes in time", first / 2, false, 0},
+		{"no update", time.Hour, false, 1},
+		{"others rely on this host", time.Hour, true, 2}, // each held for a short time
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
@@ -111,7 +113,7 @@
 						return Page{Revision: 5}, nil
 					}
 				})
-				time.AfterFunc(test.wordAt, func() { w.Offer(News{Since: 5, Revision: 5, Complete: true}, time.Now()) })
+				time.AfterFunc(test.updateAt, func() { w.Offer(News{Since: 5, Revision: 5, Complete: true}, time.Now()) })
 				time.Sleep(first + 10*time.Millisecond)
 				synctest.Wait()
 				is.Equal(source.polls, test.polls)
@@ -120,8 +122,8 @@
 	}
 }
 
-// A host that is itself cut off from the store must not keep others from asking.
-func TestOldWordIsNotReliedOn(t *testing.T) {
+// A host that is itself disconnected from the store must not keep others from calling it.
+func TestStaleUpdateIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w, source, _, _ := relayedWatcher(t, Options{})
@@ -135,49 +137,49 @@
 	})
 }
 
-func TestIncompleteWordIsCompletedByTheStore(t *testing.T) {
+func TestIncompleteUpdateIsCompletedFromTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w, source, seen, store := relayedWatcher(t, Options{})
-		tell(w, News{Since: 5, Revision: 5, Complete: true}, 8*time.Second)
+		offerRepeatedly(w, News{Since: 5, Revision: 5, Complete: true}, 8*time.Second)
 		polls := source.polls
 		store.set(func(_ context.Context, since storage.Revision) (Page, error) {
 			is.Equal(since, storage.Revision(5))
 			return Page{Rows: rows(9), Revision: 9}, nil
 		})
-		tell(w, News{Since: 5, Revision: 9}, 2*time.Second)
+		offerRepeatedly(w, News{Since: 5, Revision: 9}, 2*time.Second)
 		is.Equal(source.polls, polls+1)
-		is.Equal(source.hold, time.Duration(0)) // the answer is there already
+		is.Equal(source.hold, time.Duration(0)) // the store can answer at once
 		is.Equal(seen.changes, rows(9))
 	})
 }
 
-func TestWordNeverGoesBack(t *testing.T) {
+func TestUpdatesNeverGoBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w, _, seen, _ := relayedWatcher(t, Options{})
-		tell(w, News{Since: 5, Revision: 9, Complete: true, Rows: rows(7, 9)}, 8*time.Second)
-		tell(w, News{Since: 3, Revision: 8, Complete: true, Rows: rows(4, 8)}, time.Second)   // a host that is behind
-		tell(w, News{Since: 7, Revision: 10, Complete: true, Rows: rows(9, 10)}, time.Second) // asked before 9 was known
+		offerRepeatedly(w, News{Since: 5, Revision: 9, Complete: true, Rows: rows(7, 9)}, 8*time.Second)
+		offerRepeatedly(w, News{Since: 3, Revision: 8, Complete: true, Rows: rows(4, 8)}, time.Second)   // from a host that is behind
+		offerRepeatedly(w, News{Since: 7, Revision: 10, Complete: true, Rows: rows(9, 10)}, time.Second) // requested before 9 was received
 		is.Equal(seen.changes, rows(7, 9, 10))
 		is.Equal(w.Revision(), storage.Revision(10))
 	})
 }
 
-// A word whose changes begin after what the watcher knows has a gap.
-func TestWordWithAGapIsNotTaken(t *testing.T) {
+// An update whose changes begin after the watcher's revision has a gap.
+func TestUpdateWithAGapIsNotApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w, source, seen, _ := relayedWatcher(t, Options{})
-		tell(w, News{Since: 5, Revision: 5, Complete: true}, 8*time.Second)
+		offerRepeatedly(w, News{Since: 5, Revision: 5, Complete: true}, 8*time.Second)
 		polls := source.polls
-		tell(w, News{Since: 6, Revision: 9, Complete: true, Rows: rows(9)}, 500*time.Millisecond)
+		offerRepeatedly(w, News{Since: 6, Revision: 9, Complete: true, Rows: rows(9)}, 500*time.Millisecond)
 		is.Equal(len(seen.changes), 0)
 		is.True(source.polls > polls)
 	})
 }
 
-func TestRelayHearsMoreOften(t *testing.T) {
+func TestRelayCallsTheStoreMoreOften(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		source := &scriptedSource{
@@ -191,7 +193,7 @@
 		}
 		w, _ := watch(source, Options{Gather: time.Minute, Relays: func() bool { return true }}, time.Second)
 		is.Equal(source.hold, testRelayHold)
-		is.Equal(source.polls, 2) // the pause after a change is short, too
+		is.Equal(source.polls, 2) // the pause after a change is short as well
 		n, ok := w.News(1, 1<<20)
 		is.True(ok)
 		is.Equal(n.Rows, rows(2))
@@ -200,8 +202,8 @@
 }
 
 func TestRecentChanges(t *testing.T) {
-	long := strings.Repeat("x", packFrom)
-	many := make([]storage.Revision, recentRows+10)
+	long := strings.Repeat("x", minPackedBytes)
+	many := make([]storage.Revision, minRecentRows+10)
 	for i := range many {
 		many[i] = storage.Revision(11 + i)
 	}
@@ -224,14 +226,14 @@
 			[]Row{{Key: "k", Revision: 11, Data: []byte(long)}, {Key: "gone", Revision: 12, Deleted: true, Data: []byte{}}}, true},
 		{"the oldest of a small table aren't kept", rows(many...), 15, nil, false},
 		{"as many as a large table has", large, 15, large[5:], true},
-		{"what is kept", rows(many...), storage.Revision(10 + len(many) - 1), rows(storage.Revision(10 + len(many))), true},
+		{"the newest row only", rows(many...), storage.Revision(10 + len(many) - 1), rows(storage.Revision(10 + len(many))), true},
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
 			is := is.New(t)
 			var r recent
 			_, ok := r.since(0)
-			is.True(!ok) // not listed
+			is.True(!ok) // before the first listing
 			r.reset(nil, 10, nil)
 			newest := storage.Revision(10)
 			if len(test.rows) > 0 {
@@ -253,15 +255,15 @@
 	}
 }
 
-// A watcher whose store fails goes on by what another host tells.
-func TestAnotherHostsWordInAnOutage(t *testing.T) {
+// A watcher whose store fails continues with another host's updates.
+func TestRelayedUpdatesDuringAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w, _, seen, store := relayedWatcher(t, Options{})
 		store.set(func(context.Context, storage.Revision) (Page, error) { return Page{}, errors.New("refused") })
 		time.Sleep(10 * time.Second)
 		is.True(w.Interrupted())
-		tell(w, News{Since: 5, Revision: 6, Complete: true, Rows: rows(6)}, 3*time.Second)
+		offerRepeatedly(w, News{Since: 5, Revision: 6, Complete: true, Rows: rows(6)}, 3*time.Second)
 		is.True(!w.Interrupted())
 		is.Equal(seen.changes, rows(6))
 		time.Sleep(5 * time.Second)
@@ -269,9 +271,9 @@
 	})
 }
 
-// Hosts that begin to rely on this one hear from it soon, also if the store holds a call
-// for long.
-func TestHeldCallIsGivenUpForOthers(t *testing.T) {
+// Hosts that begin to rely on this one receive updates soon, even if the store holds a call for
+// a long time.
+func TestHeldCallIsCanceledWhenHostsBeginToRely(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var relays atomic.Bool
@@ -289,37 +291,37 @@
 		})
 		time.Sleep(500 * time.Millisecond)
 		relays.Store(true)
-		w.Hurry()
+		w.ShortenHold()
 		time.Sleep(testRelayHold)
 		synctest.Wait()
 		is.True(source.polls >= 2)
 		is.Equal(source.hold, testRelayHold)
 		age, _ := w.Age()
-		is.True(age < testRelayedAge)
+		is.True(age < testMaxRelayedAge)
 		is.True(!w.Interrupted()) // the store answers
 	})
 }
 
-// After lost history the table is read again, from another host, too, but never an older
-// one than was handed on.
-func TestOlderTableIsNotTaken(t *testing.T) {
+// After lost history the table is read again, possibly from another host, but never an older
+// one than was passed on before.
+func TestOlderTableIsNotApplied(t *testing.T) {
 	is := is.New(t)
 	seen := &recorder{}
 	w := NewWatcher("t", &scriptedSource{}, seen, Options{}, zerolog.Nop())
 	w.replace(rows(8), 8, nil)
-	w.listed = false
-	is.True(!w.takeNews(News{Revision: 7, Whole: true, Packed: pack(rows(7))}, time.Now()))
+	w.hasTable = false
+	is.True(!w.applyUpdate(News{Revision: 7, Whole: true, Packed: pack(rows(7))}, time.Now()))
 	is.Equal(w.Revision(), storage.Revision(8))
-	is.True(w.takeNews(News{Revision: 9, Whole: true, Packed: pack(rows(9))}, time.Now()))
+	is.True(w.applyUpdate(News{Revision: 9, Whole: true, Packed: pack(rows(9))}, time.Now()))
 	is.Equal(w.Revision(), storage.Revision(9))
 	is.Equal(len(seen.tables), 2)
 }
 
-// Changes that take more than the bytes that a host may be told aren't told at all.
+// Changes that take more bytes than a host may be sent are left out entirely.
 func TestChangesOfTooManyBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		data := make([]byte, 4*packFrom)
+		data := make([]byte, 4*minPackedBytes)
 		for i := range data {
 			data[i] = byte(i * i * 31 >> 3)
 		}
@@ -336,7 +338,7 @@
 		small, ok := w.News(5, len(n.Packed)-1)
 		is.True(ok && !small.Complete)
 		is.Equal(len(small.Packed)+len(small.Rows), 0)
-		is.Equal(small.Revision, n.Revision) // the host learns that there is something to read
+		is.Equal(small.Revision, n.Revision) // the host learns that there are changes to read
 	})
 }
 
@@ -353,29 +355,29 @@
 		}
 	}
 	_, err = unpack([]byte("no table"))
-	is.True(errors.Is(err, errPacked))
+	is.True(errors.Is(err, errCorruptPacked))
 }
 
-// Where changes may be heeded later, a relay's word is relied on for longer.
-func TestLongerHeed(t *testing.T) {
+// With a longer Heed, a relayed update is relied on for longer.
+func TestLongerStalenessLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w, source, _, _ := relayedWatcher(t, Options{Heed: 2 * defaultHeed})
-		tell(w, News{Since: 5, Revision: 5, Complete: true}, 10*time.Second)
+		w, source, _, _ := relayedWatcher(t, Options{Heed: 2 * defaultMaxStaleness})
+		offerRepeatedly(w, News{Since: 5, Revision: 5, Complete: true}, 10*time.Second)
 		before := source.polls
 		w.Offer(News{Since: 5, Revision: 5, Complete: true}, time.Now())
-		time.Sleep(testRelayedAge + 100*time.Millisecond)
+		time.Sleep(testMaxRelayedAge + 100*time.Millisecond)
 		synctest.Wait()
 		is.Equal(source.polls, before)
 		is.True(!w.Interrupted())
-		time.Sleep(testRelayedAge - 50*time.Millisecond) // the next call comes 100 ms after the first
+		time.Sleep(testMaxRelayedAge - 50*time.Millisecond) // the next call comes 100 ms after the first
 		synctest.Wait()
 		is.Equal(source.polls, before+1)
 	})
 }
 
-// A page that isn't the last tells nothing of the time of its answer, and the next is asked
-// for at once: with a pause between pages 10,000 changes took four seconds.
+// A page that isn't the last doesn't count as contact with the store, and the next is requested
+// at once: with a pause between pages, 10,000 changes took four seconds.
 func TestChangesOfManyPages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -387,7 +389,7 @@
 				return hang(ctx)
 			}
 			age, _ := w.Age()
-			is.Equal(w.more, call > 1)
+			is.Equal(w.truncated, call > 1)
 			is.True(age >= gather+time.Duration(call-1)*answer-time.Millisecond) // as of the listing until the last page
 			time.Sleep(answer)
 			return Page{Rows: rows(since + 1), Revision: since + 1, Truncated: call < pages}, nil
@@ -398,6 +400,6 @@
 		defer cancel()
 		w.Run(ctx)
 		is.Equal(len(seen.changes), pages)
-		is.True(!w.more)
+		is.True(!w.truncated)
 	})
 }
--- a/internal/feed/return_test.go
+++ b/internal/feed/return_test.go
@@ -16,26 +16,26 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// These tests start a whole fleet at once, in virtual time, against a store that answers
-// a number of calls a second and turns the others away.
+// These tests start a whole fleet at once, in virtual time. The store answers a limited number
+// of calls a second and rejects the others.
 
-var errTurnedAway = errors.New("too many calls")
+var errRateLimited = errors.New("too many calls")
 
-// busyStore is a store with a rate of calls.
+// busyStore is a store with a limited rate of calls.
 type busyStore struct {
 	table []Row
-	// pageRows is the most rows of a page, perSecond the calls that are answered in each
-	// second; a tenth of them at once.
+	// pageRows is the maximum number of rows in a page. perSecond is the number of calls that
+	// are answered in each second; a tenth of them may come at once.
 	pageRows  int
 	perSecond float64
 	// rowBytes is the size of a row in an answer.
 	rowBytes int
 
-	mu    sync.Mutex
-	calls int
-	away  int
-	bytes int
-	// tokens are calls that may be answered now.
+	mu       sync.Mutex
+	calls    int
+	rejected int
+	bytes    int
+	// tokens is the number of calls that may be answered now.
 	tokens float64
 	at     time.Time
 }
@@ -51,8 +51,8 @@
 	return s
 }
 
-// take says whether the store answers a call now.
-func (s *busyStore) take() bool {
+// allow reports whether the store answers a call now.
+func (s *busyStore) allow() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
@@ -60,24 +60,24 @@
 	s.at = now
 	s.calls++
 	if s.tokens < 1 {
-		s.away++
+		s.rejected++
 		return false
 	}
 	s.tokens--
 	return true
 }
 
-// hostLink is a host's way to the store.
+// hostLink is a host's network link to the store.
 type hostLink struct {
 	store *busyStore
-	// bytesPerSecond is the link's rate.
+	// bytesPerSecond is the link's bandwidth.
 	bytesPerSecond float64
 }
 
 func (l *hostLink) List(ctx context.Context, _, from string, received Received) (Page, error) {
 	time.Sleep(storeAnswer)
-	if !l.store.take() {
-		return Page{}, errTurnedAway
+	if !l.store.allow() {
+		return Page{}, errRateLimited
 	}
 	page := Page{Revision: storage.Revision(len(l.store.table))}
 	for _, row := range l.store.table {
@@ -113,8 +113,8 @@
 
 func (l *hostLink) Changes(ctx context.Context, _ string, since storage.Revision, wait time.Duration, received Received) (Page, error) {
 	time.Sleep(storeAnswer)
-	if !l.store.take() {
-		return Page{}, errTurnedAway
+	if !l.store.allow() {
+		return Page{}, errRateLimited
 	}
 	select {
 	case <-time.After(wait):
@@ -125,7 +125,7 @@
 	return Page{Revision: since}, nil
 }
 
-// fullTable notes when a host has the whole table.
+// fullTable records when a host has the whole table.
 type fullTable struct {
 	ignoreChanges
 	rows    int
@@ -143,10 +143,10 @@
 	}
 }
 
-// returned is how long the hosts took to have the whole table, the slowest of them, and
-// whether all had it within the span.
-func returned(store *busyStore, hosts int, span time.Duration) (slowest time.Duration, all bool) {
-	ctx, cancel := context.WithTimeout(context.Background(), span)
+// startFleet starts the hosts, and returns how long the slowest took to have the whole table,
+// and whether all had it before the timeout.
+func startFleet(store *busyStore, hosts int, timeout time.Duration) (slowest time.Duration, allLoaded bool) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	began := time.Now()
 	tables := make([]*fullTable, hosts)
@@ -165,24 +165,23 @@
 		})
 	}
 	group.Wait()
-	all = true
+	allLoaded = true
 	for _, table := range tables {
-		all = all && table.took > 0
+		allLoaded = allLoaded && table.took > 0
 		slowest = max(slowest, table.took)
 	}
-	return slowest, all
+	return slowest, allLoaded
 }
 
-// Every host of a fleet that starts at once has a table of many pages soon, although the
-// store turns some of their calls away: a page that fails is asked for again, the ones
-// before it aren't.
+// Every host of a fleet that starts at once soon has a table of many pages, although the store
+// rejects some calls: only a page that fails is requested again, not the previous ones.
 func TestFleetReadsATableOfManyPages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newBusyStore(3000, 50, 16000)
-		slowest, all := returned(store, 302, 10*time.Second)
-		t.Log("slowest", slowest, "calls", store.calls, "turned away", store.away, "bytes", store.bytes)
-		is.True(all)
+		slowest, allLoaded := startFleet(store, 302, 10*time.Second)
+		t.Log("slowest", slowest, "calls", store.calls, "calls rejected", store.rejected, "bytes", store.bytes)
+		is.True(allLoaded)
 		is.True(slowest < 4*time.Second) // 18,120 pages take 1.1 s at the store's rate, some 1 s on the slow links
 	})
 }
