--- a/internal/exchange/hub.go
+++ b/internal/exchange/hub.go
@@ -57,8 +57,8 @@
 type receivedReport struct {
 	report Report
 	at     time.Time
-	// fromHub marks another hub's reply to a query. hosts is the number of hosts that the data
-	// cover.
+	// fromHub marks data from another hub's reply, to a query or to a report. hosts is the
+	// number of hosts that the data cover.
 	fromHub bool
 	hosts   int
 }
