--- a/placement/doc.go
+++ b/placement/doc.go
@@ -1,19 +1,23 @@
-// Package placement decides which of several model engines is to read a prompt, by the
-// time that passes until its first event.
+// Package placement selects the model engine for a prompt by the expected time to the first
+// event of the answer.
 //
-// An engine reads one prompt after the other, the more urgent first, and keeps what it
-// read while it has memory. So the time is the work ahead of the prompt, the reading of
-// what the engine doesn't keep, and the way there: one measure for load, for affinity and
-// for availability zones. What models take for a token isn't told; Rates learns it from
-// answers. What engines keep isn't told either; Kept remembers what they were sent.
+// An engine prefills one prompt at a time, in order of priority, and caches the result while
+// it has memory. The time to the first event is therefore the sum of the queued work, the
+// prefill of the parts that aren't cached, and the network latency, which makes load, cache
+// affinity and availability zones comparable. Engines report neither their prefill speed nor
+// the contents of their caches: Rates estimates the speed from answers, and Kept tracks the
+// prompts that were sent to each engine.
 //
-// The load patterns that it answers: prompts that share long parts (each part is read by
-// few engines, so that the rest of their time is for what is new), a popular part (its
-// requests spread once waiting for the one engine costs more than reading again), long
-// prompts among short ones (work is counted in time, not in requests), a crash or a
-// roll-out that leaves engines which keep nothing, and hosts that choose at the same
-// moment (they prefer the same engine for the same part without talking).
+// The selection handles these load patterns:
+//   - Prompts share long parts: each part is prefilled on few engines, which leaves the
+//     capacity of the others for new parts.
+//   - One part is popular: its requests move to further engines as soon as the queue of the
+//     first engine costs more than another prefill.
+//   - Long prompts are mixed with short ones: work is measured in time, not in requests.
+//   - A crash or a roll-out leaves engines with empty caches.
+//   - Several hosts choose at the same moment: they rank the engines for a part by the same
+//     hash and agree without communication.
 //
-// Nothing here reads a clock, a setting or a connection. Values are safe for one goroutine
-// at a time, Rates for several.
+// The package doesn't read clocks, settings or connections. Rates is safe for concurrent use;
+// all other types are not.
 package placement
--- a/placement/kept.go
+++ b/placement/kept.go
@@ -7,47 +7,50 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// MaxKept bounds the parts that are remembered of all engines of a service together, and with
-// that a host's memory, whatever number of engines there is: a part takes about 170 bytes.
+// MaxKept is the maximum number of cached prefixes tracked for all engines of a service
+// together. It bounds the memory of a host independently of the number of engines: an entry
+// takes about 170 bytes.
 const MaxKept = 1 << 15
 
-// Kept remembers the prompts that engines were sent, the latest of them. E stands for an engine.
+// Kept tracks which prompt prefixes each engine probably has in its cache: the prefixes most
+// recently sent to it. E identifies an engine.
 type Kept[E comparable] struct {
-	parts *simplelru.LRU[part[E], struct{}]
-	// holders are the engines that keep a run, runs what an engine keeps.
-	holders map[Key][]E
-	runs    map[E][]Key
+	lru *simplelru.LRU[cachedPrefix[E], struct{}]
+	// enginesByKey lists the engines that cache a prefix, keysByEngine the prefixes that an
+	// engine caches.
+	enginesByKey map[Key][]E
+	keysByEngine map[E][]Key
 }
 
-// part is a run that an engine keeps.
-type part[E comparable] struct {
+// cachedPrefix is a prompt prefix in the cache of an engine.
+type cachedPrefix[E comparable] struct {
 	engine E
 	key    Key
 }
 
-// NewKept returns a memory of most parts at most, which is above 0.
-func NewKept[E comparable](most int) *Kept[E] {
-	k := &Kept[E]{holders: make(map[Key][]E), runs: make(map[E][]Key)}
-	parts, err := simplelru.NewLRU(most, func(p part[E], _ struct{}) { k.forget(p) })
+// NewKept returns a tracker of at most capacity prefixes. The capacity must be positive.
+func NewKept[E comparable](capacity int) *Kept[E] {
+	k := &Kept[E]{enginesByKey: make(map[Key][]E), keysByEngine: make(map[E][]Key)}
+	lru, err := simplelru.NewLRU(capacity, func(p cachedPrefix[E], _ struct{}) { k.removeFromIndexes(p) })
 	if err != nil {
 		panic(err) // the size is positive
 	}
-	k.parts = parts
+	k.lru = lru
 	return k
 }
 
-// forget takes a part out of what parts are found by.
-func (k *Kept[E]) forget(p part[E]) {
-	if k.holders[p.key] = remove(k.holders[p.key], p.engine); len(k.holders[p.key]) == 0 {
-		delete(k.holders, p.key)
+// removeFromIndexes removes an evicted prefix from both indexes.
+func (k *Kept[E]) removeFromIndexes(p cachedPrefix[E]) {
+	if k.enginesByKey[p.key] = removeElement(k.enginesByKey[p.key], p.engine); len(k.enginesByKey[p.key]) == 0 {
+		delete(k.enginesByKey, p.key)
 	}
-	if k.runs[p.engine] = remove(k.runs[p.engine], p.key); len(k.runs[p.engine]) == 0 {
-		delete(k.runs, p.engine)
+	if k.keysByEngine[p.engine] = removeElement(k.keysByEngine[p.engine], p.key); len(k.keysByEngine[p.engine]) == 0 {
+		delete(k.keysByEngine, p.engine)
 	}
 }
 
-// remove takes the element out of the list, whose order doesn't matter.
-func remove[T comparable](list []T, element T) []T {
+// removeElement removes the element from the list without preserving the order.
+func removeElement[T comparable](list []T, element T) []T {
 	if i := slices.Index(list, element); i >= 0 {
 		list[i] = list[len(list)-1]
 		list = list[:len(list)-1]
@@ -55,51 +58,52 @@
 	return list
 }
 
-// Add notes that the engine reads the parts.
+// Add records that the engine prefills the prefixes.
 func (k *Kept[E]) Add(engine E, keys ...Key) {
 	for _, key := range keys {
-		p := part[E]{engine, key}
-		if !k.parts.Contains(p) {
-			k.holders[key] = append(k.holders[key], engine)
-			k.runs[engine] = append(k.runs[engine], key)
+		p := cachedPrefix[E]{engine, key}
+		if !k.lru.Contains(p) {
+			k.enginesByKey[key] = append(k.enginesByKey[key], engine)
+			k.keysByEngine[engine] = append(k.keysByEngine[engine], key)
 		}
-		k.parts.Add(p, struct{}{})
+		k.lru.Add(p, struct{}{})
 	}
 }
 
-// Remove notes that the engine didn't read the parts.
+// Remove records that the engine didn't prefill the prefixes.
 func (k *Kept[E]) Remove(engine E, keys ...Key) {
 	for _, key := range keys {
-		k.parts.Remove(part[E]{engine, key})
+		k.lru.Remove(cachedPrefix[E]{engine, key})
 	}
 }
 
-// Drop forgets all of an engine.
-func (k *Kept[E]) Drop(engine E) { k.Remove(engine, slices.Clone(k.runs[engine])...) }
+// Drop removes all prefixes of an engine.
+func (k *Kept[E]) Drop(engine E) { k.Remove(engine, slices.Clone(k.keysByEngine[engine])...) }
 
-// Holders are the engines that keep the run. The list is valid until the next change.
-func (k *Kept[E]) Holders(key Key) []E { return k.holders[key] }
+// Holders returns the engines that cache the prefix. The list is valid until the next change.
+func (k *Kept[E]) Holders(key Key) []E { return k.enginesByKey[key] }
 
-// Len is the number of parts that are remembered.
-func (k *Kept[E]) Len() int { return k.parts.Len() }
+// Len returns the number of tracked prefixes.
+func (k *Kept[E]) Len() int { return k.lru.Len() }
 
-// Count is the number of leading parts that the engine keeps: those of the longest run
-// that it was sent.
+// Count returns the number of leading parts that the engine caches: the parts of the longest
+// tracked prefix among keys.
 func (k *Kept[E]) Count(engine E, keys []Key) int {
 	for n := len(keys); n > 0; n-- {
-		if k.parts.Contains(part[E]{engine, keys[n-1]}) {
+		if k.lru.Contains(cachedPrefix[E]{engine, keys[n-1]}) {
 			return n
 		}
 	}
 	return 0
 }
 
-// Key names a run of leading parts as read by a model, in few bytes: hosts tell each
-// other keys. Two of some thousand runs have the same one time in a thousand, and then an
-// engine is believed to keep what it doesn't.
+// Key identifies a prompt prefix, a sequence of leading parts, for one model. It is short
+// because hosts send keys to each other. Among some thousand prefixes, two collide with a
+// probability of about one in a thousand; an engine then counts as caching a prefix that it
+// doesn't cache.
 type Key uint32
 
-// Keys names the runs of the prompt's leading parts, the shortest first.
+// Keys returns the keys of all prefixes of the prompt, the shortest first.
 func Keys(model string, p *Prompt) []Key {
 	var d xxhash.Digest
 	d.Reset()
--- a/placement/pace.go
+++ b/placement/pace.go
@@ -5,70 +5,76 @@
 	"time"
 )
 
-// pace is what a model takes to the first event on an engine that has nothing else to
-// read: a part that each prompt takes, in which the engine goes on with the other
-// requests of its batch, and a part for each token.
-type pace struct {
-	start time.Duration
-	token float64 // nanoseconds
+// estimate is a linear model of the time to the first event on an engine without queued
+// prompts. The fixed time is the time per prompt that doesn't depend on its size, in which the
+// engine continues the other requests of its batch.
+type estimate struct {
+	fixed         time.Duration
+	nanosPerToken float64 // prefill time per token, in nanoseconds
 }
 
-func (p pace) of(tokens int) time.Duration { return p.start + p.work(tokens) }
+func (p estimate) timeToFirstEvent(tokens int) time.Duration { return p.fixed + p.prefillTime(tokens) }
 
-func (p pace) work(tokens int) time.Duration { return time.Duration(p.token * float64(tokens)) }
+func (p estimate) prefillTime(tokens int) time.Duration {
+	return time.Duration(p.nanosPerToken * float64(tokens))
+}
 
-// Timings are what a number of answers told of a model's pace: sums of a regression of
-// the time to the first event, in milliseconds, on the tokens read, in thousands. They
-// add up over hosts: each of 195 hosts sees about one answer of the largest model a
-// second, and by these alone it expected prompts of 16,000 tokens to take half a second
-// longer than they did, so that one in five of their callers got the smaller model's poor
-// answer.
+// Timings holds the sums of a weighted linear regression of a model's time to the first
+// event, in milliseconds, on the prefilled tokens, in thousands. Sums of several hosts can be
+// added. The sums of one host are too few for a good estimate: each of 195 hosts received
+// about one answer of the largest model per second and, from these alone, overestimated
+// prompts of 16,000 tokens by half a second, so that one in five of the callers got the poor
+// answer of the smaller model.
 type Timings struct {
-	// Answers is their number, older ones counting for less.
+	// Answers is the number of answers, decayed by age.
 	Answers float64
-	// The sums are of answers weighted by sizeWeight: of the weights, the tokens, their
-	// squares, the times, and tokens times time.
+	// Weight, Tokens, Squares, Times and Products are the sums, weighted by sizeWeight, of 1,
+	// the tokens, their squares, the times, and the products of tokens and time.
 	Weight, Tokens, Squares, Times, Products float64
 }
 
 const (
-	// mostSlower bounds an answer's time by the expected one, as a factor: waits that
-	// nobody knew of, three times the usual time for one answer in ten, hardly move the
-	// pace, and engines that became slower do. mostFaster is the same downwards, where
-	// the engine kept what it was believed to read.
-	mostSlower = 1.6
-	mostFaster = 4
-	// unboundedPart is the weight of an answer of which nothing was expected.
-	unboundedPart = 0.2
+	// maxSlowdown limits the observed time to a multiple of the expected time. Unknown
+	// queueing, for example three times the usual time for one answer in ten, then hardly
+	// changes the estimate, while a lasting slowdown of the engines does. maxSpeedup is the
+	// divisor of the expected time that gives the lower limit: shorter times occur if the
+	// engine had cached parts that it was expected to prefill.
+	maxSlowdown = 1.6
+	maxSpeedup  = 4
+	// unboundedWeight is the weight of an answer without an expected time, whose time can't
+	// be limited.
+	unboundedWeight = 0.2
 )
 
-// observe takes in an answer that was expected to take a time; 0 if nothing was.
+// observe adds an answer; expected is the estimated time to its first event, or 0 without an
+// estimate.
 func (t *Timings) observe(tokens int, took, expected time.Duration) {
-	part := unboundedPart
+	weight := unboundedWeight
 	if expected > 0 {
-		most := time.Duration(mostSlower * float64(expected))
-		took, part = min(max(took, expected/mostFaster), most), 1
+		longest := time.Duration(maxSlowdown * float64(expected))
+		took, weight = min(max(took, expected/maxSpeedup), longest), 1
 	}
-	n, ms := float64(tokens)/1000, milliseconds(took)
-	w := sizeWeight(n)
-	answer := Timings{Answers: 1, Weight: w, Tokens: w * n, Squares: w * n * n, Times: w * ms, Products: w * n * ms}
-	t.Add(answer.scaled(part))
+	kilotokens, ms := float64(tokens)/1000, milliseconds(took)
+	w := sizeWeight(kilotokens)
+	sample := Timings{Answers: 1, Weight: w, Tokens: w * kilotokens, Squares: w * kilotokens * kilotokens, Times: w * ms, Products: w * kilotokens * ms}
+	t.Add(sample.scaled(weight))
 }
 
-// evenTokens is the size, in thousands of tokens, of a prompt that takes as long to read
-// as it takes beside that, by order of magnitude: 2,000 to 13,000 for the models seen.
-const evenTokens = 4
+// breakEvenKilotokens is the order of magnitude, in thousands of tokens, of the prompt size
+// at which the prefill takes as long as the fixed time. It was 2,000 to 13,000 tokens for the
+// models observed.
+const breakEvenKilotokens = 4
 
-// sizeWeight makes the errors of long prompts and of short ones count as parts of their
-// times. It doesn't depend on what is known of a model: hosts that know different things
-// add their sums.
+// sizeWeight returns the regression weight of a prompt, so that errors of long and short
+// prompts count relative to their times. It doesn't depend on the model's estimate, because
+// the sums of hosts with different estimates are added.
 func sizeWeight(thousands float64) float64 {
-	return 1 / ((thousands + evenTokens) * (thousands + evenTokens))
+	return 1 / ((thousands + breakEvenKilotokens) * (thousands + breakEvenKilotokens))
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// Add adds other answers.
+// Add adds the sums of o.
 func (t *Timings) Add(o Timings) {
 	t.Answers += o.Answers
 	t.Weight += o.Weight
@@ -78,47 +84,48 @@
 	t.Products += o.Products
 }
 
-// scaled are the same answers, counting for a part.
-func (t Timings) scaled(part float64) Timings {
+// scaled returns the sums multiplied by weight.
+func (t Timings) scaled(weight float64) Timings {
 	return Timings{
-		Answers: part * t.Answers, Weight: part * t.Weight, Tokens: part * t.Tokens,
-		Squares: part * t.Squares, Times: part * t.Times, Products: part * t.Products,
+		Answers: weight * t.Answers, Weight: weight * t.Weight, Tokens: weight * t.Tokens,
+		Squares: weight * t.Squares, Times: weight * t.Times, Products: weight * t.Products,
 	}
 }
 
 const (
-	// fewestAnswers tell a pace, by their weight: three of which nothing was expected.
-	// With fewer, one long wait would stand for the model.
-	fewestAnswers = 2.5 * unboundedPart
-	// leastSpread is the variance of the tokens, as a part of their mean square, from
-	// which both parts of a pace can be told apart.
-	leastSpread = 0.05
+	// minAnswers is the least value of Timings.Answers for an estimate: three answers without
+	// an expected time suffice. With fewer, a single long wait would determine the estimate.
+	minAnswers = 2.5 * unboundedWeight
+	// minTokenVariance is the least variance of the prompt sizes, relative to their mean
+	// square, at which the fixed time and the time per token can be separated.
+	minTokenVariance = 0.05
 )
 
-// pace is the one that fits the answers best; ok is false if they are too few.
-func (t *Timings) pace() (p pace, ok bool) {
-	if t.Answers < fewestAnswers || t.Weight <= 0 || t.Squares <= 0 {
-		return pace{}, false
+// estimate returns the least-squares estimate; ok is false with too few answers.
+func (t *Timings) estimate() (p estimate, ok bool) {
+	if t.Answers < minAnswers || t.Weight <= 0 || t.Squares <= 0 {
+		return estimate{}, false
 	}
 	const nanosecondsPerToken = float64(time.Millisecond) / 1000
 	variance := t.Squares*t.Weight - t.Tokens*t.Tokens
-	if variance > leastSpread*t.Squares*t.Weight {
+	if variance > minTokenVariance*t.Squares*t.Weight {
 		start := (t.Times*t.Squares - t.Tokens*t.Products) / variance
 		token := (t.Weight*t.Products - t.Tokens*t.Times) / variance
 		if start >= milliseconds(overhead) && token > 0 {
-			return pace{start: time.Duration(start * float64(time.Millisecond)), token: token * nanosecondsPerToken}, true
+			return estimate{fixed: time.Duration(start * float64(time.Millisecond)), nanosPerToken: token * nanosecondsPerToken}, true
 		}
 	}
-	// The sizes are alike, or the fit is none: all but the overhead goes by the tokens.
+	// The prompt sizes are too similar, or the fit isn't plausible: the fixed time is set to
+	// the overhead and the rest is attributed to the tokens.
 	token := max(0, (t.Products-milliseconds(overhead)*t.Tokens)/t.Squares)
-	return pace{start: overhead, token: max(leastToken, token*nanosecondsPerToken)}, true
+	return estimate{fixed: overhead, nanosPerToken: max(minNanosPerToken, token*nanosecondsPerToken)}, true
 }
 
-// leastToken is the least time for a token that is believed, in nanoseconds: a thousand
-// of them take a microsecond.
-const leastToken = 1
+// minNanosPerToken is the lower limit of an estimate: a microsecond per thousand tokens.
+const minNanosPerToken = 1
 
-// valid says whether the sums can be of answers: other hosts tell them.
+// valid reports whether the sums can result from answers. It guards against damaged sums
+// received from other hosts.
 func (t *Timings) valid() bool {
 	for _, v := range []float64{t.Answers, t.Weight, t.Tokens, t.Squares, t.Times, t.Products} {
 		if v < 0 || math.IsNaN(v) || math.IsInf(v, 0) {
--- a/placement/place.go
+++ b/placement/place.go
@@ -2,127 +2,129 @@
 
 import "time"
 
-// Request is what is to be placed.
+// Request describes a request for which an engine is selected.
 type Request struct {
 	Model  string
 	Prompt *Prompt
-	// Target is the time within which the first event is to come; 0 if there is none.
+	// Target is the target for the time to the first event; 0 means none.
 	Target time.Duration
-	// Way is the price of sending the request to another availability zone, RegionWay that of
-	// sending it to another region besides.
+	// Way is the cost of sending the request to another availability zone; RegionWay is added
+	// for another region.
 	Way       time.Duration
 	RegionWay time.Duration
-	// Draw is a random number from 0 up to 1.
+	// Draw is a random number in [0, 1).
 	Draw float64
 }
 
-// Candidate is an engine that may take the request.
+// Candidate is an engine that can serve the request.
 type Candidate struct {
-	// Ahead is the work that the engine does before it reads this prompt.
+	// Ahead is the queued work that the engine finishes before it prefills this prompt.
 	Ahead time.Duration
-	// Far says that the engine is in another availability zone.
+	// Far reports whether the engine is in another availability zone.
 	Far bool
-	// Abroad says that it is in another region.
+	// Abroad reports whether the engine is in another region.
 	Abroad bool
-	// Kept is the number of leading parts that the engine keeps.
+	// Kept is the number of leading parts of the prompt that the engine caches.
 	Kept int
-	// Order is the engine's place for this prompt's shared parts, the same on all hosts.
+	// Order ranks the engine for the prompt's shared parts, identically on all hosts; the
+	// highest rank is the owner.
 	Order uint64
 }
 
-// Choice is the engine that was chosen.
+// Choice is the selected engine and the expected times of the request.
 type Choice struct {
-	// Index is its place in the list.
+	// Index is the engine's index in the list of candidates.
 	Index int
-	// Expected is the time to the first event.
+	// Expected is the expected time to the first event.
 	Expected time.Duration
-	// Alone is the same on an engine that has nothing else to read, Reading the part of
-	// it in which the engine reads for this prompt alone, and others wait.
+	// Alone is the expected time to the first event without queued work. Reading is the
+	// portion of it during which the engine works on this prompt alone and other prompts
+	// wait.
 	Alone   time.Duration
 	Reading time.Duration
-	// Missing is the number of tokens to be read.
+	// Missing is the number of tokens to prefill.
 	Missing int
-	// Owner says that the prompt's shared parts belong to the engine.
+	// Owner reports whether the engine is the owner of the prompt's shared parts.
 	Owner bool
 }
 
-// targetless is the target of requests that have none.
-const targetless = 2 * time.Second
+// defaultTarget is used for requests without a target.
+const defaultTarget = 2 * time.Second
 
-// Place chooses an engine. The list isn't empty.
+// Place selects the engine with the lowest cost. The list must not be empty.
 //
-// Each engine has a price in time: its work for the request; the waiting, which weighs
-// little far below the target and fully at it; and the way to another zone. Where prices
-// are alike the owner of the shared parts is taken, on which all hosts agree without
-// talking.
+// The cost of an engine is a time: its prefill work for the request, the cost of the latency,
+// which is small far below the target and counts in full at the target, and the cost of
+// another zone or region. At equal costs the engine with the higher rank is selected, so that
+// all hosts select the same engine without communication.
 func Place(rates *Rates, r *Request, list []Candidate) Choice {
-	here := r.here(rates)
-	owner := owner(list, here)
+	local := r.prefersLocalOwner(rates)
+	ownerIndex := findOwner(list, local)
 	best := Choice{Index: -1}
-	least := time.Duration(0)
+	lowest := time.Duration(0)
 	for i := range list {
-		c := r.choice(rates, &list[i])
-		c.Index, c.Owner = i, i == owner
-		price := r.price(&c, &list[i])
-		if here && c.Owner {
-			price -= r.again(rates, &list[i]) // an outlay for the requests to come
+		c := r.evaluate(rates, &list[i])
+		c.Index, c.Owner = i, i == ownerIndex
+		cost := r.cost(&c, &list[i])
+		if local && c.Owner {
+			cost -= r.sharedPrefillTime(rates, &list[i]) // later requests reuse this prefill
 		}
-		if best.Index < 0 || price < least || price == least && list[i].Order > list[best.Index].Order {
-			best, least = c, price
+		if best.Index < 0 || cost < lowest || cost == lowest && list[i].Order > list[best.Index].Order {
+			best, lowest = c, cost
 		}
 	}
 	return best
 }
 
-func (r *Request) choice(rates *Rates, c *Candidate) Choice {
-	missing := r.Prompt.missing(c.Kept)
-	alone := rates.Reading(r.Model, missing)
-	return Choice{Expected: c.Ahead + alone, Alone: alone, Reading: overhead + rates.Work(r.Model, missing), Missing: missing}
+func (r *Request) evaluate(rates *Rates, c *Candidate) Choice {
+	uncached := r.Prompt.uncachedTokens(c.Kept)
+	unloaded := rates.Reading(r.Model, uncached)
+	return Choice{Expected: c.Ahead + unloaded, Alone: unloaded, Reading: overhead + rates.Work(r.Model, uncached), Missing: uncached}
 }
 
-func (r *Request) price(choice *Choice, c *Candidate) time.Duration {
-	price := choice.Reading + r.waiting(choice.Expected)
+func (r *Request) cost(choice *Choice, c *Candidate) time.Duration {
+	cost := choice.Reading + r.latencyCost(choice.Expected)
 	if c.Far {
-		price += r.Way
+		cost += r.Way
 	}
 	if c.Abroad {
-		price += r.RegionWay
+		cost += r.RegionWay
 	}
-	return price
+	return cost
 }
 
-// again is the time that the engine takes to read the shared parts which it doesn't keep.
-func (r *Request) again(rates *Rates, c *Candidate) time.Duration {
-	return rates.Work(r.Model, r.Prompt.missingShared(c.Kept))
+// sharedPrefillTime returns the prefill time of the shared parts that the engine doesn't cache.
+func (r *Request) sharedPrefillTime(rates *Rates, c *Candidate) time.Duration {
+	return rates.Work(r.Model, r.Prompt.uncachedSharedTokens(c.Kept))
 }
 
-// waiting is the price of a time to the first event. Callers lose by it as it comes near
-// the target: a tenth of the target costs a hundredth of it.
-func (r *Request) waiting(expected time.Duration) time.Duration {
+// latencyCost returns the cost of a time to the first event. It is quadratic, because latency
+// matters to callers only near the target: a tenth of the target costs a hundredth of it.
+func (r *Request) latencyCost(expected time.Duration) time.Duration {
 	target := r.Target
 	if target <= 0 {
-		target = targetless
+		target = defaultTarget
 	}
 	return time.Duration(float64(expected) * float64(expected) / float64(target))
 }
 
-// here says whether the prompt's shared parts are to be read in this zone, where they
-// belong to an engine of another one. Sending every request there costs its way each time,
-// reading the parts once more in this zone costs that once, after which they are kept. So
-// they are read here with the probability of one way's price against one reading's, which
-// spends on ways about what one reading costs: little for parts that are asked for often
-// or read fast, much only for long ones that are asked for now and then.
-func (r *Request) here(rates *Rates) bool {
-	reading := float64(rates.Work(r.Model, r.Prompt.missingShared(0)))
-	return r.Draw*reading < float64(r.Way)
+// prefersLocalOwner reports whether the owner of the shared parts is chosen among the engines
+// of this zone only, which matters if the owner among all engines is in another zone.
+// Requests to another zone cost Way each time; a prefill in this zone costs once, after which
+// the parts are cached here. The probability of a local owner is the ratio of Way to the
+// prefill time, so that the expected total cost of remote requests is about one prefill: small
+// for parts that are frequent or fast to prefill, and large only for long, rare parts.
+func (r *Request) prefersLocalOwner(rates *Rates) bool {
+	prefill := float64(rates.Work(r.Model, r.Prompt.uncachedSharedTokens(0)))
+	return r.Draw*prefill < float64(r.Way)
 }
 
-// owner is the engine that the prompt's shared parts belong to: one of all zones, or one
-// of this zone if there is any.
-func owner(list []Candidate, here bool) int {
+// findOwner returns the index of the engine with the highest rank for the shared parts. If
+// local is set, it considers engines of this zone only, unless there are none.
+func findOwner(list []Candidate, local bool) int {
 	best := -1
 	for i := range list {
-		if here && list[i].Far {
+		if local && list[i].Far {
 			continue
 		}
 		if best < 0 || list[i].Order > list[best].Order {
@@ -130,7 +132,7 @@
 		}
 	}
 	if best < 0 {
-		return owner(list, false)
+		return findOwner(list, false)
 	}
 	return best
 }
--- a/placement/prompt.go
+++ b/placement/prompt.go
@@ -1,36 +1,37 @@
 package placement
 
-// Prompt is what an engine reads for a request, in order.
+// Prompt is the input of a model request, divided into cacheable parts.
 type Prompt struct {
-	// Parts may be kept by engines that read them before; a part counts as kept only
-	// if all before it are.
+	// Parts are the parts in order. Engines cache prefixes, so a part counts as cached only
+	// if all parts before it are cached.
 	Parts []Part
-	// Tokens is the size of all parts and of what belongs to none.
+	// Tokens is the size of the whole prompt, including text that belongs to no part.
 	Tokens int
-	// Shared is the number of leading parts that other requests are likely to share.
+	// Shared is the number of leading parts that other requests probably contain.
 	Shared int
 }
 
-// Part is a part of a prompt.
+// Part is a section of a prompt that engines can cache.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// missing is what an engine reads that keeps the first n parts.
-func (p *Prompt) missing(n int) int {
-	kept := 0
+// uncachedTokens returns the number of tokens to prefill if the first n parts are cached.
+func (p *Prompt) uncachedTokens(n int) int {
+	cached := 0
 	for _, part := range p.Parts[:n] {
-		kept += part.Tokens
+		cached += part.Tokens
 	}
-	return max(0, p.Tokens-kept)
+	return max(0, p.Tokens-cached)
 }
 
-// missingShared is the same of the shared parts only.
-func (p *Prompt) missingShared(n int) int {
-	missing := 0
+// uncachedSharedTokens returns the number of tokens of the shared parts to prefill if the
+// first n parts are cached.
+func (p *Prompt) uncachedSharedTokens(n int) int {
+	uncached := 0
 	for _, part := range p.Parts[min(n, p.Shared):p.Shared] {
-		missing += part.Tokens
+		uncached += part.Tokens
 	}
-	return missing
+	return uncached
 }
--- a/placement/rates.go
+++ b/placement/rates.go
@@ -8,40 +8,40 @@
 )
 
 const (
-	// overhead is the least part of the time to the first event that doesn't depend on
-	// the prompt: a round trip and a step of the engine's batch.
+	// overhead is the lower limit of the time to the first event that doesn't depend on the
+	// prompt: a round trip and one batch step of the engine.
 	overhead = 20 * time.Millisecond
-	// timingsHalfLife halves the weight of an answer: a pace follows within half a
-	// minute when engines become slower or faster.
+	// timingsHalfLife is the half-life of an answer's weight. Estimates follow a change of the
+	// engines' speed within half a minute.
 	timingsHalfLife = 8 * time.Second
-	// firstRate is taken before the first answers, a token.
-	firstRate = 50 * time.Microsecond
+	// defaultTimePerToken is the prefill time per token assumed before the first answers.
+	defaultTimePerToken = 50 * time.Microsecond
 )
 
-// Rates learns how long models take to read, from this host's answers and from what the
-// others tell of theirs. It is safe for concurrent use.
+// Rates estimates the prefill times of models from the answers that this host and its peers
+// received. It is safe for concurrent use.
 type Rates struct {
 	mu     sync.Mutex
-	own    map[string]Timings
-	others map[string]Timings
+	local  map[string]Timings
+	peers  map[string]Timings
 	prices map[string]float64
-	// paces are those that the timings tell, by model.
-	paces map[string]pace
-	// decayedAt is when the own timings were last weighted down.
+	// estimates holds the estimates derived from the timings, by model.
+	estimates map[string]estimate
+	// decayedAt is when the local timings were last decayed.
 	decayedAt time.Time
 }
 
-// NewRates returns rates that know nothing.
+// NewRates returns a Rates without observations.
 func NewRates() *Rates {
 	return &Rates{
-		own: make(map[string]Timings), others: make(map[string]Timings),
-		prices: make(map[string]float64), paces: make(map[string]pace),
+		local: make(map[string]Timings), peers: make(map[string]Timings),
+		prices: make(map[string]float64), estimates: make(map[string]estimate),
 	}
 }
 
-// Price notes what operators pay for a model. Until the model has answered, prices stand
-// for rates: without them a host that starts expects the largest model to read as fast as
-// the smallest, which is ten times as fast, and gives its answers up.
+// Price sets the price that operators pay for a model. Prices stand in for speeds until a
+// model has answered: without them a newly started host expects the largest model to be as
+// fast as the smallest, which is ten times as fast, and gives up on its answers.
 func (r *Rates) Price(model string, price float64) {
 	if price <= 0 {
 		return
@@ -51,42 +51,43 @@
 	r.prices[model] = price
 }
 
-// Reading is the expected time to read tokens and begin the answer.
+// Reading returns the expected time to prefill tokens and send the first event.
 func (r *Rates) Reading(model string, tokens int) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.pace(model).of(tokens)
+	return r.estimate(model).timeToFirstEvent(tokens)
 }
 
-// Work is the part of Reading in which the engine reads for this prompt alone.
+// Work returns the portion of Reading that depends on the number of tokens, during which the
+// engine works on this prompt alone.
 func (r *Rates) Work(model string, tokens int) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.pace(model).work(tokens)
+	return r.estimate(model).prefillTime(tokens)
 }
 
-// pace is the model's, or for a model that hardly answered yet what the others' paces and
-// prices make likely.
-func (r *Rates) pace(model string) pace {
-	if known, ok := r.paces[model]; ok {
+// estimate returns the model's estimate. For a model with too few answers it returns the mean
+// estimate of the other models, scaled by the ratio of the prices.
+func (r *Rates) estimate(model string) estimate {
+	if known, ok := r.estimates[model]; ok {
 		return known
 	}
-	if len(r.paces) == 0 {
-		return pace{start: overhead, token: float64(firstRate)}
+	if len(r.estimates) == 0 {
+		return estimate{fixed: overhead, nanosPerToken: float64(defaultTimePerToken)}
 	}
-	var mean pace
-	for name, known := range r.paces {
+	var mean estimate
+	for name, known := range r.estimates {
 		ratio := 1.0
 		if r.prices[model] > 0 && r.prices[name] > 0 {
 			ratio = r.prices[model] / r.prices[name]
 		}
-		mean.start += known.start / time.Duration(len(r.paces))
-		mean.token += known.token * ratio / float64(len(r.paces))
+		mean.fixed += known.fixed / time.Duration(len(r.estimates))
+		mean.nanosPerToken += known.nanosPerToken * ratio / float64(len(r.estimates))
 	}
 	return mean
 }
 
-// Observe takes in the time to the first event of an answer that had little to wait for.
+// Observe adds the time to the first event of an answer whose prompt was hardly queued.
 func (r *Rates) Observe(model string, tokens int, took time.Duration, now time.Time) {
 	if took <= overhead {
 		return
@@ -94,50 +95,49 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.decay(now)
-	own := r.own[model]
+	timings := r.local[model]
 	expected := time.Duration(0)
-	if known, ok := r.paces[model]; ok {
-		expected = known.of(tokens)
+	if known, ok := r.estimates[model]; ok {
+		expected = known.timeToFirstEvent(tokens)
 	}
-	own.observe(tokens, took, expected)
-	r.own[model] = own
-	r.fit(model)
+	timings.observe(tokens, took, expected)
+	r.local[model] = timings
+	r.refit(model)
 }
 
-// decay weights the own timings down to the time. The lock is held.
+// decay decays the local timings up to now. The caller holds the lock.
 func (r *Rates) decay(now time.Time) {
-	part := math.Exp2(-float64(now.Sub(r.decayedAt)) / float64(timingsHalfLife))
-	for model, t := range r.own {
-		r.own[model] = t.scaled(part)
+	weight := math.Exp2(-float64(now.Sub(r.decayedAt)) / float64(timingsHalfLife))
+	for model, t := range r.local {
+		r.local[model] = t.scaled(weight)
 	}
 	r.decayedAt = now
 }
 
-// fit takes the pace that the timings tell. The lock is held.
-func (r *Rates) fit(model string) {
-	all := r.own[model]
-	all.Add(r.others[model])
-	if p, ok := all.pace(); ok {
-		r.paces[model] = p
+// refit updates the model's estimate from the timings. The caller holds the lock.
+func (r *Rates) refit(model string) {
+	all := r.local[model]
+	all.Add(r.peers[model])
+	if p, ok := all.estimate(); ok {
+		r.estimates[model] = p
 	}
 }
 
-// Timings are what this host's own answers told, by model.
+// Timings returns the sums of this host's own answers, by model.
 func (r *Rates) Timings(now time.Time) map[string]Timings {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.decay(now)
-	return maps.Clone(r.own)
+	return maps.Clone(r.local)
 }
 
-// TakeTimings takes what the other hosts' answers told of a model, in place of the last
-// such word.
+// TakeTimings replaces the sums of the peers' answers for a model. It ignores invalid sums.
 func (r *Rates) TakeTimings(model string, t Timings) {
 	if !t.valid() {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.others[model] = t
-	r.fit(model)
+	r.peers[model] = t
+	r.refit(model)
 }
--- a/placement/ration.go
+++ b/placement/ration.go
@@ -5,51 +5,52 @@
 	"time"
 )
 
-// Ration shares what a service takes among requests by their rank, the most urgent first.
+// Ration divides the capacity of a service among requests by rank, the most urgent first.
 //
-// The load that it answers: all upstreams of a service name limits, and the requests are more
-// than the limits' sum. Whoever comes first would take what is left, most of them the most
-// frequent kind. What no upstream will take is turned away at once. The zero value has seen no
-// request. It isn't safe for concurrent use.
+// It is meant for services whose upstreams all report limits while requests exceed the sum of
+// the limits. Without it, capacity would go to whichever request arrives first, mostly of the
+// most frequent kind. Requests in excess of the capacity are rejected at once. The zero value
+// is ready for use. It isn't safe for concurrent use.
 type Ration struct {
-	// arrivals are the decayed rates of requests by rank, a second, as of at.
-	arrivals [ranks]float64
-	at       time.Time
+	// arrivalRates holds the decayed rate of requests per second by rank, as of updatedAt.
+	arrivalRates [rankCount]float64
+	updatedAt    time.Time
 }
 
 const (
-	// ranks is the number of ranks that are told apart, 0 first.
-	ranks = 10
-	// rationHalfLife halves the weight of a request in the rates of arrivals.
-	rationHalfLife = 2 * time.Second
+	// rankCount is the number of distinct ranks; rank 0 is the most urgent.
+	rankCount = 10
+	// arrivalHalfLife is the half-life of a request's weight in the arrival rates.
+	arrivalHalfLife = 2 * time.Second
 )
 
-// Note counts a request.
+// Note counts an arriving request.
 func (r *Ration) Note(rank int, now time.Time) {
 	r.decay(now)
-	r.arrivals[within(rank)] += math.Ln2 / rationHalfLife.Seconds()
+	r.arrivalRates[clampRank(rank)] += math.Ln2 / arrivalHalfLife.Seconds()
 }
 
-// Admits says whether a request may take of a supply, in requests a second, that doesn't
-// suffice for all. Draw is of [0, 1).
+// Admits reports whether a request is admitted when supply, the capacity in requests per
+// second, doesn't suffice for all. The draw is a random number in [0, 1): the rank that the
+// remaining supply serves in part is admitted in proportion.
 func (r *Ration) Admits(rank int, supply, draw float64, now time.Time) bool {
 	r.decay(now)
-	rank = within(rank)
-	left := supply
-	for _, rate := range r.arrivals[:rank] {
-		left -= rate
+	rank = clampRank(rank)
+	remaining := supply
+	for _, rate := range r.arrivalRates[:rank] {
+		remaining -= rate
 	}
-	return draw*r.arrivals[rank] < left
+	return draw*r.arrivalRates[rank] < remaining
 }
 
 func (r *Ration) decay(now time.Time) {
-	if since := now.Sub(r.at); since > 0 {
-		weight := math.Exp2(-float64(since) / float64(rationHalfLife))
-		for i := range r.arrivals {
-			r.arrivals[i] *= weight
+	if elapsed := now.Sub(r.updatedAt); elapsed > 0 {
+		weight := math.Exp2(-float64(elapsed) / float64(arrivalHalfLife))
+		for i := range r.arrivalRates {
+			r.arrivalRates[i] *= weight
 		}
-		r.at = now
+		r.updatedAt = now
 	}
 }
 
-func within(rank int) int { return min(max(0, rank), ranks-1) }
+func clampRank(rank int) int { return min(max(0, rank), rankCount-1) }
--- a/placement/ration_test.go
+++ b/placement/ration_test.go
@@ -10,28 +10,29 @@
 	"github.com/quetzalweir/quetzalweir/placement"
 )
 
-// Twenty requests a second of three ranks meet a supply of eight.
+// Twenty requests per second of three ranks compete for a supply of eight per second: the most
+// urgent rank is admitted in full, the next one in part.
 func TestRationServesTheUrgentFirst(t *testing.T) {
 	is := is.New(t)
 	rnd := rand.New(rand.NewPCG(1, 1))
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	var r placement.Ration
-	var came, admitted [3]int
+	var arrived, admitted [3]int
 	for i := range 20 * 60 {
 		now = now.Add(50 * time.Millisecond)
-		rank := []int{0, 1, 2, 2, 1}[i%5] // 4, 8 and 8 a second
+		rank := []int{0, 1, 2, 2, 1}[i%5] // 4, 8 and 8 per second
 		r.Note(rank, now)
 		if i < 200 {
-			continue // the rates are known
+			continue // warm up the arrival rates
 		}
-		came[rank]++
+		arrived[rank]++
 		if r.Admits(rank, 8, rnd.Float64(), now) {
 			admitted[rank]++
 		}
 	}
-	is.Equal(admitted[0], came[0])
-	share := float64(admitted[1]) / float64(came[1])
-	is.True(share > 0.4 && share < 0.6) // four of eight a second are left
+	is.Equal(admitted[0], arrived[0])
+	share := float64(admitted[1]) / float64(arrived[1])
+	is.True(share > 0.4 && share < 0.6) // 4 of 8 per second remain
 	is.Equal(admitted[2], 0)
 }
 
@@ -43,5 +44,5 @@
 	r.Note(-1, now)
 	r.Note(99, now)
 	is.True(r.Admits(99, 5, 0.99, now))
-	is.True(!r.Admits(99, 0, 0, now)) // there is nothing
+	is.True(!r.Admits(99, 0, 0, now)) // no supply
 }
--- a/placement/upgrade.go
+++ b/placement/upgrade.go
@@ -2,40 +2,38 @@
 
 import "time"
 
-// Upgrade is the question whether a better model is to be asked after a cheaper one has
+// Upgrade decides whether a request is escalated to a better model after a cheaper model has
 // answered with some confidence.
 type Upgrade struct {
-	// Usual is the confidence, 0 to 100, from which the operators pass an answer on.
+	// Usual is the confidence threshold set by the operators, from 0 to 100.
 	Usual float64
-	// Expected is the time from the request's arrival to the better model's first event,
-	// Target the time within which it is to come; 0 if there is none.
+	// Expected is the expected time from the request's arrival to the better model's first
+	// event. Target is the target for that time; 0 means none.
 	Expected time.Duration
 	Target   time.Duration
-	// Pressure is the time that prompts wait for engines, as a part of what reading them
-	// takes.
+	// Pressure is the mean queueing time of prompts relative to their prefill time.
 	Pressure float64
 }
 
 const (
-	// lateFrom is the part of the target from which a first event counts as late:
-	// expectations are off by some.
-	lateFrom = 0.9
-	// lateRequired is the part of the usual confidence that is required where a better
-	// answer would be late: a late answer is better than a poor one.
-	lateRequired = 0.3
-	// latePressure is the pressure from which no late answer is asked for: reading it
-	// would make others late.
-	latePressure = 0.6
+	// lateFraction is the fraction of the target from which an expected first event counts as
+	// late. It is below 1 because estimates are inexact.
+	lateFraction = 0.9
+	// lateThresholdFactor scales the threshold where the better answer would be late. It is
+	// above 0 because a late answer is better than a poor one.
+	lateThresholdFactor = 0.3
+	// maxLatePressure is the pressure from which late answers are never requested, because
+	// their prefill would delay other requests beyond their targets.
+	maxLatePressure = 0.6
 )
 
-// Required is the confidence from which the cheaper model's answer is passed on. It is the
-// usual one at any load while the better answer is in time. Lowering it under pressure, or
-// by the price of the better model's reading, serves callers worse: what is asked less of
-// are the answers in the middle of the scale, and most of those below the usual confidence
-// are poor.
+// Required returns the confidence from which the cheaper model's answer is accepted. While
+// the better answer would be in time it is Usual, at any load. Lowering it under pressure, or
+// by the cost of the better model's prefill, serves callers worse: it accepts answers of
+// medium confidence, and most answers below the usual threshold are poor.
 func (u *Upgrade) Required() float64 {
-	if u.Target <= 0 || float64(u.Expected) <= lateFrom*float64(u.Target) {
+	if u.Target <= 0 || float64(u.Expected) <= lateFraction*float64(u.Target) {
 		return u.Usual
 	}
-	return u.Usual * lateRequired * max(0, 1-u.Pressure/latePressure)
+	return u.Usual * lateThresholdFactor * max(0, 1-u.Pressure/maxLatePressure)
 }
--- a/placement/upgrade_test.go
+++ b/placement/upgrade_test.go
@@ -17,10 +17,10 @@
 	}{
 		{"in time", 500 * time.Millisecond, time.Second, 0, 50},
 		{"in time, under pressure", 500 * time.Millisecond, time.Second, 5, 50},
-		{"in time, just", 900 * time.Millisecond, time.Second, 0.3, 50},
-		{"late, engines idle", 1200 * time.Millisecond, time.Second, 0, 15},
-		{"late, some wait", 1200 * time.Millisecond, time.Second, 0.3, 7.5},
-		{"late, all wait", 1200 * time.Millisecond, time.Second, 2, 0},
+		{"just in time", 900 * time.Millisecond, time.Second, 0.3, 50},
+		{"late, no queueing", 1200 * time.Millisecond, time.Second, 0, 15},
+		{"late, some queueing", 1200 * time.Millisecond, time.Second, 0.3, 7.5},
+		{"late, long queues", 1200 * time.Millisecond, time.Second, 2, 0},
 		{"no target", time.Minute, 0, 2, 50},
 	}
 	for _, test := range tests {
