--- a/balance/balance.go
+++ b/balance/balance.go
@@ -10,8 +10,8 @@
 	"github.com/quetzalweir/quetzalweir/upstream"
 )
 
-// Upstream is a snapshot of what this host knows of one upstream. Snapshots
-// are shared and must not be changed.
+// Upstream is a snapshot of the state that this host has of one upstream.
+// Snapshots are shared and must not be changed.
 type Upstream struct {
 	ID      string
 	Address string
@@ -19,30 +19,31 @@
 	Kind    storage.HostKind
 	// Name is the model pool's or service's name.
 	Name string
-	// Leaving says that the upstream takes no new work.
+	// Leaving reports whether the upstream drains: it takes no new requests.
 	Leaving bool
-	// Versions are the loaded versions as "model@version", from its report.
+	// Versions are the loaded versions as "model@version", from its last
+	// report that lists them.
 	Versions []string
-	// Reported is the upstream's last report, taken at ReportedAt; before the
-	// first one both are zero.
+	// Reported is the upstream's last load report, as of ReportedAt. Both are
+	// zero before the first report.
 	Reported   upstream.Load
 	ReportedAt time.Time
 	// Hosts is the number of entry hosts that send to the upstream; 0 means 1.
 	Hosts int
-	// InFlight is the number of this host's requests that are not yet ended.
+	// InFlight is the number of this host's requests in flight.
 	InFlight int
-	// SentSinceReport is the part of InFlight begun after ReportedAt, which
-	// the report can't contain.
+	// SentSinceReport is the number of requests in flight sent after
+	// ReportedAt, which the report doesn't include.
 	SentSinceReport int
-	// ErrorRate is the decayed share of failed requests, from 0 to 1.
+	// ErrorRate is the decayed fraction of failed requests, from 0 to 1.
 	ErrorRate float64
-	// LatencyMs is the decayed mean time to the first token in milliseconds;
-	// 0 without a measurement.
+	// LatencyMs is the moving average of the time to the first token in
+	// milliseconds; 0 without a measurement.
 	LatencyMs float64
-	// EjectedUntil is when an ejection ends; zero without one.
+	// EjectedUntil is the end of the latest ejection; zero without one.
 	EjectedUntil time.Time
 
-	// outcomeAt is when ErrorRate was last changed.
+	// outcomeAt is when ErrorRate was last updated.
 	outcomeAt time.Time
 }
 
@@ -54,7 +55,7 @@
 	return u.ErrorRate * math.Exp2(-float64(now.Sub(u.outcomeAt))/float64(errorHalfLife))
 }
 
-// Request is what the choice depends on.
+// Request describes a request for which an upstream is selected.
 type Request struct {
 	// Model and Version are set for model requests, Service for others.
 	Model   string
@@ -62,29 +63,31 @@
 	Service string
 	// Zone is the availability zone of this host.
 	Zone string
-	// SessionID keeps a session's requests together; empty without a session.
+	// SessionID gives the requests of a session affinity to one upstream;
+	// empty without a session.
 	SessionID string
-	// PrefixHashes are the prompt's block hashes from PrefixHashes.
+	// PrefixHashes are the block hashes of the prompt, as returned by the
+	// function PrefixHashes.
 	PrefixHashes []uint64
-	// Exclude are the IDs of upstreams already tried.
+	// Exclude lists the IDs of upstreams already tried.
 	Exclude []string
 }
 
-// loadedVersion returns the name under which an engine reports the version.
+// loadedVersion returns the requested version as engines report it.
 func (r *Request) loadedVersion() string {
 	return r.Model + "@" + r.Version
 }
 
-// Filter narrows the list of candidates.
+// Filter removes unsuitable candidates.
 type Filter interface {
 	// Name identifies the filter in logs.
 	Name() string
-	// Filter returns the candidates that stay, in their order. It may reuse
+	// Filter returns the remaining candidates in their order. It may reuse
 	// the list's backing array.
 	Filter(req *Request, list []*Upstream, now time.Time) []*Upstream
 }
 
-// Scorer values a candidate.
+// Scorer rates a candidate.
 type Scorer interface {
 	// Name identifies the scorer in logs.
 	Name() string
@@ -92,7 +95,7 @@
 	Score(req *Request, u *Upstream, now time.Time) float64
 }
 
-// Weighted is a scorer and its weight in the sum.
+// Weighted is a scorer and its weight in the total score.
 type Weighted struct {
 	Scorer Scorer
 	// Weight is at least 0.
@@ -105,18 +108,19 @@
 	Sample(n int, rnd *rand.Rand) []int
 }
 
-// DropCount is how many candidates a filter removed.
+// DropCount is the number of candidates that a filter removed.
 type DropCount struct {
 	Filter string
 	N      int
 }
 
-// Choice is the outcome of a selection.
+// Choice is the result of a selection.
 type Choice struct {
 	Upstream *Upstream
 	// Among is the number of candidates that passed the filters.
 	Among int
-	// Dropped lists the filters that removed candidates, in their order.
+	// Dropped lists the filters that removed candidates, in the order of the
+	// chain.
 	Dropped []DropCount
 	// Score is the weighted score of the chosen upstream.
 	Score float64
@@ -125,18 +129,18 @@
 // Selector is a chain of filters, scorers and a picker.
 type Selector struct {
 	Filters []Filter
-	// Affinity scorers look at every candidate. The best of each joins the
-	// picker's sample unless Bound excludes it.
+	// Affinity scorers rate every candidate. The best candidate of each is
+	// added to the picker's sample unless its load exceeds Bound.
 	Affinity []Weighted
-	// Scorers look at the sample only.
+	// Scorers rate the sampled and the preferred candidates only.
 	Scorers []Weighted
 	Picker  Picker
-	// Bound limits the load of upstreams that affinity prefers.
+	// Bound limits the load of upstreams preferred by affinity.
 	Bound LoadBound
 }
 
-// Select chooses an upstream for req; ok is false when no candidate passes
-// the filters. The choice is a function of its arguments; list isn't changed.
+// Select selects an upstream for req; ok is false if no candidate passes the
+// filters. The result depends only on the arguments; list isn't changed.
 func (s *Selector) Select(req *Request, list []*Upstream, now time.Time, rnd *rand.Rand) (choice Choice, ok bool) {
 	candidates := slices.Clone(list)
 	for _, f := range s.Filters {
@@ -156,7 +160,7 @@
 	return choice, true
 }
 
-// preference is a candidate that affinity adds to the sample.
+// preference is a candidate that an affinity scorer adds to the sample.
 type preference struct {
 	index int
 	bonus float64
@@ -176,8 +180,9 @@
 	return preferred
 }
 
-// bestAffinity returns the index and score of the least loaded candidate with the
-// highest positive score and a load of at most limit, or -1.
+// bestAffinity returns the index and score of the candidate with the highest
+// positive score among those with a load of at most limit, or -1. Among equal
+// scores it returns the least loaded candidate.
 func bestAffinity(scorer Scorer, req *Request, candidates []*Upstream, limit float64, now time.Time) (best int, bestScore float64) {
 	best = -1
 	for i, u := range candidates {
@@ -193,9 +198,9 @@
 	return best, bestScore
 }
 
-// best returns the candidate with the highest weighted score among the sample
-// and the preferred ones. An affinity scorer counts for its preferred
-// candidate only.
+// best returns the sampled or preferred candidate with the highest weighted
+// score. The score of an affinity scorer is added for its preferred candidate
+// only.
 func (s *Selector) best(req *Request, candidates []*Upstream, sample []int, preferred []preference, now time.Time) (*Upstream, float64) {
 	var best *Upstream
 	var bestScore float64
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -8,12 +8,12 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// benchPool has n engines of one pool with known prefixes.
+// benchPool returns a pool of n engines with prefixes in the index.
 func benchPool(n int) (*Pool, *Request) {
 	pool := NewPool(Options{Host: "entry-1", Zone: "a", Subset: Subset{Min: n, Max: n}})
 	var list []storage.Host
 	for i := range n {
-		list = append(list, host(fmt.Sprintf("h%05d", i)))
+		list = append(list, newHost(fmt.Sprintf("h%05d", i)))
 	}
 	pool.Update(list)
 	hashes := make([]uint64, 80)
@@ -21,7 +21,7 @@
 		hashes[i] = uint64(i)
 	}
 	for i, h := range list {
-		pool.Report(h.ID, load(i%10), time.Now())
+		pool.Report(h.ID, newLoad(i%10), time.Now())
 		pool.Index().Sent(h.ID, hashes[:i%80])
 	}
 	return pool, &Request{Model: "m", Version: "1", SessionID: "s", PrefixHashes: hashes}
@@ -39,13 +39,13 @@
 	}
 }
 
-// BenchmarkChooseOfManyPools has the members of one host at the size to design
-// for: 24 upstreams in each of 20 pools, of which one pool has the version.
+// BenchmarkChooseOfManyPools selects among the upstreams of one host at the
+// design size: 24 upstreams in each of 20 pools, one of which has the version.
 func BenchmarkChooseOfManyPools(b *testing.B) {
 	const pools = 20
 	pool, req := benchPool(pools * DefaultSubsetMin)
 	for i, u := range pool.View() {
-		report := load(0)
+		report := newLoad(0)
 		report.Versions = []string{fmt.Sprintf("m%d", i%pools)}
 		pool.Report(u.ID, report, time.Now())
 	}
--- a/balance/chain.go
+++ b/balance/chain.go
@@ -10,7 +10,7 @@
 	sessionWeight = 0.8
 )
 
-// NewSelector returns the default chain over a prefix index.
+// NewSelector returns the default chain, with prefix affinity by the matcher.
 func NewSelector(matcher PrefixMatcher) *Selector {
 	return &Selector{
 		Filters: []Filter{
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -1,13 +1,13 @@
-// Package balance chooses the upstream that a request goes to.
+// Package balance selects the upstream for a request.
 //
-// A Selector is a pure chain: filters narrow the list, affinity scorers name
-// preferred candidates, and a picker samples two more at random and takes the
-// best weighted score. A Pool keeps the state that the chain reads: the host
-// list, the upstreams' load reports, the requests that this host has in
-// flight, error rates, ejections and the prefix index. Nothing in the package
-// does I/O.
+// A Selector is a chain without state: filters reduce the list of candidates,
+// affinity scorers name preferred candidates, a picker samples two more at
+// random, and the candidate with the best weighted score is selected. A Pool
+// holds the state that the chain reads: the host list, the load reports of the
+// upstreams, the requests that this host has in flight, error rates, ejections
+// and the prefix index. Nothing in the package does I/O.
 //
-// The entry host keeps one Pool for its upstreams. Choices of different hosts
-// aren't coordinated, and a choice reserves nothing: the upstream may still
-// refuse.
+// An entry host has one Pool for all its upstreams. Selections of different
+// hosts aren't coordinated, and a selection reserves no capacity: the upstream
+// may still refuse the request.
 package balance
--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -13,17 +13,17 @@
 	DefaultEjectMax          = 2 * time.Minute
 )
 
-// Ejection says when an upstream is ejected, and for how long. Zero fields
-// mean the defaults.
+// Ejection configures when an upstream is ejected, and for how long. Zero
+// fields mean the defaults.
 type Ejection struct {
-	// ConsecutiveErrors in a row eject.
+	// ConsecutiveErrors is the number of consecutive errors that ejects.
 	ConsecutiveErrors int
-	// ErrorRate ejects when the decayed error rate reaches it.
+	// ErrorRate is the decayed error rate that ejects.
 	ErrorRate float64
-	// Base is the length of the first ejection. Each ejection that follows
-	// without a success between doubles it, up to Max. The length is spread
-	// at random over half to one and a half of that, so that hosts don't
-	// return together.
+	// Base is the duration of the first ejection. It doubles with each
+	// further ejection without a success in between, up to Max. The actual
+	// duration is drawn from half to one and a half times that, so that the
+	// entry hosts don't resume sending to the upstream at the same time.
 	Base time.Duration
 	Max  time.Duration
 }
@@ -36,7 +36,7 @@
 	return c
 }
 
-// ejectionState counts errors and ejections of one upstream.
+// ejectionState holds the error and ejection counts of one upstream.
 type ejectionState struct {
 	consecutive int
 	// ejections counts the ejections since the last success.
@@ -44,8 +44,9 @@
 	until     time.Time
 }
 
-// observe takes in an outcome and returns when the ejection ends. Outcomes of
-// requests that were under way during an ejection don't prolong it.
+// observe records an outcome and returns the end of the latest ejection.
+// Outcomes during an ejection are ignored: they belong to requests sent
+// before it.
 func (s *ejectionState) observe(failed bool, rate float64, now time.Time, c Ejection, jitter float64) time.Time {
 	c = c.withDefaults()
 	if now.Before(s.until) {
@@ -57,7 +58,7 @@
 		return s.until
 	}
 	s.consecutive++
-	// After an ejection the first error is enough: the upstream is on trial.
+	// After an ejection, until the first success, a single error ejects again.
 	if s.ejections > 0 || s.consecutive >= c.ConsecutiveErrors || rate >= c.ErrorRate {
 		s.until = now.Add(s.duration(c, jitter))
 		s.ejections++
--- a/balance/entry.go
+++ b/balance/entry.go
@@ -10,52 +10,55 @@
 )
 
 const (
-	// latencyGain is the weight of a new measurement in the mean latency.
+	// latencyGain is the weight of a new measurement in the average latency.
 	latencyGain = 0.1
 	// errorGain is the weight of a new outcome in the error rate.
 	errorGain = 0.1
-	// errorHalfLife is the time in which an error rate without new outcomes
-	// halves, so that an upstream that repaired itself is tried again.
+	// errorHalfLife is the half-life of an error rate without new outcomes.
+	// The decay lets an upstream that has recovered be tried again.
 	errorHalfLife = 10 * time.Second
 )
 
-// entry is the state of one upstream. All but snapshot is guarded by the lock
-// of its shard.
+// entry is the state of one upstream. All fields except snapshot are guarded
+// by the lock of its shard.
 type entry struct {
 	snapshot atomic.Pointer[Upstream]
 	state    Upstream
-	// begun holds when the requests in flight began, in ascending order.
-	begun []time.Time
-	// leavingVersion is the highest version of a leaving fact seen.
+	// startTimes holds the start times of the requests in flight in ascending
+	// order.
+	startTimes []time.Time
+	// leavingVersion is the highest version of a leaving fact received.
 	leavingVersion uint64
-	// absentSince is when the upstream vanished from the list; zero if listed.
+	// absentSince is when the upstream disappeared from the host list; zero
+	// while it is listed.
 	absentSince time.Time
 	ejection    ejectionState
 }
 
-func (e *entry) inFlight() int { return len(e.begun) }
+func (e *entry) inFlight() int { return len(e.startTimes) }
 
-// publish replaces the snapshot that readers see.
+// publish replaces the snapshot that readers use.
 func (e *entry) publish() {
 	snapshot := e.state
 	e.snapshot.Store(&snapshot)
 }
 
-// renew starts a new incarnation: only leavingVersion outlives the old one.
-func (e *entry) renew() {
+// reset clears the state for a new incarnation. It keeps leavingVersion and
+// absentSince.
+func (e *entry) reset() {
 	e.state = Upstream{}
-	e.begun = nil
+	e.startTimes = nil
 	e.ejection = ejectionState{}
 }
 
-// isOver says that the incarnation has been absent for so long that the upstream
-// would return as another one.
-func (e *entry) isOver(now time.Time, absentFor time.Duration) bool {
+// incarnationEnded reports whether the upstream has been absent for so long
+// that its return counts as a new incarnation.
+func (e *entry) incarnationEnded(now time.Time, absentFor time.Duration) bool {
 	return !e.absentSince.IsZero() && now.Sub(e.absentSince) >= absentFor
 }
 
-// list takes over what the platform's list says.
-func (e *entry) list(h storage.Host) {
+// applyHost applies the upstream's entry in the host list.
+func (e *entry) applyHost(h storage.Host) {
 	e.absentSince = time.Time{}
 	e.state.ID = h.ID
 	e.state.Address = h.Address
@@ -67,8 +70,9 @@
 	}
 }
 
-// leave marks the upstream as leaving and says whether that was news.
-func (e *entry) leave(version uint64) bool {
+// markLeaving marks the upstream as leaving and reports whether that changed
+// its state. It ignores versions that aren't newer; 0 stands for none.
+func (e *entry) markLeaving(version uint64) bool {
 	if version != 0 && version <= e.leavingVersion {
 		return false
 	}
@@ -78,70 +82,71 @@
 	return changed
 }
 
-// report takes over a report; own requests begun later come on top of it.
-func (e *entry) report(load upstream.Load, takenAt time.Time) {
+// applyReport applies a load report unless it is older than the last one.
+// Requests that this host began later are added to the reported load.
+func (e *entry) applyReport(load upstream.Load, takenAt time.Time) {
 	if takenAt.Before(e.state.ReportedAt) {
 		return
 	}
 	e.state.Reported = load
 	e.state.ReportedAt = takenAt
-	// A report on an answer's head doesn't name the versions.
+	// A report in the header of an answer doesn't list the versions.
 	if load.Versions != nil {
 		e.state.Versions = load.Versions
 	}
 	if load.Leaving {
 		e.state.Leaving = true
 	}
-	e.count()
+	e.updateCounters()
 }
 
-// count derives the counters in the snapshot from the requests in flight.
-func (e *entry) count() {
-	e.state.InFlight = len(e.begun)
-	sent := 0
-	for i := len(e.begun) - 1; i >= 0 && e.begun[i].After(e.state.ReportedAt); i-- {
-		sent++
+// updateCounters derives the counters of the state from the requests in flight.
+func (e *entry) updateCounters() {
+	e.state.InFlight = len(e.startTimes)
+	sentSinceReport := 0
+	for i := len(e.startTimes) - 1; i >= 0 && e.startTimes[i].After(e.state.ReportedAt); i-- {
+		sentSinceReport++
 	}
-	e.state.SentSinceReport = sent
+	e.state.SentSinceReport = sentSinceReport
 }
 
 func (e *entry) begin(now time.Time) bool {
 	if e.state.Leaving || !e.absentSince.IsZero() {
 		return false
 	}
-	e.begun = append(e.begun, now)
-	e.count()
+	e.startTimes = append(e.startTimes, now)
+	e.updateCounters()
 	return true
 }
 
 func (e *entry) end(outcome Outcome, now time.Time, ejection Ejection, jitter float64) {
-	if len(e.begun) > 0 {
-		e.begun = e.begun[1:]
+	if len(e.startTimes) > 0 {
+		e.startTimes = e.startTimes[1:]
 	}
 	if outcome.Leaving {
 		e.state.Leaving = true
 	}
 	failed := outcome.Err && !outcome.Leaving
 	if outcome.Refused {
-		failed = failed && !e.busy()
-		e.refused()
+		failed = failed && !e.reportsFull()
+		e.markFull()
 	}
 	e.observeLatency(outcome.FirstToken)
 	e.observeError(failed, now)
 	e.state.EjectedUntil = e.ejection.observe(failed, e.state.ErrorRate, now, ejection, jitter)
-	e.count()
+	e.updateCounters()
 }
 
-// busy says whether the last report explains a refusal. A refusal that it
-// doesn't explain is an error: an upstream that refuses all it gets looks
-// idle.
-func (e *entry) busy() bool {
+// reportsFull reports whether the corrected load explains a refusal. Otherwise
+// the refusal counts as an error: an upstream that refuses every request
+// appears idle by its load.
+func (e *entry) reportsFull() bool {
 	return float64(CorrectedLoad(&e.state)) >= capacity(&e.state)
 }
 
-// refused treats a refusal as a report of a full upstream: until the next
-// report, further requests go elsewhere.
-func (e *entry) refused() {
+// markFull treats a refusal as a report of full load, so that requests are sent
+// to other upstreams until the next report.
+func (e *entry) markFull() {
 	if e.state.Reported.Capacity == 0 {
 		e.state.Reported.Capacity = unreportedCapacity
 	}
@@ -164,9 +169,9 @@
 func (e *entry) observeError(failed bool, now time.Time) {
 	rate := e.state.errorRateAt(now)
 	e.state.outcomeAt = now
-	value := 0.0
+	outcome := 0.0
 	if failed {
-		value = 1
+		outcome = 1
 	}
-	e.state.ErrorRate = rate + errorGain*(value-rate)
+	e.state.ErrorRate = rate + errorGain*(outcome-rate)
 }
--- a/balance/filter_capacity.go
+++ b/balance/filter_capacity.go
@@ -9,12 +9,12 @@
 // DefaultMaxLoad is the default of CapacityFilter.MaxLoad.
 const DefaultMaxLoad = 2.0
 
-// CapacityFilter drops upstreams whose queue is long already. When that would
-// drop all of them it drops none: choosing the least bad is the scorers' task
-// and refusing is the queue's.
+// CapacityFilter drops upstreams with long queues. If it would drop all of
+// them it drops none: the scorers then select the least loaded, and the queue
+// decides whether to refuse the request.
 type CapacityFilter struct {
-	// MaxLoad is the load in multiples of the upstream's capacity from which
-	// on it is dropped; 0 means DefaultMaxLoad.
+	// MaxLoad is the load, in multiples of the upstream's capacity, from which
+	// it is dropped; 0 means DefaultMaxLoad.
 	MaxLoad float64
 }
 
--- a/balance/filter_ejected.go
+++ b/balance/filter_ejected.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// DefaultMaxEjectedShare is the largest share of candidates that
-// EjectedFilter drops by default.
+// DefaultMaxEjectedShare is the default of EjectedFilter.MaxShare.
 const DefaultMaxEjectedShare = 0.34
 
-// EjectedFilter drops upstreams whose ejection isn't over. It drops at most a
-// share of the candidates, those ejected the longest first, so that a fault
-// common to all upstreams doesn't leave none.
+// EjectedFilter drops ejected upstreams. It drops at most a share of the
+// candidates, beginning with those whose ejections end last, so that a fault
+// common to all upstreams doesn't remove all of them.
 type EjectedFilter struct {
-	// MaxShare is from 0 to 1; 0 means DefaultMaxEjectedShare. Of two or more
-	// candidates, one may always be dropped.
+	// MaxShare is the largest share of candidates to drop, from 0 to 1; 0
+	// means DefaultMaxEjectedShare. Of two or more candidates, one may always
+	// be dropped.
 	MaxShare float64
 }
 
@@ -33,14 +33,14 @@
 	if len(ejected) == 0 {
 		return list
 	}
-	ejected = longestEjected(ejected, f.most(len(list)))
+	ejected = longestEjected(ejected, f.maxDropped(len(list)))
 	return slices.DeleteFunc(list, func(u *Upstream) bool {
 		return slices.Contains(ejected, u)
 	})
 }
 
-// most returns how many of n candidates may be dropped.
-func (f EjectedFilter) most(n int) int {
+// maxDropped returns how many of n candidates may be dropped.
+func (f EjectedFilter) maxDropped(n int) int {
 	if n < 2 {
 		return 0
 	}
@@ -48,12 +48,12 @@
 	return max(1, int(share*float64(n)))
 }
 
-func longestEjected(ejected []*Upstream, most int) []*Upstream {
-	if len(ejected) <= most {
+func longestEjected(ejected []*Upstream, limit int) []*Upstream {
+	if len(ejected) <= limit {
 		return ejected
 	}
 	slices.SortStableFunc(ejected, func(a, b *Upstream) int {
 		return b.EjectedUntil.Compare(a.EjectedUntil)
 	})
-	return ejected[:most]
+	return ejected[:limit]
 }
--- a/balance/filter_excluded.go
+++ b/balance/filter_excluded.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// ExcludedFilter drops the upstreams that the request names in Exclude.
+// ExcludedFilter drops the upstreams that the request lists in Exclude.
 type ExcludedFilter struct{}
 
 // Name implements Filter.
--- a/balance/filter_leaving.go
+++ b/balance/filter_leaving.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// LeavingFilter drops upstreams that take no new work.
+// LeavingFilter drops upstreams that take no new requests.
 type LeavingFilter struct{}
 
 // Name implements Filter.
--- a/balance/filter_version.go
+++ b/balance/filter_version.go
@@ -7,9 +7,9 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// VersionFilter keeps the engines that report the request's version as loaded
-// or, for a service request, the hosts of that service. An engine without a
-// report has no known version and is dropped.
+// VersionFilter keeps the engines that report the requested version as loaded
+// or, for a service request, the upstreams of that service. It drops engines
+// that haven't reported their versions.
 type VersionFilter struct{}
 
 // Name implements Filter.
--- a/balance/helpers_test.go
+++ b/balance/helpers_test.go
@@ -11,13 +11,13 @@
 
 var start = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// fakeClock is moved by hand.
+// fakeClock is a clock that tests advance explicitly.
 type fakeClock struct{ now time.Time }
 
 func (c *fakeClock) Now() time.Time          { return c.now }
 func (c *fakeClock) Advance(d time.Duration) { c.now = c.now.Add(d) }
 
-func engine(id string, running int) *Upstream {
+func newEngine(id string, running int) *Upstream {
 	return &Upstream{
 		ID:       id,
 		Kind:     storage.KindEngine,
@@ -26,7 +26,7 @@
 	}
 }
 
-func host(id string) storage.Host {
+func newHost(id string) storage.Host {
 	return storage.Host{
 		ID:      id,
 		Kind:    storage.KindEngine,
@@ -37,22 +37,22 @@
 	}
 }
 
-func load(running int) upstream.Load {
+func newLoad(running int) upstream.Load {
 	return upstream.Load{Running: running, Capacity: 10, Versions: []string{"m@1"}}
 }
 
-// newTestPool returns a pool of engines that reported no load.
+// newTestPool returns a pool of engines that have reported an idle state.
 func newTestPool(t *testing.T, ids ...string) (*Pool, *fakeClock, []storage.Host) {
 	t.Helper()
 	clock := &fakeClock{now: start}
 	pool := NewPool(Options{Host: "entry-1", Zone: "a", Clock: clock.Now, Seed: 1})
 	var list []storage.Host
 	for _, id := range ids {
-		list = append(list, host(id))
+		list = append(list, newHost(id))
 	}
 	pool.Update(list)
 	for _, id := range ids {
-		pool.Report(id, load(0), clock.Now())
+		pool.Report(id, newLoad(0), clock.Now())
 	}
 	return pool, clock, list
 }
--- a/balance/load.go
+++ b/balance/load.go
@@ -2,21 +2,22 @@
 
 import "cmp"
 
-// unreportedCapacity is assumed for an upstream that reports no capacity,
-// such as a plain service before its first report.
+// unreportedCapacity is the capacity assumed for an upstream that hasn't
+// reported any, such as a plain service before its first report.
 const unreportedCapacity = 16
 
-// plausibleShare is the part of the load expected from the own requests in
-// flight below which a report isn't believed.
-const plausibleShare = 0.5
+// minPlausibleShare is the lower limit of a reported load, as a fraction of the
+// load extrapolated from this host's requests in flight.
+const minPlausibleShare = 0.5
 
-// CorrectedLoad estimates how many requests an upstream holds now: its last
-// report plus what this host sent since. As hosts share the traffic evenly,
-// the own requests in flight times the number of hosts are an estimate too;
-// half of that is the lower bound, which limits how far a false report leads.
+// CorrectedLoad estimates the number of requests at an upstream: its last
+// report plus the requests that this host sent since. Because the hosts share
+// the traffic evenly, the product of this host's requests in flight and the
+// number of hosts is another estimate. Half of that is the lower limit, which
+// bounds the effect of a false report.
 func CorrectedLoad(u *Upstream) int {
 	reported := u.Reported.Running + u.Reported.Queued + u.SentSinceReport
-	expected := float64(u.InFlight*max(1, u.Hosts)) * plausibleShare
+	expected := float64(u.InFlight*max(1, u.Hosts)) * minPlausibleShare
 	return max(reported, u.InFlight, int(expected))
 }
 
@@ -28,7 +29,7 @@
 	return unreportedCapacity
 }
 
-// relativeLoad is the corrected load in multiples of the capacity.
+// relativeLoad returns the corrected load in multiples of the capacity.
 func relativeLoad(u *Upstream) float64 {
 	return float64(CorrectedLoad(u)) / capacity(u)
 }
@@ -39,17 +40,18 @@
 	DefaultBoundSlack  = 0.25
 )
 
-// LoadBound is the limit up to which affinity may load an upstream, relative
+// LoadBound is the load up to which affinity may select an upstream, relative
 // to the mean of the candidates, as in consistent hashing with bounded loads.
 type LoadBound struct {
 	// Factor multiplies the mean load; 0 means DefaultBoundFactor.
 	Factor float64
-	// Slack is added, in multiples of the capacity; 0 means
-	// DefaultBoundSlack. It lets affinity work while all are nearly idle.
+	// Slack is added to the limit, in multiples of the capacity; 0 means
+	// DefaultBoundSlack. It keeps affinity effective when all upstreams are
+	// nearly idle.
 	Slack float64
 }
 
-// limit returns the highest relative load that affinity may choose.
+// limit returns the highest relative load that affinity may select.
 func (b LoadBound) limit(candidates []*Upstream) float64 {
 	factor := cmp.Or(b.Factor, DefaultBoundFactor)
 	slack := cmp.Or(b.Slack, DefaultBoundSlack)
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -2,8 +2,8 @@
 
 import "math/rand/v2"
 
-// PowerOfTwo samples two distinct candidates at random. Sampling keeps hosts
-// with the same stale view from all choosing the same upstream.
+// PowerOfTwo samples two distinct candidates at random. Sampling prevents hosts
+// with the same outdated state from all selecting the same upstream.
 type PowerOfTwo struct{}
 
 // Sample implements Picker.
--- a/balance/pool.go
+++ b/balance/pool.go
@@ -19,50 +19,51 @@
 	Zone string
 	// Clock is the source of time; nil means time.Now.
 	Clock storage.Clock
-	// Seed makes the random choices repeatable.
+	// Seed seeds the random selection, which makes it reproducible.
 	Seed uint64
 	// Selector is the chain; nil means NewSelector with the pool's index.
 	Selector *Selector
-	// Ejection says when upstreams are ejected.
+	// Ejection configures when upstreams are ejected.
 	Ejection Ejection
-	// Subset bounds which upstreams this host sends to.
+	// Subset limits the upstreams that this host sends to.
 	Subset Subset
-	// AbsentFor is how long an upstream must be absent from the host list
-	// before its return counts as a new incarnation; 0 means
+	// AbsentFor is the time of absence from the host list after which the
+	// return of an upstream counts as a new incarnation; 0 means
 	// DefaultAbsentFor.
 	AbsentFor time.Duration
-	// IndexBlocks bounds the prefix index for each upstream; 0 means
-	// DefaultIndexBlocks.
+	// IndexBlocks is the maximum number of blocks per upstream in the prefix
+	// index; 0 means DefaultIndexBlocks.
 	IndexBlocks int
 }
 
-// DefaultAbsentFor is the default of Options.AbsentFor. It is longer than the
-// host list lags, so that an outdated list can't revive a leaving upstream.
+// DefaultAbsentFor is the default of Options.AbsentFor. It exceeds the lag of
+// the host list, so that an outdated list can't undo the leaving of an upstream.
 const DefaultAbsentFor = time.Minute
 
-// Outcome is how a request ended at an upstream.
+// Outcome is the result of a request at an upstream.
 type Outcome struct {
-	// Err says that the upstream failed the request.
+	// Err reports whether the request failed at the upstream.
 	Err bool
 	// FirstToken is the time to the first token; 0 if there was none.
 	FirstToken time.Duration
-	// Refused says that the upstream didn't take the request now.
+	// Refused reports whether the upstream temporarily refused the request.
 	Refused bool
-	// Leaving says that the upstream answered that it takes no new work.
+	// Leaving reports whether the upstream answered that it takes no new
+	// requests.
 	Leaving bool
 }
 
-// Pool keeps the state of the upstreams that this host sends to. It is safe
-// for concurrent use. Readers see immutable snapshots; each write takes the
-// lock of the upstream's shard.
+// Pool holds the state of the upstreams that this host sends to. It is safe for
+// concurrent use. Readers use immutable snapshots; each write takes the lock of
+// the upstream's shard.
 type Pool struct {
 	options  Options
 	selector *Selector
 	index    *PrefixIndex
 	shards   [poolShards]poolShard
-	// members lists the entries in the host list; replaced by Update.
+	// members holds the entries of the listed upstreams; Update replaces it.
 	members atomic.Pointer[[]*entry]
-	// updating serialises Update.
+	// updating serializes calls of Update.
 	updating sync.Mutex
 	hosts    atomic.Int64
 	random   randomSources
@@ -95,18 +96,19 @@
 	return p
 }
 
-// Index returns the pool's prefix index, for cache events and prompts sent.
+// Index returns the pool's prefix index, to which callers report cache events
+// and sent prompts.
 func (p *Pool) Index() *PrefixIndex { return p.index }
 
-// SetHosts sets the number of entry hosts that share the traffic; 1 before the
-// first call.
+// SetHosts sets the number of entry hosts that share the traffic. It is 1
+// before the first call.
 func (p *Pool) SetHosts(n int) { p.hosts.Store(int64(max(1, n))) }
 
-// SetSelector replaces the chain. It is called before the pool is used.
+// SetSelector replaces the chain. It must be called before the pool is used.
 func (p *Pool) SetSelector(s *Selector) { p.selector = s }
 
-// View returns the current snapshots of all members in the order of the host
-// list. The slice is the caller's; the snapshots are shared.
+// View returns the current snapshots of all members in the order of their IDs.
+// The caller owns the slice; the snapshots are shared.
 func (p *Pool) View() []*Upstream {
 	members := *p.members.Load()
 	view := make([]*Upstream, len(members))
@@ -116,8 +118,8 @@
 	return view
 }
 
-// Choose selects an upstream for the request. It doesn't reserve anything;
-// the caller follows with Begin.
+// Choose selects an upstream for the request. It reserves no capacity; the
+// caller must call Begin before it sends the request.
 func (p *Pool) Choose(req *Request) (choice Choice, ok bool) {
 	p.random.use(func(rnd *rand.Rand) {
 		choice, ok = p.selector.Select(req, p.View(), p.options.Clock(), rnd)
@@ -125,25 +127,25 @@
 	return choice, ok
 }
 
-// Report takes in an upstream's load report, taken at the time now. Reports
-// older than the latest one are ignored.
+// Report applies an upstream's load report received at now; its age is
+// subtracted. Reports older than the last one are ignored.
 func (p *Pool) Report(id string, load upstream.Load, now time.Time) {
 	takenAt := now.Add(-time.Duration(load.AgeMs) * time.Millisecond)
-	p.change(id, func(e *entry) { e.report(load, takenAt) })
+	p.change(id, func(e *entry) { e.applyReport(load, takenAt) })
 }
 
-// SetLeaving records that the upstream leaves, as a fact with a version that
-// rises with time, for example the table's revision; 0 stands for this host's
-// own observation. It returns whether the fact was new, and so worth passing
-// on.
+// SetLeaving marks the upstream as leaving. The version of such a fact must
+// increase over time, like the table's revision; 0 stands for this host's own
+// observation. SetLeaving reports whether the state changed, in which case
+// callers forward the fact to other hosts.
 //
-// Leaving is sticky: no host list and no report undoes it. It ends when the
-// upstream was absent from the host list for AbsentFor and then returns, which
-// is a new incarnation. A fact with a version that the earlier incarnation
-// already had doesn't apply to the new one; facts older than AbsentFor must
-// not be passed on. A fact may come before the list that names the upstream;
-// one that comes when the upstream was absent for AbsentFor is taken to be of
-// the incarnation to come, whether the entry of the last one still stands or not.
+// No host list and no report undoes the leaving state. It ends with the
+// incarnation: when the upstream returns after an absence from the host list of
+// at least AbsentFor. A version that was received for the earlier incarnation
+// doesn't apply to the new one, and facts older than AbsentFor must not be
+// forwarded. A fact may arrive before the host list that contains the upstream.
+// A fact that arrives after an absence of AbsentFor applies to the next
+// incarnation, whether or not the entry of the last one still exists.
 func (p *Pool) SetLeaving(id string, version uint64) bool {
 	shard := p.shard(id)
 	shard.mu.Lock()
@@ -153,25 +155,25 @@
 		e = &entry{absentSince: p.options.Clock()}
 		shard.entries[id] = e
 	}
-	if now := p.options.Clock(); e.isOver(now, p.options.AbsentFor) {
-		e.renew()
+	if now := p.options.Clock(); e.incarnationEnded(now, p.options.AbsentFor) {
+		e.reset()
 		e.absentSince = now
 		p.index.Forget(id)
 	}
-	changed := e.leave(version)
+	changed := e.markLeaving(version)
 	e.publish()
 	return changed
 }
 
-// Begin counts a request as in flight. It returns false, and counts nothing,
-// if the upstream is unknown or leaving by now: the request must not be sent.
+// Begin counts a request as in flight. If the upstream is unknown, absent or
+// leaving by now, it returns false and the request must not be sent.
 func (p *Pool) Begin(id string) bool {
 	begun := false
 	p.change(id, func(e *entry) { begun = e.begin(p.options.Clock()) })
 	return begun
 }
 
-// End takes in how a request ended that Begin counted.
+// End records the outcome of a request that Begin counted.
 func (p *Pool) End(id string, outcome Outcome) {
 	p.change(id, func(e *entry) {
 		e.end(outcome, p.options.Clock(), p.options.Ejection, p.jitter())
@@ -184,7 +186,7 @@
 	return jitter
 }
 
-// change runs f on the entry under its shard's lock and publishes the result.
+// change calls f on the entry under its shard's lock and publishes the result.
 func (p *Pool) change(id string, f func(e *entry)) {
 	shard := p.shard(id)
 	shard.mu.Lock()
--- a/balance/pool_property_test.go
+++ b/balance/pool_property_test.go
@@ -11,73 +11,74 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// poolModel says what must hold of a pool whose host list lags and flaps.
+// poolModel is the reference model of a pool whose host list lags and flaps.
 type poolModel struct {
-	pool     *Pool
-	clock    *fakeClock
-	ids      []string
-	leaving  map[string]bool
-	absentAt map[string]time.Time // zero while listed
-	inFlight map[string]int
-	version  uint64
+	pool        *Pool
+	clock       *fakeClock
+	ids         []string
+	leaving     map[string]bool
+	absentSince map[string]time.Time // zero while listed
+	inFlight    map[string]int
+	version     uint64
 }
 
 func newPoolModel() *poolModel {
 	m := &poolModel{
-		clock:    &fakeClock{now: start},
-		ids:      []string{"a", "b", "c"},
-		leaving:  map[string]bool{},
-		absentAt: map[string]time.Time{},
-		inFlight: map[string]int{},
+		clock:       &fakeClock{now: start},
+		ids:         []string{"a", "b", "c"},
+		leaving:     map[string]bool{},
+		absentSince: map[string]time.Time{},
+		inFlight:    map[string]int{},
 	}
 	m.pool = NewPool(Options{Host: "entry-1", Zone: "a", Clock: m.clock.Now, Seed: 1})
 	m.update(m.ids)
 	return m
 }
 
-// update gives the pool a list in which everything is live.
+// update applies a host list that reports every listed upstream as live.
 func (m *poolModel) update(listed []string) {
 	var list []storage.Host
 	for _, id := range m.ids {
-		absentAt := m.absentAt[id]
+		absentAt := m.absentSince[id]
 		if !slices.Contains(listed, id) {
-			m.absent(id, absentAt)
+			m.markAbsent(id, absentAt)
 			continue
 		}
-		list = append(list, host(id))
-		if m.isGone(id) {
+		list = append(list, newHost(id))
+		if m.incarnationEnded(id) {
 			m.leaving[id] = false
 			m.inFlight[id] = 0
 		}
-		delete(m.absentAt, id)
+		delete(m.absentSince, id)
 	}
 	m.pool.Update(list)
 	for _, id := range listed {
-		m.pool.Report(id, load(0), m.clock.now)
+		m.pool.Report(id, newLoad(0), m.clock.now)
 	}
 }
 
-// isGone says that the upstream's incarnation is over: it will return as another.
-func (m *poolModel) isGone(id string) bool {
-	absentAt := m.absentAt[id]
+// incarnationEnded reports whether the upstream's return would be a new
+// incarnation.
+func (m *poolModel) incarnationEnded(id string) bool {
+	absentAt := m.absentSince[id]
 	return !absentAt.IsZero() && m.clock.now.Sub(absentAt) >= DefaultAbsentFor
 }
 
-// leave brings a fact. One that comes when the incarnation is over is taken to
-// be of the next one, which is absent as yet.
-func (m *poolModel) leave(id string) {
+// setLeaving applies a leaving fact. A fact that arrives after the end of the
+// incarnation applies to the next one, which isn't listed yet.
+func (m *poolModel) setLeaving(id string) {
 	m.version++
 	m.pool.SetLeaving(id, m.version)
 	m.leaving[id] = true
-	if m.isGone(id) {
-		m.absentAt[id] = m.clock.now
+	if m.incarnationEnded(id) {
+		m.absentSince[id] = m.clock.now
 		m.inFlight[id] = 0
 	}
 }
 
-func (m *poolModel) absent(id string, since time.Time) {
+func (m *poolModel) markAbsent(id string, since time.Time) {
 	if since.IsZero() {
-		m.absentAt[id] = m.clock.now
+		m.absentSince[id] = m.clock.now
 	}
 }
 
@@ -91,15 +92,15 @@
 		}
 	}
 	choice, ok := m.pool.Choose(modelRequest)
-	if ok && (m.leaving[choice.Upstream.ID] || !m.absentAt[choice.Upstream.ID].IsZero()) {
-		t.Fatalf("chose %s, which leaves or is absent", choice.Upstream.ID)
+	if ok && (m.leaving[choice.Upstream.ID] || !m.absentSince[choice.Upstream.ID].IsZero()) {
+		t.Fatalf("chose %s, which is leaving or absent", choice.Upstream.ID)
 	}
 }
 
 func (m *poolModel) begin(t *rapid.T, id string) {
-	want := !m.leaving[id] && m.absentAt[id].IsZero()
+	want := !m.leaving[id] && m.absentSince[id].IsZero()
 	if begun := m.pool.Begin(id); begun != want {
-		t.Fatalf("begin at %s is %v", id, begun)
+		t.Fatalf("Begin(%q) returned %v", id, begun)
 	}
 	if want {
 		m.inFlight[id]++
@@ -117,7 +118,7 @@
 			"advance": func(t *rapid.T) {
 				m.clock.Advance(time.Duration(rapid.IntRange(0, 50).Draw(t, "seconds")) * time.Second)
 			},
-			"leave": func(t *rapid.T) { m.leave(pick(t)) },
+			"leave": func(t *rapid.T) { m.setLeaving(pick(t)) },
 			"begin": func(t *rapid.T) { m.begin(t, pick(t)) },
 			"end": func(t *rapid.T) {
 				if id := pick(t); m.inFlight[id] > 0 {
--- a/balance/pool_test.go
+++ b/balance/pool_test.go
@@ -16,10 +16,10 @@
 	is := is.New(t)
 	pool, clock, list := newTestPool(t, "a", "b")
 	is.True(pool.SetLeaving("a", 7))
-	is.True(!pool.SetLeaving("a", 7)) // no news
+	is.True(!pool.SetLeaving("a", 7)) // already known
 	clock.Advance(time.Hour)
-	pool.Update(list) // the lagging list still says live
-	pool.Report("a", load(0), clock.Now())
+	pool.Update(list) // the lagging list still reports it as live
+	pool.Report("a", newLoad(0), clock.Now())
 	is.True(find(pool, "a").Leaving)
 	is.True(!pool.Begin("a"))
 
@@ -32,7 +32,7 @@
 	clock.Advance(DefaultAbsentFor)
 	pool.Update(list) // a new incarnation
 	is.True(!find(pool, "a").Leaving)
-	is.True(!pool.SetLeaving("a", 7)) // the earlier incarnation's fact
+	is.True(!pool.SetLeaving("a", 7)) // a fact of the earlier incarnation
 	is.True(!find(pool, "a").Leaving)
 	is.True(pool.SetLeaving("a", 8))
 	is.True(find(pool, "a").Leaving)
@@ -41,7 +41,7 @@
 func TestLeavingSources(t *testing.T) {
 	tests := []struct {
 		desc  string
-		learn func(pool *Pool, list []storage.Host)
+		apply func(pool *Pool, list []storage.Host)
 	}{
 		{"host list", func(pool *Pool, list []storage.Host) {
 			list[0].State = storage.HostLeaving
@@ -60,7 +60,7 @@
 		t.Run(tt.desc, func(t *testing.T) {
 			is := is.New(t)
 			pool, _, list := newTestPool(t, "a")
-			tt.learn(pool, list)
+			tt.apply(pool, list)
 			_, ok := pool.Choose(modelRequest)
 			is.True(!ok)
 		})
@@ -71,7 +71,7 @@
 	is := is.New(t)
 	pool, _, list := newTestPool(t, "a")
 	pool.SetLeaving("new", 3)
-	pool.Update(append(list, host("new")))
+	pool.Update(append(list, newHost("new")))
 	is.True(find(pool, "new").Leaving)
 }
 
@@ -81,20 +81,20 @@
 	clock.Advance(time.Second)
 	pool.Begin("a")
 	is.Equal(CorrectedLoad(find(pool, "a")), 1)
-	reported := load(5)
+	reported := newLoad(5)
 	reported.AgeMs = 2000 // taken before the request began
 	pool.Report("a", reported, clock.Now().Add(1500*time.Millisecond))
 	is.Equal(CorrectedLoad(find(pool, "a")), 6)
-	pool.Report("a", load(0), start) // older than the latest
+	pool.Report("a", newLoad(0), start) // older than the latest
 	is.Equal(CorrectedLoad(find(pool, "a")), 6)
-	pool.Report("a", load(0), clock.Now().Add(2*time.Second))
-	is.Equal(CorrectedLoad(find(pool, "a")), 1) // can't be below the own ones
+	pool.Report("a", newLoad(0), clock.Now().Add(2*time.Second))
+	is.Equal(CorrectedLoad(find(pool, "a")), 1) // not below this host's requests in flight
 	pool.End("a", Outcome{FirstToken: 80 * time.Millisecond})
 	is.Equal(CorrectedLoad(find(pool, "a")), 0)
 	is.Equal(find(pool, "a").LatencyMs, 80.0)
 }
 
-func TestAnImplausibleReportIsNotBelieved(t *testing.T) {
+func TestImplausibleReportIsCorrected(t *testing.T) {
 	is := is.New(t)
 	pool, clock, _ := newTestPool(t, "a")
 	pool.SetHosts(7)
@@ -102,11 +102,11 @@
 		pool.Begin("a")
 	}
 	clock.Advance(time.Second)
-	pool.Report("a", load(0), clock.Now())
-	is.Equal(CorrectedLoad(find(pool, "a")), 14) // half of what 7 hosts send
+	pool.Report("a", newLoad(0), clock.Now())
+	is.Equal(CorrectedLoad(find(pool, "a")), 14) // half of the load extrapolated to 7 hosts
 }
 
-func TestFailingFastDoesNotAttract(t *testing.T) {
+func TestFastFailuresDoNotAttractRequests(t *testing.T) {
 	is := is.New(t)
 	pool, _, _ := newTestPool(t, "a", "b", "c")
 	counts := map[string]int{}
@@ -136,7 +136,7 @@
 	first := find(pool, "a").EjectedUntil.Sub(clock.Now())
 	is.True(first >= DefaultEjectBase/2 && first <= DefaultEjectBase*3/2)
 	clock.Advance(first)
-	fail() // on trial, one error is enough
+	fail() // one error after an ejection
 	second := find(pool, "a").EjectedUntil.Sub(clock.Now())
 	is.True(second >= DefaultEjectBase && second <= DefaultEjectBase*3)
 	clock.Advance(second)
@@ -156,16 +156,16 @@
 		is.Equal(choice.Upstream.ID, "b")
 	}
 	clock.Advance(time.Second)
-	pool.Report("a", load(0), clock.Now())
+	pool.Report("a", newLoad(0), clock.Now())
 	is.Equal(CorrectedLoad(find(pool, "a")), 0)
-	is.True(find(pool, "a").ErrorRate > 0) // the report didn't explain it
+	is.True(find(pool, "a").ErrorRate > 0) // the reported load didn't explain the refusal
 }
 
 func TestRefusalOfABusyUpstreamIsNoError(t *testing.T) {
 	is := is.New(t)
 	pool, clock, _ := newTestPool(t, "a", "b")
 	clock.Advance(time.Second)
-	pool.Report("a", load(10), clock.Now())
+	pool.Report("a", newLoad(10), clock.Now())
 	pool.Begin("a")
 	pool.End("a", Outcome{Err: true, Refused: true})
 	is.Equal(find(pool, "a").ErrorRate, 0.0)
@@ -175,12 +175,12 @@
 	is := is.New(t)
 	var list []storage.Host
 	for i := range 20 {
-		list = append(list, host(fmt.Sprint("h", i)))
+		list = append(list, newHost(fmt.Sprint("h", i)))
 	}
 	pool := NewPool(Options{Host: "entry-1", Zone: "a", Seed: 1})
 	pool.Update(list)
 	for _, h := range list {
-		pool.Report(h.ID, load(0), time.Now())
+		pool.Report(h.ID, newLoad(0), time.Now())
 	}
 	var wg sync.WaitGroup
 	for range 8 {
@@ -191,7 +191,7 @@
 					continue
 				}
 				pool.Index().Sent(choice.Upstream.ID, []uint64{uint64(i)})
-				pool.Report(choice.Upstream.ID, load(i%10), time.Now())
+				pool.Report(choice.Upstream.ID, newLoad(i%10), time.Now())
 				pool.End(choice.Upstream.ID, Outcome{FirstToken: time.Millisecond})
 			}
 		})
@@ -211,9 +211,9 @@
 	is := is.New(t)
 	pool, clock, _ := newTestPool(t, "a")
 	clock.Advance(time.Second)
-	pool.Report("a", upstream.Load{Running: 3, Capacity: 10}, clock.Now()) // from an answer's head
+	pool.Report("a", upstream.Load{Running: 3, Capacity: 10}, clock.Now()) // from the header of an answer
 	is.Equal(find(pool, "a").Versions, []string{"m@1"})
 	clock.Advance(time.Second)
-	pool.Report("a", upstream.Load{Versions: []string{}}, clock.Now()) // unloaded
+	pool.Report("a", upstream.Load{Versions: []string{}}, clock.Now()) // all versions unloaded
 	is.Equal(len(find(pool, "a").Versions), 0)
 }
--- a/balance/pool_update.go
+++ b/balance/pool_update.go
@@ -6,12 +6,14 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// factsKept is how many times longer than AbsentFor leaving facts are kept.
-const factsKept = 60
+// leavingRetentionFactor is the retention of entries with a leaving fact, in
+// multiples of AbsentFor.
+const leavingRetentionFactor = 60
 
-// Update takes in the platform's host list. Entry hosts in it are skipped.
-// State of upstreams that stay is kept. One that vanishes takes no new work;
-// it is forgotten when it was absent for AbsentFor and has nothing in flight.
+// Update applies the platform's host list. It skips entry hosts. It preserves
+// the state of upstreams that remain listed. An upstream that disappears
+// receives no new requests; its entry is removed once it has been absent for
+// AbsentFor and has no requests in flight.
 func (p *Pool) Update(list []storage.Host) {
 	p.updating.Lock()
 	defer p.updating.Unlock()
@@ -26,10 +28,10 @@
 		members = append(members, p.upsert(h, now))
 	}
 	p.members.Store(&members)
-	p.sweep(listed, now)
+	p.removeAbsent(listed, now)
 }
 
-// upsert brings an entry in line with the list.
+// upsert creates or updates the entry of a listed host.
 func (p *Pool) upsert(h storage.Host, now time.Time) *entry {
 	shard := p.shard(h.ID)
 	shard.mu.Lock()
@@ -39,44 +41,46 @@
 		e = &entry{}
 		shard.entries[h.ID] = e
 	}
-	if e.isOver(now, p.options.AbsentFor) {
-		e.renew()
+	if e.incarnationEnded(now, p.options.AbsentFor) {
+		e.reset()
 		p.index.Forget(h.ID)
 	}
-	e.list(h)
+	e.applyHost(h)
 	e.publish()
 	return e
 }
 
-// sweep marks what is absent from the list and forgets what was absent long.
-func (p *Pool) sweep(listed map[string]bool, now time.Time) {
+// removeAbsent marks entries that are absent from the list and removes those
+// whose retention has ended.
+func (p *Pool) removeAbsent(listed map[string]bool, now time.Time) {
 	for i := range p.shards {
 		shard := &p.shards[i]
 		shard.mu.Lock()
 		for id, e := range shard.entries {
-			p.sweepEntry(shard, id, e, listed[id], now)
+			p.removeIfAbsent(shard, id, e, listed[id], now)
 		}
 		shard.mu.Unlock()
 	}
 }
 
-func (p *Pool) sweepEntry(shard *poolShard, id string, e *entry, listed bool, now time.Time) {
+func (p *Pool) removeIfAbsent(shard *poolShard, id string, e *entry, listed bool, now time.Time) {
 	switch {
 	case listed:
 		e.absentSince = time.Time{}
 	case e.absentSince.IsZero():
 		e.absentSince = now
-	case now.Sub(e.absentSince) >= p.keep(e) && e.inFlight() == 0:
+	case now.Sub(e.absentSince) >= p.retention(e) && e.inFlight() == 0:
 		delete(shard.entries, id)
 		p.index.Forget(id)
 	}
 }
 
-// keep returns how long an absent entry is remembered. Leaving facts are kept
-// longer, so that a repeated fact doesn't hit the next incarnation.
-func (p *Pool) keep(e *entry) time.Duration {
+// retention returns how long an absent entry is retained. Entries with a leaving
+// fact are retained longer, so that a repeated fact isn't applied to the next
+// incarnation.
+func (p *Pool) retention(e *entry) time.Duration {
 	if e.leavingVersion != 0 {
-		return factsKept * p.options.AbsentFor
+		return leavingRetentionFactor * p.options.AbsentFor
 	}
 	return p.options.AbsentFor
 }
--- a/balance/prefix.go
+++ b/balance/prefix.go
@@ -9,13 +9,13 @@
 const (
 	// BlockBytes is the length of a block of prompt text in bytes.
 	BlockBytes = 512
-	// MaxBlocks bounds how many blocks of a prompt are hashed.
+	// MaxBlocks is the maximum number of blocks hashed per prompt.
 	MaxBlocks = 256
 )
 
-// PrefixHashes returns a hash for each whole block of text, at most
+// PrefixHashes returns a hash for each complete block of text, at most
 // MaxBlocks. Each hash covers the text from the start to the block's end, so
-// two prompts share as many hashes as they share leading blocks.
+// two prompts have as many hashes in common as leading blocks.
 func PrefixHashes(text string) []uint64 {
 	n := min(len(text)/BlockBytes, MaxBlocks)
 	if n == 0 {
--- a/balance/prefix_index.go
+++ b/balance/prefix_index.go
@@ -11,36 +11,36 @@
 )
 
 const (
-	// DefaultIndexBlocks is how many blocks the index keeps an upstream by
-	// default; an entry takes about 130 bytes.
+	// DefaultIndexBlocks is the default maximum number of blocks per upstream;
+	// an entry takes about 130 bytes.
 	DefaultIndexBlocks = 4096
-	// doubtfulWeight is the weight of blocks last confirmed before a gap in
+	// afterGapWeight is the weight of blocks last confirmed before a gap in
 	// the upstream's events: an eviction may have been missed.
-	doubtfulWeight = 0.8
-	// partialWeight is the weight of blocks of an upstream without events:
-	// what other hosts sent there isn't known.
-	partialWeight = 0.35
-	indexShards   = 32
+	afterGapWeight = 0.8
+	// noEventsWeight is the weight of blocks of an upstream without events:
+	// prompts sent by other hosts, and the evictions they caused, are unknown.
+	noEventsWeight = 0.35
+	indexShards    = 32
 )
 
-// CacheEvent is a change of an upstream's prefix cache. Events come late and
-// with gaps.
+// CacheEvent is a change of an upstream's prefix cache. Events may arrive late
+// and with gaps.
 type CacheEvent struct {
 	Upstream string
-	// Seq rises by 1 from event to event of one upstream.
+	// Seq increases by 1 with each event of an upstream.
 	Seq uint64
-	// At is when the change took place.
+	// At is the time of the change.
 	At time.Time
-	// Stored and Removed are hashes as PrefixHashes makes them.
+	// Stored and Removed are block hashes as returned by PrefixHashes.
 	Stored  []uint64
 	Removed []uint64
-	// Cleared says that the cache was emptied before Stored was added.
+	// Cleared reports whether the cache was emptied before Stored was added.
 	Cleared bool
 }
 
-// PrefixIndex remembers which prompt blocks each upstream has probably in its
-// cache: those that this host sent there and those that events name. It is
-// bounded for each upstream and safe for concurrent use.
+// PrefixIndex tracks which prompt blocks each upstream probably has in its
+// cache: those that this host sent to it and those that its events report. Its
+// size per upstream is bounded. It is safe for concurrent use.
 type PrefixIndex struct {
 	blocks int
 	clock  storage.Clock
@@ -52,23 +52,23 @@
 	upstreams map[string]*cachedBlocks
 }
 
-// cachedBlocks is the presumed cache of one upstream.
+// cachedBlocks is the presumed content of one upstream's cache.
 type cachedBlocks struct {
 	blocks *simplelru.LRU[uint64, blockEntry]
 	// nextSeq is the sequence number expected next; 0 before the first event.
 	nextSeq uint64
-	// gaps counts the gaps seen in the events.
+	// gaps counts the gaps in the sequence of events.
 	gaps uint32
 }
 
 type blockEntry struct {
-	// touched is when the block was last known to be in the cache.
-	touched time.Time
-	// gaps is the upstream's count of gaps at that time.
+	// confirmedAt is when the block was last known to be in the cache.
+	confirmedAt time.Time
+	// gaps is the value of cachedBlocks.gaps at that time.
 	gaps uint32
 }
 
-// NewPrefixIndex returns an index of at most blocks entries an upstream; 0
+// NewPrefixIndex returns an index of at most blocks entries per upstream; 0
 // means DefaultIndexBlocks.
 func NewPrefixIndex(blocks int, clock storage.Clock) *PrefixIndex {
 	if blocks <= 0 {
@@ -90,17 +90,17 @@
 	shard := p.shard(upstreamID)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
-	p.cached(shard, upstreamID).store(hashes, now)
+	p.ensureCached(shard, upstreamID).store(hashes, now)
 }
 
-// Apply takes in an event. An event about a block that was touched after the
-// event took place doesn't change that block.
+// Apply applies an event. It doesn't change blocks that were confirmed after
+// the time of the event.
 func (p *PrefixIndex) Apply(event CacheEvent) {
 	shard := p.shard(event.Upstream)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
-	cached := p.cached(shard, event.Upstream)
-	if !cached.advance(event.Seq) {
+	cached := p.ensureCached(shard, event.Upstream)
+	if !cached.acceptSeq(event.Seq) {
 		return
 	}
 	if event.Cleared {
@@ -110,7 +110,7 @@
 	cached.store(event.Stored, event.At)
 }
 
-// Forget drops what is known of an upstream.
+// Forget removes all blocks of an upstream.
 func (p *PrefixIndex) Forget(upstreamID string) {
 	shard := p.shard(upstreamID)
 	shard.mu.Lock()
@@ -134,8 +134,9 @@
 	return &p.shards[rendezvous("", upstreamID)%indexShards]
 }
 
-// cached returns the upstream's entry, made if needed. The shard is locked.
-func (p *PrefixIndex) cached(shard *indexShard, upstreamID string) *cachedBlocks {
+// ensureCached returns the upstream's entry and creates it if necessary. The
+// caller holds the shard's lock.
+func (p *PrefixIndex) ensureCached(shard *indexShard, upstreamID string) *cachedBlocks {
 	cached := shard.upstreams[upstreamID]
 	if cached != nil {
 		return cached
@@ -149,8 +150,9 @@
 	return cached
 }
 
-// advance accepts an event's number. It returns false for one seen before.
-func (c *cachedBlocks) advance(seq uint64) bool {
+// acceptSeq records the sequence number of an event and counts gaps. It returns
+// false for an earlier or repeated event.
+func (c *cachedBlocks) acceptSeq(seq uint64) bool {
 	switch {
 	case c.nextSeq == 0 || seq == c.nextSeq:
 	case seq < c.nextSeq:
@@ -162,20 +164,20 @@
 	return true
 }
 
-// store adds blocks from the last to the first, so that the start of a prompt
-// is evicted after its end.
+// store adds blocks from the last to the first, so that the LRU evicts the start
+// of a prompt after its end.
 func (c *cachedBlocks) store(hashes []uint64, at time.Time) {
 	for i := len(hashes) - 1; i >= 0; i-- {
-		if entry, ok := c.blocks.Peek(hashes[i]); ok && entry.touched.After(at) {
+		if entry, ok := c.blocks.Peek(hashes[i]); ok && entry.confirmedAt.After(at) {
 			continue
 		}
-		c.blocks.Add(hashes[i], blockEntry{touched: at, gaps: c.gaps})
+		c.blocks.Add(hashes[i], blockEntry{confirmedAt: at, gaps: c.gaps})
 	}
 }
 
 func (c *cachedBlocks) remove(hashes []uint64, at time.Time) {
 	for _, h := range hashes {
-		if entry, ok := c.blocks.Peek(h); ok && !entry.touched.After(at) {
+		if entry, ok := c.blocks.Peek(h); ok && !entry.confirmedAt.After(at) {
 			c.blocks.Remove(h)
 		}
 	}
@@ -185,20 +187,21 @@
 	c.remove(c.blocks.Keys(), at)
 }
 
-// match finds the longest known prefix. Blocks are stored and evicted so that
-// a known block implies its predecessors, which allows a binary search.
+// match returns the weighted length of the longest cached prefix. The order of
+// storing and eviction ensures that a cached block implies its predecessors,
+// which allows a binary search.
 func (c *cachedBlocks) match(hashes []uint64) float64 {
-	known := sort.Search(len(hashes), func(i int) bool { return !c.blocks.Contains(hashes[i]) })
-	if known == 0 {
+	matched := sort.Search(len(hashes), func(i int) bool { return !c.blocks.Contains(hashes[i]) })
+	if matched == 0 {
 		return 0
 	}
-	entry, _ := c.blocks.Peek(hashes[known-1])
+	entry, _ := c.blocks.Peek(hashes[matched-1])
 	switch {
 	case c.nextSeq == 0:
-		return partialWeight * float64(known)
+		return noEventsWeight * float64(matched)
 	case entry.gaps != c.gaps:
-		return doubtfulWeight * float64(known)
+		return afterGapWeight * float64(matched)
 	default:
-		return float64(known)
+		return float64(matched)
 	}
 }
--- a/balance/prefix_test.go
+++ b/balance/prefix_test.go
@@ -13,10 +13,10 @@
 	text := strings.Repeat("a", 3*BlockBytes)
 	hashes := PrefixHashes(text)
 	is.Equal(len(hashes), 3)
-	is.True(hashes[0] != hashes[1]) // the same block after another prefix
+	is.True(hashes[0] != hashes[1]) // the same block after a different prefix
 	is.Equal(PrefixHashes(text[:BlockBytes] + "b")[0], hashes[0])
 	other := PrefixHashes("b" + text[1:])
-	is.True(other[2] != hashes[2]) // a difference at the start changes all
+	is.True(other[2] != hashes[2]) // a difference at the start changes all hashes
 	is.Equal(len(PrefixHashes(text[1:BlockBytes])), 0)
 	is.Equal(len(PrefixHashes(strings.Repeat("a", (MaxBlocks+9)*BlockBytes))), MaxBlocks)
 }
@@ -33,13 +33,13 @@
 		events []CacheEvent
 		want   float64
 	}{
-		{"own requests alone are partial knowledge", nil, 4 * partialWeight},
-		{"with events they count in full", []CacheEvent{first}, 4},
+		{"blocks sent without events have reduced weight", nil, 4 * noEventsWeight},
+		{"blocks sent have full weight with events", []CacheEvent{first}, 4},
 		{"a removal shortens the match", []CacheEvent{event(1, time.Second, nil, []uint64{3})}, 2},
-		{"a removal before the own request is outdated", []CacheEvent{event(1, -time.Second, nil, []uint64{3})}, 4},
+		{"a removal before the blocks were sent is ignored", []CacheEvent{event(1, -time.Second, nil, []uint64{3})}, 4},
 		{"a repeated event changes nothing", []CacheEvent{event(1, time.Second, nil, nil), event(1, time.Second, nil, hashes)}, 4},
-		{"a gap makes what was known doubtful", []CacheEvent{first, event(3, 0, nil, nil)}, 4 * doubtfulWeight},
-		{"what is confirmed after a gap isn't doubtful", []CacheEvent{first, event(3, time.Second, hashes, nil)}, 4},
+		{"a gap reduces the weight of earlier blocks", []CacheEvent{first, event(3, 0, nil, nil)}, 4 * afterGapWeight},
+		{"blocks confirmed after a gap have full weight", []CacheEvent{first, event(3, time.Second, hashes, nil)}, 4},
 		{"a cleared cache is empty", []CacheEvent{{Upstream: "u", Seq: 1, At: start.Add(time.Second), Cleared: true}}, 0},
 	}
 	for _, tt := range tests {
@@ -64,5 +64,5 @@
 	index.Apply(event(1, 0, nil, nil))
 	index.Sent("u", []uint64{1, 2, 3, 4})
 	index.Sent("u", []uint64{1, 9})
-	is.Equal(index.Match("u", []uint64{1, 2, 3, 4}), 3.0) // the end went first
+	is.Equal(index.Match("u", []uint64{1, 2, 3, 4}), 3.0) // the end of the prompt is evicted first
 }
--- a/balance/random.go
+++ b/balance/random.go
@@ -8,8 +8,9 @@
 
 const randomStreams = 16
 
-// randomSources are seeded sources, each under its own lock, used in turn. One
-// goroutine alone draws the same numbers in each run.
+// randomSources is a set of seeded random sources, each with its own lock, used
+// in turn to reduce contention. A single goroutine draws the same numbers in
+// each run.
 type randomSources struct {
 	next    atomic.Uint64
 	streams [randomStreams]struct {
@@ -24,7 +25,7 @@
 	}
 }
 
-// use runs f with a source that nobody else uses meanwhile.
+// use calls f with exclusive access to one of the sources.
 func (r *randomSources) use(f func(rnd *rand.Rand)) {
 	s := &r.streams[r.next.Add(1)%randomStreams]
 	s.mu.Lock()
--- a/balance/score_load.go
+++ b/balance/score_load.go
@@ -17,8 +17,8 @@
 	return 1 / (1 + relativeLoad(u))
 }
 
-// ErrorScorer prefers upstreams with few errors: an upstream that fails fast
-// has a low load, which must not attract requests.
+// ErrorScorer prefers upstreams with low error rates. It counteracts the low
+// load of an upstream that fails fast, which would otherwise attract requests.
 type ErrorScorer struct{}
 
 // Name implements Scorer.
@@ -32,10 +32,10 @@
 // DefaultLatencyScale is the default of LatencyScorer.ScaleMs.
 const DefaultLatencyScale = 500
 
-// LatencyScorer prefers upstreams whose first token came soon. It sees what a
-// false or missing load report hides.
+// LatencyScorer prefers upstreams with a short time to the first token. Unlike
+// the load it doesn't depend on reports, which may be false or missing.
 type LatencyScorer struct {
-	// ScaleMs is the latency in milliseconds that scores a half; 0 means
+	// ScaleMs is the latency in milliseconds with the score 0.5; 0 means
 	// DefaultLatencyScale.
 	ScaleMs float64
 }
--- a/balance/score_prefix.go
+++ b/balance/score_prefix.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// PrefixMatcher says how many leading blocks an upstream has in its cache.
+// PrefixMatcher estimates how many leading blocks of a prompt an upstream has
+// in its cache.
 type PrefixMatcher interface {
-	// Match returns a number of blocks from 0 to len(hashes); it may be a
-	// fraction where the knowledge is doubtful.
+	// Match returns a number of blocks from 0 to len(hashes). Uncertain blocks
+	// may count as fractions.
 	Match(upstreamID string, hashes []uint64) float64
 }
 
-// PrefixScorer prefers upstreams that hold the longest part of the prompt in
-// their prefix cache.
+// PrefixScorer prefers upstreams whose prefix cache contains the longest prefix
+// of the prompt.
 type PrefixScorer struct {
 	Matcher PrefixMatcher
 }
--- a/balance/score_session.go
+++ b/balance/score_session.go
@@ -6,9 +6,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// SessionScorer ranks the candidates by rendezvous hashing of the session, so
-// that every entry host prefers the same upstream for a session without
-// shared state.
+// SessionScorer ranks the candidates by rendezvous hashing of the session ID, so
+// that all entry hosts prefer the same upstream for a session without shared
+// state.
 type SessionScorer struct{}
 
 // Name implements Scorer.
@@ -22,7 +22,8 @@
 	return unitInterval(rendezvous(req.SessionID, u.ID))
 }
 
-// rendezvous returns the weight of the pair; the highest of a key wins.
+// rendezvous returns the rendezvous hash of a key and a node. The node with the
+// highest hash is selected for a key.
 func rendezvous(key, node string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -32,7 +33,7 @@
 	return d.Sum64()
 }
 
-// unitInterval maps x to above 0 and at most 1, keeping the order.
+// unitInterval maps x to (0, 1] and preserves the order.
 func unitInterval(x uint64) float64 {
 	const bits = 53
 	return float64(x>>(64-bits)+1) / (1 << bits)
--- a/balance/selector_test.go
+++ b/balance/selector_test.go
@@ -17,18 +17,18 @@
 	return out
 }
 
-func changed(u *Upstream, change func(u *Upstream)) *Upstream {
+func with(u *Upstream, change func(u *Upstream)) *Upstream {
 	change(u)
 	return u
 }
 
 func TestFilters(t *testing.T) {
 	ejectedFor := func(id string, d time.Duration) *Upstream {
-		return changed(engine(id, 0), func(u *Upstream) { u.EjectedUntil = start.Add(d) })
+		return with(newEngine(id, 0), func(u *Upstream) { u.EjectedUntil = start.Add(d) })
 	}
 	service := &Upstream{ID: "s", Kind: storage.KindService, Name: "desk"}
-	unreported := changed(engine("a", 0), func(u *Upstream) { u.Versions = nil })
-	leaving := changed(engine("a", 0), func(u *Upstream) { u.Leaving = true })
+	unreported := with(newEngine("a", 0), func(u *Upstream) { u.Versions = nil })
+	leaving := with(newEngine("a", 0), func(u *Upstream) { u.Leaving = true })
 	tests := []struct {
 		desc   string
 		filter Filter
@@ -36,22 +36,22 @@
 		list   []*Upstream
 		want   []string
 	}{
-		{"leaving is dropped", LeavingFilter{}, *modelRequest, []*Upstream{leaving, engine("b", 0)}, []string{"b"}},
-		{"the loaded version stays", VersionFilter{}, *modelRequest, []*Upstream{engine("a", 0), service}, []string{"a"}},
-		{"another version drops all", VersionFilter{}, Request{Model: "m", Version: "2"}, []*Upstream{engine("a", 0)}, []string{}},
-		{"an unreported engine is dropped", VersionFilter{}, *modelRequest, []*Upstream{unreported}, []string{}},
-		{"a service's hosts stay", VersionFilter{}, Request{Service: "desk"}, []*Upstream{engine("a", 0), service}, []string{"s"}},
-		{"excluded is dropped", ExcludedFilter{}, Request{Exclude: []string{"a"}}, []*Upstream{engine("a", 0), engine("b", 0)}, []string{"b"}},
-		{"ejected is dropped", EjectedFilter{}, *modelRequest, []*Upstream{ejectedFor("a", time.Second), engine("b", 0)}, []string{"b"}},
-		{"an ejection ends", EjectedFilter{}, *modelRequest, []*Upstream{ejectedFor("a", 0), engine("b", 0)}, []string{"a", "b"}},
-		{"the only candidate isn't ejected", EjectedFilter{}, *modelRequest, []*Upstream{ejectedFor("a", time.Second)}, []string{"a"}},
+		{"a leaving upstream is dropped", LeavingFilter{}, *modelRequest, []*Upstream{leaving, newEngine("b", 0)}, []string{"b"}},
+		{"an engine with the version is kept", VersionFilter{}, *modelRequest, []*Upstream{newEngine("a", 0), service}, []string{"a"}},
+		{"engines without the version are dropped", VersionFilter{}, Request{Model: "m", Version: "2"}, []*Upstream{newEngine("a", 0)}, []string{}},
+		{"an engine without a report is dropped", VersionFilter{}, *modelRequest, []*Upstream{unreported}, []string{}},
+		{"upstreams of the service are kept", VersionFilter{}, Request{Service: "desk"}, []*Upstream{newEngine("a", 0), service}, []string{"s"}},
+		{"an excluded upstream is dropped", ExcludedFilter{}, Request{Exclude: []string{"a"}}, []*Upstream{newEngine("a", 0), newEngine("b", 0)}, []string{"b"}},
+		{"an ejected upstream is dropped", EjectedFilter{}, *modelRequest, []*Upstream{ejectedFor("a", time.Second), newEngine("b", 0)}, []string{"b"}},
+		{"an upstream is kept after its ejection", EjectedFilter{}, *modelRequest, []*Upstream{ejectedFor("a", 0), newEngine("b", 0)}, []string{"a", "b"}},
+		{"the only candidate isn't dropped", EjectedFilter{}, *modelRequest, []*Upstream{ejectedFor("a", time.Second)}, []string{"a"}},
 		{
-			"at most a share is ejected", EjectedFilter{MaxShare: 0.5}, *modelRequest,
-			[]*Upstream{ejectedFor("a", time.Second), ejectedFor("b", 3*time.Second), ejectedFor("c", 2*time.Second), engine("d", 0)},
+			"at most a share is dropped", EjectedFilter{MaxShare: 0.5}, *modelRequest,
+			[]*Upstream{ejectedFor("a", time.Second), ejectedFor("b", 3*time.Second), ejectedFor("c", 2*time.Second), newEngine("d", 0)},
 			[]string{"a", "d"},
 		},
-		{"a long queue is dropped", CapacityFilter{}, *modelRequest, []*Upstream{engine("a", 20), engine("b", 19)}, []string{"b"}},
-		{"all queues long drops none", CapacityFilter{}, *modelRequest, []*Upstream{engine("a", 20), engine("b", 30)}, []string{"a", "b"}},
+		{"an upstream with a long queue is dropped", CapacityFilter{}, *modelRequest, []*Upstream{newEngine("a", 20), newEngine("b", 19)}, []string{"b"}},
+		{"none is dropped if all queues are long", CapacityFilter{}, *modelRequest, []*Upstream{newEngine("a", 20), newEngine("b", 30)}, []string{"a", "b"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
@@ -62,8 +62,8 @@
 
 func TestSelectorReportsDrops(t *testing.T) {
 	is := is.New(t)
-	leaving := changed(engine("a", 0), func(u *Upstream) { u.Leaving = true })
-	list := []*Upstream{leaving, engine("b", 9), engine("c", 1)}
+	leaving := with(newEngine("a", 0), func(u *Upstream) { u.Leaving = true })
+	list := []*Upstream{leaving, newEngine("b", 9), newEngine("c", 1)}
 	choice, ok := NewSelector(NewPrefixIndex(0, time.Now)).Select(modelRequest, list, start, seeded())
 	is.True(ok)
 	is.Equal(choice.Upstream.ID, "c")
@@ -77,7 +77,7 @@
 func TestSessionsStayTogetherWithinTheBound(t *testing.T) {
 	is := is.New(t)
 	selector := NewSelector(NewPrefixIndex(0, time.Now))
-	list := []*Upstream{engine("a", 2), engine("b", 2), engine("c", 2)}
+	list := []*Upstream{newEngine("a", 2), newEngine("b", 2), newEngine("c", 2)}
 	req := &Request{Model: "m", Version: "1", SessionID: "s1"}
 	first, _ := selector.Select(req, list, start, seeded())
 	rnd := seeded()
@@ -87,19 +87,19 @@
 	}
 	for i, u := range list {
 		if u.ID == first.Upstream.ID {
-			list[i] = engine(u.ID, 19)
+			list[i] = newEngine(u.ID, 19)
 		}
 	}
 	moved, _ := selector.Select(req, list, start, rnd)
 	is.True(moved.Upstream.ID != first.Upstream.ID) // over the bound
 }
 
-func TestPrefixAttracts(t *testing.T) {
+func TestPrefixAffinity(t *testing.T) {
 	is := is.New(t)
 	index := NewPrefixIndex(0, func() time.Time { return start })
 	req := &Request{Model: "m", Version: "1", PrefixHashes: []uint64{1, 2, 3, 4}}
 	index.Sent("b", []uint64{1, 2, 3})
-	list := []*Upstream{engine("a", 1), engine("b", 1), engine("c", 1)}
+	list := []*Upstream{newEngine("a", 1), newEngine("b", 1), newEngine("c", 1)}
 	rnd := seeded()
 	for range 50 {
 		choice, _ := NewSelector(index).Select(req, list, start, rnd)
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -13,11 +13,11 @@
 	DefaultSubsetMax = 512
 )
 
-// Subset bounds which upstreams a host sends to, for each pool or service by
-// itself. A host takes the upstreams of its own availability zone; where these
-// are fewer than Min it fills up from other zones, and where they are more
-// than Max it leaves some out. Both follow rendezvous hashing of the pair of
-// host and upstream, so that a change of the list moves few of them.
+// Subset limits the upstreams that a host sends to, separately for each pool or
+// service. A host uses the upstreams of its own availability zone. If there are
+// fewer than Min it adds upstreams of other zones, and if there are more than
+// Max it omits some. Both are selected by rendezvous hashing of host and
+// upstream, so that a change of the list changes few of them.
 type Subset struct {
 	// Min and Max are numbers of upstreams; 0 means the default.
 	Min int
@@ -28,17 +28,17 @@
 // their IDs.
 func (s Subset) Select(host, zone string, list []storage.Host) []storage.Host {
 	s = s.withDefaults()
-	pools := make(map[poolKey][]ranked)
+	pools := make(map[poolKey][]rankedHost)
 	for _, h := range list {
 		if h.Kind == storage.KindEntry {
 			continue
 		}
 		key := poolKey{kind: h.Kind, name: h.Name}
-		pools[key] = append(pools[key], ranked{host: h, near: h.Zone == zone, rank: rendezvous(host, h.ID)})
+		pools[key] = append(pools[key], rankedHost{host: h, sameZone: h.Zone == zone, rank: rendezvous(host, h.ID)})
 	}
 	var chosen []storage.Host
 	for _, pool := range pools {
-		chosen = s.take(chosen, pool)
+		chosen = s.appendMembers(chosen, pool)
 	}
 	slices.SortFunc(chosen, func(a, b storage.Host) int { return cmp.Compare(a.ID, b.ID) })
 	return chosen
@@ -49,10 +49,10 @@
 	name string
 }
 
-type ranked struct {
-	host storage.Host
-	near bool
-	rank uint64
+type rankedHost struct {
+	host     storage.Host
+	sameZone bool
+	rank     uint64
 }
 
 func (s Subset) withDefaults() Subset {
@@ -61,11 +61,11 @@
 	return s
 }
 
-// take appends the members of one pool that belong to the subset.
-func (s Subset) take(chosen []storage.Host, pool []ranked) []storage.Host {
-	slices.SortFunc(pool, compareRanked)
+// appendMembers appends the members of one pool that belong to the subset.
+func (s Subset) appendMembers(chosen []storage.Host, pool []rankedHost) []storage.Host {
+	slices.SortFunc(pool, compareRankedHosts)
 	for i, r := range pool {
-		if i >= s.Max || !r.near && i >= s.Min {
+		if i >= s.Max || !r.sameZone && i >= s.Min {
 			break
 		}
 		chosen = append(chosen, r.host)
@@ -73,10 +73,10 @@
 	return chosen
 }
 
-// compareRanked puts the own zone first, then higher ranks.
-func compareRanked(a, b ranked) int {
-	if a.near != b.near {
-		if a.near {
+// compareRankedHosts orders hosts of the own zone first, then by descending rank.
+func compareRankedHosts(a, b rankedHost) int {
+	if a.sameZone != b.sameZone {
+		if a.sameZone {
 			return -1
 		}
 		return 1
@@ -84,15 +84,16 @@
 	return cmp.Compare(b.rank, a.rank)
 }
 
-// Home returns the entry host that polls the upstream's load on behalf of the
-// others: the first by rendezvous hashing. It is empty for an empty list.
-func Home(upstreamID string, hosts []string) string {
-	home := ""
+// PollingHost returns the entry host that polls the upstream's load on behalf of
+// the others: the one with the highest rendezvous hash. It returns an empty
+// string for an empty list.
+func PollingHost(upstreamID string, hosts []string) string {
+	polling := ""
 	var best uint64
 	for _, h := range hosts {
-		if rank := rendezvous(upstreamID, h); home == "" || rank > best {
-			home, best = h, rank
+		if rank := rendezvous(upstreamID, h); polling == "" || rank > best {
+			polling, best = h, rank
 		}
 	}
-	return home
+	return polling
 }
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -9,7 +9,7 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// largeList is the size to design for: upstreams spread over zones, in pools.
+// largeList returns upstreams spread evenly over pools and zones.
 func largeList(upstreams, zones, pools int) []storage.Host {
 	list := make([]storage.Host, upstreams)
 	for i := range list {
@@ -26,11 +26,11 @@
 func TestSubset(t *testing.T) {
 	list := largeList(12_000, 32, 20) // 18 or 19 of each pool in each zone
 	tests := []struct {
-		desc   string
-		subset Subset
-		zone   string
-		least  int
-		most   int
+		desc     string
+		subset   Subset
+		zone     string
+		minCount int
+		maxCount int
 	}{
 		{"own zone, filled up from others", Subset{}, "zone-1", 20 * DefaultSubsetMin, 20 * DefaultSubsetMin},
 		{"own zone is enough", Subset{Min: 10}, "zone-1", 20 * 18, 20 * 19},
@@ -41,7 +41,7 @@
 		t.Run(tt.desc, func(t *testing.T) {
 			is := is.New(t)
 			chosen := tt.subset.Select("entry-1", tt.zone, list)
-			is.True(len(chosen) >= tt.least && len(chosen) <= tt.most)
+			is.True(len(chosen) >= tt.minCount && len(chosen) <= tt.maxCount)
 			is.Equal(chosen, tt.subset.Select("entry-1", tt.zone, list)) // deterministic
 		})
 	}
@@ -66,8 +66,9 @@
 	is.True(moved <= 10)
 }
 
-// TestEveryUpstreamIsInASubset has all entry hosts of the size to design for,
-// and one pool of twenty.
+// TestEveryUpstreamIsInASubset checks that each upstream receives requests from
+// enough entry hosts, with all entry hosts of the design size and one of its
+// twenty pools.
 func TestEveryUpstreamIsInASubset(t *testing.T) {
 	is := is.New(t)
 	list := largeList(600, 32, 1)
@@ -77,28 +78,28 @@
 			senders[h.ID]++
 		}
 	}
-	least := 440
+	fewest := 440
 	for _, h := range list {
-		least = min(least, senders[h.ID])
+		fewest = min(fewest, senders[h.ID])
 	}
-	t.Logf("an upstream has at least %d entry hosts", least)
-	is.True(least >= 440/32)
+	t.Logf("each upstream is in the subsets of at least %d entry hosts", fewest)
+	is.True(fewest >= 440/32)
 }
 
-func TestHomesAreSpreadAndStable(t *testing.T) {
+func TestPollingHostsAreSpreadAndStable(t *testing.T) {
 	is := is.New(t)
 	hosts := []string{"a", "b", "c", "d"}
 	counts := map[string]int{}
 	for i := range 1000 {
 		id := fmt.Sprint("upstream-", i)
-		home := Home(id, hosts)
+		home := PollingHost(id, hosts)
 		counts[home]++
 		if home != "d" {
-			is.Equal(Home(id, hosts[:3]), home) // only d's upstreams move
+			is.Equal(PollingHost(id, hosts[:3]), home) // only the upstreams of d change their polling host
 		}
 	}
 	for _, h := range hosts {
 		is.True(counts[h] > 200 && counts[h] < 300)
 	}
-	is.Equal(Home("u", nil), "")
+	is.Equal(PollingHost("u", nil), "")
 }
