--- a/membership/discover.go
+++ b/membership/discover.go
@@ -11,43 +11,44 @@
 )
 
 const (
-	// presencePage is the number of rows read in one call.
-	presencePage = 256
-	// discoverPerRow is the least time between listings for each row: at about
-	// 250 bytes a row a host reads at most 500 bytes a second.
-	discoverPerRow = 500 * time.Millisecond
+	// presencePageSize is the number of rows read per call.
+	presencePageSize = 256
+	// discoverIntervalPerRow is the least interval between listings per row.
+	// At about 250 bytes per row, a host reads at most 500 bytes per second.
+	discoverIntervalPerRow = 500 * time.Millisecond
 	// abandonedTTLs is the number of TTLs without renewal after which any host
 	// removes a row.
 	abandonedTTLs = 10
-	// staleTTLs is the age of a row, by the wall clock, from which a host that
-	// sees it for the first time doesn't take it for a live member. Clocks may
-	// differ by a TTL.
+	// staleTTLs is the age of a row in TTLs, by the wall clock, from which a
+	// host that reads it for the first time doesn't add its member. Two TTLs
+	// allow for clocks that differ by one TTL.
 	staleTTLs = 2
 )
 
-// sighting is when a version of a row was first seen, by this host's clock.
-type sighting struct {
+// rowObservation records when a version of a row was first read, by this host's
+// clock.
+type rowObservation struct {
 	version uint64
 	since   time.Time
 }
 
-// discoverLoop looks for hosts in the table.
+// discoverLoop periodically reads the presence rows of all hosts.
 func (m *Membership) discoverLoop(ctx context.Context) {
 	for {
-		m.pause()
+		m.blockHook()
 		m.discover(ctx)
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(m.jitter(m.discoverWait())):
+		case <-time.After(m.jitter(m.discoverInterval())):
 		}
 	}
 }
 
-// discoverWait returns the time to the next listing. It grows with the number
-// of rows, which bounds what a host reads, except where the rows are needed:
-// while this host is alone or isolated.
-func (m *Membership) discoverWait() time.Duration {
+// discoverInterval returns the time to the next listing. It grows with the
+// number of members, which bounds the read rate of a host, except while this host
+// has no other live member or is isolated and depends on the rows.
+func (m *Membership) discoverInterval() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	o := m.options
@@ -57,24 +58,25 @@
 	case m.isolated(boottime.Now()):
 		return o.DiscoverInterval
 	default:
-		return max(o.DiscoverInterval, time.Duration(len(m.rings.all))*discoverPerRow)
+		return max(o.DiscoverInterval, time.Duration(len(m.rings.all))*discoverIntervalPerRow)
 	}
 }
 
-// discover reads all presence rows, up to the first failure.
+// discover reads all presence rows. It stops at the first failure.
 func (m *Membership) discover(ctx context.Context) {
 	after := ""
 	for {
-		// The time before the call: an answer may have waited in a freeze.
-		asked := boottime.Now()
+		// The time is taken before the call, because this process may be paused
+		// between the response and its processing.
+		requestedAt := boottime.Now()
 		page, err := m.listPage(ctx, after)
 		if err != nil {
 			return
 		}
 		for _, row := range page {
-			m.sight(ctx, row, asked)
+			m.observeRow(ctx, row, requestedAt)
 		}
-		if len(page) < presencePage {
+		if len(page) < presencePageSize {
 			return
 		}
 		after = page[len(page)-1].Key
@@ -84,58 +86,60 @@
 func (m *Membership) listPage(ctx context.Context, after string) ([]storage.Row, error) {
 	ctx, cancel := context.WithTimeout(ctx, m.options.TableTimeout)
 	defer cancel()
-	return m.options.Table.List(ctx, PresencePrefix, after, presencePage)
+	return m.options.Table.List(ctx, PresencePrefix, after, presencePageSize)
 }
 
-// sight takes in a row: a renewed one names a live host, one that isn't
-// renewed for long is removed.
-func (m *Membership) sight(ctx context.Context, stored storage.Row, now time.Time) {
+// observeRow processes a presence row. A row with a new version indicates a live
+// host. An unchanged row is passed to observeUnchangedRow.
+func (m *Membership) observeRow(ctx context.Context, stored storage.Row, now time.Time) {
 	p := m.presence
-	before, known := p.seen[stored.Key]
-	if known && before.version == stored.Version {
-		m.sightUnchanged(ctx, stored, now.Sub(before.since))
+	previous, found := p.observed[stored.Key]
+	if found && previous.version == stored.Version {
+		m.observeUnchangedRow(ctx, stored, now.Sub(previous.since))
 		return
 	}
-	p.seen[stored.Key] = sighting{version: stored.Version, since: now}
+	p.observed[stored.Key] = rowObservation{version: stored.Version, since: now}
 	var row presenceRow
 	if json.Unmarshal(stored.Value, &row) != nil || PresencePrefix+row.Member.ID != stored.Key {
 		return
 	}
-	age := time.Since(time.UnixMilli(row.RenewedAt)) // by the time of day, as it was written
-	if !known && age > staleTTLs*m.options.PresenceTTL {
+	age := time.Since(time.UnixMilli(row.RenewedAt)) // by the wall clock, as in the row
+	if !found && age > staleTTLs*m.options.PresenceTTL {
 		return
 	}
 	if row.Member.ID == m.options.Self.ID || !row.Member.alive() {
 		return
 	}
 	m.mu.Lock()
-	m.mergeMember(row.Member, origin{bulk: !m.joined}, now)
+	m.mergeMember(row.Member, origin{initialSync: !m.joined}, now)
 	m.publish()
 	m.mu.Unlock()
 	m.notifier.flush()
 }
 
-// holdsLease says that this host's own row was renewed within its TTL, so
-// that others could have renewed theirs.
-func (m *Membership) holdsLease(now time.Time) bool {
+// ownLeaseValid reports whether this host's own row was renewed within its TTL.
+// Only then is the missing renewal of another row evidence against its host
+// rather than the table.
+func (m *Membership) ownLeaseValid(now time.Time) bool {
 	p := m.presence
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.written.IsZero() && now.Sub(p.written) < m.options.PresenceTTL
+	return !p.renewedAt.IsZero() && now.Sub(p.renewedAt) < m.options.PresenceTTL
 }
 
-// sightUnchanged handles a row that wasn't renewed for a time, by this host's
-// own clock. While nobody is heard, a lapsed lease is the only sign that the
-// others have failed rather than this host.
-func (m *Membership) sightUnchanged(ctx context.Context, stored storage.Row, unchanged time.Duration) {
-	if unchanged < staleTTLs*m.options.PresenceTTL || !m.holdsLease(boottime.Now()) {
+// observeUnchangedRow handles a row that hasn't been renewed for a time, by this
+// host's clock. It removes abandoned rows. While this host is isolated it also
+// declares the member Down, because an expired lease is then the only evidence
+// that the other host has failed and not this one.
+func (m *Membership) observeUnchangedRow(ctx context.Context, stored storage.Row, unchanged time.Duration) {
+	if unchanged < staleTTLs*m.options.PresenceTTL || !m.ownLeaseValid(boottime.Now()) {
 		return
 	}
 	if unchanged >= abandonedTTLs*m.options.PresenceTTL {
 		ctx, cancel := context.WithTimeout(ctx, m.options.TableTimeout)
 		defer cancel()
 		m.deleteRow(ctx, stored.Key, stored.Version)
-		delete(m.presence.seen, stored.Key)
+		delete(m.presence.observed, stored.Key)
 	}
 	m.mu.Lock()
 	now := boottime.Now()
@@ -144,7 +148,7 @@
 		member := r.member
 		member.State = Down
 		if member.version() > r.version {
-			m.setMember(r, member, own, now)
+			m.setMember(r, member, localOrigin, now)
 		}
 		m.publish()
 	}
--- a/membership/fact.go
+++ b/membership/fact.go
@@ -9,41 +9,42 @@
 )
 
 const (
-	// MaxFactKey and MaxFactValue are the largest key and value in bytes.
+	// MaxFactKey and MaxFactValue are the maximum sizes of a key and a value in
+	// bytes.
 	MaxFactKey   = 128
 	MaxFactValue = 512
 )
 
 // Errors of Put.
 var (
-	// ErrInvalidFact means that a field is out of its bounds.
+	// ErrInvalidFact is returned for a fact with an invalid field.
 	ErrInvalidFact = errors.New("membership: invalid fact")
-	// ErrStale means that an equal or higher version is known.
+	// ErrStale is returned if an equal or higher version is stored.
 	ErrStale = errors.New("membership: fact is stale")
-	// ErrFull means that the number of facts is at its bound.
+	// ErrFull is returned if the number of facts has reached its maximum.
 	ErrFull = errors.New("membership: too many facts")
 )
 
-// Fact is a small versioned record that all hosts get to know. The highest
-// version of a key wins; of two values with one version the greater wins, so
-// that all hosts agree.
+// Fact is a small versioned key-value record that is replicated to all hosts. The
+// highest version of a key wins. Among values of the same version the
+// lexicographically greater wins, so that all hosts converge.
 type Fact struct {
 	Key string `json:"k"`
 	// Version is at least 1.
 	Version uint64 `json:"v"`
 	// Value is at most MaxFactValue bytes.
 	Value []byte `json:"d,omitempty"`
-	// TTL is the lifetime that remains, in nanoseconds on the wire; zero is
-	// without end. It is relative, so clocks needn't agree.
+	// TTL is the remaining lifetime, in nanoseconds on the wire; zero means
+	// unlimited. It is relative, so it doesn't depend on synchronized clocks.
 	TTL time.Duration `json:"t,omitempty"`
-	// Lazy facts travel only with the regular exchanges, not at once.
+	// Lazy facts are sent with regular exchanges only and aren't pushed.
 	Lazy bool `json:"z,omitempty"`
 }
 
-// expiredTTL marks a fact whose lifetime has ended.
+// expiredTTL is the TTL of an expired fact.
 const expiredTTL time.Duration = -1
 
-// Expired says that the fact's lifetime has ended; its value is gone.
+// Expired reports whether the fact has expired. An expired fact has no value.
 func (f Fact) Expired() bool { return f.TTL < 0 }
 
 func (f Fact) check() error {
--- a/membership/fact_test.go
+++ b/membership/fact_test.go
@@ -14,17 +14,17 @@
 	_ "github.com/quetzalweir/quetzalweir/internal/rapidseed"
 )
 
-func TestLeavingFactSpreadsThoughTwoHostsAreCut(t *testing.T) {
-	inBubble(t, hostCount, zoneCount, func(t *testing.T, n *network, hosts []*host) {
-		told, cut := hostID(0), hostID(6)
-		n.setCut(func(a, b string) bool { return a == told && b == cut || a == cut && b == told })
+func TestLeavingFactSpreadsDespiteCutPair(t *testing.T) {
+	runNetwork(t, hostCount, zoneCount, func(t *testing.T, n *network, hosts []*host) {
+		first, second := hostID(0), hostID(6)
+		n.setCut(func(a, b string) bool { return a == first && b == second || a == second && b == first })
 		if err := hosts[0].Put(Fact{Key: "leaving/engine-3", Version: 1}); err != nil {
 			t.Fatal(err)
 		}
-		took := waitFor(t, spreadWithin, "known to all", func() bool { return allHave(hosts, "leaving/engine-3", 1) })
-		t.Logf("known to all after %v", took)
+		took := waitFor(t, spreadWithin, "fact on all hosts", func() bool { return allHave(hosts, "leaving/engine-3", 1) })
+		t.Logf("fact on all hosts after %v", took)
 		time.Sleep(time.Minute)
-		for _, h := range hosts { // each of the pair is reached through others
+		for _, h := range hosts { // indirect probes reach each host of the pair
 			if suspected := h.Stats().Suspected; suspected != 0 {
 				t.Fatalf("%d suspicions", suspected)
 			}
@@ -32,8 +32,8 @@
 	})
 }
 
-// TestPushAloneReachesAll leaves no rounds, so that only pushes can bring the
-// fact.
+// TestPushAloneReachesAll runs without rounds, so that only pushes can deliver
+// the fact.
 func TestPushAloneReachesAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
@@ -45,16 +45,16 @@
 				o.PushFanout = hostCount
 			}))
 		}
-		waitFor(t, 2*time.Minute, "all up", func() bool { return whole(hosts) })
+		waitFor(t, 2*time.Minute, "all up", func() bool { return allUp(hosts) })
 		if err := hosts[0].Put(Fact{Key: "head", Version: 1}); err != nil {
 			t.Fatal(err)
 		}
-		waitFor(t, time.Second, "known to all", func() bool { return allHave(hosts, "head", 1) })
+		waitFor(t, time.Second, "fact on all hosts", func() bool { return allHave(hosts, "head", 1) })
 	})
 }
 
-func TestPutRefuses(t *testing.T) {
-	m := lone(t)
+func TestPutRejectsInvalidFacts(t *testing.T) {
+	m := newLone(t)
 	if err := m.Put(Fact{Key: "k", Version: 5}); err != nil {
 		t.Fatal(err)
 	}
@@ -80,11 +80,11 @@
 	}
 }
 
-func TestFactsExpireAndOldOnesStayAway(t *testing.T) {
-	inBubble(t, hostCount, zoneCount, func(t *testing.T, n *network, hosts []*host) {
+func TestExpiredFactsDoNotReturn(t *testing.T) {
+	runNetwork(t, hostCount, zoneCount, func(t *testing.T, n *network, hosts []*host) {
 		is := is.New(t)
 		is.NoErr(hosts[0].Put(Fact{Key: "k", Version: 5, Value: []byte("new"), TTL: 10 * time.Second}))
-		waitFor(t, time.Second, "known to all", func() bool { return allHave(hosts, "k", 5) })
+		waitFor(t, time.Second, "fact on all hosts", func() bool { return allHave(hosts, "k", 5) })
 		time.Sleep(11 * time.Second)
 		for _, h := range hosts {
 			_, ok := h.Get("k")
@@ -99,14 +99,14 @@
 
 func TestWatchersSeeVersionsRise(t *testing.T) {
 	is := is.New(t)
-	m := lone(t)
+	m := newLone(t)
 	is.NoErr(m.Put(Fact{Key: "head", Version: 1}))
 	is.NoErr(m.Put(Fact{Key: "other", Version: 1}))
 	var seen []uint64
 	cancel := m.Watch("he", func(f Fact) {
 		seen = append(seen, f.Version)
 		if f.Version < 3 {
-			is.NoErr(m.Put(Fact{Key: "head", Version: f.Version + 1})) // a call back
+			is.NoErr(m.Put(Fact{Key: "head", Version: f.Version + 1})) // a call from the watcher
 		}
 	})
 	is.Equal(seen, []uint64{1, 2, 3})
@@ -117,16 +117,16 @@
 
 func TestFactsAreBounded(t *testing.T) {
 	is := is.New(t)
-	m, err := New(Options{Self: Member{ID: "self"}, Transport: silent{}, MaxFacts: 1})
+	m, err := New(Options{Self: Member{ID: "self"}, Transport: unreachable{}, MaxFacts: 1})
 	is.NoErr(err)
 	is.NoErr(m.Put(Fact{Key: "a", Version: 1}))
 	is.True(errors.Is(m.Put(Fact{Key: "b", Version: 1}), ErrFull))
 	is.NoErr(m.Put(Fact{Key: "a", Version: 2}))
 }
 
-// TestOrderOfNewsDoesNotMatter delivers the same news in any order, with
-// repeats, to two hosts: both end with the highest versions, and equal digests.
-func TestOrderOfNewsDoesNotMatter(t *testing.T) {
+// TestUpdatesCommute delivers the same updates to two hosts in different orders,
+// with repeats. Both must end with the same records and digests.
+func TestUpdatesCommute(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		member := rapid.Custom(func(rt *rapid.T) Member {
 			return Member{
@@ -144,7 +144,7 @@
 		})
 		members := rapid.SliceOfN(member, 1, 20).Draw(rt, "members")
 		facts := rapid.SliceOfN(fact, 1, 20).Draw(rt, "facts")
-		one, two := lone(t), lone(t)
+		one, two := newLone(t), newLone(t)
 		two.announce(one.Self().Incarnation, time.Now())
 		deliver := func(m *Membership, members []Member, facts []Fact) {
 			for _, member := range members {
@@ -157,14 +157,14 @@
 		deliver(one, members, facts)
 		deliver(two, rapid.Permutation(members).Draw(rt, "order"), rapid.Permutation(facts).Draw(rt, "fact order"))
 		deliver(two, members[:1], facts[:1])
-		if !slices.Equal(one.Members(), two.Members()) || one.store.sum() != two.store.sum() {
+		if !slices.Equal(one.Members(), two.Members()) || one.store.digest() != two.store.digest() {
 			rt.Fatalf("differ: %v %v; %v %v", one.Members(), one.Facts(""), two.Members(), two.Facts(""))
 		}
 	})
 }
 
 func TestComparisonFindsEachDifference(t *testing.T) {
-	inBubble(t, 2, 1, func(t *testing.T, n *network, hosts []*host) {
+	runNetwork(t, 2, 1, func(t *testing.T, n *network, hosts []*host) {
 		is := is.New(t)
 		n.setCut(func(a, b string) bool { return true })
 		value := []byte(strings.Repeat("v", 200))
--- a/membership/faults_test.go
+++ b/membership/faults_test.go
@@ -12,7 +12,7 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// history records the versions that each host saw of each key or member.
+// history records the versions that each host stored of each key or member.
 type history struct {
 	mu   sync.Mutex
 	seen map[string][]uint64
@@ -25,7 +25,7 @@
 	h.seen[name] = append(h.seen[name], version)
 }
 
-// check returns an error if a version ever went back.
+// check returns an error if any version decreased.
 func (h *history) check() error {
 	for name, versions := range h.seen {
 		for i := 1; i < len(versions); i++ {
@@ -37,7 +37,7 @@
 	return nil
 }
 
-func TestHistoryCheckRejectsAStepBack(t *testing.T) {
+func TestHistoryCheckRejectsDecreasingVersion(t *testing.T) {
 	is := is.New(t)
 	h := history{seen: make(map[string][]uint64)}
 	for _, version := range []uint64{1, 2, 2, 5} {
@@ -48,12 +48,12 @@
 	is.True(h.check() != nil)
 }
 
-// TestFaultsTogether applies random faults, several at once, for some minutes.
-// Nothing known ever goes back, and after the last fault all agree again.
-func TestFaultsTogether(t *testing.T) {
+// TestConcurrentFaults applies random faults, several at once, for some minutes.
+// No version may decrease, and after the last fault all hosts must converge.
+func TestConcurrentFaults(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			inBubble(t, hostCount, zoneCount, func(t *testing.T, n *network, hosts []*host) {
+			runNetwork(t, hostCount, zoneCount, func(t *testing.T, n *network, hosts []*host) {
 				is := is.New(t)
 				h := &history{seen: make(map[string][]uint64)}
 				for i, host := range hosts {
@@ -72,24 +72,24 @@
 				version++
 				is.NoErr(hosts[0].Put(Fact{Key: "head", Version: version}))
 				took := waitFor(t, 30*time.Second, "agreement", func() bool {
-					return whole(hosts) && allHave(hosts, "head", version)
+					return allUp(hosts) && allHave(hosts, "head", version)
 				})
 				synctest.Wait()
 				declared := uint64(0)
 				for _, host := range hosts {
-					declared += host.Stats().Declared
+					declared += host.Stats().DeclaredDown
 				}
-				t.Logf("%d times down; agreed %v after the last fault", declared, took)
-				is.True(declared > 0) // the faults were felt
+				t.Logf("%d times down; converged %v after the last fault", declared, took)
+				is.True(declared > 0) // the faults had an effect
 				is.NoErr(h.check())
 			})
 		})
 	}
 }
 
-// injectFault begins or ends one fault; those before it go on.
+// injectFault begins or ends one fault; earlier faults continue.
 func injectFault(n *network, hosts []*host, rng *rand.Rand) {
-	victim := hosts[rng.IntN(len(hosts))]
+	target := hosts[rng.IntN(len(hosts))]
 	switch rng.IntN(7) {
 	case 0:
 		n.setLoss(rng.Float64() / 4)
@@ -99,16 +99,16 @@
 	case 2:
 		n.setCut(nil)
 	case 3:
-		victim.thaw()
-		victim.freeze()
+		target.resume()
+		target.suspend()
 	case 4:
 		for _, h := range hosts {
-			h.thaw()
+			h.resume()
 		}
 	case 5:
 		n.table.setFail([]error{nil, storage.ErrUnavailable, storage.ErrUnknown}[rng.IntN(3)])
 	case 6:
-		n.table.setLoseAnswers(rng.IntN(2) == 0)
+		n.table.setLoseResponses(rng.IntN(2) == 0)
 	}
 }
 
@@ -117,8 +117,8 @@
 	n.setLoss(0)
 	n.setCut(nil)
 	n.table.setFail(nil)
-	n.table.setLoseAnswers(false)
+	n.table.setLoseResponses(false)
 	for _, h := range n.hosts {
-		h.thaw()
+		h.resume()
 	}
 }
--- a/membership/fuzz_test.go
+++ b/membership/fuzz_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// FuzzHandleExchange checks that no message of another host makes this one
-// panic, forget or misstate itself, or lose count of its records.
+// FuzzHandleExchange checks that no message of another host causes a panic,
+// removes or corrupts this host's own record, or makes the sums and counts
+// inconsistent with the records.
 func FuzzHandleExchange(f *testing.F) {
 	f.Add([]byte(`{"k":1,"f":"a","v":9,"q":true,"m":[{"i":"a","z":"z","s":1,"n":1}],"a":[{"k":"x","v":1,"t":-1}]}`))
 	f.Add([]byte(`{"k":3,"f":"a","g":{"i":"b","s":1}}`))
@@ -17,23 +18,23 @@
 		if json.Unmarshal(data, &message) != nil {
 			return
 		}
-		m := lone(t)
+		m := newLone(t)
 		before := m.Self()
-		for range 2 { // a repeat
+		for range 2 { // with a repeat
 			if _, err := m.HandleExchange(t.Context(), message); err != nil && message.To == "" {
 				t.Fatal(err)
 			}
 		}
 		self, ok := m.Lookup(before.ID)
 		if !ok || self.State != Up || self.Incarnation < before.Incarnation {
-			t.Fatalf("self became %+v", self)
+			t.Fatalf("own record changed to %+v", self)
 		}
 		var sums [bucketCount]uint64
 		for _, r := range m.store.records {
 			sums[r.bucket] ^= r.sum
 		}
 		if sums != m.store.sums || m.store.members+m.store.facts != len(m.store.records) {
-			t.Fatal("sums or counts don't fit the records")
+			t.Fatal("sums or counts don't match the records")
 		}
 	})
 }
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -12,56 +12,56 @@
 )
 
 const (
-	// sweepInterval is how often timeouts are looked at.
+	// sweepInterval is the interval between checks of the timeouts.
 	sweepInterval = 250 * time.Millisecond
-	// thawAfter is the gap between sweeps that shows that this host was
-	// frozen or starved: others may have declared it Down.
-	thawAfter = 2 * time.Second
-	// reconnectRounds is how often a member that is Down is contacted, so that
-	// the two sides of a cut find each other again.
+	// pauseThreshold is the gap between sweeps from which this process counts as
+	// having been paused or starved: others may have declared it Down.
+	pauseThreshold = 2 * time.Second
+	// reconnectRounds is the number of rounds between exchanges with a member
+	// that is Down, by which the two sides of a network partition reconnect.
 	reconnectRounds = 5
-	// jitterPart is the part of an interval that varies.
-	jitterPart = 0.1
-	// fewMembers is the number of live others up to which silence of all of
-	// them isn't taken for a fault of this host.
-	fewMembers = 2
-	// silentIntervals is the number of intervals without any message after
-	// which a host takes itself for isolated.
-	silentIntervals = 2
+	// jitterFraction is the largest deviation from an interval, as a fraction.
+	jitterFraction = 0.1
+	// maxPeersWithoutIsolation is the number of other live members up to which a
+	// host never counts as isolated: so few may have failed at the same time.
+	maxPeersWithoutIsolation = 2
+	// isolationIntervals is the number of intervals without any message after
+	// which a host counts as isolated.
+	isolationIntervals = 2
 )
 
-// gossipLoop holds the rounds, the pushes and the timeouts.
+// gossipLoop runs the rounds, the pushes and the sweeps.
 func (m *Membership) gossipLoop(ctx context.Context) {
-	var work sync.WaitGroup
-	defer work.Wait()
+	var workers sync.WaitGroup
+	defer workers.Wait()
 	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
 	round := time.NewTimer(m.jitter(m.options.Interval) / 4)
 	defer round.Stop()
-	last := boottime.Now()
+	lastSweep := boottime.Now()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-m.wake:
-			work.Go(func() { m.push(ctx) })
+		case <-m.pushSignal:
+			workers.Go(func() { m.push(ctx) })
 		case <-sweep.C:
-			m.pause()
+			m.blockHook()
 			now := boottime.Now()
-			if now.Sub(last) > thawAfter {
-				m.thaw(now)
+			if now.Sub(lastSweep) > pauseThreshold {
+				m.resumeAfterPause(now)
 			}
-			last = now
+			lastSweep = now
 			m.sweep(now)
 		case <-round.C:
-			m.pause()
-			m.round(ctx, &work)
+			m.blockHook()
+			m.round(ctx, &workers)
 			round.Reset(m.jitter(m.options.Interval))
 		}
 	}
 }
 
-// jitter returns a duration that differs by up to a tenth.
+// jitter returns d changed at random by up to a tenth.
 func (m *Membership) jitter(d time.Duration) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -69,36 +69,36 @@
 }
 
 func jittered(rng *rand.Rand, d time.Duration) time.Duration {
-	return d + time.Duration((rng.Float64()*2-1)*jitterPart*float64(d))
+	return d + time.Duration((rng.Float64()*2-1)*jitterFraction*float64(d))
 }
 
 // round starts one exchange with each target.
-func (m *Membership) round(ctx context.Context, work *sync.WaitGroup) {
+func (m *Membership) round(ctx context.Context, workers *sync.WaitGroup) {
 	m.mu.Lock()
 	m.stats.Rounds++
-	number := m.stats.Rounds
-	targets := m.rings.targets(m.self, number, m.options)
-	epoch := m.epoch
-	reconnect, contact := m.reconnectTarget(number)
-	var started []Member
+	round := m.stats.Rounds
+	targets := m.rings.targets(m.self, round, m.options)
+	epoch := m.pauseEpoch
+	reconnect, reconnecting := m.reconnectTarget(round)
+	var probed []Member
 	for _, target := range targets {
 		if m.probing[target.ID] {
 			continue
 		}
 		m.probing[target.ID] = true
-		started = append(started, target)
+		probed = append(probed, target)
 	}
 	m.mu.Unlock()
-	for _, target := range started {
-		work.Go(func() { m.probe(ctx, target, epoch) })
+	for _, target := range probed {
+		workers.Go(func() { m.probe(ctx, target, epoch) })
 	}
-	if contact {
-		work.Go(func() { m.gossip(ctx, reconnect) })
+	if reconnecting {
+		workers.Go(func() { m.gossip(ctx, reconnect) })
 	}
 }
 
-// reconnectTarget returns a member that is Down, in some rounds, or a seed
-// while no other member is alive.
+// reconnectTarget returns a seed while no other member is alive. Otherwise it
+// returns a random member that is Down every reconnectRounds rounds.
 func (m *Membership) reconnectTarget(round uint64) (Member, bool) {
 	if len(m.rings.all) == 0 && len(m.options.Seeds) > 0 {
 		return Member{PeerAddr: m.options.Seeds[m.rng.IntN(len(m.options.Seeds))]}, true
@@ -109,13 +109,13 @@
 	return m.rings.down[m.rng.IntN(len(m.rings.down))], true
 }
 
-// gossip holds one regular exchange, and a comparison if it shows a need.
+// gossip performs one regular exchange, and a sync if the digests differ.
 func (m *Membership) gossip(ctx context.Context, to Member) error {
 	now := boottime.Now()
 	m.mu.Lock()
-	message, sent := m.compose(KindGossip, to.ID, now)
-	message.Ask = !now.Before(m.nextSync)
-	if message.Ask && m.joined {
+	message, sent := m.newGossip(KindGossip, to.ID, now)
+	message.RequestBuckets = !now.Before(m.nextSync)
+	if message.RequestBuckets && m.joined {
 		m.nextSync = now.Add(jittered(m.rng, m.options.SyncInterval))
 	}
 	m.mu.Unlock()
@@ -123,25 +123,25 @@
 	if err != nil {
 		return err
 	}
-	m.sent(sent)
-	m.offer(answer.Want)
+	m.recordSent(sent)
+	m.requeue(answer.Wanted)
 	switch {
 	case len(answer.Buckets) > 0:
 		m.sync(ctx, to, answer.Buckets)
-	case message.Ask:
+	case message.RequestBuckets:
 		m.setJoined()
 	}
 	return nil
 }
 
-// setJoined notes that this host knows what another one knows.
+// setJoined records that this host has completed a sync with another one.
 func (m *Membership) setJoined() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.joined = true
 }
 
-// exchange sends a message and takes in the answer.
+// exchange sends a message and merges the answer.
 func (m *Membership) exchange(ctx context.Context, to Member, message Message, timeout time.Duration) (Message, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -155,7 +155,7 @@
 		m.mu.Unlock()
 		return Message{}, err
 	}
-	m.heard(answer, now)
+	m.recordContact(answer, now)
 	m.merge(answer, now)
 	m.mu.Unlock()
 	m.notifier.flush()
@@ -170,7 +170,7 @@
 		m.mu.Unlock()
 		return Message{}, ErrWrongMember
 	}
-	m.heard(message, now)
+	m.recordContact(message, now)
 	m.merge(message, now)
 	answer := m.answer(message, now)
 	m.mu.Unlock()
@@ -181,11 +181,11 @@
 	return answer, nil
 }
 
-// heard notes that a host is alive.
-func (m *Membership) heard(message Message, now time.Time) {
-	m.lastHeard = now
+// recordContact records that a message of a host has arrived.
+func (m *Membership) recordContact(message Message, now time.Time) {
+	m.lastContact = now
 	if r := m.store.member(message.From); r != nil {
-		r.heard = now
+		r.lastContact = now
 	}
 }
 
@@ -195,33 +195,33 @@
 	switch message.Kind {
 	case KindGossip:
 		var sent []*record
-		answer, sent = m.compose(KindGossip, message.From, now)
+		answer, sent = m.newGossip(KindGossip, message.From, now)
 		countSent(sent)
-		if message.Ask && answer.Sum != message.Sum {
+		if message.RequestBuckets && answer.Digest != message.Digest {
 			answer.Buckets = m.store.bucketSums()
 		}
 	case KindSync:
-		answer = m.envelope(KindSync, message.From)
+		answer = m.newMessage(KindSync, message.From)
 		m.compare(&answer, message.Listing, now)
 	default:
-		answer = m.envelope(message.Kind, message.From)
+		answer = m.newMessage(message.Kind, message.From)
 	}
-	if m.knownVersion(message.From) < message.Version {
-		answer.Want = append(answer.Want, memberPrefix+message.From)
+	if m.storedVersion(message.From) < message.Version {
+		answer.Wanted = append(answer.Wanted, memberPrefix+message.From)
 	}
 	return answer
 }
 
-func (m *Membership) knownVersion(id string) uint64 {
+func (m *Membership) storedVersion(id string) uint64 {
 	if r := m.store.member(id); r != nil {
 		return r.version
 	}
 	return 0
 }
 
-// envelope returns a message without news, except that a receiver who is
-// believed to have failed is told so, to refute it.
-func (m *Membership) envelope(kind Kind, to string) Message {
+// newMessage returns a message without updates, except that a receiver that is
+// Suspect or Down here gets its own record, so that it can refute it.
+func (m *Membership) newMessage(kind Kind, to string) Message {
 	message := Message{Kind: kind, From: m.self.ID, Version: m.self.version()}
 	if r := m.store.member(to); r != nil && r.member.State >= Suspect {
 		message.Members = append(message.Members, r.member)
@@ -229,20 +229,20 @@
 	return message
 }
 
-// compose returns a message with the digest and the hot records that fit, the
-// least sent first.
-func (m *Membership) compose(kind Kind, to string, now time.Time) (Message, []*record) {
-	message := m.envelope(kind, to)
-	message.Sum = m.store.sum()
-	m.store.cool(sendLimit(len(m.rings.all) + 1))
-	slices.SortStableFunc(m.store.hot, func(a, b *record) int { return cmp.Compare(a.sends, b.sends) })
-	sent := m.add(&message, m.store.hot, to, m.options.MaxNewsBytes, now)
+// newGossip returns a message with the digest and the records of the broadcast
+// queue that fit, those with the fewest transmissions first.
+func (m *Membership) newGossip(kind Kind, to string, now time.Time) (Message, []*record) {
+	message := m.newMessage(kind, to)
+	message.Digest = m.store.digest()
+	m.store.pruneSent(sendLimit(len(m.rings.all) + 1))
+	slices.SortStableFunc(m.store.broadcasts, func(a, b *record) int { return cmp.Compare(a.transmits, b.transmits) })
+	sent := m.addRecords(&message, m.store.broadcasts, to, m.options.MaxUpdateBytes, now)
 	return message, sent
 }
 
-// add adds records to a message up to a bound in bytes and returns those
-// added. It leaves out what the receiver brought itself.
-func (m *Membership) add(message *Message, records []*record, to string, bound int, now time.Time) []*record {
+// addRecords adds records to a message, up to limit bytes, and returns those
+// added. It omits records that came from the receiver.
+func (m *Membership) addRecords(message *Message, records []*record, to string, limit int, now time.Time) []*record {
 	var added []*record
 	size := 0
 	for _, r := range records {
@@ -250,22 +250,22 @@
 			continue
 		}
 		size += r.size()
-		if size > bound {
-			message.More = true
+		if size > limit {
+			message.Truncated = true
 			break
 		}
 		added = append(added, r)
 		if r.isMember {
 			message.Members = append(message.Members, r.member)
 		} else {
-			message.Facts = append(message.Facts, r.current(now))
+			message.Facts = append(message.Facts, r.factAt(now))
 		}
 	}
 	return added
 }
 
-// sent counts records that arrived.
-func (m *Membership) sent(records []*record) {
+// recordSent counts the transmission of records that the receiver confirmed.
+func (m *Membership) recordSent(records []*record) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	countSent(records)
@@ -273,6 +273,6 @@
 
 func countSent(records []*record) {
 	for _, r := range records {
-		r.sends++
+		r.transmits++
 	}
 }
--- a/membership/member.go
+++ b/membership/member.go
@@ -5,19 +5,21 @@
 	"fmt"
 )
 
-// State is what a host is believed to be. Within one incarnation a later
-// state overrides an earlier one.
+// State is the state of a host as determined by failure detection. Within one
+// incarnation a higher state overrides a lower one.
 type State uint8
 
 // The states in their order of precedence.
 const (
-	// Up answers.
+	// Up means that the host answers probes.
 	Up State = iota + 1
-	// Leaving answers, and has announced that it finishes its work.
+	// Leaving means that the host answers probes and has announced that it is
+	// finishing its work.
 	Leaving
-	// Suspect hasn't answered, neither directly nor through others.
+	// Suspect means that the host answered neither direct nor indirect probes.
 	Suspect
-	// Down was Suspect for the suspicion timeout, or Leaving and then silent.
+	// Down means that the host was Suspect for the suspicion timeout, or that it
+	// was Leaving and stopped answering.
 	Down
 )
 
@@ -37,52 +39,53 @@
 	}
 }
 
-// Member is a host as others know it.
+// Member describes a host to the other hosts.
 type Member struct {
 	ID   string `json:"i"`
 	Zone string `json:"z"`
-	// PeerAddr, CallerAddr and OperatorAddr are IP addresses with ports, for
+	// PeerAddr, CallerAddr and OperatorAddr are the IP addresses with ports for
 	// other entry hosts, callers and operators.
 	PeerAddr     string `json:"p,omitempty"`
 	CallerAddr   string `json:"c,omitempty"`
 	OperatorAddr string `json:"o,omitempty"`
 	State        State  `json:"s"`
-	// Incarnation is raised by the member alone: at its start, after a freeze,
-	// and to refute a state that others believe of it.
+	// Incarnation is increased by the member itself only: at its start, after a
+	// process pause, and to refute a state that others have given it.
 	Incarnation uint64 `json:"n"`
 }
 
 const (
-	// maxField is the longest id, zone or address in bytes.
-	maxField = 64
-	// maxIncarnation keeps versions within what JSON numbers hold exactly in
-	// any language; the clock reaches it in 2 million years.
+	// maxFieldBytes is the maximum size of an id, zone or address.
+	maxFieldBytes = 64
+	// maxIncarnation keeps versions within the range that JSON numbers represent
+	// exactly in any language. Incarnations start at the time in Unix
+	// milliseconds, which reaches it after about 35,000 years.
 	maxIncarnation = 1 << 50
-	// maxMembers bounds the members that a host knows, those that are Down
-	// included: many times the size that the system is made for.
+	// maxMembers is the maximum number of members that a host stores, including
+	// those that are Down: many times the design size.
 	maxMembers = 8192
 )
 
-// valid says that the fields are within their bounds.
+// valid reports whether the fields are within their limits.
 func (m Member) valid() bool {
 	for _, field := range []string{m.ID, m.Zone, m.PeerAddr, m.CallerAddr, m.OperatorAddr} {
-		if len(field) > maxField {
+		if len(field) > maxFieldBytes {
 			return false
 		}
 	}
 	return m.ID != "" && m.State >= Up && m.State <= Down && m.Incarnation < maxIncarnation
 }
 
-// stateBits is the room for the state in a member's version.
+// stateBits is the number of bits of the state in a member's version.
 const stateBits = 3
 
-// version orders all that can be said of a member: the incarnation first,
-// then the state.
+// version returns the order of the member's record: by incarnation first, then
+// by state.
 func (m Member) version() uint64 {
 	return m.Incarnation<<stateBits | uint64(m.State)
 }
 
-// alive says that the member is to be probed and told the news.
+// alive reports whether the member is probed and receives updates.
 func (m Member) alive() bool { return m.State != Down }
 
 func compareID(a, b Member) int { return cmp.Compare(a.ID, b.ID) }
@@ -90,6 +93,6 @@
 // Event is a change of a member's state.
 type Event struct {
 	Member Member
-	// Previous is the state before; zero where the member is new.
+	// Previous is the previous state; zero for a new member.
 	Previous State
 }
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,14 +1,15 @@
-// Package membership lets the hosts of one system know each other, find out
-// which of them have failed, and share small facts, without a coordinator.
+// Package membership implements decentralized group membership: it discovers
+// the hosts of a system, detects their failures, and replicates small facts to
+// all of them, without a coordinator.
 //
-// Hosts exchange messages directly, a fixed number a second whatever the size
-// of the system: with neighbours in their availability zone, which watch over
-// each other, and with others across zones. Messages carry what is new, and a
-// digest that shows whether two hosts know the same. The table serves only to
-// find the first hosts to talk to; nothing else depends on it.
+// Hosts exchange messages directly, at a fixed rate that doesn't depend on the
+// size of the system: with neighbours in their availability zone, which probe
+// each other, and with hosts in other zones. Messages carry updates and a digest
+// that shows whether two hosts store the same records. The table is used to
+// discover the first hosts only; nothing else depends on it.
 //
-// What is known of a member or a fact is ordered by a version and only ever
-// moves up, so late and repeated messages do no harm.
+// Records of members and facts have versions that only increase, so delayed and
+// repeated messages have no effect.
 package membership
 
 import (
@@ -29,28 +30,29 @@
 
 // Errors of New, Run and HandleExchange.
 var (
-	// ErrOptions means that the options are invalid.
+	// ErrOptions is returned for invalid options.
 	ErrOptions = errors.New("membership: invalid options")
-	// ErrSuperseded means that another process runs under this host's id and
-	// started later.
+	// ErrSuperseded is returned if a later process runs with this host's id.
 	ErrSuperseded = errors.New("membership: superseded by another process with this id")
-	// ErrWrongMember means that a message was meant for another host, which
-	// had this address before.
+	// ErrWrongMember is returned for a message to another host, which previously
+	// had this address.
 	ErrWrongMember = errors.New("membership: message for another member")
-	// ErrNobodyTold means that no other host could be told of the leaving.
-	ErrNobodyTold = errors.New("membership: no other host was told")
+	// ErrLeaveNotDelivered is returned if no other host received the
+	// announcement that this host leaves.
+	ErrLeaveNotDelivered = errors.New("membership: no other host received the leave announcement")
 )
 
-// Membership is one host's view of the others. It is safe for concurrent use.
+// Membership holds one host's records of all members and facts. It is safe for
+// concurrent use.
 type Membership struct {
 	options  Options
 	presence *presence
-	// wake tells Run of news to push.
-	wake chan struct{}
-	// pause is a hook of the tests, which stops this host's loops.
-	pause func()
+	// pushSignal signals Run that there are records to push.
+	pushSignal chan struct{}
+	// blockHook is a test hook that suspends this host's loops.
+	blockHook func()
 
-	// snapshot is what Members and Lookup read.
+	// snapshot holds the members that Members and Lookup return.
 	snapshot atomic.Pointer[[]Member]
 
 	mu    sync.Mutex
@@ -58,58 +60,58 @@
 	store *store
 	rng   *rand.Rand
 	stats Stats
-	// changed says that the snapshot and the rings are out of date.
-	changed bool
-	rings   rings
-	// urgent holds the records of the next push by their keys.
-	urgent map[string]*record
+	// membersChanged reports whether the snapshot and the rings are outdated.
+	membersChanged bool
+	rings          rings
+	// pendingPush holds the records of the next push by key.
+	pendingPush map[string]*record
 	// probing holds the ids of the members with a probe in progress.
 	probing map[string]bool
-	// epoch rises when this host wakes from a freeze; the outcome of a probe
-	// of an earlier epoch doesn't count.
-	epoch uint64
-	// lastHeard is when a message of any other host last came.
-	lastHeard time.Time
-	// nextSync is when to compare again.
+	// pauseEpoch increases after each pause of this process; the results of
+	// probes of earlier epochs are ignored.
+	pauseEpoch uint64
+	// lastContact is when the last message of any other host arrived.
+	lastContact time.Time
+	// nextSync is the time of the next sync.
 	nextSync time.Time
-	// joined says that a comparison with another host was completed.
+	// joined reports whether a sync with another host has been completed.
 	joined bool
 
 	notifier notifier
 }
 
-// New returns a Membership that knows only its own host.
+// New returns a Membership with its own host as the only member.
 func New(options Options) (*Membership, error) {
 	if options.Transport == nil {
-		return nil, fmt.Errorf("%w: Transport is needed", ErrOptions)
+		return nil, fmt.Errorf("%w: Transport is required", ErrOptions)
 	}
 	options.Self.State = Up
 	options.Self.Incarnation = 0
 	if !options.Self.valid() {
-		return nil, fmt.Errorf("%w: Self needs an ID, and fields of at most %d bytes", ErrOptions, maxField)
+		return nil, fmt.Errorf("%w: Self requires an ID, and fields of at most %d bytes", ErrOptions, maxFieldBytes)
 	}
 	options = options.withDefaults()
 	now := boottime.Now()
 	m := &Membership{
-		options:   options,
-		presence:  newPresence(),
-		wake:      make(chan struct{}, 1),
-		pause:     func() {},
-		self:      options.Self,
-		store:     newStore(),
-		rng:       rand.New(rand.NewPCG(options.Seed, xxhash.Sum64String(options.Self.ID))),
-		urgent:    make(map[string]*record),
-		probing:   make(map[string]bool),
-		lastHeard: now,
+		options:     options,
+		presence:    newPresence(),
+		pushSignal:  make(chan struct{}, 1),
+		blockHook:   func() {},
+		self:        options.Self,
+		store:       newStore(),
+		rng:         rand.New(rand.NewPCG(options.Seed, xxhash.Sum64String(options.Self.ID))),
+		pendingPush: make(map[string]*record),
+		probing:     make(map[string]bool),
+		lastContact: now,
 	}
-	// A host without disks doesn't know its earlier incarnations. The time
-	// is above them unless the clock stepped back; then it refutes.
+	// Hosts have no disks to store earlier incarnations. The current time exceeds
+	// them unless the clock has stepped back; refutation handles that case.
 	m.announce(uint64(max(time.Now().UnixMilli(), 1)), now)
 	return m, nil
 }
 
-// Run takes part in the exchanges until ctx ends, and then returns nil. Its
-// only error is ErrSuperseded.
+// Run runs the exchanges until ctx ends, and then returns nil. Its only error is
+// ErrSuperseded.
 func (m *Membership) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -126,15 +128,15 @@
 	return nil
 }
 
-// Self returns this host.
+// Self returns the member of this host.
 func (m *Membership) Self() Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.self
 }
 
-// Members returns all known members in the order of their ids, this host and
-// those that are Down included. The slice is shared and must not be changed.
+// Members returns all members in the order of their ids, including this host and
+// those that are Down. The slice is shared and must not be changed.
 func (m *Membership) Members() []Member {
 	return *m.snapshot.Load()
 }
@@ -151,16 +153,17 @@
 	return members[i], true
 }
 
-// Isolated says that no other host was heard lately, though some are known.
-// An isolated host declares no member Suspect or Down.
+// Isolated reports whether no message of another host arrived recently although
+// there are other live members. An isolated host declares no member Suspect or
+// Down because of failed probes; only expired leases in the table count.
 func (m *Membership) Isolated() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.isolated(boottime.Now())
 }
 
-// Put makes a fact known. It returns ErrStale if an equal or higher version
-// is known here.
+// Put stores a fact and replicates it to all hosts. It returns ErrStale if an
+// equal or higher version is stored.
 func (m *Membership) Put(fact Fact) error {
 	if err := fact.check(); err != nil {
 		return err
@@ -174,7 +177,7 @@
 	switch {
 	case r != nil && r.fact.Version >= fact.Version:
 		err = fmt.Errorf("%w: %s: have version %d, got %d", ErrStale, fact.Key, r.fact.Version, fact.Version)
-	case !m.mergeFact(fact, own, boottime.Now()):
+	case !m.mergeFact(fact, localOrigin, boottime.Now()):
 		err = fmt.Errorf("%w: %d", ErrFull, m.options.MaxFacts)
 	}
 	m.mu.Unlock()
@@ -182,8 +185,8 @@
 	return err
 }
 
-// Get returns a fact that hasn't expired. On the path of requests, keep the
-// value that Watch brings instead.
+// Get returns a fact that hasn't expired. It takes a lock; on the path of
+// requests, use the values delivered by Watch instead.
 func (m *Membership) Get(key string) (Fact, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -195,11 +198,11 @@
 	if !r.expires.IsZero() && !now.Before(r.expires) {
 		return Fact{}, false
 	}
-	return r.current(now), true
+	return r.factAt(now), true
 }
 
-// Facts returns the facts with a prefix that haven't expired, in the order of
-// their keys.
+// Facts returns the facts with a key prefix that haven't expired, in the order
+// of their keys.
 func (m *Membership) Facts(prefix string) []Fact {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -210,19 +213,19 @@
 	var facts []Fact
 	for _, r := range m.store.records {
 		if !r.isMember && !r.fact.Expired() && strings.HasPrefix(r.fact.Key, prefix) {
-			facts = append(facts, r.current(now))
+			facts = append(facts, r.factAt(now))
 		}
 	}
 	slices.SortFunc(facts, func(a, b Fact) int { return strings.Compare(a.Key, b.Key) })
 	return facts
 }
 
-// publish renews the snapshot after a change.
+// publish updates the snapshot and the rings after a change.
 func (m *Membership) publish() {
-	if !m.changed {
+	if !m.membersChanged {
 		return
 	}
-	m.changed = false
+	m.membersChanged = false
 	var members []Member
 	for _, r := range m.store.records {
 		if r.isMember {
--- a/membership/merge.go
+++ b/membership/merge.go
@@ -4,21 +4,21 @@
 	"time"
 )
 
-// origin says where a record came from.
+// origin is the source of a record.
 type origin struct {
-	// host brought the record; empty if it is this host's own word.
+	// host is the host that sent the record; empty if this host created it.
 	host string
-	// bulk marks records of a comparison or listing by which this host joins.
-	// They are known to the others, so they aren't spread.
-	bulk bool
+	// initialSync marks records received by a sync or listing before this host
+	// has joined. The other hosts have them, so they aren't disseminated.
+	initialSync bool
 }
 
-// own is the origin of what this host found out itself.
-var own = origin{}
+// localOrigin is the origin of records that this host created.
+var localOrigin = origin{}
 
-// merge takes in the records of a message. The caller holds the lock.
+// merge applies the records of a message. The caller holds the lock.
 func (m *Membership) merge(message Message, now time.Time) {
-	from := origin{host: message.From, bulk: message.Kind == KindSync && !m.joined}
+	from := origin{host: message.From, initialSync: message.Kind == KindSync && !m.joined}
 	for _, member := range message.Members {
 		m.mergeMember(member, from, now)
 	}
@@ -30,7 +30,7 @@
 	m.publish()
 }
 
-// mergeMember takes in what is said of a member, if it is news.
+// mergeMember applies a member record if it is newer than the stored one.
 func (m *Membership) mergeMember(member Member, from origin, now time.Time) {
 	if !member.valid() {
 		return
@@ -52,14 +52,14 @@
 	m.setMember(r, member, from, now)
 }
 
-// setMember stores a newer version of a member and spreads it.
+// setMember stores a newer version of a member and disseminates it.
 func (m *Membership) setMember(r *record, member Member, from origin, now time.Time) {
 	previous := r.member
 	r.member = member
-	r.since = now
-	m.store.updated(r)
-	m.spread(r, from)
-	m.changed = true
+	r.updatedAt = now
+	m.store.refreshSum(r)
+	m.disseminate(r, from)
+	m.membersChanged = true
 	previous.Incarnation = member.Incarnation
 	if previous == member {
 		return
@@ -70,25 +70,26 @@
 	m.queueEvent(Event{Member: member, Previous: previous.State})
 }
 
-// refute answers what others say of this host. Whatever is higher than its
-// own version isn't its own word, so it raises its incarnation above it.
-func (m *Membership) refute(said Member, now time.Time) {
-	if said.version() <= m.self.version() {
+// refute handles a record of this host sent by another one. A version above its
+// own doesn't come from this process, so it increases its incarnation beyond it.
+func (m *Membership) refute(claim Member, now time.Time) {
+	if claim.version() <= m.self.version() {
 		return
 	}
 	m.stats.Refuted++
-	m.announce(said.Incarnation+1, now)
+	m.announce(claim.Incarnation+1, now)
 }
 
-// announce makes an incarnation of this host known.
+// announce stores and disseminates a new incarnation of this host.
 func (m *Membership) announce(incarnation uint64, now time.Time) {
 	m.self.Incarnation = incarnation
 	r := m.store.ensure(memberPrefix+m.self.ID, true)
-	m.setMember(r, m.self, own, now)
+	m.setMember(r, m.self, localOrigin, now)
 	m.publish()
 }
 
-// mergeFact takes in a fact, if it is news, and reports whether it was.
+// mergeFact applies a fact if it is newer than the stored one, and reports
+// whether it did.
 func (m *Membership) mergeFact(fact Fact, from origin, now time.Time) bool {
 	r := m.store.fact(fact.Key)
 	if r == nil {
@@ -104,15 +105,15 @@
 		return false
 	}
 	m.setFact(r, fact, now)
-	m.spread(r, from)
+	m.disseminate(r, from)
 	return true
 }
 
-// setFact stores a fact's new content. An expired one stays as a tombstone,
-// so that an older version can't come back.
+// setFact stores a new version of a fact. An expired fact is retained as a
+// tombstone, so that an older version can't be restored.
 func (m *Membership) setFact(r *record, fact Fact, now time.Time) {
 	r.fact = fact
-	r.since = now
+	r.updatedAt = now
 	r.expires = time.Time{}
 	switch {
 	case fact.Expired():
@@ -121,26 +122,26 @@
 	case fact.TTL > 0:
 		r.expires = now.Add(fact.TTL)
 	}
-	m.store.updated(r)
+	m.store.refreshSum(r)
 	m.queueFact(r.fact)
 }
 
-// spread puts a record on the hot list, and in the next push unless it is a
-// lazy or expired fact.
-func (m *Membership) spread(r *record, from origin) {
-	if from.bulk {
+// disseminate adds a record to the broadcast queue, and to the next push unless
+// it is a lazy or expired fact.
+func (m *Membership) disseminate(r *record, from origin) {
+	if from.initialSync {
 		return
 	}
-	m.store.heat(r, from.host)
+	m.store.enqueue(r, from.host)
 	if !r.isMember && (r.fact.Lazy || r.fact.Expired()) {
 		return
 	}
-	m.urgent[r.key] = r
-	m.wakePush()
+	m.pendingPush[r.key] = r
+	m.signalPush()
 }
 
-// current returns a fact with the lifetime that remains.
-func (r *record) current(now time.Time) Fact {
+// factAt returns the fact with its lifetime that remains at now.
+func (r *record) factAt(now time.Time) Fact {
 	f := r.fact
 	if f.TTL > 0 {
 		f.TTL = max(r.expires.Sub(now), 1)
--- a/membership/message.go
+++ b/membership/message.go
@@ -2,67 +2,67 @@
 
 import "context"
 
-// Transport carries one exchange to another host. An error means that no
-// answer came; the message may have arrived.
+// Transport sends a message to another host and returns the answer. An error
+// means that no answer arrived; the message may have been processed.
 type Transport interface {
 	Exchange(ctx context.Context, to Member, message Message) (Message, error)
 }
 
-// Kind says what a message is for.
+// Kind is the type of a message.
 type Kind uint8
 
 const (
-	// KindGossip is the regular exchange, which is a probe as well.
+	// KindGossip is a regular exchange, which also serves as a probe.
 	KindGossip Kind = iota + 1
-	// KindPush brings new records at once.
+	// KindPush sends new records without waiting for the next round.
 	KindPush
-	// KindProbe asks the receiver to probe the target in the sender's place.
+	// KindProbe requests an indirect probe: the receiver pings the target.
 	KindProbe
-	// KindPing is the probe made for another host.
+	// KindPing is a probe on behalf of another host.
 	KindPing
-	// KindSync lists the sender's records of some buckets.
+	// KindSync lists the sender's records in some buckets.
 	KindSync
 )
 
-// Message is what one host tells another, as request or answer.
+// Message is the request or the answer of an exchange.
 type Message struct {
 	Kind Kind `json:"k"`
-	// From is the sender's id and Version its own version.
+	// From is the sender's id, Version the version of its own record.
 	From    string `json:"f"`
 	Version uint64 `json:"v"`
 	// To is the id that the sender expects at the address; empty for a seed.
 	To string `json:"t,omitempty"`
-	// Sum is the digest of all that the sender knows.
-	Sum uint64 `json:"s,omitempty"`
-	// Ask asks for the receiver's bucket sums if the digests differ.
-	Ask bool `json:"q,omitempty"`
-	// Members and Facts are records that may be news to the receiver.
+	// Digest is the digest of all records of the sender.
+	Digest uint64 `json:"s,omitempty"`
+	// RequestBuckets requests the receiver's bucket sums if the digests differ.
+	RequestBuckets bool `json:"q,omitempty"`
+	// Members and Facts are records that the receiver may lack.
 	Members []Member `json:"m,omitempty"`
 	Facts   []Fact   `json:"a,omitempty"`
-	// Target is the member to probe, of KindProbe.
+	// Target is the member to probe, for KindProbe.
 	Target *Member `json:"g,omitempty"`
-	// Reached answers KindProbe.
+	// Reached is the result of the indirect probe in the answer to KindProbe.
 	Reached bool `json:"r,omitempty"`
 	// Buckets are the sender's bucket sums, four bytes each.
 	Buckets []byte `json:"b,omitempty"`
-	// Listing is the sender's part of KindSync.
+	// Listing lists the sender's records, for KindSync.
 	Listing *Listing `json:"l,omitempty"`
-	// Want are the keys of records that the sender of an answer lacks.
-	Want []string `json:"w,omitempty"`
-	// More says that an answer was cut at the byte bound.
-	More bool `json:"o,omitempty"`
+	// Wanted are the keys of records that the sender of an answer lacks.
+	Wanted []string `json:"w,omitempty"`
+	// Truncated reports whether records were omitted because of the size limit.
+	Truncated bool `json:"o,omitempty"`
 }
 
-// Listing names all records of some buckets with their versions.
+// Listing lists all records of some buckets with their versions.
 type Listing struct {
 	Buckets []byte  `json:"b"`
 	Entries []Entry `json:"e,omitempty"`
 }
 
-// Entry names one record and its version.
+// Entry identifies one record and its version.
 type Entry struct {
 	Key     string `json:"k"`
 	Version uint64 `json:"v"`
-	// Hash tells apart values of one version.
+	// Hash distinguishes values of the same version.
 	Hash uint32 `json:"h,omitempty"`
 }
--- a/membership/network_test.go
+++ b/membership/network_test.go
@@ -23,30 +23,32 @@
 const (
 	// latency is the network's delay in one direction.
 	latency = time.Millisecond
-	// envelopeBytes is what frames, JSON-RPC, TCP and IP add to one message
-	// of an exchange: 95 and 3 half shares of segments with 52 byte headers.
-	envelopeBytes = 95 + 78
+	// framingBytes is the overhead of frames, JSON-RPC, TCP and IP per message
+	// of an exchange: 95 bytes, and half of 3 segment headers of 52 bytes each,
+	// as an exchange has two messages.
+	framingBytes = 95 + 78
 )
 
 var errCut = errors.New("network: cut")
 
-// network connects memberships in one process. Lost messages give no answer
-// until the caller's timeout.
+// network is a simulated network of hosts in one process. The exchange of a lost
+// message fails at the caller's timeout.
 type network struct {
 	mu    sync.Mutex
 	rng   *rand.Rand
 	hosts map[string]*host
-	// loss is the part of messages that are lost.
+	// loss is the fraction of messages that are lost.
 	loss float64
-	// cut says which pairs of hosts can't talk; nil means none.
+	// cut reports which pairs of hosts can't communicate; nil means none.
 	cut             func(a, b string) bool
 	bytes, messages uint64
 	table           *memoryTable
-	// handling counts messages being answered, whose callers may be gone.
+	// handling counts messages being handled, even if their callers have timed
+	// out.
 	handling sync.WaitGroup
 }
 
-// host is one membership with its place in the network.
+// host is a Membership and its transport in the network.
 type host struct {
 	*Membership
 	net    *network
@@ -55,8 +57,8 @@
 
 	mu     sync.Mutex
 	killed bool
-	// thawed is closed at the end of a freeze; nil while not frozen.
-	thawed chan struct{}
+	// resumed is closed at the end of a pause; nil while the host isn't paused.
+	resumed chan struct{}
 }
 
 func newNetwork() *network {
@@ -69,7 +71,7 @@
 
 func hostID(i int) string { return fmt.Sprintf("host-%03d", i) }
 
-// start adds n hosts in the given number of zones.
+// start starts count hosts in the given number of zones.
 func (n *network) start(t *testing.T, count, zones int) []*host {
 	t.Helper()
 	var hosts []*host
@@ -97,7 +99,7 @@
 		t.Fatal(err)
 	}
 	h.Membership = m
-	m.pause = h.waitThawed
+	m.blockHook = h.waitResumed
 	n.mu.Lock()
 	n.hosts[o.Self.ID] = h
 	n.mu.Unlock()
@@ -107,11 +109,11 @@
 	return h
 }
 
-// stop ends all hosts; each test calls it before its bubble ends.
+// stop stops all hosts. Each test must call it within its synctest bubble.
 func (n *network) stop(t *testing.T) {
 	t.Helper()
 	for _, h := range n.hosts {
-		h.thaw()
+		h.resume()
 		h.cancel()
 	}
 	for id, h := range n.hosts {
@@ -120,10 +122,10 @@
 		}
 	}
 	n.handling.Wait()
-	synctest.Wait() // all other goroutines of the bubble have ended or block
+	synctest.Wait() // all other goroutines of the bubble have ended or are blocked
 }
 
-// kill makes a host silent for ever.
+// kill stops a host permanently without notice to the others.
 func (h *host) kill() {
 	h.mu.Lock()
 	h.killed = true
@@ -131,33 +133,33 @@
 	h.cancel()
 }
 
-func (h *host) freeze() {
+func (h *host) suspend() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.thawed = make(chan struct{})
+	h.resumed = make(chan struct{})
 }
 
-// thaw ends a freeze and lets the host catch up before it returns. With Go
-// 1.26 the race detector itself crashes (a failed check in tsan_rtl.cpp, or
-// SIGSEGV) when two threads receive at once from lapsed timer channels of one
-// synctest bubble, so no two hosts may wake at the same instant.
-func (h *host) thaw() {
+// resume ends a pause and lets the host catch up before it returns. With Go 1.26
+// the race detector itself crashes (a failed check in tsan_rtl.cpp, or SIGSEGV)
+// if two threads receive at once from expired timer channels of one synctest
+// bubble, so no two hosts may resume at the same instant.
+func (h *host) resume() {
 	h.mu.Lock()
-	thawed := h.thawed
-	h.thawed = nil
+	resumed := h.resumed
+	h.resumed = nil
 	h.mu.Unlock()
-	if thawed != nil {
-		close(thawed)
+	if resumed != nil {
+		close(resumed)
 		time.Sleep(latency)
 	}
 }
 
-func (h *host) waitThawed() {
+func (h *host) waitResumed() {
 	h.mu.Lock()
-	thawed := h.thawed
+	resumed := h.resumed
 	h.mu.Unlock()
-	if thawed != nil {
-		<-thawed
+	if resumed != nil {
+		<-resumed
 	}
 }
 
@@ -169,22 +171,22 @@
 
 // Exchange implements Transport for the host as the sender.
 func (h *host) Exchange(ctx context.Context, to Member, message Message) (Message, error) {
-	h.waitThawed()
+	h.waitResumed()
 	n := h.net
-	receiver, err := n.carry(ctx, h.options.Self.ID, to, &message)
+	receiver, err := n.deliver(ctx, h.options.Self.ID, to, &message)
 	if err != nil {
-		h.waitThawed()
+		h.waitResumed()
 		return Message{}, err
 	}
 	answer, err := receiver.handle(ctx, message)
 	if err == nil {
-		_, err = n.carry(ctx, receiver.options.Self.ID, Member{ID: h.options.Self.ID}, &answer)
+		_, err = n.deliver(ctx, receiver.options.Self.ID, Member{ID: h.options.Self.ID}, &answer)
 	}
-	h.waitThawed()
+	h.waitResumed()
 	return answer, err
 }
 
-// handle answers a message. A frozen host does so when it thaws, whether or
+// handle handles a message. A paused host does so after it resumes, whether or
 // not the caller still waits.
 func (h *host) handle(ctx context.Context, message Message) (Message, error) {
 	type outcome struct {
@@ -193,9 +195,9 @@
 	}
 	done := make(chan outcome, 1)
 	h.net.handling.Go(func() {
-		h.waitThawed()
+		h.waitResumed()
 		answer, err := h.HandleExchange(ctx, message)
-		h.waitThawed()
+		h.waitResumed()
 		done <- outcome{answer, err}
 	})
 	select {
@@ -206,15 +208,15 @@
 	}
 }
 
-// carry brings a message over the network in its wire form.
-func (n *network) carry(ctx context.Context, from string, to Member, message *Message) (*host, error) {
+// deliver encodes a message, transfers it and decodes it at the receiver.
+func (n *network) deliver(ctx context.Context, from string, to Member, message *Message) (*host, error) {
 	data, err := json.Marshal(message)
 	if err != nil {
 		return nil, err
 	}
 	n.mu.Lock()
 	receiver := n.find(to)
-	n.bytes += uint64(len(data) + envelopeBytes)
+	n.bytes += uint64(len(data) + framingBytes)
 	n.messages++
 	lost := receiver == nil || receiver.dead() || n.hosts[from].dead() || n.rng.Float64() < n.loss
 	if !lost && n.cut != nil {
@@ -260,7 +262,8 @@
 	n.cut = cut
 }
 
-// waitFor steps time until the condition holds and returns how long it took.
+// waitFor waits until the condition holds and returns how long it took. It fails
+// the test at the limit.
 func waitFor(t *testing.T, limit time.Duration, what string, condition func() bool) time.Duration {
 	t.Helper()
 	const step = 10 * time.Millisecond
@@ -274,8 +277,9 @@
 	return time.Since(start)
 }
 
-// allSee says that all hosts but those skipped hold a state of a member.
-func allSee(hosts []*host, id string, states ...State) bool {
+// allObserve reports whether all living hosts other than the member itself have
+// it in one of the states.
+func allObserve(hosts []*host, id string, states ...State) bool {
 	for _, h := range hosts {
 		if h.dead() || h.options.Self.ID == id {
 			continue
@@ -288,8 +292,8 @@
 	return true
 }
 
-// whole says that all hosts see all others as Up.
-func whole(hosts []*host) bool {
+// allUp reports whether all hosts have all members as Up.
+func allUp(hosts []*host) bool {
 	for _, h := range hosts {
 		up := 0
 		for _, member := range h.Members() {
@@ -304,7 +308,7 @@
 	return true
 }
 
-// allHave says that all living hosts have a version of a fact.
+// allHave reports whether all living hosts have a version of a fact.
 func allHave(hosts []*host, key string, version uint64) bool {
 	for _, h := range hosts {
 		if f, ok := h.Get(key); !h.dead() && (!ok || f.Version != version) {
@@ -314,29 +318,29 @@
 	return true
 }
 
-// inBubble runs a test on a network with its own time. The hosts are up when
-// it begins.
-func inBubble(t *testing.T, count, zones int, test func(t *testing.T, n *network, hosts []*host)) {
+// runNetwork runs a test on a network in a synctest bubble. When the test begins,
+// all hosts are Up.
+func runNetwork(t *testing.T, count, zones int, test func(t *testing.T, n *network, hosts []*host)) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
 		hosts := n.start(t, count, zones)
 		defer n.stop(t)
-		waitFor(t, 2*time.Minute, "all hosts up", func() bool { return whole(hosts) })
+		waitFor(t, 2*time.Minute, "all hosts up", func() bool { return allUp(hosts) })
 		test(t, n, hosts)
 	})
 }
 
-// memoryTable is a storage.Table in memory, which can fail.
+// memoryTable is an in-memory storage.Table with fault injection.
 type memoryTable struct {
 	mu       sync.Mutex
 	revision uint64
 	rows     map[string]storage.Row
-	// fail is what all calls return; nil means none.
+	// fail is the error of all calls; nil means none.
 	fail error
 	// readOnly makes all commits fail.
 	readOnly bool
-	// loseAnswers makes commits take effect and return ErrUnknown.
-	loseAnswers bool
+	// loseResponses makes commits take effect but return ErrUnknown.
+	loseResponses bool
 }
 
 func (t *memoryTable) setFail(err error) {
@@ -351,10 +355,10 @@
 	t.readOnly = readOnly
 }
 
-func (t *memoryTable) setLoseAnswers(lose bool) {
+func (t *memoryTable) setLoseResponses(lose bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.loseAnswers = lose
+	t.loseResponses = lose
 }
 
 func (t *memoryTable) Get(_ context.Context, key string) (storage.Row, error) {
@@ -401,7 +405,7 @@
 	for _, key := range txn.Deletes {
 		delete(t.rows, key)
 	}
-	if t.loseAnswers {
+	if t.loseResponses {
 		return 0, storage.ErrUnknown
 	}
 	return t.revision, nil
--- a/membership/notify.go
+++ b/membership/notify.go
@@ -7,25 +7,25 @@
 	"github.com/quetzalweir/quetzalweir/internal/boottime"
 )
 
-// notifier calls subscribers in the order of the changes, outside the lock of
-// the Membership and never two at once. A subscriber may call back into it.
+// notifier calls subscribers in the order of the changes, one at a time and
+// without the lock of the Membership. Subscribers may call the Membership.
 type notifier struct {
 	mu          sync.Mutex
-	queue       []notice
+	queue       []notification
 	delivering  bool
-	next        int
+	lastID      int
 	subscribers map[int]func(Event)
 	watchers    map[int]watcher
 }
 
-// notice is a change of a member or of a fact.
-type notice struct {
+// notification is a change of a member or of a fact.
+type notification struct {
 	event Event
 	fact  Fact
-	// isFact says which of both it is.
+	// isFact reports whether the change is of fact, and not of a member.
 	isFact bool
-	// only is the number of the one watcher to tell; zero tells all.
-	only int
+	// watcherID is the id of the only watcher to notify; zero means all.
+	watcherID int
 }
 
 type watcher struct {
@@ -33,8 +33,8 @@
 	f      func(Fact)
 }
 
-// Subscribe calls f for each change of a member's state from now on, until
-// cancel is called. f must not block.
+// Subscribe calls f for each later change of a member until cancel is called. f
+// must not block.
 func (m *Membership) Subscribe(f func(Event)) (cancel func()) {
 	n := &m.notifier
 	n.mu.Lock()
@@ -42,8 +42,8 @@
 	if n.subscribers == nil {
 		n.subscribers = make(map[int]func(Event))
 	}
-	n.next++
-	id := n.next
+	n.lastID++
+	id := n.lastID
 	n.subscribers[id] = f
 	return func() {
 		n.mu.Lock()
@@ -52,8 +52,8 @@
 	}
 }
 
-// Watch calls f for each known fact with the prefix and then for each change,
-// expiry included, until cancel is called. f must not block.
+// Watch calls f for each stored fact with the key prefix and then for each
+// change, including expiry, until cancel is called. f must not block.
 func (m *Membership) Watch(prefix string, f func(Fact)) (cancel func()) {
 	n := &m.notifier
 	m.mu.Lock()
@@ -61,11 +61,11 @@
 	if n.watchers == nil {
 		n.watchers = make(map[int]watcher)
 	}
-	n.next++
-	id := n.next
+	n.lastID++
+	id := n.lastID
 	n.watchers[id] = watcher{prefix: prefix, f: f}
 	for _, fact := range m.factsWith(prefix, boottime.Now()) {
-		n.queue = append(n.queue, notice{fact: fact, isFact: true, only: id})
+		n.queue = append(n.queue, notification{fact: fact, isFact: true, watcherID: id})
 	}
 	n.mu.Unlock()
 	m.mu.Unlock()
@@ -77,18 +77,18 @@
 	}
 }
 
-func (m *Membership) queueEvent(e Event) { m.notifier.add(notice{event: e}) }
+func (m *Membership) queueEvent(e Event) { m.notifier.add(notification{event: e}) }
 
-func (m *Membership) queueFact(f Fact) { m.notifier.add(notice{fact: f, isFact: true}) }
+func (m *Membership) queueFact(f Fact) { m.notifier.add(notification{fact: f, isFact: true}) }
 
-func (n *notifier) add(c notice) {
+func (n *notifier) add(c notification) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.queue = append(n.queue, c)
 }
 
-// flush delivers what is queued, unless another goroutine is at it; that one
-// then delivers this too.
+// flush delivers the queued notifications. If another goroutine is delivering, it
+// returns at once, because that goroutine also delivers the new ones.
 func (n *notifier) flush() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -109,8 +109,8 @@
 	}
 }
 
-// calls returns what is to be called for a notice.
-func (n *notifier) calls(c notice) []func() {
+// calls returns the subscriber calls for a notification.
+func (n *notifier) calls(c notification) []func() {
 	var calls []func()
 	if !c.isFact {
 		for _, f := range n.subscribers {
@@ -119,7 +119,7 @@
 		return calls
 	}
 	for id, w := range n.watchers {
-		if strings.HasPrefix(c.fact.Key, w.prefix) && (c.only == 0 || c.only == id) {
+		if strings.HasPrefix(c.fact.Key, w.prefix) && (c.watcherID == 0 || c.watcherID == id) {
 			calls = append(calls, func() { w.f(c.fact) })
 		}
 	}
--- a/membership/options.go
+++ b/membership/options.go
@@ -7,7 +7,7 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// Default intervals and bounds.
+// Defaults of Options.
 const (
 	DefaultInterval           = time.Second
 	DefaultProbeTimeout       = 500 * time.Millisecond
@@ -24,10 +24,10 @@
 	DefaultZoneTargets        = 2
 	DefaultGlobalTargets      = 1
 	DefaultDelegates          = 1
-	DefaultHelpers            = 3
+	DefaultIndirectProbes     = 3
 	DefaultPushFanout         = 4
 	DefaultMaxFacts           = 4096
-	DefaultMaxNewsBytes       = 4 << 10
+	DefaultMaxUpdateBytes     = 4 << 10
 	DefaultMaxSyncBytes       = 16 << 10
 )
 
@@ -35,64 +35,69 @@
 type Options struct {
 	// Self is this host; State and Incarnation are set by New.
 	Self Member
-	// Table holds the presence rows; nil does without.
+	// Table holds the presence rows; nil disables them.
 	Table storage.Table
-	// Seeds are peer addresses to talk to while no other member is known.
+	// Seeds are peer addresses to contact while there is no other live member.
 	Seeds []string
-	// Transport carries the exchanges.
+	// Transport sends the messages.
 	Transport Transport
 
 	// Interval is the time between rounds; default 1 s, jittered by a tenth.
 	Interval time.Duration
-	// ProbeTimeout bounds one exchange; default 500 ms.
+	// ProbeTimeout is the timeout of one exchange; default 500 ms.
 	ProbeTimeout time.Duration
-	// IndirectTimeout bounds a probe through another host; default 900 ms.
+	// IndirectTimeout is the timeout of an indirect probe; default 900 ms.
 	IndirectTimeout time.Duration
-	// SuspicionTimeout is how long a member stays Suspect; default 2.5 s.
+	// SuspicionTimeout is how long a member is Suspect before it is Down;
+	// default 2.5 s.
 	SuspicionTimeout time.Duration
-	// SyncInterval is the least time between comparisons; default 5 s.
+	// SyncInterval is the least time between syncs; default 5 s.
 	SyncInterval time.Duration
-	// PushDelay is how long news waits for more to join it; default 10 ms.
+	// PushDelay is the delay of a push, in which further updates are batched
+	// with it; default 10 ms.
 	PushDelay time.Duration
 
-	// PresenceTTL is the lease of the presence row; default 30 s. It is
-	// renewed each RenewInterval; default 10 s.
+	// PresenceTTL is the lease duration of the presence row; default 30 s. The
+	// row is renewed every RenewInterval; default 10 s.
 	PresenceTTL   time.Duration
 	RenewInterval time.Duration
 	// DiscoverInterval is the least time between listings of the presence
 	// rows; default 30 s.
 	DiscoverInterval time.Duration
-	// TableTimeout bounds one call of the table; default 5 s.
+	// TableTimeout is the timeout of one call of the table; default 5 s.
 	TableTimeout time.Duration
 
-	// DownRetention is how long a member that is Down stays known; default
+	// DownRetention is how long a member that is Down is retained; default
 	// 10 min.
 	DownRetention time.Duration
-	// TombstoneRetention is how long the version of an expired fact stays
-	// known; default 10 min.
+	// TombstoneRetention is how long the version of an expired fact is
+	// retained; default 10 min.
 	TombstoneRetention time.Duration
 
-	// ZoneTargets and GlobalTargets are the neighbours that this host watches
-	// over, in its zone and in the whole; defaults 2 and 1.
+	// ZoneTargets and GlobalTargets are the numbers of neighbours that this host
+	// probes, on the ring of its zone and on the ring of all hosts; defaults 2
+	// and 1.
 	ZoneTargets   int
 	GlobalTargets int
-	// Delegates are the hosts of other zones that it talks to in a round;
-	// default 1.
+	// Delegates is the number of hosts in other zones that this host exchanges
+	// with in a round; default 1.
 	Delegates int
-	// Helpers is the number of hosts that are asked to probe; default 3.
-	Helpers int
-	// PushFanout is the number of hosts that news is pushed to; default 4.
+	// IndirectProbes is the number of hosts asked for an indirect probe;
+	// default 3.
+	IndirectProbes int
+	// PushFanout is the number of hosts that updates are pushed to; default 4.
 	PushFanout int
-	// MaxFacts bounds the number of facts, expired ones included; default
+	// MaxFacts is the maximum number of facts, including expired ones; default
 	// 4096.
 	MaxFacts int
-	// MaxNewsBytes bounds the records of an exchange or push; default 4 KiB.
-	// What doesn't fit goes with the next.
-	MaxNewsBytes int
-	// MaxSyncBytes bounds the records of a comparison; default 16 KiB.
+	// MaxUpdateBytes is the maximum size of the records in an exchange or push;
+	// default 4 KiB. Further records are sent with the next one.
+	MaxUpdateBytes int
+	// MaxSyncBytes is the maximum size of the records in a sync; default 16 KiB.
 	MaxSyncBytes int
 
-	// Seed makes the random choices repeatable; zero takes a random one.
+	// Seed seeds the random choices, which makes them reproducible; zero means a
+	// random seed.
 	Seed uint64
 }
 
@@ -112,10 +117,10 @@
 	setDefault(&o.ZoneTargets, DefaultZoneTargets)
 	setDefault(&o.GlobalTargets, DefaultGlobalTargets)
 	setDefault(&o.Delegates, DefaultDelegates)
-	setDefault(&o.Helpers, DefaultHelpers)
+	setDefault(&o.IndirectProbes, DefaultIndirectProbes)
 	setDefault(&o.PushFanout, DefaultPushFanout)
 	setDefault(&o.MaxFacts, DefaultMaxFacts)
-	setDefault(&o.MaxNewsBytes, DefaultMaxNewsBytes)
+	setDefault(&o.MaxUpdateBytes, DefaultMaxUpdateBytes)
 	setDefault(&o.MaxSyncBytes, DefaultMaxSyncBytes)
 	if o.Seed == 0 {
 		o.Seed = rand.Uint64()
@@ -123,7 +128,7 @@
 	return o
 }
 
-// setDefault replaces a value that isn't positive.
+// setDefault sets a value that isn't positive to the default.
 func setDefault[T int | time.Duration](value *T, fallback T) {
 	if *value <= 0 {
 		*value = fallback
--- a/membership/presence.go
+++ b/membership/presence.go
@@ -13,43 +13,46 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// PresencePrefix starts the keys of the presence rows.
+// PresencePrefix is the key prefix of the presence rows.
 const PresencePrefix = "presence/"
 
 // presenceRow is the value of a presence row.
 type presenceRow struct {
 	Member Member `json:"member"`
-	// Instance differs between processes.
+	// Instance identifies the process.
 	Instance string `json:"instance"`
-	// RenewedAt is in Unix milliseconds, by the writer's clock; it is a hint.
+	// RenewedAt is the time of the last renewal in Unix milliseconds, by the
+	// writer's clock. It is a hint only.
 	RenewedAt int64 `json:"renewed_at"`
 }
 
-// presence is the state of this host's row and of the rows it has seen.
+// presence is the state of this host's presence row and of the rows it has read.
 type presence struct {
 	instance string
 
 	mu sync.Mutex
-	// version is that of this host's row when last written or read; zero if
-	// it doesn't exist. known says that it is current, as far as can be told.
-	version uint64
-	known   bool
-	// written is when a row of this process was last written; zero if never.
-	written   time.Time
+	// version is the version of this host's row when last written or read; zero
+	// if the row doesn't exist. versionKnown is false after a failed write, which
+	// may have changed the row.
+	version      uint64
+	versionKnown bool
+	// renewedAt is when this process last wrote the row; zero if never.
+	renewedAt time.Time
 	withdrawn bool
 
-	// seen is used by the discovery loop alone.
-	seen map[string]sighting
+	// observed holds the rows read, by key. Only the discovery loop uses it.
+	observed map[string]rowObservation
 }
 
 func newPresence() *presence {
-	return &presence{instance: uuid.NewString(), seen: make(map[string]sighting)}
+	return &presence{instance: uuid.NewString(), observed: make(map[string]rowObservation)}
 }
 
-// renewLoop keeps the presence row, whatever the table does.
+// renewLoop renews the presence row. It continues after failures of the table
+// and ends only with ctx or if this process is superseded.
 func (m *Membership) renewLoop(ctx context.Context, cancel context.CancelCauseFunc) {
 	for {
-		m.pause()
+		m.blockHook()
 		if err := m.renew(ctx); errors.Is(err, ErrSuperseded) {
 			cancel(err)
 			return
@@ -62,8 +65,8 @@
 	}
 }
 
-// renew writes the row once, on condition that nobody else did. After a
-// conflict or a lost answer the row is read before the next attempt.
+// renew writes the row on condition that its version hasn't changed. After a
+// conflict or a lost answer it reads the row and tries once more.
 func (m *Membership) renew(ctx context.Context) error {
 	p := m.presence
 	p.mu.Lock()
@@ -73,29 +76,29 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, m.options.TableTimeout)
 	defer cancel()
-	if !p.known {
-		if err := m.readOwn(ctx); err != nil {
+	if !p.versionKnown {
+		if err := m.readOwnRow(ctx); err != nil {
 			return err
 		}
 	}
-	version, err := m.writeOwn(ctx)
+	version, err := m.writeOwnRow(ctx)
 	if errors.Is(err, storage.ErrConflict) || errors.Is(err, storage.ErrUnknown) {
-		if err := m.readOwn(ctx); err != nil {
+		if err := m.readOwnRow(ctx); err != nil {
 			return err
 		}
-		version, err = m.writeOwn(ctx)
+		version, err = m.writeOwnRow(ctx)
 	}
 	if err != nil {
-		p.known = false
+		p.versionKnown = false
 		return err
 	}
-	p.version, p.known, p.written = version, true, boottime.Now()
+	p.version, p.versionKnown, p.renewedAt = version, true, boottime.Now()
 	return nil
 }
 
 func (m *Membership) ownKey() string { return PresencePrefix + m.options.Self.ID }
 
-func (m *Membership) writeOwn(ctx context.Context) (uint64, error) {
+func (m *Membership) writeOwnRow(ctx context.Context) (uint64, error) {
 	row := presenceRow{Member: m.Self(), Instance: m.presence.instance, RenewedAt: time.Now().UnixMilli()}
 	value, err := json.Marshal(row)
 	if err != nil {
@@ -112,25 +115,26 @@
 	return version, nil
 }
 
-// readOwn reads this host's row. A row of an earlier process with a higher
-// incarnation raises this one's; a row of another process that appears after
-// this one wrote its own means that this one is superseded.
-func (m *Membership) readOwn(ctx context.Context) error {
+// readOwnRow reads this host's row. If it belongs to an earlier process with an
+// incarnation that isn't lower, this process increases its own beyond it. If it
+// belongs to another process although this one has written the row before, this
+// process is superseded.
+func (m *Membership) readOwnRow(ctx context.Context) error {
 	p := m.presence
 	stored, err := m.options.Table.Get(ctx, m.ownKey())
 	if errors.Is(err, storage.ErrNotFound) {
-		p.version, p.known = 0, true
+		p.version, p.versionKnown = 0, true
 		return nil
 	}
 	if err != nil {
 		return fmt.Errorf("membership: read presence: %w", err)
 	}
-	p.version, p.known = stored.Version, true
+	p.version, p.versionKnown = stored.Version, true
 	var row presenceRow
 	if json.Unmarshal(stored.Value, &row) != nil || row.Instance == p.instance {
 		return nil
 	}
-	if !p.written.IsZero() {
+	if !p.renewedAt.IsZero() {
 		return ErrSuperseded
 	}
 	m.mu.Lock()
@@ -142,14 +146,14 @@
 	return nil
 }
 
-// withdrawPresence deletes the row, if it is still this process's. Where that
-// fails the row lapses.
+// withdrawPresence deletes the row if it still belongs to this process. If the
+// deletion fails, the lease expires.
 func (m *Membership) withdrawPresence(ctx context.Context) {
 	p := m.presence
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.withdrawn = true
-	if m.options.Table == nil || !p.known || p.version == 0 {
+	if m.options.Table == nil || !p.versionKnown || p.version == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, m.options.TableTimeout)
--- a/membership/presence_test.go
+++ b/membership/presence_test.go
@@ -26,26 +26,26 @@
 }
 
 func TestPresenceIsRenewedThroughLostAnswersAndOutages(t *testing.T) {
-	inBubble(t, 2, 1, func(t *testing.T, n *network, hosts []*host) {
+	runNetwork(t, 2, 1, func(t *testing.T, n *network, hosts []*host) {
 		is := is.New(t)
 		first, _ := readPresence(t, n.table, hostID(0))
-		n.table.setLoseAnswers(true)
+		n.table.setLoseResponses(true)
 		time.Sleep(time.Minute)
 		second, _ := readPresence(t, n.table, hostID(0))
 		is.True(second.RenewedAt > first.RenewedAt)
-		n.table.setLoseAnswers(false)
+		n.table.setLoseResponses(false)
 		n.table.setFail(storage.ErrUnavailable)
 		time.Sleep(time.Minute)
 		n.table.setFail(nil)
 		time.Sleep(2 * DefaultRenewInterval)
 		third, _ := readPresence(t, n.table, hostID(0))
 		is.True(third.RenewedAt > second.RenewedAt)
-		is.True(whole(hosts)) // the table's troubles are nobody's failure
+		is.True(allUp(hosts)) // faults of the table make no host Suspect or Down
 	})
 }
 
 func TestAbandonedRowsAreRemoved(t *testing.T) {
-	inBubble(t, 3, 1, func(t *testing.T, n *network, hosts []*host) {
+	runNetwork(t, 3, 1, func(t *testing.T, n *network, hosts []*host) {
 		hosts[2].kill()
 		waitFor(t, 15*time.Minute, "row removed", func() bool {
 			_, err := n.table.Get(t.Context(), PresencePrefix+hostID(2))
@@ -60,7 +60,7 @@
 		is := is.New(t)
 		n := newNetwork()
 		defer n.stop(t)
-		const later = uint64(1) << 50 // of a clock that was ahead
+		const later = uint64(1) << 50 // from a clock that was ahead
 		value, err := json.Marshal(presenceRow{Member: Member{ID: hostID(0), State: Up, Incarnation: later}, Instance: "earlier"})
 		is.NoErr(err)
 		_, err = n.table.Commit(t.Context(), storage.Txn{Puts: []storage.Put{{Key: PresencePrefix + hostID(0), Value: value}}})
@@ -73,7 +73,7 @@
 	})
 }
 
-func TestLaterProcessWithTheSameIDSupersedes(t *testing.T) {
+func TestLaterProcessWithSameIDSupersedes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := newNetwork()
@@ -87,7 +87,7 @@
 	})
 }
 
-// slowTable never answers within its caller's time.
+// slowTable is a table whose listings time out.
 type slowTable struct{ *memoryTable }
 
 func (slowTable) List(ctx context.Context, _, _ string, _ int) ([]storage.Row, error) {
@@ -106,8 +106,8 @@
 				o.Seeds = []string{"127.1.0.0:7946"}
 			}))
 		}
-		waitFor(t, 15*time.Second, "all up", func() bool { return whole(hosts) })
+		waitFor(t, 15*time.Second, "all up", func() bool { return allUp(hosts) })
 		hosts[1].kill()
-		waitFor(t, downWithin, "down", func() bool { return allSee(hosts, hostID(1), Down) })
+		waitFor(t, downWithin, "down", func() bool { return allObserve(hosts, hostID(1), Down) })
 	})
 }
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -7,8 +7,8 @@
 	"github.com/quetzalweir/quetzalweir/internal/boottime"
 )
 
-// probe exchanges with a target. If that fails, others are asked to reach it;
-// if they can't, it is suspected.
+// probe performs an exchange with a target. If it fails, other hosts probe the
+// target; if these fail too, the target becomes Suspect.
 func (m *Membership) probe(ctx context.Context, target Member, epoch uint64) {
 	defer func() {
 		m.mu.Lock()
@@ -23,13 +23,13 @@
 		return
 	}
 	m.mu.Lock()
-	m.suspect(target, epoch, start, boottime.Now())
+	m.applyFailedProbe(target, epoch, start, boottime.Now())
 	m.mu.Unlock()
 	m.notifier.flush()
 }
 
-// probeIndirect asks helpers to reach the target, and reports at the first
-// that did.
+// probeIndirect asks other hosts to probe the target, and reports whether one of
+// them reached it.
 func (m *Membership) probeIndirect(ctx context.Context, target Member) bool {
 	helpers := m.helpers(target.ID)
 	if len(helpers) == 0 {
@@ -40,7 +40,7 @@
 	results := make(chan bool, len(helpers))
 	for _, helper := range helpers {
 		go func() {
-			request := m.request(KindProbe, helper.ID)
+			request := m.newRequest(KindProbe, helper.ID)
 			request.Target = &target
 			answer, err := m.exchange(ctx, helper, request, m.options.IndirectTimeout)
 			results <- err == nil && answer.Reached
@@ -50,13 +50,14 @@
 	for range helpers {
 		if <-results {
 			reached = true
-			cancel() // the rest need not wait
+			cancel() // the other results aren't needed
 		}
 	}
 	return reached
 }
 
-// helpers returns random live members other than the target.
+// helpers returns the hosts for an indirect probe: random live members, except
+// the target and members that are Suspect.
 func (m *Membership) helpers(target string) []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -67,46 +68,46 @@
 			continue
 		}
 		chosen = append(chosen, member)
-		if len(chosen) == m.options.Helpers {
+		if len(chosen) == m.options.IndirectProbes {
 			break
 		}
 	}
 	return chosen
 }
 
-// request returns a message without news.
-func (m *Membership) request(kind Kind, to string) Message {
+// newRequest returns a message without updates.
+func (m *Membership) newRequest(kind Kind, to string) Message {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.envelope(kind, to)
+	return m.newMessage(kind, to)
 }
 
-// ping probes a target for another host.
+// ping probes a target on behalf of another host.
 func (m *Membership) ping(ctx context.Context, target Member) bool {
-	_, err := m.exchange(ctx, target, m.request(KindPing, target.ID), m.options.ProbeTimeout)
+	_, err := m.exchange(ctx, target, m.newRequest(KindPing, target.ID), m.options.ProbeTimeout)
 	return err == nil
 }
 
-// suspect records the outcome of a probe that began at start. It has no
-// effect if the probe says more of this host than of the target, or if there
-// is newer word of the target.
-func (m *Membership) suspect(target Member, epoch uint64, start, now time.Time) {
-	longest := m.options.ProbeTimeout + m.options.IndirectTimeout + sweepInterval
-	if epoch != m.epoch || now.Sub(start) > longest {
-		return // this host was frozen or starved meanwhile
-	}
-	if m.lastHeard.Before(start) && len(m.rings.all) > fewMembers {
+// applyFailedProbe handles the failure of a probe that began at start. It has no
+// effect if the fault may be this host's, or if there is a later message or a
+// newer record of the target.
+func (m *Membership) applyFailedProbe(target Member, epoch uint64, start, now time.Time) {
+	maxDuration := m.options.ProbeTimeout + m.options.IndirectTimeout + sweepInterval
+	if epoch != m.pauseEpoch || now.Sub(start) > maxDuration {
+		return // this process was paused or starved during the probe
+	}
+	if m.lastContact.Before(start) && len(m.rings.all) > maxPeersWithoutIsolation {
 		return
 	}
 	r := m.store.member(target.ID)
-	if r == nil || r.version > target.version() || !r.heard.Before(start) {
+	if r == nil || r.version > target.version() || !r.lastContact.Before(start) {
 		return
 	}
-	m.doubt(r, now)
+	m.markUnresponsive(r, now)
 }
 
-// doubt makes a member that is Up Suspect, and one that is Leaving Down.
-func (m *Membership) doubt(r *record, now time.Time) {
+// markUnresponsive changes a member from Up to Suspect, or from Leaving to Down.
+func (m *Membership) markUnresponsive(r *record, now time.Time) {
 	member := r.member
 	switch member.State {
 	case Up:
@@ -116,17 +117,18 @@
 	default:
 		return
 	}
-	m.setMember(r, member, own, now)
+	m.setMember(r, member, localOrigin, now)
 	m.publish()
 }
 
-// isolated says that this host heard of nobody for a while. It is likelier to
-// be cut off than all others to have failed at once, unless there are few.
+// isolated reports whether no message of another host has arrived for a while.
+// Unless there are few other hosts, it is more likely that this host is
+// partitioned than that all others have failed at once.
 func (m *Membership) isolated(now time.Time) bool {
-	if len(m.rings.all) <= fewMembers {
+	if len(m.rings.all) <= maxPeersWithoutIsolation {
 		return false
 	}
-	return now.Sub(m.lastHeard) > silentIntervals*m.options.Interval
+	return now.Sub(m.lastContact) > isolationIntervals*m.options.Interval
 }
 
 // sweep applies the timeouts.
@@ -147,17 +149,17 @@
 
 func (m *Membership) sweepMember(r *record, isolated bool, now time.Time) {
 	if r.member.State == Suspect && isolated {
-		r.since = now // it gets its time to refute when contact is back
+		r.updatedAt = now // restart the timeout, so that it can refute after the isolation
 	}
-	age := now.Sub(r.since)
+	age := now.Sub(r.updatedAt)
 	switch {
 	case r.member.State == Suspect && age >= m.options.SuspicionTimeout:
 		member := r.member
 		member.State = Down
-		m.setMember(r, member, own, now)
+		m.setMember(r, member, localOrigin, now)
 	case r.member.State == Down && age >= m.options.DownRetention:
 		m.store.remove(r)
-		m.changed = true
+		m.membersChanged = true
 	}
 }
 
@@ -174,18 +176,18 @@
 	m.setFact(r, fact, now)
 }
 
-// thaw is called after a freeze. What this host believes is old: probes in
-// progress don't count, suspicions start again, and it announces itself anew,
-// because others may have declared it Down.
-func (m *Membership) thaw(now time.Time) {
+// resumeAfterPause handles a pause of this process, after which its records are
+// outdated. Probes in progress are ignored, suspicion timeouts restart, and this
+// host announces a new incarnation, because others may have declared it Down.
+func (m *Membership) resumeAfterPause(now time.Time) {
 	m.mu.Lock()
-	m.stats.Thawed++
-	m.epoch++
-	m.lastHeard = time.Time{}
+	m.stats.Pauses++
+	m.pauseEpoch++
+	m.lastContact = time.Time{}
 	m.nextSync = now
 	for _, r := range m.store.records {
 		if r.isMember && r.member.State == Suspect {
-			r.since = now
+			r.updatedAt = now
 		}
 	}
 	m.announce(m.self.Incarnation+1, now)
--- a/membership/push.go
+++ b/membership/push.go
@@ -10,62 +10,62 @@
 	"github.com/quetzalweir/quetzalweir/internal/boottime"
 )
 
-// push sends new records at once to a few hosts, which do the same with what
-// is new to them. It waits a moment before, so that news that comes together
-// goes together.
+// push sends new records to a few hosts, which push the records that are new to
+// them in turn. A short delay batches updates that arrive together.
 func (m *Membership) push(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 		return
 	case <-time.After(m.options.PushDelay):
 	}
-	m.pause()
+	m.blockHook()
 	m.mu.Lock()
-	records := m.takeUrgent()
+	records := m.takePending()
 	targets := m.pushTargets()
 	m.mu.Unlock()
 	m.pushTo(ctx, records, targets)
 }
 
-// takeUrgent returns the records that fit into one push, in the order of
-// their keys, and leaves the rest for another.
-func (m *Membership) takeUrgent() []*record {
-	records := make([]*record, 0, len(m.urgent))
-	for _, r := range m.urgent {
+// takePending returns the records that fit into one push, in the order of their
+// keys, and leaves the rest for the next one.
+func (m *Membership) takePending() []*record {
+	records := make([]*record, 0, len(m.pendingPush))
+	for _, r := range m.pendingPush {
 		records = append(records, r)
 	}
 	slices.SortFunc(records, func(a, b *record) int { return compareKeys(a.key, b.key) })
 	size := 0
 	for i, r := range records {
 		size += r.size()
-		if size > m.options.MaxNewsBytes {
-			m.wakePush()
+		if size > m.options.MaxUpdateBytes {
+			m.signalPush()
 			return records[:i]
 		}
-		delete(m.urgent, r.key)
+		delete(m.pendingPush, r.key)
 	}
 	return records
 }
 
-// wakePush tells Run that there is something to push.
-func (m *Membership) wakePush() {
+// signalPush signals Run that there are records to push.
+func (m *Membership) signalPush() {
 	select {
-	case m.wake <- struct{}{}:
+	case m.pushSignal <- struct{}{}:
 	default:
 	}
 }
 
-// pushTargets returns live members, half of them in the zone: the successors on both
-// rings, then random ones. The random ones are quick, but miss a host of 28 in one push
-// of fifty; round the rings news comes to every host that no message is lost to.
+// pushTargets returns live members, about half of them in the zone: the successors on
+// both rings, then random ones. Random targets alone are fast, but in one push of fifty
+// missed one of 28 hosts; along the rings an update reaches every host to which no
+// message is lost.
 func (m *Membership) pushTargets() []Member {
 	fanout := m.options.PushFanout
 	var chosen []Member
-	chosen = appendNew(chosen, successors(m.rings.zone, 1), 1)
-	chosen = appendNew(chosen, successors(m.rings.all, 1), 1)
-	chosen = appendNew(chosen, m.shuffled(m.rings.zone), max(0, fanout/2-len(chosen)))
-	chosen = appendNew(chosen, m.shuffled(m.rings.others), fanout-len(chosen))
-	return appendNew(chosen, m.shuffled(m.rings.all), fanout-len(chosen))
+	chosen = appendDistinct(chosen, successors(m.rings.zone, 1), 1)
+	chosen = appendDistinct(chosen, successors(m.rings.all, 1), 1)
+	chosen = appendDistinct(chosen, m.shuffled(m.rings.zone), max(0, fanout/2-len(chosen)))
+	chosen = appendDistinct(chosen, m.shuffled(m.rings.others), fanout-len(chosen))
+	return appendDistinct(chosen, m.shuffled(m.rings.all), fanout-len(chosen))
 }
 
 func (m *Membership) shuffled(members []Member) []Member {
@@ -74,32 +74,32 @@
 	return members
 }
 
-// pushTo sends the records to all targets and returns how many got them.
+// pushTo sends the records to all targets and returns how many received them.
 func (m *Membership) pushTo(ctx context.Context, records []*record, targets []Member) int {
 	if len(records) == 0 {
 		return 0
 	}
-	var work sync.WaitGroup
+	var workers sync.WaitGroup
 	results := make(chan bool, len(targets))
 	for _, target := range targets {
-		work.Go(func() { results <- m.pushOne(ctx, target, records) })
+		workers.Go(func() { results <- m.pushOne(ctx, target, records) })
 	}
-	work.Wait()
+	workers.Wait()
 	close(results)
-	told := 0
+	delivered := 0
 	for ok := range results {
 		if ok {
-			told++
+			delivered++
 		}
 	}
-	return told
+	return delivered
 }
 
 func (m *Membership) pushOne(ctx context.Context, target Member, records []*record) bool {
 	now := boottime.Now()
 	m.mu.Lock()
-	message := m.envelope(KindPush, target.ID)
-	added := m.add(&message, records, target.ID, m.options.MaxNewsBytes, now)
+	message := m.newMessage(KindPush, target.ID)
+	added := m.addRecords(&message, records, target.ID, m.options.MaxUpdateBytes, now)
 	if len(added) > 0 {
 		m.stats.Pushes++
 	}
@@ -111,25 +111,25 @@
 	if err != nil {
 		return false
 	}
-	m.sent(added)
-	m.offer(answer.Want)
+	m.recordSent(added)
+	m.requeue(answer.Wanted)
 	return true
 }
 
-// offer puts the records that another host lacks on the hot list again.
-func (m *Membership) offer(keys []string) {
+// requeue adds the records that another host lacks to the broadcast queue again.
+func (m *Membership) requeue(keys []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, key := range keys {
-		if r := m.store.get(key); r != nil && !r.hot {
-			m.store.heat(r, "")
+		if r := m.store.get(key); r != nil && !r.queued {
+			m.store.enqueue(r, "")
 		}
 	}
 }
 
-// Leave announces that this host finishes its work, and removes its presence
-// row. Run goes on, and is ended by its context when the work is done. The
-// error is ErrNobodyTold if no other host answered.
+// Leave announces that this host is finishing its work, and removes its presence
+// row. Run continues; the caller ends it by its context when the work is done.
+// Leave returns ErrLeaveNotDelivered if no other host answered.
 func (m *Membership) Leave(ctx context.Context) error {
 	m.mu.Lock()
 	m.self.State = Leaving
@@ -138,10 +138,10 @@
 	targets := m.pushTargets()
 	m.mu.Unlock()
 	m.notifier.flush()
-	told := m.pushTo(ctx, records, targets)
+	delivered := m.pushTo(ctx, records, targets)
 	m.withdrawPresence(ctx)
-	if told == 0 && len(targets) > 0 {
-		return fmt.Errorf("%w: %d tried", ErrNobodyTold, len(targets))
+	if delivered == 0 && len(targets) > 0 {
+		return fmt.Errorf("%w: %d tried", ErrLeaveNotDelivered, len(targets))
 	}
 	return nil
 }
--- a/membership/push_test.go
+++ b/membership/push_test.go
@@ -8,9 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// pushed returns the hosts that news of the first one reaches by pushes alone, if no
-// message is lost: each host that it is new to pushes it on once.
-func pushed(members []Member, seed uint64) int {
+// countReached returns the number of hosts that an update of the first host reaches by
+// pushes alone if no message is lost: each host that receives it first pushes it once.
+func countReached(members []Member, seed uint64) int {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	reached := map[string]bool{members[0].ID: true}
 	queue := []Member{members[0]}
@@ -28,7 +28,7 @@
 	return len(reached)
 }
 
-// News is pushed to every host, whatever hosts the pushers draw.
+// Pushes reach every host, whatever random targets are selected.
 func TestPushReachesAll(t *testing.T) {
 	for _, size := range [][2]int{{2, 1}, {3, 3}, {7, 3}, {28, 4}, {73, 3}} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -39,7 +39,7 @@
 				members = append(members, Member{ID: hostID(i), Zone: fmt.Sprint("zone-", i%zones)})
 			}
 			for seed := range uint64(300) {
-				is.Equal(pushed(members, seed), count)
+				is.Equal(countReached(members, seed), count)
 			}
 		})
 	}
--- a/membership/scale_test.go
+++ b/membership/scale_test.go
@@ -12,62 +12,64 @@
 
 var measure = flag.Bool("measure", false, "measure all sizes up to 440 hosts")
 
-// sizes are numbers of hosts and zones.
+// sizes are the measured numbers of hosts and zones.
 var sizes = [][2]int{{7, 3}, {14, 3}, {28, 4}, {56, 6}, {112, 10}, {224, 18}, {440, 32}}
 
-// figures are what one size gave.
-type figures struct {
+// measurements are the results for one size.
+type measurements struct {
 	hosts, zones int
-	// joined is the time from a start of all at once until all know all.
+	// joined is the time from a simultaneous start until all hosts have all
+	// members as Up.
 	joined time.Duration
-	// bytes and messages are per host and second, in and out, while idle.
+	// bytes and messages are sent and received per host and second while idle.
 	bytes, messages float64
-	// cpu is the processor time per host and round, with the encoding.
+	// cpu is the processor time per host and round, including the encoding.
 	cpu time.Duration
-	// spread is the longest of the trials until all have a pushed fact;
-	// factBytes is what a host sent and received for one.
+	// spread is the longest time of the trials until all hosts have a pushed
+	// fact; factBytes is the traffic per host and fact.
 	spread    time.Duration
 	factBytes float64
-	// suspect and down are times until all hold a killed host to be so.
+	// suspect and down are the times until all hosts have a killed host in that
+	// state.
 	suspect, down time.Duration
-	// memory is heap per host and known member, in bytes.
+	// memory is the heap size per host and member, in bytes.
 	memory float64
 }
 
-// TestSpreadAndCost prints the figures of docs/CAPACITY.md, and holds them
+// TestSpreadAndCost prints the measurements for docs/CAPACITY.md and checks them
 // against the targets.
 func TestSpreadAndCost(t *testing.T) {
-	chosen := sizes[:3]
+	selected := sizes[:3]
 	if *measure {
-		chosen = sizes
+		selected = sizes
 	}
 	t.Logf("%6s %6s %8s %10s %8s %8s %10s %10s %9s %8s %9s", "hosts", "zones", "joined",
 		"bytes/s", "msgs/s", "cpu/rnd", "fact all", "fact bytes", "suspect", "down", "B/member")
-	for _, size := range chosen {
+	for _, size := range selected {
 		synctest.Test(t, func(t *testing.T) {
 			f := measureSize(t, size[0], size[1])
 			t.Logf("%6d %6d %8v %10.0f %8.1f %8v %10v %10.0f %9v %8v %9.0f", f.hosts, f.zones,
 				f.joined, f.bytes, f.messages, f.cpu, f.spread, f.factBytes, f.suspect, f.down, f.memory)
 			const maxBytes = 7000
 			if f.bytes > maxBytes || f.suspect > suspectWithin || f.down > downWithin || f.spread > time.Second {
-				t.Errorf("over a target: %+v", f)
+				t.Errorf("target exceeded: %+v", f)
 			}
 		})
 	}
 }
 
-func measureSize(t *testing.T, count, zones int) figures {
+func measureSize(t *testing.T, count, zones int) measurements {
 	const (
 		settle = 30 * time.Second
 		idle   = 20 * time.Second
 		trials = 5
 	)
-	f := figures{hosts: count, zones: zones}
+	f := measurements{hosts: count, zones: zones}
 	heap := heapBytes()
 	n := newNetwork()
 	hosts := n.start(t, count, zones)
 	defer n.stop(t)
-	f.joined = waitFor(t, 5*time.Minute, "all up", func() bool { return whole(hosts) })
+	f.joined = waitFor(t, 5*time.Minute, "all up", func() bool { return allUp(hosts) })
 	time.Sleep(settle)
 	f.memory = float64(heapBytes()-heap) / float64(count*count)
 
@@ -91,8 +93,8 @@
 
 	killed := count / 2
 	hosts[killed].kill()
-	f.suspect = waitFor(t, downWithin, "suspect", func() bool { return allSee(hosts, hostID(killed), Suspect, Down) })
-	f.down = f.suspect + waitFor(t, downWithin, "down", func() bool { return allSee(hosts, hostID(killed), Down) })
+	f.suspect = waitFor(t, downWithin, "suspect", func() bool { return allObserve(hosts, hostID(killed), Suspect, Down) })
+	f.down = f.suspect + waitFor(t, downWithin, "down", func() bool { return allObserve(hosts, hostID(killed), Down) })
 	return f
 }
 
@@ -103,8 +105,8 @@
 	return stats.HeapAlloc
 }
 
-// cpuTime is the processor time of this process; the network's own work is in
-// it.
+// cpuTime returns the processor time of this process, which includes the
+// simulated network.
 func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
--- a/membership/stats.go
+++ b/membership/stats.go
@@ -1,38 +1,39 @@
 package membership
 
-// Stats counts what a host did since its start.
+// Stats holds the counters of a host since its start.
 type Stats struct {
-	// Rounds is the number of rounds, Exchanges of messages sent and Failures
-	// of those without an answer.
+	// Rounds counts rounds, Exchanges messages sent, and Failures messages
+	// without an answer.
 	Rounds    uint64
 	Exchanges uint64
 	Failures  uint64
-	// Pushes counts messages that brought news at once.
+	// Pushes counts push messages sent.
 	Pushes uint64
-	// Syncs counts comparisons of records.
+	// Syncs counts syncs that this host started.
 	Syncs uint64
-	// Suspected and Declared count members that became Suspect and Down here.
-	Suspected uint64
-	Declared  uint64
-	// Refuted counts what others said of this host and it refuted.
+	// Suspected and DeclaredDown count the changes of members to Suspect and
+	// Down.
+	Suspected    uint64
+	DeclaredDown uint64
+	// Refuted counts the records of this host sent by others that it refuted.
 	Refuted uint64
-	// Thawed counts the freezes that this host noticed.
-	Thawed uint64
-	// FactsDropped counts facts over the bound.
+	// Pauses counts the process pauses that this host detected.
+	Pauses uint64
+	// FactsDropped counts facts rejected because of MaxFacts.
 	FactsDropped uint64
 }
 
-// count counts a member's change of state.
+// count counts a member's change to a state.
 func (s *Stats) count(state State) {
 	switch state {
 	case Suspect:
 		s.Suspected++
 	case Down:
-		s.Declared++
+		s.DeclaredDown++
 	}
 }
 
-// Stats returns the counts.
+// Stats returns the counters.
 func (m *Membership) Stats() Stats {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/membership/store.go
+++ b/membership/store.go
@@ -8,22 +8,23 @@
 )
 
 const (
-	// bucketCount is the number of parts that the records are compared in.
+	// bucketCount is the number of buckets in which a sync compares records.
 	bucketCount = 64
 	// bucketBytes is the size of a bucket's sum in a message.
 	bucketBytes = 4
-	// Prefixes keep the keys of members and facts apart.
+	// memberPrefix and factPrefix separate the keys of members and facts.
 	memberPrefix = "m/"
 	factPrefix   = "f/"
 )
 
-// record is one member or fact with what is needed to spread it.
+// record is one member or fact with the state of its dissemination.
 type record struct {
 	key    string
 	bucket uint8
-	// sum is what the record adds to its bucket's sum; zero if it is left out.
+	// sum is the record's contribution to its bucket's sum; zero if the digest
+	// excludes it.
 	sum uint64
-	// version and hash are what an Entry says of it.
+	// version and hash are the record's Entry.Version and Entry.Hash.
 	version uint64
 	hash    uint32
 
@@ -31,32 +32,32 @@
 	member   Member
 	fact     Fact
 
-	// since is when the present version was learnt.
-	since time.Time
+	// updatedAt is when the current version was stored.
+	updatedAt time.Time
 	// expires is the end of a fact's lifetime or of its tombstone; zero if
 	// none.
 	expires time.Time
-	// heard is when a message of the member last came.
-	heard time.Time
-
-	// hot says that the record is in the store's hot list; sends counts the
-	// messages that carried this version.
-	hot   bool
-	sends int
-	// source is the host that brought this version; it isn't told again.
+	// lastContact is when the last message of the member arrived.
+	lastContact time.Time
+
+	// queued reports whether the record is in the broadcast queue; transmits
+	// counts the messages sent with this version.
+	queued    bool
+	transmits int
+	// source is the host that sent this version; it isn't sent back there.
 	source string
 }
 
-// lists says whether the record takes part in digests: members that are Down
-// and expired facts don't, because hosts drop them at different times.
-func (r *record) lists() bool {
+// inDigest reports whether digests include the record. They exclude members that
+// are Down and expired facts, because hosts remove these at different times.
+func (r *record) inDigest() bool {
 	if r.isMember {
 		return r.member.alive()
 	}
 	return !r.fact.Expired()
 }
 
-// size estimates the record's size in a message, in bytes.
+// size returns the estimated size of the record in a message, in bytes.
 func (r *record) size() int {
 	const overhead = 64
 	if r.isMember {
@@ -66,13 +67,13 @@
 	return overhead + len(r.fact.Key) + len(r.fact.Value)*4/3
 }
 
-// store holds all records, their sums by bucket, and the hot list: the ones
-// that still have to be sent.
+// store holds all records, their sums by bucket, and the broadcast queue: the
+// records to send with the next exchanges.
 type store struct {
-	records map[string]*record
-	sums    [bucketCount]uint64
-	buckets [bucketCount]map[string]*record
-	hot     []*record
+	records    map[string]*record
+	sums       [bucketCount]uint64
+	buckets    [bucketCount]map[string]*record
+	broadcasts []*record
 	// members and facts count the records of each kind.
 	members, facts int
 }
@@ -92,7 +93,7 @@
 
 func (s *store) fact(key string) *record { return s.records[factPrefix+key] }
 
-// ensure returns the record of a key, made if it is absent.
+// ensure returns the record of a key and creates it if necessary.
 func (s *store) ensure(key string, isMember bool) *record {
 	if r, ok := s.records[key]; ok {
 		return r
@@ -104,15 +105,15 @@
 	return r
 }
 
-// updated takes a record's new content into the sums.
-func (s *store) updated(r *record) {
+// refreshSum updates the version and the sums after a change of the record.
+func (s *store) refreshSum(r *record) {
 	r.version, r.hash = r.member.version(), 0
 	if !r.isMember {
 		r.version, r.hash = r.fact.Version, uint32(xxhash.Sum64(r.fact.Value))
 	}
 	s.sums[r.bucket] ^= r.sum
 	r.sum = 0
-	if r.lists() {
+	if r.inDigest() {
 		r.sum = recordSum(r)
 	}
 	s.sums[r.bucket] ^= r.sum
@@ -125,32 +126,33 @@
 	return xxhash.Sum64(data)
 }
 
-// heat puts a record on the hot list, as not sent yet.
-func (s *store) heat(r *record, source string) {
-	r.sends = 0
+// enqueue adds a record to the broadcast queue and resets its transmissions.
+func (s *store) enqueue(r *record, source string) {
+	r.transmits = 0
 	r.source = source
-	if r.hot {
+	if r.queued {
 		return
 	}
-	r.hot = true
-	s.hot = append(s.hot, r)
+	r.queued = true
+	s.broadcasts = append(s.broadcasts, r)
 }
 
-// cool drops the records that were sent limit times.
-func (s *store) cool(limit int) {
-	kept := s.hot[:0]
-	for _, r := range s.hot {
-		if r.sends < limit && s.records[r.key] == r {
+// pruneSent removes the records that were sent limit times from the broadcast
+// queue.
+func (s *store) pruneSent(limit int) {
+	kept := s.broadcasts[:0]
+	for _, r := range s.broadcasts {
+		if r.transmits < limit && s.records[r.key] == r {
 			kept = append(kept, r)
 			continue
 		}
-		r.hot = false
+		r.queued = false
 	}
-	clear(s.hot[len(kept):])
-	s.hot = kept
+	clear(s.broadcasts[len(kept):])
+	s.broadcasts = kept
 }
 
-// remove forgets a record.
+// remove removes a record.
 func (s *store) remove(r *record) {
 	s.sums[r.bucket] ^= r.sum
 	delete(s.records, r.key)
@@ -166,8 +168,8 @@
 	s.facts += change
 }
 
-// sum returns the digest of all records.
-func (s *store) sum() uint64 {
+// digest returns the digest of all records.
+func (s *store) digest() uint64 {
 	var total uint64
 	for _, sum := range s.sums {
 		total ^= sum
@@ -175,7 +177,7 @@
 	return total
 }
 
-// bucketSums returns the sums as a message carries them.
+// bucketSums returns the sums in the encoding of Message.Buckets.
 func (s *store) bucketSums() []byte {
 	data := make([]byte, 0, bucketCount*bucketBytes)
 	for _, sum := range s.sums {
@@ -184,14 +186,14 @@
 	return data
 }
 
-// differing returns the buckets whose sums aren't those of another host.
-func (s *store) differing(theirs []byte) []byte {
-	if len(theirs) != bucketCount*bucketBytes {
+// differingBuckets returns the buckets whose sums differ from another host's.
+func (s *store) differingBuckets(remote []byte) []byte {
+	if len(remote) != bucketCount*bucketBytes {
 		return nil
 	}
 	var buckets []byte
 	for i, sum := range s.sums {
-		if uint32(sum) != binary.BigEndian.Uint32(theirs[i*bucketBytes:]) {
+		if uint32(sum) != binary.BigEndian.Uint32(remote[i*bucketBytes:]) {
 			buckets = append(buckets, byte(i))
 		}
 	}
--- a/membership/sync.go
+++ b/membership/sync.go
@@ -9,19 +9,19 @@
 	"github.com/quetzalweir/quetzalweir/internal/boottime"
 )
 
-// maxListing is the number of entries of a listing after which no further
-// bucket is listed.
-const maxListing = 256
+// maxListingEntries is the number of entries from which no further bucket is
+// added to a listing.
+const maxListingEntries = 256
 
 func compareKeys(a, b string) int { return cmp.Compare(a, b) }
 
-// sync compares records with another host, whose bucket sums differ: it lists
-// its own records of those buckets, takes in what the other host has newer,
-// and sends what that one wants.
+// sync reconciles the records with another host whose bucket sums differ: it
+// sends a listing of the differing buckets, merges the records that are newer on
+// the other host, and sends the records that the other host lacks.
 func (m *Membership) sync(ctx context.Context, to Member, buckets []byte) {
 	m.mu.Lock()
-	listing, whole := m.list(m.store.differing(buckets))
-	request := m.envelope(KindSync, to.ID)
+	listing, complete := m.newListing(m.store.differingBuckets(buckets))
+	request := m.newMessage(KindSync, to.ID)
 	m.stats.Syncs++
 	m.mu.Unlock()
 	if len(listing.Buckets) == 0 {
@@ -32,25 +32,25 @@
 	if err != nil {
 		return
 	}
-	m.sendWanted(ctx, to, answer.Want)
-	if answer.More || !whole {
+	m.sendWanted(ctx, to, answer.Wanted)
+	if answer.Truncated || !complete {
 		m.syncSoon()
 		return
 	}
 	m.setJoined()
 }
 
-// syncSoon makes the next exchange compare again, where one comparison wasn't
-// enough.
+// syncSoon requests another sync with the next exchange, for use when one sync
+// wasn't enough.
 func (m *Membership) syncSoon() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.nextSync = boottime.Now()
 }
 
-// list lists whole buckets, from a random one on, and reports whether it
-// listed all.
-func (m *Membership) list(buckets []byte) (Listing, bool) {
+// newListing lists complete buckets, beginning with a random one, and reports
+// whether it listed all.
+func (m *Membership) newListing(buckets []byte) (Listing, bool) {
 	var listing Listing
 	if len(buckets) == 0 {
 		return listing, true
@@ -61,12 +61,12 @@
 		if bucket >= bucketCount {
 			continue
 		}
-		if len(listing.Entries) >= maxListing {
+		if len(listing.Entries) >= maxListingEntries {
 			return listing, false
 		}
 		listing.Buckets = append(listing.Buckets, bucket)
-		for _, r := range m.inBucket(bucket) {
-			if r.lists() {
+		for _, r := range m.bucketRecords(bucket) {
+			if r.inDigest() {
 				listing.Entries = append(listing.Entries, Entry{Key: r.key, Version: r.version, Hash: r.hash})
 			}
 		}
@@ -74,8 +74,8 @@
 	return listing, true
 }
 
-// inBucket returns a bucket's records in the order of their keys.
-func (m *Membership) inBucket(bucket byte) []*record {
+// bucketRecords returns the records of a bucket in the order of their keys.
+func (m *Membership) bucketRecords(bucket byte) []*record {
 	var records []*record
 	for _, r := range m.store.buckets[bucket] {
 		records = append(records, r)
@@ -84,8 +84,8 @@
 	return records
 }
 
-// compare answers a listing with the records that are newer here and the keys
-// of those that are newer there.
+// compare adds the records that are newer here than in the listing to the answer,
+// and the keys of the records that are newer in the listing.
 func (m *Membership) compare(answer *Message, listing *Listing, now time.Time) {
 	if listing == nil {
 		return
@@ -93,8 +93,8 @@
 	listed := make(map[string]Entry, len(listing.Entries))
 	for _, entry := range listing.Entries {
 		listed[entry.Key] = entry
-		if m.lacks(entry) {
-			answer.Want = append(answer.Want, entry.Key)
+		if m.wants(entry) {
+			answer.Wanted = append(answer.Wanted, entry.Key)
 		}
 	}
 	var newer []*record
@@ -102,31 +102,31 @@
 		if bucket >= bucketCount {
 			continue
 		}
-		for _, r := range m.inBucket(bucket) {
+		for _, r := range m.bucketRecords(bucket) {
 			entry, ok := listed[r.key]
-			if ok && r.newerThan(entry) || !ok && r.lists() {
+			if ok && r.newerThan(entry) || !ok && r.inDigest() {
 				newer = append(newer, r)
 			}
 		}
 	}
-	m.add(answer, newer, "", m.options.MaxSyncBytes, now)
+	m.addRecords(answer, newer, "", m.options.MaxSyncBytes, now)
 }
 
-// lacks says that an entry names a record that may be newer than the one
-// here. Of one version with two values, each side asks for the other's.
-func (m *Membership) lacks(entry Entry) bool {
+// wants reports whether the record of an entry may be newer than the one here. If
+// two values have the same version, each side requests the other's.
+func (m *Membership) wants(entry Entry) bool {
 	r := m.store.get(entry.Key)
 	if r == nil {
 		return true
 	}
-	return entry.Version > r.version || entry.Version == r.version && entry.Hash != r.hash && r.lists()
+	return entry.Version > r.version || entry.Version == r.version && entry.Hash != r.hash && r.inDigest()
 }
 
 func (r *record) newerThan(entry Entry) bool {
-	return r.version > entry.Version || r.version == entry.Version && (r.hash != entry.Hash || !r.lists())
+	return r.version > entry.Version || r.version == entry.Version && (r.hash != entry.Hash || !r.inDigest())
 }
 
-// sendWanted sends the records that another host asked for.
+// sendWanted sends the records that another host requested.
 func (m *Membership) sendWanted(ctx context.Context, to Member, keys []string) {
 	now := boottime.Now()
 	m.mu.Lock()
@@ -136,13 +136,13 @@
 			wanted = append(wanted, r)
 		}
 	}
-	message := m.envelope(KindPush, to.ID)
-	added := m.add(&message, wanted, "", m.options.MaxSyncBytes, now)
+	message := m.newMessage(KindPush, to.ID)
+	added := m.addRecords(&message, wanted, "", m.options.MaxSyncBytes, now)
 	m.mu.Unlock()
 	if len(added) == 0 {
 		return
 	}
-	if _, err := m.exchange(ctx, to, message, m.options.ProbeTimeout); err != nil || message.More {
+	if _, err := m.exchange(ctx, to, message, m.options.ProbeTimeout); err != nil || message.Truncated {
 		m.syncSoon()
 	}
 }
--- a/membership/targets.go
+++ b/membership/targets.go
@@ -9,16 +9,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// rings are the orders in which members watch over each other. All hosts
-// compute the same order, so each member is watched by as many as it watches.
+// rings are the orders in which members probe each other. All hosts compute the
+// same order, so each member is probed by as many members as it probes.
 type rings struct {
-	// zone and all hold the other live members, the successor of this host
-	// first; others is the part of all outside the zone.
+	// zone and all hold the other live members of the zone and of all zones, the
+	// successor of this host first; others holds those outside the zone.
 	zone, all, others []Member
 	down              []Member
 }
 
-// ringSalt separates the order of a ring from other uses of the hash.
+// ringSalt makes the order of a ring independent of other uses of the hash.
 type ringSalt string
 
 const (
@@ -47,35 +47,35 @@
 	return r
 }
 
-// fromSuccessor orders members by a hash of their ids, beginning after self.
+// fromSuccessor sorts members by a hash of their ids, beginning after self.
 func fromSuccessor(self Member, members []Member, salt ringSalt) []Member {
 	position := func(m Member) uint64 { return xxhash.Sum64String(string(salt) + m.ID) }
 	start := position(self)
 	sorted := slices.Clone(members)
 	slices.SortFunc(sorted, func(a, b Member) int {
-		// Subtraction wraps round, which is what a ring asks for.
+		// The unsigned subtraction wraps around, which gives the order of a ring.
 		return cmp.Compare(position(a)-start, position(b)-start)
 	})
 	return sorted
 }
 
-// targets returns the members to exchange with in a round: successors on both
-// rings, and delegates outside the zone that change from round to round.
+// targets returns the members to exchange with in a round: the successors on both
+// rings, and delegates outside the zone, which change from round to round.
 func (r rings) targets(self Member, round uint64, o Options) []Member {
 	var chosen []Member
-	chosen = appendNew(chosen, successors(r.zone, o.ZoneTargets), len(r.zone))
-	chosen = appendNew(chosen, successors(r.all, o.GlobalTargets), len(r.all))
+	chosen = appendDistinct(chosen, successors(r.zone, o.ZoneTargets), len(r.zone))
+	chosen = appendDistinct(chosen, successors(r.all, o.GlobalTargets), len(r.all))
 	pool := r.others
 	if len(pool) == 0 {
 		pool = r.all
 	}
-	chosen = appendNew(chosen, delegates(self.ID, round, pool, o.Delegates), o.Delegates)
+	chosen = appendDistinct(chosen, delegates(self.ID, round, pool, o.Delegates), o.Delegates)
 	return chosen
 }
 
-// successors returns the first n members of a ring that aren't Suspect, and
-// up to n Suspect ones before them: where neighbours failed together, those
-// behind them mustn't wait until the first are Down.
+// successors returns the first n members of a ring that aren't Suspect, and up to
+// n Suspect ones before them. If neighbours fail together, the probes thus don't
+// wait until the first of them are Down.
 func successors(ring []Member, n int) []Member {
 	var chosen []Member
 	suspects := 0
@@ -96,8 +96,8 @@
 	return chosen
 }
 
-// appendNew appends up to n members of list that aren't in chosen.
-func appendNew(chosen, list []Member, n int) []Member {
+// appendDistinct appends up to n members of list that aren't in chosen.
+func appendDistinct(chosen, list []Member, n int) []Member {
 	for _, member := range list {
 		if n == 0 {
 			break
@@ -111,8 +111,8 @@
 	return chosen
 }
 
-// delegates returns the n members of the pool with the highest rendezvous
-// hash for this host and round.
+// delegates returns the n members of the pool with the highest rendezvous hashes
+// for this host and round.
 func delegates(self string, round uint64, pool []Member, n int) []Member {
 	if n >= len(pool) {
 		return pool
@@ -122,20 +122,20 @@
 	weights := make([]uint64, 0, n+1)
 	for _, member := range pool {
 		weight := xxhash.Sum64(append(prefix, member.ID...))
-		at, _ := slices.BinarySearchFunc(weights, weight, func(a, b uint64) int { return cmp.Compare(b, a) })
-		if at >= n {
+		index, _ := slices.BinarySearchFunc(weights, weight, func(a, b uint64) int { return cmp.Compare(b, a) })
+		if index >= n {
 			continue
 		}
-		best = slices.Insert(best, at, member)
-		weights = slices.Insert(weights, at, weight)
+		best = slices.Insert(best, index, member)
+		weights = slices.Insert(weights, index, weight)
 		best, weights = best[:min(len(best), n)], weights[:min(len(weights), n)]
 	}
 	return best
 }
 
-// sendLimit is how often a host sends a record on: a little more than the
-// number of doublings that it takes to reach all.
+// sendLimit returns the number of transmissions per record and host: slightly
+// more than the number of doublings needed to reach all members.
 func sendLimit(members int) int {
-	const spare = 2
-	return bits.Len(uint(members)) + spare
+	const margin = 2
+	return bits.Len(uint(members)) + margin
 }
