--- a/placement/rates.go
+++ b/placement/rates.go
@@ -69,20 +69,20 @@
 // estimate returns the model's estimate. For a model with too few answers it returns the mean
 // estimate of the other models, scaled by the ratio of the prices.
 func (r *Rates) estimate(model string) estimate {
-	if known, ok := r.estimates[model]; ok {
-		return known
+	if e, ok := r.estimates[model]; ok {
+		return e
 	}
 	if len(r.estimates) == 0 {
 		return estimate{fixed: overhead, nanosPerToken: float64(defaultTimePerToken)}
 	}
 	var mean estimate
-	for name, known := range r.estimates {
+	for name, e := range r.estimates {
 		ratio := 1.0
 		if r.prices[model] > 0 && r.prices[name] > 0 {
 			ratio = r.prices[model] / r.prices[name]
 		}
-		mean.fixed += known.fixed / time.Duration(len(r.estimates))
-		mean.nanosPerToken += known.nanosPerToken * ratio / float64(len(r.estimates))
+		mean.fixed += e.fixed / time.Duration(len(r.estimates))
+		mean.nanosPerToken += e.nanosPerToken * ratio / float64(len(r.estimates))
 	}
 	return mean
 }
@@ -97,8 +97,8 @@
 	r.decay(now)
 	timings := r.local[model]
 	expected := time.Duration(0)
-	if known, ok := r.estimates[model]; ok {
-		expected = known.timeToFirstEvent(tokens)
+	if e, ok := r.estimates[model]; ok {
+		expected = e.timeToFirstEvent(tokens)
 	}
 	timings.observe(tokens, took, expected)
 	r.local[model] = timings
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -1,7 +1,7 @@
-// Package routing holds the operators' routing document in the form that
-// requests are decided by: which host and path lead to which service, who may
-// call, and within what time.
+// Package routing compiles the operators' routing document into a lookup table:
+// which host and path prefix are routed to which service, which callers are
+// permitted, and which time limits apply.
 //
-// A Table is immutable. A gateway keeps the newest one in an atomic pointer and
-// each request uses the one that it found when it arrived.
+// A Table is immutable. A gateway holds the newest one in an atomic pointer, and
+// each request uses the table that was current at its arrival throughout.
 package routing
--- a/routing/document.go
+++ b/routing/document.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Kind says how often a route's requests may run.
+// Kind determines how often a route's requests may be executed.
 type Kind int
 
 const (
-	// NonIdempotent requests run at most once.
+	// NonIdempotent requests are executed at most once.
 	NonIdempotent Kind = iota
-	// Idempotent requests may run more than once.
+	// Idempotent requests may be executed more than once.
 	Idempotent
-	// Stream requests are answered by a sequence of events. They run at most
-	// once unless the route lets them be resumed.
+	// Stream requests are answered by a stream of events. They are executed at
+	// most once unless the route is resumable.
 	Stream
 )
 
-// Document is what operators declare, decoded and not yet checked.
+// Document is the decoded routing document of the operators, before validation.
 type Document struct {
-	// Version orders documents; a higher one replaces a lower one.
+	// Version orders documents; a higher version replaces a lower one.
 	Version  uint64
 	Routes   []Route
 	Services []Service
@@ -25,62 +25,65 @@
 	Limits   Limits
 }
 
-// Route leads the requests of one host and path prefix to services.
+// Route assigns the requests for one host and path prefix to services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is how long a caller is kept waiting for the whole answer.
+	// Timeout is the time limit for the complete answer.
 	Timeout time.Duration
-	// Target is the time in which an answer, or a stream's first event, is of
-	// full use.
+	// Target is the target for the time to the answer, or to the first event of
+	// a stream.
 	Target time.Duration
-	// MaxPause is the longest pause between events that still is of full use.
+	// MaxPause is the target for the longest pause between the events of a
+	// stream.
 	MaxPause time.Duration
-	// Priority ranks the route's requests; 0 is first.
+	// Priority is the priority of the route's requests; 0 is the highest.
 	Priority int
-	// Models are the models that may answer, cheapest first. Empty: the caller
-	// names the model.
+	// Models are the models that may answer, the cheapest first. If empty, the
+	// caller specifies the model.
 	Models []string
-	// Split are the services that share the route's requests.
+	// Split are the services that the route's requests are divided among.
 	Split []Share
-	// MaxAttempts bounds the upstreams that one request is sent to.
+	// MaxAttempts is the maximum number of upstreams that one request is sent to.
 	MaxAttempts int
-	// Public routes need no account key.
+	// Public reports whether the route requires no account key.
 	Public bool
-	// PrefixAffinity says that upstreams cache the prompts of this route.
+	// PrefixAffinity reports whether upstreams cache the prompts of this route.
 	PrefixAffinity bool
-	// Resumable says that a stream may go on at another upstream.
+	// Resumable reports whether a stream can be resumed at another upstream.
 	Resumable bool
-	// Regions are those in which the route's requests may be served; empty for all.
+	// Regions are the regions in which the route's requests may be served; empty
+	// means all.
 	Regions []string
 }
 
-// Repeatable says whether a request of the route may run more than once.
+// Repeatable reports whether requests of the route may be executed more than
+// once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || (r.Kind == Stream && r.Resumable)
 }
 
-// Share is a service's part of a route.
+// Share is the share of a service in the requests of a route.
 type Share struct {
 	Service string
-	// Weight is relative to the sum of the weights.
+	// Weight divided by the sum of the route's weights is the share.
 	Weight int
 }
 
-// Service is a set of upstreams that do the same work.
+// Service is a set of interchangeable upstreams.
 type Service struct {
 	Name string
-	// HealthPath is where an upstream answers health checks.
+	// HealthPath is the path of the health check of an upstream.
 	HealthPath string
-	// MaxConnections is what one upstream accepts from all callers together;
-	// 0 without a bound.
+	// MaxConnections is the maximum number of connections to one upstream from
+	// all callers together; 0 means unlimited.
 	MaxConnections int
-	// Models are set for services that run language models.
+	// Models are the models of a service that runs language models.
 	Models []Model
-	// ColdStart is how long an upstream is cold after its start, ColdRate how many
-	// requests a second it tolerates meanwhile; 0 where it tolerates any.
+	// ColdStart is how long an upstream is cold after its start. ColdRate is the
+	// number of requests per second that it tolerates while cold; 0 means any.
 	ColdStart time.Duration
 	ColdRate  float64
 }
@@ -88,7 +91,7 @@
 // Model is one model of a service.
 type Model struct {
 	Name string
-	// Price is for 1,000 generated tokens, in the operators' currency.
+	// Price is the price per 1,000 generated tokens, in the operators' currency.
 	Price float64
 }
 
@@ -96,20 +99,21 @@
 type Account struct {
 	Name string
 	Keys []string
-	// Priority goes before the route's; nil leaves that in force.
+	// Priority overrides the route's priority; nil doesn't.
 	Priority *int
-	// Regions are those in which the account's requests may be served; empty for all. Where
-	// the route has some, too, both bind.
+	// Regions are the regions in which the account's requests may be served; empty means
+	// all. If the route also has regions, both restrictions apply.
 	Regions []string
 }
 
-// Limits bound what callers may send.
+// Limits are the limits on requests and connections of callers.
 type Limits struct {
-	// MaxHeaderBytes and MaxBodyBytes are 0 where there is no limit.
+	// MaxHeaderBytes and MaxBodyBytes are the maximum sizes of a request's header
+	// and body; 0 means unlimited.
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
-	// HeaderTimeout is how long a caller may take for a request's header,
-	// IdleTimeout how long a connection may stay unused.
+	// HeaderTimeout is the time limit for receiving a request's header,
+	// IdleTimeout the time after which an unused connection is closed.
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
 }
--- a/routing/table.go
+++ b/routing/table.go
@@ -8,33 +8,36 @@
 	"strings"
 )
 
-// ErrInvalid means that a document can't be used.
+// ErrInvalid is returned for an invalid document.
 var ErrInvalid = errors.New("routing: invalid document")
 
-// Table answers questions on one document. It is immutable.
+// Table looks up the routes, services and accounts of one document. It is
+// immutable.
 type Table struct {
-	// Version is the document's.
+	// Version is the version of the document.
 	Version uint64
 	Limits  Limits
-	// routes are grouped by host, longest prefix first.
+	// routes holds the routes by host, the longest prefix first.
 	routes   map[string][]*Route
 	services map[string]*Service
 	accounts map[string]*Account
-	// lowestRank is the highest number of all priorities.
-	lowestRank int
-	// keyed says that the document declares accounts at all.
-	keyed bool
+	// lowestPriority is the highest number, that is the least urgent, among all
+	// priorities.
+	lowestPriority int
+	// requiresKey reports whether the document declares any accounts.
+	requiresKey bool
 }
 
-// New checks the document and returns its table.
+// New validates the document and returns its table. The table refers to the
+// document's slices, which must not be changed afterwards.
 func New(doc Document) (*Table, error) {
 	t := &Table{
-		Version:  doc.Version,
-		Limits:   doc.Limits,
-		routes:   make(map[string][]*Route, len(doc.Routes)),
-		services: make(map[string]*Service, len(doc.Services)),
-		accounts: make(map[string]*Account),
-		keyed:    len(doc.Accounts) > 0,
+		Version:     doc.Version,
+		Limits:      doc.Limits,
+		routes:      make(map[string][]*Route, len(doc.Routes)),
+		services:    make(map[string]*Service, len(doc.Services)),
+		accounts:    make(map[string]*Account),
+		requiresKey: len(doc.Accounts) > 0,
 	}
 	for i := range doc.Services {
 		t.services[doc.Services[i].Name] = &doc.Services[i]
@@ -45,11 +48,11 @@
 		}
 	}
 	for i := range doc.Routes {
-		t.lowestRank = max(t.lowestRank, doc.Routes[i].Priority)
+		t.lowestPriority = max(t.lowestPriority, doc.Routes[i].Priority)
 	}
 	for i := range doc.Accounts {
 		if p := doc.Accounts[i].Priority; p != nil {
-			t.lowestRank = max(t.lowestRank, *p)
+			t.lowestPriority = max(t.lowestPriority, *p)
 		}
 		for _, key := range doc.Accounts[i].Keys {
 			t.accounts[key] = &doc.Accounts[i]
@@ -65,11 +68,11 @@
 
 func (t *Table) addRoute(r *Route) error {
 	if len(r.Split) == 0 {
-		return fmt.Errorf("%w: route %q leads to no service", ErrInvalid, r.Name)
+		return fmt.Errorf("%w: route %q has no service", ErrInvalid, r.Name)
 	}
 	for _, s := range r.Split {
 		if t.services[s.Service] == nil {
-			return fmt.Errorf("%w: route %q leads to unknown service %q", ErrInvalid, r.Name, s.Service)
+			return fmt.Errorf("%w: route %q refers to unknown service %q", ErrInvalid, r.Name, s.Service)
 		}
 	}
 	host := strings.ToLower(r.Host)
@@ -77,10 +80,11 @@
 	return nil
 }
 
-// Match returns the route of the host with the longest prefix of path. The host
-// may carry a port; the path is the request's own, not decoded.
+// Match returns the route of the host with the longest prefix that matches the
+// path. The host may include a port. The path must be the encoded path of the
+// request.
 func (t *Table) Match(host, path string) (*Route, bool) {
-	for _, r := range t.routes[hostName(host)] {
+	for _, r := range t.routes[normalizeHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r, true
 		}
@@ -88,7 +92,7 @@
 	return nil, false
 }
 
-func hostName(host string) string {
+func normalizeHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
 	}
@@ -98,8 +102,8 @@
 // Service returns a service by its name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Price is what a service's model costs for each 1,000 tokens generated; 0 if it
-// isn't declared.
+// Price returns the price of a service's model per 1,000 generated tokens, or 0
+// if the document doesn't declare the model.
 func (t *Table) Price(service, model string) float64 {
 	s := t.services[service]
 	if s == nil {
@@ -113,16 +117,17 @@
 	return 0
 }
 
-// Account returns the account that holds the key, or nil.
+// Account returns the account with the key, or nil.
 func (t *Table) Account(key string) *Account { return t.accounts[key] }
 
-// Keyed says whether routes that aren't public need a key.
-func (t *Table) Keyed() bool { return t.keyed }
+// Keyed reports whether routes that aren't public require an account key.
+func (t *Table) Keyed() bool { return t.requiresKey }
 
-// LowestRank is the highest number among the priorities of routes and accounts.
-func (t *Table) LowestRank() int { return t.lowestRank }
+// LowestRank returns the highest number, that is the least urgent, among the
+// priorities of routes and accounts.
+func (t *Table) LowestRank() int { return t.lowestPriority }
 
-// Routes counts the routes.
+// Routes returns the number of routes.
 func (t *Table) Routes() int {
 	n := 0
 	for _, routes := range t.routes {
@@ -131,17 +136,17 @@
 	return n
 }
 
-// Pick returns the service for a point from 0 up to 1. The same point gives the
-// same service as long as the shares stay.
+// Pick returns the service for a point in [0, 1), divided in proportion to the
+// shares. The same point yields the same service until the shares change.
 func (r *Route) Pick(point float64) string {
 	total := 0
 	for _, s := range r.Split {
 		total += s.Weight
 	}
-	left := point * float64(total)
+	remaining := point * float64(total)
 	for _, s := range r.Split {
-		left -= float64(s.Weight)
-		if left < 0 {
+		remaining -= float64(s.Weight)
+		if remaining < 0 {
 			return s.Service
 		}
 	}
--- a/routing/table_test.go
+++ b/routing/table_test.go
@@ -29,7 +29,7 @@
 	tests := []struct {
 		desc, host, path, want string
 	}{
-		{"only prefix that fits", "one.example", "/a/x", "short"},
+		{"only matching prefix", "one.example", "/a/x", "short"},
 		{"longest prefix wins", "one.example", "/a/b/x", "long"},
 		{"a prefix ends at its slash", "one.example", "/a/bc", "short"},
 		{"the prefix alone", "one.example", "/a/", "short"},
