--- a/placement/place.go
+++ b/placement/place.go
@@ -39,7 +39,7 @@
 	Expected time.Duration
 	// Alone is the expected time to the first event without queued work. Reading is the
 	// portion of it during which the engine works on this prompt alone and other prompts
-	// wait.
+	// wait: the prefill and the least overhead.
 	Alone   time.Duration
 	Reading time.Duration
 	// Missing is the number of tokens to prefill.
@@ -78,8 +78,8 @@
 
 func (r *Request) evaluate(rates *Rates, c *Candidate) Choice {
 	uncached := r.Prompt.uncachedTokens(c.Kept)
-	unloaded := rates.Reading(r.Model, uncached)
-	return Choice{Expected: c.Ahead + unloaded, Alone: unloaded, Reading: overhead + rates.Work(r.Model, uncached), Missing: uncached}
+	unloaded := rates.TimeToFirstEvent(r.Model, uncached)
+	return Choice{Expected: c.Ahead + unloaded, Alone: unloaded, Reading: overhead + rates.PrefillTime(r.Model, uncached), Missing: uncached}
 }
 
 func (r *Request) cost(choice *Choice, c *Candidate) time.Duration {
@@ -95,7 +95,7 @@
 
 // sharedPrefillTime returns the prefill time of the shared parts that the engine doesn't cache.
 func (r *Request) sharedPrefillTime(rates *Rates, c *Candidate) time.Duration {
-	return rates.Work(r.Model, r.Prompt.uncachedSharedTokens(c.Kept))
+	return rates.PrefillTime(r.Model, r.Prompt.uncachedSharedTokens(c.Kept))
 }
 
 // latencyCost returns the cost of a time to the first event. It is quadratic, because latency
@@ -115,7 +115,7 @@
 // prefill time, so that the expected total cost of remote requests is about one prefill: small
 // for parts that are frequent or fast to prefill, and large only for long, rare parts.
 func (r *Request) prefersLocalOwner(rates *Rates) bool {
-	prefill := float64(rates.Work(r.Model, r.Prompt.uncachedSharedTokens(0)))
+	prefill := float64(rates.PrefillTime(r.Model, r.Prompt.uncachedSharedTokens(0)))
 	return r.Draw*prefill < float64(r.Way)
 }
 
--- a/placement/place_test.go
+++ b/placement/place_test.go
@@ -239,7 +239,7 @@
 		}
 		r.Observe("m", 10_000, took, time.Time{})
 	}
-	got := r.Reading("m", 10_000)
+	got := r.TimeToFirstEvent("m", 10_000)
 	is.True(got > 900*time.Millisecond && got < 1300*time.Millisecond)
 }
 
@@ -267,7 +267,7 @@
 	t.Helper()
 	ok := true
 	for _, tokens := range []int{500, 2000, 8000, 16_000, 40_000} {
-		ratio := float64(r.Reading("m", tokens)) / float64(answerTime(tokens))
+		ratio := float64(r.TimeToFirstEvent("m", tokens)) / float64(answerTime(tokens))
 		t.Logf("%d tokens: estimate is %.2f of the actual time", tokens, ratio)
 		ok = ok && ratio > 0.8 && ratio < 1.35
 	}
@@ -319,7 +319,7 @@
 		now = now.Add(time.Second)
 		r.Observe("m", 10_000, 800*time.Millisecond, now)
 	}
-	is.True(r.Reading("m", 10_000) > 500*time.Millisecond)
+	is.True(r.TimeToFirstEvent("m", 10_000) > 500*time.Millisecond)
 }
 
 // The estimate of a model without answers is that of another model scaled by the price ratio.
@@ -327,10 +327,10 @@
 	is := is.New(t)
 	r := NewRates()
 	observeRepeatedly(r, "small", 10_000, overhead+100*time.Millisecond)
-	is.Equal(r.Reading("large", 10_000).Round(time.Millisecond), overhead+100*time.Millisecond)
+	is.Equal(r.TimeToFirstEvent("large", 10_000).Round(time.Millisecond), overhead+100*time.Millisecond)
 	r.Price("small", 1)
 	r.Price("large", 12)
-	is.Equal(r.Reading("large", 10_000).Round(time.Millisecond), overhead+1200*time.Millisecond)
+	is.Equal(r.TimeToFirstEvent("large", 10_000).Round(time.Millisecond), overhead+1200*time.Millisecond)
 }
 
 func TestKeptParts(t *testing.T) {
--- a/placement/rates.go
+++ b/placement/rates.go
@@ -51,16 +51,16 @@
 	r.prices[model] = price
 }
 
-// Reading returns the expected time to prefill tokens and send the first event.
-func (r *Rates) Reading(model string, tokens int) time.Duration {
+// TimeToFirstEvent returns the expected time to prefill the tokens and send the first event.
+func (r *Rates) TimeToFirstEvent(model string, tokens int) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.estimate(model).timeToFirstEvent(tokens)
 }
 
-// Work returns the portion of Reading that depends on the number of tokens, during which the
-// engine works on this prompt alone.
-func (r *Rates) Work(model string, tokens int) time.Duration {
+// PrefillTime returns the portion of TimeToFirstEvent that depends on the number of tokens,
+// during which the engine works on this prompt alone.
+func (r *Rates) PrefillTime(model string, tokens int) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.estimate(model).prefillTime(tokens)
