--- a/balance/balance.go
+++ b/balance/balance.go
@@ -63,8 +63,8 @@
 	Service string
 	// Zone is the availability zone of this host.
 	Zone string
-	// SessionID gives the requests of a session affinity to one upstream;
-	// empty without a session.
+	// SessionID identifies the session, whose requests prefer the same
+	// upstream; empty without a session.
 	SessionID string
 	// PrefixHashes are the block hashes of the prompt, as returned by the
 	// function PrefixHashes.
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -1,7 +1,7 @@
 // Package balance selects the upstream for a request.
 //
 // A Selector is a chain without state: filters reduce the list of candidates,
-// affinity scorers name preferred candidates, a picker samples two more at
+// affinity scorers add preferred candidates, a picker samples two more at
 // random, and the candidate with the best weighted score is selected. A Pool
 // holds the state that the chain reads: the host list, the load reports of the
 // upstreams, the requests that this host has in flight, error rates, ejections
--- a/placement/pace.go
+++ b/placement/pace.go
@@ -109,16 +109,16 @@
 	const nanosecondsPerToken = float64(time.Millisecond) / 1000
 	variance := t.Squares*t.Weight - t.Tokens*t.Tokens
 	if variance > minTokenVariance*t.Squares*t.Weight {
-		start := (t.Times*t.Squares - t.Tokens*t.Products) / variance
-		token := (t.Weight*t.Products - t.Tokens*t.Times) / variance
-		if start >= milliseconds(overhead) && token > 0 {
-			return estimate{fixed: time.Duration(start * float64(time.Millisecond)), nanosPerToken: token * nanosecondsPerToken}, true
+		fixed := (t.Times*t.Squares - t.Tokens*t.Products) / variance
+		perToken := (t.Weight*t.Products - t.Tokens*t.Times) / variance
+		if fixed >= milliseconds(overhead) && perToken > 0 {
+			return estimate{fixed: time.Duration(fixed * float64(time.Millisecond)), nanosPerToken: perToken * nanosecondsPerToken}, true
 		}
 	}
 	// The prompt sizes are too similar, or the fit isn't plausible: the fixed time is set to
 	// the overhead and the rest is attributed to the tokens.
-	token := max(0, (t.Products-milliseconds(overhead)*t.Tokens)/t.Squares)
-	return estimate{fixed: overhead, nanosPerToken: max(minNanosPerToken, token*nanosecondsPerToken)}, true
+	perToken := max(0, (t.Products-milliseconds(overhead)*t.Tokens)/t.Squares)
+	return estimate{fixed: overhead, nanosPerToken: max(minNanosPerToken, perToken*nanosecondsPerToken)}, true
 }
 
 // minNanosPerToken is the lower limit of an estimate: a microsecond per thousand tokens.
--- a/placement/place_test.go
+++ b/placement/place_test.go
@@ -110,7 +110,7 @@
 
 // Shared parts are prefilled about once each, not once per engine. Selection of the least
 // loaded engine prefills them on every engine and overloads the fleet.
-func TestSharedPartsAreReadOnce(t *testing.T) {
+func TestSharedPartsArePrefilledOnce(t *testing.T) {
 	is := is.New(t)
 	f, baseline := newFleet(8), newFleet(8)
 	baseline.pick = leastQueued
@@ -119,9 +119,9 @@
 		fleet.late = 0
 		fleet.replay(1200, 60, 60*time.Millisecond)
 	}
-	own := 1600 * 1_000
-	t.Log("tokens read", f.prefilled, baseline.prefilled, "late", f.late, baseline.late)
-	is.True(f.prefilled-own < 2*60*10_000) // each of the 60 shared parts less than twice
+	unique := 1600 * 1_000
+	t.Log("tokens prefilled", f.prefilled, baseline.prefilled, "late", f.late, baseline.late)
+	is.True(f.prefilled-unique < 2*60*10_000) // each of the 60 shared parts less than twice
 	is.True(baseline.prefilled > 2*f.prefilled)
 	is.True(f.late < 1200/100)
 	is.True(baseline.late > 10*max(1, f.late))
