--- a/internal/gateway/access.go
+++ b/internal/gateway/access.go
@@ -8,47 +8,46 @@
 	"github.com/quetzalweir/quetzalweir/ratelease"
 )
 
-// access is what keeps this host's requests from upstreams that are in service: their
-// requests are leased, for they are cold or name a limit, or their availability zone is
-// evacuated.
-type access struct {
-	// alone says that there is no other host: this one has all leases.
-	alone bool
-	// hosts is the number of hosts, 0 while it isn't known; seed tells this host's draws
-	// from others'.
+// sendPolicy holds what restricts this host's requests to upstreams that are in service: leases
+// for upstreams that are cold or rate-limited, and the evacuated availability zones.
+type sendPolicy struct {
+	// singleHost is set if there is no other host: this one then holds all leases.
+	singleHost bool
+	// hosts returns the number of hosts, 0 while it is unknown. seed makes this host's random
+	// draws differ from the other hosts'.
 	hosts func() int
 	seed  string
-	// overrun and spare are the operators' bounds for cold upstreams.
-	overrun, spare float64
-	// holding are the parts of upstreams' requests that this host may send.
+	// coldOverrun and coldSpare are the operators' bounds for cold upstreams.
+	coldOverrun, coldSpare float64
+	// holding are the leases of this host: the parts of upstreams' requests that it may send.
 	holding atomic.Pointer[ratelease.Holding]
-	// contact is what this host knows of its hub.
-	contact atomic.Pointer[ratelease.Contact]
-	// evacuated are the zones that get nothing.
-	evacuated atomic.Pointer[map[string]bool]
+	// hubContact is the state of this host's contact with its hub.
+	hubContact atomic.Pointer[ratelease.Contact]
+	// evacuatedZones are the zones whose upstreams get no requests.
+	evacuatedZones atomic.Pointer[map[string]bool]
 }
 
-func newAccess(seed string) *access {
-	a := &access{alone: true, seed: seed, hosts: func() int { return 0 }}
+func newSendPolicy(seed string) *sendPolicy {
+	a := &sendPolicy{singleHost: true, seed: seed, hosts: func() int { return 0 }}
 	c := ratelease.NewContact(boottime.Now())
-	a.contact.Store(&c)
+	a.hubContact.Store(&c)
 	return a
 }
 
-// TakeHolding takes which parts of upstreams' requests this host may send, and when a root
-// of the hubs' tree stood behind that. It is called each time that a hub answers.
-func (f *Fleet) TakeHolding(h ratelease.Holding, rooted time.Time) {
-	c := f.access.contactNow().Heard(boottime.Now(), rooted)
-	f.access.holding.Store(&h)
-	f.access.contact.Store(&c)
+// SetHolding sets the leases of this host and the time at which a root hub last confirmed them. It
+// is called for each answer of a hub.
+func (f *Fleet) SetHolding(h ratelease.Holding, confirmedAt time.Time) {
+	c := f.policy.currentContact().Heard(boottime.Now(), confirmedAt)
+	f.policy.holding.Store(&h)
+	f.policy.hubContact.Store(&c)
 }
 
-func (a *access) contactNow() ratelease.Contact { return *a.contact.Load() }
+func (a *sendPolicy) currentContact() ratelease.Contact { return *a.hubContact.Load() }
 
-// share is what this host may send of an upstream's requests; ok is false if that is
-// nothing.
-func (a *access) share(u ratelease.Upstream, now time.Time) (share ratelease.Share, ok bool) {
-	if a.alone {
+// leasedShare returns the share of an upstream's requests that this host may send; ok is false if
+// it holds no lease.
+func (a *sendPolicy) leasedShare(u ratelease.Upstream, now time.Time) (leasedShare ratelease.Share, ok bool) {
+	if a.singleHost {
 		return ratelease.Whole(1, time.Time{}), true
 	}
 	holding := a.holding.Load()
@@ -58,54 +57,55 @@
 	return holding.Share(u, now)
 }
 
-// lone is what this host may send a limited upstream for which no root gives leases.
-func (a *access) lone(u ratelease.Upstream, now time.Time) ratelease.Allowance {
-	since, lone := a.contactNow().Lone(now)
-	if !lone {
+// disconnectedAllowance returns what this host may send to a rate-limited upstream while no root
+// hub grants leases.
+func (a *sendPolicy) disconnectedAllowance(u ratelease.Upstream, now time.Time) ratelease.Allowance {
+	since, disconnected := a.currentContact().Lone(now)
+	if !disconnected {
 		return ratelease.Allowance{}
 	}
 	hosts := a.hosts()
 	if hosts == 0 {
-		// This host's part isn't known, and with any guess below the number the limit is
-		// exceeded.
+		// This host's share isn't known, and a guess below the number of hosts would exceed the
+		// limit.
 		return ratelease.Allowance{}
 	}
 	return ratelease.Lone(hosts, u.Draw(a.seed), since)
 }
 
-// isEvacuated says whether the zone gets nothing.
-func (a *access) isEvacuated(zone string) bool {
-	zones := a.evacuated.Load()
+// isEvacuated reports whether the zone's upstreams get no requests.
+func (a *sendPolicy) isEvacuated(zone string) bool {
+	zones := a.evacuatedZones.Load()
 	return zones != nil && (*zones)[zone]
 }
 
-// open says whether this host may send the upstream new requests now.
-func (m *member) open(now time.Time, grace time.Duration) bool {
-	if !m.takesWork(now, grace) || m.shard.access.isEvacuated(m.Zone) {
+// acceptsRequests reports whether this host may send the upstream new requests now.
+func (m *member) acceptsRequests(now time.Time, grace time.Duration) bool {
+	if !m.inService(now, grace) || m.shard.policy.isEvacuated(m.Zone) {
 		return false
 	}
-	return m.mayWarm(now) && m.mayAdd(now)
+	return m.coldBoundAllows(now) && m.limitAllows(now)
 }
 
-// noteSent counts a request for the upstream.
-func (m *member) noteSent(now time.Time) {
-	if m.shard.bound.Rate > 0 {
-		m.used().sent.Note(now)
+// recordSent counts a request to the upstream against its cold bound and its rate limit.
+func (m *member) recordSent(now time.Time) {
+	if m.shard.coldBound.Rate > 0 {
+		m.ensureUsage().sent.Note(now)
 	}
-	if m.limited(now) {
+	if m.isLimited(now) {
 		m.limit.bucket.Take()
 	}
 }
 
-// Leased are the upstreams in service whose requests are leased, with all parts that one of
-// so many roots of the hubs' tree has.
-func (f *Fleet) Leased(roots int) []ratelease.Grant {
+// LeaseGrants returns the leased upstreams in service, each with the number of parts that one of
+// the given number of root hubs grants.
+func (f *Fleet) LeaseGrants(roots int) []ratelease.Grant {
 	var grants []ratelease.Grant
 	now := boottime.Now()
 	f.each(func(s *shard) {
 		for m := range s.leased {
-			parts := m.parts(roots, now)
-			if parts > 0 && m.takesWork(now, f.removalGrace) && !f.access.isEvacuated(m.Zone) {
+			parts := m.leaseParts(roots, now)
+			if parts > 0 && m.inService(now, f.removalGrace) && !f.policy.isEvacuated(m.Zone) {
 				grants = append(grants, ratelease.Grant{Upstream: m.lease, Parts: parts, Of: parts})
 			}
 		}
@@ -113,56 +113,56 @@
 	return grants
 }
 
-// parts is in how many parts a root's requests for the upstream are split; 0 if they aren't
-// leased.
-func (m *member) parts(roots int, now time.Time) int {
-	switch cold, limited := m.cold(now), m.limited(now); {
+// leaseParts returns the number of parts into which a root hub splits the requests for the
+// upstream; 0 if they aren't leased.
+func (m *member) leaseParts(roots int, now time.Time) int {
+	switch cold, limited := m.isCold(now), m.isLimited(now); {
 	case cold && limited:
-		return min(m.shard.bound.Parts(roots), m.limit.Split(roots))
+		return min(m.shard.coldBound.Parts(roots), m.limit.Split(roots))
 	case cold:
-		return m.shard.bound.Parts(roots)
+		return m.shard.coldBound.Parts(roots)
 	case limited:
 		return m.limit.Split(roots)
 	}
 	return 0
 }
 
-// reach counts upstreams that are in service, and those of them that are cold, that are in
-// evacuated zones, and that name a limit.
-type reach struct{ inService, cold, evacuated, limited int }
+// upstreamCounts counts upstreams that are in service, and those of them that are cold, in
+// evacuated zones, or rate-limited.
+type upstreamCounts struct{ inService, cold, evacuated, limited int }
 
-// reachOf counts a service's upstreams in the homes.
-func (f *Fleet) reachOf(service string, at homes) reach {
-	var n reach
+// countUpstreams counts a service's upstreams in the regions.
+func (f *Fleet) countUpstreams(service string, regions regionConstraint) upstreamCounts {
+	var n upstreamCounts
 	s := f.shard(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n.add(s, at, f.removalGrace)
+	n.add(s, regions, f.removalGrace)
 	return n
 }
 
-// reach counts the upstreams of all services.
-func (f *Fleet) reach() reach {
-	var n reach
-	f.each(func(s *shard) { n.add(s, homes{}, f.removalGrace) })
+// countAllUpstreams counts the upstreams of all services.
+func (f *Fleet) countAllUpstreams() upstreamCounts {
+	var n upstreamCounts
+	f.each(func(s *shard) { n.add(s, regionConstraint{}, f.removalGrace) })
 	return n
 }
 
-// add counts a shard's upstreams in the homes. Its lock is held.
-func (n *reach) add(s *shard, at homes, grace time.Duration) {
+// add counts a shard's upstreams in the regions. The caller holds the shard's lock.
+func (n *upstreamCounts) add(s *shard, regions regionConstraint, grace time.Duration) {
 	now := boottime.Now()
 	for _, m := range s.members {
-		if !at.allow(m.Zone) || !m.takesWork(now, grace) {
+		if !regions.allows(m.Zone) || !m.inService(now, grace) {
 			continue
 		}
 		n.inService++
 		switch {
-		case s.access.isEvacuated(m.Zone):
+		case s.policy.isEvacuated(m.Zone):
 			n.evacuated++
-		case m.cold(now):
+		case m.isCold(now):
 			n.cold++
 		}
-		if m.limited(now) {
+		if m.isLimited(now) {
 			n.limited++
 		}
 	}
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// answerWriter is the way of one answer to the caller.
+// answerWriter writes one answer to the caller.
 type answerWriter struct {
 	writer  http.ResponseWriter
 	request *http.Request
 	control *http.ResponseController
-	// closing says that the connection ends with this answer.
+	// closing is set if the connection is closed after this answer.
 	closing bool
 
-	// started says that the caller may have a byte of the answer.
+	// started is set when the caller may have received a byte of the answer.
 	started bool
-	// events counts the events that were passed on, lastEventID is the last
-	// one's id, at first the one that the caller has already.
+	// events counts the events that were passed on. lastEventID is the id of the last one,
+	// initially of the one that the caller received earlier.
 	events      int
 	lastEventID string
-	// pause is the longest time between two events.
-	pause   time.Duration
-	eventAt time.Time
+	// longestPause is the longest time between two events.
+	longestPause time.Duration
+	lastEventAt  time.Time
 }
 
 // callerWriteTimeout bounds a write to a caller that doesn't read.
@@ -39,8 +39,8 @@
 	}
 }
 
-// begin writes the head, once.
-func (w *answerWriter) begin(status int, header http.Header) error {
+// writeHead writes the status and the header once; later calls do nothing.
+func (w *answerWriter) writeHead(status int, header http.Header) error {
 	if w.started {
 		return nil
 	}
@@ -57,7 +57,7 @@
 		out[name] = values
 	}
 	if _, ok := out["Content-Type"]; !ok {
-		out["Content-Type"] = nil // no guess by the server library
+		out["Content-Type"] = nil // disables content sniffing by the server library
 	}
 	if w.closing {
 		out.Set("Connection", "close")
@@ -71,15 +71,14 @@
 	return nil
 }
 
-// event passes one event on.
-func (w *answerWriter) event(ev event) error {
+// writeEvent passes one event on to the caller.
+func (w *answerWriter) writeEvent(ev event) error {
 	now := time.Now()
-	if !w.eventAt.IsZero() {
-		w.pause = max(w.pause, now.Sub(w.eventAt))
+	if !w.lastEventAt.IsZero() {
+		w.longestPause = max(w.longestPause, now.Sub(w.lastEventAt))
 	}
-	w.eventAt = now
-	// The write deadline is a courtesy to this host; where the connection
-	// can't have one, the write below says so.
+	w.lastEventAt = now
+	// If the connection doesn't support a write deadline, the write below is merely unbounded.
 	_ = w.control.SetWriteDeadline(now.Add(callerWriteTimeout))
 	if _, err := w.writer.Write(ev.text); err != nil {
 		return fmt.Errorf("%w: %w", errCallerWrite, err)
@@ -91,8 +90,8 @@
 	return w.flush()
 }
 
-// whole writes a complete answer.
-func (w *answerWriter) whole(answer *wholeAnswer) error {
+// writeBuffered writes a complete answer.
+func (w *answerWriter) writeBuffered(answer *bufferedAnswer) error {
 	w.started = true
 	w.copyHeader(answer.header)
 	if w.request.Method != http.MethodHead {
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -18,48 +18,49 @@
 	"github.com/quetzalweir/quetzalweir/runstate"
 )
 
-// maxWholeAnswer bounds an answer that is held in memory, in bytes. A plain
-// service's answers are some kilobytes; longer ones are refused.
-const maxWholeAnswer = 16 << 20
+// maxBufferedAnswer bounds an answer that is held in memory, in bytes. A plain service's answers
+// are some kilobytes; longer ones are refused.
+const maxBufferedAnswer = 16 << 20
 
-// Errors of an answer that isn't the upstream's answer to this request.
+// Errors of answers that can't be this request's answer from the upstream.
 var (
-	errForeignAnswer = errors.New("gateway: the answer belongs to another request")
-	errNoStamp       = errors.New("gateway: a success without the upstream's stamp")
-	errEncoded       = errors.New("gateway: an answer with a content encoding")
-	errTooLong       = errors.New("gateway: the answer is too long")
+	errRequestMismatch = errors.New("gateway: the answer belongs to another request")
+	errNoStamp         = errors.New("gateway: success answer without the upstream's stamp")
+	errContentEncoding = errors.New("gateway: the answer has a content encoding")
+	errAnswerTooLong   = errors.New("gateway: the answer is too long")
 )
 
-// errSilent ends an attempt whose upstream doesn't answer.
-var errSilent = errors.New("gateway: no answer within the upstream's usual time")
+// errResponseTimeout ends an attempt whose upstream doesn't respond.
+var errResponseTimeout = errors.New("gateway: no answer within the upstream's usual time")
 
 // attempt sends the request to one upstream.
 type attempt struct {
-	gateway *Gateway
-	request *Request
-	choice  choice
-	began   time.Time
-	// largest says that the request runs on the largest of several models.
+	gateway   *Gateway
+	request   *Request
+	choice    choice
+	startedAt time.Time
+	// largest is set if the request runs on the largest of several models.
 	largest bool
-	// threshold is the confidence from which the answer is passed on; 0 if any is.
+	// threshold is the least confidence with which the answer is passed on; 0 if any will do.
 	threshold int
-	// pressure is the time that prompts waited when that was decided, as a part of what
-	// reading them takes.
+	// pressure is the time that prompts waited for engines when threshold was computed, divided by
+	// their prefill time.
 	pressure float64
-	// headTimeout is how long the upstream's head is waited for, if giveUp then
-	// agrees; whether or not it does, a longer silence speaks against the upstream.
+	// headTimeout is the time to wait for the answer's head before the attempt is given up if
+	// mayGiveUp permits it. A longer time without a head counts against the upstream in either
+	// case.
 	headTimeout time.Duration
-	giveUp      func() bool
-	// idle watches that.
+	mayGiveUp   func() bool
+	// idle enforces headTimeout and the pause limit of streams.
 	idle  *idleTimer
 	call  *sealedconn.Call
 	state runstate.Tracker
-	// headSeen says that an acceptable head came.
+	// headSeen is set when an acceptable head was received.
 	headSeen bool
 }
 
-// send sends the request and returns the answer's head, once it is known to
-// belong to the request.
+// send sends the request and returns the answer's head after checking that it belongs to the
+// request.
 func (a *attempt) send(ctx context.Context) (*http.Response, error) {
 	a.call = &sealedconn.Call{OnWrite: func() { a.state.Raise(runstate.MayHaveRun) }}
 	headCtx, cancel := context.WithCancelCause(ctx)
@@ -68,32 +69,32 @@
 		cancel(err)
 		return nil, err
 	}
-	a.idle = newIdleTimer(a.giveUp, cancel)
+	a.idle = newIdleTimer(a.mayGiveUp, cancel)
 	a.idle.start(a.headTimeout)
 	resp, err := a.gateway.transport.RoundTrip(req)
 	a.idle.stop()
 	if err != nil {
 		cause := context.Cause(headCtx)
 		cancel(err)
-		if errors.Is(cause, errSilent) {
-			return nil, errSilent
+		if errors.Is(cause, errResponseTimeout) {
+			return nil, errResponseTimeout
 		}
 		return nil, err
 	}
-	// The context ends with the answer's body, which every reader closes.
-	resp.Body = &bodyWithEnd{ReadCloser: resp.Body, end: func() { cancel(nil) }}
+	// The context is canceled when the answer's body is closed, which every reader does.
+	resp.Body = &cancelOnClose{ReadCloser: resp.Body, cancel: func() { cancel(nil) }}
 	if err := a.check(resp); err != nil {
 		resp.Body.Close()
 		return nil, err
 	}
 	if !a.misdirected(resp) {
 		names := &a.gateway.settings.Headers
-		a.gateway.fleet.observeLimit(&a.choice, limitHeader{values: resp.Header.Values(names.Limit), proven: resp.Header.Get(names.Stamp) != ""})
+		a.gateway.fleet.observeLimit(&a.choice, limitHeader{values: resp.Header.Values(names.Limit), ran: resp.Header.Get(names.Stamp) != ""})
 	}
 	return resp, nil
 }
 
-// build makes the request as the upstream gets it.
+// build returns the request as it is sent to the upstream.
 func (a *attempt) build(ctx context.Context) (*http.Request, error) {
 	r, names := a.request, &a.gateway.settings.Headers
 	target, err := url.ParseRequestURI(r.Target)
@@ -109,8 +110,8 @@
 		Header:        names.forUpstream(r.Header),
 		ContentLength: int64(len(r.Body)),
 	}).WithContext(ctx)
-	// Without GetBody the transport can't send a body a second time on its own; for
-	// requests without one the sealed call refuses the second write.
+	// Without GetBody the transport can't resend a body on its own; for requests without a body
+	// the sealed call refuses the second write.
 	req.Body = io.NopCloser(bytes.NewReader(r.Body))
 	if len(r.Body) == 0 {
 		req.Body = http.NoBody
@@ -139,14 +140,14 @@
 	}
 }
 
-// check refuses answers that aren't this request's.
+// check rejects answers that don't belong to this request.
 func (a *attempt) check(resp *http.Response) error {
 	names := &a.gateway.settings.Headers
 	if got := resp.Header.Get(names.RequestID); got != a.request.ID {
-		return fmt.Errorf("%w: %q", errForeignAnswer, got)
+		return fmt.Errorf("%w: %q", errRequestMismatch, got)
 	}
 	if encoding := resp.Header.Get("Content-Encoding"); encoding != "" {
-		return fmt.Errorf("%w: %q", errEncoded, encoding)
+		return fmt.Errorf("%w: %q", errContentEncoding, encoding)
 	}
 	if success(resp.StatusCode) && resp.Header.Get(names.Stamp) == "" {
 		return errNoStamp
@@ -156,28 +157,28 @@
 
 func success(status int) bool { return status >= 200 && status < 300 }
 
-// notRun says that the answer states that the request didn't run.
+// notRun reports whether the answer states that the request didn't run.
 func (a *attempt) notRun(resp *http.Response) bool {
 	return resp.StatusCode == http.StatusMisdirectedRequest ||
 		resp.Header.Get(a.gateway.settings.Headers.NotRun) != ""
 }
 
-// misdirected says that another upstream answers at the address. An upstream turns a model
-// that the caller named away with the same status.
+// misdirected reports whether another upstream answers at the address. An upstream that doesn't
+// have the model that the caller named responds with the same status.
 func (a *attempt) misdirected(resp *http.Response) bool {
 	own := a.request.Prompt.Model == "" || a.request.model != ""
 	return resp.StatusCode == http.StatusMisdirectedRequest && own
 }
 
-// head fills in what the answer's head says.
-func (a *attempt) head(resp *http.Response) attemptResult {
+// parseHead returns a result with the values of the answer's head.
+func (a *attempt) parseHead(resp *http.Response) attemptResult {
 	names := &a.gateway.settings.Headers
 	result := attemptResult{
 		status:     resp.StatusCode,
 		load:       resp.Header.Get(names.Load),
 		limit:      resp.Header.Values(names.Limit),
 		confidence: -1,
-		firstByte:  time.Since(a.began),
+		firstByte:  time.Since(a.startedAt),
 	}
 	if text := resp.Header.Get(names.Confidence); text != "" {
 		value, err := strconv.Atoi(strings.TrimSpace(text))
@@ -190,15 +191,15 @@
 	return result
 }
 
-// failed tells how an attempt without a usable answer ended.
-func (a *attempt) failed(ctx context.Context, err error) attemptResult {
+// failureResult returns the result of an attempt without a usable answer.
+func (a *attempt) failureResult(ctx context.Context, err error) attemptResult {
 	result := attemptResult{outcome: outcomeUnknown, err: err, confidence: -1}
 	if a.call == nil || a.call.Abandon() != sealedconn.Written {
 		result.outcome = outcomeUnsent
 	}
 	switch {
 	case result.outcome == outcomeUnsent:
-	case errors.Is(err, errSilent), ctx.Err() != nil && time.Since(a.began) > a.headTimeout:
+	case errors.Is(err, errResponseTimeout), ctx.Err() != nil && time.Since(a.startedAt) > a.headTimeout:
 		result.outcome = outcomeSilent
 	case ctx.Err() != nil:
 		result.outcome = outcomeAbandoned
@@ -206,35 +207,35 @@
 	return result
 }
 
-// bodyWithEnd calls end when the body is closed.
-type bodyWithEnd struct {
+// cancelOnClose is a body that calls cancel when it is closed.
+type cancelOnClose struct {
 	io.ReadCloser
-	end func()
+	cancel func()
 }
 
 // Close implements io.Closer.
-func (b *bodyWithEnd) Close() error {
+func (b *cancelOnClose) Close() error {
 	err := b.ReadCloser.Close()
-	b.end()
+	b.cancel()
 	return err
 }
 
-// whole runs an attempt whose answer is held until it is complete.
-func (a *attempt) whole(ctx context.Context) attemptResult {
+// runBuffered runs an attempt whose answer is buffered until it is complete.
+func (a *attempt) runBuffered(ctx context.Context) attemptResult {
 	resp, err := a.send(ctx)
 	if err != nil {
-		return a.failed(ctx, err)
+		return a.failureResult(ctx, err)
 	}
 	defer resp.Body.Close()
-	return a.readWhole(ctx, resp)
+	return a.readBuffered(ctx, resp)
 }
 
-// readWhole reads the rest of an answer.
-func (a *attempt) readWhole(ctx context.Context, resp *http.Response) attemptResult {
-	result := a.head(resp)
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxWholeAnswer+1))
-	if err == nil && len(body) > maxWholeAnswer {
-		err = errTooLong
+// readBuffered reads the rest of an answer.
+func (a *attempt) readBuffered(ctx context.Context, resp *http.Response) attemptResult {
+	result := a.parseHead(resp)
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedAnswer+1))
+	if err == nil && len(body) > maxBufferedAnswer {
+		err = errAnswerTooLong
 	}
 	if a.notRun(resp) {
 		result.outcome = outcomeRefused
@@ -250,7 +251,7 @@
 		}
 		return result
 	}
-	result.whole = &wholeAnswer{status: resp.StatusCode, header: resp.Header, body: body}
+	result.buffered = &bufferedAnswer{status: resp.StatusCode, header: resp.Header, body: body}
 	result.outcome = outcomeDone
 	if !success(resp.StatusCode) {
 		result.outcome = outcomeFailed
--- a/internal/gateway/attemptresult.go
+++ b/internal/gateway/attemptresult.go
@@ -13,55 +13,55 @@
 type outcome int
 
 const (
-	// outcomeDone: the upstream answered with success and the caller has all.
+	// outcomeDone: the upstream answered with success and the caller has the whole answer.
 	outcomeDone outcome = iota
-	// outcomeUnsent: no byte of the request went out.
+	// outcomeUnsent: no byte of the request was sent.
 	outcomeUnsent
-	// outcomeRefused: the upstream said that it didn't run the request.
+	// outcomeRefused: the upstream responded that it didn't run the request.
 	outcomeRefused
-	// outcomeUnknown: the request went out and no answer of its own came.
+	// outcomeUnknown: the request was sent and no valid answer was received.
 	outcomeUnknown
 	// outcomeFailed: the upstream ran the request and answered with a failure.
 	outcomeFailed
-	// outcomeBroken: the answer began and didn't end.
+	// outcomeBroken: the answer began and was cut off.
 	outcomeBroken
-	// outcomeAbandoned: this side ended the attempt: the caller left, the time
-	// was up, or another model was wanted.
+	// outcomeAbandoned: the gateway ended the attempt because the caller disconnected, the
+	// deadline passed, or another model is to answer.
 	outcomeAbandoned
-	// outcomeSilent: the request went out and nothing came back for longer than
-	// upstreams of its kind take.
+	// outcomeSilent: the request was sent and no response arrived within the timeout.
 	outcomeSilent
 )
 
 var outcomeNames = [...]string{"done", "unsent", "refused", "unknown", "failed", "broken", "abandoned", "silent"}
 
-// String is the outcome's name in logs and metrics.
+// String returns the outcome's name in logs and metrics.
 func (o outcome) String() string { return outcomeNames[o] }
 
-// attemptResult is what an attempt came to.
+// attemptResult is the result of an attempt.
 type attemptResult struct {
 	outcome outcome
-	// status and confidence are from the answer's head; 0 without one, and -1
-	// for an answer that states no confidence.
+	// status and confidence are from the answer's head. status is 0 without a head; confidence is
+	// -1 if the answer states none.
 	status     int
 	confidence int
 	load       string
-	// limit is what the head says of the rate that the upstream takes; an upstream without
-	// a limit says nothing.
+	// limit holds the values of the head's rate-limit header; empty for an upstream without a
+	// limit.
 	limit []string
 	// firstByte is the time to the answer's head or a stream's first event.
 	firstByte time.Duration
 	err       error
-	// misdirected says that another upstream answered at the address.
+	// misdirected is set if another upstream answered at the address.
 	misdirected bool
-	// whole is a complete answer that wasn't passed on yet.
-	whole *wholeAnswer
+	// buffered is a complete answer that wasn't passed on yet.
+	buffered *bufferedAnswer
 }
 
-// missed says that the upstream wasn't there: nothing listens at its address, or another one.
-func (r *attemptResult) missed() bool { return r.outcome == outcomeUnsent || r.misdirected }
+// notReached reports whether the upstream was no longer running: nothing or another upstream
+// listens at its address.
+func (r *attemptResult) notReached() bool { return r.outcome == outcomeUnsent || r.misdirected }
 
-// guardOutcome is what the result says of the upstream's run.
+// guardOutcome returns the outcome as the guard counts it.
 func (r *attemptResult) guardOutcome() guard.Outcome {
 	switch r.outcome {
 	case outcomeDone, outcomeFailed:
@@ -77,8 +77,8 @@
 	return guard.NotRun
 }
 
-// wholeAnswer is an answer with its body.
-type wholeAnswer struct {
+// bufferedAnswer is an answer with its whole body.
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -7,16 +7,17 @@
 	"github.com/quetzalweir/quetzalweir/internal/boottime"
 )
 
-// retryBudget bounds the requests that one service is sent again, against those
-// that callers sent for it, in every span of a window. Each host keeps the
-// bound for its own traffic, so that the sum over all hosts keeps it too.
+// retryBudget bounds the retries of one service's requests relative to the requests that callers
+// sent, in every span of a window. Each host keeps the bound for its own traffic, and thereby the
+// sum over all hosts keeps it.
 type retryBudget struct {
 	ratio float64
-	// spare returns the repeats of a window that are permitted whatever the requests.
+	// spare returns the retries per window that are permitted regardless of the number of
+	// requests.
 	spare func() float64
 	mu    sync.Mutex
-	// slots hold the counts of equal parts of the window; slot i%n is of the
-	// i-th part since start.
+	// slots hold the counts of equal parts of the window. slots[i%n] holds the i-th part since
+	// start.
 	slots []budgetSlot
 	span  time.Duration
 	start time.Time
@@ -25,15 +26,15 @@
 type budgetSlot struct {
 	number   int64
 	requests int
-	repeats  int
+	retries  int
 }
 
-// spareRepeats is this host's part of the repeats that all hosts may make whatever the
-// requests. A host that just started has few requests to count on, at a time when many of
-// them break off. It has none before it has heard how many hosts there are; half of all
-// stay unused, for hosts that aren't heard of yet.
-func (g *Gateway) spareRepeats() float64 {
-	hosts := g.hosts.Load()
+// spareRetries returns this host's share of the retries that all hosts together may make
+// regardless of the number of requests. A host that just started has few requests to base its
+// budget on, at a time when many of them are cut off. The share is 0 until the number of hosts is
+// known, and half of all spare retries stay unused, for hosts that aren't known yet.
+func (g *Gateway) spareRetries() float64 {
+	hosts := g.hostCount.Load()
 	if hosts == 0 {
 		return 0
 	}
@@ -41,7 +42,7 @@
 	return used * g.settings.RetrySpare / float64(hosts)
 }
 
-// budgetSlots is how many parts a window is counted in.
+// budgetSlots is the number of parts in which a window is counted.
 const budgetSlots = 20
 
 func newRetryBudget(ratio float64, window time.Duration, spare func() float64) *retryBudget {
@@ -54,37 +55,37 @@
 	}
 }
 
-// request counts a caller's request.
-func (b *retryBudget) request() {
+// countRequest counts a caller's request.
+func (b *retryBudget) countRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.current().requests++
 }
 
-// take counts a repeat and says whether it is within the budget. Repeats are
-// counted over the window and the part that is under way, requests over the
-// window without it, so that no span exceeds the ratio.
-func (b *retryBudget) take() bool {
+// tryTake counts a retry and reports true if it is within the budget. Retries are counted over the
+// window including the current part, requests over the window without it, so that no span exceeds
+// the ratio.
+func (b *retryBudget) tryTake() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.current()
-	requests, repeats := 0, 0
+	requests, retries := 0, 0
 	for i := range b.slots {
 		s := &b.slots[i]
 		if now.number-s.number > budgetSlots {
 			continue
 		}
-		repeats += s.repeats
+		retries += s.retries
 		requests += s.requests
 	}
-	if float64(repeats+1) > b.ratio*float64(requests)+b.spare() {
+	if float64(retries+1) > b.ratio*float64(requests)+b.spare() {
 		return false
 	}
-	now.repeats++
+	now.retries++
 	return true
 }
 
-// current is the slot of this moment, cleared if it was of an earlier one.
+// current returns the slot of the current part, cleared if it held an earlier one.
 func (b *retryBudget) current() *budgetSlot {
 	number := int64(boottime.Since(b.start) / b.span)
 	s := &b.slots[number%int64(len(b.slots))]
--- a/internal/gateway/cold.go
+++ b/internal/gateway/cold.go
@@ -10,92 +10,93 @@
 	"github.com/quetzalweir/quetzalweir/routing"
 )
 
-// warmth is what is known of an upstream's being cold.
-type warmth struct {
-	// until is until when it counts as cold, told that this was logged.
-	until time.Time
-	told  bool
+// coldState is the state of an upstream that is cold.
+type coldState struct {
+	// until is the end of the time for which it counts as cold. logged is set while the log shows
+	// it as cold.
+	until  time.Time
+	logged bool
 }
 
-// dropIdle forgets that the member was cold or limited once it is neither.
-func (m *member) dropIdle(now time.Time) {
-	if m.warmth != nil && !now.Before(m.warmth.until) && !m.warmth.told {
-		m.warmth = nil
+// dropExpired drops the cold state and the rate limit of the member once they have ended.
+func (m *member) dropExpired(now time.Time) {
+	if m.coldState != nil && !now.Before(m.coldState.until) && !m.coldState.logged {
+		m.coldState = nil
 	}
-	if _, news := m.shard.limitNews[m]; !news && m.limit != nil && m.limit.None() && m.limit.logged.since.IsZero() {
+	if _, unreported := m.shard.unreportedLimits[m]; !unreported && m.limit != nil && m.limit.None() && m.limit.logged.since.IsZero() {
 		m.limit = nil
 	}
-	if m.warmth == nil && m.limit == nil {
+	if m.coldState == nil && m.limit == nil {
 		delete(m.shard.leased, m)
 	}
 }
 
-// mayWarm says whether this host may send the upstream a request as far as it is cold.
-func (m *member) mayWarm(now time.Time) bool {
-	if !m.cold(now) {
+// coldBoundAllows reports whether the bound of a cold upstream leaves this host another request.
+func (m *member) coldBoundAllows(now time.Time) bool {
+	if !m.isCold(now) {
 		return true
 	}
-	share, ok := m.shard.access.share(m.lease, now)
-	return ok && m.used().sent.Room(now, m.shard.bound.Each(share))
+	share, ok := m.shard.policy.leasedShare(m.lease, now)
+	return ok && m.ensureUsage().sent.Room(now, m.shard.coldBound.Each(share))
 }
 
-// cold says whether the upstream is believed cold.
-func (m *member) cold(now time.Time) bool {
-	return m.shard.bound.Rate > 0 && m.warmth != nil && now.Before(m.warmth.until)
+// isCold reports whether the upstream counts as cold.
+func (m *member) isCold(now time.Time) bool {
+	return m.shard.coldBound.Rate > 0 && m.coldState != nil && now.Before(m.coldState.until)
 }
 
-// noteCold has the upstream count as cold for a time at least.
-func (m *member) noteCold(lasts time.Duration, reason string, log zerolog.Logger) {
-	until := boottime.Now().Add(lasts)
-	if m.shard.bound.Rate == 0 || lasts <= 0 || m.warmth != nil && !until.After(m.warmth.until) {
+// markCold makes the upstream count as cold for at least the duration.
+func (m *member) markCold(duration time.Duration, reason string, log zerolog.Logger) {
+	until := boottime.Now().Add(duration)
+	if m.shard.coldBound.Rate == 0 || duration <= 0 || m.coldState != nil && !until.After(m.coldState.until) {
 		return
 	}
-	if m.warmth == nil {
-		m.warmth = &warmth{}
+	if m.coldState == nil {
+		m.coldState = &coldState{}
 	}
-	m.warmth.until = until
+	m.coldState.until = until
 	m.shard.leased[m] = struct{}{}
-	if m.warmth.told {
+	if m.coldState.logged {
 		return
 	}
-	m.warmth.told = true
-	log.WithLevel(m.level()).Str("event", "upstream-cold").Str("upstream", m.ID).Str("service", m.Service).Str("zone", m.Zone).
-		Str("reason", reason).Int64("for_ms", lasts.Milliseconds()).Msg("")
+	m.coldState.logged = true
+	log.WithLevel(m.logLevel()).Str("event", "upstream-cold").Str("upstream", m.ID).Str("service", m.Service).Str("zone", m.Zone).
+		Str("reason", reason).Int64("for_ms", duration.Milliseconds()).Msg("")
 }
 
-// Reasons for which an upstream counts as cold.
+// Reasons why an upstream counts as cold.
 const (
 	coldEntry      = "entry"
 	coldEvacuation = "evacuation-ended"
 )
 
-// SetServices takes what the operators declare of the services' cold upstreams.
+// SetServices sets what the operators declare about the services' cold upstreams.
 func (f *Fleet) SetServices(services []routing.Service) {
 	for i := range services {
 		d := &services[i]
 		s := f.shard(d.Name)
 		s.mu.Lock()
-		s.bound = ratelease.Bound{Rate: d.ColdRate, Overrun: f.access.overrun, Spare: f.access.spare}
+		s.coldBound = ratelease.Bound{Rate: d.ColdRate, Overrun: f.policy.coldOverrun, Spare: f.policy.coldSpare}
 		s.coldStart = d.ColdStart
 		for _, m := range s.members {
-			m.noteCold(m.ColdFor-boottime.Since(m.heardAt), coldEntry, f.log)
+			m.markCold(m.ColdFor-boottime.Since(m.updatedAt), coldEntry, f.log)
 		}
 		s.mu.Unlock()
 	}
 }
 
-// noteOpen tells of the upstreams that aren't cold any more, and of limits that ended without
-// an answer.
-func (f *Fleet) noteOpen() {
+// logEndedRestrictions logs the upstreams that are no longer cold, and rate limits that ended
+// without a further answer.
+func (f *Fleet) logEndedRestrictions() {
 	now := boottime.Now()
 	f.each(func(s *shard) {
 		for m := range s.leased {
 			m.logLimit(now, f.log)
-			if m.warmth != nil && m.warmth.told && !m.cold(now) {
-				m.warmth.told = false
-				f.log.WithLevel(m.level()).Str("event", "upstream-warm").Str("upstream", m.ID).Str("service", m.Service).Str("zone", m.Zone).Msg("")
+			if m.coldState != nil && m.coldState.logged && !m.isCold(now) {
+				m.coldState.logged = false
+				f.log.WithLevel(m.logLevel()).Str("event", "upstream-warm").Str("upstream", m.ID).Str("service", m.Service).Str("zone", m.Zone).Msg("")
 			}
-			m.dropIdle(now)
+			m.dropExpired(now)
 		}
 	})
 }
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -14,63 +14,62 @@
 	"github.com/quetzalweir/quetzalweir/runstate"
 )
 
-// dispatch sends the request to upstreams until one answered or no further try
-// is permitted.
+// dispatch sends the request to upstreams until one answers or no further attempt is permitted.
 type dispatch struct {
 	gateway *Gateway
 }
 
 const (
-	// leastUrgent is the last urgency that upstreams know.
-	leastUrgent = 9
-	// urgencyLevels is how many levels each of the operators' ranks is split in.
-	urgencyLevels = 3
+	// lowestPriority is the last priority that upstreams distinguish.
+	lowestPriority = 9
+	// levelsPerRank is the number of priorities into which each of the operators' ranks is split.
+	levelsPerRank = 3
 )
 
-// priority is the urgency that upstreams are told, 0 to 9. Within each of the
-// operators' ranks, work on the smaller models goes first and long prompts on the
-// largest one last: an engine reads a prompt of thousands of tokens for hundreds
-// of milliseconds, in which nothing behind it begins. Whole routes are put last,
-// not single requests, so that a route's largest requests aren't the ones that
-// are always late.
+// priority returns the priority that is sent to upstreams, 0 to 9. Within each of the operators'
+// ranks, requests for the smaller models go first and long prompts for the largest model last: the
+// prefill of thousands of tokens takes hundreds of milliseconds, in which no later prompt begins.
+// Whole routes are put last rather than single requests, so that it isn't always a route's largest
+// requests that are late.
 func (r *Request) priority(largest bool) int {
 	rank := r.rank()
-	if (r.Table.LowestRank()+1)*urgencyLevels > leastUrgent+1 {
-		// There is no room for levels: the operators' order goes first.
-		return min(leastUrgent, rank)
+	if (r.Table.LowestRank()+1)*levelsPerRank > lowestPriority+1 {
+		// There aren't enough priorities to split the ranks: the operators' order takes
+		// precedence.
+		return min(lowestPriority, rank)
 	}
-	urgency := urgencyLevels * rank
+	level := levelsPerRank * rank
 	switch {
-	case largest && r.relativePrompt > 1:
-		urgency += 2
+	case largest && r.relativePromptSize > 1:
+		level += 2
 	case largest:
-		urgency++
+		level++
 	}
-	return urgency
+	return level
 }
 
-// rank is the operators' urgency of the request, 0 first.
+// rank returns the operators' rank of the request, 0 first.
 func (r *Request) rank() int {
 	rank := r.Route.Priority
 	if r.Account != nil && r.Account.Priority != nil {
 		rank = *r.Account.Priority
 	}
-	return max(0, rank) // a document may count from below 0; work is kept by priority
+	return max(0, rank) // a document may use negative ranks; work is counted by priority
 }
 
 func (d *dispatch) serve(ctx context.Context, r *Request, _ next) error {
 	g := d.gateway
-	g.budgets.of(r.Service).request()
-	r.relativePrompt = g.sizes.of(r.Service).observe(r.Route.Name, r.Prompt.TokensIn)
-	models := g.startModels(r)
+	g.budgets.get(r.Service).countRequest()
+	r.relativePromptSize = g.sizes.get(r.Service).observe(r.Route.Name, r.Prompt.TokensIn)
+	models := g.planModels(r)
 	var result attemptResult
 	for {
-		before := result
+		previous := result
 		var err error
-		result, err = d.try(ctx, r, models)
+		result, err = d.tryOnce(ctx, r, models)
 		switch {
-		case err != nil && r.attempts > 0 && errors.Is(err, errNoneOpen):
-			return d.final(ctx, r, before) // its answer, if there is one
+		case err != nil && r.attempts > 0 && errors.Is(err, errNoneAvailable):
+			return d.finalAnswer(ctx, r, previous) // returns the earlier attempt's answer, if there is one
 		case err != nil:
 			return err
 		}
@@ -78,52 +77,52 @@
 		case result.outcome == outcomeDone:
 			return d.deliver(r, result)
 		case errors.Is(result.err, errLowConfidence):
-			models.step()
+			models.advance()
 		}
-		if again := d.again(ctx, r, result); !again {
-			return d.final(ctx, r, result)
+		if retry := d.shouldRetry(ctx, r, result); !retry {
+			return d.finalAnswer(ctx, r, result)
 		}
 	}
 }
 
-// try makes one attempt at the upstream that suits best.
-func (d *dispatch) try(ctx context.Context, r *Request, models *modelSteps) (attemptResult, error) {
+// tryOnce makes one attempt at the most suitable upstream.
+func (d *dispatch) tryOnce(ctx context.Context, r *Request, models *modelSteps) (attemptResult, error) {
 	if err := d.admit(ctx, r); err != nil {
 		return attemptResult{}, err
 	}
 	defer d.gateway.guard.Leave(r.Digest)
-	a, err := d.begin(r, models)
+	a, err := d.startAttempt(r, models)
 	if err != nil {
 		return attemptResult{}, err
 	}
-	target := a.choice.upstream.guarded()
+	target := a.choice.upstream.guardUpstream()
 	d.gateway.guard.Begin(target, r.Digest)
 	var result attemptResult
 	if r.Route.Kind == routing.Stream {
-		result = a.stream(ctx, func(head attemptResult) bool {
-			d.gateway.rollouts.head(r, &a.choice, head.firstByte)
+		result = a.runStream(ctx, func(head attemptResult) bool {
+			d.gateway.rollouts.observeHead(r, &a.choice, head.firstByte)
 			a.headSeen = true
-			return d.accept(r, a, models, head)
+			return d.acceptHead(r, a, models, head)
 		})
 	} else {
-		result = a.whole(ctx)
+		result = a.runBuffered(ctx)
 	}
 	if result.outcome != outcomeRefused {
 		r.state.Raise(a.state.State())
 	}
 	d.gateway.guard.End(target, r.Digest, result.guardOutcome())
-	if result.missed() {
-		r.missed++
+	if result.notReached() {
+		r.notReached++
 	}
-	d.learn(r, a, result)
-	d.record(r, a, result)
+	d.observe(r, a, result)
+	d.logAttempt(r, a, result)
 	return result, nil
 }
 
-// admit lets the request be sent, unless it is kept away from upstreams or its time is up.
+// admit reports an error if the request is quarantined or its deadline has passed.
 func (d *dispatch) admit(ctx context.Context, r *Request) error {
 	if boottime.Until(r.Deadline) <= 0 {
-		// The host was suspended since the request came: its timers don't know yet.
+		// The host was suspended since the request arrived, and its timers haven't fired yet.
 		return d.refusal(r, resultcode.New(resultcode.DeadlineExpired, "no answer in time"))
 	}
 	switch err := d.gateway.guard.Admit(ctx, r.Digest, r.Service); {
@@ -132,59 +131,59 @@
 	case errors.Is(err, guard.ErrQuarantined):
 		return resultcode.Wrap(resultcode.RequestQuarantined, err, "upstreams ended that ran this request")
 	default:
-		return d.final(ctx, r, attemptResult{outcome: outcomeAbandoned, err: err})
+		return d.finalAnswer(ctx, r, attemptResult{outcome: outcomeAbandoned, err: err})
 	}
 }
 
-// begin chooses the upstream of the next attempt and how long it may stay silent.
-func (d *dispatch) begin(r *Request, models *modelSteps) (*attempt, error) {
+// startAttempt chooses the upstream of the next attempt and its timeout.
+func (d *dispatch) startAttempt(r *Request, models *modelSteps) (*attempt, error) {
 	g := d.gateway
 	r.model = models.current()
-	r.homes = g.homes(r)
-	w := d.wants(r, r.model, models.best())
+	r.regions = g.allowedRegions(r)
+	w := d.criteria(r, r.model, models.best())
 	picked, ok := g.fleet.choose(w)
 	if !ok {
-		reach := g.fleet.reachOf(r.Service, r.homes)
+		counts := g.fleet.countUpstreams(r.Service, r.regions)
 		g.log.Warn().Str("event", "no-upstream").Str("request", r.ID).Str("service", r.Service).Int("attempt", r.attempts+1).
-			Int("in_service", reach.inService).Int("cold", reach.cold).Int("evacuated", reach.evacuated).Int("limited", reach.limited).Bool("bound", r.homes.bound()).Msg("")
-		return nil, d.refusal(r, d.noUpstream(r, reach))
+			Int("in_service", counts.inService).Int("cold", counts.cold).Int("evacuated", counts.evacuated).Int("limited", counts.limited).Bool("bound", r.regions.restricted()).Msg("")
+		return nil, d.refusal(r, d.noUpstream(r, counts))
 	}
 	r.attempts++
 	r.tried = append(r.tried, picked.upstream.ID)
-	another := r.Route.Repeatable() && r.triesLeft() && picked.among > 1
+	canRetry := r.Route.Repeatable() && r.attemptsLeft() && picked.among > 1
 	return &attempt{
 		gateway:     g,
 		request:     r,
 		choice:      picked,
-		began:       time.Now(),
+		startedAt:   time.Now(),
 		largest:     models.best(),
-		headTimeout: max(g.responseTimes.of(r.timesKey()).headTimeout(r.Route.Target), expectedFactor*picked.placed.Expected),
-		giveUp:      func() bool { return another && g.budgets.of(r.Service).take() },
+		headTimeout: max(g.responseTimes.get(r.responseTimeKey()).headTimeout(r.Route.Target), expectedFactor*picked.placed.Expected),
+		mayGiveUp:   func() bool { return canRetry && g.budgets.get(r.Service).tryTake() },
 	}, nil
 }
 
-// errNoneOpen means that no upstream may be sent the request now.
-var errNoneOpen = errors.New("gateway: no upstream is open")
+// errNoneAvailable means that the request may not be sent to any upstream now.
+var errNoneAvailable = errors.New("gateway: no upstream is available")
 
-// noUpstream is the refusal of a request for which no upstream is open.
-func (d *dispatch) noUpstream(r *Request, reach reach) *resultcode.Error {
-	if reach.inService == 0 && r.homes.bound() {
-		return resultcode.Wrap(resultcode.NoUpstream, errNoneOpen, "no upstream is in service in the regions that the route and the account allow")
+// noUpstream returns the refusal of a request for which no upstream is available.
+func (d *dispatch) noUpstream(r *Request, counts upstreamCounts) *resultcode.Error {
+	if counts.inService == 0 && r.regions.restricted() {
+		return resultcode.Wrap(resultcode.NoUpstream, errNoneAvailable, "no upstream is in service in the regions that the route and the account allow")
 	}
-	if reach.limited == 0 || reach.limited < reach.inService-reach.cold-reach.evacuated {
-		return resultcode.Wrap(resultcode.NoUpstream, errNoneOpen, "no upstream is in service")
+	if counts.limited == 0 || counts.limited < counts.inService-counts.cold-counts.evacuated {
+		return resultcode.Wrap(resultcode.NoUpstream, errNoneAvailable, "no upstream is in service")
 	}
-	e := resultcode.Wrap(resultcode.UpstreamsLimited, errNoneOpen, "nothing is left of the upstreams' limits")
-	e.RetryAfter = d.gateway.fleet.limitWait(r.Service)
+	e := resultcode.Wrap(resultcode.UpstreamsLimited, errNoneAvailable, "nothing is left of the upstreams' limits")
+	e.RetryAfter = d.gateway.fleet.limitRetryAfter(r.Service)
 	return e
 }
 
-// wants is what the choice of an upstream for the request depends on.
-func (d *dispatch) wants(r *Request, model string, largest bool) wants {
+// criteria returns the criteria by which an upstream is chosen for the request.
+func (d *dispatch) criteria(r *Request, model string, largest bool) criteria {
 	g := d.gateway
-	w := wants{service: r.Service, zone: g.settings.Zone, exclude: r.tried, rank: r.rank(), homes: r.homes, admits: g.rollouts.admits(r)}
+	w := criteria{service: r.Service, zone: g.settings.Zone, exclude: r.tried, rank: r.rank(), regions: r.regions, admits: g.rollouts.admits(r)}
 	if r.Prompt.TokensIn > 0 {
-		w.prompt = r.Prompt.reading(r.Route.PrefixAffinity)
+		w.prompt = r.Prompt.placementPrompt(r.Route.PrefixAffinity)
 		w.model = cmp.Or(model, r.Prompt.Model)
 		w.keys = placement.Keys(w.model, w.prompt)
 		w.price = r.Table.Price(r.Service, w.model)
@@ -195,46 +194,45 @@
 	return w
 }
 
-// timesKey names the answers whose usual time the request's is compared with.
-func (r *Request) timesKey() string { return r.Service + "/" + r.model + "/" + r.Route.Name }
+// responseTimeKey returns the key under which the request's response times are averaged.
+func (r *Request) responseTimeKey() string { return r.Service + "/" + r.model + "/" + r.Route.Name }
 
-// learn takes in what the attempt tells of its upstream, its model and its
-// version.
-func (d *dispatch) learn(r *Request, a *attempt, result attemptResult) {
+// observe records what the attempt shows of its upstream, its model and its version.
+func (d *dispatch) observe(r *Request, a *attempt, result attemptResult) {
 	g := d.gateway
 	g.fleet.release(a.choice, result)
-	d.hold(r, a, result)
+	d.observeVersion(r, a, result)
 	if result.outcome == outcomeSilent {
-		g.responseTimes.of(r.timesKey()).observeSilence(time.Since(a.began))
+		g.responseTimes.get(r.responseTimeKey()).observeTimeout(time.Since(a.startedAt))
 	}
 	if result.outcome != outcomeDone {
 		return
 	}
-	g.responseTimes.of(r.timesKey()).observe(result.firstByte)
+	g.responseTimes.get(r.responseTimeKey()).observe(result.firstByte)
 }
 
-// hold holds the attempt's end against the upstream's version, or for it. An end of the
-// upstream by a request that is to blame says nothing of the version: sound roll-outs
-// were stopped by three of them.
-func (d *dispatch) hold(r *Request, a *attempt, result attemptResult) {
+// observeVersion counts the attempt's result for or against the upstream's version. An
+// upstream's end that a request caused isn't counted: three of them had stopped roll-outs of
+// sound versions.
+func (d *dispatch) observeVersion(r *Request, a *attempt, result attemptResult) {
 	g := d.gateway
 	if result.outcome != outcomeBroken && result.outcome != outcomeUnknown {
 		g.rollouts.observe(r, &a.choice, result, a.headSeen)
 		return
 	}
-	if g.rollouts.judged(r.Service) {
-		g.guard.Unexplained(a.choice.upstream.guarded(), guard.Blame{
+	if g.rollouts.evaluating(r.Service) {
+		g.guard.Unexplained(a.choice.upstream.guardUpstream(), guard.Blame{
 			Version: func() { g.rollouts.observe(r, &a.choice, result, a.headSeen) },
 		})
 	}
 }
 
-// accept decides by an answer's head whether the caller gets it.
-func (d *dispatch) accept(r *Request, a *attempt, models *modelSteps, head attemptResult) bool {
-	if r.answer.started || head.confidence < 0 || models.last() || !r.triesLeft() {
+// acceptHead decides by the head of an answer whether the caller gets it.
+func (d *dispatch) acceptHead(r *Request, a *attempt, models *modelSteps, head attemptResult) bool {
+	if r.answer.started || head.confidence < 0 || models.last() || !r.attemptsLeft() {
 		return true
 	}
-	upgrade, ok := d.gateway.fleet.upgrade(d.wants(r, models.next(), true))
+	upgrade, ok := d.gateway.fleet.upgrade(d.criteria(r, models.next(), true))
 	if !ok {
 		return true // no upstream could do better now
 	}
@@ -245,17 +243,17 @@
 	if head.confidence >= a.threshold {
 		return true
 	}
-	return !d.gateway.budgets.of(r.Service).take()
+	return !d.gateway.budgets.get(r.Service).tryTake()
 }
 
-// again says whether another attempt is permitted: nothing ran or the request
-// may be repeated, and neither the attempts, the time nor the budget are spent.
-func (d *dispatch) again(ctx context.Context, r *Request, result attemptResult) bool {
-	if ctx.Err() != nil || !r.triesLeft() {
+// shouldRetry reports whether another attempt is permitted: the request didn't run or may be
+// repeated, and the attempts, the time and the retry budget aren't used up.
+func (d *dispatch) shouldRetry(ctx context.Context, r *Request, result attemptResult) bool {
+	if ctx.Err() != nil || !r.attemptsLeft() {
 		return false
 	}
-	if errors.Is(result.err, errLowConfidence) || errors.Is(result.err, errSilent) {
-		return true // the budget was taken when the attempt was given up
+	if errors.Is(result.err, errLowConfidence) || errors.Is(result.err, errResponseTimeout) {
+		return true // the budget was charged when the attempt was given up
 	}
 	if result.outcome == outcomeAbandoned || d.gateway.guard.NearlyJudged(r.Digest) {
 		return false
@@ -270,22 +268,22 @@
 		return false
 	}
 	if result.outcome == outcomeUnsent {
-		return true // no upstream saw it, so it isn't a repeat
+		return true // no upstream received the request, so this isn't a repeat
 	}
-	return d.gateway.budgets.of(r.Service).take()
+	return d.gateway.budgets.get(r.Service).tryTake()
 }
 
-// maxMissed bounds the attempts that count for nothing because their upstreams weren't
-// there any more. When a quarter of all end at once, a third try finds one in 64 requests
-// without an upstream though the others have room.
-const maxMissed = 4
+// maxNotReached bounds the attempts that aren't counted because their upstream was no longer
+// running. When a quarter of all upstreams end at once, with three attempts one request in 64
+// finds no upstream although the others have capacity.
+const maxNotReached = 4
 
-// triesLeft says whether the request may be sent to another upstream. Operators bound the
-// upstreams that may run it.
-func (r *Request) triesLeft() bool {
-	return r.attempts-min(r.missed, maxMissed) < r.Route.MaxAttempts
+// attemptsLeft reports whether the request may be sent to another upstream. Operators bound the
+// number of upstreams that may run it.
+func (r *Request) attemptsLeft() bool {
+	return r.attempts-min(r.notReached, maxNotReached) < r.Route.MaxAttempts
 }
 
-// minAttemptTime is the least time that is worth another attempt: a round trip
-// and an upstream's shortest work.
+// minAttemptTime is the least remaining time that is worth another attempt: a round trip and an
+// upstream's shortest processing time.
 const minAttemptTime = 30 * time.Millisecond
--- a/internal/gateway/dispatchend.go
+++ b/internal/gateway/dispatchend.go
@@ -12,18 +12,18 @@
 	"github.com/quetzalweir/quetzalweir/runstate"
 )
 
-// deliver passes a held answer on; a stream is delivered already.
+// deliver writes a buffered answer to the caller. A stream was delivered already.
 func (d *dispatch) deliver(r *Request, result attemptResult) error {
-	if result.whole == nil {
+	if result.buffered == nil {
 		return nil
 	}
-	return r.answer.whole(result.whole)
+	return r.answer.writeBuffered(result.buffered)
 }
 
-// final is the answer when no further attempt is made.
-func (d *dispatch) final(ctx context.Context, r *Request, result attemptResult) error {
+// finalAnswer writes or returns the answer when no further attempt is made.
+func (d *dispatch) finalAnswer(ctx context.Context, r *Request, result attemptResult) error {
 	if errors.Is(context.Cause(ctx), context.Canceled) {
-		if d.gateway.cutting.Load() {
+		if d.gateway.stopExpired.Load() {
 			return resultcode.Wrap(resultcode.AnswerIncomplete, result.err, "the planned stop's time was over")
 		}
 		return resultcode.Wrap(resultcode.CallerGone, result.err, "the caller left")
@@ -31,8 +31,8 @@
 	if r.answer.started {
 		return resultcode.Wrap(resultcode.AnswerIncomplete, result.err, "the stream broke off")
 	}
-	if result.whole != nil {
-		return r.answer.whole(result.whole)
+	if result.buffered != nil {
+		return r.answer.writeBuffered(result.buffered)
 	}
 	if ctx.Err() != nil {
 		return d.refusal(r, resultcode.Wrap(resultcode.DeadlineExpired, result.err, "no answer in time"))
@@ -47,25 +47,25 @@
 	}
 }
 
-// refusal makes a failure's code one that is true of the run state.
+// refusal replaces the error's code if it contradicts the run state.
 func (d *dispatch) refusal(r *Request, err *resultcode.Error) error {
 	state := r.state.State()
 	if state == runstate.NotRun && err.Code == resultcode.DeadlineExpired {
 		return &resultcode.Error{Code: resultcode.DeadlineUnmeetable, Detail: err.Detail, Err: err.Err}
 	}
-	if state != runstate.NotRun && resultcode.Lookup(err.Code).Status == statusPromise {
+	if state != runstate.NotRun && resultcode.Lookup(err.Code).Status == statusNotRun {
 		return &resultcode.Error{Code: resultcode.OutcomeUnknown, Detail: err.Detail, Err: err.Err}
 	}
 	return err
 }
 
-// statusPromise is the status that promises that a request didn't run.
-const statusPromise = http.StatusServiceUnavailable
+// statusNotRun is the status that guarantees that a request didn't run.
+const statusNotRun = http.StatusServiceUnavailable
 
-// record writes the attempt's log line and counts it.
-func (d *dispatch) record(r *Request, a *attempt, result attemptResult) {
+// logAttempt writes the attempt's log line and updates its metrics.
+func (d *dispatch) logAttempt(r *Request, a *attempt, result attemptResult) {
 	g := d.gateway
-	g.metrics.attempt(r, result, time.Since(a.began))
+	g.metrics.attempt(r, result, time.Since(a.startedAt))
 	line := g.log.Info()
 	if result.outcome != outcomeDone {
 		line = g.log.Warn()
@@ -78,7 +78,7 @@
 		Int("tokens", r.Prompt.TokensIn).Int64("ahead_ms", a.choice.ahead.Milliseconds()).Int64("expected_ms", a.choice.placed.Expected.Milliseconds()).
 		Int("missing", a.choice.placed.Missing).Bool("owner", a.choice.placed.Owner).Int("threshold", a.threshold).Float64("pressure", math.Round(100*a.pressure)/100).
 		Str("outcome", result.outcome.String()).Int("status", result.status).Int("confidence", result.confidence).Str("limit", strings.Join(result.limit, ",")).
-		Int64("first_ms", result.firstByte.Milliseconds()).Int64("took_ms", time.Since(a.began).Milliseconds())
+		Int64("first_ms", result.firstByte.Milliseconds()).Int64("took_ms", time.Since(a.startedAt).Milliseconds())
 	if result.err != nil {
 		line.Err(result.err)
 	}
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -1,9 +1,8 @@
-// Package gateway takes opaque requests by the operators' routing document to
-// upstreams and back: it finds the route, identifies the client account, chooses
-// a model, a version and an upstream, repeats what may be repeated, and says
-// truthfully of each refusal whether the request ran.
+// Package gateway forwards callers' requests to upstreams by the operators' routing document. It
+// matches the route, identifies the client account, chooses a model, a version and an upstream,
+// retries where that is permitted, and reports with each refusal whether the request may have run.
 //
-// What it knows of the outside comes through Table, Fleet and Rollouts, which a
-// deployment's adapter feeds; how headers are called comes with Headers. The
-// order of the steps of a request stands in (*Gateway).filters.
+// The data that requests are routed by comes from routing.Table, Fleet and the roll-outs, which
+// are filled from the tables of the store. Header names are configured by Headers.
+// (*Gateway).filters lists the steps of a request in their order.
 package gateway
--- a/internal/gateway/evacuate.go
+++ b/internal/gateway/evacuate.go
@@ -9,35 +9,35 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// evacuations are the operators' rows that evacuate availability zones. What such a row says
-// is of no matter, and so is whether it can be read: operators rely on its being there.
+// evacuations tracks the operators' rows that evacuate availability zones. The presence of a row
+// counts; its content is ignored and need not be readable.
 type evacuations struct {
 	prefix string
 	fleet  *Fleet
 
 	mu sync.Mutex
-	// zones are those that get nothing, with the revisions of their rows.
+	// zones are the evacuated zones with the revisions of their rows.
 	zones map[string]storage.Revision
-	era   eraWatch
+	era   eraTracker
 }
 
 func newEvacuations(prefix string, fleet *Fleet) *evacuations {
 	return &evacuations{prefix: prefix, fleet: fleet, zones: make(map[string]storage.Revision)}
 }
 
-// zone is the availability zone that the row evacuates.
+// zone returns the availability zone that the row evacuates.
 func (e *evacuations) zone(row feed.Row) (zone string, ok bool) {
 	zone, ok = strings.CutPrefix(row.Key, e.prefix)
 	return zone, ok && zone != ""
 }
 
-// replace takes the operators' whole table. Zones that were evacuated before the store came
-// back from a copy that lacks it stay so until operators had the time to write it again.
+// replace applies the operators' whole table. After the store was restored from a backup that
+// lacks evacuations, zones stay evacuated until operators had time to write the rows again.
 func (e *evacuations) replace(rows []feed.Row, revision storage.Revision) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.era.note(revision) {
-		time.AfterFunc(rewriteTime, e.endRewriting)
+	if e.era.observe(revision) {
+		time.AfterFunc(restoreGrace, e.endRestoreGrace)
 	}
 	listed := make(map[string]storage.Revision)
 	for _, row := range rows {
@@ -45,28 +45,28 @@
 			listed[zone] = row.Revision
 		}
 	}
-	for zone, known := range e.zones {
-		if _, ok := listed[zone]; !ok && e.era.rewriting() && known.Era() < revision.Era() {
-			listed[zone] = known
+	for zone, rowRevision := range e.zones {
+		if _, ok := listed[zone]; !ok && e.era.inRestoreGrace() && rowRevision.Era() < revision.Era() {
+			listed[zone] = rowRevision
 		}
 	}
 	e.zones = listed
 	e.apply(revision)
 }
 
-// endRewriting takes back the zones whose evacuation wasn't written again.
-func (e *evacuations) endRewriting() {
+// endRestoreGrace ends the evacuations that weren't written again after the restore.
+func (e *evacuations) endRestoreGrace() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for zone, known := range e.zones {
-		if known.Era() < e.era.newest.Era() {
+	for zone, rowRevision := range e.zones {
+		if rowRevision.Era() < e.era.newest.Era() {
 			delete(e.zones, zone)
 		}
 	}
 	e.apply(e.era.newest)
 }
 
-// change takes a changed row. It reports whether that is an evacuation's.
+// change applies a changed row. It reports whether the row is an evacuation's.
 func (e *evacuations) change(row feed.Row) bool {
 	zone, ok := e.zone(row)
 	if !ok {
@@ -83,7 +83,7 @@
 	return true
 }
 
-// apply has the fleet heed the zones. The lock is held.
+// apply passes the zones to the fleet. The caller holds the lock.
 func (e *evacuations) apply(revision storage.Revision) {
 	zones := make(map[string]bool, len(e.zones))
 	for zone := range e.zones {
@@ -92,39 +92,39 @@
 	e.fleet.SetEvacuated(zones, revision)
 }
 
-// SetEvacuated takes the zones that get nothing from now on. The upstreams of one that is
-// taken back may have become cold meanwhile, and their entries tell so only with their
-// next heartbeats.
+// SetEvacuated sets the zones whose upstreams get no requests from now on. When an evacuation
+// ends, the zone's upstreams may have become cold meanwhile, which their entries show only with
+// their next heartbeats.
 func (f *Fleet) SetEvacuated(zones map[string]bool, revision storage.Revision) {
-	known := f.access.evacuated.Swap(&zones)
+	previous := f.policy.evacuatedZones.Swap(&zones)
 	for zone := range zones {
-		if known == nil || !(*known)[zone] {
-			f.log.Warn().Str("event", "zone-evacuated").Str("zone", zone).Int("upstreams", f.inZone(zone)).Stringer("revision", revision).Msg("")
+		if previous == nil || !(*previous)[zone] {
+			f.log.Warn().Str("event", "zone-evacuated").Str("zone", zone).Int("upstreams", f.countInZone(zone)).Stringer("revision", revision).Msg("")
 		}
 	}
-	if known == nil {
+	if previous == nil {
 		return
 	}
-	for zone := range *known {
+	for zone := range *previous {
 		if !zones[zone] {
-			f.takeBack(zone, revision)
+			f.endEvacuation(zone, revision)
 		}
 	}
 }
 
-func (f *Fleet) takeBack(zone string, revision storage.Revision) {
-	f.log.Warn().Str("event", "zone-taken-back").Str("zone", zone).Int("upstreams", f.inZone(zone)).Stringer("revision", revision).Msg("")
+func (f *Fleet) endEvacuation(zone string, revision storage.Revision) {
+	f.log.Warn().Str("event", "zone-taken-back").Str("zone", zone).Int("upstreams", f.countInZone(zone)).Stringer("revision", revision).Msg("")
 	f.each(func(s *shard) {
 		for _, m := range s.members {
 			if m.Zone == zone {
-				m.noteCold(s.coldStart, coldEvacuation, f.log)
+				m.markCold(s.coldStart, coldEvacuation, f.log)
 			}
 		}
 	})
 }
 
-// inZone counts the zone's upstreams.
-func (f *Fleet) inZone(zone string) int {
+// countInZone returns the number of the zone's upstreams.
+func (f *Fleet) countInZone(zone string) int {
 	n := 0
 	f.each(func(s *shard) {
 		for _, m := range s.members {
--- a/internal/gateway/filters.go
+++ b/internal/gateway/filters.go
@@ -13,7 +13,7 @@
 	"github.com/quetzalweir/quetzalweir/resultcode"
 )
 
-// matchRoute finds the route by the table in force.
+// matchRoute finds the route in the routing table that is in force.
 type matchRoute struct {
 	gateway *Gateway
 }
@@ -40,7 +40,7 @@
 	return next(ctx, r)
 }
 
-// headerBytes is the size of a header on the wire.
+// headerBytes returns the size of a header on the wire.
 func headerBytes(header http.Header) int {
 	n := 0
 	for name, values := range header {
@@ -86,8 +86,8 @@
 	return next(ctx, r)
 }
 
-// setDeadline works out when the final answer is due: when the caller stops
-// waiting or the route's timeout ends, whichever is first.
+// setDeadline sets the request's deadline: the earlier of the caller's deadline and the end of the
+// route's timeout.
 type setDeadline struct {
 	headers *Headers
 }
@@ -109,6 +109,5 @@
 	return next(ctx, r)
 }
 
-// defaultTimeout bounds requests for which neither the caller nor the route
-// says how long they may take.
+// defaultTimeout bounds requests for which neither the caller nor the route sets a timeout.
 const defaultTimeout = 30 * time.Second
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -13,40 +13,40 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// Incarnation is the start of an upstream, in Unix milliseconds; 0 where the platform
-// gives each start an id of its own and tells no time.
+// Incarnation is the start time of an upstream in Unix milliseconds; 0 where the platform gives
+// each start a new id and reports no time.
 type Incarnation int64
 
-// Upstream is one incarnation of an upstream as the store lists it.
+// Upstream describes one incarnation of an upstream by its entry in the store.
 type Upstream struct {
-	// ID and Incarnation together are different for each start of the upstream.
+	// ID and Incarnation together are unique for each start of the upstream.
 	ID          string
 	Incarnation Incarnation
 	Service     string
 	Address     string
 	Zone        string
 	Version     string
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that it runs concurrently.
 	Slots int
-	// Leaving says that it takes no new work.
+	// Leaving is set if it accepts no new requests.
 	Leaving bool
-	// ColdFor is how much longer the upstream said that it is cold.
+	// ColdFor is the remaining time for which the upstream declared itself cold.
 	ColdFor time.Duration
-	// Sequence numbers its entries; 0 where they aren't numbered.
+	// Sequence numbers the upstream's entries; 0 where they aren't numbered.
 	Sequence uint64
 }
 
-// Fleet keeps what this host knows of the upstreams: the store's list and what
-// their answers show. Each service's upstreams are a shard under its own lock.
+// Fleet holds this host's data on the upstreams, from the store's entries and from the upstreams'
+// answers. The upstreams of each service are a shard under its own lock.
 type Fleet struct {
-	// removalGrace is how long an upstream whose entry vanished is still used.
-	// Entries can lapse while the store is out of reach and come back.
+	// removalGrace is how long an upstream whose entry was removed is still used. Entries can
+	// expire while the store is unreachable and be restored later.
 	removalGrace time.Duration
 	log          zerolog.Logger
-	access       *access
-	geography    geography
-	// tally counts the changes that the log wasn't told of yet.
-	tally tally
+	policy       *sendPolicy
+	topology     zoneTopology
+	// entryChanges counts the changes that weren't logged yet.
+	entryChanges entryChanges
 
 	mu     sync.RWMutex
 	shards map[string]*shard
@@ -56,66 +56,64 @@
 type shard struct {
 	mu      sync.Mutex
 	members map[string]*member
-	// addresses are the members that were listed last at each address.
+	// addresses maps each address to the member that was listed there last.
 	addresses map[string]*member
-	// names are the members by what hosts call them to each other.
+	// names maps the members by their names in messages between hosts.
 	names map[exchange.Name]*member
-	// leases are the members by what stands for them in leases, limitNews those of whose
-	// limits the hub is to be told.
-	leases    map[ratelease.Upstream]*member
-	limitNews map[*member]struct{}
-	// active are the members that have requests of this host, leased those that may be cold
-	// or limited: what is done a few times a second looks at these alone.
+	// leases maps the members by their ids in leases. unreportedLimits are those whose rate limits
+	// have to be reported to the hub.
+	leases           map[ratelease.Upstream]*member
+	unreportedLimits map[*member]struct{}
+	// active are the members with requests of this host in flight, leased those that may be cold
+	// or rate-limited. Periodic tasks that run several times a second visit these only.
 	active map[*member]struct{}
 	leased map[*member]struct{}
-	// starts counts the members that told their start.
-	starts starts
-	// others is what the other hosts' requests in flight ask of the upstreams, as of
-	// othersAt.
-	others   exchange.Work
-	othersAt time.Time
-	// roster finds members without a look at all of them, kept are the prompts that they are
-	// believed to keep.
-	roster roster
-	kept   *placement.Kept[*member]
-	// access is the fleet's; bound and coldStart are what the operators declared of the
+	// starts counts the members with a start time.
+	starts startCounts
+	// remoteWork is the other hosts' work in flight by upstream as of remoteWorkAt.
+	remoteWork   exchange.Work
+	remoteWorkAt time.Time
+	// index finds members without a scan of all. cachedPrompts are the prompts that the members
+	// are assumed to have cached.
+	index         memberIndex
+	cachedPrompts *placement.Kept[*member]
+	// policy is the fleet's. coldBound and coldStart are what the operators declared for the
 	// service's cold upstreams.
-	access    *access
-	geography *geography
-	bound     ratelease.Bound
+	policy    *sendPolicy
+	topology  *zoneTopology
+	coldBound ratelease.Bound
 	coldStart time.Duration
-	// base is the version in service without a roll-out; empty before the first
-	// upstream is listed.
+	// base is the version in service without a roll-out; empty before the first upstream is
+	// listed.
 	base string
-	// typicalLoad is the decayed mean of the loads per slot that the upstreams
-	// reported.
-	typicalLoad float64
-	// prompts says that the upstreams are engines. rates are how fast their models read,
-	// urgency is the decayed work of new prompts by priority, meanReading the decayed mean
-	// of the longer ones.
-	prompts bool
-	rates   *placement.Rates
-	// heard is what other hosts told of models' paces and wasn't asked for yet.
-	heard       exchange.Timings
-	urgency     [leastUrgent + 1]float64
-	meanReading time.Duration
-	waits       waits
-	// reads are the shared parts that upstreams were sent for the first time, as far as
-	// this host knows, since the other hosts were told.
-	reads exchange.Reads
-	// ration shares limits that don't suffice; supply is what this host may send of them, in
-	// requests a second, as of suppliedAt.
+	// meanLoad is the decayed mean of the loads per slot that the upstreams reported.
+	meanLoad float64
+	// servesPrompts is set if the upstreams are engines. rates are the prefill rates of their
+	// models, workByPriority is the decayed work of new prompts by priority, meanPrefill the
+	// decayed mean of the longer ones.
+	servesPrompts bool
+	rates         *placement.Rates
+	// remoteTimings are the other hosts' measurements for models that weren't used yet.
+	remoteTimings  exchange.Timings
+	workByPriority [lowestPriority + 1]float64
+	meanPrefill    time.Duration
+	queueStats     queueStats
+	// sentPrefixes are the shared prefixes that upstreams were sent for the first time, as far as
+	// this host knows, since the last report to the other hosts.
+	sentPrefixes exchange.Reads
+	// ration distributes rate limits that don't suffice by rank. supply is this host's part of the
+	// limits, in requests a second, as of suppliedAt.
 	ration     placement.Ration
 	supply     float64
 	suppliedAt time.Time
-	// meanHeld is the decayed mean of the times for which upstreams have requests.
-	meanHeld time.Duration
+	// meanRequestTime is the decayed mean of the times that requests spend at upstreams.
+	meanRequestTime time.Duration
 }
 
-// NewFleet returns an empty fleet. An upstream whose entry was removed is used for
-// removalGrace longer; one that said that it leaves is not.
+// NewFleet returns an empty fleet. An upstream whose entry was removed is used for removalGrace
+// longer, unless it had announced that it leaves.
 func NewFleet(removalGrace time.Duration, log zerolog.Logger) *Fleet {
-	return &Fleet{removalGrace: removalGrace, log: log, access: newAccess(""), shards: make(map[string]*shard)}
+	return &Fleet{removalGrace: removalGrace, log: log, policy: newSendPolicy(""), shards: make(map[string]*shard)}
 }
 
 func (f *Fleet) shard(service string) *shard {
@@ -128,26 +126,27 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.shards[service] == nil {
-		f.shards[service] = newShard(f.access, &f.geography)
+		f.shards[service] = newShard(f.policy, &f.topology)
 	}
 	return f.shards[service]
 }
 
-func newShard(a *access, g *geography) *shard {
+func newShard(a *sendPolicy, g *zoneTopology) *shard {
 	return &shard{
-		access: a, geography: g, members: make(map[string]*member), addresses: make(map[string]*member),
+		policy: a, topology: g, members: make(map[string]*member), addresses: make(map[string]*member),
 		names: make(map[exchange.Name]*member), leases: make(map[ratelease.Upstream]*member),
-		active: make(map[*member]struct{}), leased: make(map[*member]struct{}), limitNews: make(map[*member]struct{}),
-		kept: placement.NewKept[*member](placement.MaxKept), reads: make(exchange.Reads), rates: placement.NewRates(),
+		active: make(map[*member]struct{}), leased: make(map[*member]struct{}), unreportedLimits: make(map[*member]struct{}),
+		cachedPrompts: placement.NewKept[*member](placement.MaxKept), sentPrefixes: make(exchange.Reads), rates: placement.NewRates(),
 	}
 }
 
-// lapseGrace is how long an upstream is used whose entry vanished in an outage of the store:
-// entries lapse then though their upstreams live, and are back about two seconds after
-// the store. Without it a service had no upstream for the last half second of these.
+// lapseGrace is how long an upstream is used whose entry was removed during an outage of the
+// store: entries expire then although their upstreams are alive, and are restored about two
+// seconds after the store. With a shorter grace a service had no upstream for the last half second
+// of these.
 const lapseGrace = 2200 * time.Millisecond
 
-// Remove notes that an upstream's entry vanished; lapsed says that it may have done so
+// Remove records that an upstream's entry was removed. lapsed is set if the entry may have expired
 // because of an outage of the store.
 func (f *Fleet) Remove(id string, revision storage.Revision, lapsed bool) {
 	f.each(func(s *shard) {
@@ -157,12 +156,12 @@
 		}
 		m.removedAt = boottime.Now()
 		m.lapsed = lapsed
-		f.tally.removed.Add(1)
-		f.log.WithLevel(m.level()).Str("event", "upstream-removed").Str("upstream", id).Stringer("revision", revision).Bool("lapsed", lapsed).Int("in_flight", m.inFlight).Msg("")
+		f.entryChanges.removed.Add(1)
+		f.log.WithLevel(m.logLevel()).Str("event", "upstream-removed").Str("upstream", id).Stringer("revision", revision).Bool("lapsed", lapsed).Int("in_flight", m.inFlight).Msg("")
 	})
 }
 
-// entry returns what the upstream's entry of the revision says, if that is in use.
+// entry returns the content of the upstream's entry at the revision if that is in use.
 func (f *Fleet) entry(id string, revision storage.Revision) (u Upstream, ok bool) {
 	f.each(func(s *shard) {
 		if m := s.members[id]; m != nil && m.revision == revision && m.removedAt.IsZero() && !m.withdrawn {
@@ -172,8 +171,8 @@
 	return u, ok
 }
 
-// Keep removes all upstreams that aren't in the list.
-func (f *Fleet) Keep(listed map[string]bool, revision storage.Revision, lapsed bool) {
+// RemoveUnlisted removes all upstreams that aren't in the list.
+func (f *Fleet) RemoveUnlisted(listed map[string]bool, revision storage.Revision, lapsed bool) {
 	var gone []string
 	f.each(func(s *shard) {
 		for id := range s.members {
@@ -187,8 +186,8 @@
 	}
 }
 
-// Withdraw notes that an upstream's entry no longer names one to use. It gets no new
-// request until its entry does again.
+// Withdraw records that an upstream's entry no longer describes a usable one. The upstream gets no
+// new requests until its entry does again.
 func (f *Fleet) Withdraw(id string, revision storage.Revision) {
 	f.each(func(s *shard) {
 		if m := s.members[id]; m != nil {
@@ -211,103 +210,102 @@
 	}
 }
 
-// forgetAfter is how long a removed upstream's record is kept for requests
-// that are still in flight there.
-const forgetAfter = time.Minute
+// recordRetention is how long a removed upstream's record is kept for requests that are still in
+// flight there.
+const recordRetention = time.Minute
 
-// Sweep drops the records of upstreams that are gone for good.
+// Sweep deletes the records of upstreams that were removed longer than recordRetention ago.
 func (f *Fleet) Sweep(now time.Time) {
 	f.each(func(s *shard) {
 		for id, m := range s.members {
-			if !m.removedAt.IsZero() && now.Sub(m.removedAt) > forgetAfter && m.inFlight == 0 {
-				s.forget(m)
+			if !m.removedAt.IsZero() && now.Sub(m.removedAt) > recordRetention && m.inFlight == 0 {
+				s.unindex(m)
 				delete(s.members, id)
 			}
 		}
 	})
 }
 
-// Known says whether any upstream is listed.
-func (f *Fleet) Known() bool {
+// HasUpstreams reports whether any upstream is listed.
+func (f *Fleet) HasUpstreams() bool {
 	known := false
 	f.each(func(s *shard) { known = known || len(s.members) > 0 })
 	return known
 }
 
-// opens says whether this host may send a request to an upstream of its homes whose version
-// fits now.
-func (f *Fleet) opens(service string, at homes, fits func(version string) bool) bool {
+// hasAvailable reports whether this host may now send a request to an upstream in the regions
+// whose version matches.
+func (f *Fleet) hasAvailable(service string, regions regionConstraint, matches func(version string) bool) bool {
 	s := f.shard(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now, looked := boottime.Now(), 0
+	now, probed := boottime.Now(), 0
 	for _, m := range s.members {
-		if !at.allow(m.Zone) {
+		if !regions.allows(m.Zone) {
 			continue
 		}
-		if fits(m.Version) && m.open(now, f.removalGrace) {
+		if matches(m.Version) && m.acceptsRequests(now, f.removalGrace) {
 			return true
 		}
-		if looked++; looked == opensProbes {
+		if probed++; probed == maxAvailableProbes {
 			break
 		}
 	}
 	return false
 }
 
-// opensProbes bounds the upstreams that are looked at for an open one, in no order: of
-// thousands that start at once, looking at all takes longer than a request has.
-const opensProbes = 256
+// maxAvailableProbes bounds the upstreams that hasAvailable checks, in no particular order: when
+// thousands start at once, checking all takes longer than a request has.
+const maxAvailableProbes = 256
 
-// serves says whether the service has an upstream in the homes that takes work and whose
-// version fits.
-func (f *Fleet) serves(service string, at homes, fits func(version string) bool) bool {
+// hasInService reports whether the service has an upstream in service in the regions whose version
+// matches.
+func (f *Fleet) hasInService(service string, regions regionConstraint, matches func(version string) bool) bool {
 	s := f.shard(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.serves(at, fits, f.removalGrace)
+	return s.hasInService(regions, matches, f.removalGrace)
 }
 
-func (s *shard) serves(at homes, fits func(version string) bool, grace time.Duration) bool {
+func (s *shard) hasInService(regions regionConstraint, matches func(version string) bool, grace time.Duration) bool {
 	now := boottime.Now()
 	for _, m := range s.members {
-		if at.allow(m.Zone) && fits(m.Version) && m.takesWork(now, grace) {
+		if regions.allows(m.Zone) && matches(m.Version) && m.inService(now, grace) {
 			return true
 		}
 	}
 	return false
 }
 
-// count is the number of upstreams of a version that take work.
-func (f *Fleet) count(service, version string) int {
+// countVersion returns the number of upstreams of a version that are in service.
+func (f *Fleet) countVersion(service, version string) int {
 	s := f.shard(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := boottime.Now()
 	n := 0
 	for _, m := range s.members {
-		if m.Version == version && m.takesWork(now, f.removalGrace) {
+		if m.Version == version && m.inService(now, f.removalGrace) {
 			n++
 		}
 	}
 	return n
 }
 
-// Base is the version in service: the most frequent one when it is first asked
-// for, until no upstream of it takes work; then the most frequent of the others.
-// It is empty if none is left.
+// Base returns the version in service: the most frequent one at the first call, until no upstream
+// of it is in service; then the most frequent of the others. It is empty if there is none.
 func (f *Fleet) Base(service string) string {
 	s := f.shard(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.base != "" && s.serves(homes{}, func(version string) bool { return version == s.base }, f.removalGrace) {
+	if s.base != "" && s.hasInService(regionConstraint{}, func(version string) bool { return version == s.base }, f.removalGrace) {
 		return s.base
 	}
 	now := boottime.Now()
 	counts := make(map[string]int)
 	best := ""
 	for _, m := range s.members {
-		if !m.takesWork(now, f.removalGrace) {
+		if !m.inService(now, f.removalGrace) {
 			continue
 		}
 		counts[m.Version]++
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -10,7 +10,7 @@
 	"github.com/quetzalweir/quetzalweir/resultcode"
 )
 
-// ServeHTTP takes one caller's request.
+// ServeHTTP handles one caller's request.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
@@ -26,19 +26,19 @@
 		Session: req.Header.Get(names.Session),
 	}
 	r.answer = newAnswerWriter(w, req, g.stopping.Load(), req.Header.Get(names.LastEventID))
-	err := g.take(req.Context(), r)
+	err := g.process(req.Context(), r)
 	g.finish(r, err)
 }
 
-// take runs the pipeline.
-func (g *Gateway) take(ctx context.Context, r *Request) error {
+// process runs the pipeline for the request.
+func (g *Gateway) process(ctx context.Context, r *Request) error {
 	if r.ID == "" {
 		return resultcode.New(resultcode.BadHeader, "the request has no id")
 	}
 	return g.pipeline(ctx, r)
 }
 
-// requestTarget is the path and query as the caller sent them.
+// requestTarget returns the path and query as the caller sent them.
 func requestTarget(req *http.Request) string {
 	if len(req.RequestURI) > 0 && req.RequestURI[0] == '/' {
 		return req.RequestURI
@@ -46,7 +46,7 @@
 	return req.URL.RequestURI()
 }
 
-// finish writes the refusal in err, if any, and the request's log line.
+// finish writes the request's log line and, if err is set, the refusal.
 func (g *Gateway) finish(r *Request, err error) {
 	code := resultcode.OK
 	if err != nil {
@@ -60,8 +60,8 @@
 	if r.Table != nil {
 		version = r.Table.Version
 	}
-	took := boottime.Since(r.Arrived)
-	g.metrics.request(route, code.String(), took)
+	elapsed := boottime.Since(r.Arrived)
+	g.metrics.request(route, code.String(), elapsed)
 	line := g.log.Info()
 	if err != nil {
 		line = g.log.Warn().AnErr("error", err)
@@ -69,8 +69,8 @@
 	line.Str("event", "answer").Str("request", r.ID).Stringer("digest", r.Digest).Str("route", route).Str("service", service).
 		Int("code", int(code)).Str("result", code.String()).Str("run_state", r.state.State().String()).
 		Int("attempts", r.attempts).Str("model", r.model).Str("account", r.accountName()).Str("session", r.Session).
-		Uint64("document", version).Int("events", r.answer.events).Int64("pause_ms", r.answer.pause.Milliseconds()).
-		Int64("took_ms", took.Milliseconds()).Bool("stopping", r.answer.closing).Msg("")
+		Uint64("document", version).Int("events", r.answer.events).Int64("pause_ms", r.answer.longestPause.Milliseconds()).
+		Int64("took_ms", elapsed.Milliseconds()).Bool("stopping", r.answer.closing).Msg("")
 	if err != nil {
 		g.refuse(r, resultcode.From(err))
 	}
@@ -83,8 +83,8 @@
 	return r.Account.Name
 }
 
-// refuse writes a refusal. An answer that began can't be refused any more: its
-// connection is cut, so that it doesn't look complete.
+// refuse writes a refusal. If the answer has begun already, it cuts the connection instead, so
+// that the answer doesn't look complete.
 func (g *Gateway) refuse(r *Request, e *resultcode.Error) {
 	if r.answer.started || e.Code == resultcode.CallerGone {
 		panic(http.ErrAbortHandler)
@@ -99,21 +99,22 @@
 		header.Set("Connection", "close")
 	}
 	r.answer.writer.WriteHeader(resultcode.Lookup(e.Code).Status)
-	// The caller may be gone by now; there is nobody left to tell.
+	// A write error means that the caller has disconnected.
 	_, _ = r.answer.writer.Write([]byte(e.Code.String() + "\n"))
 }
 
-// retryAfter is when a caller whose request didn't run should come back.
+// retryAfter returns the time after which a caller whose request didn't run should retry; 0 if it
+// shouldn't.
 func retryAfter(e *resultcode.Error) time.Duration {
-	if resultcode.Lookup(e.Code).Status != statusPromise {
+	if resultcode.Lookup(e.Code).Status != statusNotRun {
 		return 0
 	}
 	if e.RetryAfter > 0 {
 		return e.RetryAfter
 	}
-	return retryBusy
+	return defaultRetryAfter
 }
 
-// retryBusy is about the time in which an upstream's queue gets shorter by some
-// requests, or a host that just started hears from the store.
-const retryBusy = 300 * time.Millisecond
+// defaultRetryAfter is about the time in which an upstream's queue shrinks by some requests, or in
+// which a host that just started receives data from the store.
+const defaultRetryAfter = 300 * time.Millisecond
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -22,7 +22,7 @@
 	"github.com/quetzalweir/quetzalweir/routing"
 )
 
-// Gateway is one host's way between callers and upstreams.
+// Gateway forwards requests between callers and upstreams on one host.
 type Gateway struct {
 	settings Settings
 	log      zerolog.Logger
@@ -31,80 +31,79 @@
 	table    atomic.Pointer[routing.Table]
 	fleet    *Fleet
 	rollouts *rollouts
-	// entries follows the upstreams' entries; nil before that.
-	entries *feed.Watcher
-	peers   *exchange.Member
-	budgets perService[retryBudget]
-	sizes   perService[promptSizes]
-	// responseTimes are by service and model.
-	responseTimes perService[responseTime]
-	// pauses are the longest ones of streams, by the same.
-	pauses   perService[responseTime]
+	// upstreamWatcher follows the table of the upstreams' entries; nil before startWatchers.
+	upstreamWatcher *feed.Watcher
+	peers           *exchange.Member
+	budgets         lazyValues[retryBudget]
+	sizes           lazyValues[promptSizes]
+	// responseTimes holds the mean response times by service, model and route.
+	responseTimes lazyValues[responseTime]
+	// pauses holds the mean of the longest pause of each stream, by the same key.
+	pauses   lazyValues[responseTime]
 	pipeline next
-	// guard keeps requests that end upstreams away from them.
+	// guard quarantines requests whose processing ends upstreams.
 	guard *guard.Guard
 
 	transport *http.Transport
 
-	// startedAt is when the host started, known is closed once it can serve.
-	startedAt time.Time
-	known     chan struct{}
+	// startedAt is the time at which the host started. initialized is closed once the host can
+	// serve requests.
+	startedAt   time.Time
+	initialized chan struct{}
 
 	inFlight atomic.Int64
-	// hosts is the number of hosts of the installation; 0 while it isn't known.
-	hosts atomic.Int64
-	// stopping ends kept connections with their next answer.
+	// hostCount is the number of hosts of the installation; 0 while it is unknown.
+	hostCount atomic.Int64
+	// stopping makes the server close keep-alive connections with their next answer.
 	stopping atomic.Bool
-	// cutting says that the stop's time is over and its answers are cut.
-	cutting atomic.Bool
+	// stopExpired is set when the stop's time limit is over and the remaining answers are cut.
+	stopExpired atomic.Bool
 }
 
 const (
-	// dialTimeout bounds the making of a connection to an upstream. Upstreams
-	// are some milliseconds away; a dial that takes longer meets one that is cut
-	// off or has more callers than it accepts.
+	// dialTimeout bounds the time to connect to an upstream. Upstreams are some milliseconds away;
+	// a dial that takes longer is to an upstream that is cut off or whose accept queue is full.
 	dialTimeout = 250 * time.Millisecond
 	// idleConnTimeout is how long an unused connection to an upstream is kept.
 	idleConnTimeout = 8 * time.Second
 	// idlePerUpstream bounds the unused connections to one upstream.
 	idlePerUpstream = 64
-	// removalMargin is left of the time for which a removed upstream serves:
-	// a request is on its way for part of it.
+	// removalMargin is subtracted from the time for which a removed upstream still serves, since a
+	// request spends part of that time in transit.
 	removalMargin = 500 * time.Millisecond
-	// maxHeaderBytes bounds a caller's header before the document's own limit
-	// is known, in bytes.
+	// maxHeaderBytes bounds a caller's header, in bytes, before the document's own limit applies.
 	maxHeaderBytes = 256 << 10
-	// headerTimeout bounds how long a caller takes for a header, idleTimeout
-	// how long a connection stays unused.
+	// headerTimeout bounds the time in which a caller sends a header, idleTimeout the time for
+	// which a connection stays unused.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 60 * time.Second
 )
 
-// New returns a gateway; Run runs it.
+// New returns a gateway. Run starts it.
 func New(settings Settings, log zerolog.Logger) *Gateway {
-	g := &Gateway{settings: settings.withDefaults(), log: log, startedAt: boottime.Now(), known: make(chan struct{})}
+	g := &Gateway{settings: settings.withDefaults(), log: log, startedAt: boottime.Now(), initialized: make(chan struct{})}
 	s := &g.settings
 	g.metrics = newMetrics(g)
 	g.fleet = NewFleet(s.DrainTime-removalMargin, log)
-	g.fleet.geography = geography{zone: s.Zone, regions: s.Regions}
-	g.fleet.access.alone = s.Peers.Listen == ""
-	g.fleet.access.seed, g.fleet.access.hosts = s.Host, func() int { return int(g.hosts.Load()) }
-	g.fleet.access.overrun, g.fleet.access.spare = s.ColdOverrun, s.ColdSpare
+	g.fleet.topology = zoneTopology{zone: s.Zone, regions: s.Regions}
+	g.fleet.policy.singleHost = s.Peers.Listen == ""
+	g.fleet.policy.seed, g.fleet.policy.hosts = s.Host, func() int { return int(g.hostCount.Load()) }
+	g.fleet.policy.coldOverrun, g.fleet.policy.coldSpare = s.ColdOverrun, s.ColdSpare
 	g.rollouts = newRollouts(s, g.fleet, log)
-	g.budgets.make = func() *retryBudget { return newRetryBudget(retryMargin*s.RetryRatio, s.RetryWindow, g.spareRepeats) }
+	g.budgets.make = func() *retryBudget { return newRetryBudget(retryMargin*s.RetryRatio, s.RetryWindow, g.spareRetries) }
 	g.responseTimes.make = func() *responseTime { return new(responseTime) }
 	g.pauses.make = func() *responseTime { return new(responseTime) }
 	g.sizes.make = func() *promptSizes { return new(promptSizes) }
 	g.guard = guard.New(guard.Options{
-		Host: s.Host, Table: s.Statuses, Prefix: s.Tables.VerdictsPrefix, Clock: g.storeClock, Count: g.metrics.guarded, Log: log,
-		Ended: func(i quarantine.Incarnation) { g.fleet.noteEnded(exchange.Name(i)) },
+		Host: s.Host, Table: s.Statuses, Prefix: s.Tables.VerdictsPrefix, Clock: g.storeClock, Count: g.metrics.countGuardEvent, Log: log,
+		Ended: func(i quarantine.Incarnation) { g.fleet.ejectEnded(exchange.Name(i)) },
 	})
 	g.transport = newTransport()
 	g.pipeline = chain(g.filters())
 	return g
 }
 
-// newTransport returns the transport to upstreams.
+// newTransport returns the HTTP transport for requests to upstreams.
 func newTransport() *http.Transport {
 	t := sealedconn.NewTransport(dialTimeout)
 	t.IdleConnTimeout = idleConnTimeout
@@ -116,14 +115,14 @@
 	return t
 }
 
-// Run serves until the context ends and then stops within StopTimeout.
+// Run serves requests until the context ends, and then stops within StopTimeout.
 func (g *Gateway) Run(ctx context.Context) error {
 	g.log.Info().Str("event", "start").Str("callers", g.settings.Callers).Str("ready", g.settings.Ready).Msg("")
-	// What the host follows outlives the request to stop, so that the
-	// answers under way are decided by what is in force.
-	follow, unfollow := context.WithCancel(context.WithoutCancel(ctx))
-	defer unfollow()
-	followers := g.follow(follow)
+	// The watchers outlive the stop request, so that requests that are still in progress are
+	// routed by current data.
+	watchCtx, stopWatchers := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopWatchers()
+	watchers := g.startWatchers(watchCtx)
 	servers, err := g.listen()
 	if err != nil {
 		return err
@@ -138,124 +137,127 @@
 	case <-ctx.Done():
 	}
 	g.stop(servers[0].server)
-	unfollow()
-	followers.Wait()
+	stopWatchers()
+	watchers.Wait()
 	g.log.Info().Str("event", "stopped").Msg("")
 	return nil
 }
 
 const (
-	// gatherOperator is how long changes of the operators' documents are gathered
-	// before the next call of the store, a small part of the two seconds in which
-	// they have to be heeded.
-	gatherOperator = 300 * time.Millisecond
-	// gatherPart is the same for the upstreams' entries, as a part of the time for
-	// which a leaving upstream still serves. When a service is replaced, dozens of
-	// entries change within seconds; without the pause each change costs one call of
-	// each host.
-	gatherPart = 0.4
-	// holdOperator differs from the other watchers' time, so that a dead link to
-	// the store shows by the earlier of two calls.
-	holdOperator = 6 * time.Second
-	// firstWord is how long a host that begins to follow a table waits for its hub's
-	// word on it: a host finds its hub within half a second of its start.
-	firstWord = 900 * time.Millisecond
-	// firstTable is how long a host that starts waits for its hub to hand the tables on
-	// before it reads the store's. A hub that is up does so within 100 ms; while all
-	// hosts return at once the wait delays service, so it is short.
-	firstTable = 150 * time.Millisecond
-	// firstTableOfAll is the same where the whole installation starts for the first
-	// time: it has no callers yet, and its hubs are found within a second.
-	firstTableOfAll = 2 * time.Second
-	// holdStatus is below trustAge with time for an answer: a roll-out's share is
-	// raised only while the store's word is fresh, and its last part takes half a
-	// second.
-	holdStatus = 2 * time.Second
-	// sweepInterval is how often records of gone upstreams are looked for.
+	// operatorBatchDelay is how long changes of the operators' table are collected before the next
+	// call of the store: a small part of the two seconds within which they have to take effect.
+	operatorBatchDelay = 300 * time.Millisecond
+	// upstreamBatchFraction is the same for the upstreams' entries, as a fraction of DrainTime,
+	// the time for which a leaving upstream still serves. When a service is replaced, dozens of
+	// entries change within seconds, and without the delay each change costs every host one call
+	// of the store.
+	upstreamBatchFraction = 0.4
+	// operatorPollTimeout is the long-poll timeout for the operators' table. It differs from the
+	// other watchers' timeout, so that a dead link to the store is detected by the earlier of two
+	// calls.
+	operatorPollTimeout = 6 * time.Second
+	// firstHubUpdateTimeout is how long a host that begins to follow a table waits for its hub's
+	// first update of it. A host finds its hub within half a second of its start.
+	firstHubUpdateTimeout = 900 * time.Millisecond
+	// firstTableTimeout is how long a host that starts waits for its hub to send the tables before
+	// it reads them from the store. A hub that is up sends them within 100 ms. The wait is short
+	// because it delays service when all hosts restart at once.
+	firstTableTimeout = 150 * time.Millisecond
+	// firstStartTableTimeout is the same for the first start of the whole installation, which has
+	// no callers yet and whose hubs are found within a second.
+	firstStartTableTimeout = 2 * time.Second
+	// statusPollTimeout is the long-poll timeout for the status table. It is below maxStatusAge
+	// with a margin for the answer: a roll-out's share is raised only while the status data is
+	// recent, and its last rise takes half a second.
+	statusPollTimeout = 2 * time.Second
+	// sweepInterval is how often the records of removed upstreams are cleaned up.
 	sweepInterval = 10 * time.Second
-	// openInterval is how often upstreams are looked for that aren't cold or limited any
-	// more, to tell of them; requests go by the time itself.
-	openInterval = 250 * time.Millisecond
+	// restrictionLogInterval is how often upstreams are checked for the end of their cold time or
+	// rate limit, to log it. Requests don't depend on it: they compare the times themselves.
+	restrictionLogInterval = 250 * time.Millisecond
 )
 
-// follow starts what keeps the host's beliefs up to date.
-func (g *Gateway) follow(ctx context.Context) *sync.WaitGroup {
+// startWatchers starts the goroutines that keep the host's data up to date: the watchers of the
+// tables, the exchange with other hosts, the roll-outs and the periodic tasks.
+func (g *Gateway) startWatchers(ctx context.Context) *sync.WaitGroup {
 	tables, store := g.settings.Tables, g.settings.Source
 	link := feed.NewLink()
-	gather := time.Duration(gatherPart * float64(g.settings.DrainTime))
-	// An upstream that leaves has to be heeded as soon as a document has.
+	upstreamBatchDelay := time.Duration(upstreamBatchFraction * float64(g.settings.DrainTime))
+	// The notice that an upstream leaves has to take effect as quickly as an operators' document.
 	common := feed.Options{Link: link, Heed: min(g.settings.HeedTime, g.settings.DrainTime)}
 	if g.settings.Peers.Listen != "" {
 		common.Relays = func() bool { return g.peers.Relays() }
-		g.rollouts.relied = common.Relays
-		common.FirstWord = firstWord
+		g.rollouts.hasFollowers = common.Relays
+		common.FirstWord = firstHubUpdateTimeout
 		if !slices.Contains(g.settings.Peers.Seeds, g.settings.Peers.Listen) {
-			common.FirstTable = firstTable
+			common.FirstTable = firstTableTimeout
 			if g.settings.Peers.FirstStart {
-				common.FirstTable = firstTableOfAll
+				common.FirstTable = firstStartTableTimeout
 			}
 			common.HubAnswers = func() bool { return g.peers.Heard() }
 		}
 	}
 	statusOptions, operatorOptions, upstreamOptions := common, common, common
-	statusOptions.Hold, statusOptions.Needed = holdStatus, g.needsStatus
-	operatorOptions.Hold, operatorOptions.Gather = holdOperator, gatherOperator
-	upstreamOptions.Gather = gather
+	statusOptions.Hold, statusOptions.Needed = statusPollTimeout, g.needsStatus
+	operatorOptions.Hold, operatorOptions.Gather = operatorPollTimeout, operatorBatchDelay
+	upstreamOptions.Gather = upstreamBatchDelay
 	status := feed.NewWatcher(tables.Status, store, newStatusRows(g), statusOptions, g.log)
 	g.rollouts.statuses = status
-	g.entries = feed.NewWatcher(tables.Upstreams, store, newUpstreamRows(g), upstreamOptions, g.log)
+	g.upstreamWatcher = feed.NewWatcher(tables.Upstreams, store, newUpstreamRows(g), upstreamOptions, g.log)
 	watchers := map[string]*feed.Watcher{
 		tables.Status:    status,
 		tables.Operator:  feed.NewWatcher(tables.Operator, store, newOperatorRows(g), operatorOptions, g.log),
-		tables.Upstreams: g.entries,
+		tables.Upstreams: g.upstreamWatcher,
 	}
 	group := new(sync.WaitGroup)
 	if peers := &g.settings.Peers; peers.Listen != "" {
 		g.peers = exchange.New(exchange.Options{
 			Host: g.settings.Host, Zone: g.settings.Zone, Listen: peers.Listen, Seeds: peers.Seeds, Keys: peers.Keys,
 			FirstStart: peers.FirstStart, LinkMbps: peers.LinkMbps, Cores: peers.Cores,
-			Tables: watchers, Work: g.fleet.work, Others: g.fleet.setOthers,
-			Hosts: func(n int) { g.hosts.Store(int64(n)) },
-			Reads: g.fleet.takeReads, TakeReads: g.fleet.noteReads,
-			Leased: g.fleet.Leased, TakeHolding: g.fleet.TakeHolding,
-			Limits: g.fleet.limitWords, KnownLimits: g.fleet.knownLimits, TakeLimits: g.fleet.takeLimits,
-			Timings: g.fleet.timings, TakeTimings: g.fleet.takeTimings,
-			Evidence: g.rollouts.seen, TakeEvidence: g.rollouts.takeOthers, Quarantine: g.guard,
+			Tables: watchers, Work: g.fleet.work, Others: g.fleet.setRemoteWork,
+			Hosts: func(n int) { g.hostCount.Store(int64(n)) },
+			Reads: g.fleet.takeSentPrefixes, TakeReads: g.fleet.addRemotePrefixes,
+			Leased: g.fleet.LeaseGrants, TakeHolding: g.fleet.SetHolding,
+			Limits: g.fleet.takeLimitReports, KnownLimits: g.fleet.currentLimits, TakeLimits: g.fleet.applyLimits,
+			Timings: g.fleet.timings, TakeTimings: g.fleet.setRemoteTimings,
+			Evidence: g.rollouts.ownEvidence, TakeEvidence: g.rollouts.setRemoteEvidence, Quarantine: g.guard,
 		}, g.log)
 		group.Go(func() { g.peers.Run(ctx) })
 	}
 	for table, w := range watchers {
-		g.metrics.followed(table, w)
+		g.metrics.registerWatcher(table, w)
 		group.Go(func() { w.Run(ctx) })
 	}
-	group.Go(func() { g.tellBegun(ctx) })
-	group.Go(func() { wait.Every(ctx, openInterval, g.fleet.noteOpen) })
-	group.Go(func() { wait.Every(ctx, tallyInterval, g.fleet.logTally) })
+	group.Go(func() { g.awaitTables(ctx) })
+	group.Go(func() { wait.Every(ctx, restrictionLogInterval, g.fleet.logEndedRestrictions) })
+	group.Go(func() { wait.Every(ctx, entryChangesInterval, g.fleet.logEntryChanges) })
 	group.Go(func() { g.rollouts.run(ctx) })
 	group.Go(func() { g.guard.Run(ctx) })
 	group.Go(func() { wait.Every(ctx, sweepInterval, func() { g.fleet.Sweep(boottime.Now()) }) })
 	return group
 }
 
-// needsStatus says whether the table of statuses has to be followed: while a roll-out is
-// under way or a verdict is known, which operators may lift, and while other hosts can't
-// tell this one of verdicts. At its start a host reads it once.
+// needsStatus reports whether the status table has to be followed: while a roll-out is in
+// progress, while a quarantine verdict is known, which operators may lift, and while no other host
+// can send verdicts to this one. A host that starts reads the table once.
 func (g *Gateway) needsStatus() bool {
-	if _, heard := g.rollouts.statuses.Age(); !heard {
+	if _, received := g.rollouts.statuses.Age(); !received {
 		return true
 	}
-	return g.rollouts.underWay() || g.guard.Len() > 0 || g.peers == nil || !g.peers.Told()
+	return g.rollouts.hasUnfinished() || g.guard.Len() > 0 || g.peers == nil || !g.peers.Told()
 }
 
-// lapsedWithin is the time after an outage of the store in which an entry that vanishes may
-// have lapsed in it: the next word on the entries comes after the pause in which their
-// changes are gathered.
-const lapsedWithin = 2 * time.Second
+// lapseWindow is the time after an outage of the store in which a removed entry counts as expired
+// by the outage. The next update of the entries arrives only after the delay in which their
+// changes are collected.
+const lapseWindow = 2 * time.Second
 
-// storeReturned says that the store was away until just now.
-func (g *Gateway) storeReturned() bool { return g.entries != nil && g.entries.Returned(lapsedWithin) }
+// storeRecentlyReturned reports whether an outage of the store ended within lapseWindow.
+func (g *Gateway) storeRecentlyReturned() bool {
+	return g.upstreamWatcher != nil && g.upstreamWatcher.Returned(lapseWindow)
+}
 
-// storeClock is the store's steady clock, as far as it is known.
+// storeClock returns the store's monotonic clock; 0 while it is unknown.
 func (g *Gateway) storeClock() time.Duration {
 	if g.rollouts.statuses == nil {
 		return 0
--- a/internal/gateway/helpers_test.go
+++ b/internal/gateway/helpers_test.go
@@ -22,8 +22,8 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// testHeaders are names of the tests' own: nothing in the package may depend on
-// a deployment's.
+// testHeaders returns header names that no deployment uses, since the package must not depend on a
+// deployment's names.
 func testHeaders() Headers {
 	return Headers{
 		RequestID: "T-Id", Deadline: "T-Deadline", AccountKey: "T-Key", Account: "T-Account",
@@ -36,19 +36,18 @@
 
 const testHost = "api.example"
 
-// world is a gateway between a caller and upstreams of the test.
-type world struct {
-	t       *testing.T
-	gateway *Gateway
-	store   *fakeStore
-	front   *httptest.Server
-	client  *http.Client
-	next    int
+// testGateway is a gateway between a test's caller and upstreams.
+type testGateway struct {
+	t        *testing.T
+	gateway  *Gateway
+	store    *fakeStore
+	frontend *httptest.Server
+	client   *http.Client
+	next     int
 }
 
-// newWorld returns a gateway that isn't following its store: tests put beliefs
-// in directly.
-func newWorld(t *testing.T, doc routing.Document) *world {
+// newTestGateway returns a gateway that doesn't follow its store: tests set its data directly.
+func newTestGateway(t *testing.T, doc routing.Document) *testGateway {
 	t.Helper()
 	store := newFakeStore()
 	g := New(Settings{
@@ -62,16 +61,16 @@
 	}
 	g.table.Store(table)
 	g.rollouts.statuses = feed.NewWatcher("status", store, newStatusRows(g), feed.Options{}, zerolog.Nop())
-	w := &world{t: t, gateway: g, store: store, client: &http.Client{Transport: &http.Transport{}}}
-	w.front = httptest.NewServer(g)
+	w := &testGateway{t: t, gateway: g, store: store, client: &http.Client{Transport: &http.Transport{}}}
+	w.frontend = httptest.NewServer(g)
 	t.Cleanup(func() {
 		w.client.CloseIdleConnections()
-		w.front.Close()
+		w.frontend.Close()
 		g.transport.CloseIdleConnections()
 	})
-	// Retries need requests to draw on.
+	// The retry budget is a ratio of the requests counted here.
 	for range 20 {
-		g.budgets.of("svc").request()
+		g.budgets.get("svc").countRequest()
 	}
 	return w
 }
@@ -102,7 +101,7 @@
 	}
 }
 
-// testDocument has a route of each kind and one account.
+// testDocument returns a document with a route of each kind and one account.
 func testDocument() routing.Document {
 	split := []routing.Share{{Service: "svc", Weight: 1}}
 	route := func(name string, kind routing.Kind) routing.Route {
@@ -128,38 +127,38 @@
 	}
 }
 
-// upstreamLog is what an upstream saw.
-type upstreamLog struct {
-	mu   sync.Mutex
-	seen []*http.Request
-	body [][]byte
+// requestLog records the requests that an upstream received.
+type requestLog struct {
+	mu       sync.Mutex
+	requests []*http.Request
+	bodies   [][]byte
 }
 
-func (l *upstreamLog) count() int {
+func (l *requestLog) count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.seen)
+	return len(l.requests)
 }
 
-func (l *upstreamLog) last() (*http.Request, []byte) {
+func (l *requestLog) last() (*http.Request, []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.seen[len(l.seen)-1], l.body[len(l.body)-1]
+	return l.requests[len(l.requests)-1], l.bodies[len(l.bodies)-1]
 }
 
-// upstream starts an upstream of service svc that answers by the handler; the
-// handler finds the request's id echoed already.
-func (w *world) upstream(id string, handler http.HandlerFunc) *upstreamLog {
-	return w.upstreamOf(Upstream{ID: id, Zone: "z1", Version: "v1"}, handler)
+// startUpstream starts an upstream of service svc with the handler. The response already echoes
+// the request's id.
+func (w *testGateway) startUpstream(id string, handler http.HandlerFunc) *requestLog {
+	return w.startUpstreamOf(Upstream{ID: id, Zone: "z1", Version: "v1"}, handler)
 }
 
-func (w *world) upstreamOf(u Upstream, handler http.HandlerFunc) *upstreamLog {
-	log := &upstreamLog{}
+func (w *testGateway) startUpstreamOf(u Upstream, handler http.HandlerFunc) *requestLog {
+	log := &requestLog{}
 	server := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, req *http.Request) {
 		body, _ := io.ReadAll(req.Body)
 		log.mu.Lock()
-		log.seen = append(log.seen, req)
-		log.body = append(log.body, body)
+		log.requests = append(log.requests, req)
+		log.bodies = append(log.bodies, body)
 		log.mu.Unlock()
 		rw.Header().Set("T-Id", req.Header.Get("T-Id"))
 		handler(rw, req)
@@ -172,8 +171,8 @@
 	return log
 }
 
-// unreachable lists an upstream at an address where nothing listens.
-func (w *world) unreachable(id string) {
+// listUnreachable adds an upstream at an address where nothing listens.
+func (w *testGateway) listUnreachable(id string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		w.t.Fatal(err)
@@ -183,10 +182,10 @@
 	w.gateway.fleet.Set(Upstream{ID: id, Service: "svc", Address: address, Zone: "z1", Version: "v1", Slots: 8}, 1)
 }
 
-// request makes a caller's request with a key and an id of its own.
-func (w *world) request(method, path, body string, header ...string) *http.Request {
+// newRequest returns a caller's request with a key and a new id.
+func (w *testGateway) newRequest(method, path, body string, header ...string) *http.Request {
 	w.next++
-	req, err := http.NewRequest(method, w.front.URL+path, strings.NewReader(body))
+	req, err := http.NewRequest(method, w.frontend.URL+path, strings.NewReader(body))
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -200,8 +199,8 @@
 	return req
 }
 
-// answer is what a caller got.
-type answer struct {
+// callerAnswer is the answer that a caller received.
+type callerAnswer struct {
 	status int
 	header http.Header
 	body   string
@@ -209,27 +208,27 @@
 	err error
 }
 
-func (w *world) do(req *http.Request) answer {
+func (w *testGateway) do(req *http.Request) callerAnswer {
 	w.t.Helper()
 	resp, err := w.client.Do(req)
 	if err != nil {
-		return answer{err: err}
+		return callerAnswer{err: err}
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	return answer{status: resp.StatusCode, header: resp.Header, body: string(body), err: err}
+	return callerAnswer{status: resp.StatusCode, header: resp.Header, body: string(body), err: err}
 }
 
 // Handlers of upstreams.
 
-func succeed(text string) http.HandlerFunc {
+func respondOK(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("T-Stamp", "stamp")
 		_, _ = io.WriteString(w, text)
 	}
 }
 
-func fail(status int) http.HandlerFunc {
+func respondStatus(status int) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("T-Stamp", "stamp")
 		w.WriteHeader(status)
@@ -237,16 +236,17 @@
 	}
 }
 
-func refuse(w http.ResponseWriter, _ *http.Request) {
+func respondNotRun(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("T-Not-Run", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// reset cuts the connection without an answer.
-func reset(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+// resetConnection closes the connection without a response.
+func resetConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-// events streams the events from..to; if cut is set, the connection then breaks.
-func events(from, to int, cut bool, header ...string) http.HandlerFunc {
+// streamEvents streams the events from..to. If cut is set, the connection then breaks within an
+// event.
+func streamEvents(from, to int, cut bool, header ...string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
 		w.Header().Set("T-Stamp", "stamp")
@@ -277,7 +277,7 @@
 	return b.String()
 }
 
-// fakeStore is a store in memory.
+// fakeStore is an in-memory store.
 type fakeStore struct {
 	mu       sync.Mutex
 	revision storage.Revision
@@ -302,7 +302,7 @@
 	}
 }
 
-var errDown = errors.New("store down")
+var errStoreDown = errors.New("store down")
 
 func (s *fakeStore) put(table, key string, value any) {
 	s.mu.Lock()
@@ -336,7 +336,7 @@
 	s.down = down
 }
 
-// statusTable is the store as the table of statuses.
+// statusTable presents the store as the status table.
 type statusTable struct{ *fakeStore }
 
 func (statusTable) List(context.Context, string, string, int) ([]storage.Row, error) {
@@ -348,7 +348,7 @@
 	defer s.mu.Unlock()
 	s.calls["list "+table]++
 	if s.down {
-		return feed.Page{}, errDown
+		return feed.Page{}, errStoreDown
 	}
 	page := feed.Page{Revision: s.revision, Clock: time.Since(s.start)}
 	for _, row := range s.rows[table] {
@@ -366,7 +366,7 @@
 		s.mu.Lock()
 		if s.down {
 			s.mu.Unlock()
-			return feed.Page{}, errDown
+			return feed.Page{}, errStoreDown
 		}
 		page := feed.Page{Revision: s.revision, Clock: time.Since(s.start)}
 		for _, c := range s.changes {
@@ -389,7 +389,7 @@
 	}
 }
 
-// Get and the other calls below are the status table's.
+// Get and the methods below implement the status table.
 func (s *fakeStore) Get(context.Context, string) (storage.Row, error) {
 	return storage.Row{}, storage.ErrNotFound
 }
@@ -399,7 +399,7 @@
 	defer s.mu.Unlock()
 	s.calls["commit"]++
 	if s.down {
-		return 0, errDown
+		return 0, errStoreDown
 	}
 	for _, c := range txn.Conditions {
 		if s.rows["status"][c.Key].Revision != storage.Revision(c.Version) {
@@ -412,7 +412,7 @@
 	return uint64(s.revision), nil
 }
 
-// eventually waits for the condition.
+// eventually waits until the condition is true.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for range 500 {
@@ -421,5 +421,5 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("never came true: %s", what)
+	t.Fatalf("the condition wasn't met in time: %s", what)
 }
--- a/internal/gateway/homes_test.go
+++ b/internal/gateway/homes_test.go
@@ -13,35 +13,36 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// twoRegions are the regions of a host in zone z1.
+// twoRegions maps zones to regions for a host in zone z1.
 var twoRegions = map[string]string{"z1": "south", "z2": "south", "z3": "north", "z4": "north"}
 
-// homesWorld is a gateway in the south, in a document with route and account bound to regions.
-func homesWorld(t *testing.T, route, account []string) *world {
+// newRegionTest returns a gateway in region south whose routes and account are restricted to the
+// regions.
+func newRegionTest(t *testing.T, route, account []string) *testGateway {
 	t.Helper()
 	doc := testDocument()
 	for i := range doc.Routes {
 		doc.Routes[i].Regions = route
 	}
 	doc.Accounts[0].Regions = account
-	w := newWorld(t, doc)
-	w.gateway.fleet.geography = geography{zone: "z1", regions: twoRegions}
+	w := newTestGateway(t, doc)
+	w.gateway.fleet.topology = zoneTopology{zone: "z1", regions: twoRegions}
 	return w
 }
 
-// upstreamsAt starts upstreams in each zone.
-func (w *world) upstreamsAt(each int, handler http.HandlerFunc, zones ...string) map[string][]*upstreamLog {
-	logs := make(map[string][]*upstreamLog)
+// startUpstreamsIn starts upstreams in each of the zones.
+func (w *testGateway) startUpstreamsIn(each int, handler http.HandlerFunc, zones ...string) map[string][]*requestLog {
+	logs := make(map[string][]*requestLog)
 	for _, zone := range zones {
 		for i := range each {
 			u := Upstream{ID: fmt.Sprint(zone, "-", i), Zone: zone, Version: "v1"}
-			logs[zone] = append(logs[zone], w.upstreamOf(u, handler))
+			logs[zone] = append(logs[zone], w.startUpstreamOf(u, handler))
 		}
 	}
 	return logs
 }
 
-func requestsAt(logs map[string][]*upstreamLog, zone string) int {
+func requestsIn(logs map[string][]*requestLog, zone string) int {
 	n := 0
 	for _, log := range logs[zone] {
 		n += log.count()
@@ -49,29 +50,30 @@
 	return n
 }
 
-// A request of a bound route reached an upstream of another region: the binding wasn't read.
-func TestRequestsStayInTheirHomes(t *testing.T) {
+// A restricted request must not reach an upstream of another region. The restriction was once
+// ignored.
+func TestRequestsStayInTheirRegions(t *testing.T) {
 	tests := []struct {
 		desc           string
 		route, account []string
 		served         []string // zones that get requests; none: refused
 	}{
-		{"neither bound", nil, nil, []string{"z1"}},
-		{"the route, at home", []string{"south"}, nil, []string{"z1"}},
-		{"the route, elsewhere", []string{"north"}, nil, []string{"z3", "z4"}},
-		{"the account, elsewhere", nil, []string{"north"}, []string{"z3", "z4"}},
-		{"both, alike", []string{"north"}, []string{"north", "south"}, []string{"z3", "z4"}},
-		{"both, apart", []string{"north"}, []string{"south"}, nil},
+		{"no restriction", nil, nil, []string{"z1"}},
+		{"the route, own region", []string{"south"}, nil, []string{"z1"}},
+		{"the route, other region", []string{"north"}, nil, []string{"z3", "z4"}},
+		{"the account, other region", nil, []string{"north"}, []string{"z3", "z4"}},
+		{"both, overlapping", []string{"north"}, []string{"north", "south"}, []string{"z3", "z4"}},
+		{"both, disjoint", []string{"north"}, []string{"south"}, nil},
 		{"an unknown region", []string{"east"}, nil, nil},
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
 			is := is.New(t)
-			w := homesWorld(t, test.route, test.account)
-			logs := w.upstreamsAt(6, succeed("hello"), "z1", "z2", "z3", "z4") // more than are all looked at
+			w := newRegionTest(t, test.route, test.account)
+			logs := w.startUpstreamsIn(6, respondOK("hello"), "z1", "z2", "z3", "z4") // more than fullScanLimit
 			for range 30 {
 				began := time.Now()
-				got := w.do(w.request("POST", "/once/x", "body"))
+				got := w.do(w.newRequest("POST", "/once/x", "body"))
 				if len(test.served) > 0 {
 					is.Equal(got.status, http.StatusOK)
 					continue
@@ -82,67 +84,68 @@
 			}
 			sum := 0
 			for _, zone := range test.served {
-				sum += requestsAt(logs, zone)
+				sum += requestsIn(logs, zone)
 			}
 			is.Equal(sum, 30*min(1, len(test.served)))
 			for _, zone := range []string{"z1", "z2", "z3", "z4"} {
 				if len(test.served) == 0 {
-					is.Equal(requestsAt(logs, zone), 0)
+					is.Equal(requestsIn(logs, zone), 0)
 				}
 			}
 		})
 	}
 }
 
-// Without settings of regions nothing is known to be in one: bound requests are refused.
-func TestHomesWithoutKnownRegions(t *testing.T) {
+// Without a mapping no zone is in a named region: restricted requests are refused.
+func TestRestrictedRequestWithoutKnownRegions(t *testing.T) {
 	is := is.New(t)
-	w := homesWorld(t, []string{"south"}, nil)
-	w.gateway.fleet.geography = geography{zone: "z1"}
-	log := w.upstream("a", succeed("hello"))
-	is.Equal(w.do(w.request("POST", "/once/x", "body")).status, http.StatusServiceUnavailable)
+	w := newRegionTest(t, []string{"south"}, nil)
+	w.gateway.fleet.topology = zoneTopology{zone: "z1"}
+	log := w.startUpstream("a", respondOK("hello"))
+	is.Equal(w.do(w.newRequest("POST", "/once/x", "body")).status, http.StatusServiceUnavailable)
 	is.Equal(log.count(), 0)
 }
 
-// A home's upstreams are all gone, those of the other region are free: refused, not run.
-func TestHomeWithoutUpstreams(t *testing.T) {
+// The upstreams of the permitted region are all gone and those of the other region are idle: the
+// request must be refused, not run there.
+func TestRestrictedRequestWithoutUpstreams(t *testing.T) {
 	is := is.New(t)
-	w := homesWorld(t, []string{"south"}, nil)
-	logs := w.upstreamsAt(3, succeed("hello"), "z1", "z3")
+	w := newRegionTest(t, []string{"south"}, nil)
+	logs := w.startUpstreamsIn(3, respondOK("hello"), "z1", "z3")
 	for i := range 3 {
 		w.gateway.fleet.Remove(fmt.Sprint("z1-", i), 2, false)
 		w.gateway.fleet.memberOf("svc", fmt.Sprint("z1-", i)).removedAt = time.Now().Add(-time.Minute)
 	}
-	is.Equal(w.do(w.request("POST", "/once/x", "body")).status, http.StatusServiceUnavailable)
-	is.Equal(requestsAt(logs, "z1")+requestsAt(logs, "z3"), 0)
+	is.Equal(w.do(w.newRequest("POST", "/once/x", "body")).status, http.StatusServiceUnavailable)
+	is.Equal(requestsIn(logs, "z1")+requestsIn(logs, "z3"), 0)
 }
 
-// Second tries, resumed streams and larger models stay in the homes, too.
-func TestFurtherAttemptsStayInTheirHomes(t *testing.T) {
+// Retries, resumed streams and larger models are restricted to the regions, too.
+func TestFurtherAttemptsStayInTheirRegions(t *testing.T) {
 	for path, handler := range map[string]http.HandlerFunc{
-		"/many/x":   fail(http.StatusInternalServerError),
-		"/stream/x": events(1, 2, true),
-		"/models/x": events(1, 2, false, "T-Confidence", "1"),
+		"/many/x":   respondStatus(http.StatusInternalServerError),
+		"/stream/x": streamEvents(1, 2, true),
+		"/models/x": streamEvents(1, 2, false, "T-Confidence", "1"),
 	} {
 		t.Run(strings.Trim(path, "/x"), func(t *testing.T) {
 			is := is.New(t)
-			w := homesWorld(t, []string{"south"}, nil)
-			w.gateway.hosts.Store(1)
-			logs := w.upstreamsAt(2, handler, "z1", "z2")
-			abroad := w.upstreamsAt(10, handler, "z3", "z4")
+			w := newRegionTest(t, []string{"south"}, nil)
+			w.gateway.hostCount.Store(1)
+			logs := w.startUpstreamsIn(2, handler, "z1", "z2")
+			otherRegion := w.startUpstreamsIn(10, handler, "z3", "z4")
 			for range 20 {
-				w.do(w.request("POST", path, "body", "T-Model", "*", "T-Tokens", "100,10"))
+				w.do(w.newRequest("POST", path, "body", "T-Model", "*", "T-Tokens", "100,10"))
 			}
-			is.True(requestsAt(logs, "z1")+requestsAt(logs, "z2") > 20) // further attempts were made
-			is.Equal(requestsAt(abroad, "z3")+requestsAt(abroad, "z4"), 0)
+			is.True(requestsIn(logs, "z1")+requestsIn(logs, "z2") > 20) // further attempts were made
+			is.Equal(requestsIn(otherRegion, "z3")+requestsIn(otherRegion, "z4"), 0)
 		})
 	}
 }
 
-// A route's homes change while a request waits for its second try: both documents bind it.
-func TestHomesThatChangeUnderARequest(t *testing.T) {
+// A route's regions change before a request's retry: the retry is restricted by both documents.
+func TestRegionsThatChangeDuringARequest(t *testing.T) {
 	is := is.New(t)
-	w := homesWorld(t, nil, nil)
+	w := newRegionTest(t, nil, nil)
 	moved := testDocument()
 	moved.Version++
 	for i := range moved.Routes {
@@ -150,52 +153,52 @@
 	}
 	table, err := routing.New(moved)
 	is.NoErr(err)
-	south := w.upstreamsAt(4, func(rw http.ResponseWriter, req *http.Request) {
+	south := w.startUpstreamsIn(4, func(rw http.ResponseWriter, req *http.Request) {
 		w.gateway.table.Store(table)
-		fail(http.StatusInternalServerError)(rw, req)
+		respondStatus(http.StatusInternalServerError)(rw, req)
 	}, "z1")
-	north := w.upstreamsAt(4, succeed("hello"), "z3")
-	w.gateway.hosts.Store(1)
-	got := w.do(w.request("GET", "/many/x", ""))
+	north := w.startUpstreamsIn(4, respondOK("hello"), "z3")
+	w.gateway.hostCount.Store(1)
+	got := w.do(w.newRequest("GET", "/many/x", ""))
 	is.Equal(got.status, http.StatusOK)
-	is.Equal(requestsAt(south, "z1"), 1)
-	is.Equal(requestsAt(north, "z3"), 1)
+	is.Equal(requestsIn(south, "z1"), 1)
+	is.Equal(requestsIn(north, "z3"), 1)
 }
 
-// A version that runs in the other region only isn't one that a bound request can go to.
-func TestRolloutOutsideTheHomes(t *testing.T) {
+// A version that runs in the other region only isn't available to a restricted request.
+func TestRolloutOutsideTheRegions(t *testing.T) {
 	is := is.New(t)
-	w := homesWorld(t, []string{"south"}, nil)
+	w := newRegionTest(t, []string{"south"}, nil)
 	f, m := w.gateway.fleet, w.gateway.rollouts
 	f.Set(Upstream{ID: "old", Service: "svc", Zone: "z1", Version: "v1"}, 1)
 	f.Set(Upstream{ID: "new", Service: "svc", Zone: "z3", Version: "v2"}, 2)
-	m.order(Order{Service: "svc", Version: "v2", Duration: time.Minute, Revision: 3}, false)
+	m.addOrder(Order{Service: "svc", Version: "v2", Duration: time.Minute, Revision: 3}, false)
 	m.active["svc"].share = 1
 	route, _ := w.gateway.table.Load().Match(testHost, "/once/x")
 	r := &Request{ID: "r", Service: "svc", Table: w.gateway.table.Load(), Route: route, Host: testHost, Target: "/once/x", Header: http.Header{}}
 	is.True(m.admits(r)("v2"))
-	r.homes = w.gateway.homes(r)
+	r.regions = w.gateway.allowedRegions(r)
 	is.True(!m.admits(r)("v2"))
 	is.True(m.admits(r)("v1"))
 }
 
-// Where a request may run anywhere, its own region's upstreams come first.
+// Where a request may run in any region, the upstreams of the host's own region come first.
 func TestOwnRegionComesFirst(t *testing.T) {
 	is := is.New(t)
-	f := NewFleet(time.Second, newWorld(t, testDocument()).gateway.log)
-	f.geography = geography{zone: "z1", regions: map[string]string{"z0": "south", "z1": "south", "z2": "north", "z3": "north"}}
+	f := NewFleet(time.Second, newTestGateway(t, testDocument()).gateway.log)
+	f.topology = zoneTopology{zone: "z1", regions: map[string]string{"z0": "south", "z1": "south", "z2": "north", "z3": "north"}}
 	for i := range 400 {
 		f.Set(Upstream{ID: fmt.Sprintf("i-%05d", i), Service: "svc", Zone: fmt.Sprint("z", i%4), Version: "v1", Slots: 32}, storage.Revision(i+1))
 	}
-	abroad := 0
+	otherRegion := 0
 	for i := range 200 {
-		c, ok := f.choose(sharedWants(fmt.Sprint("part ", i)))
+		c, ok := f.choose(sharedPrefixCriteria(fmt.Sprint("part ", i)))
 		is.True(ok)
-		if !f.geography.near(c.upstream.Zone) {
-			abroad++
+		if !f.topology.sameRegion(c.upstream.Zone) {
+			otherRegion++
 		}
-		f.began(&c, 50*time.Millisecond)
+		f.headReceived(&c, 50*time.Millisecond)
 		f.release(c, attemptResult{outcome: outcomeDone})
 	}
-	is.Equal(abroad, 0)
+	is.Equal(otherRegion, 0)
 }
--- a/internal/gateway/idletimer.go
+++ b/internal/gateway/idletimer.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// pauseFactor times the permitted pause between two events a stream waits for the next
-// one before it goes on at another upstream: nothing else detects one that fell silent for
-// good. Engines that are behind make longer pauses than permitted; giving their streams up
-// sooner adds to the load.
+// pauseFactor is multiplied by the permitted pause between two events to give the time after which
+// a stream is continued at another upstream; nothing else detects an upstream that stopped
+// responding for good. Overloaded engines make longer pauses than permitted, and giving up their
+// streams sooner would add to the load.
 const pauseFactor = 1.5
 
-// idleTimer ends an attempt when nothing came of it for too long, if giveUp agrees. If that
-// doesn't, it is asked again after as long: repeats may be permitted later.
+// idleTimer ends an attempt after the limit passed without data from the upstream, if mayGiveUp
+// permits it. Otherwise it asks again after the same time, since retries may be permitted by then.
 type idleTimer struct {
-	giveUp func() bool
-	cancel context.CancelCauseFunc
+	mayGiveUp func() bool
+	cancel    context.CancelCauseFunc
 
 	mu    sync.Mutex
 	timer *time.Timer
 	limit time.Duration
-	// waiting says that the upstream's next word is waited for, ended that it was for too
-	// long.
+	// waiting is set while data from the upstream is awaited; ended is set when the attempt was
+	// ended by the timer.
 	waiting bool
 	ended   bool
 }
 
-// newIdleTimer returns one that isn't waited for yet.
-func newIdleTimer(giveUp func() bool, cancel context.CancelCauseFunc) *idleTimer {
-	return &idleTimer{giveUp: giveUp, cancel: cancel}
+// newIdleTimer returns a timer that isn't running.
+func newIdleTimer(mayGiveUp func() bool, cancel context.CancelCauseFunc) *idleTimer {
+	return &idleTimer{mayGiveUp: mayGiveUp, cancel: cancel}
 }
 
-// start begins to wait for the upstream's next word, for the limit at most.
+// start waits for data from the upstream for at most limit.
 func (t *idleTimer) start(limit time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -52,8 +52,8 @@
 	t.timer.Stop()
 }
 
-// expire takes in that the limit is over. The lock isn't held while giveUp decides, which
-// takes locks of its own.
+// expire handles the end of the limit. The lock is released while mayGiveUp runs, which takes
+// locks of its own.
 func (t *idleTimer) expire() {
 	t.mu.Lock()
 	waiting := t.waiting
@@ -61,33 +61,33 @@
 	if !waiting {
 		return
 	}
-	agreed := t.giveUp()
+	agreed := t.mayGiveUp()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
 	case !t.waiting:
 	case agreed:
 		t.ended = true
-		t.cancel(errSilent)
+		t.cancel(errResponseTimeout)
 	default:
 		t.timer.Reset(t.limit)
 	}
 }
 
-// expired says whether the attempt was ended for its silence.
+// expired reports whether the timer ended the attempt.
 func (t *idleTimer) expired() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.ended
 }
 
-// pauseLimit is how long a stream may stay without an event. Where pauses are usually long,
-// since all engines are behind, giving streams up would add to the load.
+// pauseLimit returns how long a stream may be without an event. Where pauses are usually long
+// because all engines are overloaded, giving up streams would add to the load.
 func (a *attempt) pauseLimit() time.Duration {
-	usual := a.gateway.pauses.of(a.request.timesKey())
+	pauses := a.gateway.pauses.get(a.request.responseTimeKey())
 	permitted := a.request.Route.MaxPause
 	if permitted <= 0 {
-		permitted = targetless
+		permitted = defaultTarget
 	}
-	return max(time.Duration(pauseFactor*float64(permitted)), usual.times(timeoutFactor))
+	return max(time.Duration(pauseFactor*float64(permitted)), pauses.multiple(timeoutFactor))
 }
--- a/internal/gateway/idletimer_test.go
+++ b/internal/gateway/idletimer_test.go
@@ -13,8 +13,8 @@
 	"github.com/matryer/is"
 )
 
-// thenSilent streams events and then says nothing more.
-func thenSilent(from, to int, release chan struct{}) http.HandlerFunc {
+// eventsThenSilence streams events and then sends nothing more.
+func eventsThenSilence(from, to int, release chan struct{}) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
 		w.Header().Set("T-Stamp", "stamp")
@@ -22,25 +22,25 @@
 			_, _ = io.WriteString(w, eventText(i))
 		}
 		_ = http.NewResponseController(w).Flush()
-		hangUntil(release)(w, req)
+		noResponseUntil(release)(w, req)
 	}
 }
 
-// A stream whose upstream falls silent midway, or before its first event, goes on at another
-// one; it used to stay until its caller's time was over.
-func TestSilentStreamGoesOnElsewhere(t *testing.T) {
+// A stream whose upstream stops sending, midway or before its first event, is resumed at another
+// upstream. Such streams used to hang until the caller's deadline.
+func TestIdleStreamIsResumedAtAnotherUpstream(t *testing.T) {
 	for name, sent := range map[string]int{"midway": 2, "before the first event": 0} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			doc := testDocument()
 			doc.Routes[2].MaxPause = 300 * time.Millisecond
-			w := newWorld(t, doc)
+			w := newTestGateway(t, doc)
 			release := make(chan struct{})
 			defer close(release)
-			silent := w.upstream("silent", thenSilent(1, sent, release))
-			w.upstreamOf(Upstream{ID: "sound", Zone: "z2", Version: "v1"}, events(sent+1, 5, false))
+			silent := w.startUpstream("silent", eventsThenSilence(1, sent, release))
+			w.startUpstreamOf(Upstream{ID: "sound", Zone: "z2", Version: "v1"}, streamEvents(sent+1, 5, false))
 			began := time.Now()
-			got := w.do(w.request("POST", "/stream/x", "body"))
+			got := w.do(w.newRequest("POST", "/stream/x", "body"))
 			is.NoErr(got.err)
 			is.Equal(got.status, http.StatusOK)
 			is.Equal(got.body, eventTexts(1, 5))
@@ -50,24 +50,24 @@
 	}
 }
 
-// One that may not be resumed is waited for.
-func TestSilentStreamThatMayNotBeResumed(t *testing.T) {
+// A stream that may not be resumed is waited for.
+func TestIdleStreamThatMayNotBeResumed(t *testing.T) {
 	is := is.New(t)
 	doc := testDocument()
 	doc.Routes[4].MaxPause = 100 * time.Millisecond
-	w := newWorld(t, doc)
+	w := newTestGateway(t, doc)
 	release := make(chan struct{})
 	time.AfterFunc(400*time.Millisecond, func() { close(release) })
-	w.upstream("slow", thenSilent(1, 2, release))
-	other := w.upstreamOf(Upstream{ID: "other", Zone: "z2", Version: "v1"}, events(1, 2, false))
-	got := w.do(w.request("POST", "/fixed/x", "body"))
+	w.startUpstream("slow", eventsThenSilence(1, 2, release))
+	other := w.startUpstreamOf(Upstream{ID: "other", Zone: "z2", Version: "v1"}, streamEvents(1, 2, false))
+	got := w.do(w.newRequest("POST", "/fixed/x", "body"))
 	is.NoErr(got.err)
 	is.Equal(got.body, eventTexts(1, 2))
 	is.Equal(other.count(), 0)
 }
 
-// A silence that may not be ended at first is ended as soon as it may.
-func TestSilenceIsLookedAtAgain(t *testing.T) {
+// An attempt that mayGiveUp keeps at first is ended as soon as it is permitted.
+func TestIdleTimerAsksAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancelCause(t.Context())
@@ -77,14 +77,14 @@
 		s.start(time.Second)
 		time.AfterFunc(2500*time.Millisecond, func() { may.Store(true) })
 		<-ctx.Done()
-		is.True(errors.Is(context.Cause(ctx), errSilent))
+		is.True(errors.Is(context.Cause(ctx), errResponseTimeout))
 		is.True(s.expired())
 		is.Equal(time.Since(began), 3*time.Second)
 	})
 }
 
-// What is heard in time, and the time between two waits, ends nothing.
-func TestSilenceThatIsBroken(t *testing.T) {
+// Neither data within the limit nor the time between two waits ends the attempt.
+func TestIdleTimerDoesNotExpireWhileStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancelCause(t.Context())
@@ -93,7 +93,7 @@
 			s.start(time.Second)
 			time.Sleep(900 * time.Millisecond)
 			s.stop()
-			time.Sleep(2 * time.Second) // the caller takes its time
+			time.Sleep(2 * time.Second) // the caller reads slowly
 		}
 		is.NoErr(ctx.Err())
 		is.True(!s.expired())
--- a/internal/gateway/incarnation.go
+++ b/internal/gateway/incarnation.go
@@ -16,43 +16,42 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// Set takes an upstream's entry at a revision of the store. An upstream that started
-// again begins with nothing of its former incarnation, neither what it kept nor how it
-// failed nor that it was leaving; an entry of a former one that arrives late changes
-// nothing. Within an incarnation leaving is sticky: one that leaves never comes back.
+// Set applies an upstream's entry at a revision of the store. An upstream that restarted has none
+// of the state of its former incarnation: cached prompts, failures and leaving are reset. A late
+// entry of a former incarnation is ignored. Within an incarnation, leaving is final.
 func (f *Fleet) Set(u Upstream, revision storage.Revision) {
-	u.shareTexts()
-	f.withdrawElsewhere(u, revision)
+	u.internStrings()
+	f.withdrawFromOtherServices(u, revision)
 	s := f.shard(u.Service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	m := s.members[u.ID]
 	switch {
 	case m == nil:
-		s.replaceAt(&u, f.log)
+		s.markReplaced(&u, f.log)
 		m = s.add(&u)
-		f.tally.listed.Add(1)
+		f.entryChanges.listed.Add(1)
 		f.logEntry(zerolog.DebugLevel, "upstream-listed", &u, revision).Msg("")
 	case u.Incarnation < m.Incarnation:
 		f.logEntry(zerolog.InfoLevel, "upstream-entry-late", &u, revision).Int64("known", int64(m.Incarnation)).Msg("")
 		return
 	case u.Incarnation > m.Incarnation:
-		f.tally.restarted.Add(1)
-		f.logEntry(m.level(), "upstream-restarted", &u, revision).Int64("former", int64(m.Incarnation)).Int("in_flight", m.inFlight).Msg("")
+		f.entryChanges.restarted.Add(1)
+		f.logEntry(m.logLevel(), "upstream-restarted", &u, revision).Int64("former", int64(m.Incarnation)).Int("in_flight", m.inFlight).Msg("")
 		m = s.add(&u)
 	}
 	if !m.removedAt.IsZero() && !m.lapsed && u.Sequence > 0 && u.Sequence <= m.Sequence {
-		// A store that came back from a copy lists upstreams that are gone.
+		// A store that was restored from a backup lists upstreams that are gone.
 		f.logEntry(zerolog.InfoLevel, "upstream-entry-old", &u, revision).Uint64("sequence", u.Sequence).Uint64("known_sequence", m.Sequence).Msg("")
 		return
 	}
 	if u.Leaving && !m.Leaving {
-		f.tally.leaving.Add(1)
-		f.log.WithLevel(m.level()).Str("event", "upstream-leaving").Str("upstream", u.ID).Stringer("revision", revision).Int("in_flight", m.inFlight).Msg("")
+		f.entryChanges.leaving.Add(1)
+		f.log.WithLevel(m.logLevel()).Str("event", "upstream-leaving").Str("upstream", u.ID).Stringer("revision", revision).Int("in_flight", m.inFlight).Msg("")
 	}
 	leaving := m.Leaving || u.Leaving
 	if m.Zone != u.Zone {
-		s.roster.stale = true
+		s.index.stale = true
 	}
 	if m.Address != u.Address {
 		s.setAddress(m, u.Address)
@@ -61,12 +60,12 @@
 	m.Leaving = leaving
 	m.removedAt, m.lapsed = time.Time{}, false
 	m.withdrawn = false
-	m.heardAt = boottime.Now()
-	m.noteCold(u.ColdFor, coldEntry, f.log)
+	m.updatedAt = boottime.Now()
+	m.markCold(u.ColdFor, coldEntry, f.log)
 }
 
-// shareTexts has the texts that thousands of upstreams have alike stand in memory once.
-func (u *Upstream) shareTexts() {
+// internStrings interns the strings that thousands of upstreams have in common, to save memory.
+func (u *Upstream) internStrings() {
 	for _, text := range []*string{&u.Service, &u.Zone, &u.Version} {
 		*text = unique.Make(*text).Value()
 	}
@@ -78,43 +77,43 @@
 		Bool("leaving", u.Leaving).Stringer("revision", revision)
 }
 
-// add puts a member of which nothing is known in place of any other of its id. The
-// shard's lock is held.
+// add adds a member without any state in place of a former one of the same id. The caller holds
+// the shard's lock.
 func (s *shard) add(u *Upstream) *member {
 	if former := s.members[u.ID]; former != nil {
-		s.forget(former)
+		s.unindex(former)
 	}
-	m := &member{Upstream: *u, shard: s, name: u.exchangeName(), lease: ratelease.UpstreamOf(u.name()), listedAt: boottime.Now()}
+	m := &member{Upstream: *u, shard: s, name: u.exchangeName(), lease: ratelease.UpstreamOf(u.incarnationID()), listedAt: boottime.Now()}
 	m.Leaving = false
 	s.members[u.ID] = m
 	s.starts.count(u, 1)
 	s.names[m.name] = m
 	s.leases[m.lease] = m
 	s.setAddress(m, m.Address)
-	s.roster.added = append(s.roster.added, m)
+	s.index.added = append(s.index.added, m)
 	return m
 }
 
-// name stands for the incarnation in what hosts tell each other: the work and the kept
-// parts of a former one aren't this one's.
-func (u *Upstream) name() string {
+// incarnationID identifies the incarnation in messages between hosts, so that the work and the
+// cached parts of a former one aren't attributed to this one.
+func (u *Upstream) incarnationID() string {
 	if u.Incarnation == 0 {
 		return u.ID
 	}
 	return u.ID + "/" + strconv.FormatInt(int64(u.Incarnation), 10)
 }
 
-// exchangeName stands for the incarnation in messages between hosts.
-func (u *Upstream) exchangeName() exchange.Name { return exchange.NameOf(u.name()) }
+// exchangeName returns the name of the incarnation in messages between hosts.
+func (u *Upstream) exchangeName() exchange.Name { return exchange.NameOf(u.incarnationID()) }
 
-// guarded is the incarnation as the guard knows it.
-func (u *Upstream) guarded() guard.Upstream {
+// guardUpstream returns the incarnation as package guard identifies it.
+func (u *Upstream) guardUpstream() guard.Upstream {
 	return guard.Upstream{ID: u.ID, Service: u.Service, Address: u.Address, Incarnation: quarantine.Incarnation(u.exchangeName())}
 }
 
-// withdrawElsewhere withdraws what other services know under the upstream's id: an
-// upstream serves one service, the one that its newest entry names.
-func (f *Fleet) withdrawElsewhere(u Upstream, revision storage.Revision) {
+// withdrawFromOtherServices withdraws members of other services with the upstream's id: an
+// upstream serves one service, the one in its newest entry.
+func (f *Fleet) withdrawFromOtherServices(u Upstream, revision storage.Revision) {
 	own := f.shard(u.Service)
 	f.each(func(s *shard) {
 		if m := s.members[u.ID]; s != own && m != nil && m.Incarnation <= u.Incarnation {
@@ -123,8 +122,8 @@
 	})
 }
 
-// withdraw keeps new requests away until the upstream's entry names it again. The
-// shard's lock is held.
+// withdraw excludes the member from new requests until it has a usable entry again. The caller
+// holds the shard's lock.
 func (m *member) withdraw(log zerolog.Logger, revision storage.Revision) {
 	if m.withdrawn {
 		return
@@ -133,24 +132,24 @@
 	log.Warn().Str("event", "upstream-withdrawn").Str("upstream", m.ID).Str("service", m.Service).Stringer("revision", revision).Msg("")
 }
 
-// sameTable is the time in which the entries of one table are taken in. Of two upstreams at
-// one address in it, it isn't known which one is there.
-const sameTable = 500 * time.Millisecond
+// sameListingWindow is the time within which the entries of one listing are applied. If two
+// upstreams in one listing have the same address, it isn't known which one is there.
+const sameListingWindow = 500 * time.Millisecond
 
-// replaceAt withdraws the upstreams that were at the address of a new one: each address is
-// one upstream's, and the entry of one that ended stays for seconds. The shard's lock is
-// held.
-func (s *shard) replaceAt(u *Upstream, log zerolog.Logger) {
+// markReplaced excludes the upstream that had the address of a new one: each address belongs to
+// one upstream, and the entry of one that ended remains for seconds. The caller holds the shard's
+// lock.
+func (s *shard) markReplaced(u *Upstream, log zerolog.Logger) {
 	former := s.addresses[u.Address]
-	if former == nil || former.replaced || boottime.Since(former.listedAt) <= sameTable {
+	if former == nil || former.replaced || boottime.Since(former.listedAt) <= sameListingWindow {
 		return
 	}
 	former.replaced = true
-	log.WithLevel(former.level()).Str("event", "upstream-replaced").Str("upstream", former.ID).Str("by", u.ID).Str("address", u.Address).Msg("")
+	log.WithLevel(former.logLevel()).Str("event", "upstream-replaced").Str("upstream", former.ID).Str("by", u.ID).Str("address", u.Address).Msg("")
 }
 
-// setAddress notes that the member is the last one that was listed at the address, and at no
-// other; one without an address is nowhere. The shard's lock is held.
+// setAddress records the member as the last one listed at the address, and removes it from its
+// former address. An empty address only removes it. The caller holds the shard's lock.
 func (s *shard) setAddress(m *member, address string) {
 	if s.addresses[m.Address] == m {
 		delete(s.addresses, m.Address)
@@ -160,23 +159,23 @@
 	}
 }
 
-// endedTime is how long an upstream that ended is passed over: its entry lapses by then.
-const endedTime = 4 * time.Second
+// endedEjection is how long an upstream that ended is avoided: its entry expires within that time.
+const endedEjection = 4 * time.Second
 
-// noteEnded takes in that a host found an upstream's process gone. Without that each host
-// would meet it by its own requests, some tries for each of them.
-func (f *Fleet) noteEnded(name exchange.Name) {
+// ejectEnded ejects an upstream whose process another host found to have ended. Otherwise each
+// host would detect that by failed requests of its own.
+func (f *Fleet) ejectEnded(name exchange.Name) {
 	f.each(func(s *shard) {
 		if m := s.names[name]; m != nil {
-			m.used().ejectedUntil = boottime.Now().Add(endedTime)
+			m.ensureUsage().ejectedUntil = boottime.Now().Add(endedEjection)
 		}
 	})
 }
 
-// chosen is the member that the choice was made of; nil if it was forgotten, or if the
-// upstream started again since: how the request ends says nothing of the new incarnation.
-// The shard's lock is held.
-func (s *shard) chosen(c *choice) *member {
+// chosenMember returns the member that the choice was made of. It is nil if the member was removed
+// or the upstream restarted since: the request's result doesn't apply to the new incarnation. The
+// caller holds the shard's lock.
+func (s *shard) chosenMember(c *choice) *member {
 	m := s.members[c.upstream.ID]
 	if m == nil || m.Incarnation != c.upstream.Incarnation {
 		return nil
@@ -184,46 +183,46 @@
 	return m
 }
 
-// starts counts the upstreams that told their start, among others.
-type starts struct{ told, all int }
+// startCounts counts upstreams in total and those with a start time.
+type startCounts struct{ withStart, total int }
 
 // count adds the upstream n times.
-func (c *starts) count(u *Upstream, n int) {
-	c.all += n
+func (c *startCounts) count(u *Upstream, n int) {
+	c.total += n
 	if u.Incarnation != 0 {
-		c.told += n
+		c.withStart += n
 	}
 }
 
-// usual says that most upstreams tell their start.
-func (c starts) usual() bool { return 2*c.told > c.all }
+// mostHaveStart reports whether most upstreams have a start time.
+func (c startCounts) mostHaveStart() bool { return 2*c.withStart > c.total }
 
-// starts counts the upstreams that are remembered.
-func (f *Fleet) starts() starts {
-	var c starts
+// starts returns the counts over all services.
+func (f *Fleet) starts() startCounts {
+	var c startCounts
 	f.each(func(s *shard) {
-		c.told += s.starts.told
-		c.all += s.starts.all
+		c.withStart += s.starts.withStart
+		c.total += s.starts.total
 	})
 	return c
 }
 
-// incarnationMark begins the label that connHost puts before an address.
-const incarnationMark = "start-"
+// incarnationPrefix begins the label that connHost puts before an address.
+const incarnationPrefix = "start-"
 
-// connHost names the upstream's connections in the pool: the address, after a label of
-// the incarnation. A connection to a former incarnation may be silent for good, and the
-// pool knows connections by this name alone.
+// connHost returns the host name under which the upstream's connections are pooled: the address,
+// after a label of the incarnation. A connection to a former incarnation may never answer, and the
+// connection pool distinguishes connections by this name alone.
 func (u *Upstream) connHost() string {
 	if u.Incarnation == 0 {
 		return u.Address
 	}
-	return incarnationMark + strconv.FormatInt(int64(u.Incarnation), 10) + "." + u.Address
+	return incarnationPrefix + strconv.FormatInt(int64(u.Incarnation), 10) + "." + u.Address
 }
 
-// dialAddress is the address in a name that connHost made.
+// dialAddress returns the address in a name that connHost made.
 func dialAddress(host string) string {
-	if !strings.HasPrefix(host, incarnationMark) {
+	if !strings.HasPrefix(host, incarnationPrefix) {
 		return host
 	}
 	_, address, _ := strings.Cut(host, ".")
--- a/internal/gateway/incarnation_test.go
+++ b/internal/gateway/incarnation_test.go
@@ -29,62 +29,62 @@
 
 func (f *Fleet) memberOf(service, id string) *member { return f.shard(service).members[id] }
 
-// promptWants is a choice of an engine for a prompt of one shared part.
-func promptWants() wants {
+// promptCriteria returns the criteria of a request whose prompt has one shared part.
+func promptCriteria() criteria {
 	prompt := &placement.Prompt{Parts: []placement.Part{{ID: "p", Tokens: 1000}}, Tokens: 1200, Shared: 1}
-	return wants{
+	return criteria{
 		service: "svc", zone: "z1", prompt: prompt, model: "m", keys: placement.Keys("m", prompt),
 		target: time.Second, admits: func(string) bool { return true },
 	}
 }
 
-func TestRestartedUpstreamBeginsAnew(t *testing.T) {
+func TestRestartedUpstreamHasNoFormerState(t *testing.T) {
 	is := is.New(t)
 	f := NewFleet(time.Second, zerolog.Nop())
 	f.Set(engineAt(firstStart), 1)
-	former, ok := f.choose(promptWants())
+	former, ok := f.choose(promptCriteria())
 	is.True(ok)
 	m := f.memberOf("svc", "e")
 	m.eject(time.Now())
-	m.used().failureRate, m.used().failureAt = 1, time.Now()
-	former2 := former
+	m.ensureUsage().failureRate, m.ensureUsage().failureAt = 1, time.Now()
+	formerCopy := former
 	leaving := engineAt(firstStart)
 	leaving.Leaving = true
 	f.Set(leaving, 2)
-	is.True(!f.serves("svc", homes{}, func(string) bool { return true }))
+	is.True(!f.hasInService("svc", regionConstraint{}, func(string) bool { return true }))
 
 	f.Set(engineAt(secondStart), 3)
 	now := time.Now()
 	m = f.memberOf("svc", "e")
-	is.True(m.takesWork(now, 0))                               // leaving ended with the former incarnation
-	is.Equal(m.inFlight, 0)                                    // so did its work
-	is.Equal(m.kept(former.wants.keys), 0)                     // and what it kept
-	is.Equal(m.failures(now), 0.0)                             // and its failures
-	is.True(!m.ejected(now))                                   // and its ejection
-	is.True(m.name != exchange.NameOf(former.upstream.name())) // and what hosts tell of it
-
-	// A request to the former incarnation ends as that one's.
-	f.began(&former2, 100*time.Millisecond)
+	is.True(m.inService(now, 0))                                        // leaving ended with the former incarnation
+	is.Equal(m.inFlight, 0)                                             // so did its requests in flight
+	is.Equal(m.cachedParts(former.criteria.keys), 0)                    // and its cached parts
+	is.Equal(m.currentFailureRate(now), 0.0)                            // and its failures
+	is.True(!m.ejected(now))                                            // and its ejection
+	is.True(m.name != exchange.NameOf(former.upstream.incarnationID())) // and its name in messages between hosts
+
+	// The result of a request to the former incarnation doesn't affect the new one.
+	f.headReceived(&formerCopy, 100*time.Millisecond)
 	f.release(former, attemptResult{outcome: outcomeUnsent})
 	is.Equal(m.inFlight, 0)
-	is.Equal(m.failures(now), 0.0)
+	is.Equal(m.currentFailureRate(now), 0.0)
 	is.True(!m.ejected(now))
-	is.Equal(m.kept(former.wants.keys), 0)
+	is.Equal(m.cachedParts(former.criteria.keys), 0)
 }
 
-// What other hosts tell of the former incarnation isn't taken for the new one's.
-func TestOthersWordOfAFormerIncarnation(t *testing.T) {
+// Data of other hosts on the former incarnation isn't applied to the new one.
+func TestRemoteDataOfAFormerIncarnation(t *testing.T) {
 	is := is.New(t)
 	f := NewFleet(time.Second, zerolog.Nop())
 	f.Set(engineAt(firstStart), 1)
 	formerName := f.memberOf("svc", "e").name
 	f.Set(engineAt(secondStart), 2)
-	keys := promptWants().keys
-	f.setOthers(exchange.Work{formerName: 900}, time.Now())
-	f.noteReads(exchange.Reads{formerName: keys})
+	keys := promptCriteria().keys
+	f.setRemoteWork(exchange.Work{formerName: 900}, time.Now())
+	f.addRemotePrefixes(exchange.Reads{formerName: keys})
 	m := f.memberOf("svc", "e")
-	is.Equal(m.othersLeft(time.Now()), time.Duration(0))
-	is.Equal(m.kept(keys), 0)
+	is.Equal(m.remoteRemaining(time.Now()), time.Duration(0))
+	is.Equal(m.cachedParts(keys), 0)
 }
 
 func TestLateEntryOfAFormerIncarnation(t *testing.T) {
@@ -96,7 +96,7 @@
 	late.Address = "127.0.0.1:10"
 	f.Set(late, 2)
 	m := f.memberOf("svc", "e")
-	is.True(m.takesWork(time.Now(), 0))
+	is.True(m.inService(time.Now(), 0))
 	is.Equal(m.Upstream, engineAt(secondStart))
 }
 
@@ -108,15 +108,14 @@
 	moved.Service = "other"
 	f.Set(moved, 2)
 	any := func(string) bool { return true }
-	is.True(!f.serves("svc", homes{}, any))
-	is.True(f.serves("other", homes{}, any))
+	is.True(!f.hasInService("svc", regionConstraint{}, any))
+	is.True(f.hasInService("other", regionConstraint{}, any))
 }
 
-// A connection to a former incarnation isn't used for the new one, though both have one
-// address.
+// A connection to a former incarnation isn't used for the new one at the same address.
 func TestConnectionsOfAFormerIncarnation(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testDocument())
+	w := newTestGateway(t, testDocument())
 	var dialled []string
 	dial := w.gateway.transport.DialContext
 	w.gateway.transport.DialContext = func(ctx context.Context, network, host string) (net.Conn, error) {
@@ -124,24 +123,24 @@
 		return dial(ctx, network, host)
 	}
 	u := Upstream{ID: "a", Incarnation: firstStart, Zone: "z1", Version: "v1"}
-	w.upstreamOf(u, succeed("hello"))
+	w.startUpstreamOf(u, respondOK("hello"))
 	for range 2 {
-		is.Equal(w.do(w.request("GET", "/many/x", "")).body, "hello")
+		is.Equal(w.do(w.newRequest("GET", "/many/x", "")).body, "hello")
 	}
 	is.Equal(len(dialled), 1)
 	again := w.gateway.fleet.memberOf("svc", "a").Upstream
 	again.Incarnation = secondStart
 	w.gateway.fleet.Set(again, 2)
-	is.Equal(w.do(w.request("GET", "/many/x", "")).body, "hello")
+	is.Equal(w.do(w.newRequest("GET", "/many/x", "")).body, "hello")
 	is.Equal(len(dialled), 2)
 }
 
-// Rows of another writer name no upstream to use, also where their key did; they are
-// logged once a change, and the other rows hold.
+// Rows that can't be decoded, or that something else wrote, withdraw the upstream of their key;
+// they are logged once for each change, and other rows aren't affected.
 func TestEntriesOfAnotherWriter(t *testing.T) {
 	is := is.New(t)
 	var log bytes.Buffer
-	w := newWorld(t, testDocument())
+	w := newTestGateway(t, testDocument())
 	w.gateway.log = zerolog.New(&log)
 	rows := newUpstreamRows(w.gateway)
 	any := func(string) bool { return true }
@@ -152,51 +151,51 @@
 	rows.Replace([]feed.Row{good("a", 1), good("b", 2)}, 2)
 	rows.Change(bad)
 	f := w.gateway.fleet
-	is.True(!f.memberOf("svc", "a").takesWork(time.Now(), time.Minute))
-	is.True(f.memberOf("svc", "b").takesWork(time.Now(), time.Minute))
+	is.True(!f.memberOf("svc", "a").inService(time.Now(), time.Minute))
+	is.True(f.memberOf("svc", "b").inService(time.Now(), time.Minute))
 	rows.Replace([]feed.Row{bad, good("b", 2)}, 2)
-	is.True(!f.memberOf("svc", "a").takesWork(time.Now(), time.Minute))
+	is.True(!f.memberOf("svc", "a").inService(time.Now(), time.Minute))
 	is.Equal(bytes.Count(log.Bytes(), []byte("row-unreadable")), 1)
 	is.Equal(w.gateway.metrics.unreadable("upstreams").Get(), uint64(1))
 
 	rows.Change(feed.Row{Key: "c", Revision: 4, Data: []byte(`{"Service":"svc","Address":"127.0.0.1:9"}`)})
-	is.True(f.memberOf("svc", "c") == nil) // all others tell their start
+	is.True(f.memberOf("svc", "c") == nil) // all other entries have a start time
 
 	rows.Change(good("a", 5))
-	is.True(f.memberOf("svc", "a").takesWork(time.Now(), time.Minute))
-	is.True(f.serves("svc", homes{}, any))
+	is.True(f.memberOf("svc", "a").inService(time.Now(), time.Minute))
+	is.True(f.hasInService("svc", regionConstraint{}, any))
 }
 
-// A platform that gives each start an id of its own tells no start.
-func TestEntriesWithoutAStart(t *testing.T) {
+// A platform that gives each start a new id reports no start time.
+func TestEntriesWithoutStartTime(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testDocument())
+	w := newTestGateway(t, testDocument())
 	rows := newUpstreamRows(w.gateway)
 	for i, key := range []string{"a", "b", "c"} {
 		rows.Change(feed.Row{Key: key, Revision: storage.Revision(i + 1), Data: []byte(`{"Service":"svc","Address":"127.0.0.1:9"}`)})
 	}
-	is.Equal(w.gateway.fleet.starts(), starts{told: 0, all: 3})
+	is.Equal(w.gateway.fleet.starts(), startCounts{withStart: 0, total: 3})
 }
 
-// A status that can't be read is replaced by the next one: the write's condition is the
-// revision of the row as it is.
+// A status that can't be decoded is replaced by the next one: the write is conditional on the
+// revision of the existing row.
 func TestUnreadableStatusIsReplaced(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testDocument())
+	w := newTestGateway(t, testDocument())
 	m := w.gateway.rollouts
-	m.order(Order{Service: "svc", Version: "v2", Duration: time.Minute, Revision: 1}, false)
+	m.addOrder(Order{Service: "svc", Version: "v2", Duration: time.Minute, Revision: 1}, false)
 	rows := newStatusRows(w.gateway)
 	for _, data := range []string{"{", `{"Service":"other","Version":"v2"}`} {
 		revision := m.active["svc"].status.Revision + 3
 		rows.Change(feed.Row{Key: "order/svc", Revision: revision, Data: []byte(data)})
 		is.Equal(m.active["svc"].status.Revision, revision)
-		is.True(!m.active["svc"].known())
+		is.True(!m.active["svc"].hasStatus())
 	}
 }
 
 func TestOrderUnderAnotherKey(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testDocument())
+	w := newTestGateway(t, testDocument())
 	rows := newOperatorRows(w.gateway)
 	rows.Change(feed.Row{Key: "order/other", Revision: 3, Data: []byte(`{"Service":"svc","Version":"v2"}`)})
 	is.Equal(len(w.gateway.rollouts.active), 0)
--- a/internal/gateway/instant_test.go
+++ b/internal/gateway/instant_test.go
@@ -12,12 +12,12 @@
 	"github.com/matryer/is"
 )
 
-// A request that ends upstreams at once, and is sent on to three by one host, ended nine before it
-// was kept away: three ends within milliseconds counted as one event. Each run began after the
-// end before, so each end counts.
-func TestARequestThatEndsUpstreamsAtOnceIsKeptAway(t *testing.T) {
+// A request that crashes upstreams at once, and is sent to three by one host, crashed nine before
+// it was quarantined: three crashes within milliseconds counted as one event. Each attempt began
+// after the previous crash, so each crash must count.
+func TestRequestThatCrashesUpstreamsAtOnceIsQuarantined(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testDocument())
+	w := newTestGateway(t, testDocument())
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go w.gateway.guard.Run(ctx)
@@ -37,7 +37,7 @@
 		w.gateway.fleet.Set(Upstream{ID: fmt.Sprint("u-", i), Service: "svc", Address: listener.Addr().String(), Zone: "z1", Version: "v1", Slots: 8}, 1)
 	}
 	for range 6 {
-		w.do(w.request("POST", "/many/x", "fatal"))
+		w.do(w.newRequest("POST", "/many/x", "fatal"))
 		time.Sleep(1500 * time.Millisecond)
 	}
 	is.True(len(ended) <= 4)
--- a/internal/gateway/lapse_test.go
+++ b/internal/gateway/lapse_test.go
@@ -10,12 +10,12 @@
 	"github.com/quetzalweir/quetzalweir/internal/boottime"
 )
 
-// Entries lapse while the store is away though their upstreams live, and are back about two
-// seconds after it. Upstreams whose entries vanished were used for 1.5 s only, so that a
-// service whose entries had all lapsed had none for half a second:
+// Entries expire during an outage of the store although their upstreams are alive, and are
+// restored about two seconds after it. Upstreams whose entries were removed used to be kept for
+// 1.5 s only, so that a service whose entries had all expired had no upstream for half a second:
 //
 //	event=upstream-removed upstream=… at 16.2 s, event=no-upstream at 17.77 s
-func TestUpstreamsWhoseEntriesLapsedAreUsedUntilTheyAreDueBack(t *testing.T) {
+func TestUpstreamsWhoseEntriesExpiredInAnOutageAreUsed(t *testing.T) {
 	is := is.New(t)
 	const grace = 1500 * time.Millisecond
 	f := NewFleet(grace, zerolog.Nop())
@@ -25,7 +25,7 @@
 	f.Remove("lapsed", 2, true)
 	f.Remove("removed", 2, false)
 	chosen := func(service string) bool {
-		c, ok := f.choose(wants{service: service, zone: "z1", admits: func(string) bool { return true }})
+		c, ok := f.choose(criteria{service: service, zone: "z1", admits: func(string) bool { return true }})
 		if ok {
 			f.release(c, attemptResult{outcome: outcomeDone})
 		}
@@ -36,7 +36,7 @@
 	is.True(chosen("lapsed"))
 	is.True(!chosen("removed"))
 	t.Cleanup(boottime.Simulate(time.Second))
-	is.True(!chosen("lapsed")) // what isn't back by now is gone
+	is.True(!chosen("lapsed")) // what isn't listed again by now is gone
 	f.Set(Upstream{ID: "lapsed", Service: "lapsed", Zone: "z1", Version: "v1", Slots: 8}, 3)
 	is.True(chosen("lapsed"))
 	f.Remove("lapsed", 4, false)
--- a/internal/gateway/leave_test.go
+++ b/internal/gateway/leave_test.go
@@ -9,11 +9,13 @@
 	"github.com/matryer/is"
 )
 
-// leftWithin is how soon the work of a caller that left has to end.
-const leftWithin = 500 * time.Millisecond
+// maxCancelDelay is the time within which the upstream's request has to be canceled after the
+// caller disconnected.
+const maxCancelDelay = 500 * time.Millisecond
 
-// A caller may leave at any stage; the upstream that works for it then is told at once.
-func TestCallerThatLeavesAtAnyStage(t *testing.T) {
+// A caller may disconnect at any stage; the request to the upstream that is processing it must be
+// canceled at once.
+func TestCallerDisconnectsAtAnyStage(t *testing.T) {
 	hang := func(working, ended chan struct{}, req *http.Request) {
 		close(working)
 		<-req.Context().Done()
@@ -23,19 +25,19 @@
 		desc   string
 		route  string
 		header []string
-		// handle answers the nth request; it hangs where the caller leaves.
+		// handle handles the nth request; it hangs at the stage at which the caller disconnects.
 		handle func(n int, working, ended chan struct{}, w http.ResponseWriter, req *http.Request)
 	}{
 		{"before the head", "/stream/x", nil, func(_ int, working, ended chan struct{}, _ http.ResponseWriter, req *http.Request) {
 			hang(working, ended, req)
 		}},
-		{"in the cheap step", "/models/x", []string{"T-Model", "*"}, func(_ int, working, ended chan struct{}, _ http.ResponseWriter, req *http.Request) {
+		{"at the cheap model", "/models/x", []string{"T-Model", "*"}, func(_ int, working, ended chan struct{}, _ http.ResponseWriter, req *http.Request) {
 			hang(working, ended, req)
 		}},
-		{"while the better model reads", "/models/x", []string{"T-Model", "*"}, func(n int, working, ended chan struct{}, w http.ResponseWriter, req *http.Request) {
+		{"during the better model's prefill", "/models/x", []string{"T-Model", "*"}, func(n int, working, ended chan struct{}, w http.ResponseWriter, req *http.Request) {
 			if n == 1 {
 				w.Header().Set("T-Confidence", "10")
-				events(1, 2, false)(w, req)
+				streamEvents(1, 2, false)(w, req)
 				return
 			}
 			hang(working, ended, req)
@@ -47,9 +49,9 @@
 			w.(http.Flusher).Flush()
 			hang(working, ended, req)
 		}},
-		{"on the second try", "/many/x", nil, func(n int, working, ended chan struct{}, w http.ResponseWriter, req *http.Request) {
+		{"on the second attempt", "/many/x", nil, func(n int, working, ended chan struct{}, w http.ResponseWriter, req *http.Request) {
 			if n == 1 {
-				fail(500)(w, req)
+				respondStatus(500)(w, req)
 				return
 			}
 			hang(working, ended, req)
@@ -58,7 +60,7 @@
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t, testDocument())
+			w := newTestGateway(t, testDocument())
 			working, ended := make(chan struct{}), make(chan struct{})
 			arrivals := make(chan int, 1)
 			arrivals <- 0
@@ -67,12 +69,12 @@
 				arrivals <- n
 				test.handle(n, working, ended, rw, req)
 			}
-			w.upstream("a", handler)
-			w.upstream("b", handler)
+			w.startUpstream("a", handler)
+			w.startUpstream("b", handler)
 			ctx, leave := context.WithCancel(context.Background())
-			done := make(chan answer)
+			done := make(chan callerAnswer)
 			go func() {
-				done <- w.do(w.request("POST", test.route, "body", test.header...).WithContext(ctx))
+				done <- w.do(w.newRequest("POST", test.route, "body", test.header...).WithContext(ctx))
 			}()
 			<-working
 			leave()
@@ -80,48 +82,48 @@
 			is.True((<-done).err != nil)
 			select {
 			case <-ended:
-				is.True(time.Since(left) < leftWithin)
+				is.True(time.Since(left) < maxCancelDelay)
 			case <-time.After(5 * time.Second):
-				t.Fatal("the upstream still works")
+				t.Fatal("the upstream's request wasn't canceled")
 			}
 			n := <-arrivals
 			time.Sleep(50 * time.Millisecond)
-			is.True(n <= 2) // nothing was sent on after the caller had left
+			is.True(n <= 2) // no further attempt was made after the caller had disconnected
 		})
 	}
 }
 
-// An upstream whose connections went silent: the request is served by another one, and the
-// silence is over well before the route's time is.
-func TestSilentUpstreamIsPassedOver(t *testing.T) {
+// An upstream accepts connections but never responds: another upstream serves the request, well
+// before the route's timeout.
+func TestUnresponsiveUpstreamIsPassedOver(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testDocument())
+	w := newTestGateway(t, testDocument())
 	release := make(chan struct{})
 	defer close(release)
-	silent := w.upstreamOf(Upstream{ID: "silent", Zone: "z1", Version: "v1"}, func(http.ResponseWriter, *http.Request) { <-release })
-	w.upstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, succeed("b"))
-	for range silencesToEject + 3 {
-		got := w.do(w.request("GET", "/many/x", ""))
+	silent := w.startUpstreamOf(Upstream{ID: "silent", Zone: "z1", Version: "v1"}, func(http.ResponseWriter, *http.Request) { <-release })
+	w.startUpstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, respondOK("b"))
+	for range timeoutsToEject + 3 {
+		got := w.do(w.newRequest("GET", "/many/x", ""))
 		is.Equal(got.body, "b")
 	}
-	is.Equal(silent.count(), silencesToEject) // then it counts as unreachable
+	is.Equal(silent.count(), timeoutsToEject) // then it counts as unreachable
 }
 
-// Prompts with a shared part go to the engine that reads it, in whatever zone it is.
-func TestPromptsStayWithTheirEngine(t *testing.T) {
+// Prompts with a shared prefix go to the engine that has it cached, in any zone.
+func TestPromptsGoToTheEngineThatCachesThem(t *testing.T) {
 	is := is.New(t)
 	doc := testDocument()
 	for i := range doc.Routes {
 		doc.Routes[i].PrefixAffinity = true
 	}
-	w := newWorld(t, doc)
-	logs := []*upstreamLog{
-		w.upstreamOf(Upstream{ID: "a", Zone: "z1", Version: "v1"}, events(1, 2, false)),
-		w.upstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, events(1, 2, false)),
-		w.upstreamOf(Upstream{ID: "c", Zone: "z3", Version: "v1"}, events(1, 2, false)),
+	w := newTestGateway(t, doc)
+	logs := []*requestLog{
+		w.startUpstreamOf(Upstream{ID: "a", Zone: "z1", Version: "v1"}, streamEvents(1, 2, false)),
+		w.startUpstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, streamEvents(1, 2, false)),
+		w.startUpstreamOf(Upstream{ID: "c", Zone: "z3", Version: "v1"}, streamEvents(1, 2, false)),
 	}
 	for range 20 {
-		got := w.do(w.request("POST", "/stream/x", "body", "T-Tokens", "9000,20", "T-Parts", "shared:8500,own:500"))
+		got := w.do(w.newRequest("POST", "/stream/x", "body", "T-Tokens", "9000,20", "T-Parts", "shared:8500,own:500"))
 		is.NoErr(got.err)
 	}
 	most := 0
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -11,63 +11,64 @@
 	"github.com/quetzalweir/quetzalweir/ratelease"
 )
 
-// limitLogged is the limit of an upstream that the log knows of.
-type limitLogged struct {
+// loggedLimit is the rate limit that was last logged for an upstream.
+type loggedLimit struct {
 	limit ratelease.Limit
-	// since is when it began; zero without one.
+	// since is when the limit began; zero while there is none.
 	since time.Time
 }
 
-// namedLimit is what is known of the limit that an upstream's answers name.
-type namedLimit struct {
+// limitState is the state of the rate limit that an upstream's answers announce.
+type limitState struct {
 	ratelease.Named
-	logged limitLogged
-	// bucket is what this host may send of it.
+	logged loggedLimit
+	// bucket counts this host's requests against its part of the limit.
 	bucket ratelease.Bucket
 }
 
-// named returns what is known of the member's limit, to note something.
-func (m *member) named() *namedLimit {
+// ensureLimit returns the member's limit state and creates it if there is none.
+func (m *member) ensureLimit() *limitState {
 	if m.limit == nil {
-		m.limit = &namedLimit{}
+		m.limit = &limitState{}
 		m.shard.leased[m] = struct{}{}
 	}
 	return m.limit
 }
 
-// noChange is the part by which a limit changes that isn't logged.
-const noChange = 0.1
+// logTolerance is the relative change of a limit up to which it isn't logged again.
+const logTolerance = 0.1
 
-// limited says whether the upstream has a limit.
-func (m *member) limited(now time.Time) bool {
-	return m.limit != nil && m.limit.Limited(m.shard.access.contactNow(), now)
+// isLimited reports whether the upstream has a rate limit in force.
+func (m *member) isLimited(now time.Time) bool {
+	return m.limit != nil && m.limit.Limited(m.shard.policy.currentContact(), now)
 }
 
-// mayAdd says whether this host may send the upstream a request as far as it names a limit.
-func (m *member) mayAdd(now time.Time) bool {
-	return !m.limited(now) || m.limit.bucket.Room(m.allowance(now), now)
+// limitAllows reports whether the rate limit, if any, leaves this host another request.
+func (m *member) limitAllows(now time.Time) bool {
+	return !m.isLimited(now) || m.limit.bucket.Room(m.allowance(now), now)
 }
 
-// allowance is what this host may send of the upstream's limit.
+// allowance returns this host's part of the upstream's rate limit.
 func (m *member) allowance(now time.Time) ratelease.Allowance {
-	if share, ok := m.shard.access.share(m.lease, now); ok {
+	if share, ok := m.shard.policy.leasedShare(m.lease, now); ok {
 		return m.limit.Limit().Allowance(share)
 	}
-	return m.shard.access.lone(m.lease, now)
+	return m.shard.policy.disconnectedAllowance(m.lease, now)
 }
 
-// rationed says whether a request of the rank is turned away so that more urgent ones get
-// what is left: all upstreams that would take it name limits. The shard's lock is held.
-func (s *shard) rationed(list candidateList, rank int, now time.Time) bool {
+// shedByRank reports whether a request of the rank is refused to leave the remaining capacity to
+// more urgent ones; this happens only if all candidates are rate-limited. The caller holds the
+// shard's lock.
+func (s *shard) shedByRank(list candidateList, rank int, now time.Time) bool {
 	for _, m := range list.members {
-		if !m.limited(now) {
+		if !m.isLimited(now) {
 			return false
 		}
 	}
-	if now.Sub(s.suppliedAt) >= supplyAge {
+	if now.Sub(s.suppliedAt) >= supplyMaxAge {
 		s.suppliedAt, s.supply = now, 0
 		for m := range s.leased {
-			if m.limited(now) {
+			if m.isLimited(now) {
 				s.supply += m.allowance(now).Rate
 			}
 		}
@@ -75,112 +76,112 @@
 	return !s.ration.Admits(rank, s.supply, rand.Float64(), now)
 }
 
-// supplyAge is how long the sum of what this host may send of limits is used.
-const supplyAge = 200 * time.Millisecond
+// supplyMaxAge is how long the sum of this host's parts of rate limits is reused.
+const supplyMaxAge = 200 * time.Millisecond
 
-// limitWait is when a request that met limits should come back: when something is left again
-// here, or another host may have some.
-func (f *Fleet) limitWait(service string) time.Duration {
+// limitRetryAfter returns the time after which a request that was refused because of rate limits
+// should be retried: when this host has capacity again or another host may have some.
+func (f *Fleet) limitRetryAfter(service string) time.Duration {
 	s := f.shard(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now, wait := boottime.Now(), longLimitWait
+	now, wait := boottime.Now(), maxLimitRetryAfter
 	for m := range s.leased {
-		if !m.limited(now) {
+		if !m.isLimited(now) {
 			continue
 		}
 		if until, ok := m.limit.bucket.Wait(m.allowance(now), now); ok {
 			wait = min(wait, until)
 		}
 	}
-	return max(wait, shortLimitWait)
+	return max(wait, minLimitRetryAfter)
 }
 
-// shortLimitWait and longLimitWait bound the time after which callers come back that met
-// limits.
+// Bounds of the retry time of requests that were refused because of rate limits.
 const (
-	shortLimitWait = 200 * time.Millisecond
-	longLimitWait  = time.Second
+	minLimitRetryAfter = 200 * time.Millisecond
+	maxLimitRetryAfter = time.Second
 )
 
-// limitHeader is what an answer's head says of a limit.
+// limitHeader holds the rate-limit values of an answer's head.
 type limitHeader struct {
 	values []string
-	// proven says that the upstream ran the request: only then the lack of a limit tells
-	// that it has none.
-	proven bool
+	// ran is set if the upstream ran the request: only then does a missing limit mean that the
+	// upstream has none.
+	ran bool
 }
 
-// observeLimit takes in what an answer's head says of its upstream's limit.
+// observeLimit records the rate limit that an answer's head announces, or that it announces none.
 func (f *Fleet) observeLimit(c *choice, header limitHeader) {
 	s := f.shard(c.upstream.Service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if m := s.chosen(c); m != nil {
-		m.observeLimit(header, c.at, boottime.Now(), f.log)
+	if m := s.chosenMember(c); m != nil {
+		m.observeLimit(header, c.chosenAt, boottime.Now(), f.log)
 	}
 }
 
-// observeLimit takes in an answer to a request that was sent at a time.
+// observeLimit records an answer to a request that was sent at sentAt.
 func (m *member) observeLimit(header limitHeader, sentAt, now time.Time, log zerolog.Logger) {
 	limit, ok := ratelease.ParseLimit(header.values)
-	limited := m.limited(now)
+	limited := m.isLimited(now)
 	if len(header.values) > 0 && !ok {
 		log.Warn().Str("event", "limit-unreadable").Str("upstream", m.ID).Str("service", m.Service).Strs("values", header.values).Msg("")
 		if !limited {
 			return
 		}
-		limit, ok = m.limit.Limit(), true // it still says that it has one
+		limit, ok = m.limit.Limit(), true // an unreadable value still shows that there is a limit
 	}
-	say := false
+	report := false
 	switch {
 	case ok && limit.Binds():
-		say = m.named().Observe(limit, now)
-	case limited && header.proven:
-		say = m.limit.ObserveNone(sentAt, now)
+		report = m.ensureLimit().Observe(limit, now)
+	case limited && header.ran:
+		report = m.limit.ObserveNone(sentAt, now)
 	}
-	if say {
-		m.shard.limitNews[m] = struct{}{}
+	if report {
+		m.shard.unreportedLimits[m] = struct{}{}
 	}
 	m.logLimit(now, log)
 }
 
-// limitWords are what the hub is to be told of limits.
-func (f *Fleet) limitWords() []ratelease.Word {
-	var words []ratelease.Word
+// takeLimitReports returns the limits to report to the hub since the last call.
+func (f *Fleet) takeLimitReports() []ratelease.Word {
+	var reports []ratelease.Word
 	now := boottime.Now()
 	f.each(func(s *shard) {
-		for m := range s.limitNews {
-			words = append(words, m.named().Say(m.lease, now))
+		for m := range s.unreportedLimits {
+			reports = append(reports, m.ensureLimit().Say(m.lease, now))
 		}
-		clear(s.limitNews)
+		clear(s.unreportedLimits)
 	})
-	return words
+	return reports
 }
 
-// knownLimits are what a hub is told that knows nothing.
-func (f *Fleet) knownLimits() []ratelease.Word {
-	var words []ratelease.Word
+// currentLimits returns all known limits, for a hub that has no data yet.
+func (f *Fleet) currentLimits() []ratelease.Word {
+	var reports []ratelease.Word
 	now := boottime.Now()
 	f.each(func(s *shard) {
 		for m := range s.leased {
-			if m.limited(now) {
-				words = append(words, m.limit.Say(m.lease, now))
+			if m.isLimited(now) {
+				reports = append(reports, m.limit.Say(m.lease, now))
 			}
 		}
 	})
-	return words
+	return reports
 }
 
-// takeLimits takes what the hub knows of upstreams' limits; whole says that it is all.
-func (f *Fleet) takeLimits(words []ratelease.Word, whole bool) {
+// applyLimits applies the hub's data on upstreams' limits. If whole is set, upstreams that are
+// missing from the reports have no limit at the hub.
+func (f *Fleet) applyLimits(reports []ratelease.Word, whole bool) {
 	now := boottime.Now()
-	told := make(map[ratelease.Upstream]bool, len(words))
+	reported := make(map[ratelease.Upstream]bool, len(reports))
 	f.each(func(s *shard) {
-		for _, word := range words {
-			told[word.Upstream] = true
-			if m := s.leases[word.Upstream]; m != nil {
-				m.named().Take(word, now)
+		for _, report := range reports {
+			reported[report.Upstream] = true
+			if m := s.leases[report.Upstream]; m != nil {
+				m.ensureLimit().Take(report, now)
 				m.logLimit(now, f.log)
 			}
 		}
@@ -188,7 +189,7 @@
 			return
 		}
 		for u, m := range s.leases {
-			if m.limit != nil && m.limit.Told() && !told[u] {
+			if m.limit != nil && m.limit.Told() && !reported[u] {
 				m.limit.Take(ratelease.Word{Upstream: u, Ended: true}, now)
 				m.logLimit(now, f.log)
 			}
@@ -196,25 +197,25 @@
 	})
 }
 
-// logLimit tells of a limit that began, changed or ended.
+// logLimit logs a limit that began, changed or ended.
 func (m *member) logLimit(now time.Time, log zerolog.Logger) {
 	if m.limit == nil {
 		return
 	}
-	known, limited, limit := &m.limit.logged, m.limited(now), m.limit.Limit()
+	logged, limited, limit := &m.limit.logged, m.isLimited(now), m.limit.Limit()
 	event := func(name string) *zerolog.Event {
 		return log.Warn().Str("event", name).Str("upstream", m.ID).Str("service", m.Service).Str("zone", m.Zone).Bool("told", m.limit.Told())
 	}
 	switch {
-	case limited && known.since.IsZero():
+	case limited && logged.since.IsZero():
 		event("upstream-limited").Float64("limit", float64(limit)).Bool("first", true).Msg("")
-		*known = limitLogged{limit: limit, since: now}
-	case limited && math.Abs(float64(limit-known.limit)) > noChange*float64(known.limit):
+		*logged = loggedLimit{limit: limit, since: now}
+	case limited && math.Abs(float64(limit-logged.limit)) > logTolerance*float64(logged.limit):
 		event("upstream-limited").Float64("limit", float64(limit)).Bool("first", false).Msg("")
-		known.limit = limit
-	case !limited && !known.since.IsZero():
-		event("upstream-unlimited").Float64("limit", float64(known.limit)).Int64("for_ms", now.Sub(known.since).Milliseconds()).Msg("")
-		*known = limitLogged{}
+		logged.limit = limit
+	case !limited && !logged.since.IsZero():
+		event("upstream-unlimited").Float64("limit", float64(logged.limit)).Int64("for_ms", now.Sub(logged.since).Milliseconds()).Msg("")
+		*logged = loggedLimit{}
 		m.limit.Forget()
 	}
 }
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -6,18 +6,18 @@
 	"net/http"
 )
 
-// endpoint is a server and its listener.
+// endpoint is a server with its listener.
 type endpoint struct {
 	server   *http.Server
 	listener net.Listener
 }
 
-// listen opens all listeners; the callers' one is first.
+// listen opens all listeners; the one for callers is first.
 func (g *Gateway) listen() ([]endpoint, error) {
 	ready := http.NewServeMux()
 	ready.HandleFunc("GET "+g.settings.ReadyPath, g.serveReady)
 	ready.HandleFunc("GET /metrics", g.serveMetrics)
-	plans := []struct {
+	specs := []struct {
 		address string
 		handler http.Handler
 	}{
@@ -26,7 +26,7 @@
 		{g.settings.Metrics, ready},
 	}
 	var endpoints []endpoint
-	for _, p := range plans {
+	for _, p := range specs {
 		if p.address == "" {
 			continue
 		}
@@ -45,9 +45,9 @@
 }
 
 func (g *Gateway) serveReady(w http.ResponseWriter, _ *http.Request) {
-	// Without the states of roll-outs the host can't tell a withdrawn version.
+	// Without the statuses of roll-outs the host can't recognize a withdrawn version.
 	_, statuses := g.rollouts.statuses.Age()
-	if g.stopping.Load() || !g.begun() || !statuses {
+	if g.stopping.Load() || !g.hasTables() || !statuses {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/internal/gateway/member.go
+++ b/internal/gateway/member.go
@@ -12,98 +12,97 @@
 )
 
 const (
-	// loadHalfLife halves the weight of a load that an upstream reported,
-	// against the mean of its service. A host among dozens hears of an upstream
-	// every other second only; taking an old report, or the host's own few
-	// requests, for the load makes busy upstreams look idle.
+	// loadHalfLife halves the weight of a load that an upstream reported, relative to the mean of
+	// its service. A host among dozens receives a report of an upstream only every other second;
+	// using an old report, or the host's own few requests, as the load makes busy upstreams look
+	// idle.
 	loadHalfLife = time.Second
-	// typicalGain is the weight of a new report in the service's mean load.
-	typicalGain = 0.03
+	// meanLoadGain is the weight of a new report in the service's mean load.
+	meanLoadGain = 0.03
 	// failureGain is the weight of a new outcome in the failure rate.
 	failureGain = 0.15
-	// failureHalfLife halves a failure rate without new outcomes, so that an
-	// upstream that recovered is tried again.
+	// failureHalfLife halves a failure rate without new outcomes, so that an upstream that
+	// recovered is tried again.
 	failureHalfLife = 3 * time.Second
-	// ejectUnreachable is how long an upstream that can't be reached gets no
-	// request.
+	// ejectUnreachable is how long an unreachable upstream gets no requests.
 	ejectUnreachable = time.Second
-	// silencesToEject is how many attempts in a row stay without an answer before
-	// the upstream counts as unreachable. One can be a request of unusual length.
-	silencesToEject = 2
-	// ejectRate is the failure rate above which an upstream is passed over
-	// while others of its service do better.
+	// timeoutsToEject is the number of consecutive timeouts after which the upstream counts as
+	// unreachable. A single one can be due to an unusually long request.
+	timeoutsToEject = 2
+	// ejectRate is the failure rate above which an upstream is avoided while others of its service
+	// do better.
 	ejectRate = 0.45
 )
 
-// member is what is known of one upstream. The shard's lock guards it.
+// member holds the state of one upstream. The shard's lock guards it.
 type member struct {
 	Upstream
 	shard *shard
-	// name stands for the upstream in what hosts tell each other.
+	// name identifies the upstream in messages between hosts.
 	name exchange.Name
-	// revision is the store's, of the newest entry.
+	// revision is the store revision of the newest entry.
 	revision  storage.Revision
 	removedAt time.Time
-	// listedAt is when the first entry came, heardAt when the newest did.
-	listedAt time.Time
-	heardAt  time.Time
-	// lease stands for the upstream in leases.
+	// listedAt is when the first entry was received, updatedAt when the newest was.
+	listedAt  time.Time
+	updatedAt time.Time
+	// lease identifies the upstream in leases.
 	lease ratelease.Upstream
-	// lapsed says that the entry may have vanished because the store was away.
+	// lapsed is set if the entry may have expired because of an outage of the store.
 	lapsed bool
-	// withdrawn says that the entry names no upstream to use any more.
+	// withdrawn is set while the entry doesn't describe a usable upstream.
 	withdrawn bool
-	// replaced says that another upstream took its address.
+	// replaced is set if another upstream took over the address.
 	replaced bool
 	inFlight int
-	// Most of thousands of upstreams get no request of this host, were never cold and name
-	// no limit: these are nil until there is something to note.
-	usage  *usage
-	warmth *warmth
-	limit  *namedLimit
+	// Most of thousands of upstreams get no request from this host, were never cold and have no
+	// rate limit: these are nil until needed, to save memory.
+	usage     *usage
+	coldState *coldState
+	limit     *limitState
 }
 
-// usage is what a host's own requests tell of an upstream.
+// usage is what this host's own requests show of an upstream.
 type usage struct {
-	// readings are this host's prompts that the engine has to read, the oldest first;
-	// beganAt is when it last ended one.
-	readings []*reading
-	beganAt  time.Time
-	// sent are the requests of the last moment, where cold upstreams are bounded.
+	// prefills are this host's prompts that the engine has yet to process, oldest first.
+	// lastPrefillEnd is when it last finished one.
+	prefills       []*prefill
+	lastPrefillEnd time.Time
+	// sent counts the most recent requests, where cold upstreams are bounded.
 	sent ratelease.Window
 
-	// reported is the load that the upstream told at reportedAt, when this host
-	// had reportedOwn requests there.
+	// reported is the load that the upstream reported at reportedAt, when ownAtReport requests of
+	// this host were in flight there.
 	reported    int
-	reportedOwn int
+	ownAtReport int
 	reportedAt  time.Time
 
 	failureRate  float64
 	failureAt    time.Time
 	ejectedUntil time.Time
 	ejections    int
-	// silences counts the attempts without an answer since the last good one.
-	silences int
+	// timeouts counts the timeouts since the last successful attempt.
+	timeouts int
 }
 
-// used returns the member's usage, to note something.
-func (m *member) used() *usage {
+// ensureUsage returns the member's usage and creates it if there is none.
+func (m *member) ensureUsage() *usage {
 	if m.usage == nil {
 		m.usage = &usage{}
 	}
 	return m.usage
 }
 
-// known returns the member's usage, to read it; nothing if there is none.
-func (m *member) known() usage {
+// usageSnapshot returns a copy of the member's usage; the zero value if there is none.
+func (m *member) usageSnapshot() usage {
 	if m.usage == nil {
 		return usage{}
 	}
 	return *m.usage
 }
 
-// takesWork says whether new requests may be sent.
-func (m *member) takesWork(now time.Time, grace time.Duration) bool {
+// inService reports whether new requests may be sent to the upstream.
+func (m *member) inService(now time.Time, grace time.Duration) bool {
 	if m.Leaving || m.withdrawn || m.replaced {
 		return false
 	}
@@ -113,77 +112,77 @@
 	return m.removedAt.IsZero() || now.Sub(m.removedAt) < grace
 }
 
-// load is the number of requests believed to be at the upstream.
+// load returns the estimated number of requests at the upstream.
 func (m *member) load(now time.Time) float64 {
-	if work, ok := m.knownWork(now); ok {
+	if work, ok := m.totalWork(now); ok {
 		return work
 	}
 	own := float64(m.inFlight)
-	typical := max(own, m.shard.typicalLoad*float64(max(1, m.Slots)))
-	u := m.known()
+	mean := max(own, m.shard.meanLoad*float64(max(1, m.Slots)))
+	u := m.usageSnapshot()
 	if u.reportedAt.IsZero() {
-		return typical
+		return mean
 	}
-	told := max(own, float64(u.reported+m.inFlight-u.reportedOwn))
+	reported := max(own, float64(u.reported+m.inFlight-u.ownAtReport))
 	weight := math.Exp2(-float64(now.Sub(u.reportedAt)) / float64(loadHalfLife))
-	return weight*told + (1-weight)*typical
+	return weight*reported + (1-weight)*mean
 }
 
-// loadSource is what a load is believed from.
+// loadSource names the data that a load estimate is based on.
 type loadSource string
 
 const (
-	// loadExchanged: this host's own work and what the others said of theirs.
+	// loadExchanged: this host's own work and the work that the other hosts reported.
 	loadExchanged loadSource = "exchange"
-	// loadReported: what the upstream said with an answer.
+	// loadReported: the load that the upstream reported with an answer.
 	loadReported loadSource = "report"
 	// loadUnknown: the service's mean.
 	loadUnknown loadSource = "mean"
 )
 
-// loadSource says what load goes by, and how old that is.
+// loadSource returns the source of load and the age of its data.
 func (m *member) loadSource(now time.Time) (loadSource, time.Duration) {
-	if _, ok := m.knownWork(now); ok {
-		return loadExchanged, now.Sub(m.shard.othersAt)
+	if _, ok := m.totalWork(now); ok {
+		return loadExchanged, now.Sub(m.shard.remoteWorkAt)
 	}
-	reportedAt := m.known().reportedAt
+	reportedAt := m.usageSnapshot().reportedAt
 	if reportedAt.IsZero() {
 		return loadUnknown, 0
 	}
 	return loadReported, now.Sub(reportedAt)
 }
 
-// relativeLoad is the load per slot.
+// relativeLoad returns the load per slot.
 func (m *member) relativeLoad(now time.Time) float64 {
 	return m.load(now) / float64(max(1, m.Slots))
 }
 
-// failures is the failure rate decayed to now.
-func (m *member) failures(now time.Time) float64 {
+// currentFailureRate returns the failure rate decayed to now.
+func (m *member) currentFailureRate(now time.Time) float64 {
 	if m.usage == nil {
 		return 0
 	}
 	return m.usage.failureRate * math.Exp2(-float64(now.Sub(m.usage.failureAt))/float64(failureHalfLife))
 }
 
-// ejected says whether the upstream gets no request for now.
+// ejected reports whether the upstream gets no requests for now.
 func (m *member) ejected(now time.Time) bool {
 	return m.usage != nil && !now.After(m.usage.ejectedUntil)
 }
 
-// observe takes in how an attempt ended.
+// observe records the result of an attempt.
 func (m *member) observe(result attemptResult, now time.Time) {
 	if result.load != "" {
-		m.report(result.load, now)
+		m.observeLoad(result.load, now)
 	}
-	u, bad := m.used(), 0.0
+	u, bad := m.ensureUsage(), 0.0
 	switch result.outcome {
 	case outcomeUnsent:
 		m.eject(now)
 		bad = 1
 	case outcomeSilent:
-		u.silences++
-		if u.silences >= silencesToEject {
+		u.timeouts++
+		if u.timeouts >= timeoutsToEject {
 			m.eject(now)
 		}
 		bad = 1
@@ -199,23 +198,23 @@
 	}
 	if bad == 0 {
 		u.ejections = 0
-		u.silences = 0
+		u.timeouts = 0
 	}
-	rate := m.failures(now)
+	rate := m.currentFailureRate(now)
 	u.failureRate = rate + failureGain*(bad-rate)
 	u.failureAt = now
 }
 
-// eject keeps the upstream out for a time that doubles with each repetition.
+// eject excludes the upstream for a time that doubles with each repetition.
 func (m *member) eject(now time.Time) {
 	const maxDoublings = 3
-	u := m.used()
+	u := m.ensureUsage()
 	u.ejectedUntil = now.Add(ejectUnreachable << min(u.ejections, maxDoublings))
 	u.ejections++
 }
 
-// report takes in a load header: running, waiting, slots.
-func (m *member) report(load string, now time.Time) {
+// observeLoad parses a load header: running, waiting, slots.
+func (m *member) observeLoad(load string, now time.Time) {
 	fields := strings.Split(load, ",")
 	if len(fields) < 2 {
 		return
@@ -225,10 +224,10 @@
 	if errRunning != nil || errWaiting != nil {
 		return
 	}
-	u := m.used()
+	u := m.ensureUsage()
 	u.reported = running + waiting
-	u.reportedOwn = m.inFlight
+	u.ownAtReport = m.inFlight
 	u.reportedAt = now
 	relative := float64(u.reported) / float64(max(1, m.Slots))
-	m.shard.typicalLoad += typicalGain * (relative - m.shard.typicalLoad)
+	m.shard.meanLoad += meanLoadGain * (relative - m.shard.meanLoad)
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -14,7 +14,7 @@
 // gatewayMetrics are the counters and histograms of one gateway.
 type gatewayMetrics struct {
 	set *metrics.Set
-	// verdicts counts the verdicts that this host made.
+	// verdicts counts the quarantine verdicts that this host reached.
 	verdicts *metrics.Counter
 	// startWaits counts the requests that waited for the host's first tables.
 	startWaits *metrics.Counter
@@ -32,14 +32,14 @@
 		return 0
 	})
 	m.set.NewGauge("quetzalweir_gateway_in_flight", func() float64 { return float64(g.inFlight.Load()) })
-	m.set.NewGauge("quetzalweir_gateway_upstreams_cold", func() float64 { return float64(g.fleet.reach().cold) })
-	m.set.NewGauge("quetzalweir_gateway_upstreams_limited", func() float64 { return float64(g.fleet.reach().limited) })
-	m.set.NewGauge("quetzalweir_gateway_upstreams_evacuated", func() float64 { return float64(g.fleet.reach().evacuated) })
+	m.set.NewGauge("quetzalweir_gateway_upstreams_cold", func() float64 { return float64(g.fleet.countAllUpstreams().cold) })
+	m.set.NewGauge("quetzalweir_gateway_upstreams_limited", func() float64 { return float64(g.fleet.countAllUpstreams().limited) })
+	m.set.NewGauge("quetzalweir_gateway_upstreams_evacuated", func() float64 { return float64(g.fleet.countAllUpstreams().evacuated) })
 	m.set.NewGauge("quetzalweir_gateway_store_era", func() float64 {
-		if g.entries == nil {
+		if g.upstreamWatcher == nil {
 			return 0
 		}
-		return float64(g.entries.Revision().Era())
+		return float64(g.upstreamWatcher.Revision().Era())
 	})
 	m.set.NewGauge("quetzalweir_gateway_hub_followers", func() float64 {
 		if g.peers == nil {
@@ -50,9 +50,9 @@
 	return m
 }
 
-// guarded counts what the guard tells.
-func (m *gatewayMetrics) guarded(what guard.Counted, service string) {
-	switch what {
+// countGuardEvent counts an event that the guard reports.
+func (m *gatewayMetrics) countGuardEvent(event guard.Counted, service string) {
+	switch event {
 	case guard.CountVerdict:
 		m.verdicts.Inc()
 	case guard.CountEnded:
@@ -62,15 +62,15 @@
 	}
 }
 
-// unreadable counts the changes of a table's rows that couldn't be read.
+// unreadable returns the counter of a table's changes that couldn't be decoded.
 func (m *gatewayMetrics) unreadable(table string) *metrics.Counter {
 	return m.set.GetOrCreateCounter(fmt.Sprintf(`quetzalweir_gateway_rows_unreadable_total{table=%q}`, table))
 }
 
-// followed shows how a table is followed: the age of the store's word on it, in
-// seconds, -1 before the first one; how long the host has been behind what its hub
-// told it of; and the calls of the store with the bytes that came of them.
-func (m *gatewayMetrics) followed(table string, w *feed.Watcher) {
+// registerWatcher adds gauges for a followed table: the age of the last confirmation by the store,
+// in seconds, -1 before the first one; how long the host has been behind the revision that its hub
+// announced; and the calls of the store with the bytes received.
+func (m *gatewayMetrics) registerWatcher(table string, w *feed.Watcher) {
 	gauge := func(name string, value func() float64) {
 		m.set.NewGauge(fmt.Sprintf(`quetzalweir_gateway_%s{table=%q}`, name, table), value)
 	}
@@ -107,7 +107,7 @@
 	m.set.GetOrCreateHistogram(fmt.Sprintf(`quetzalweir_gateway_request_seconds{route=%q}`, route)).Update(took.Seconds())
 }
 
-// write writes all values as text.
+// write writes all values in the text format.
 func (m *gatewayMetrics) write(w io.Writer) {
 	m.set.WritePrometheus(w)
 	metrics.WriteProcessMetrics(w)
--- a/internal/gateway/models_test.go
+++ b/internal/gateway/models_test.go
@@ -25,12 +25,12 @@
 		{"long prompts on the largest model", 0, nil, 2, true, true, 2},
 		{"long prompts on a small model", 0, nil, 2, false, true, 0},
 		{"ranks don't mix", 1, nil, 2, false, false, 3},
-		{"the account's goes first", 1, &third, 2, false, false, 6},
+		{"the account's rank takes precedence", 1, &third, 2, false, false, 6},
 		{"the account's first rank", 1, &first, 2, false, false, 0},
-		{"least urgent of all", 2, nil, 2, true, true, 8},
+		{"lowest priority of all", 2, nil, 2, true, true, 8},
 		{"a rank below the first", -2, nil, 2, false, false, 0},
-		{"no room for levels", 4, nil, 4, true, true, 4},
-		{"more ranks than upstreams know", 12, nil, 12, false, false, 9},
+		{"too few priorities for levels", 4, nil, 4, true, true, 4},
+		{"more ranks than priorities", 12, nil, 12, false, false, 9},
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
@@ -40,9 +40,9 @@
 				Routes:   []routing.Route{{Name: "lowest", Priority: test.lowest, Split: []routing.Share{{Service: "s", Weight: 1}}}},
 			})
 			is.NoErr(err)
-			r := &Request{Table: table, Route: &routing.Route{Priority: test.rank}, relativePrompt: 1}
+			r := &Request{Table: table, Route: &routing.Route{Priority: test.rank}, relativePromptSize: 1}
 			if test.long {
-				r.relativePrompt = 2
+				r.relativePromptSize = 2
 			}
 			if test.account != nil {
 				r.Account = &routing.Account{Priority: test.account}
@@ -62,20 +62,20 @@
 	}
 	is.True(long > 1.5 && long < 2)
 	is.True(short > 0.1 && short < 0.2)
-	is.Equal(new(promptSizes).observe("r", 0), 1.0) // nothing known
+	is.Equal(new(promptSizes).observe("r", 0), 1.0) // nothing is known
 }
 
 func TestLoadOfAnOldReport(t *testing.T) {
 	is := is.New(t)
-	s := &shard{typicalLoad: 0.5}
+	s := &shard{meanLoad: 0.5}
 	now := time.Now()
 	m := &member{Upstream: Upstream{Slots: 20}, shard: s}
-	is.Equal(m.load(now), 10.0) // nothing known: like the others
-	m.used().reported, m.used().reportedAt = 2, now
+	is.Equal(m.load(now), 10.0) // without a report: the service's mean
+	m.ensureUsage().reported, m.ensureUsage().reportedAt = 2, now
 	is.Equal(m.load(now), 2.0)
 	is.Equal(m.load(now.Add(loadHalfLife)), 6.0)
 	m.inFlight = 15
-	is.Equal(m.load(now), 17.0) // own requests since the report come on top
+	is.Equal(m.load(now), 17.0) // own requests since the report are added
 	is.True(m.load(now.Add(time.Minute)) >= 15)
 }
 
@@ -84,11 +84,11 @@
 	m := &member{shard: &shard{}}
 	now := time.Now()
 	m.observe(attemptResult{outcome: outcomeUnsent}, now)
-	is.True(m.used().ejectedUntil.After(now))
-	first := m.used().ejectedUntil.Sub(now)
+	is.True(m.ensureUsage().ejectedUntil.After(now))
+	first := m.ensureUsage().ejectedUntil.Sub(now)
 	m.observe(attemptResult{outcome: outcomeUnsent}, now)
-	is.Equal(m.used().ejectedUntil.Sub(now), 2*first)
+	is.Equal(m.ensureUsage().ejectedUntil.Sub(now), 2*first)
 	m.observe(attemptResult{outcome: outcomeDone}, now)
 	m.observe(attemptResult{outcome: outcomeUnsent}, now)
-	is.Equal(m.used().ejectedUntil.Sub(now), first)
+	is.Equal(m.ensureUsage().ejectedUntil.Sub(now), first)
 }
