--- a/internal/gateway/operatorrows.go
+++ b/internal/gateway/operatorrows.go
@@ -10,7 +10,7 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// operatorRows takes the operators' table.
+// operatorRows applies the operators' table.
 type operatorRows struct {
 	gateway    *Gateway
 	unreadable unreadableRows
@@ -24,9 +24,9 @@
 	}
 }
 
-// Replace implements feed.Handler. A document that vanished stays in force:
-// operators replace documents, they don't withdraw them. An evacuation that vanished is
-// over, unless the store came back from a copy that lacks it.
+// Replace implements feed.Handler. A document whose row was removed stays in force, since
+// operators replace documents and don't withdraw them. An evacuation whose row was removed is
+// over, unless the store was restored from a backup that lacks it.
 func (h *operatorRows) Replace(rows []feed.Row, revision storage.Revision) {
 	h.evacuated.replace(rows, revision)
 	for _, row := range rows {
@@ -41,44 +41,46 @@
 	}
 }
 
-// change takes the row of a document or an order; listed says that it came with the whole
-// table.
+// change applies the row of a document or an order. listed is set if it was received with the
+// whole table.
 func (h *operatorRows) change(row feed.Row, listed bool) {
 	g := h.gateway
 	tables := &g.settings.Tables
 	switch {
 	case row.Deleted:
 	case row.Key == tables.DocumentKey:
-		h.note(row, g.takeDocument(row))
+		h.recordResult(row, g.applyDocument(row))
 	case strings.HasPrefix(row.Key, tables.OrdersPrefix):
-		h.note(row, g.takeOrder(row, listed))
+		h.recordResult(row, g.applyOrder(row, listed))
 	}
 }
 
-// note takes in whether a row could be read. What was in force before stays.
-func (h *operatorRows) note(row feed.Row, err error) {
+// recordResult records whether a row could be decoded. If not, the previous content stays in
+// force.
+func (h *operatorRows) recordResult(row feed.Row, err error) {
 	if err != nil {
-		h.unreadable.note(row, err)
+		h.unreadable.report(row, err)
 		return
 	}
 	h.unreadable.clear(row.Key)
 }
 
-// takeOrder takes the order of a roll-out; listed says that it came with the whole table.
-func (g *Gateway) takeOrder(row feed.Row, listed bool) error {
+// applyOrder applies the order of a roll-out. listed is set if it was received with the whole
+// table.
+func (g *Gateway) applyOrder(row feed.Row, listed bool) error {
 	order, err := g.settings.Codec.Order(row.Data, row.Revision)
 	if err != nil {
 		return err
 	}
 	if g.settings.Tables.OrdersPrefix+order.Service != row.Key {
-		return fmt.Errorf("%w: %q", errOtherKey, order.Service)
+		return fmt.Errorf("%w: %q", errKeyMismatch, order.Service)
 	}
-	g.rollouts.order(order, listed)
+	g.rollouts.addOrder(order, listed)
 	return nil
 }
 
-// takeDocument puts a document in force unless a newer one is.
-func (g *Gateway) takeDocument(row feed.Row) error {
+// applyDocument puts a document in force unless one of the same or a newer version is.
+func (g *Gateway) applyDocument(row feed.Row) error {
 	start := time.Now()
 	doc, err := g.settings.Codec.Document(row.Data)
 	if err != nil {
--- a/internal/gateway/perservice.go
+++ b/internal/gateway/perservice.go
@@ -2,16 +2,16 @@
 
 import "sync"
 
-// perService holds a value for each service, made when it is first asked for.
-type perService[T any] struct {
+// lazyValues holds a value for each key, created on first use.
+type lazyValues[T any] struct {
 	make   func() *T
 	values sync.Map
 }
 
-func (p *perService[T]) of(service string) *T {
-	if found, ok := p.values.Load(service); ok {
+func (p *lazyValues[T]) get(key string) *T {
+	if found, ok := p.values.Load(key); ok {
 		return found.(*T)
 	}
-	made, _ := p.values.LoadOrStore(service, p.make())
+	made, _ := p.values.LoadOrStore(key, p.make())
 	return made.(*T)
 }
--- a/internal/gateway/pipeline.go
+++ b/internal/gateway/pipeline.go
@@ -5,8 +5,8 @@
 // next runs the rest of the pipeline.
 type next func(ctx context.Context, r *Request) error
 
-// filter is one step of the pipeline. It returns nil when the whole answer was
-// delivered, or an error of package resultcode.
+// filter is one step of the pipeline. serve returns nil once the whole answer was delivered, or an
+// error of package resultcode.
 type filter interface {
 	serve(ctx context.Context, r *Request, next next) error
 }
@@ -20,8 +20,8 @@
 	return run
 }
 
-// filters is the pipeline, outermost first. The caller is identified before the
-// body is read, so that an unknown caller can't make the host hold bodies.
+// filters returns the steps of the pipeline, outermost first. The caller is identified before the
+// body is read, so that an unknown caller can't make the host buffer bodies.
 func (g *Gateway) filters() []filter {
 	return []filter{
 		&awaitStart{gateway: g},
--- a/internal/gateway/race_on_test.go
+++ b/internal/gateway/race_on_test.go
@@ -2,5 +2,5 @@
 
 package gateway
 
-// underRace says that the race detector watches.
+// underRace is true if the race detector is enabled.
 const underRace = true
--- a/internal/gateway/ramp_test.go
+++ b/internal/gateway/ramp_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// A version that shows nothing bad is within the permitted exposure all the same, with
-// requests of sessions, without, or both: each kind keeps the bound for itself.
-func TestExposureOfAVersionThatShowsNothing(t *testing.T) {
+// A version without bad results stays within the permitted exposure as well, for requests with
+// sessions, without, or both: each kind keeps the bound by itself.
+func TestExposureOfAVersionWithoutBadResults(t *testing.T) {
 	for _, permitted := range []float64{0.01, 0.05, 0.0975, 0.15, 0.3, 0.5} {
 		for _, from := range []float64{0, sessionsFrom} {
 			t.Run(fmt.Sprint(permitted, from), func(t *testing.T) {
@@ -42,7 +42,7 @@
 					is.Equal(last, 0.0) // sessions keep their version in the first half
 				}
 				if r.done(at) {
-					is.Equal(last, 1.0) // nothing is on the old version when it is given up
+					is.Equal(last, 1.0) // no request is on the old version when it is stopped
 				}
 			}
 		})
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -12,22 +12,22 @@
 	"github.com/quetzalweir/quetzalweir/runstate"
 )
 
-// Request is one caller's request in flight. One goroutine at a time uses it.
+// Request is one caller's request in progress. It must be used by one goroutine at a time.
 type Request struct {
-	// Set when it arrives.
+	// Set on arrival.
 
 	ID string
-	// Arrived and Deadline are moments of boottime: a caller's patience ends while the
-	// host is suspended, too.
+	// Arrived and Deadline are times of package boottime, which advance while the host is
+	// suspended: so does the time for which a caller waits.
 	Arrived time.Time
 	Method  string
 	// Target is the request target as the caller sent it: path and query.
 	Target string
 	Host   string
-	// Header is the caller's; it isn't changed.
+	// Header is the caller's header. It must not be modified.
 	Header http.Header
 	Prompt Prompt
-	// Session names requests that belong together; may be empty.
+	// Session is the id shared by requests that belong together; it may be empty.
 	Session string
 
 	// Set by the filters.
@@ -38,34 +38,35 @@
 	Deadline time.Time
 	Body     []byte
 	Service  string
-	// Digest names the request by its content, the same for each repeat by its caller.
+	// Digest identifies the request by its content and is the same for each repetition by its
+	// caller.
 	Digest quarantine.Digest
 
-	// homes are the regions in which the next attempt may be made.
-	homes homes
-	// relativePrompt is the mean size of the route's prompts against the service's.
-	relativePrompt float64
+	// regions are the regions in which the next attempt may be made.
+	regions regionConstraint
+	// relativePromptSize is the mean prompt size of the route divided by that of the service.
+	relativePromptSize float64
 
 	answer *answerWriter
 	// state is the highest run state of all attempts.
 	state runstate.Tracker
-	// attempts counts the upstreams that were tried, missed those of them where the
-	// request's upstream wasn't there any more.
-	attempts int
-	missed   int
+	// attempts counts the upstreams that were tried, notReached those of them at whose address the
+	// chosen upstream was no longer running.
+	attempts   int
+	notReached int
 	// tried are the ids of the upstreams that were tried.
 	tried []string
 	// model is the model that runs the request; empty for plain services.
 	model string
 }
 
-// Prompt describes a model request's sizes.
+// Prompt describes the sizes of a model request.
 type Prompt struct {
-	// Model is what the caller asked for.
+	// Model is the model that the caller named.
 	Model string
 	// Parts are the prompt's parts in their order.
 	Parts []PromptPart
-	// TokensIn and TokensOut are the prompt's tokens and the most that may be
+	// TokensIn is the number of tokens of the prompt and TokensOut the maximum that may be
 	// generated; 0 if unknown.
 	TokensIn  int
 	TokensOut int
@@ -77,21 +78,21 @@
 	Tokens int
 }
 
-// path is the target without its query.
+// path returns the target without its query.
 func (r *Request) path() string {
 	path, _, _ := strings.Cut(r.Target, "?")
 	return path
 }
 
-// content is what makes two requests the same one.
+// content returns what identifies the request: two requests with equal content have equal digests.
 func (r *Request) content() *quarantine.Content {
 	return &quarantine.Content{Host: r.Host, Method: r.Method, Target: r.Target, Account: r.accountName(), Body: r.Body}
 }
 
-// reading is the prompt as an engine reads it. All parts but the last one are likely to
-// be shared with other requests, if the route says so at all; the last one belongs to the
-// request or its session.
-func (p *Prompt) reading(shared bool) *placement.Prompt {
+// placementPrompt returns the prompt as package placement takes it. If shared is set, all parts
+// but the last one are marked as likely to be shared with other requests; the last one belongs to
+// the request or its session.
+func (p *Prompt) placementPrompt(shared bool) *placement.Prompt {
 	prompt := &placement.Prompt{Tokens: p.TokensIn}
 	if !shared {
 		return prompt
@@ -106,20 +107,19 @@
 func parsePrompt(header http.Header, names *Headers) Prompt {
 	p := Prompt{Model: header.Get(names.Model)}
 	in, out, _ := strings.Cut(header.Get(names.TokenCount), ",")
-	p.TokensIn = number(in)
-	p.TokensOut = number(out)
+	p.TokensIn = parseCount(in)
+	p.TokensOut = parseCount(out)
 	for entry := range strings.SplitSeq(header.Get(names.PromptParts), ",") {
 		id, tokens, ok := strings.Cut(strings.TrimSpace(entry), ":")
 		if ok {
-			p.Parts = append(p.Parts, PromptPart{ID: id, Tokens: number(tokens)})
+			p.Parts = append(p.Parts, PromptPart{ID: id, Tokens: parseCount(tokens)})
 		}
 	}
 	return p
 }
 
-// number reads a count that callers give as a hint; what can't be read counts
-// as unknown.
-func number(s string) int {
+// parseCount parses a count that callers give as a hint; 0, unknown, if it is malformed.
+func parseCount(s string) int {
 	n, err := strconv.Atoi(strings.TrimSpace(s))
 	if err != nil || n < 0 {
 		return 0
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -11,9 +11,9 @@
 
 func TestUpstreamGetsTheCallersRequest(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testDocument())
-	log := w.upstream("u1", succeed("ok"))
-	got := w.do(w.request("POST", "/once/a%2Fb?q=1&q=2", "the body", "X-Other", "kept", "T-Last-Event", ""))
+	w := newTestGateway(t, testDocument())
+	log := w.startUpstream("u1", respondOK("ok"))
+	got := w.do(w.newRequest("POST", "/once/a%2Fb?q=1&q=2", "the body", "X-Other", "kept", "T-Last-Event", ""))
 	is.Equal(got.status, 200)
 	is.Equal(got.body, "ok")
 	is.Equal(got.header.Get("T-Stamp"), "stamp")
@@ -26,19 +26,19 @@
 	is.Equal(req.Header.Get("T-Id"), "r1")
 	is.Equal(req.Header.Get("T-Expect"), "u1")
 	is.Equal(req.Header.Get("T-Account"), "acme")
-	is.Equal(req.Header.Get("T-Key"), "") // a secret of the caller's
+	is.Equal(req.Header.Get("T-Key"), "") // the caller's key is secret
 	left, err := strconv.Atoi(req.Header.Get("T-Deadline"))
 	is.NoErr(err)
-	is.True(left > 1000 && left <= 1500) // what is left of the caller's time
+	is.True(left > 1000 && left <= 1500) // the remaining time of the caller's deadline
 }
 
 func TestSystemHeadersOfCallersAreDropped(t *testing.T) {
-	w := newWorld(t, testDocument())
-	log := w.upstream("u1", succeed("ok"))
+	w := newTestGateway(t, testDocument())
+	log := w.startUpstream("u1", respondOK("ok"))
 	for _, name := range []string{"T-Account", "T-Pin", "T-Priority", "T-Not-Run", "T-Load", "T-Stamp", "Te", "Upgrade"} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			got := w.do(w.request("GET", "/public/x", "", name, "forged", "T-Key", ""))
+			got := w.do(w.newRequest("GET", "/public/x", "", name, "forged", "T-Key", ""))
 			is.Equal(got.status, 200)
 			req, _ := log.last()
 			is.Equal(req.Header.Get(name), "")
@@ -57,7 +57,7 @@
 		{"unknown path", "/nowhere/x", "", nil, 404},
 		{"unknown key", "/once/x", "", []string{"T-Key", "other"}, 401},
 		{"no key", "/once/x", "", []string{"T-Key", ""}, 401},
-		{"key with something around it", "/once/x", "", []string{"T-Key", "Bearer key-1"}, 401},
+		{"key with a prefix", "/once/x", "", []string{"T-Key", "Bearer key-1"}, 401},
 		{"unknown key with a body that is too large", "/once/x", strings.Repeat("x", 2000), []string{"T-Key", "other"}, 401},
 		{"body too large", "/once/x", strings.Repeat("x", 2000), nil, 413},
 		{"header too large", "/once/x", "", []string{"X-Long", strings.Repeat("x", 5000)}, 431},
@@ -66,9 +66,9 @@
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t, testDocument())
-			log := w.upstream("u1", succeed("ok"))
-			got := w.do(w.request("POST", test.path, test.body, test.header...))
+			w := newTestGateway(t, testDocument())
+			log := w.startUpstream("u1", respondOK("ok"))
+			got := w.do(w.newRequest("POST", test.path, test.body, test.header...))
 			is.Equal(got.status, test.want)
 			is.Equal(got.header.Get("T-Stamp"), "")
 			is.Equal(log.count(), 0)
@@ -78,18 +78,18 @@
 
 func TestNoDocumentYet(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testDocument())
+	w := newTestGateway(t, testDocument())
 	w.gateway.table.Store(nil)
-	got := w.do(w.request("GET", "/many/x", ""))
+	got := w.do(w.newRequest("GET", "/many/x", ""))
 	is.Equal(got.status, http.StatusServiceUnavailable)
 	is.True(got.header.Get("Retry-After") != "")
 }
 
 func TestPublicRouteNeedsNoKey(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testDocument())
-	w.upstream("u1", succeed("ok"))
-	is.Equal(w.do(w.request("GET", "/public/x", "", "T-Key", "")).status, 200)
+	w := newTestGateway(t, testDocument())
+	w.startUpstream("u1", respondOK("ok"))
+	is.Equal(w.do(w.newRequest("GET", "/public/x", "", "T-Key", "")).status, 200)
 }
 
 func TestParsePrompt(t *testing.T) {
@@ -98,7 +98,7 @@
 		tokens  string
 		parts   string
 		in, out int
-		// shared is the number of parts that others are likely to share.
+		// shared is the number of parts that other requests are likely to share.
 		shared int
 		last   string
 	}{
@@ -115,11 +115,11 @@
 			p := parsePrompt(header, &names)
 			is.Equal(p.TokensIn, test.in)
 			is.Equal(p.TokensOut, test.out)
-			reading := p.reading(true)
-			is.Equal(reading.Shared, test.shared)
-			is.Equal(sharedPart(reading), test.last)
-			is.Equal(reading.Tokens, test.in)
-			is.Equal(len(p.reading(false).Parts), 0) // the route shares nothing
+			prompt := p.placementPrompt(true)
+			is.Equal(prompt.Shared, test.shared)
+			is.Equal(sharedPrefix(prompt), test.last)
+			is.Equal(prompt.Tokens, test.in)
+			is.Equal(len(p.placementPrompt(false).Parts), 0) // the route shares no prefixes
 		})
 	}
 }
--- a/internal/gateway/responsetime.go
+++ b/internal/gateway/responsetime.go
@@ -6,29 +6,29 @@
 )
 
 const (
-	// responseTimeGain is the weight of a new answer in the usual time.
+	// responseTimeGain is the weight of a new answer in the mean time.
 	responseTimeGain = 0.05
-	// timeoutFactor times the usual time is waited for an answer's head before
-	// the request is sent elsewhere. Of a service that queues, one answer in a
-	// hundred takes that long.
+	// timeoutFactor times the mean time is the wait for an answer's head before the request is
+	// sent to another upstream. In a service that queues requests, one answer in a hundred takes
+	// that long.
 	timeoutFactor = 4
-	// leastHeadTimeout bounds it from below, as a part of the route's target: ordinary
-	// answers vary by that much. There is no bound from above: where all upstreams are slow
+	// minHeadTimeout is the lower bound of the timeout, as a fraction of the route's target:
+	// ordinary answers vary by that much. There is no upper bound: where all upstreams are slow
 	// because of load, giving up adds to the load.
-	leastHeadTimeout = 0.4
-	// firstHeadTimeout is the part of the target that is waited while nothing is known of
-	// what is usual. The rest of the target is for another upstream.
-	firstHeadTimeout = 0.7
-	// expectedFactor times the expected time is waited at least: a long prompt is read
-	// for longer than usual, and giving it up begins the reading anew elsewhere.
+	minHeadTimeout = 0.4
+	// initialHeadTimeout is the timeout as a fraction of the target while no mean time is known.
+	// The rest of the target is left for another upstream.
+	initialHeadTimeout = 0.7
+	// expectedFactor times the expected time is the least wait: the prefill of a long prompt takes
+	// longer than the mean, and giving it up restarts the prefill elsewhere.
 	expectedFactor = 3
-	// targetless is the target of routes that declare none.
-	targetless = time.Second
+	// defaultTarget is the target of routes that declare none.
+	defaultTarget = time.Second
 )
 
-// responseTime is the decayed mean time to the heads of a kind of answers. An attempt
-// that was given up counts with the time that it was given, so that a general
-// slowness shows.
+// responseTime is the decayed mean time to the heads of a kind of answers. An attempt that was
+// given up counts with the time that it was waited for, so that a general slowness raises the
+// mean.
 type responseTime struct {
 	mu   sync.Mutex
 	mean time.Duration
@@ -44,9 +44,9 @@
 	u.mean += time.Duration(responseTimeGain * float64(took-u.mean))
 }
 
-// observeSilence takes in an attempt that was given up. Before the first answer it
-// says nothing of what is usual.
-func (u *responseTime) observeSilence(waited time.Duration) {
+// observeTimeout records an attempt that was given up. Before the first answer it is ignored,
+// since it doesn't show how long answers take.
+func (u *responseTime) observeTimeout(waited time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.mean > 0 {
@@ -54,22 +54,22 @@
 	}
 }
 
-// times is a multiple of the usual time.
-func (u *responseTime) times(factor int) time.Duration {
+// multiple returns a multiple of the mean time.
+func (u *responseTime) multiple(factor int) time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return time.Duration(factor) * u.mean
 }
 
-// headTimeout is how long an upstream may take to begin its answer.
+// headTimeout returns how long an upstream may take to begin its answer.
 func (u *responseTime) headTimeout(target time.Duration) time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if target <= 0 {
-		target = targetless
+		target = defaultTarget
 	}
 	if u.mean == 0 {
-		return time.Duration(firstHeadTimeout * float64(target))
+		return time.Duration(initialHeadTimeout * float64(target))
 	}
-	return max(time.Duration(leastHeadTimeout*float64(target)), timeoutFactor*u.mean)
+	return max(time.Duration(minHeadTimeout*float64(target)), timeoutFactor*u.mean)
 }
--- a/internal/gateway/rewrite.go
+++ b/internal/gateway/rewrite.go
@@ -8,69 +8,71 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// rewriteTime is how long after the store came back from a copy its tables may lack what
-// operators and upstreams had written since: they write it again within some seconds. What
-// hosts know of it holds until then.
-const rewriteTime = 5 * time.Second
+// restoreGrace is how long after the store was restored from a backup its tables may lack rows
+// that operators and upstreams had written since the backup: they write them again within some
+// seconds. Until then hosts keep the data that they have.
+const restoreGrace = 5 * time.Second
 
-// eraWatch tells the tables of a store that just came back from a copy.
-type eraWatch struct {
+// eraTracker detects tables of a store that was recently restored from a backup.
+type eraTracker struct {
 	newest storage.Revision
-	// roseAt is when a table of the present era was first seen; zero in the first one.
-	roseAt time.Time
+	// restoredAt is the time at which a table of the current era was first seen; zero in the first
+	// era.
+	restoredAt time.Time
 }
 
-// note takes in a table's revision. It reports whether the store came back from a copy
-// since the table before.
-func (w *eraWatch) note(revision storage.Revision) (rose bool) {
-	rose = w.newest != 0 && revision.Era() > w.newest.Era()
+// observe records a table's revision. It reports whether the store was restored from a backup
+// since the previous one.
+func (w *eraTracker) observe(revision storage.Revision) (restored bool) {
+	restored = w.newest != 0 && revision.Era() > w.newest.Era()
 	w.newest = max(w.newest, revision)
-	if rose {
-		w.roseAt = boottime.Now()
+	if restored {
+		w.restoredAt = boottime.Now()
 	}
-	return rose
+	return restored
 }
 
-// rewriting says that what was written before the return may still be missing.
-func (w *eraWatch) rewriting() bool {
-	return !w.roseAt.IsZero() && boottime.Since(w.roseAt) < rewriteTime
+// inRestoreGrace reports whether rows that were written before the restore may still be missing.
+func (w *eraTracker) inRestoreGrace() bool {
+	return !w.restoredAt.IsZero() && boottime.Since(w.restoredAt) < restoreGrace
 }
 
-// rewritten takes an order that was known before the store came back from a copy and that
-// operators wrote again: the same roll-out goes on under its new revision. It also reports
-// true for the order before that one, which the copy has.
-func (m *rollouts) rewritten(known *activeRollout, o Order, listed bool) bool {
-	known.era.note(o.Revision)
-	if !known.era.rewriting() {
+// adoptReissuedOrder handles an order that was known before the store was restored from a backup
+// and that operators wrote again: the same roll-out continues under the order's new revision. It
+// also returns true for the previous order, which the backup contains.
+func (m *rollouts) adoptReissuedOrder(current *activeRollout, o Order, listed bool) bool {
+	current.era.observe(o.Revision)
+	if !current.era.inRestoreGrace() {
 		return false
 	}
-	if o.Version != known.order.Version || o.Duration != known.order.Duration {
-		return listed && o.Revision.Version() < known.order.Revision.Version()
+	if o.Version != current.order.Version || o.Duration != current.order.Duration {
+		return listed && o.Revision.Version() < current.order.Revision.Version()
 	}
 	m.log.Info().Str("event", "rollout-order-again").Str("service", o.Service).Str("version", o.Version).
-		Stringer("revision", o.Revision).Stringer("formerly", known.order.Revision).Msg("")
-	known.formerly = append(known.formerly, known.order.Revision)
-	if known.known() {
-		known.status.OrderRevision = o.Revision
-		known.unsaved = true
+		Stringer("revision", o.Revision).Stringer("formerly", current.order.Revision).Msg("")
+	current.earlierRevisions = append(current.earlierRevisions, current.order.Revision)
+	if current.hasStatus() {
+		current.status.OrderRevision = o.Revision
+		current.unsaved = true
 	}
-	known.order.Revision = o.Revision
+	current.order.Revision = o.Revision
 	return true
 }
 
-// isOrder says whether the order's row has, or had in a former era, the revision.
-func (a *activeRollout) isOrder(revision storage.Revision) bool {
-	return revision == a.order.Revision || slices.Contains(a.formerly, revision)
+// matchesOrder reports whether the revision is that of the order's row, in the current era or an
+// earlier one.
+func (a *activeRollout) matchesOrder(revision storage.Revision) bool {
+	return revision == a.order.Revision || slices.Contains(a.earlierRevisions, revision)
 }
 
-// forgetRows takes in that the store came back from a copy: what it had of states may be
-// older, or gone, and is written again.
-func (m *rollouts) forgetRows() {
+// resetStored handles a restore of the store from a backup: the statuses that it holds may be
+// outdated or missing, so the known ones are written again.
+func (m *rollouts) resetStored() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	clear(m.stored)
 	for _, a := range m.active {
 		a.status.Revision = 0
-		a.unsaved = a.known()
+		a.unsaved = a.hasStatus()
 	}
 }
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -6,41 +6,41 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// Order is an operators' request to move a service's requests to a version.
+// Order is an operators' order to move a service's requests to a version.
 type Order struct {
 	Service  string
 	Version  string
 	Duration time.Duration
-	// Revision is the store's at the order; a later order has a higher one.
+	// Revision is the store revision of the order; a later order has a higher one.
 	Revision storage.Revision
 }
 
-// RolloutState is how far a roll-out is.
+// RolloutState is the state of a roll-out.
 type RolloutState int
 
 const (
-	// RolloutRunning moves requests to the new version.
+	// RolloutRunning: requests are being moved to the new version.
 	RolloutRunning RolloutState = iota
-	// RolloutCompleted runs all requests on the new version.
+	// RolloutCompleted: all requests run on the new version.
 	RolloutCompleted
-	// RolloutReverted runs none on it.
+	// RolloutReverted: no requests run on the new version.
 	RolloutReverted
 )
 
-// String is the state's name in logs.
+// String returns the state's name in logs.
 func (s RolloutState) String() string {
 	return [...]string{"running", "completed", "reverted"}[s]
 }
 
-// RolloutStatus is what the store keeps of a roll-out.
+// RolloutStatus is the stored status of a roll-out.
 type RolloutStatus struct {
 	Service string
 	Version string
 	State   RolloutState
-	// OrderRevision is the revision of the order that this is about.
+	// OrderRevision is the revision of the order that the status belongs to.
 	OrderRevision storage.Revision
-	// Started is the store's clock when the first host saw the order.
+	// Started is the store's clock at the time when the first host received the order.
 	Started time.Duration
-	// Revision is the store's at this status; 0 before it is written.
+	// Revision is the store revision of this status; 0 before it is written.
 	Revision storage.Revision
 }
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -16,101 +16,100 @@
 )
 
 const (
-	// writeSpread is the span over which hosts deal out the first status, which any
-	// of them may write: the first one's comes back to the others before most of
-	// them have tried. completeSpread is the same for the last status, which has to
-	// be there before the roll-out's time is up.
+	// writeSpread is the span over which hosts spread their attempts to write the first status,
+	// which any of them may write: the first one's write is received by the others before most of
+	// them have tried. completeSpread is the same for the last status, which has to be stored
+	// before the roll-out's time is up.
 	writeSpread    = 1200 * time.Millisecond
 	completeSpread = 200 * time.Millisecond
-	// hubSpread is the span over which the hosts on which others rely deal out a
-	// status: a few write at most before they hear of the first one. A host that relies
-	// on another follows after followerDelay, after followerUrgent if the status ends
-	// the roll-out: a write comes back to it within half a second.
-	hubSpread      = 200 * time.Millisecond
-	followerDelay  = 1500 * time.Millisecond
-	followerUrgent = 700 * time.Millisecond
-	// trustAge is the greatest age of the store's word at which the share is
-	// raised: a host that can't hear that others stopped a version holds it.
-	trustAge = 3 * time.Second
+	// hubSpread is the span over which hosts with followers spread their writes of a status: at
+	// most a few write before they receive the first one's. A follower waits for followerDelay, or
+	// followerUrgentDelay if the status ends the roll-out: it receives a write within half a second.
+	hubSpread           = 200 * time.Millisecond
+	followerDelay       = 1500 * time.Millisecond
+	followerUrgentDelay = 700 * time.Millisecond
+	// maxStatusAge is the greatest age of the status data at which the share is raised: a host
+	// that can't receive that others stopped a version keeps its share.
+	maxStatusAge = 3 * time.Second
 	// statusTimeout bounds a write of a status.
 	statusTimeout = time.Second
-	// rolloutTick is how often roll-outs are looked at.
+	// rolloutTick is the interval at which roll-outs are processed.
 	rolloutTick = 100 * time.Millisecond
 )
 
-// rollouts carries out roll-outs. Each host keeps a new version's share for its
-// own requests, so that the sum over all hosts keeps it too, and stops a
-// version by its own evidence; what one host stopped, the store tells the others.
+// rollouts carries out roll-outs. Each host keeps a new version's share for its own requests, and
+// thereby the sum over all hosts keeps it, and stops a version by its own evidence; the other
+// hosts learn of the stop from the store.
 type rollouts struct {
 	settings *Settings
 	fleet    *Fleet
 	statuses *feed.Watcher
-	// relied says whether other hosts rely on this one for the store's word.
-	relied func() bool
-	log    zerolog.Logger
-	// single is the ramp of requests without a session, sessions that of the others.
+	// hasFollowers reports whether other hosts receive the store's tables from this one.
+	hasFollowers func() bool
+	log          zerolog.Logger
+	// single is the ramp of requests without a session, sessions that of requests with one.
 	single   ramp
 	sessions ramp
 
 	mu     sync.Mutex
 	active map[string]*activeRollout
-	// stored are the states that came before their orders.
+	// stored are the statuses that were received before their orders.
 	stored map[string]RolloutStatus
 }
 
-// activeRollout is one service's newest roll-out.
+// activeRollout is a service's newest roll-out.
 type activeRollout struct {
 	order  Order
 	status RolloutStatus
-	// stopped says that this host's evidence speaks against the version.
+	// stopped is set if this host's evidence shows that the version is worse.
 	stopped bool
-	// share is the new version's part of requests without a session,
-	// sessionShare that of sessions.
+	// share is the new version's share of requests without a session, sessionShare that of
+	// sessions.
 	share        float64
 	sessionShare float64
-	// seenAt is when this host learnt of the order.
+	// seenAt is when this host received the order.
 	seenAt   time.Time
 	evidence evidence
-	// doubted says that the time is up and too little speaks for the version.
-	doubted bool
-	// writing says that a status is on its way to the store, writeAt when this
-	// host's turn to write one comes; zero before one is due.
+	// inconclusive is set if the time is up and there is too little evidence for completion.
+	inconclusive bool
+	// writing is set while a status is being written. writeAt is when this host is to write one;
+	// zero before one is due.
 	writing bool
 	writeAt time.Time
-	// unsaved says that the store came back from a copy and has not the state, or not
-	// under the order's present revision.
+	// unsaved is set if the store was restored from a backup and lacks the status, or has it under
+	// another revision of the order.
 	unsaved bool
-	// formerly are revisions of the order's row in former eras of the store.
-	formerly []storage.Revision
-	era      eraWatch
-	// failures counts the writes in a row that the store turned away or didn't answer.
+	// earlierRevisions are the revisions of the order's row in earlier eras of the store.
+	earlierRevisions []storage.Revision
+	era              eraTracker
+	// failures counts the consecutive writes that the store refused or didn't answer.
 	failures int
 }
 
 func newRollouts(settings *Settings, fleet *Fleet, log zerolog.Logger) *rollouts {
 	return &rollouts{
-		settings: settings,
-		fleet:    fleet,
-		relied:   func() bool { return false },
-		log:      log,
-		single:   newRamp(settings.CanaryShare, 0),
-		sessions: newRamp(settings.CanaryShare, sessionsFrom),
-		active:   make(map[string]*activeRollout),
-		stored:   make(map[string]RolloutStatus),
+		settings:     settings,
+		fleet:        fleet,
+		hasFollowers: func() bool { return false },
+		log:          log,
+		single:       newRamp(settings.CanaryShare, 0),
+		sessions:     newRamp(settings.CanaryShare, sessionsFrom),
+		active:       make(map[string]*activeRollout),
+		stored:       make(map[string]RolloutStatus),
 	}
 }
 
-// order takes an operators' order; listed says that it came with the whole table.
-func (m *rollouts) order(o Order, listed bool) {
+// addOrder applies an operators' order. listed is set if it was received with the whole table.
+func (m *rollouts) addOrder(o Order, listed bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if known := m.active[o.Service]; known != nil {
-		if o.Revision <= known.order.Revision || m.rewritten(known, o, listed) {
+	if current := m.active[o.Service]; current != nil {
+		if o.Revision <= current.order.Revision || m.adoptReissuedOrder(current, o, listed) {
 			return
 		}
 	}
 	a := &activeRollout{order: o, seenAt: boottime.Now(), evidence: newEvidence()}
-	a.era.note(o.Revision)
+	a.era.observe(o.Revision)
 	m.active[o.Service] = a
 	m.log.Info().Str("event", "rollout-ordered").Str("service", o.Service).Str("version", o.Version).
 		Dur("duration", o.Duration).Stringer("revision", o.Revision).Msg("")
@@ -119,8 +118,8 @@
 	}
 }
 
-// status takes the store's word on a roll-out.
-func (m *rollouts) status(s RolloutStatus) {
+// setStatus applies a stored status of a roll-out.
+func (m *rollouts) setStatus(s RolloutStatus) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.stored[s.Service] = s
@@ -129,19 +128,19 @@
 	}
 }
 
-// apply takes a status that is about the order. The states of one order only
-// rise: what was completed or reverted isn't run again.
+// apply applies a status if it belongs to the order. The states of one order only advance: a
+// completed or reverted roll-out isn't run again.
 func (m *rollouts) apply(a *activeRollout, s RolloutStatus) {
 	if s.Revision <= a.status.Revision {
 		return
 	}
-	if !a.isOrder(s.OrderRevision) {
-		// An earlier order's: the row's revision is needed to replace it.
+	if !a.matchesOrder(s.OrderRevision) {
+		// The status belongs to an earlier order. Its revision is needed to replace the row.
 		a.status.Revision = s.Revision
 		return
 	}
-	if a.known() && s.State < a.status.State {
-		// An earlier state, of a store that came back from a copy.
+	if a.hasStatus() && s.State < a.status.State {
+		// The status is an earlier one, from a store that was restored from a backup.
 		a.status.Revision = s.Revision
 		a.unsaved = true
 		return
@@ -154,15 +153,15 @@
 		Str("state", s.State.String()).Stringer("revision", s.Revision).Msg("")
 }
 
-// known says whether the store has a status for the order.
-func (a *activeRollout) known() bool { return a.status.OrderRevision == a.order.Revision }
+// hasStatus reports whether the store has a status of the order.
+func (a *activeRollout) hasStatus() bool { return a.status.OrderRevision == a.order.Revision }
 
-// running says that the roll-out isn't completed or reverted.
-func (a *activeRollout) running() bool { return !a.known() || a.status.State == RolloutRunning }
+// running reports whether the roll-out is neither completed nor reverted.
+func (a *activeRollout) running() bool { return !a.hasStatus() || a.status.State == RolloutRunning }
 
-// admits returns the test of versions for the request. A version that nobody
-// ordered isn't used beside the one in service: its entries can reach a host
-// before the order does.
+// admits returns a function that reports whether a version may run the request. A version without
+// an order isn't used beside the one in service: its upstreams' entries can reach a host before
+// the order does.
 func (m *rollouts) admits(r *Request) func(version string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -173,38 +172,38 @@
 	}
 	to := a.order.Version
 	canary := m.canary(a, r)
-	if canary && !m.reaches(r, func(version string) bool { return version == to }) {
+	if canary && !m.canReach(r, func(version string) bool { return version == to }) {
 		canary = false
-	} else if !canary && !m.withdrawn(a) && !m.fleet.serves(r.Service, r.homes, func(version string) bool { return version != to }) {
+	} else if !canary && !m.withdrawn(a) && !m.fleet.hasInService(r.Service, r.regions, func(version string) bool { return version != to }) {
 		canary = true
 	}
 	return func(version string) bool { return (version == to) == canary }
 }
 
-// reaches says whether the request can go on on a version that fits. One of a session waits
-// for its version where its upstreams are cold or in an evacuated zone; another runs on the
-// version before meanwhile.
-func (m *rollouts) reaches(r *Request, fits func(version string) bool) bool {
+// canReach reports whether the request can be run by a matching version. A session's request waits
+// for its version while that version's upstreams are cold or in an evacuated zone; other requests
+// run on the old version meanwhile.
+func (m *rollouts) canReach(r *Request, matches func(version string) bool) bool {
 	if r.Session != "" {
-		return m.fleet.serves(r.Service, r.homes, fits)
+		return m.fleet.hasInService(r.Service, r.regions, matches)
 	}
-	return m.fleet.opens(r.Service, r.homes, fits)
+	return m.fleet.hasAvailable(r.Service, r.regions, matches)
 }
 
-// withdrawn says that the version must get no requests.
+// withdrawn reports whether the version must not get requests.
 func (m *rollouts) withdrawn(a *activeRollout) bool {
-	return a.stopped || a.known() && a.status.State == RolloutReverted
+	return a.stopped || a.hasStatus() && a.status.State == RolloutReverted
 }
 
-// canary decides whether the request runs on the new version, by a hash that all
-// hosts share. A session's requests may reach several hosts, so in the first
-// half, in which no session may change its version, requests of sessions stay on
-// the old one. Later the share only rises, so no session ever goes back.
+// canary reports whether the request runs on the new version, by a hash that is the same on all
+// hosts. A session's requests may reach several hosts, so in the first half, in which no session
+// may change its version, requests of sessions stay on the old one. Later the share only rises, so
+// that no session returns to the old version.
 func (m *rollouts) canary(a *activeRollout, r *Request) bool {
 	switch {
 	case m.withdrawn(a):
 		return false
-	case a.known() && a.status.State == RolloutCompleted:
+	case a.hasStatus() && a.status.State == RolloutCompleted:
 		return true
 	case r.Session != "":
 		return evenhash.Point("canary", a.order.Version, r.Session) < a.sessionShare
@@ -213,29 +212,29 @@
 	}
 }
 
-// head takes in the head of a stream.
-func (m *rollouts) head(r *Request, c *choice, took time.Duration) {
-	m.learn(r, c, func(e *evidence, o observation) { e.head(o, took) })
+// observeHead counts the head of a stream.
+func (m *rollouts) observeHead(r *Request, c *choice, took time.Duration) {
+	m.addObservation(r, c, func(e *evidence, o observation) { e.observeHead(o, took) })
 }
 
-// observe takes in how an attempt ended; counted says that its head was taken in.
+// observe counts the result of an attempt; counted is set if its head was counted.
 func (m *rollouts) observe(r *Request, c *choice, result attemptResult, counted bool) {
-	m.learn(r, c, func(e *evidence, o observation) {
-		o.counted = counted
-		e.end(o, result, boottime.Now())
+	m.addObservation(r, c, func(e *evidence, o observation) {
+		o.headCounted = counted
+		e.observeEnd(o, result, boottime.Now())
 	})
 }
 
-// judged says whether a roll-out of the service is judged by answers.
-func (m *rollouts) judged(service string) bool {
+// evaluating reports whether a roll-out of the service is being evaluated by its answers.
+func (m *rollouts) evaluating(service string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	a := m.active[service]
 	return a != nil && a.running() && !a.stopped
 }
 
-// learn adds to the evidence on the roll-out under way, if any, and judges it.
-func (m *rollouts) learn(r *Request, c *choice, add func(e *evidence, o observation)) {
+// addObservation adds to the evidence of the service's running roll-out, if any, and evaluates it.
+func (m *rollouts) addObservation(r *Request, c *choice, add func(e *evidence, o observation)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	a := m.active[r.Service]
@@ -248,24 +247,24 @@
 		isNew:    c.upstream.Version == a.order.Version,
 		expected: c.placed.Expected,
 	})
-	m.judge(a)
+	m.evaluate(a)
 }
 
-// seen is what this host saw of the roll-outs under way.
-func (m *rollouts) seen() []exchange.Evidence {
+// ownEvidence returns this host's evidence of the running roll-outs.
+func (m *rollouts) ownEvidence() []exchange.Evidence {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var list []exchange.Evidence
 	for _, a := range m.active {
 		if a.running() {
-			list = append(list, exchange.Evidence{Service: a.order.Service, Order: a.order.Revision, Routes: a.evidence.own()})
+			list = append(list, exchange.Evidence{Service: a.order.Service, Order: a.order.Revision, Routes: a.evidence.ownCounts()})
 		}
 	}
 	return list
 }
 
-// takeOthers takes what the other hosts saw.
-func (m *rollouts) takeOthers(list []exchange.Evidence) {
+// setRemoteEvidence sets the evidence of the other hosts.
+func (m *rollouts) setRemoteEvidence(list []exchange.Evidence) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, e := range list {
@@ -273,32 +272,32 @@
 		if a == nil || a.order.Revision != e.Order || !a.running() || a.stopped {
 			continue
 		}
-		a.evidence.others = e.Routes
-		m.judge(a)
+		a.evidence.remote = e.Routes
+		m.evaluate(a)
 	}
 }
 
-// judge stops a version that the evidence speaks against.
-func (m *rollouts) judge(a *activeRollout) {
-	upstreams := m.fleet.count(a.order.Service, a.order.Version)
-	if reason := a.evidence.verdict(upstreams); reason != "" {
+// evaluate stops the version if the evidence shows that it is worse.
+func (m *rollouts) evaluate(a *activeRollout) {
+	upstreams := m.fleet.countVersion(a.order.Service, a.order.Version)
+	if reason := a.evidence.stopReason(upstreams); reason != "" {
 		a.stopped = true
 		m.log.Warn().Str("event", "rollout-stopped").Str("service", a.order.Service).Str("version", a.order.Version).
 			Str("reason", reason).Str("evidence", a.evidence.String()).Msg("")
 	}
 }
 
-// progress is the part of the roll-out's duration that is over, by the store's
-// clock if a status tells when it began.
+// progress returns the elapsed fraction of the roll-out's duration, by the store's clock if a
+// status states when it began.
 func (m *rollouts) progress(a *activeRollout) float64 {
 	elapsed := boottime.Since(a.seenAt)
-	if a.known() && m.statuses != nil {
+	if a.hasStatus() && m.statuses != nil {
 		elapsed = m.statuses.StoreClock() - a.status.Started
 	}
 	return float64(elapsed) / float64(max(a.order.Duration, time.Millisecond))
 }
 
-// run carries the roll-outs on until the context ends.
+// run processes the roll-outs until the context ends.
 func (m *rollouts) run(ctx context.Context) { wait.Every(ctx, rolloutTick, func() { m.tick(ctx) }) }
 
 func (m *rollouts) tick(ctx context.Context) {
@@ -308,9 +307,9 @@
 		if !a.running() && !a.unsaved {
 			continue
 		}
-		m.raise(a)
+		m.raiseShares(a)
 		next, due := m.due(a)
-		if !due || a.writing || !m.turn(a, next) {
+		if !due || a.writing || !m.isTurn(a, next) {
 			continue
 		}
 		a.writing = true
@@ -318,14 +317,14 @@
 	}
 }
 
-// raise sets the share for this moment. It only rises, and only while the
-// store's word is fresh.
-func (m *rollouts) raise(a *activeRollout) {
-	if !a.known() {
+// raiseShares sets the shares for the current time. They only rise, and only while the status data
+// is recent.
+func (m *rollouts) raiseShares(a *activeRollout) {
+	if !a.hasStatus() {
 		return
 	}
 	age, ok := m.statuses.Age()
-	if !ok || age > trustAge || m.statuses.Interrupted() {
+	if !ok || age > maxStatusAge || m.statuses.Interrupted() {
 		return
 	}
 	at := m.progress(a)
@@ -333,8 +332,8 @@
 	a.share = max(a.share, m.single.share(at))
 }
 
-// underWay says whether a roll-out isn't finished, or its end isn't in the store.
-func (m *rollouts) underWay() bool {
+// hasUnfinished reports whether a roll-out is running or its final status isn't stored.
+func (m *rollouts) hasUnfinished() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, a := range m.active {
--- a/internal/gateway/rollouts_test.go
+++ b/internal/gateway/rollouts_test.go
@@ -31,12 +31,12 @@
 			Host: fmt.Sprint("h", i), Source: h.store, Statuses: statusTable{h.store}, Tables: testTables(), Codec: testCodec(),
 			Headers: testHeaders(), CanaryShare: 0.3, DrainTime: 2 * time.Second,
 		}, zerolog.Nop())
-		group := g.follow(ctx)
+		group := g.startWatchers(ctx)
 		t.Cleanup(func() { cancel(); group.Wait() })
 		h.hosts = append(h.hosts, g)
 	}
 	for _, g := range h.hosts {
-		eventually(t, "upstreams known", g.fleet.Known)
+		eventually(t, "upstreams known", g.fleet.HasUpstreams)
 	}
 	return h
 }
@@ -45,8 +45,8 @@
 	h.store.put("operator", "order/svc", Order{Service: "svc", Version: version, Duration: duration})
 }
 
-// shorten gives the roll-out less time. What a test checks before doesn't depend on
-// how long it takes then.
+// shorten reduces the roll-out's duration. Checks before the call are independent of how long they
+// take.
 func (h *rolloutHosts) shorten(duration time.Duration) {
 	for _, g := range h.hosts {
 		g.rollouts.mu.Lock()
@@ -73,7 +73,7 @@
 	}
 }
 
-// runsNew says whether the host would run a request on the new version.
+// runsNew reports whether the host would run a request on the new version.
 func runsNew(g *Gateway, id, session string) bool {
 	r := &Request{ID: id, Session: session, Service: "svc"}
 	return g.rollouts.admits(r)("v2")
@@ -94,24 +94,25 @@
 	return float64(n) / draws
 }
 
-// stopBad has the host see the old version do well and the new one fail.
-func stopBad(g *Gateway) {
+// observeBadVersion records good answers of the old version and failures of the new one on the
+// host.
+func observeBadVersion(g *Gateway) {
 	r := &Request{ID: "x", Service: "svc", Route: &routing.Route{Name: "r"}}
 	for range 50 {
-		g.rollouts.observe(r, on("old", "v1"), attemptResult{outcome: outcomeDone}, false)
+		g.rollouts.observe(r, choiceOf("old", "v1"), attemptResult{outcome: outcomeDone}, false)
 	}
-	for range 2 * minBad {
-		g.rollouts.observe(r, on("new", "v2"), attemptResult{outcome: outcomeFailed}, false)
+	for range 2 * minBadAnswers {
+		g.rollouts.observe(r, choiceOf("new", "v2"), attemptResult{outcome: outcomeFailed}, false)
 	}
 }
 
-// prove has each host see enough good answers of both versions.
-func (h *rolloutHosts) prove() {
+// observeGoodVersion records enough good answers of both versions on each host.
+func (h *rolloutHosts) observeGoodVersion() {
 	r := &Request{ID: "x", Service: "svc", Route: &routing.Route{Name: "r"}}
 	for _, g := range h.hosts {
 		for range 50 {
-			g.rollouts.observe(r, on("old", "v1"), attemptResult{outcome: outcomeDone}, false)
-			g.rollouts.observe(r, on("new", "v2"), attemptResult{outcome: outcomeDone}, false)
+			g.rollouts.observe(r, choiceOf("old", "v1"), attemptResult{outcome: outcomeDone}, false)
+			g.rollouts.observe(r, choiceOf("new", "v2"), attemptResult{outcome: outcomeDone}, false)
 		}
 	}
 }
@@ -119,76 +120,76 @@
 func TestGoodVersionIsCompleted(t *testing.T) {
 	is := is.New(t)
 	h := newRolloutHosts(t, 3)
-	is.Equal(h.share(false), 0.0) // nobody ordered the version
+	is.Equal(h.share(false), 0.0) // there is no order for the version
 	h.order("v2", time.Minute)
 	eventually(t, "reported as running", h.stateIs(RolloutRunning))
 	eventually(t, "canaries", func() bool { return h.share(false) > 0.05 })
 	is.True(h.share(false) < 0.2) // below the permitted share
-	is.Equal(h.share(true), 0.0)  // sessions stay in the first half
-	h.prove()
+	is.Equal(h.share(true), 0.0)  // no session changes its version in the first half
+	h.observeGoodVersion()
 	h.shorten(time.Second)
 	eventually(t, "reported as completed", h.stateIs(RolloutCompleted))
 	eventually(t, "all requests", func() bool { return h.share(true) == 1 && h.share(false) == 1 })
 }
 
-// The clock alone completes nothing: a version of which too little is known serves all
-// requests beside the old one until its answers decide.
-func TestDoubtedVersionIsNotCompleted(t *testing.T) {
+// A version isn't completed by time alone: without enough evidence it serves all requests while
+// the old one stays ready, until there are enough answers.
+func TestInconclusiveVersionIsNotCompleted(t *testing.T) {
 	is := is.New(t)
 	h := newRolloutHosts(t, 1)
 	m := h.hosts[0].rollouts
 	h.order("v2", time.Minute)
 	eventually(t, "reported as running", h.stateIs(RolloutRunning))
 	r := &Request{ID: "x", Service: "svc", Route: &routing.Route{Name: "r"}}
-	for range fewAnswers {
-		m.observe(r, on("old", "v1"), attemptResult{outcome: outcomeDone}, false)
+	for range minConclusiveAnswers {
+		m.observe(r, choiceOf("old", "v1"), attemptResult{outcome: outcomeDone}, false)
 	}
-	m.observe(r, on("new", "v2"), attemptResult{outcome: outcomeDone}, false)
+	m.observe(r, choiceOf("new", "v2"), attemptResult{outcome: outcomeDone}, false)
 	h.shorten(time.Second)
 	eventually(t, "doubted", func() bool {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		return m.active["svc"].doubted
+		return m.active["svc"].inconclusive
 	})
 	time.Sleep(2 * time.Second)
 	is.True(h.stateIs(RolloutRunning)())
 	is.Equal(h.share(true), 1.0)
-	h.prove()
+	h.observeGoodVersion()
 	eventually(t, "completed on its answers", h.stateIs(RolloutCompleted))
 }
 
-// A service that hardly anybody asks is moved all the same.
+// A service with hardly any requests is completed as well.
 func TestIdleServiceIsCompleted(t *testing.T) {
 	h := newRolloutHosts(t, 1)
 	h.order("v2", 2*time.Second)
 	eventually(t, "completed", h.stateIs(RolloutCompleted))
 }
 
-// The share's last part rises within half a second; the store's word on a quiet
-// table must be fresh enough for that all the time.
-func TestStatusIsFreshEnoughToRaise(t *testing.T) {
+// The last part of the share rises within half a second, so the status data of an unchanging table
+// must always be recent enough for that.
+func TestStatusIsRecentEnoughToRaise(t *testing.T) {
 	is := is.New(t)
 	h := newRolloutHosts(t, 1)
 	h.order("v2", time.Minute)
 	eventually(t, "reported as running", h.stateIs(RolloutRunning))
 	for range 60 {
 		age, ok := h.hosts[0].rollouts.statuses.Age()
-		is.True(ok && age < trustAge)
+		is.True(ok && age < maxStatusAge)
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-func TestSessionsNeverGoBack(t *testing.T) {
+func TestSessionsNeverReturnToTheOldVersion(t *testing.T) {
 	h := newRolloutHosts(t, 3)
 	h.order("v2", 3*time.Second)
 	seen := make(map[string]bool)
 	for done := h.stateIs(RolloutCompleted); !done(); time.Sleep(5 * time.Millisecond) {
 		for i := range 200 {
 			session := fmt.Sprint("s", i)
-			// One host sees the session at one time, another at the next.
+			// The session's requests reach different hosts over time.
 			isNew := runsNew(h.hosts[i%3], "r", session)
 			if seen[session] && !isNew {
-				t.Fatal("a session went back to the old version")
+				t.Fatal("a session returned to the old version")
 			}
 			seen[session] = isNew
 		}
@@ -200,8 +201,8 @@
 	h := newRolloutHosts(t, 3)
 	h.order("v2", 20*time.Second)
 	eventually(t, "canaries", func() bool { return h.share(false) > 0.05 })
-	stopBad(h.hosts[1])
-	is.True(!runsNew(h.hosts[1], "any", "")) // at once on the host that saw it
+	observeBadVersion(h.hosts[1])
+	is.True(!runsNew(h.hosts[1], "any", "")) // at once on the host with the evidence
 	eventually(t, "reported as reverted", h.stateIs(RolloutReverted))
 	eventually(t, "stopped everywhere", func() bool { return h.share(false) == 0 })
 }
@@ -212,15 +213,15 @@
 	h.order("v2", 20*time.Second)
 	eventually(t, "canaries", func() bool { return h.share(false) > 0.05 })
 	h.store.setDown(true)
-	stopBad(h.hosts[0])
+	observeBadVersion(h.hosts[0])
 	is.True(!runsNew(h.hosts[0], "any", ""))
 	h.store.setDown(false)
-	eventually(t, "reported when the store is back", h.stateIs(RolloutReverted))
+	eventually(t, "reported after the outage", h.stateIs(RolloutReverted))
 	eventually(t, "stopped everywhere", func() bool { return h.share(false) == 0 })
 }
 
-// A host that can't hear whether others stopped the version doesn't raise its
-// share, and does when it hears again.
+// A host that can't receive whether others stopped the version keeps its share, and raises it once
+// it is connected again.
 func TestShareIsHeldWhileTheStoreIsAway(t *testing.T) {
 	is := is.New(t)
 	h := newRolloutHosts(t, 1)
@@ -228,18 +229,18 @@
 	h.order("v2", time.Minute)
 	eventually(t, "canaries", func() bool { return h.share(false) > 0.05 })
 	h.store.setDown(true)
-	h.store.put("other", "wakes", 1) // ends the calls that wait
+	h.store.put("other", "wakes", 1) // ends the pending calls
 	eventually(t, "the outage is noticed", m.statuses.Interrupted)
-	// The roll-out's time is over at once: how long the test takes doesn't matter.
+	// The roll-out's time is over at once, so the test's duration doesn't matter.
 	h.shorten(time.Millisecond)
 	time.Sleep(10 * rolloutTick)
 	is.True(h.share(false) < 0.2)
 	is.Equal(h.share(true), 0.0)
 	h.store.setDown(false)
-	eventually(t, "raised when the store is back", func() bool { return h.share(true) == 1 })
+	eventually(t, "raised after the outage", func() bool { return h.share(true) == 1 })
 }
 
-func TestRolloutGoesOnAfterARestart(t *testing.T) {
+func TestRolloutContinuesAfterARestart(t *testing.T) {
 	is := is.New(t)
 	for _, state := range []RolloutState{RolloutReverted, RolloutCompleted} {
 		h := newRolloutHosts(t, 0)
@@ -248,26 +249,26 @@
 		again := &rolloutHosts{store: h.store}
 		g := New(Settings{Source: h.store, Statuses: statusTable{h.store}, Tables: testTables(), Codec: testCodec(), Headers: testHeaders()}, zerolog.Nop())
 		ctx, cancel := context.WithCancel(context.Background())
-		group := g.follow(ctx)
+		group := g.startWatchers(ctx)
 		again.hosts = []*Gateway{g}
 		want := 0.0
 		if state == RolloutCompleted {
 			want = 1
 		}
-		eventually(t, "state taken up", func() bool { return g.fleet.Known() && !g.rollouts.underWay() && again.share(true) == want })
+		eventually(t, "status applied", func() bool { return g.fleet.HasUpstreams() && !g.rollouts.hasUnfinished() && again.share(true) == want })
 		cancel()
 		group.Wait()
 		is.Equal(again.share(false), want)
 	}
 }
 
-// Before the store's clock is known, no roll-out is begun: one that began at a wrong
-// time would be raised to all requests at once.
+// No roll-out starts before the store's clock is known: one with a wrong start time would be
+// raised to all requests at once.
 func TestRolloutWaitsForTheStoresClock(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testDocument())
+	w := newTestGateway(t, testDocument())
 	m := w.gateway.rollouts
-	m.order(Order{Service: "svc", Version: "v2", Duration: time.Minute, Revision: 5}, false)
+	m.addOrder(Order{Service: "svc", Version: "v2", Duration: time.Minute, Revision: 5}, false)
 	for range 20 {
 		m.tick(t.Context())
 		time.Sleep(writeSpread / 10)
@@ -275,15 +276,15 @@
 	is.Equal(w.store.calls["commit"], 0)
 }
 
-// A version that nobody rolls out is an ordinary one.
+// Without an order, a version is used as an ordinary one.
 func TestNoOrderAdmitsAllVersions(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testDocument())
-	w.upstreamOf(Upstream{ID: "a", Zone: "z1", Version: "v3"}, succeed("ok"))
-	is.Equal(w.do(w.request("GET", "/many/x", "")).status, 200)
+	w := newTestGateway(t, testDocument())
+	w.startUpstreamOf(Upstream{ID: "a", Zone: "z1", Version: "v3"}, respondOK("ok"))
+	is.Equal(w.do(w.newRequest("GET", "/many/x", "")).status, 200)
 }
 
-// What tells versions apart is tested in package rollout; here, that all answers count.
+// The statistical tests are covered in package rollout; this checks that all answers are counted.
 func TestEvidence(t *testing.T) {
 	tests := []struct {
 		desc                            string
@@ -308,14 +309,14 @@
 					if i < bad {
 						result.outcome = outcomeFailed
 					}
-					e.end(observation{route: "r", upstream: fmt.Sprint("u", i%2), isNew: isNew}, result, time.Now())
+					e.observeEnd(observation{route: "r", upstream: fmt.Sprint("u", i%2), isNew: isNew}, result, time.Now())
 				}
 			}
 			add(false, test.oldBad, test.old)
-			// Good answers first: the order must not matter for the verdict.
+			// Good answers first: the order must not affect the result.
 			add(true, 0, test.newAnswers-test.newBad)
 			add(true, test.newBad, test.newBad)
-			is.New(t).Equal(e.verdict(2) != "", test.want)
+			is.New(t).Equal(e.stopReason(2) != "", test.want)
 		})
 	}
 }
@@ -325,33 +326,33 @@
 	e := newEvidence()
 	add := func(route string, isNew bool, outcome outcome, n int) {
 		for i := range n {
-			e.end(observation{route: route, upstream: fmt.Sprint("u", i), isNew: isNew}, attemptResult{outcome: outcome}, time.Now())
+			e.observeEnd(observation{route: route, upstream: fmt.Sprint("u", i), isNew: isNew}, attemptResult{outcome: outcome}, time.Now())
 		}
 	}
-	// The other route's failures, on the old version, hide this one's in the sum.
+	// The failures of the other route on the old version hide those of this route in the total.
 	add("good", false, outcomeFailed, 40)
 	add("good", false, outcomeDone, 160)
 	add("good", true, outcomeDone, 200)
 	add("poor", false, outcomeDone, 100)
-	add("poor", true, outcomeBroken, 2*minBad)
-	is.Equal(e.verdict(2), "route poor")
+	add("poor", true, outcomeBroken, 2*minBadAnswers)
+	is.Equal(e.stopReason(2), "route poor")
 }
 
 func TestSlowAnswersAreEvidence(t *testing.T) {
 	is := is.New(t)
 	e := newEvidence()
 	for i := range 50 {
-		e.end(observation{route: "r", upstream: fmt.Sprint("u", i%2)}, attemptResult{outcome: outcomeDone, firstByte: 80 * time.Millisecond}, time.Now())
+		e.observeEnd(observation{route: "r", upstream: fmt.Sprint("u", i%2)}, attemptResult{outcome: outcomeDone, firstByte: 80 * time.Millisecond}, time.Now())
 	}
-	for i := range 2 * minBad {
-		e.end(observation{route: "r", upstream: fmt.Sprint("u", i%2), isNew: true}, attemptResult{outcome: outcomeDone, firstByte: 600 * time.Millisecond}, time.Now())
+	for i := range 2 * minBadAnswers {
+		e.observeEnd(observation{route: "r", upstream: fmt.Sprint("u", i%2), isNew: true}, attemptResult{outcome: outcomeDone, firstByte: 600 * time.Millisecond}, time.Now())
 	}
-	is.True(e.verdict(2) != "")
+	is.True(e.stopReason(2) != "")
 }
 
 func TestOlderDocumentIsNotTaken(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testDocument())
+	w := newTestGateway(t, testDocument())
 	rows := newOperatorRows(w.gateway)
 	store := newFakeStore()
 	doc := testDocument()
@@ -365,5 +366,5 @@
 	is.Equal(w.gateway.table.Load().Version, uint64(9))
 	rows.Change(feed.Row{Key: "document", Data: []byte("{"), Revision: 10})
 	rows.Change(feed.Row{Key: "document", Deleted: true, Revision: 11})
-	is.Equal(w.gateway.table.Load().Version, uint64(9)) // neither garbage nor a removal ends it
+	is.Equal(w.gateway.table.Load().Version, uint64(9)) // neither an invalid row nor a removal ends it
 }
--- a/internal/gateway/rolloutstatus.go
+++ b/internal/gateway/rolloutstatus.go
@@ -11,58 +11,57 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// due is the status that should be written now.
+// due returns the status that should be written now.
 func (m *rollouts) due(a *activeRollout) (RolloutState, bool) {
 	switch {
-	case a.unsaved && a.known():
+	case a.unsaved && a.hasStatus():
 		return a.status.State, true
 	case a.stopped:
 		return RolloutReverted, true
-	case !a.known():
-		// Before the first word of the store its clock isn't known, and a
-		// roll-out that began at a wrong time would be raised at once.
-		_, heard := m.statuses.Age()
-		return RolloutRunning, heard
+	case !a.hasStatus():
+		// Before the first answer of the store its clock isn't known, and a roll-out with a wrong
+		// start time would be raised at once.
+		_, received := m.statuses.Age()
+		return RolloutRunning, received
 	case a.sessionShare >= 1 && a.share >= 1 && m.sessions.done(m.progress(a)):
-		return RolloutCompleted, m.proven(a)
+		return RolloutCompleted, m.conclusive(a)
 	default:
 		return RolloutRunning, false
 	}
 }
 
-// proven says whether enough speaks for the version to complete it. With completion the
-// old version's upstreams stop for good, so a bad version would fail its part of all
-// requests from then on, while a sound one that is completed late costs an overdue
-// roll-out: in doubt the roll-out goes on, with all requests on the new version and the
-// old one ready, until its answers decide. Where answers are so few that they can't, none
-// may be bad.
-func (m *rollouts) proven(a *activeRollout) bool {
-	if a.evidence.cleared() || m.idle(a) {
+// conclusive reports whether the evidence suffices to complete the version. With completion the
+// old version's upstreams stop for good, so a bad version would fail its share of all requests
+// from then on, while completing a sound one late costs an overdue roll-out. In doubt the roll-out
+// continues, with all requests on the new version and the old one ready, until there are enough
+// answers. Where answers are too few for that, none may be bad.
+func (m *rollouts) conclusive(a *activeRollout) bool {
+	if a.evidence.sufficient() || m.fewAnswersNoneBad(a) {
 		return true
 	}
-	if !a.doubted {
-		a.doubted = true
+	if !a.inconclusive {
+		a.inconclusive = true
 		m.log.Warn().Str("event", "rollout-doubted").Str("service", a.order.Service).Str("version", a.order.Version).
 			Str("evidence", a.evidence.String()).Msg("")
 	}
 	return false
 }
 
-// fewAnswers is the number of answers below which a service gives too few in a roll-out
-// for a verdict, all versions together.
-const fewAnswers = 60
+// minConclusiveAnswers is the number of answers of all versions below which a service gives too
+// few during a roll-out for a verdict.
+const minConclusiveAnswers = 60
 
-// idle says that the service had few answers though this host followed half of the
+// fewAnswersNoneBad reports whether the service had few answers while this host followed half of the
 // roll-out, and no bad one of the new version.
-func (m *rollouts) idle(a *activeRollout) bool {
-	v := total(a.evidence.all())
+func (m *rollouts) fewAnswersNoneBad(a *activeRollout) bool {
+	v := total(a.evidence.allCounts())
 	return boottime.Since(a.seenAt) >= a.order.Duration/2 &&
-		v.Old.Answers+v.New.Answers < fewAnswers && v.New.Failed == 0 && v.New.Slow == 0
+		v.Old.Answers+v.New.Answers < minConclusiveAnswers && v.New.Failed == 0 && v.New.Slow == 0
 }
 
-// turn says whether it is this host's turn to write the status that is due. Every host
-// finds it due at about the same time. While the store is away there is none.
-func (m *rollouts) turn(a *activeRollout, next RolloutState) bool {
+// isTurn reports whether this host should now write the status that is due, which every host finds
+// due at about the same time. During an outage of the store none should.
+func (m *rollouts) isTurn(a *activeRollout, next RolloutState) bool {
 	if m.statuses.Interrupted() {
 		return false
 	}
@@ -72,21 +71,21 @@
 	return !boottime.Now().Before(a.writeAt)
 }
 
-// delay is the time until this host's turn. Hosts on which others rely for the store's
-// word are few and hear of each other's writes first, so they go first; those that rely
-// on one have their turn when its write should have come back. Without that, 195 hosts
-// wrote the first status of a roll-out 92 times within a second.
+// delay returns the time until this host should write. Hosts with followers are few and receive
+// each other's writes first, so they write first; a follower waits until the write of its hub
+// should have reached it. Without that, 195 hosts wrote the first status of a roll-out 92 times
+// within a second.
 func (m *rollouts) delay(next RolloutState) time.Duration {
 	urgent := next != RolloutRunning
 	switch {
-	case m.relied():
+	case m.hasFollowers():
 		return rand.N(hubSpread)
 	case m.statuses.Relying() && urgent:
-		return followerUrgent + rand.N(followerUrgent)
+		return followerUrgentDelay + rand.N(followerUrgentDelay)
 	case m.statuses.Relying():
 		return followerDelay + rand.N(writeSpread)
 	case next == RolloutReverted:
-		return 0 // without a hub nobody else may know
+		return 0 // without a hub the other hosts may not have detected the failure
 	case next == RolloutCompleted:
 		return rand.N(completeSpread)
 	default:
@@ -94,8 +93,8 @@
 	}
 }
 
-// write writes a status under the condition that nobody else did. Whatever
-// comes of it, the watcher of the statuses tells.
+// write writes a status on the condition that no other host wrote one. The result is received by
+// the watcher of the statuses.
 func (m *rollouts) write(ctx context.Context, a *activeRollout, state RolloutState) {
 	m.mu.Lock()
 	next := RolloutStatus{
@@ -105,7 +104,7 @@
 		OrderRevision: a.order.Revision,
 		Started:       m.statuses.StoreClock() - boottime.Since(a.seenAt),
 	}
-	if a.known() {
+	if a.hasStatus() {
 		next.Started = a.status.Started
 	}
 	expected := a.status.Revision
@@ -117,9 +116,9 @@
 		line = m.log.Warn()
 	}
 	line.Str("event", "rollout-write").Str("service", next.Service).Str("state", state.String()).AnErr("error", err).Msg("")
-	// A conflict means that another host was first; the watcher brings its
-	// status within moments, so a short pause spares calls.
-	_ = wait.For(ctx, m.pause(a, err)) // a host that stops needn't pause
+	// A conflict means that another host wrote first. Its status arrives shortly, so a short pause
+	// avoids useless calls.
+	_ = wait.For(ctx, m.pause(a, err)) // only a host that is stopping skips the pause
 	m.mu.Lock()
 	a.writing = false
 	a.writeAt = time.Time{}
@@ -127,16 +126,16 @@
 }
 
 const (
-	// writePause is the time between two tries to write a status: longer than the
-	// store's change needs to come back through the watcher.
+	// writePause is the time between two attempts to write a status: longer than a change needs to
+	// be received by the watcher.
 	writePause = 300 * time.Millisecond
-	// writeDoublings bounds the pause after writes that the store turns away or doesn't
-	// answer, which doubles with each: 4.8 s at most. Hosts that are cut off from the
-	// store tried 300 times in 12 s without.
-	writeDoublings = 4
+	// maxWriteDoublings bounds the pause after writes that the store refuses or doesn't answer; it
+	// doubles with each, up to 4.8 s. Without this, hosts that were cut off from the store tried
+	// 300 times in 12 s.
+	maxWriteDoublings = 4
 )
 
-// pause is the time until the next try after a write that ended with the error.
+// pause returns the time until the next attempt after a write that ended with err.
 func (m *rollouts) pause(a *activeRollout, err error) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -145,7 +144,7 @@
 		return writePause
 	}
 	pause := writePause << a.failures
-	a.failures = min(a.failures+1, writeDoublings)
+	a.failures = min(a.failures+1, maxWriteDoublings)
 	return pause/2 + rand.N(pause)
 }
 
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -10,71 +10,73 @@
 	"github.com/quetzalweir/quetzalweir/evenhash"
 )
 
-// Of a service with many upstreams a request looks at a few only: those that keep parts
-// of its prompt, the owners of its shared parts, and some at random. Looking at all takes
-// longer than many requests have on a host with a fifth of a core. Nor does it choose
-// better: all hosts hear the same, a moment late, and would send what they get in that
-// moment to the same few idle upstreams.
+// For a service with many upstreams the choice considers a few only: those that have parts of the
+// prompt cached, the owners of its shared prefix, and some at random. Considering all takes longer
+// than many requests have on a host with a fifth of a core. It doesn't choose better either: all
+// hosts receive the same delayed load data, and would send the requests of that interval to the
+// same few idle upstreams.
 
 const (
-	// lookAtAll is the number of upstreams up to which all are looked at: about as many
-	// as the few would be.
-	lookAtAll = 16
-	// nearChoices and farChoices are the upstreams of the own and of other availability
-	// zones that are looked at by chance. With news of 150 to 450 ms ago, in which an
-	// engine reads one prompt, a few choices balance best.
-	nearChoices = 4
-	farChoices  = 3
-	// abroadChoices of these may be of another region.
-	abroadChoices = 1
-	// maxKeepers bounds the engines that are looked at because they keep parts: the
-	// parts that everybody asks for are kept by many.
-	maxKeepers = 8
-	// probes is how many upstreams are drawn at most for each choice by chance, where
-	// some don't take the request.
-	probes = 4
-	// ringPoints is the number of places that each upstream has in a ring: shared parts
-	// then fall to upstreams within a half of evenly.
+	// fullScanLimit is the number of upstreams up to which all are considered; it is about the
+	// size of the sample.
+	fullScanLimit = 16
+	// sameZoneDraws and otherZoneDraws are the numbers of upstreams of the host's own and of other
+	// availability zones that are drawn at random. With load data that is 150 to 450 ms old, in
+	// which time an engine processes one prompt, a few draws balance best.
+	sameZoneDraws  = 4
+	otherZoneDraws = 3
+	// otherRegionDraws is the number of otherZoneDraws that may be of another region.
+	otherRegionDraws = 1
+	// maxCacheHolders bounds the engines that are considered because they have parts cached: parts
+	// that are in most prompts are cached by many.
+	maxCacheHolders = 8
+	// maxDraws bounds the draws for each random choice, where some upstreams don't accept the
+	// request.
+	maxDraws = 4
+	// ringPoints is the number of points of each upstream in a hash ring: the upstreams' shares of
+	// the prefixes then differ from the mean by up to a half.
 	ringPoints = 4
-	// ringProbes bounds the search of a ring for an upstream that takes the request.
+	// ringProbes bounds the search of a ring for an upstream that accepts the request.
 	ringProbes = 256
-	// rosterAge is how long a roster is used though entries changed: when a service is
-	// replaced, thousands do within seconds. Who doesn't take work is passed over.
-	rosterAge = 200 * time.Millisecond
+	// indexMaxAge is how long an index is used although entries changed: when a service is
+	// replaced, thousands change within seconds. Members that are no longer in service are
+	// skipped.
+	indexMaxAge = 200 * time.Millisecond
 )
 
-// roster orders the members of a service for the choice among few.
-type roster struct {
+// memberIndex indexes the members of a service for the choice among a sample.
+type memberIndex struct {
 	builtAt time.Time
-	// zones are the availability zones with members, by name; added are the members that
-	// aren't in them yet, stale says that some that are left the service or their zone.
-	zones zoneRosters
+	// zones are the indexes of the availability zones with members, ordered by name. added are the
+	// members that aren't in them yet. stale is set if some members in them have left the service
+	// or their zone.
+	zones zoneIndexes
 	added []*member
 	stale bool
 }
 
-// zoneRosters are those of several availability zones, by name.
-type zoneRosters []*zoneRoster
+// zoneIndexes are the indexes of several availability zones, ordered by name.
+type zoneIndexes []*zoneIndex
 
-// zoneRoster are the members of an availability zone.
-type zoneRoster struct {
+// zoneIndex holds the members of an availability zone.
+type zoneIndex struct {
 	name    string
 	members []*member
 	ring    []ringPoint
 }
 
-// ringPoint is a place of a member in the ring by which shared parts belong to engines:
-// the same on all hosts that know the same upstreams.
+// ringPoint is a point of a member in the hash ring that assigns shared prefixes to engines: the
+// same on all hosts that have the same list of upstreams.
 type ringPoint struct {
 	at     uint64
 	member *member
 }
 
-// rosterOf returns the shard's roster, brought up to date if it is outdated. The shard's
-// lock is held.
-func (s *shard) rosterOf(now time.Time) *roster {
-	r := &s.roster
-	if len(r.added) == 0 && !r.stale || now.Sub(r.builtAt) < rosterAge {
+// currentIndex returns the shard's index, updated if it is older than indexMaxAge. The caller
+// holds the shard's lock.
+func (s *shard) currentIndex(now time.Time) *memberIndex {
+	r := &s.index
+	if len(r.added) == 0 && !r.stale || now.Sub(r.builtAt) < indexMaxAge {
 		return r
 	}
 	r.builtAt = now
@@ -85,8 +87,8 @@
 	return r
 }
 
-// dropStale takes out the members that left the service or their zone.
-func (r *roster) dropStale(s *shard) {
+// dropStale removes the members that left the service or their zone.
+func (r *memberIndex) dropStale(s *shard) {
 	r.stale = false
 	for _, z := range r.zones {
 		gone := func(m *member) bool { return s.members[m.ID] != m || m.Zone != z.name }
@@ -98,13 +100,13 @@
 		z.members = slices.DeleteFunc(z.members, gone)
 		z.ring = slices.DeleteFunc(z.ring, func(p ringPoint) bool { return gone(p.member) })
 	}
-	r.zones = slices.DeleteFunc(r.zones, func(z *zoneRoster) bool { return len(z.members) == 0 })
+	r.zones = slices.DeleteFunc(r.zones, func(z *zoneIndex) bool { return len(z.members) == 0 })
 	r.added = slices.DeleteFunc(r.added, func(m *member) bool { return s.members[m.ID] != m })
 }
 
-// merge puts the added members in their zones. It orders the new points only, and merges them
-// in one pass.
-func (r *roster) merge() {
+// merge adds the new members to their zones. It sorts the new points only, and merges them in one
+// pass.
+func (r *memberIndex) merge() {
 	slices.SortStableFunc(r.added, func(a, b *member) int { return cmp.Compare(a.Zone, b.Zone) })
 	for first := 0; first < len(r.added); {
 		name, end := r.added[first].Zone, first
@@ -117,17 +119,17 @@
 	r.added = nil
 }
 
-// zone returns the zone's roster, an empty one if there is none yet.
-func (r *roster) zone(name string) *zoneRoster {
-	i, found := slices.BinarySearchFunc(r.zones, name, func(z *zoneRoster, name string) int { return cmp.Compare(z.name, name) })
+// zone returns the zone's index, creating an empty one if there is none.
+func (r *memberIndex) zone(name string) *zoneIndex {
+	i, found := slices.BinarySearchFunc(r.zones, name, func(z *zoneIndex, name string) int { return cmp.Compare(z.name, name) })
 	if !found {
-		r.zones = slices.Insert(r.zones, i, &zoneRoster{name: name})
+		r.zones = slices.Insert(r.zones, i, &zoneIndex{name: name})
 	}
 	return r.zones[i]
 }
 
 // add merges the members' points into the ring.
-func (z *zoneRoster) add(members []*member) {
+func (z *zoneIndex) add(members []*member) {
 	points := make([]ringPoint, 0, ringPoints*len(members))
 	for _, m := range members {
 		for i := range ringPoints {
@@ -149,18 +151,18 @@
 	}
 }
 
-// from is the place in the ring of the first point at or after the subject.
-func (z *zoneRoster) from(subject uint64) int {
+// firstPoint returns the position in the ring of the first point at or after the subject.
+func (z *zoneIndex) firstPoint(subject uint64) int {
 	i, _ := slices.BinarySearchFunc(z.ring, subject, func(p ringPoint, at uint64) int { return cmp.Compare(p.at, at) })
 	return i
 }
 
-// owner is the member that a subject belongs to in the rings of the zones, as if they were
-// one, among those that will do; nil if none of the next does.
-func (l zoneRosters) owner(subject uint64, willDo func(*member) bool) *member {
+// owner returns the first usable member at or after the subject in the zones' rings, searched as
+// one ring; nil if ringProbes points have none.
+func (l zoneIndexes) owner(subject uint64, usable func(*member) bool) *member {
 	starts, passed := make([]int, len(l)), make([]int, len(l))
 	for i, z := range l {
-		starts[i] = z.from(subject)
+		starts[i] = z.firstPoint(subject)
 	}
 	for range ringProbes {
 		var nearest *member
@@ -169,16 +171,16 @@
 			if passed[i] == len(z.ring) {
 				continue
 			}
-			// The subtraction wraps: points before the subject come after all others.
+			// The subtraction wraps around: points before the subject come after all others.
 			p := z.ring[(starts[i]+passed[i])%len(z.ring)]
-			if away := p.at - subject; zone < 0 || away < least {
-				nearest, zone, least = p.member, i, away
+			if distance := p.at - subject; zone < 0 || distance < least {
+				nearest, zone, least = p.member, i, distance
 			}
 		}
 		if zone < 0 {
 			return nil
 		}
-		if willDo(nearest) {
+		if usable(nearest) {
 			return nearest
 		}
 		passed[zone]++
@@ -186,12 +188,12 @@
 	return nil
 }
 
-// candidateList are the upstreams that a request may be sent to.
+// candidateList holds the upstreams that a request may be sent to.
 type candidateList struct {
 	members []*member
-	// owner and nearOwner are the engines that the prompt's shared parts belong to, of
-	// all availability zones and of the own one; nil where all members are in the list,
-	// which then tell by their order.
+	// owner and nearOwner are the engines that own the prompt's shared prefix among all
+	// availability zones and within the host's own. They are nil where the list contains all
+	// members, which are then ordered by hash.
 	owner, nearOwner *member
 }
 
@@ -201,51 +203,51 @@
 	}
 }
 
-// some are candidates of a service with many upstreams; none if the few that were looked
-// at don't take the request.
-func (s *shard) some(w *wants, now time.Time, grace time.Duration) candidateList {
-	r := s.rosterOf(now)
-	near, region, all := r.within(w, s.geography)
-	willDo := func(m *member) bool {
+// sampleCandidates returns candidates of a service with many upstreams; none if no sampled one
+// accepts the request.
+func (s *shard) sampleCandidates(w *criteria, now time.Time, grace time.Duration) candidateList {
+	r := s.currentIndex(now)
+	near, region, all := r.zonesFor(w, s.topology)
+	usable := func(m *member) bool {
 		return m.removedAt.IsZero() && w.admits(m.Version) && !slices.Contains(w.exclude, m.ID) &&
-			!m.ejected(now) && m.open(now, grace)
+			!m.ejected(now) && m.acceptsRequests(now, grace)
 	}
-	list := candidateList{members: make([]*member, 0, maxKeepers+nearChoices+farChoices+2)}
+	list := candidateList{members: make([]*member, 0, maxCacheHolders+sameZoneDraws+otherZoneDraws+2)}
 	if w.prompt != nil {
-		s.addKeepers(&list, w, willDo)
-		subject := evenhash.Sum(sharedPart(w.prompt))
-		list.owner, list.nearOwner = region.owner(subject, willDo), near.owner(subject, willDo)
+		s.addCacheHolders(&list, w, usable)
+		subject := evenhash.Sum(sharedPrefix(w.prompt))
+		list.owner, list.nearOwner = region.owner(subject, usable), near.owner(subject, usable)
 		list.add(list.owner)
 		list.add(list.nearOwner)
 	}
-	list.draw(nearChoices, near, willDo)
-	list.draw(farChoices-abroadChoices, region, willDo)
-	list.draw(abroadChoices, all, willDo)
+	list.addRandom(sameZoneDraws, near, usable)
+	list.addRandom(otherZoneDraws-otherRegionDraws, region, usable)
+	list.addRandom(otherRegionDraws, all, usable)
 	return list
 }
 
-// within are the zones in which the request may run: the host's own, none if it isn't one of
-// them, those of its region, or all of them if none is, and all.
-func (r *roster) within(w *wants, g *geography) (near, region, all zoneRosters) {
+// zonesFor returns the zones in which the request may run: the host's own, or none if it is
+// excluded; those of the host's region, or all if it has none; and all.
+func (r *memberIndex) zonesFor(w *criteria, g *zoneTopology) (near, region, all zoneIndexes) {
 	all = r.zones
-	if w.homes.bound() {
-		all = slices.DeleteFunc(slices.Clone(all), func(z *zoneRoster) bool { return !w.homes.allow(z.name) })
+	if w.regions.restricted() {
+		all = slices.DeleteFunc(slices.Clone(all), func(z *zoneIndex) bool { return !w.regions.allows(z.name) })
 	}
 	region = all
-	if slices.ContainsFunc(all, func(z *zoneRoster) bool { return !g.near(z.name) }) {
-		region = slices.DeleteFunc(slices.Clone(all), func(z *zoneRoster) bool { return !g.near(z.name) })
+	if slices.ContainsFunc(all, func(z *zoneIndex) bool { return !g.sameRegion(z.name) }) {
+		region = slices.DeleteFunc(slices.Clone(all), func(z *zoneIndex) bool { return !g.sameRegion(z.name) })
 	}
 	if len(region) == 0 {
 		region = all
 	}
-	if i := slices.IndexFunc(all, func(z *zoneRoster) bool { return z.name == w.zone }); i >= 0 {
+	if i := slices.IndexFunc(all, func(z *zoneIndex) bool { return z.name == w.zone }); i >= 0 {
 		near = all[i : i+1]
 	}
 	return near, region, all
 }
 
-// any is one of all members by chance. There is one at least.
-func (l zoneRosters) any() *member {
+// any returns a random member. The zones must have at least one.
+func (l zoneIndexes) any() *member {
 	n := 0
 	for _, z := range l {
 		n += len(z.members)
@@ -260,14 +262,14 @@
 	return nil
 }
 
-// draw adds members of the zones by chance.
-func (l *candidateList) draw(choices int, from zoneRosters, willDo func(*member) bool) {
+// addRandom adds random members of the zones.
+func (l *candidateList) addRandom(choices int, from zoneIndexes, usable func(*member) bool) {
 	if len(from) == 0 {
 		return
 	}
 	for range choices {
-		for range probes {
-			if m := from.any(); willDo(m) {
+		for range maxDraws {
+			if m := from.any(); usable(m) {
 				l.add(m)
 				break
 			}
@@ -275,29 +277,29 @@
 	}
 }
 
-// addKeepers adds engines that keep parts of the prompt, those of the longest runs first. Of
-// many that keep a run any may come first.
-func (s *shard) addKeepers(list *candidateList, w *wants, willDo func(*member) bool) {
+// addCacheHolders adds engines that have parts of the prompt cached, those of the longest prefixes
+// first and in a random order where many hold the same prefix.
+func (s *shard) addCacheHolders(list *candidateList, w *criteria, usable func(*member) bool) {
 	for i := len(w.keys) - 1; i >= 0; i-- {
-		holders := s.kept.Holders(w.keys[i])
+		holders := s.cachedPrompts.Holders(w.keys[i])
 		if len(holders) == 0 {
 			continue
 		}
 		start := rand.IntN(len(holders))
 		for j := range holders {
-			if len(list.members) >= maxKeepers {
+			if len(list.members) >= maxCacheHolders {
 				return
 			}
-			if m := holders[(start+j)%len(holders)]; willDo(m) {
+			if m := holders[(start+j)%len(holders)]; usable(m) {
 				list.add(m)
 			}
 		}
 	}
 }
 
-// order is a candidate's place for the prompt's shared parts: that of the owners is above
-// all others.
-func (l *candidateList) order(m *member, subject string) uint64 {
+// preference returns a candidate's rank for the prompt's shared prefix: owners rank above all
+// others.
+func (l *candidateList) preference(m *member, subject string) uint64 {
 	switch {
 	case m == l.owner:
 		return math.MaxUint64
@@ -310,13 +312,13 @@
 	}
 }
 
-// forget takes the member out of what the shard finds members by. The shard's lock is held.
-func (s *shard) forget(m *member) {
-	m.withdrawn = true // the roster may have it for a moment yet
+// unindex removes the member from the shard's indexes. The caller holds the shard's lock.
+func (s *shard) unindex(m *member) {
+	m.withdrawn = true // the index may still contain it for indexMaxAge
 	s.starts.count(&m.Upstream, -1)
 	delete(s.active, m)
 	delete(s.leased, m)
-	s.kept.Drop(m)
+	s.cachedPrompts.Drop(m)
 	s.setAddress(m, "")
 	if s.names[m.name] == m {
 		delete(s.names, m.name)
@@ -324,6 +326,6 @@
 	if s.leases[m.lease] == m {
 		delete(s.leases, m.lease)
 	}
-	delete(s.limitNews, m)
-	s.roster.stale = true
+	delete(s.unreportedLimits, m)
+	s.index.stale = true
 }
--- a/internal/gateway/roster_test.go
+++ b/internal/gateway/roster_test.go
@@ -15,7 +15,7 @@
 	"github.com/quetzalweir/quetzalweir/placement"
 )
 
-// largeFleet has engines in zones z0, z1 and so on.
+// largeFleet returns a fleet with engines in zones z0, z1 and so on.
 func largeFleet(engines, zones int) *Fleet {
 	f := NewFleet(time.Second, zerolog.Nop())
 	for i := range engines {
@@ -24,28 +24,29 @@
 	return f
 }
 
-// sharedWants is a request of zone z1 whose prompt begins with a shared part.
-func sharedWants(part string) wants {
-	w := promptWants()
+// sharedPrefixCriteria returns the criteria of a request in zone z1 whose prompt begins with a
+// shared part.
+func sharedPrefixCriteria(part string) criteria {
+	w := promptCriteria()
 	w.prompt = &placement.Prompt{Parts: []placement.Part{{ID: part, Tokens: 6000}, {ID: part + "-own", Tokens: 900}}, Tokens: 7000, Shared: 1}
 	w.keys = placement.Keys(w.model, w.prompt)
 	return w
 }
 
-func TestFewUpstreamsAreLookedAt(t *testing.T) {
+func TestLargeServiceIsSampled(t *testing.T) {
 	is := is.New(t)
 	f := largeFleet(12_000, 32)
-	w := sharedWants("p")
+	w := sharedPrefixCriteria("p")
 	c, ok := f.choose(w)
 	is.True(ok)
-	is.True(c.among <= maxKeepers+nearChoices+farChoices+2)
+	is.True(c.among <= maxCacheHolders+sameZoneDraws+otherZoneDraws+2)
 	again, _ := f.choose(w)
-	is.Equal(again.upstream.ID, c.upstream.ID) // it keeps the part
-	is.Equal(again.kept, 2)
+	is.Equal(again.upstream.ID, c.upstream.ID) // it has the prefix cached
+	is.Equal(again.cachedParts, 2)
 }
 
-// Hosts that know the same upstreams agree on the owners of a shared part, and send it
-// there first. Parts fall to upstreams about evenly.
+// Hosts with the same list of upstreams compute the same owners of a shared prefix, and send it
+// there first. The prefixes are distributed about evenly.
 func TestHostsAgreeOnOwners(t *testing.T) {
 	is := is.New(t)
 	const engines, parts = 1000, 4000
@@ -53,8 +54,8 @@
 	now := time.Now()
 	counts := make(map[*member]int)
 	for i := range parts {
-		w := sharedWants(fmt.Sprint("part ", i))
-		a, b := one.shard("svc").some(&w, now, 0), other.shard("svc").some(&w, now, 0)
+		w := sharedPrefixCriteria(fmt.Sprint("part ", i))
+		a, b := one.shard("svc").sampleCandidates(&w, now, 0), other.shard("svc").sampleCandidates(&w, now, 0)
 		is.Equal(a.owner.ID, b.owner.ID)
 		is.Equal(a.nearOwner.ID, b.nearOwner.ID)
 		is.Equal(a.nearOwner.Zone, "z1")
@@ -62,7 +63,7 @@
 		if i < 50 {
 			c, _ := one.choose(w)
 			is.True(c.upstream.ID == a.owner.ID || c.upstream.ID == a.nearOwner.ID)
-			one.began(&c, 50*time.Millisecond)
+			one.headReceived(&c, 50*time.Millisecond)
 			one.release(c, attemptResult{outcome: outcomeDone})
 		}
 	}
@@ -74,12 +75,12 @@
 	is.True(most < 6*parts/engines)
 }
 
-// However few upstreams take a request, one that does is found.
+// An upstream that accepts the request is found even if it is the only one.
 func TestTheOnlyUpstreamIsFound(t *testing.T) {
 	is := is.New(t)
 	f := largeFleet(500, 5)
 	f.Set(Upstream{ID: "only", Service: "svc", Zone: "z3", Version: "v2", Slots: 8}, 2)
-	for _, w := range []wants{sharedWants("p"), {service: "svc", zone: "z1"}} {
+	for _, w := range []criteria{sharedPrefixCriteria("p"), {service: "svc", zone: "z1"}} {
 		w.admits = func(version string) bool { return version == "v2" }
 		c, ok := f.choose(w)
 		is.True(ok)
@@ -87,36 +88,35 @@
 	}
 }
 
-// What is known of an engine that started again, or that is gone, brings it no request.
-func TestFormerKeepers(t *testing.T) {
+// Cached parts of an engine that restarted or is gone must not attract requests.
+func TestRemovedCacheHolders(t *testing.T) {
 	is := is.New(t)
 	f := largeFleet(500, 5)
-	w := sharedWants("p")
+	w := sharedPrefixCriteria("p")
 	c, _ := f.choose(w)
-	f.began(&c, 50*time.Millisecond)
+	f.headReceived(&c, 50*time.Millisecond)
 	f.release(c, attemptResult{outcome: outcomeDone})
 	restarted := c.upstream
 	restarted.Incarnation = firstStart
 	f.Set(restarted, 2)
-	is.Equal(f.shard("svc").kept.Len(), 0)
+	is.Equal(f.shard("svc").cachedPrompts.Len(), 0)
 	for range 2000 {
-		c, _ := f.choose(wants{service: "svc", zone: restarted.Zone, admits: anyVersion})
+		c, _ := f.choose(criteria{service: "svc", zone: restarted.Zone, admits: anyVersion})
 		is.True(c.upstream.ID != restarted.ID || c.upstream.Incarnation == firstStart)
 		f.release(c, attemptResult{outcome: outcomeDone})
 	}
 	again, _ := f.choose(w)
 	f.release(again, attemptResult{outcome: outcomeDone})
 	f.Remove(again.upstream.ID, 3, false)
-	f.Sweep(time.Now().Add(2 * forgetAfter))
+	f.Sweep(time.Now().Add(2 * recordRetention))
 	is.Equal(f.memberOf("svc", again.upstream.ID) == nil, true)
-	is.Equal(f.shard("svc").kept.Len(), 0)
+	is.Equal(f.shard("svc").cachedPrompts.Len(), 0)
 }
 
-// All hosts hear the same, a moment late: of a hundred busy engines three look idle. In
-// the moment until they hear of each other's requests, they must not all go to these
-// three. Enough hosts choose for the part of the busiest engine to be sure within a
-// hundredth.
-func TestHostsSpreadOnStaleNews(t *testing.T) {
+// All hosts have the same delayed load data, by which three of a hundred busy engines are idle.
+// Until they receive each other's requests, they must not all choose these three. The number of
+// choices determines the share of the busiest engine to within a hundredth.
+func TestHostsSpreadRequestsOnStaleLoadData(t *testing.T) {
 	is := is.New(t)
 	const hosts, engines, idle = 10_000, 100, 3
 	f := largeFleet(engines, 5)
@@ -126,11 +126,11 @@
 	}
 	counts := make(map[string]int)
 	for i := range hosts {
-		f.setOthers(work, time.Now())
-		c, ok := f.choose(sharedWants(fmt.Sprint("part ", i)))
+		f.setRemoteWork(work, time.Now())
+		c, ok := f.choose(sharedPrefixCriteria(fmt.Sprint("part ", i)))
 		is.True(ok)
 		counts[c.upstream.ID]++
-		f.release(c, attemptResult{outcome: outcomeAbandoned}) // the next host doesn't know of it
+		f.release(c, attemptResult{outcome: outcomeAbandoned}) // the next host has no data on this request
 	}
 	most, toIdle := 0, 0
 	for j := range engines {
@@ -141,18 +141,18 @@
 		}
 	}
 	t.Logf("the busiest engine gets %.3f of the requests, the idle ones %.3f", float64(most)/hosts, float64(toIdle)/hosts)
-	is.True(float64(most)/hosts < 0.3) // all of them without the choice among some
+	is.True(float64(most)/hosts < 0.3) // without the sample these get all of them
 	is.True(float64(toIdle)/hosts < 0.5)
 }
 
-// BenchmarkChoose is the choice of an engine for a prompt, and its end.
+// BenchmarkChoose measures the choice of an engine for a prompt, and its release.
 func BenchmarkChoose(b *testing.B) {
 	for _, engines := range []int{62, 1000, 12_000} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			f := largeFleet(engines, 5)
-			requests := make([]wants, 256)
+			requests := make([]criteria, 256)
 			for i := range requests {
-				requests[i] = sharedWants(fmt.Sprint("part ", i))
+				requests[i] = sharedPrefixCriteria(fmt.Sprint("part ", i))
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
@@ -160,27 +160,27 @@
 				if !ok {
 					b.Fatal("no engine")
 				}
-				f.began(&c, 50*time.Millisecond)
+				f.headReceived(&c, 50*time.Millisecond)
 				f.release(c, attemptResult{outcome: outcomeDone})
 			}
 		})
 	}
 }
 
-// rosterRing are the points of all zones in the order of one ring.
-func rosterRing(f *Fleet) []ringPoint {
+// fullRing returns the points of all zones in the order of one ring.
+func fullRing(f *Fleet) []ringPoint {
 	var points []ringPoint
 	s := f.shard("svc")
-	s.roster.builtAt = time.Time{}
-	for _, z := range s.rosterOf(time.Now()).zones {
+	s.index.builtAt = time.Time{}
+	for _, z := range s.currentIndex(time.Now()).zones {
 		points = append(points, z.ring...)
 	}
 	slices.SortFunc(points, func(a, b ringPoint) int { return cmp.Compare(a.at, b.at) })
 	return points
 }
 
-// A roster that took changes one by one is that of a host which listed the result.
-func TestRosterTakesChanges(t *testing.T) {
+// An index that applied changes one by one equals that of a host that listed the result.
+func TestIndexAppliesChanges(t *testing.T) {
 	is := is.New(t)
 	const engines = 300
 	f := largeFleet(engines, 5)
@@ -189,58 +189,58 @@
 		switch i % 3 {
 		case 0:
 			f.Remove(id, 2, false)
-			f.Sweep(time.Now().Add(2 * forgetAfter))
+			f.Sweep(time.Now().Add(2 * recordRetention))
 		case 1:
 			f.Set(Upstream{ID: id, Service: "svc", Zone: fmt.Sprint("z", i%6), Version: "v1", Slots: 32}, 2)
 		default:
 			f.Set(Upstream{ID: fmt.Sprint("new-", i), Service: "svc", Zone: "z9", Version: "v1", Slots: 32}, 2)
 		}
 		if i%10 == 0 {
-			rosterRing(f)
+			fullRing(f)
 		}
 	}
 	listed := NewFleet(time.Second, zerolog.Nop())
 	for _, m := range f.shard("svc").members {
 		listed.Set(m.Upstream, 3)
 	}
-	changed, anew := rosterRing(f), rosterRing(listed)
-	is.Equal(len(changed), len(anew))
+	changed, relisted := fullRing(f), fullRing(listed)
+	is.Equal(len(changed), len(relisted))
 	is.Equal(len(changed), ringPoints*len(listed.shard("svc").members))
 	for i := range changed {
-		is.Equal(changed[i].at, anew[i].at)
-		is.Equal(changed[i].member.ID, anew[i].member.ID)
+		is.Equal(changed[i].at, relisted[i].at)
+		is.Equal(changed[i].member.ID, relisted[i].member.ID)
 	}
-	is.Equal(len(f.shard("svc").roster.zones), len(listed.shard("svc").roster.zones))
+	is.Equal(len(f.shard("svc").index.zones), len(listed.shard("svc").index.zones))
 }
 
-// The owner over all zones is the first that will do of one ring of all points.
+// The owner over all zones is the first usable member in one ring of all points.
 func TestOwnerOverZones(t *testing.T) {
 	is := is.New(t)
 	f := largeFleet(40, 5)
-	points := rosterRing(f)
+	points := fullRing(f)
 	for i := range 500 {
 		subject := evenhash.Sum(fmt.Sprint("subject ", i))
-		willDo := func(m *member) bool { return evenhash.Sum(m.ID, fmt.Sprint(i))%16 == 0 }
+		usable := func(m *member) bool { return evenhash.Sum(m.ID, fmt.Sprint(i))%16 == 0 }
 		start, _ := slices.BinarySearchFunc(points, subject, func(p ringPoint, at uint64) int { return cmp.Compare(p.at, at) })
 		var want *member
 		for j := range points {
-			if m := points[(start+j)%len(points)].member; willDo(m) {
+			if m := points[(start+j)%len(points)].member; usable(m) {
 				want = m
 				break
 			}
 		}
-		is.Equal(f.shard("svc").roster.zones.owner(subject, willDo), want)
+		is.Equal(f.shard("svc").index.zones.owner(subject, usable), want)
 	}
 }
 
-// BenchmarkRosterChange is the roster after one of many upstreams was replaced.
-func BenchmarkRosterChange(b *testing.B) {
+// BenchmarkIndexChange measures the update of the index after one of many upstreams was added.
+func BenchmarkIndexChange(b *testing.B) {
 	f := largeFleet(12_000, 5)
 	s, now := f.shard("svc"), time.Now()
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		f.Set(Upstream{ID: fmt.Sprint("new-", i), Service: "svc", Zone: "z1", Version: "v1", Slots: 32}, 2)
-		now = now.Add(rosterAge)
-		s.rosterOf(now)
+		now = now.Add(indexMaxAge)
+		s.currentIndex(now)
 	}
 }
--- a/internal/gateway/scale_test.go
+++ b/internal/gateway/scale_test.go
@@ -20,15 +20,15 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// A host before 10,000 engines went through all of them about 40 times a second, though it
-// had requests at one or two.
-func TestPeriodicWorkLooksAtUpstreamsInUseOnly(t *testing.T) {
+// With 10,000 engines, periodic tasks visited all of them about 40 times a second, although the
+// host had requests at one or two.
+func TestPeriodicTasksVisitUpstreamsInUseOnly(t *testing.T) {
 	is := is.New(t)
 	f := largeFleet(12_000, 5)
 	s := f.shard("svc")
 	is.Equal(len(s.active)+len(s.leased), 0)
 
-	c, ok := f.choose(sharedWants("p"))
+	c, ok := f.choose(sharedPrefixCriteria("p"))
 	is.True(ok)
 	is.Equal(len(s.active), 1)
 	is.Equal(len(f.work()), 1)
@@ -36,35 +36,34 @@
 	is.Equal(len(s.active), 0)
 
 	m := f.memberOf("svc", c.upstream.ID)
-	s.bound = ratelease.Bound{Rate: 10, Overrun: 1.5}
-	m.noteCold(time.Minute, coldEntry, f.log)
+	s.coldBound = ratelease.Bound{Rate: 10, Overrun: 1.5}
+	m.markCold(time.Minute, coldEntry, f.log)
 	is.Equal(len(s.leased), 1)
-	f.noteOpen()
+	f.logEndedRestrictions()
 	is.Equal(len(s.leased), 1)
-	is.Equal(len(f.Leased(1)), 1)
-	m.warmth.until = boottime.Now()
-	f.noteOpen()
+	is.Equal(len(f.LeaseGrants(1)), 1)
+	m.coldState.until = boottime.Now()
+	f.logEndedRestrictions()
 	is.Equal(len(s.leased), 0)
 
 	f.observeLimit(&c, limitHeader{values: []string{"5"}})
 	is.Equal(len(s.leased), 1)
-	is.Equal(len(f.knownLimits()), 1)
+	is.Equal(len(f.currentLimits()), 1)
 	f.Remove(c.upstream.ID, 2, false)
-	f.Sweep(boottime.Now().Add(2 * forgetAfter))
+	f.Sweep(boottime.Now().Add(2 * recordRetention))
 	is.Equal(len(s.leased), 0)
-	is.Equal(s.starts, starts{all: 11_999})
+	is.Equal(s.starts, startCounts{total: 11_999})
 }
 
-// upstreamBudget bounds what a host keeps of an upstream that it doesn't use, in bytes: a
-// quarter of the 32 MB that control may take, for 12,000 of them; the collector lets the heap
-// double, and the rest is for what doesn't grow with them.
+// upstreamBudget bounds the memory that a host keeps for an upstream that it doesn't use, in
+// bytes: a quarter of the 32 MB of the control plane, for 12,000 upstreams. The garbage collector
+// lets the heap double, and the rest is for what doesn't grow with the upstreams.
 const upstreamBudget = 32 << 20 / 4 / 12_000
 
-// Before 10,000 engines hosts had 57 MB, and were more likely to be short of memory than of
-// anything else.
+// With 10,000 engines hosts used 57 MB, which made memory their scarcest resource.
 func TestMemoryOfAnUpstream(t *testing.T) {
 	if testing.CoverMode() != "" || underRace {
-		t.Skip("the heap is the instrumentation's")
+		t.Skip("the instrumentation distorts the heap size")
 	}
 	is := is.New(t)
 	const upstreams = 12_000
@@ -74,9 +73,9 @@
 	for i, row := range rows {
 		f.Set(decodeEntry(t, row), storage.Revision(i+1))
 	}
-	f.shard("svc").rosterOf(boottime.Now().Add(rosterAge))
+	f.shard("svc").currentIndex(boottime.Now().Add(indexMaxAge))
 	each := int(heapInUse()-before) / upstreams
-	t.Logf("%d B an upstream", each)
+	t.Logf("%d B per upstream", each)
 	is.True(each <= upstreamBudget)
 	is.Equal(len(f.shard("svc").members), upstreams)
 	runtime.KeepAlive(rows)
@@ -90,7 +89,7 @@
 	return stats.HeapAlloc
 }
 
-// entryRows are rows with entries as upstreams write them, each text a string of its own.
+// entryRows returns rows with entries as upstreams write them, each with strings of its own.
 func entryRows(n int) []feed.Row {
 	rows := make([]feed.Row, n)
 	for i := range rows {
@@ -109,12 +108,12 @@
 	return u
 }
 
-// A host wrote a line for each of 10,000 upstreams at its start, and again for each change of
-// one: ten million lines of 985 hosts in a second.
+// With 10,000 upstreams a host wrote a line for each at its start, and for each change of one: ten
+// million lines of 985 hosts in a second.
 func TestLogLinesDontGrowWithUpstreams(t *testing.T) {
 	is := is.New(t)
 	var log bytes.Buffer
-	w := newWorld(t, testDocument())
+	w := newTestGateway(t, testDocument())
 	w.gateway.fleet.log = zerolog.New(&log).Level(zerolog.InfoLevel)
 	f := w.gateway.fleet
 	const upstreams = 1000
@@ -122,40 +121,40 @@
 		for i := range upstreams {
 			do(i, fmt.Sprintf("i-%05d", i))
 		}
-		f.logTally()
+		f.logEntryChanges()
 	}
 	entry := func(id string, start Incarnation, leaving bool) Upstream {
 		return Upstream{ID: id, Service: "svc", Incarnation: start, Address: "127.0.0.1:9", Version: "v1", Leaving: leaving}
 	}
 	change(func(_ int, id string) { f.Set(entry(id, firstStart, false), 1) })
 	change(func(_ int, id string) { f.Set(entry(id, secondStart, false), 2) })
-	used, ok := f.choose(wants{service: "svc", admits: anyVersion})
+	used, ok := f.choose(criteria{service: "svc", admits: anyVersion})
 	is.True(ok)
 	change(func(_ int, id string) { f.Set(entry(id, secondStart, true), 3) })
 	change(func(_ int, id string) { f.Remove(id, 4, false) })
-	f.logTally() // nothing changed
+	f.logEntryChanges() // nothing changed
 
 	lines := bytes.Split(bytes.TrimSpace(log.Bytes()), []byte("\n"))
-	tallies := 0
+	changeLines := 0
 	for _, line := range lines {
 		if bytes.Contains(line, []byte("upstreams-changed")) {
-			tallies++
+			changeLines++
 		} else {
-			is.True(bytes.Contains(line, []byte(used.upstream.ID))) // the one that has a request
+			is.True(bytes.Contains(line, []byte(used.upstream.ID))) // the upstream with a request in flight
 		}
 	}
-	is.Equal(tallies, 4)
-	is.Equal(len(lines), tallies+2)
+	is.Equal(changeLines, 4)
+	is.Equal(len(lines), changeLines+2)
 }
 
-// A whole table that a host knows already, but for some rows, isn't decoded again.
-func TestKnownEntriesAreNotReadAgain(t *testing.T) {
+// In a whole table, only rows whose revision isn't known yet are decoded.
+func TestKnownEntriesAreNotDecodedAgain(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testDocument())
-	read := 0
+	w := newTestGateway(t, testDocument())
+	decoded := 0
 	decode := w.gateway.settings.Codec.Upstream
 	w.gateway.settings.Codec.Upstream = func(id string, data []byte) (Upstream, error) {
-		read++
+		decoded++
 		return decode(id, data)
 	}
 	rows := newUpstreamRows(w.gateway)
@@ -164,17 +163,17 @@
 		table[i] = feed.Row{Key: fmt.Sprint("i-", i), Revision: storage.Revision(i + 1), Data: []byte(`{"Service":"svc","Incarnation":5,"Address":"127.0.0.1:9"}`)}
 	}
 	rows.Replace(table, 100)
-	is.Equal(read, 100)
+	is.Equal(decoded, 100)
 	table[3].Revision, table[3].Data = 101, []byte(`{"Service":"svc","Incarnation":5,"Address":"127.0.0.1:9","Leaving":true}`)
 	rows.Change(feed.Row{Key: table[4].Key, Revision: 102, Deleted: true})
 	rows.Replace(table, 102)
-	is.Equal(read, 102) // the changed one, and the one that was removed meanwhile
+	is.Equal(decoded, 102) // the changed row, and the one that was removed meanwhile
 	is.True(w.gateway.fleet.memberOf("svc", "i-3").Leaving)
 	is.True(w.gateway.fleet.memberOf("svc", "i-4").removedAt.IsZero())
 }
 
-// What other hosts send to engines is noted without a record of each of them.
-func TestReadsOfOtherHostsAreBounded(t *testing.T) {
+// The prefixes that other hosts send to engines are recorded without a record for each engine.
+func TestRemotePrefixesAreBounded(t *testing.T) {
 	is := is.New(t)
 	f := largeFleet(12_000, 5)
 	reads := make(exchange.Reads)
@@ -186,9 +185,9 @@
 			reads[name] = append(reads[name], key)
 		}
 	}
-	f.noteReads(reads)
+	f.addRemotePrefixes(reads)
 	s := f.shard("svc")
-	is.Equal(s.kept.Len(), placement.MaxKept)
+	is.Equal(s.cachedPrompts.Len(), placement.MaxKept)
 	for _, m := range s.members {
 		is.True(m.usage == nil)
 	}
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -8,74 +8,72 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// Settings are a gateway's settings.
+// Settings configure a gateway.
 type Settings struct {
 	// Host and Zone are this host's name and availability zone.
 	Host string
 	Zone string
-	// Regions are the regions of availability zones by name; empty if there is one only. A
-	// zone that isn't there is in a region of its own.
+	// Regions maps availability zones to regions; empty if there is only one region. A zone that
+	// is missing is in a region of its own.
 	Regions map[string]string
-	// Callers, Ready and Metrics are addresses to listen on, IP and port;
-	// Metrics may be empty.
+	// Callers, Ready and Metrics are addresses to listen on, IP and port; Metrics may be empty.
 	Callers string
 	Ready   string
 	Metrics string
-	// ReadyPath answers 200 while the host takes new connections.
+	// ReadyPath responds with 200 while the host accepts new connections.
 	ReadyPath string
 
-	// Source reads the tables that the gateway follows; Statuses is the table
-	// that it writes the states of roll-outs to.
+	// Source reads the tables that the gateway follows; Statuses is the table to which it writes
+	// the statuses of roll-outs.
 	Source   feed.Source
 	Statuses storage.Table
 	Tables   Tables
 	Codec    Codec
 	Headers  Headers
-	// AnyModel is the model name by which callers leave the choice open.
+	// AnyModel is the model name by which callers leave the choice of the model to the gateway.
 	AnyModel string
 
-	// Peers is how the host meets the others; without an address to listen on it
-	// goes by what it knows itself.
+	// Peers configures the exchange with other hosts. Without an address to listen on the host
+	// uses only its own data.
 	Peers Peers
 
-	// StopTimeout is the time from the request to stop to the kill.
+	// StopTimeout is the time from the stop request to the kill.
 	StopTimeout time.Duration
-	// DrainTime is how long an upstream that leaves still serves.
+	// DrainTime is how long a leaving upstream still serves.
 	DrainTime time.Duration
-	// HeedTime is the time within which the operators expect their documents to be heeded.
+	// HeedTime is the time within which operators' documents have to take effect.
 	HeedTime time.Duration
-	// RetryRatio bounds a service's repeats against its requests, in each span
-	// of RetryWindow.
+	// RetryRatio bounds a service's retries relative to its requests, in each span of RetryWindow.
 	RetryRatio  float64
 	RetryWindow time.Duration
-	// RetrySpare is the number of repeats that all hosts together may make in each
-	// window besides.
+	// RetrySpare is the number of additional retries that all hosts together may make in each
+	// window.
 	RetrySpare float64
-	// CanaryShare bounds a new version's part of a roll-out's requests.
+	// CanaryShare bounds a new version's share of a roll-out's requests.
 	CanaryShare float64
-	// ColdOverrun times what a cold upstream tolerates a second, and ColdSpare requests
-	// more, may reach it in one, of all hosts together.
+	// ColdOverrun times the rate that a cold upstream tolerates, plus ColdSpare requests, is the
+	// number of requests of all hosts together that may reach it in one second.
 	ColdOverrun float64
 	ColdSpare   float64
 
-	// FirstModel is the step at which a request with a choice of models starts,
-	// 0 for the cheapest.
+	// FirstModel is the index of the model at which a request with a choice of models starts, 0
+	// for the cheapest.
 	FirstModel int
-	// AcceptConfidence is the confidence, 0 to 100, from which a cheaper
-	// model's answer is passed on.
+	// AcceptConfidence is the confidence, 0 to 100, from which a cheaper model's answer is passed
+	// on.
 	AcceptConfidence int
 }
 
-// Peers is where hosts meet.
+// Peers configures the exchange with other hosts.
 type Peers struct {
-	// Listen is this host's address for the others, IP and port.
+	// Listen is this host's address for the other hosts, IP and port.
 	Listen string
-	// Seeds are the addresses of hosts that gather what the others tell.
+	// Seeds are the addresses of the hosts that collect the other hosts' data.
 	Seeds []string
-	// FirstStart says that the whole installation starts for the first time.
+	// FirstStart is set if the whole installation starts for the first time.
 	FirstStart bool
-	// Cores is this host's part of a processor, LinkMbps the rate of its network link in
-	// Mbit/s; 0 where they aren't known.
+	// Cores is this host's number of processor cores, which may be a fraction, and LinkMbps the
+	// rate of its network link in Mbit/s; 0 where they aren't known.
 	Cores    float64
 	LinkMbps float64
 	// Keys is the table with the key that the hosts share.
@@ -83,11 +81,10 @@
 }
 
 const (
-	// retryMargin is the part of the permitted repeats that is used: hosts
-	// count at other moments than upstreams do.
+	// retryMargin is the fraction of the permitted retries that is used: hosts count over other
+	// intervals than upstreams do.
 	retryMargin = 0.9
-	// defaultRetryRatio and the other defaults hold where a deployment's
-	// settings say nothing.
+	// Defaults of settings that a deployment doesn't set.
 	defaultRetryRatio  = 0.2
 	defaultRetryWindow = 10 * time.Second
 	defaultStopTimeout = 10 * time.Second
--- a/internal/gateway/start_memory_test.go
+++ b/internal/gateway/start_memory_test.go
@@ -14,7 +14,7 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// pagedStore is a store whose table begins empty and grows by a page with each step.
+// pagedStore is a store whose table begins empty and grows by a page with each change.
 type pagedStore struct {
 	pages chan []feed.Row
 }
@@ -32,14 +32,14 @@
 	}
 }
 
-// silentStore answers with an empty table, and nothing after that.
-type silentStore struct{}
+// emptyStore lists an empty table and never answers a call for changes.
+type emptyStore struct{}
 
-func (silentStore) List(context.Context, string, string, feed.Received) (feed.Page, error) {
+func (emptyStore) List(context.Context, string, string, feed.Received) (feed.Page, error) {
 	return feed.Page{}, nil
 }
 
-func (silentStore) Changes(ctx context.Context, _ string, _ storage.Revision, _ time.Duration, _ feed.Received) (feed.Page, error) {
+func (emptyStore) Changes(ctx context.Context, _ string, _ storage.Revision, _ time.Duration, _ feed.Received) (feed.Page, error) {
 	<-ctx.Done()
 	return feed.Page{}, ctx.Err()
 }
@@ -49,23 +49,23 @@
 func (noRows) Replace([]feed.Row, storage.Revision) {}
 func (noRows) Change(feed.Row)                      {}
 
-// controlMemory is what a host may take for control, in bytes; a quarter of it is for what
-// isn't heap.
-const controlMemory = 32 << 20
+// maxControlMemory is the memory that a host may use for the control plane, in bytes; a quarter of
+// it is for memory outside the heap.
+const maxControlMemory = 32 << 20
 
-// Hosts that heard of 10,000 upstreams page by page took 42 MB: copies of rows, tables packed
-// again with each page, unpacked bytes.
-func TestMemoryOfAHostThatHearsOfAllUpstreams(t *testing.T) {
+// Hosts that received 10,000 upstreams page by page used 42 MB for copies of rows, tables that
+// were compressed again with each page, and decompressed bytes.
+func TestMemoryOfAHostThatReceivesAllUpstreams(t *testing.T) {
 	if testing.CoverMode() != "" || underRace {
-		t.Skip("the heap is the instrumentation's")
+		t.Skip("the instrumentation distorts the heap size")
 	}
 	is := is.New(t)
 	const upstreams, page = 12_000, 400
-	w := newWorld(t, testDocument())
+	w := newTestGateway(t, testDocument())
 	store := &pagedStore{pages: make(chan []feed.Row)}
 	options := feed.Options{Relays: func() bool { return true }, Gather: time.Millisecond}
 	hub := feed.NewWatcher("upstreams", store, noRows{}, options, zerolog.Nop())
-	host := feed.NewWatcher("upstreams", silentStore{}, newUpstreamRows(w.gateway), feed.Options{FirstWord: 5 * time.Second}, zerolog.Nop())
+	host := feed.NewWatcher("upstreams", emptyStore{}, newUpstreamRows(w.gateway), feed.Options{FirstWord: 5 * time.Second}, zerolog.Nop())
 	var running sync.WaitGroup
 	ctx, stop := context.WithCancel(t.Context())
 	running.Go(func() { hub.Run(ctx) })
@@ -78,16 +78,16 @@
 	for i := 0; i < upstreams; i += page {
 		store.pages <- table[i : i+page]
 		last := table[i+page-1].Revision
-		eventually(t, "the hub knows the page", func() bool { return hub.Revision() >= last })
+		eventually(t, "the hub has the page", func() bool { return hub.Revision() >= last })
 		news, ok := hub.News(host.Revision(), 1<<20)
 		is.True(ok && news.Complete)
 		host.Offer(news, time.Now())
-		eventually(t, "the host knows the page", func() bool { return host.Revision() >= last })
+		eventually(t, "the host has the page", func() bool { return host.Revision() >= last })
 	}
 	runtime.ReadMemStats(&after)
 	grown := int(after.HeapSys-after.HeapReleased) - int(before.HeapSys-before.HeapReleased)
 	t.Logf("the heap of hub and host grew by %d kB", grown>>10)
-	is.True(grown <= controlMemory*3/4)
+	is.True(grown <= maxControlMemory*3/4)
 	is.Equal(len(w.gateway.fleet.shard("svc").members), upstreams)
 	runtime.KeepAlive(table)
 	stop()
--- a/internal/gateway/startwait.go
+++ b/internal/gateway/startwait.go
@@ -9,63 +9,63 @@
 )
 
 const (
-	// startSpan is the time from a host's start in which its first tables are on their
-	// way. Later they are missing because the store is away.
-	startSpan = time.Second
-	// startWait is how long a request waits for them at most.
-	startWait = 400 * time.Millisecond
-	// startLook is the time between two looks whether they are there while requests may
-	// wait for them, lateLook the same later.
-	startLook = 5 * time.Millisecond
-	lateLook  = 250 * time.Millisecond
+	// startupPeriod is the time after a host's start in which its first tables are expected. If
+	// they are missing later, the store is unavailable.
+	startupPeriod = time.Second
+	// maxStartWait is how long a request waits for the first tables at most.
+	maxStartWait = 400 * time.Millisecond
+	// startPoll is the interval at which the tables are checked for while requests may wait for
+	// them, latePoll the interval after that.
+	startPoll = 5 * time.Millisecond
+	latePoll  = 250 * time.Millisecond
 )
 
-// awaitStart lets requests that come to a host that is just starting wait for its first
-// document and upstreams. When all hosts return at once, callers reach them as soon as they
-// listen, and a refusal would spend their repeats.
+// awaitStart delays requests to a host that is just starting until its first document and
+// upstreams have arrived. When all hosts restart at once, callers reach them as soon as they
+// listen, and a refusal would use up the callers' retries.
 type awaitStart struct {
 	gateway *Gateway
 }
 
 func (f *awaitStart) serve(ctx context.Context, r *Request, next next) error {
 	g := f.gateway
-	if boottime.Since(g.startedAt) < startSpan && !g.hasBegun() {
+	if boottime.Since(g.startedAt) < startupPeriod && !g.isInitialized() {
 		g.metrics.startWaits.Inc()
-		timer := time.NewTimer(startWait)
+		timer := time.NewTimer(maxStartWait)
 		defer timer.Stop()
 		select {
-		case <-g.known:
-		case <-timer.C: // refused by the next filter, with the reason
+		case <-g.initialized:
+		case <-timer.C: // the next filter refuses the request with the reason
 		case <-ctx.Done():
 		}
 	}
 	return next(ctx, r)
 }
 
-// hasBegun is begun without its locks, once that was true.
-func (g *Gateway) hasBegun() bool {
+// isInitialized returns hasTables without taking its locks once that was true.
+func (g *Gateway) isInitialized() bool {
 	select {
-	case <-g.known:
+	case <-g.initialized:
 		return true
 	default:
-		return g.begun()
+		return g.hasTables()
 	}
 }
 
-// begun says whether the host knows what it needs to serve.
-func (g *Gateway) begun() bool { return g.table.Load() != nil && g.fleet.Known() }
+// hasTables reports whether the host has the document and an upstream, which it needs to serve.
+func (g *Gateway) hasTables() bool { return g.table.Load() != nil && g.fleet.HasUpstreams() }
 
-// tellBegun closes known once the host can serve.
-func (g *Gateway) tellBegun(ctx context.Context) {
-	for !g.begun() {
-		pause := startLook
-		if boottime.Since(g.startedAt) > startSpan+startWait {
-			pause = lateLook // a store that is away may stay so for long
+// awaitTables closes g.initialized once the host can serve.
+func (g *Gateway) awaitTables(ctx context.Context) {
+	for !g.hasTables() {
+		pause := startPoll
+		if boottime.Since(g.startedAt) > startupPeriod+maxStartWait {
+			pause = latePoll // an outage of the store may last long
 		}
 		if wait.For(ctx, pause) != nil {
 			return
 		}
 	}
-	close(g.known)
+	close(g.initialized)
 	g.log.Info().Str("event", "begun").Int64("took_ms", boottime.Since(g.startedAt).Milliseconds()).Msg("")
 }
--- a/internal/gateway/statusrows.go
+++ b/internal/gateway/statusrows.go
@@ -8,22 +8,22 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// statusRows takes the states of roll-outs.
+// statusRows applies the table of statuses.
 type statusRows struct {
 	gateway    *Gateway
 	unreadable unreadableRows
-	era        eraWatch
+	era        eraTracker
 }
 
 func newStatusRows(g *Gateway) *statusRows {
 	return &statusRows{gateway: g, unreadable: newUnreadableRows(g, g.settings.Tables.Status)}
 }
 
-// Replace implements feed.Handler. What hosts wrote after the copy from which the store came
-// back they write again.
+// Replace implements feed.Handler. After a restore of the store from a backup, hosts write the
+// rows that the backup lacks again.
 func (h *statusRows) Replace(rows []feed.Row, revision storage.Revision) {
-	if h.era.note(revision) {
-		h.gateway.rollouts.forgetRows()
+	if h.era.observe(revision) {
+		h.gateway.rollouts.resetStored()
 		h.gateway.guard.ForgetRows()
 	}
 	keys := make(map[string]bool, len(rows))
@@ -34,7 +34,8 @@
 	h.gateway.guard.KeepRows(keys)
 }
 
-// changeVerdict takes the row of a verdict. One that can't be read keeps nothing away.
+// changeVerdict applies the row of a quarantine verdict. A row that can't be decoded quarantines
+// nothing.
 func (h *statusRows) changeVerdict(row feed.Row) {
 	var err error
 	if row.Deleted {
@@ -43,15 +44,14 @@
 		err = h.gateway.guard.TakeRow(row.Key, row.Data, row.Revision)
 	}
 	if err != nil {
-		h.unreadable.note(row, err)
+		h.unreadable.report(row, err)
 		return
 	}
 	h.unreadable.clear(row.Key)
 }
 
-// Change implements feed.Handler. A status that can't be read tells nothing but its
-// revision, at which the next one replaces it: without that no host could ever write
-// one again.
+// Change implements feed.Handler. Of a status that can't be decoded only the revision is used:
+// without it no host could ever replace the row.
 func (h *statusRows) Change(row feed.Row) {
 	g := h.gateway
 	if strings.HasPrefix(row.Key, g.settings.Tables.VerdictsPrefix) {
@@ -64,13 +64,13 @@
 	}
 	status, err := g.settings.Codec.Status(row.Data, row.Revision)
 	if err == nil && status.Service != service {
-		err = fmt.Errorf("%w: %q", errOtherKey, status.Service)
+		err = fmt.Errorf("%w: %q", errKeyMismatch, status.Service)
 	}
 	if err != nil {
-		h.unreadable.note(row, err)
-		g.rollouts.status(RolloutStatus{Service: service, Revision: row.Revision})
+		h.unreadable.report(row, err)
+		g.rollouts.setStatus(RolloutStatus{Service: service, Revision: row.Revision})
 		return
 	}
 	h.unreadable.clear(row.Key)
-	g.rollouts.status(status)
+	g.rollouts.setStatus(status)
 }
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -8,16 +8,15 @@
 )
 
 const (
-	// balancerLag is how long the balancer still sends new connections after
-	// the host said that it isn't ready: two checks a second apart, and one on
-	// its way.
+	// balancerLag is how long the load balancer still sends new connections after the host
+	// reported that it isn't ready: two checks a second apart, and one in transit.
 	balancerLag = 2500 * time.Millisecond
-	// killMargin is left of the stop's time for the process to end.
+	// killMargin is the part of the stop's time limit that is left for the process to exit.
 	killMargin = 400 * time.Millisecond
 )
 
-// stop ends the service: first no new connections, then no new requests, then
-// the answers under way.
+// stop ends the service: first it accepts no new connections, then no new requests, then it waits
+// for the answers in progress.
 func (g *Gateway) stop(callers *http.Server) {
 	deadline := time.Now().Add(g.settings.StopTimeout - killMargin)
 	g.stopping.Store(true)
@@ -28,7 +27,7 @@
 	err := callers.Shutdown(ctx)
 	if errors.Is(err, context.DeadlineExceeded) {
 		g.log.Warn().Str("event", "stop-cut").Int64("in_flight", g.inFlight.Load()).Msg("")
-		g.cutting.Store(true)
+		g.stopExpired.Store(true)
 		err = callers.Close()
 	}
 	if err != nil {
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -15,7 +15,7 @@
 	"github.com/rs/zerolog"
 )
 
-// lockedBuffer is a log that is read while it is written.
+// lockedBuffer is a log that can be read while it is written.
 type lockedBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -33,7 +33,7 @@
 	return b.buf.String()
 }
 
-// slowStream sends an event every pause.
+// slowStream sends an event after each pause.
 func slowStream(pause time.Duration, last int) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		w.Header().Set("T-Stamp", "stamp")
@@ -59,8 +59,8 @@
 	return listener.Addr().String()
 }
 
-// A planned stop lets answers end; what outlasts it is cut, and the log says by
-// whom.
+// A planned stop waits for answers in progress; those that outlast its time limit are cut, and the
+// log states that the stop was the cause.
 func TestPlannedStop(t *testing.T) {
 	tests := []struct {
 		desc   string
@@ -78,8 +78,8 @@
 			for i := range doc.Routes {
 				doc.Routes[i].Timeout = time.Minute
 			}
-			w := newWorld(t, doc)
-			w.upstream("a", slowStream(100*time.Millisecond, test.events))
+			w := newTestGateway(t, doc)
+			w.startUpstream("a", slowStream(100*time.Millisecond, test.events))
 			var log lockedBuffer
 			g := w.gateway
 			g.log = zerolog.New(&log)
@@ -94,16 +94,16 @@
 				}
 				return err == nil
 			})
-			req := w.request("POST", "/stream/x", "body", "T-Deadline", "60000")
+			req := w.newRequest("POST", "/stream/x", "body", "T-Deadline", "60000")
 			req.URL.Host = g.settings.Callers
-			answered := make(chan answer)
+			answered := make(chan callerAnswer)
 			go func() { answered <- w.do(req) }()
 			time.Sleep(150 * time.Millisecond)
 			stop()
 			got := <-answered
 			is.Equal(got.err != nil, test.cut)
 			is.NoErr(<-ended)
-			eventually(t, "the log tells", func() bool { return strings.Contains(log.String(), test.log) })
+			eventually(t, "the log states the result", func() bool { return strings.Contains(log.String(), test.log) })
 			is.True(!strings.Contains(log.String(), "caller-gone"))
 		})
 	}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -17,13 +17,13 @@
 // maxEvent bounds one event of a stream, in bytes.
 const maxEvent = 1 << 20
 
-// errEventOrder means that a stream's events don't go on where they should.
+// errEventOrder means that the ids of a stream's events aren't consecutive.
 var errEventOrder = errors.New("gateway: events out of order")
 
-// errCallerWrite means that the caller no longer takes the answer.
-var errCallerWrite = errors.New("gateway: write to the caller")
+// errCallerWrite means that the caller no longer accepts the answer.
+var errCallerWrite = errors.New("gateway: writing to the caller")
 
-// event is one event of a stream with the blank line that ends it.
+// event is one event of a stream including the blank line that ends it.
 type event struct {
 	id   string
 	text []byte
@@ -43,7 +43,7 @@
 		if errors.Is(err, bufio.ErrBufferFull) {
 			ev.text = append(ev.text, line...)
 			if len(ev.text) > maxEvent {
-				return event{}, errTooLong
+				return event{}, errAnswerTooLong
 			}
 			continue
 		}
@@ -64,19 +64,19 @@
 	}
 }
 
-// stream runs an attempt whose answer is passed on event by event.
-func (a *attempt) stream(ctx context.Context, accept func(attemptResult) bool) attemptResult {
+// runStream runs an attempt whose answer is passed on event by event.
+func (a *attempt) runStream(ctx context.Context, accept func(attemptResult) bool) attemptResult {
 	resp, err := a.send(ctx)
 	if err != nil {
-		return a.failed(ctx, err)
+		return a.failureResult(ctx, err)
 	}
 	defer resp.Body.Close()
 	if !success(resp.StatusCode) || a.notRun(resp) {
-		return a.readWhole(ctx, resp)
+		return a.readBuffered(ctx, resp)
 	}
 	a.state.Raise(runstate.Ran)
-	result := a.head(resp)
-	a.gateway.fleet.began(&a.choice, result.firstByte)
+	result := a.parseHead(resp)
+	a.gateway.fleet.headReceived(&a.choice, result.firstByte)
 	if !accept(result) {
 		result.outcome = outcomeAbandoned
 		result.err = errLowConfidence
@@ -87,7 +87,7 @@
 	case result.err == nil:
 		result.outcome = outcomeDone
 	case a.idle.expired():
-		result.outcome, result.err = outcomeSilent, errSilent
+		result.outcome, result.err = outcomeSilent, errResponseTimeout
 	case ctx.Err() != nil || errors.Is(result.err, errCallerWrite):
 		result.outcome = outcomeAbandoned
 	default:
@@ -96,67 +96,67 @@
 	return result
 }
 
-// errLowConfidence means that the answer was dropped before the caller had any
-// of it, because another model is likely to do better.
+// errLowConfidence means that the answer was dropped before any of it was sent to the caller,
+// because another model is likely to give a better one.
 var errLowConfidence = errors.New("gateway: confidence below the threshold")
 
-// relay passes events on until the stream ends.
+// relay passes events on to the caller until the stream ends.
 func (a *attempt) relay(resp *http.Response, result *attemptResult) error {
 	events := eventReader{reader: bufio.NewReader(resp.Body)}
 	out := a.request.answer
 	limit, longest := a.pauseLimit(), time.Duration(0)
-	defer func() { a.gateway.pauses.of(a.request.timesKey()).observe(longest) }()
+	defer func() { a.gateway.pauses.get(a.request.responseTimeKey()).observe(longest) }()
 	for {
-		asked := time.Now()
+		waitStart := time.Now()
 		a.idle.start(limit)
 		ev, err := events.next()
-		a.idle.stop() // a caller that takes its time is no silence of the upstream
-		longest = max(longest, time.Since(asked))
+		a.idle.stop() // the caller's read time doesn't count as the upstream's idle time
+		longest = max(longest, time.Since(waitStart))
 		if errors.Is(err, io.EOF) {
-			// A stream without events is an answer all the same.
-			return out.begin(resp.StatusCode, resp.Header)
+			// A stream without events is a valid answer.
+			return out.writeHead(resp.StatusCode, resp.Header)
 		}
 		if err != nil {
 			return err
 		}
-		if result.firstByte = a.firstByte(result.firstByte, out); out.passed(ev) {
+		if result.firstByte = a.timeToFirstEvent(result.firstByte, out); out.alreadySent(ev) {
 			continue
 		}
-		if err := out.follows(ev); err != nil {
+		if err := out.checkSequence(ev); err != nil {
 			return err
 		}
-		if err := out.begin(resp.StatusCode, resp.Header); err != nil {
+		if err := out.writeHead(resp.StatusCode, resp.Header); err != nil {
 			return err
 		}
-		if err := out.event(ev); err != nil {
+		if err := out.writeEvent(ev); err != nil {
 			return err
 		}
 	}
 }
 
-// firstByte keeps the time to the first event.
-func (a *attempt) firstByte(known time.Duration, out *answerWriter) time.Duration {
+// timeToFirstEvent returns the time to the first event; current if an event was already sent.
+func (a *attempt) timeToFirstEvent(current time.Duration, out *answerWriter) time.Duration {
 	if out.events > 0 {
-		return known
+		return current
 	}
-	return time.Since(a.began)
+	return time.Since(a.startedAt)
 }
 
-// eventNumber reads an event's id; ok is false where it isn't a number.
+// eventNumber parses an event's id; ok is false if it isn't a number.
 func eventNumber(id string) (uint64, bool) {
 	n, err := strconv.ParseUint(id, 10, 64)
 	return n, err == nil
 }
 
-// passed says that the caller has the event already.
-func (w *answerWriter) passed(ev event) bool {
+// alreadySent reports whether the caller has received the event.
+func (w *answerWriter) alreadySent(ev event) bool {
 	n, ok := eventNumber(ev.id)
 	last, known := eventNumber(w.lastEventID)
 	return ok && known && n <= last
 }
 
-// follows checks that no event is missing before this one.
-func (w *answerWriter) follows(ev event) error {
+// checkSequence returns an error if an event is missing before this one.
+func (w *answerWriter) checkSequence(ev event) error {
 	n, ok := eventNumber(ev.id)
 	last, known := eventNumber(w.lastEventID)
 	if ok && known && n != last+1 {
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -11,15 +11,15 @@
 	"github.com/matryer/is"
 )
 
-func TestBrokenStreamGoesOnElsewhere(t *testing.T) {
+func TestBrokenStreamIsResumedAtAnotherUpstream(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testDocument())
-	w.upstream("a", events(1, 3, true, "T-First", "yes"))
-	second := w.upstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, events(4, 6, false))
-	got := w.do(w.request("POST", "/stream/x", "body"))
+	w := newTestGateway(t, testDocument())
+	w.startUpstream("a", streamEvents(1, 3, true, "T-First", "yes"))
+	second := w.startUpstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, streamEvents(4, 6, false))
+	got := w.do(w.newRequest("POST", "/stream/x", "body"))
 	is.NoErr(got.err)
 	is.Equal(got.status, 200)
-	is.Equal(got.body, eventTexts(1, 6)) // each event once, none cut
+	is.Equal(got.body, eventTexts(1, 6)) // each event once, none truncated
 	is.Equal(got.header.Get("T-First"), "yes")
 	req, _ := second.last()
 	is.Equal(req.Header.Get("T-Last-Event"), "3")
@@ -27,26 +27,26 @@
 
 func TestRepeatedEventsAreSkipped(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testDocument())
-	w.upstream("a", events(1, 3, true))
-	w.upstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, events(2, 5, false))
-	got := w.do(w.request("POST", "/stream/x", "body"))
+	w := newTestGateway(t, testDocument())
+	w.startUpstream("a", streamEvents(1, 3, true))
+	w.startUpstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, streamEvents(2, 5, false))
+	got := w.do(w.newRequest("POST", "/stream/x", "body"))
 	is.NoErr(got.err)
 	is.Equal(got.body, eventTexts(1, 5))
 }
 
-// A stream that can't be ended must not look complete, whatever the later
-// attempts came to.
+// A stream that can't be completed must not look complete, whatever the results of the later
+// attempts.
 func TestUnfinishedStreamDoesNotLookComplete(t *testing.T) {
 	tests := []struct {
 		desc, route string
 		then        http.HandlerFunc
 	}{
 		{"no other upstream", "stream", nil},
-		{"the next one fails", "stream", fail(500)},
-		{"the next one refuses", "stream", refuse},
-		{"the next one leaves an event out", "stream", events(5, 6, false)},
-		{"the route permits no resumption", "fixed", events(4, 6, false)},
+		{"the next one fails", "stream", respondStatus(500)},
+		{"the next one refuses", "stream", respondNotRun},
+		{"the next one skips an event", "stream", streamEvents(5, 6, false)},
+		{"the route permits no resumption", "fixed", streamEvents(4, 6, false)},
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
@@ -55,12 +55,12 @@
 			for i := range doc.Routes {
 				doc.Routes[i].MaxAttempts = 2
 			}
-			w := newWorld(t, doc)
-			w.upstream("a", events(1, 3, true))
+			w := newTestGateway(t, doc)
+			w.startUpstream("a", streamEvents(1, 3, true))
 			if test.then != nil {
-				w.upstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, test.then)
+				w.startUpstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, test.then)
 			}
-			got := w.do(w.request("POST", "/"+test.route+"/x", "body"))
+			got := w.do(w.newRequest("POST", "/"+test.route+"/x", "body"))
 			is.True(errors.Is(got.err, io.ErrUnexpectedEOF))
 			is.True(strings.HasPrefix(got.body, eventTexts(1, 3)))
 			is.True(!strings.Contains(got.body, "ha")) // no part of an event
@@ -70,33 +70,33 @@
 
 func TestStreamThatFailsBeforeItsFirstEvent(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testDocument())
-	w.upstream("a", reset)
-	w.upstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, events(1, 2, false))
-	got := w.do(w.request("POST", "/stream/x", "body"))
+	w := newTestGateway(t, testDocument())
+	w.startUpstream("a", resetConnection)
+	w.startUpstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, streamEvents(1, 2, false))
+	got := w.do(w.newRequest("POST", "/stream/x", "body"))
 	is.Equal(got.body, eventTexts(1, 2))
-	got = newWorldWithResettingStream(t)
-	is.Equal(got.status, 502) // may have run, and the route permits no repeat
+	got = requestToResettingStream(t)
+	is.Equal(got.status, 502) // it may have run, and the route permits no retry
 }
 
-func newWorldWithResettingStream(t *testing.T) answer {
-	w := newWorld(t, testDocument())
-	w.upstream("a", reset)
-	w.upstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, events(1, 2, false))
-	return w.do(w.request("POST", "/fixed/x", "body"))
+func requestToResettingStream(t *testing.T) callerAnswer {
+	w := newTestGateway(t, testDocument())
+	w.startUpstream("a", resetConnection)
+	w.startUpstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, streamEvents(1, 2, false))
+	return w.do(w.newRequest("POST", "/fixed/x", "body"))
 }
 
-func TestCallersOwnResumption(t *testing.T) {
+func TestResumptionByTheCaller(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testDocument())
-	log := w.upstream("a", events(8, 9, false))
-	got := w.do(w.request("POST", "/stream/x", "body", "T-Last-Event", "7"))
+	w := newTestGateway(t, testDocument())
+	log := w.startUpstream("a", streamEvents(8, 9, false))
+	got := w.do(w.newRequest("POST", "/stream/x", "body", "T-Last-Event", "7"))
 	is.Equal(got.body, eventTexts(8, 9))
 	req, _ := log.last()
 	is.Equal(req.Header.Get("T-Last-Event"), "7")
 }
 
-func TestLowConfidenceAsksTheBestModel(t *testing.T) {
+func TestLowConfidenceTriesTheBestModel(t *testing.T) {
 	answerBy := func(text string) http.HandlerFunc {
 		return func(w http.ResponseWriter, req *http.Request) {
 			confidence := text
@@ -104,7 +104,7 @@
 				confidence = "99"
 			}
 			w.Header().Set("T-Confidence", confidence)
-			events(1, 2, false)(w, req)
+			streamEvents(1, 2, false)(w, req)
 		}
 	}
 	tests := []struct {
@@ -114,24 +114,24 @@
 		{"confident", "80", "small", 2, 1},
 		{"at the threshold", "50", "small", 2, 1},
 		{"not confident", "20", "large", 2, 2},
-		{"no opinion", "", "small", 2, 1},
+		{"no confidence stated", "", "small", 2, 1},
 		{"not confident, on the only upstream", "20", "large", 1, 2},
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t, testDocument())
-			logs := []*upstreamLog{w.upstream("a", answerBy(test.confidence))}
+			w := newTestGateway(t, testDocument())
+			logs := []*requestLog{w.startUpstream("a", answerBy(test.confidence))}
 			if test.upstreams > 1 {
-				logs = append(logs, w.upstream("b", answerBy(test.confidence)))
+				logs = append(logs, w.startUpstream("b", answerBy(test.confidence)))
 			}
-			got := w.do(w.request("POST", "/models/x", "body", "T-Model", "*"))
+			got := w.do(w.newRequest("POST", "/models/x", "body", "T-Model", "*"))
 			is.NoErr(got.err)
-			is.Equal(got.body, eventTexts(1, 2)) // of one answer only
+			is.Equal(got.body, eventTexts(1, 2)) // from one answer only
 			arrivals, last := 0, ""
 			for _, log := range logs {
 				arrivals += log.count()
-				for _, req := range log.seen {
+				for _, req := range log.requests {
 					if last != "large" {
 						last = req.Header.Get("T-Model")
 					}
@@ -145,20 +145,20 @@
 
 func TestLowConfidenceIsPassedOnWhenTheBudgetIsSpent(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testDocument())
-	log := w.upstream("a", events(1, 2, false, "T-Confidence", "1"))
-	for w.gateway.budgets.of("svc").take() {
+	w := newTestGateway(t, testDocument())
+	log := w.startUpstream("a", streamEvents(1, 2, false, "T-Confidence", "1"))
+	for w.gateway.budgets.get("svc").tryTake() {
 	}
-	got := w.do(w.request("POST", "/models/x", "body", "T-Model", "*"))
+	got := w.do(w.newRequest("POST", "/models/x", "body", "T-Model", "*"))
 	is.Equal(got.body, eventTexts(1, 2))
 	is.Equal(log.count(), 1)
 }
 
 func TestNamedModelIsKept(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, testDocument())
-	log := w.upstream("a", events(1, 1, false, "T-Confidence", "1"))
-	w.do(w.request("POST", "/models/x", "body", "T-Model", "middle"))
+	w := newTestGateway(t, testDocument())
+	log := w.startUpstream("a", streamEvents(1, 1, false, "T-Confidence", "1"))
+	w.do(w.newRequest("POST", "/models/x", "body", "T-Model", "middle"))
 	req, _ := log.last()
 	is.Equal(req.Header.Get("T-Model"), "middle")
 	is.Equal(log.count(), 1)
@@ -207,7 +207,7 @@
 			read += string(ev.text)
 		}
 		if !strings.HasPrefix(text, read) {
-			t.Fatal("the events aren't what was sent")
+			t.Fatal("the events differ from what was sent")
 		}
 	})
 }
--- a/internal/gateway/suspend_test.go
+++ b/internal/gateway/suspend_test.go
@@ -13,20 +13,20 @@
 	"github.com/quetzalweir/quetzalweir/resultcode"
 )
 
-// suspensions are times for which hosts are suspended.
+// suspensions are the durations for which hosts are suspended.
 var suspensions = []time.Duration{time.Second, 5 * time.Second, 20 * time.Second}
 
-// A caller's patience goes on while the host is suspended, which its timers don't tell: a
-// request whose time is over isn't sent, and what is sent gets the time that is left.
+// The caller's deadline advances while the host is suspended, which the host's timers don't show:
+// a request whose deadline has passed isn't sent, and others get the remaining time.
 func TestSuspensionCountsAgainstDeadlines(t *testing.T) {
 	for _, d := range suspensions {
 		is := is.New(t)
-		w := newWorld(t, testDocument())
-		log := w.upstream("a", succeed("fine"))
+		w := newTestGateway(t, testDocument())
+		log := w.startUpstream("a", respondOK("fine"))
 		undo := func() {}
 		sent := make(chan struct{})
 		// The suspension falls between the request's head and the end of its body.
-		req := w.request("POST", "/many/x", "")
+		req := w.newRequest("POST", "/many/x", "")
 		req.Body, req.ContentLength = &slowBody{Reader: strings.NewReader("body"), before: func() {
 			time.Sleep(50 * time.Millisecond)
 			undo = boottime.Simulate(d)
@@ -37,14 +37,14 @@
 		<-sent
 		undo()
 		if d > 4*time.Second {
-			is.Equal(a.status, http.StatusServiceUnavailable) // it didn't run, and never will
+			is.Equal(a.status, http.StatusServiceUnavailable) // it didn't run, and a retry can't meet the deadline either
 			is.Equal(strings.TrimSpace(a.body), resultcode.DeadlineUnmeetable.String())
 			is.Equal(log.count(), 0)
 			continue
 		}
 		is.Equal(a.status, http.StatusOK)
 		seen, _ := log.last()
-		is.True(number(seen.Header.Get("T-Deadline")) <= int((4*time.Second - d).Milliseconds()))
+		is.True(parseCount(seen.Header.Get("T-Deadline")) <= int((4*time.Second - d).Milliseconds()))
 	}
 }
 
@@ -64,32 +64,31 @@
 
 func (b *slowBody) Close() error { return nil }
 
-// The budget of repeats is of a span that goes on during a suspension: what was requested
-// before earns nothing after it.
+// The retry budget's window advances during a suspension: requests before it don't count after it.
 func TestSuspensionEndsTheBudgetsWindow(t *testing.T) {
 	is := is.New(t)
 	b := newRetryBudget(0.5, 10*time.Second, func() float64 { return 0 })
 	for range 10 {
-		b.request()
+		b.countRequest()
 	}
-	time.Sleep(600 * time.Millisecond) // requests count after their part of the window
-	is.True(b.take())
+	time.Sleep(600 * time.Millisecond) // requests count once their part of the window is over
+	is.True(b.tryTake())
 	t.Cleanup(boottime.Simulate(20 * time.Second))
-	is.True(!b.take())
+	is.True(!b.tryTake())
 }
 
-// A roll-out's share isn't raised by a word of the store from before a suspension.
-func TestSuspensionAgesTheStoresWord(t *testing.T) {
+// Status data from before a suspension is too old to raise a roll-out's share.
+func TestSuspensionAgesTheStatusData(t *testing.T) {
 	for _, d := range suspensions {
 		is := is.New(t)
-		w := newWorld(t, testDocument())
+		w := newTestGateway(t, testDocument())
 		statuses := w.gateway.rollouts.statuses
 		statuses.Offer(feed.News{Revision: 1, Complete: true, Clock: time.Minute}, boottime.Now())
 		is.True(statuses.Relying())
 		clock := statuses.StoreClock()
 		undo := boottime.Simulate(d + time.Second)
 		is.True(!statuses.Relying())
-		is.True(statuses.StoreClock()-clock >= d) // the store's clock went on
+		is.True(statuses.StoreClock()-clock >= d) // the store's clock advanced
 		undo()
 	}
 }
--- a/internal/gateway/tables.go
+++ b/internal/gateway/tables.go
@@ -5,20 +5,20 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// Tables names the places in the store that the gateway follows.
+// Tables are the names of the tables and keys in the store that the gateway follows.
 type Tables struct {
-	// Operator holds the routing document under DocumentKey and roll-out orders
-	// under OrdersPrefix and the service's name.
+	// Operator holds the routing document under DocumentKey, and roll-out orders under
+	// OrdersPrefix followed by the service's name.
 	Operator     string
 	DocumentKey  string
 	OrdersPrefix string
-	// EvacuationsPrefix is before the name of an availability zone in the operator's
-	// table: while the row is there, the zone's upstreams get nothing.
+	// EvacuationsPrefix precedes the name of an availability zone in the operators' table: while
+	// the row exists, the zone's upstreams get no requests.
 	EvacuationsPrefix string
 	// Upstreams holds the upstreams' entries under their ids.
 	Upstreams string
-	// Status holds the states of roll-outs, under the keys of their orders, and under
-	// VerdictsPrefix and their digests the requests that are kept away from upstreams.
+	// Status holds the statuses of roll-outs under the keys of their orders, and the quarantined
+	// requests under VerdictsPrefix followed by their digests.
 	Status         string
 	VerdictsPrefix string
 }
--- a/internal/gateway/tally.go
+++ b/internal/gateway/tally.go
@@ -7,28 +7,29 @@
 	"github.com/rs/zerolog"
 )
 
-// tallyInterval is the time between two lines on changes of upstreams' entries.
-const tallyInterval = time.Second
+// entryChangesInterval is the interval of the log lines on changes of upstreams' entries.
+const entryChangesInterval = time.Second
 
-// tally counts changes of upstreams' entries. Each is logged by itself for upstreams that this
-// host has used; a line for each of the others would be as many as there are hosts times
-// upstreams when a fleet starts. Attempts name the revision of the entry that they went by.
-type tally struct {
+// entryChanges counts changes of upstreams' entries. A change is logged individually only for
+// upstreams that this host has used: when a fleet starts, a line for every other one would make as
+// many lines as there are hosts times upstreams. Attempts log the revision of the entry that they
+// used.
+type entryChanges struct {
 	listed, restarted, leaving, removed atomic.Int64
 }
 
-// level is that of log lines on the member's entry: this host's requests may depend on it, or
-// not.
-func (m *member) level() zerolog.Level {
+// logLevel returns the level of log lines on the member's entry: info if this host's requests may
+// depend on it, debug otherwise.
+func (m *member) logLevel() zerolog.Level {
 	if m.inFlight > 0 || m.usage != nil {
 		return zerolog.InfoLevel
 	}
 	return zerolog.DebugLevel
 }
 
-// logTally tells of the changes since the last call, if there were any.
-func (f *Fleet) logTally() {
-	t := &f.tally
+// logEntryChanges logs the number of changes since the last call, if there were any.
+func (f *Fleet) logEntryChanges() {
+	t := &f.entryChanges
 	listed, restarted, leaving, removed := t.listed.Swap(0), t.restarted.Swap(0), t.leaving.Swap(0), t.removed.Swap(0)
 	if listed+restarted+leaving+removed == 0 {
 		return
--- a/internal/gateway/unreadablerows.go
+++ b/internal/gateway/unreadablerows.go
@@ -8,36 +8,36 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// unreadableRows are the rows of one table that can't be read, with the revisions at
-// which that was told: a listing brings them again, and each is logged once a change.
+// unreadableRows tracks the rows of one table that can't be decoded, with the revisions at which
+// they were logged: a listing contains them again, and each change is logged once.
 type unreadableRows struct {
 	gateway *Gateway
 	table   string
-	told    map[string]storage.Revision
+	logged  map[string]storage.Revision
 }
 
 func newUnreadableRows(g *Gateway, table string) unreadableRows {
-	return unreadableRows{gateway: g, table: table, told: make(map[string]storage.Revision)}
+	return unreadableRows{gateway: g, table: table, logged: make(map[string]storage.Revision)}
 }
 
-// note takes in a row that can't be read.
-func (u *unreadableRows) note(row feed.Row, err error) {
-	if u.told[row.Key] == row.Revision {
+// report logs and counts a row that can't be decoded, once for each revision.
+func (u *unreadableRows) report(row feed.Row, err error) {
+	if u.logged[row.Key] == row.Revision {
 		return
 	}
-	u.told[row.Key] = row.Revision
+	u.logged[row.Key] = row.Revision
 	u.gateway.metrics.unreadable(u.table).Inc()
 	u.gateway.log.Error().Str("event", "row-unreadable").Str("table", u.table).Str("key", row.Key).
 		Stringer("revision", row.Revision).Int("bytes", len(row.Data)).Err(err).Msg("")
 }
 
-// keep forgets the keys that have no row any more.
-func (u *unreadableRows) keep(keys map[string]bool) {
-	maps.DeleteFunc(u.told, func(key string, _ storage.Revision) bool { return !keys[key] })
+// retain drops the keys that no longer have a row.
+func (u *unreadableRows) retain(keys map[string]bool) {
+	maps.DeleteFunc(u.logged, func(key string, _ storage.Revision) bool { return !keys[key] })
 }
 
-// clear takes in that the key has a row that can be read, or none.
-func (u *unreadableRows) clear(key string) { delete(u.told, key) }
+// clear records that the key has a readable row, or none.
+func (u *unreadableRows) clear(key string) { delete(u.logged, key) }
 
-// errOtherKey means that a row says that it is about something else than its key.
-var errOtherKey = errors.New("gateway: the row's key is another one's")
+// errKeyMismatch means that a row's content belongs to another key.
+var errKeyMismatch = errors.New("gateway: the row's content belongs to another key")
--- a/internal/gateway/upstreamrows.go
+++ b/internal/gateway/upstreamrows.go
@@ -7,46 +7,46 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// upstreamRows takes the upstreams' table.
+// upstreamRows applies the table of the upstreams' entries.
 type upstreamRows struct {
 	gateway    *Gateway
 	unreadable unreadableRows
-	era        eraWatch
+	era        eraTracker
 }
 
 func newUpstreamRows(g *Gateway) *upstreamRows {
 	return &upstreamRows{gateway: g, unreadable: newUnreadableRows(g, g.settings.Tables.Upstreams)}
 }
 
-// Replace implements feed.Handler. Upstreams that the copy lacks from which the store came
-// back write their entries again.
+// Replace implements feed.Handler. After a restore of the store from a backup, upstreams that the
+// backup lacks write their entries again.
 func (h *upstreamRows) Replace(rows []feed.Row, revision storage.Revision) {
-	lapsed := h.era.note(revision) || h.era.rewriting() || h.gateway.storeReturned()
+	lapsed := h.era.observe(revision) || h.era.inRestoreGrace() || h.gateway.storeRecentlyReturned()
 	keys := make(map[string]bool, len(rows))
 	entries := make([]entry, 0, len(rows))
-	var starts starts
+	var starts startCounts
 	for _, row := range rows {
 		keys[row.Key] = true
 		u, known := h.gateway.fleet.entry(row.Key, row.Revision)
 		if !known {
 			var ok bool
-			if u, ok = h.read(row); !ok {
+			if u, ok = h.decode(row); !ok {
 				continue
 			}
 		}
 		starts.count(&u, 1)
-		if !known || u.Incarnation == 0 { // the others may refuse one without a start
+		if !known || u.Incarnation == 0 { // may be rejected if most others have a start time
 			entries = append(entries, entry{upstream: u, row: row})
 		}
 	}
 	for _, e := range entries {
-		h.set(e, starts.usual())
+		h.set(e, starts.mostHaveStart())
 	}
-	h.unreadable.keep(keys)
-	h.gateway.fleet.Keep(keys, revision, lapsed)
+	h.unreadable.retain(keys)
+	h.gateway.fleet.RemoveUnlisted(keys, revision, lapsed)
 }
 
-// entry is an upstream's row and what it says.
+// entry is an upstream's row and its decoded content.
 type entry struct {
 	upstream Upstream
 	row      feed.Row
@@ -56,41 +56,39 @@
 func (h *upstreamRows) Change(row feed.Row) {
 	if row.Deleted {
 		h.unreadable.clear(row.Key)
-		h.gateway.fleet.Remove(row.Key, row.Revision, h.gateway.storeReturned())
+		h.gateway.fleet.Remove(row.Key, row.Revision, h.gateway.storeRecentlyReturned())
 		return
 	}
-	if u, ok := h.read(row); ok {
-		h.set(entry{upstream: u, row: row}, u.Incarnation == 0 && h.gateway.fleet.starts().usual())
+	if u, ok := h.decode(row); ok {
+		h.set(entry{upstream: u, row: row}, u.Incarnation == 0 && h.gateway.fleet.starts().mostHaveStart())
 	}
 }
 
-// read decodes an entry. One that can't be read names no upstream to use, whatever its
-// key named before.
-func (h *upstreamRows) read(row feed.Row) (Upstream, bool) {
+// decode decodes an entry. If it can't be decoded, the key's upstream is withdrawn.
+func (h *upstreamRows) decode(row feed.Row) (Upstream, bool) {
 	u, err := h.gateway.settings.Codec.Upstream(row.Key, row.Data)
 	if err != nil {
-		h.refuse(row, err)
+		h.reject(row, err)
 		return Upstream{}, false
 	}
 	return u, true
 }
 
-// errNoStart means that an entry doesn't tell the upstream's start, where the other
-// upstreams' do.
-var errNoStart = errors.New("gateway: the entry doesn't tell the upstream's start")
+// errNoStart means that an entry has no start time where most other upstreams' have one.
+var errNoStart = errors.New("gateway: the entry has no start time of the upstream")
 
-// set puts an entry into use. Where upstreams usually tell their start, an entry without
-// one is another writer's.
-func (h *upstreamRows) set(e entry, startUsual bool) {
-	if startUsual && e.upstream.Incarnation == 0 {
-		h.refuse(e.row, errNoStart)
+// set applies an entry. Where most upstreams have a start time, an entry without one was written
+// by something else and is rejected.
+func (h *upstreamRows) set(e entry, mostHaveStart bool) {
+	if mostHaveStart && e.upstream.Incarnation == 0 {
+		h.reject(e.row, errNoStart)
 		return
 	}
 	h.unreadable.clear(e.row.Key)
 	h.gateway.fleet.Set(e.upstream, e.row.Revision)
 }
 
-func (h *upstreamRows) refuse(row feed.Row, err error) {
-	h.unreadable.note(row, err)
+func (h *upstreamRows) reject(row feed.Row, err error) {
+	h.unreadable.report(row, err)
 	h.gateway.fleet.Withdraw(row.Key, row.Revision)
 }
--- a/internal/gateway/work.go
+++ b/internal/gateway/work.go
@@ -11,150 +11,153 @@
 	"github.com/quetzalweir/quetzalweir/placement"
 )
 
-// Work is what requests in flight ask of an upstream: for an engine the milliseconds that
-// it takes to read their prompts, for a plain service the number of requests. Requests of
-// one service differ by a hundred times: reading a prompt of thousands of tokens keeps an
-// engine busy for as long as dozens of short ones.
+// Work is the load of an upstream by requests in flight: for an engine the milliseconds of prefill
+// of their prompts, for a plain service the number of requests. Requests of one service differ by
+// a factor of a hundred: the prefill of thousands of tokens keeps an engine busy for as long as
+// dozens of short prompts.
 
 const (
-	// heldGain is the weight of a new request in the mean time that requests take.
-	heldGain = 0.05
-	// urgencyGain is the weight of a new prompt in the parts of the work by urgency.
-	urgencyGain = 0.02
+	// requestTimeGain is the weight of a new request in the mean request time.
+	requestTimeGain = 0.05
+	// prefillGain is the weight of a new prompt in the distribution of work by priority.
+	prefillGain = 0.02
 )
 
-// reading is a prompt that an engine was sent and hasn't answered yet.
-type reading struct {
+// prefill is a prompt that was sent to an engine and isn't answered yet.
+type prefill struct {
 	work     time.Duration
 	priority int
-	// beginsAt is when the engine is expected to begin with it: when it was sent, and
-	// what was ahead of it is read.
+	// beginsAt is when the engine is expected to begin with it: the time at which it was sent plus
+	// the work queued ahead of it.
 	beginsAt time.Time
 }
 
-// begin counts a request as in flight at the upstream.
-func (m *member) begin(c *choice) {
+// startRequest counts a request as in flight at the upstream.
+func (m *member) startRequest(c *choice) {
 	m.inFlight++
 	m.shard.active[m] = struct{}{}
-	if c.wants.prompt == nil {
+	if c.criteria.prompt == nil {
 		return
 	}
-	c.reading = &reading{work: c.placed.Reading, priority: c.wants.priority, beginsAt: c.at.Add(c.ahead)}
-	m.used().readings = append(m.used().readings, c.reading)
-	m.shard.prompts = true
-	m.shard.noteUrgency(c.reading)
-	m.keep(c)
+	c.prefill = &prefill{work: c.placed.Reading, priority: c.criteria.priority, beginsAt: c.chosenAt.Add(c.ahead)}
+	m.ensureUsage().prefills = append(m.ensureUsage().prefills, c.prefill)
+	m.shard.servesPrompts = true
+	m.shard.observePrefill(c.prefill)
+	m.recordCached(c)
 }
 
-// end ends what begin counted.
-func (m *member) end(c *choice) {
+// endRequest reverts what startRequest counted.
+func (m *member) endRequest(c *choice) {
 	if m.inFlight--; m.inFlight == 0 {
 		delete(m.shard.active, m)
 	}
-	if c.reading != nil {
+	if c.prefill != nil {
 		// The answer never began.
-		m.read(c)
-		m.shard.kept.Remove(m, c.wants.keys[c.kept:]...)
+		m.removePrefill(c)
+		m.shard.cachedPrompts.Remove(m, c.criteria.keys[c.cachedParts:]...)
 	}
 }
 
-// read notes that the engine no longer has the choice's prompt to read.
-func (m *member) read(c *choice) {
-	u := m.used()
-	u.readings = slices.DeleteFunc(u.readings, func(r *reading) bool { return r == c.reading })
-	c.reading = nil
+// removePrefill removes the choice's prompt from the engine's outstanding prompts.
+func (m *member) removePrefill(c *choice) {
+	u := m.ensureUsage()
+	u.prefills = slices.DeleteFunc(u.prefills, func(r *prefill) bool { return r == c.prefill })
+	c.prefill = nil
 }
 
-// began notes that the upstream has read the request's prompt, which took a time. What
-// is left, a step of the batch for each token, delays no other prompt that counts.
-func (f *Fleet) began(c *choice, took time.Duration) {
-	if c.reading == nil {
+// headReceived records that the upstream has begun its answer, so that the prefill, which took the
+// given time, is over. The rest, a step of the batch for each token, doesn't delay other prompts
+// noticeably.
+func (f *Fleet) headReceived(c *choice, took time.Duration) {
+	if c.prefill == nil {
 		return
 	}
 	s := f.shard(c.upstream.Service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if m := s.chosen(c); m != nil {
-		m.read(c)
-		m.used().beganAt = boottime.Now()
+	if m := s.chosenMember(c); m != nil {
+		m.removePrefill(c)
+		m.ensureUsage().lastPrefillEnd = boottime.Now()
 	}
-	c.reading = nil
-	s.waits.observe(took, c.placed.Alone)
-	if c.ahead < c.placed.Reading/littleAhead {
-		s.rates.Observe(c.wants.model, c.placed.Missing, took, boottime.Now())
+	c.prefill = nil
+	s.queueStats.observe(took, c.placed.Alone)
+	if c.ahead < c.placed.Reading/paceSampleDivisor {
+		s.rates.Observe(c.criteria.model, c.placed.Missing, took, boottime.Now())
 	}
 }
 
-// littleAhead: an answer tells how fast its model reads if the work believed to be ahead
-// of it was less than a fourth of its own.
-const littleAhead = 4
+// paceSampleDivisor: an answer is used as a sample of its model's prefill rate if the estimated
+// work ahead of it was less than a fourth of its own.
+const paceSampleDivisor = 4
 
-// unansweredPart is the part of a reading that is left at least while its answer hasn't
-// begun: an engine that is late with it is slower, or has more to do, than is known.
-const unansweredPart = 0.25
+// minRemainingFraction is the least fraction of a prefill that counts as remaining while its answer
+// hasn't begun: an engine that is late is slower or has more work than is known.
+const minRemainingFraction = 0.25
 
-// left is what the engine still has to do for a reading of this host. It is under way
-// from the time at which the engine was expected to begin with it, or from the end of the
-// one before. Hosts that each took theirs to be under way at once, when the engine reads
-// one after the other, told each other a third of what it had to do.
-func (m *member) left(i int, now time.Time) time.Duration {
-	u := m.known()
-	r := u.readings[i]
+// remaining returns the engine's remaining work for the i-th prompt of this host. The first prompt
+// is in progress from the time at which the engine was expected to begin with it, or from the end
+// of the previous one. When each host assumed its own prompt to be in progress at once, although
+// the engine processes one after the other, hosts reported a third of the engine's work to each
+// other.
+func (m *member) remaining(i int, now time.Time) time.Duration {
+	u := m.usageSnapshot()
+	r := u.prefills[i]
 	if i > 0 {
 		return r.work
 	}
 	since := r.beginsAt
-	if u.beganAt.After(since) {
-		since = u.beganAt
+	if u.lastPrefillEnd.After(since) {
+		since = u.lastPrefillEnd
 	}
-	least := time.Duration(unansweredPart * float64(r.work))
+	least := time.Duration(minRemainingFraction * float64(r.work))
 	return min(r.work, max(least, r.work-now.Sub(since)))
 }
 
-// othersLeft is what the engine still has to do for the other hosts, which told of it a
-// while ago: it went on since.
-func (m *member) othersLeft(now time.Time) time.Duration {
+// remoteRemaining returns the engine's remaining work for the other hosts: what they reported less
+// the time since then.
+func (m *member) remoteRemaining(now time.Time) time.Duration {
 	s := m.shard
-	age := now.Sub(s.othersAt)
+	age := now.Sub(s.remoteWorkAt)
 	if age > exchange.WorkAge {
 		return 0
 	}
-	return max(0, time.Duration(s.others[m.name]*float64(time.Millisecond))-age)
+	return max(0, time.Duration(s.remoteWork[m.name]*float64(time.Millisecond))-age)
 }
 
-// ahead is the time for which an engine reads other prompts before one of the priority:
-// those that are as urgent, and the rest of the one that it is reading. Of other hosts'
-// work only the sum is known; it is taken to be as urgent as this host's own.
-func (m *member) ahead(priority int, now time.Time) time.Duration {
+// workAhead returns the time for which an engine processes other prompts before one of the
+// priority: those of the same or a higher priority, and the rest of the one in progress. Of other
+// hosts' work only the sum is known; it is assumed to have the same distribution of priorities as
+// this host's own.
+func (m *member) workAhead(priority int, now time.Time) time.Duration {
 	urgent, rest := time.Duration(0), time.Duration(0)
-	for i, r := range m.known().readings {
+	for i, r := range m.usageSnapshot().prefills {
 		if r.priority <= priority {
-			urgent += m.left(i, now)
+			urgent += m.remaining(i, now)
 		} else {
-			rest += m.left(i, now)
+			rest += m.remaining(i, now)
 		}
 	}
-	others := m.othersLeft(now)
-	urgentOthers := time.Duration(m.shard.urgentPart(priority) * float64(others))
-	rest += others - urgentOthers
-	return urgent + urgentOthers + min(rest, m.shard.meanReading/2)
+	remote := m.remoteRemaining(now)
+	urgentRemote := time.Duration(m.shard.urgentShare(priority) * float64(remote))
+	rest += remote - urgentRemote
+	return urgent + urgentRemote + min(rest, m.shard.meanPrefill/2)
 }
 
-// noteUrgency takes in a new prompt's work.
-func (s *shard) noteUrgency(r *reading) {
-	for p := range s.urgency {
-		s.urgency[p] *= 1 - urgencyGain
+// observePrefill adds a new prompt's work to the distribution by priority and to the mean.
+func (s *shard) observePrefill(r *prefill) {
+	for p := range s.workByPriority {
+		s.workByPriority[p] *= 1 - prefillGain
 	}
-	s.urgency[r.priority] += urgencyGain * float64(r.work)
-	if r.work > s.meanReading/2 {
-		s.meanReading += time.Duration(urgencyGain * float64(r.work-s.meanReading))
+	s.workByPriority[r.priority] += prefillGain * float64(r.work)
+	if r.work > s.meanPrefill/2 {
+		s.meanPrefill += time.Duration(prefillGain * float64(r.work-s.meanPrefill))
 	}
 }
 
-// urgentPart is the part of the service's work that is of the priority or more urgent.
-func (s *shard) urgentPart(priority int) float64 {
+// urgentShare returns the fraction of the service's work that has the priority or a higher one.
+func (s *shard) urgentShare(priority int) float64 {
 	sum, urgent := 0.0, 0.0
-	for p, work := range s.urgency {
+	for p, work := range s.workByPriority {
 		sum += work
 		if p <= priority {
 			urgent += work
@@ -166,13 +169,13 @@
 	return urgent / sum
 }
 
-// work is what this host has in flight, by upstream.
+// work returns this host's work in flight by upstream.
 func (f *Fleet) work() exchange.Work {
 	now := boottime.Now()
 	work := make(exchange.Work)
 	f.each(func(s *shard) {
 		for m := range s.active {
-			if w := math.Round(m.work(now)); w >= leastTold {
+			if w := math.Round(m.work(now)); w >= minReportedWork {
 				work[m.name] = w
 			}
 		}
@@ -180,78 +183,79 @@
 	return work
 }
 
-// work is what this host's requests in flight ask of the upstream.
+// work returns the load of the upstream by this host's requests in flight.
 func (m *member) work(now time.Time) float64 {
-	if !m.shard.prompts {
+	if !m.shard.servesPrompts {
 		return float64(m.inFlight)
 	}
 	left := time.Duration(0)
-	for i := range m.known().readings {
-		left += m.left(i, now)
+	for i := range m.usageSnapshot().prefills {
+		left += m.remaining(i, now)
 	}
 	return float64(left) / float64(time.Millisecond)
 }
 
-// keep notes that the upstream reads the prompt. Other hosts are told of the shared parts
-// that it reads for the first time.
-func (m *member) keep(c *choice) {
-	w := &c.wants
-	m.shard.kept.Add(m, w.keys...)
-	if shared := w.prompt.Shared; c.kept < shared {
-		m.shard.reads[m.name] = append(m.shard.reads[m.name], w.keys[shared-1])
+// recordCached records that the upstream will have the prompt cached. Shared parts that weren't
+// cached there before are reported to the other hosts.
+func (m *member) recordCached(c *choice) {
+	w := &c.criteria
+	m.shard.cachedPrompts.Add(m, w.keys...)
+	if shared := w.prompt.Shared; c.cachedParts < shared {
+		m.shard.sentPrefixes[m.name] = append(m.shard.sentPrefixes[m.name], w.keys[shared-1])
 	}
 }
 
-// kept is the number of a prompt's leading parts that the engine keeps.
-func (m *member) kept(keys []placement.Key) int {
-	return m.shard.kept.Count(m, keys)
+// cachedParts returns the number of a prompt's leading parts that the engine has cached.
+func (m *member) cachedParts(keys []placement.Key) int {
+	return m.shard.cachedPrompts.Count(m, keys)
 }
 
-// takeReads returns what the upstreams were sent for the first time since the last call.
-func (f *Fleet) takeReads() exchange.Reads {
-	reads := make(exchange.Reads)
+// takeSentPrefixes returns the shared prefixes that upstreams were sent for the first time since
+// the last call.
+func (f *Fleet) takeSentPrefixes() exchange.Reads {
+	prefixes := make(exchange.Reads)
 	f.each(func(s *shard) {
-		maps.Copy(reads, s.reads)
-		clear(s.reads)
+		maps.Copy(prefixes, s.sentPrefixes)
+		clear(s.sentPrefixes)
 	})
-	return reads
+	return prefixes
 }
 
-// noteReads takes what other hosts sent to the upstreams.
-func (f *Fleet) noteReads(reads exchange.Reads) {
+// addRemotePrefixes records the prefixes that other hosts sent to the upstreams.
+func (f *Fleet) addRemotePrefixes(prefixes exchange.Reads) {
 	f.each(func(s *shard) {
-		for name, keys := range reads {
+		for name, keys := range prefixes {
 			if m := s.names[name]; m != nil {
-				s.kept.Add(m, keys...)
+				s.cachedPrompts.Add(m, keys...)
 			}
 		}
 	})
 }
 
-// leastTold is the least work that other hosts are told.
-const leastTold = 1
+// minReportedWork is the least work that is reported to other hosts.
+const minReportedWork = 1
 
-// setOthers takes what the other hosts have in flight, as of a time. The work isn't changed
-// any more.
-func (f *Fleet) setOthers(work exchange.Work, at time.Time) {
-	f.each(func(s *shard) { s.others, s.othersAt = work, at })
+// setRemoteWork sets the other hosts' work in flight as of a time. The map must not be modified
+// afterwards.
+func (f *Fleet) setRemoteWork(work exchange.Work, at time.Time) {
+	f.each(func(s *shard) { s.remoteWork, s.remoteWorkAt = work, at })
 }
 
-// noteHeld takes in how long a request was at its upstream.
-func (s *shard) noteHeld(took time.Duration) {
-	if s.meanHeld == 0 {
-		s.meanHeld = took
+// observeRequestTime adds the time that a request spent at its upstream to the mean.
+func (s *shard) observeRequestTime(took time.Duration) {
+	if s.meanRequestTime == 0 {
+		s.meanRequestTime = took
 	}
-	s.meanHeld += time.Duration(heldGain * float64(took-s.meanHeld))
+	s.meanRequestTime += time.Duration(requestTimeGain * float64(took-s.meanRequestTime))
 }
 
-// knownWork is the work of all hosts at the upstream; ok is false where that isn't
-// known. Where requests are over sooner than hosts hear of them, the load that upstreams
-// report with their answers tells more.
-func (m *member) knownWork(now time.Time) (float64, bool) {
+// totalWork returns the work of all hosts at the upstream; ok is false if it isn't known. Where
+// requests finish faster than hosts exchange their work, the load that upstreams report with their
+// answers is more accurate.
+func (m *member) totalWork(now time.Time) (float64, bool) {
 	s := m.shard
-	if s.meanHeld < exchange.Interval || now.Sub(s.othersAt) > exchange.WorkAge {
+	if s.meanRequestTime < exchange.Interval || now.Sub(s.remoteWorkAt) > exchange.WorkAge {
 		return 0, false
 	}
-	return m.work(now) + s.others[m.name], true
+	return m.work(now) + s.remoteWork[m.name], true
 }
