--- a/internal/gateway/cold.go
+++ b/internal/gateway/cold.go
@@ -76,7 +76,7 @@
 		d := &services[i]
 		s := f.shard(d.Name)
 		s.mu.Lock()
-		s.coldBound = ratelease.Bound{Rate: d.ColdRate, Overrun: f.policy.coldOverrun, Spare: f.policy.coldSpare}
+		s.coldBound = ratelease.Bound{Rate: d.ColdRate, Overrun: f.policy.coldOverrun, Spare: f.policy.coldHeadroom}
 		s.coldStart = d.ColdStart
 		for _, m := range s.members {
 			m.markCold(m.ColdFor-boottime.Since(m.updatedAt), coldEntry, f.log)
--- a/internal/gateway/cold_test.go
+++ b/internal/gateway/cold_test.go
@@ -20,7 +20,7 @@
 func newColdTest(t *testing.T) *testGateway {
 	w := newTestGateway(t, testDocument())
 	policy := w.gateway.fleet.policy
-	policy.singleHost, policy.coldOverrun, policy.coldSpare = false, 1.5, 5
+	policy.singleHost, policy.coldOverrun, policy.coldHeadroom = false, 1.5, 5
 	w.gateway.fleet.SetServices([]routing.Service{{Name: "svc", ColdStart: 3 * time.Second, ColdRate: 10}})
 	return w
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -88,7 +88,7 @@
 	g.fleet.topology = zoneTopology{zone: s.Zone, regions: s.Regions}
 	g.fleet.policy.singleHost = s.Peers.Listen == ""
 	g.fleet.policy.seed, g.fleet.policy.hosts = s.Host, func() int { return int(g.hostCount.Load()) }
-	g.fleet.policy.coldOverrun, g.fleet.policy.coldSpare = s.ColdOverrun, s.ColdSpare
+	g.fleet.policy.coldOverrun, g.fleet.policy.coldHeadroom = s.ColdOverrun, s.ColdSpare
 	g.rollouts = newRollouts(s, g.fleet, log)
 	g.budgets.make = func() *retryBudget { return newRetryBudget(retryMargin*s.RetryRatio, s.RetryWindow, g.spareRetries) }
 	g.responseTimes.make = func() *responseTime { return new(responseTime) }
--- a/internal/gateway/sendpolicy.go
+++ b/internal/gateway/sendpolicy.go
@@ -17,8 +17,8 @@
 	// draws differ from the other hosts'.
 	hosts func() int
 	seed  string
-	// coldOverrun and coldSpare are the operators' bounds for cold upstreams.
-	coldOverrun, coldSpare float64
+	// coldOverrun and coldHeadroom are the operators' bounds for cold upstreams.
+	coldOverrun, coldHeadroom float64
 	// holding are the leases of this host: the parts of upstreams' requests that it may send.
 	holding atomic.Pointer[ratelease.Holding]
 	// hubContact is the state of this host's contact with its hub.
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -89,7 +89,7 @@
 	defaultRetryWindow = 10 * time.Second
 	defaultStopTimeout = 10 * time.Second
 	defaultDrainTime   = 2 * time.Second
-	defaultHeedTime    = 2 * time.Second
+	defaultApplyTime   = 2 * time.Second
 	defaultCanaryShare = 0.1
 )
 
@@ -98,7 +98,7 @@
 	s.RetryWindow = cmp.Or(s.RetryWindow, defaultRetryWindow)
 	s.StopTimeout = cmp.Or(s.StopTimeout, defaultStopTimeout)
 	s.DrainTime = cmp.Or(s.DrainTime, defaultDrainTime)
-	s.HeedTime = cmp.Or(s.HeedTime, defaultHeedTime)
+	s.HeedTime = cmp.Or(s.HeedTime, defaultApplyTime)
 	s.CanaryShare = cmp.Or(s.CanaryShare, defaultCanaryShare)
 	return s
 }
