--- a/ratelease/bound.go
+++ b/ratelease/bound.go
@@ -1,44 +1,46 @@
 package ratelease
 
-// Bound is what operators permit a cold upstream to be sent.
+// Bound is the load that operators permit for a cold upstream.
 type Bound struct {
-	// Rate is what one tolerates, in requests a second; 0 where the service has no
-	// cold upstreams.
+	// Rate is the rate that one cold upstream tolerates, in requests a second; 0 if the service
+	// has no cold upstreams.
 	Rate float64
-	// Overrun times the rate, and Spare requests more, may reach one in any second.
+	// At most Overrun*Rate + Spare requests may reach a cold upstream in any second.
 	Overrun float64
 	Spare   float64
 }
 
-// usedPart is the part of the permitted requests that is handed out. The rest is for a
-// root that not all hosts name, and for requests sent before hosts knew of the bound.
-const usedPart = 0.75
+// allocatedFraction is the fraction of the permitted requests that is leased. The rest covers a
+// root hub that not all hosts have in their settings, and requests sent before hosts had
+// received the bound.
+const allocatedFraction = 0.75
 
-// Permitted is how many requests may reach a cold upstream in any second.
+// Permitted returns how many requests may reach a cold upstream in any second.
 func (b Bound) Permitted() float64 { return max(1, b.Overrun)*b.Rate + b.Spare }
 
 const (
-	// maxColdParts bounds the parts that a root's requests for a cold upstream are split in:
-	// a host among dozens has a few requests a second, of which an upstream suits some.
+	// maxColdParts bounds the number of parts that a root's requests for a cold upstream are
+	// split into. A host among dozens receives only a few requests a second, and any one
+	// upstream can serve only some of those.
 	maxColdParts = 4
-	// leastPart is the least number of requests that is worth a part.
-	leastPart = 2
+	// minPartRequests is the minimum number of requests in a part, unless the root has fewer.
+	minPartRequests = 2
 )
 
-// root is how many requests one root hands out for an upstream.
-func (b Bound) root(roots int) int {
-	return int(usedPart * b.Permitted() / float64(max(1, roots)))
+// rootBudget returns how many requests one root leases for an upstream.
+func (b Bound) rootBudget(roots int) int {
+	return int(allocatedFraction * b.Permitted() / float64(max(1, roots)))
 }
 
-// Parts is in how many parts a root splits what it hands out.
+// Parts returns the number of parts that a root splits its requests into.
 func (b Bound) Parts(roots int) int {
-	return min(maxColdParts, max(1, b.root(roots)/leastPart))
+	return min(maxColdParts, max(1, b.rootBudget(roots)/minPartRequests))
 }
 
-// Each is how many requests the holder of a share may send in any Span.
+// Each returns how many requests the holder of the share may send in any Span.
 func (b Bound) Each(s Share) int {
 	if s.Of == 0 {
 		return 0
 	}
-	return s.Parts * (b.root(s.Roots) / s.Of)
+	return s.Parts * (b.rootBudget(s.Roots) / s.Of)
 }
--- a/ratelease/doc.go
+++ b/ratelease/doc.go
@@ -1,17 +1,18 @@
-// Package ratelease bounds what an upstream is sent by all hosts together.
+// Package ratelease limits the rate at which all hosts together send requests to one upstream.
 //
-// Two loads call for it. An upstream that just started is idle, so every host believes it
-// the best place for its next request; it tolerates few requests a second while it is cold,
-// and ends at a rate well above that (Bound). An upstream in need names the rate that it
-// takes of all hosts in its answers (Limit); each host learns of it by its own answers, and
-// dozens of hosts that each keep the limit send dozens of times as much.
+// It serves two cases. An upstream that has just started is idle, so every host ranks it as the
+// best place for its next request; while it is cold it tolerates only a few requests a second,
+// and at a rate well above that it terminates (Bound). An overloaded upstream names in its
+// responses the rate that it accepts from all hosts together (Limit); each host learns the rate
+// from its own responses only, and dozens of hosts that each keep to it send dozens of times as
+// much.
 //
-// The permitted requests are split between the roots of the hosts' tree of hubs, by their
-// number in the settings, which all hosts know. Each host hands what it holds on to one of
-// those that report to it, as a lease: a holder that is cut off, frozen or gone loses it by
-// its own clock, before another one can have it. A host that just started hands on nothing
-// until the leases of its former run are over. So the bound holds whatever hosts believe of
-// each other, and no request waits for a call.
+// The permitted requests are divided evenly between the root hubs, whose number is in the
+// settings and thus known to all hosts. Each host leases what it holds to one of the hosts that
+// report to it: a holder that is disconnected, frozen or gone loses the lease by its own clock
+// before another host can get it. A host that has just started grants nothing until the leases
+// of its previous run have expired. The bound therefore holds whatever view hosts have of each
+// other, and no request waits for a remote call.
 //
-// The package decides only: time and messages are its callers'.
+// The package only decides; callers supply the time and carry the messages.
 package ratelease
--- a/ratelease/lease.go
+++ b/ratelease/lease.go
@@ -7,43 +7,47 @@
 	"github.com/quetzalweir/quetzalweir/evenhash"
 )
 
-// Upstream stands for one incarnation of an upstream in what hosts tell each other, by 64
-// bits of its name: among 12,000 two agree in one installation of a hundred billion, and would
-// then share their parts.
+// Upstream identifies one incarnation of an upstream in messages between hosts, by a 64-bit hash
+// of its name. With 12,000 upstreams, a collision occurs in one installation of a hundred
+// billion; the two upstreams would then share their leases.
 type Upstream uint64
 
-// UpstreamOf is what stands for the name.
+// UpstreamOf returns the identifier of the upstream with the name.
 func UpstreamOf(name string) Upstream { return Upstream(evenhash.Sum(name)) }
 
-// Draw is a number of [0, 1) for a host and the upstream, evenly spread.
+// Draw returns a pseudorandom number in [0, 1) for the upstream and the host, uniformly
+// distributed.
 func (u Upstream) Draw(host string) float64 {
 	return float64(evenhash.Mix(uint64(u)^evenhash.Sum(host))>>11) / (1 << 53)
 }
 
 const (
-	// LeaseTime is how long a lease lasts that isn't renewed: some exchanges between
-	// two hosts, one of which may be lost.
+	// LeaseTime is the duration of a lease that isn't renewed. It covers several exchanges
+	// between two hosts, one of which may be lost.
 	LeaseTime = 1200 * time.Millisecond
-	// Handover is the time from the start of a host to its first lease, and more than
-	// the time from the last word to a holder to the lease of another: the former lease
-	// is over then, and what was sent under it is out of the window.
+	// Handover is the time from the start of a host to the first lease that it grants. It also
+	// exceeds the time between the last grant to a holder and the grant of the same part to
+	// another one: by then the previous lease has expired, and the requests sent under it have
+	// left the window.
 	Handover = LeaseTime + Span + 200*time.Millisecond
 )
 
-// Grant is the right to send an upstream some parts of what each root hands out.
+// Grant is the right to send an upstream some of the parts that each root splits its requests
+// into.
 type Grant struct {
 	Upstream Upstream
-	// Parts are how many of the Of parts in which a root splits it.
+	// Parts is the number of parts granted, out of Of.
 	Parts int
 	Of    int
 }
 
-// digest is a number of the grant, evenly spread.
+// digest returns a uniformly distributed hash of the grant.
 func (g Grant) digest() uint64 {
 	return evenhash.Mix(uint64(g.Upstream) ^ uint64(g.Parts)<<32 ^ uint64(g.Of))
 }
 
-// Digest tells lists of grants apart, in whatever order they are; 0 is that of none.
+// Digest returns a hash of a list of grants that doesn't depend on their order; it is 0 for an
+// empty list.
 func Digest(grants []Grant) uint64 {
 	sum := uint64(0)
 	for _, g := range grants {
@@ -52,49 +56,49 @@
 	return sum
 }
 
-// Merge adds up grants of two roots. Where they split an upstream otherwise, the first one's
-// count.
+// Merge adds up the grants of two roots. If the roots split an upstream into different numbers
+// of parts, only the first root's grant is kept.
 func Merge(first, second []Grant) []Grant {
-	all := slices.Clone(first)
-	at := make(map[Upstream]int, len(all))
-	for i, g := range all {
-		at[g.Upstream] = i
+	merged := slices.Clone(first)
+	index := make(map[Upstream]int, len(merged))
+	for i, g := range merged {
+		index[g.Upstream] = i
 	}
 	for _, g := range second {
-		i, known := at[g.Upstream]
+		i, known := index[g.Upstream]
 		switch {
 		case !known:
-			all = append(all, g)
-		case all[i].Of == g.Of:
-			all[i].Parts += g.Parts
+			merged = append(merged, g)
+		case merged[i].Of == g.Of:
+			merged[i].Parts += g.Parts
 		}
 	}
-	return all
+	return merged
 }
 
-// Lease is the right to use some grants, or to hand them on.
+// Lease is the right to use grants, or to lease them to other hosts.
 type Lease struct {
 	Grants []Grant
-	// For is how long it lasts from when it was asked for.
+	// For is the duration of the lease, counted from when it was requested.
 	For time.Duration
-	// Roots is the number of roots that hand out requests.
+	// Roots is the number of root hubs that grant leases.
 	Roots int
 }
 
-// Root is the lease that a root of the tree holds by itself, of all parts of its own.
+// Root returns the lease that a root hub holds by itself: all of its own parts.
 func Root(grants []Grant, roots int) Lease {
 	return Lease{Grants: grants, For: LeaseTime, Roots: max(1, roots)}
 }
 
-// Share is the part of the requests for an upstream that a host may send.
+// Share is the part of an upstream's requests that a host may send.
 type Share struct {
-	// Parts are how many of the Of parts of each of the Roots roots.
+	// The host holds Parts of the Of parts of each of the Roots roots.
 	Parts, Of, Roots int
-	// Since is when the host got it.
+	// Since is the time from which the host has held the share without interruption.
 	Since time.Time
 }
 
-// Part is the share of all requests for the upstream.
+// Part returns the share as a fraction of all requests for the upstream.
 func (s Share) Part() float64 {
 	if s.Of == 0 || s.Roots == 0 {
 		return 0
@@ -102,26 +106,26 @@
 	return float64(s.Parts) / float64(s.Of) / float64(s.Roots)
 }
 
-// Whole is the share of a host that is the only one.
+// Whole returns the share of the only host of an installation.
 func Whole(of int, since time.Time) Share { return Share{Parts: of, Of: of, Roots: 1, Since: since} }
 
-// Holding is a lease that a host was given, by its own clock.
+// Holding is a lease that a host was granted, with its expiry by the host's own clock.
 type Holding struct {
-	shares map[Upstream]Share
-	grants []Grant
-	until  time.Time
-	roots  int
+	shares    map[Upstream]Share
+	grants    []Grant
+	expiresAt time.Time
+	roots     int
 }
 
-// Hold begins a lease that was asked for at the time. What the holding before had without
-// a break is held since then.
-func Hold(l Lease, asked time.Time, before *Holding) Holding {
-	h := Holding{shares: make(map[Upstream]Share, len(l.Grants)), grants: l.Grants, until: asked.Add(min(l.For, LeaseTime)), roots: max(1, l.Roots)}
+// Hold starts a lease that was requested at the given time. A share that was in the previous
+// holding and hasn't expired keeps its Since.
+func Hold(l Lease, requestedAt time.Time, previous *Holding) Holding {
+	h := Holding{shares: make(map[Upstream]Share, len(l.Grants)), grants: l.Grants, expiresAt: requestedAt.Add(min(l.For, LeaseTime)), roots: max(1, l.Roots)}
 	for _, g := range l.Grants {
-		share := Share{Parts: g.Parts, Of: g.Of, Roots: h.roots, Since: asked}
-		if before != nil {
-			if held, ok := before.Share(g.Upstream, asked); ok {
-				share.Since = held.Since
+		share := Share{Parts: g.Parts, Of: g.Of, Roots: h.roots, Since: requestedAt}
+		if previous != nil {
+			if previousShare, ok := previous.Share(g.Upstream, requestedAt); ok {
+				share.Since = previousShare.Since
 			}
 		}
 		h.shares[g.Upstream] = share
@@ -129,20 +133,20 @@
 	return h
 }
 
-// Share is what the host may send of an upstream's requests now.
+// Share returns the share of the upstream's requests that the host may send now.
 func (h *Holding) Share(u Upstream, now time.Time) (share Share, ok bool) {
-	if !now.Before(h.until) {
+	if !now.Before(h.expiresAt) {
 		return Share{}, false
 	}
 	share, ok = h.shares[u]
 	return share, ok
 }
 
-// Lease is what is left of the holding.
+// Lease returns the holding as a lease for its remaining time.
 func (h *Holding) Lease(now time.Time) Lease {
-	left := h.until.Sub(now)
-	if left <= 0 {
+	remaining := h.expiresAt.Sub(now)
+	if remaining <= 0 {
 		return Lease{Roots: h.roots}
 	}
-	return Lease{For: left, Roots: h.roots, Grants: h.grants}
+	return Lease{For: remaining, Roots: h.roots, Grants: h.grants}
 }
--- a/ratelease/lease_test.go
+++ b/ratelease/lease_test.go
@@ -23,8 +23,8 @@
 		{ratelease.Bound{Rate: 18, Overrun: 1.5, Spare: 5}, 3, 4, 2},
 		{ratelease.Bound{Rate: 18, Overrun: 1.5, Spare: 5}, 0, 4, 6}, // a host without seeds
 		{ratelease.Bound{Rate: 4, Overrun: 1.5, Spare: 5}, 3, 1, 2},
-		{ratelease.Bound{Rate: 1, Overrun: 1}, 3, 1, 0}, // too little to be split
-		{ratelease.Bound{Rate: 4}, 1, 1, 3},             // nothing may go beyond the rate
+		{ratelease.Bound{Rate: 1, Overrun: 1}, 3, 1, 0}, // too few to be split
+		{ratelease.Bound{Rate: 4}, 1, 1, 3},             // the rate may not be exceeded
 	}
 	for _, test := range tests {
 		is := is.New(t)
@@ -37,38 +37,38 @@
 	}
 }
 
-// Whenever sends come, no span holds more than the most.
+// No position of the window holds more sends than permitted.
 func TestWindow(t *testing.T) {
-	const most = 5
+	const maxSends = 5
 	is := is.New(t)
 	var w ratelease.Window
 	var sent []time.Time
 	for now := start; now.Before(start.Add(10 * time.Second)); now = now.Add(7 * time.Millisecond) {
-		if w.Room(now, most) {
+		if w.Room(now, maxSends) {
 			w.Note(now)
 			sent = append(sent, now)
 		}
 	}
-	is.True(len(sent) >= most*9)
-	for i := range len(sent) - most {
-		is.True(sent[i+most].Sub(sent[i]) >= ratelease.Span)
+	is.True(len(sent) >= maxSends*9)
+	for i := range len(sent) - maxSends {
+		is.True(sent[i+maxSends].Sub(sent[i]) >= ratelease.Span)
 	}
 }
 
 func TestHoldingEndsByTheHoldersClock(t *testing.T) {
 	is := is.New(t)
-	h := ratelease.Hold(ratelease.Lease{Grants: whole(1), For: time.Hour, Roots: 3}, start, nil)
-	is.Equal(parts(&h, 1, start.Add(ratelease.LeaseTime-1)), 1)
-	is.Equal(parts(&h, 1, start.Add(ratelease.LeaseTime)), 0) // however long it was said to last
-	is.Equal(parts(&h, 2, start), 0)
+	h := ratelease.Hold(ratelease.Lease{Grants: wholeGrants(1), For: time.Hour, Roots: 3}, start, nil)
+	is.Equal(heldParts(&h, 1, start.Add(ratelease.LeaseTime-1)), 1)
+	is.Equal(heldParts(&h, 1, start.Add(ratelease.LeaseTime)), 0) // whatever duration the lease names
+	is.Equal(heldParts(&h, 2, start), 0)
 	is.Equal(h.Lease(start.Add(ratelease.LeaseTime-time.Millisecond)).For, time.Millisecond)
 	is.Equal(len(h.Lease(start.Add(ratelease.LeaseTime)).Grants), 0)
 	var none ratelease.Holding
-	is.Equal(parts(&none, 0, start), 0)
+	is.Equal(heldParts(&none, 0, start), 0)
 }
 
-// whole are grants of upstreams that are in one part each.
-func whole(upstreams ...ratelease.Upstream) []ratelease.Grant {
+// wholeGrants returns grants of upstreams that are split into one part each.
+func wholeGrants(upstreams ...ratelease.Upstream) []ratelease.Grant {
 	var grants []ratelease.Grant
 	for _, u := range upstreams {
 		grants = append(grants, ratelease.Grant{Upstream: u, Parts: 1, Of: 1})
@@ -76,13 +76,13 @@
 	return grants
 }
 
-func parts(h *ratelease.Holding, u ratelease.Upstream, now time.Time) int {
+func heldParts(h *ratelease.Holding, u ratelease.Upstream, now time.Time) int {
 	share, _ := h.Share(u, now)
 	return share.Parts
 }
 
-// granted is what the lessor gives a reporter.
-func granted(l *ratelease.Lessor, reporter string, now time.Time) ratelease.Lease {
+// leaseOf returns the lease that the lessor grants to a reporter.
+func leaseOf(l *ratelease.Lessor, reporter string, now time.Time) ratelease.Lease {
 	lease, digest := l.Lease(reporter, now)
 	if digest != ratelease.Digest(lease.Grants) {
 		panic("the digest isn't that of the grants")
@@ -90,8 +90,8 @@
 	return lease
 }
 
-// sum counts the parts of grants.
-func sum(grants []ratelease.Grant) int {
+// countParts returns the total number of parts.
+func countParts(grants []ratelease.Grant) int {
 	n := 0
 	for _, g := range grants {
 		n += g.Parts
@@ -99,30 +99,30 @@
 	return n
 }
 
-// lessees asks for all reporters and returns who has the upstream.
-func lessees(l *ratelease.Lessor, reporters map[string]int, u ratelease.Upstream, now time.Time) []string {
-	var has []string
-	l.Assign(ratelease.Root(whole(u), 1), reporters, now)
+// holdersOf requests a lease for each reporter and returns those that got the upstream.
+func holdersOf(l *ratelease.Lessor, reporters map[string]int, u ratelease.Upstream, now time.Time) []string {
+	var names []string
+	l.Assign(ratelease.Root(wholeGrants(u), 1), reporters, now)
 	for name := range reporters {
-		if given := granted(l, name, now); len(given.Grants) == 1 {
-			has = append(has, name)
+		if given := leaseOf(l, name, now); len(given.Grants) == 1 {
+			names = append(names, name)
 		}
 	}
-	return has
+	return names
 }
 
 func TestLessor(t *testing.T) {
 	is := is.New(t)
 	l := ratelease.NewLessor(start)
 	all := map[string]int{"a": 1, "b": 1, "c": 1}
-	// Leases of the host's former run may last.
-	is.Equal(len(lessees(l, all, 1, start.Add(ratelease.Handover-1))), 0)
+	// Leases of the host's previous run may still be valid.
+	is.Equal(len(holdersOf(l, all, 1, start.Add(ratelease.Handover-1))), 0)
 	now := start.Add(ratelease.Handover)
-	first := lessees(l, all, 1, now)
+	first := holdersOf(l, all, 1, now)
 	is.Equal(len(first), 1)
 	for range 100 {
 		now = now.Add(100 * time.Millisecond)
-		is.Equal(lessees(l, all, 1, now), first) // it stays where it is
+		is.Equal(holdersOf(l, all, 1, now), first) // the lease stays with its holder
 	}
 	left := map[string]int{"d": 1}
 	for name := range all {
@@ -130,30 +130,30 @@
 			left[name] = 1
 		}
 	}
-	// The one that doesn't report may send until its lease is over, and what it sent
-	// counts for a while longer.
-	is.Equal(len(lessees(l, left, 1, now.Add(ratelease.LeaseTime+ratelease.Span))), 0)
-	next := lessees(l, left, 1, now.Add(ratelease.LeaseTime+ratelease.Handover))
+	// A holder that no longer reports may send until its lease expires, and its requests stay in
+	// the window for some time longer.
+	is.Equal(len(holdersOf(l, left, 1, now.Add(ratelease.LeaseTime+ratelease.Span))), 0)
+	next := holdersOf(l, left, 1, now.Add(ratelease.LeaseTime+ratelease.Handover))
 	is.Equal(len(next), 1)
 	is.True(next[0] != first[0])
 }
 
-// Upstreams fall to reporters by the hosts that each speaks for.
+// Reporters get leases in proportion to the number of hosts that each represents.
 func TestLeasesAreSpreadByHosts(t *testing.T) {
 	is := is.New(t)
 	l := ratelease.NewLessor(start)
 	reporters := map[string]int{"small": 1, "large": 4}
-	has := make(map[string]int)
+	held := make(map[string]int)
 	for u := range ratelease.Upstream(5000) {
-		for _, name := range lessees(l, reporters, u, start.Add(ratelease.Handover)) {
-			has[name]++
+		for _, name := range holdersOf(l, reporters, u, start.Add(ratelease.Handover)) {
+			held[name]++
 		}
 	}
-	is.Equal(has["small"]+has["large"], 5000)
-	is.True(has["small"] > 800 && has["small"] < 1200)
+	is.Equal(held["small"]+held["large"], 5000)
+	is.True(held["small"] > 800 && held["small"] < 1200)
 }
 
-// All upstreams of a large installation may be in need at once: none is left out.
+// A lease has room for all upstreams of a large installation at once.
 func TestLeaseOfManyUpstreams(t *testing.T) {
 	is := is.New(t)
 	const upstreams = 12_000
@@ -163,12 +163,12 @@
 	}
 	l := ratelease.NewLessor(start)
 	l.Assign(ratelease.Root(grants, 3), map[string]int{"a": 1, "b": 1}, start.Add(ratelease.Handover))
-	a, b := granted(l, "a", start.Add(ratelease.Handover)), granted(l, "b", start.Add(ratelease.Handover))
-	is.Equal(sum(a.Grants)+sum(b.Grants), 2*upstreams)
+	a, b := leaseOf(l, "a", start.Add(ratelease.Handover)), leaseOf(l, "b", start.Add(ratelease.Handover))
+	is.Equal(countParts(a.Grants)+countParts(b.Grants), 2*upstreams)
 }
 
-// Each part goes to one reporter, most parts of an upstream to different ones; what a hub was
-// given it hands on part by part.
+// Each part is leased to one reporter; a hub leases the parts that it was granted to its own
+// reporters.
 func TestPartsOfAnUpstream(t *testing.T) {
 	is := is.New(t)
 	now := start.Add(ratelease.Handover)
@@ -176,49 +176,49 @@
 	own := ratelease.Root([]ratelease.Grant{{Upstream: 7, Parts: 4, Of: 4}}, 3)
 	reporters := map[string]int{"hub": 3, "host": 1}
 	root.Assign(own, reporters, now)
-	toHub, toHost := granted(root, "hub", now), granted(root, "host", now)
-	is.Equal(sum(toHub.Grants)+sum(toHost.Grants), 4)
+	toHub, toHost := leaseOf(root, "hub", now), leaseOf(root, "host", now)
+	is.Equal(countParts(toHub.Grants)+countParts(toHost.Grants), 4)
 	held := ratelease.Hold(toHub, now, nil)
-	is.Equal(parts(&held, 7, now), sum(toHub.Grants))
+	is.Equal(heldParts(&held, 7, now), countParts(toHub.Grants))
 	total := 0
 	followers := map[string]int{"hub": 1, "a": 1, "b": 1}
 	hub.Assign(held.Lease(now), followers, now)
 	for name := range followers {
-		total += sum(granted(hub, name, now).Grants)
+		total += countParts(leaseOf(hub, name, now).Grants)
 	}
-	is.Equal(total, sum(toHub.Grants))
-	// A part that the hub hasn't any more is renewed for nobody.
+	is.Equal(total, countParts(toHub.Grants))
+	// A part that the hub no longer holds isn't renewed for anyone.
 	fewer := ratelease.Lease{Grants: []ratelease.Grant{{Upstream: 7, Parts: 1, Of: 4}}, For: ratelease.LeaseTime, Roots: 3}
 	total = 0
 	hub.Assign(fewer, followers, now)
 	for name := range followers {
-		total += sum(granted(hub, name, now).Grants)
+		total += countParts(leaseOf(hub, name, now).Grants)
 	}
 	is.Equal(total, 1)
 }
 
-// Where parts get another size, those of the former one are over first: else two halves and
-// a whole would be in use at once.
+// When the size of the parts changes, leases on parts of the previous size expire first.
+// Otherwise two halves and a whole could be in use at once.
 func TestPartsOfAnotherSize(t *testing.T) {
 	is := is.New(t)
 	now := start.Add(ratelease.Handover)
 	l := ratelease.NewLessor(start)
 	reporters := map[string]int{"a": 1, "b": 1, "c": 1}
-	held := func(of int) int {
+	leasedParts := func(of int) int {
 		l.Assign(ratelease.Root([]ratelease.Grant{{Upstream: 7, Parts: of, Of: of}}, 3), reporters, now)
 		n := 0
 		for name := range reporters {
-			n += sum(granted(l, name, now).Grants)
+			n += countParts(leaseOf(l, name, now).Grants)
 		}
 		return n
 	}
-	is.Equal(held(2), 2)
+	is.Equal(leasedParts(2), 2)
 	until := now.Add(ratelease.Handover)
 	for now = now.Add(100 * time.Millisecond); now.Before(until); now = now.Add(100 * time.Millisecond) {
-		is.Equal(held(1), 0)
+		is.Equal(leasedParts(1), 0)
 	}
 	now = until
-	is.Equal(held(1), 1)
+	is.Equal(leasedParts(1), 1)
 }
 
 func TestMerge(t *testing.T) {
@@ -226,13 +226,14 @@
 	first := []ratelease.Grant{{Upstream: 1, Parts: 2, Of: 2}, {Upstream: 2, Parts: 1, Of: 1}}
 	second := []ratelease.Grant{{Upstream: 1, Parts: 1, Of: 2}, {Upstream: 2, Parts: 2, Of: 4}, {Upstream: 3, Parts: 1, Of: 1}}
 	is.Equal(ratelease.Merge(first, second), []ratelease.Grant{{Upstream: 1, Parts: 3, Of: 2}, {Upstream: 2, Parts: 1, Of: 1}, {Upstream: 3, Parts: 1, Of: 1}})
-	is.Equal(first[0].Parts, 2) // the arguments stay as they are
+	is.Equal(first[0].Parts, 2) // the arguments aren't modified
 }
 
-// Held on without a break, a share goes on; after a break it begins anew.
+// A share that is renewed without interruption keeps its Since; after an interruption it starts
+// again.
 func TestShareSince(t *testing.T) {
 	is := is.New(t)
-	lease := ratelease.Lease{Grants: whole(7), For: ratelease.LeaseTime, Roots: 3}
+	lease := ratelease.Lease{Grants: wholeGrants(7), For: ratelease.LeaseTime, Roots: 3}
 	first := ratelease.Hold(lease, start, nil)
 	second := ratelease.Hold(lease, start.Add(time.Second), &first)
 	share, _ := second.Share(7, start.Add(time.Second))
--- a/ratelease/lessor.go
+++ b/ratelease/lessor.go
@@ -8,81 +8,81 @@
 	"github.com/quetzalweir/quetzalweir/evenhash"
 )
 
-// Lessor hands a host's holding on to those that report to it, the host itself among
-// them: each part to one of them at a time. It isn't safe for concurrent use.
+// Lessor divides a host's holding between the hosts that report to it, itself included: each
+// part is leased to one of them at a time. It isn't safe for concurrent use.
 type Lessor struct {
 	startedAt time.Time
-	// assigned are the lessees of each upstream's parts.
+	// assigned holds the lessees of each upstream's parts.
 	assigned map[Upstream]*assignment
-	// given is what each reporter gets, of a holding that lasts until then.
-	given map[string]*allotment
-	until time.Time
-	roots int
+	// allotments holds what each reporter is granted, of a holding that expires at expiresAt.
+	allotments map[string]*allotment
+	expiresAt  time.Time
+	roots      int
 }
 
-// assignment is who has the parts of an upstream.
+// assignment records the lessees of an upstream's parts.
 type assignment struct {
 	of      int
 	lessees []lessee
-	// heldAt is when this host held parts of it last.
-	heldAt time.Time
+	// lastHeldAt is when this host last held parts of the upstream.
+	lastHeldAt time.Time
 }
 
-// lessee has a part; nobody does while it has no name.
+// lessee is the holder of one part; the part is unassigned if name is empty.
 type lessee struct {
 	name string
-	// until is the end of the lease by the last word to it.
-	until time.Time
+	// expiresAt is when the lease last granted to it expires.
+	expiresAt time.Time
 }
 
-// free says whether another one may have the part: the lease is over for so long that what was
-// sent under it is out of the window.
-func (l *lessee) free(now time.Time) bool {
-	return l.name == "" || !now.Before(l.until.Add(Handover-LeaseTime))
+// available reports whether the part may be leased to another host: the lease expired so long
+// ago that the requests sent under it have left the window.
+func (l *lessee) available(now time.Time) bool {
+	return l.name == "" || !now.Before(l.expiresAt.Add(Handover-LeaseTime))
 }
 
-// allotment is what one reporter gets.
+// allotment is what one reporter is granted.
 type allotment struct {
 	grants []Grant
-	// lessees are the records of its parts.
+	// lessees points to the records of its parts.
 	lessees []*lessee
 	digest  uint64
 }
 
-// NewLessor returns the lessor of a host that started at the time.
+// NewLessor returns the lessor of a host that started at the given time.
 func NewLessor(startedAt time.Time) *Lessor {
 	return &Lessor{startedAt: startedAt, assigned: make(map[Upstream]*assignment)}
 }
 
-// Assign decides who gets which parts of the holding from now on. Reporters are those that
-// report now, and for how many hosts each speaks.
+// Assign assigns the parts of the holding to reporters. The map has the hosts that report now,
+// with the number of hosts that each represents.
 func (l *Lessor) Assign(holding Lease, reporters map[string]int, now time.Time) {
-	l.given, l.until, l.roots = make(map[string]*allotment, len(reporters)), now.Add(min(holding.For, LeaseTime)), holding.Roots
-	draws := newDraws(reporters)
+	l.allotments, l.expiresAt, l.roots = make(map[string]*allotment, len(reporters)), now.Add(min(holding.For, LeaseTime)), holding.Roots
+	picker := newWeightedPicker(reporters)
 	for _, g := range holding.Grants {
-		a := l.split(g, now)
+		a := l.assignmentFor(g, now)
 		if a == nil {
 			continue
 		}
-		for number := range min(g.Parts, len(a.lessees)) {
-			has := &a.lessees[number]
-			if l.settle(has, g.Upstream, number, draws, now) {
-				l.allot(has, g)
+		for partIndex := range min(g.Parts, len(a.lessees)) {
+			part := &a.lessees[partIndex]
+			if l.resolveLessee(part, g.Upstream, partIndex, picker, now) {
+				l.allot(part, g)
 			}
 		}
 	}
-	for _, given := range l.given {
-		given.digest = Digest(given.grants)
+	for _, allotted := range l.allotments {
+		allotted.digest = Digest(allotted.grants)
 	}
-	maps.DeleteFunc(l.assigned, func(_ Upstream, a *assignment) bool { return now.Sub(a.heldAt) > Handover && a.over(now) })
+	maps.DeleteFunc(l.assigned, func(_ Upstream, a *assignment) bool { return now.Sub(a.lastHeldAt) > Handover && a.expired(now) })
 }
 
-// split is the assignment of the grant's upstream; nil while parts of another size may be
-// in use.
-func (l *Lessor) split(g Grant, now time.Time) *assignment {
+// assignmentFor returns the assignment of the grant's upstream, or nil while leases of parts of
+// another size may be in use.
+func (l *Lessor) assignmentFor(g Grant, now time.Time) *assignment {
 	a := l.assigned[g.Upstream]
 	if a != nil && a.of != g.Of {
-		if !a.over(now) {
+		if !a.expired(now) {
 			return nil
 		}
 		a = nil
@@ -91,85 +91,88 @@
 		a = &assignment{of: g.Of, lessees: make([]lessee, g.Of)}
 		l.assigned[g.Upstream] = a
 	}
-	a.heldAt = now
+	a.lastHeldAt = now
 	return a
 }
 
-// over says whether all parts are free.
-func (a *assignment) over(now time.Time) bool {
+// expired reports whether all parts are available.
+func (a *assignment) expired(now time.Time) bool {
 	for i := range a.lessees {
-		if !a.lessees[i].free(now) {
+		if !a.lessees[i].available(now) {
 			return false
 		}
 	}
 	return true
 }
 
-// settle finds out who has the part, or is to have it from now on; false while nobody may.
-func (l *Lessor) settle(has *lessee, u Upstream, number int, draws draws, now time.Time) bool {
-	if _, reports := draws.hosts[has.name]; reports {
+// resolveLessee reports whether the part has a current lessee, and assigns an available part to
+// a reporter. It returns false while the part may not be assigned.
+func (l *Lessor) resolveLessee(part *lessee, u Upstream, partIndex int, picker weightedPicker, now time.Time) bool {
+	if _, reports := picker.hostCounts[part.name]; reports {
 		return true
 	}
-	if !has.free(now) || now.Sub(l.startedAt) < Handover {
+	if !part.available(now) || now.Sub(l.startedAt) < Handover {
 		return false
 	}
-	*has = lessee{name: draws.draw(u, number)}
-	return has.name != ""
+	*part = lessee{name: picker.pick(u, partIndex)}
+	return part.name != ""
 }
 
-// allot gives the part to its lessee.
-func (l *Lessor) allot(has *lessee, g Grant) {
-	given := l.given[has.name]
-	if given == nil {
-		given = &allotment{}
-		l.given[has.name] = given
+// allot adds the part to the allotment of its lessee.
+func (l *Lessor) allot(part *lessee, g Grant) {
+	allotted := l.allotments[part.name]
+	if allotted == nil {
+		allotted = &allotment{}
+		l.allotments[part.name] = allotted
 	}
-	given.lessees = append(given.lessees, has)
-	if last := len(given.grants) - 1; last >= 0 && given.grants[last].Upstream == g.Upstream {
-		given.grants[last].Parts++
+	allotted.lessees = append(allotted.lessees, part)
+	if last := len(allotted.grants) - 1; last >= 0 && allotted.grants[last].Upstream == g.Upstream {
+		allotted.grants[last].Parts++
 		return
 	}
-	given.grants = append(given.grants, Grant{Upstream: g.Upstream, Parts: 1, Of: g.Of})
+	allotted.grants = append(allotted.grants, Grant{Upstream: g.Upstream, Parts: 1, Of: g.Of})
 }
 
-// Lease is what the reporter is told, for as long as the holding lasts, and the digest of its
-// grants.
+// Lease returns the lease that the reporter gets for the remaining time of the holding, and the
+// digest of its grants.
 func (l *Lessor) Lease(reporter string, now time.Time) (lease Lease, digest uint64) {
-	lease = Lease{For: l.until.Sub(now), Roots: l.roots}
-	given := l.given[reporter]
-	if lease.For <= 0 || given == nil {
+	lease = Lease{For: l.expiresAt.Sub(now), Roots: l.roots}
+	allotted := l.allotments[reporter]
+	if lease.For <= 0 || allotted == nil {
 		return Lease{Roots: l.roots}, 0
 	}
-	for _, has := range given.lessees {
-		has.until = l.until
+	for _, part := range allotted.lessees {
+		part.expiresAt = l.expiresAt
 	}
-	lease.Grants = given.grants
-	return lease, given.digest
+	lease.Grants = allotted.grants
+	return lease, allotted.digest
 }
 
-// draws chooses among reporters, the same ones for the same parts.
-type draws struct {
-	hosts map[string]int
-	seeds map[string]uint64
+// weightedPicker picks reporters at random in proportion to their number of hosts; it always
+// picks the same reporter for the same part.
+type weightedPicker struct {
+	hostCounts map[string]int
+	seeds      map[string]uint64
 }
 
-func newDraws(reporters map[string]int) draws {
-	d := draws{hosts: reporters, seeds: make(map[string]uint64, len(reporters))}
+func newWeightedPicker(reporters map[string]int) weightedPicker {
+	p := weightedPicker{hostCounts: reporters, seeds: make(map[string]uint64, len(reporters))}
 	for name := range reporters {
-		d.seeds[name] = evenhash.Sum(name)
+		p.seeds[name] = evenhash.Sum(name)
 	}
-	return d
+	return p
 }
 
-// draw chooses a reporter for the part, each as often as it has hosts.
-func (d draws) draw(u Upstream, number int) string {
-	best, least := "", math.Inf(1)
-	for name, seed := range d.seeds {
-		point := float64(evenhash.Mix(uint64(u)^seed^uint64(number)*0x9e3779b97f4a7c15)>>11+1) / (1 << 53)
-		// The least of exponential draws falls to each in proportion to its weight.
-		if at := -math.Log(point) / float64(max(1, d.hosts[name])); at < least || at == least && name < best {
-			best, least = name, at
+// pick picks a reporter for the part, with a probability in proportion to its number of hosts.
+func (p weightedPicker) pick(u Upstream, partIndex int) string {
+	picked, lowest := "", math.Inf(1)
+	for name, seed := range p.seeds {
+		uniform := float64(evenhash.Mix(uint64(u)^seed^uint64(partIndex)*0x9e3779b97f4a7c15)>>11+1) / (1 << 53)
+		// The minimum of exponentially distributed values falls to each reporter in proportion
+		// to its weight.
+		if score := -math.Log(uniform) / float64(max(1, p.hostCounts[name])); score < lowest || score == lowest && name < picked {
+			picked, lowest = name, score
 		}
 	}
-	return best
+	return picked
 }
--- a/ratelease/limit.go
+++ b/ratelease/limit.go
@@ -2,91 +2,91 @@
 
 import "time"
 
-// Limit is the rate that an upstream in need takes of all hosts together, in requests a
+// Limit is the rate that an overloaded upstream accepts from all hosts together, in requests a
 // second.
 type Limit float64
 
 const (
-	// limitWindow is the time in which requests count against a limit.
+	// limitWindow is the window over which requests are counted against a limit.
 	limitWindow = 4 * time.Second
-	// limitOverrun times a limit, and limitSpare requests more, may reach an upstream in
-	// any limitWindow.
+	// At most limitOverrun*limit*limitWindow + limitSpare requests may reach an upstream in any
+	// limitWindow.
 	limitOverrun = 1.5
 	limitSpare   = 5
-	// leastRate is the rate at which an upstream is tried that takes less, in requests a
-	// second: only an answer tells that its limit is over.
-	leastRate = 0.25
-	// partRate is the least rate that is worth a part, in requests a second.
-	partRate = 0.5
-	// maxLimitParts bounds the parts that a root's requests are split in.
+	// probeRate is the rate, in requests a second, at which upstreams with a lower limit are
+	// still tried: only a response shows that the limit has ended.
+	probeRate = 0.25
+	// minPartRate is the minimum rate of a part, in requests a second.
+	minPartRate = 0.5
+	// maxLimitParts bounds the number of parts that a root's requests are split into.
 	maxLimitParts = 16
-	// unlimited is a rate that no upstream reaches, in requests a second.
-	unlimited = 1000
+	// unlimitedRate is a rate that no upstream reaches, in requests a second.
+	unlimitedRate = 1000
 )
 
-// Binds says whether any upstream could be sent more.
-func (l Limit) Binds() bool { return l < unlimited }
+// Binds reports whether the limit is low enough to restrict any upstream.
+func (l Limit) Binds() bool { return l < unlimitedRate }
 
-// Permitted is how many requests may reach the upstream in any limitWindow.
+// Permitted returns how many requests may reach the upstream in any limitWindow.
 func (l Limit) Permitted() float64 {
 	return limitOverrun*limitWindow.Seconds()*float64(l) + limitSpare
 }
 
-// burst is what may reach the upstream at once of that, beside the limit itself.
+// burst returns how many requests may be sent at once beyond the limit's sustained rate.
 func (l Limit) burst() float64 {
-	return usedPart * (l.Permitted() - limitWindow.Seconds()*float64(l))
+	return allocatedFraction * (l.Permitted() - limitWindow.Seconds()*float64(l))
 }
 
-// Parts is in how many parts a root splits a limit, so that each can be used: a part needs
-// a burst of a request.
+// Parts returns the number of parts that a root splits a limit into. A part is usable only if
+// its burst is at least one request.
 func (l Limit) Parts(roots int) int {
-	perRoot := min(float64(l)/partRate, l.burst()) / float64(max(1, roots))
+	perRoot := min(float64(l)/minPartRate, l.burst()) / float64(max(1, roots))
 	return min(maxLimitParts, max(1, int(perRoot)))
 }
 
-// Allowance is what the holder of a share may send.
+// Allowance returns the rate and burst that the holder of a share may send.
 func (l Limit) Allowance(s Share) Allowance {
 	part := s.Part()
-	return Allowance{Rate: part * max(leastRate, float64(l)), Burst: part * l.burst(), Since: s.Since}
+	return Allowance{Rate: part * max(probeRate, float64(l)), Burst: part * l.burst(), Since: s.Since}
 }
 
-// Lone is what a host may send that no hub answers, of so many hosts: together they try the
-// upstream now and then, so that they learn of the limit's end. Draw is of [0, 1) and
-// spreads the hosts' tries.
+// Lone returns the allowance of a host that no hub answers, where hosts is the number of such
+// hosts: together they try the upstream now and then, so that they learn when its limit ends.
+// The draw, in [0, 1), spreads their tries over time.
 func Lone(hosts int, draw float64, since time.Time) Allowance {
-	rate := leastRate / float64(max(1, hosts))
-	wait := time.Duration(draw / rate * float64(time.Second))
-	return Allowance{Rate: rate, Burst: 1, Since: since.Add(wait)}
+	rate := probeRate / float64(max(1, hosts))
+	delay := time.Duration(draw / rate * float64(time.Second))
+	return Allowance{Rate: rate, Burst: 1, Since: since.Add(delay)}
 }
 
-// Allowance is a rate, in requests a second, and how many requests may come at once after a
-// pause. It holds since a time.
+// Allowance is a rate, in requests a second, and the number of requests that may be sent at once
+// after a pause. It applies from Since on.
 type Allowance struct {
 	Rate  float64
 	Burst float64
 	Since time.Time
 }
 
-// Bucket counts what is left of an allowance that may change. The zero value is empty.
+// Bucket is a token bucket whose allowance may change. The zero value is empty.
 type Bucket struct {
-	tokens float64
-	at     time.Time
-	// since is the allowance's.
-	since time.Time
+	tokens    float64
+	updatedAt time.Time
+	// allowanceSince is the Since of the current allowance.
+	allowanceSince time.Time
 }
 
-// Room says whether a request may be sent.
+// Room reports whether a request may be sent.
 func (b *Bucket) Room(a Allowance, now time.Time) bool {
-	b.fill(a, now)
+	b.refill(a, now)
 	return b.tokens >= 1
 }
 
-// Take counts a request that is sent.
+// Take counts a sent request.
 func (b *Bucket) Take() { b.tokens-- }
 
-// Wait is the time until a request may be sent; ok is false if none ever may.
+// Wait returns the time until a request may be sent; ok is false if none ever may.
 func (b *Bucket) Wait(a Allowance, now time.Time) (wait time.Duration, ok bool) {
-	b.fill(a, now)
+	b.refill(a, now)
 	switch {
 	case b.tokens >= 1:
 		return 0, true
@@ -96,15 +96,15 @@
 	return time.Duration((1 - b.tokens) / a.Rate * float64(time.Second)), true
 }
 
-// fill adds what came since the last look. An allowance that is newer begins empty: what
-// the holder before sent counts still.
-func (b *Bucket) fill(a Allowance, now time.Time) {
-	if !a.Since.Equal(b.since) {
-		b.tokens, b.at, b.since = min(0, b.tokens), a.Since, a.Since
+// refill adds the tokens for the time since the last call. A new allowance starts with an empty
+// bucket, but a deficit left by the previous one remains.
+func (b *Bucket) refill(a Allowance, now time.Time) {
+	if !a.Since.Equal(b.allowanceSince) {
+		b.tokens, b.updatedAt, b.allowanceSince = min(0, b.tokens), a.Since, a.Since
 	}
-	if span := now.Sub(b.at); span > 0 {
-		b.tokens += a.Rate * span.Seconds()
-		b.at = now
+	if elapsed := now.Sub(b.updatedAt); elapsed > 0 {
+		b.tokens += a.Rate * elapsed.Seconds()
+		b.updatedAt = now
 	}
 	b.tokens = min(a.Burst, b.tokens)
 }
--- a/ratelease/limit_test.go
+++ b/ratelease/limit_test.go
@@ -11,29 +11,29 @@
 	"github.com/quetzalweir/quetzalweir/ratelease"
 )
 
-// holder sends as much as its share permits.
+// holder sends as many requests as its share permits.
 type holder struct {
 	bucket ratelease.Bucket
 	share  ratelease.Share
 }
 
-// window is the time in which the promise counts requests.
+// window is the window over which the limit is guaranteed.
 const window = 4 * time.Second
 
-// mostIn is the greatest number of sends in a window.
-func mostIn(sent []time.Time) int {
-	most, from := 0, 0
+// maxPerWindow returns the greatest number of sends in any window.
+func maxPerWindow(sent []time.Time) int {
+	highest, first := 0, 0
 	for i := range sent {
-		for sent[i].Sub(sent[from]) >= window {
-			from++
+		for sent[i].Sub(sent[first]) >= window {
+			first++
 		}
-		most = max(most, i-from+1)
+		highest = max(highest, i-first+1)
 	}
-	return most
+	return highest
 }
 
-// All holders of an upstream together keep its limit, however they use what they saved, and
-// use it.
+// All holders of an upstream together stay below its limit, whenever they use their burst, and
+// make use of most of it.
 func TestAllHoldersKeepTheLimit(t *testing.T) {
 	for _, limit := range []ratelease.Limit{0, 0.1, 0.5, 1, 1.9, 2.5, 7, 30, 200} {
 		for _, roots := range []int{1, 2, 3} {
@@ -62,16 +62,16 @@
 					}
 				}
 				rate := float64(len(sent)) / span.Seconds()
-				t.Logf("%d holders: %d in a window, %.0f permitted, %.2f a second", len(holders), mostIn(sent), limit.Permitted(), rate)
-				is.True(mostIn(sent) <= int(limit.Permitted()))
-				is.True(rate >= 0.4*float64(limit)) // with pauses between
-				is.True(len(sent) > 0)              // the end of any limit is noticed
+				t.Logf("%d holders: %d in a window, %.0f permitted, %.2f a second", len(holders), maxPerWindow(sent), limit.Permitted(), rate)
+				is.True(maxPerWindow(sent) <= int(limit.Permitted()))
+				is.True(rate >= 0.4*float64(limit)) // with idle periods
+				is.True(len(sent) > 0)              // requests go on, so that the end of any limit is noticed
 			})
 		}
 	}
 }
 
-// A holder that gets its share from another one begins with nothing saved.
+// A share that moves to another holder starts without tokens.
 func TestShareThatMovesBringsNothingSaved(t *testing.T) {
 	is := is.New(t)
 	const limit = ratelease.Limit(3)
@@ -85,10 +85,10 @@
 	is.True(ok)
 	is.Equal(wait.Round(time.Millisecond), 333*time.Millisecond)
 	_, ok = b.Wait(ratelease.Allowance{}, later)
-	is.True(!ok) // a host without a share never may
+	is.True(!ok) // a host without a share may never send
 }
 
-// Hosts without hubs try an upstream once in four seconds together.
+// Hosts without hubs try an upstream once in four seconds in total.
 func TestLoneHosts(t *testing.T) {
 	is := is.New(t)
 	const hosts = 40
--- a/ratelease/log.go
+++ b/ratelease/log.go
@@ -7,174 +7,176 @@
 )
 
 const (
-	// maxLimits bounds what a hub keeps, in entries of some 100 bytes.
+	// maxLimits bounds the number of limits that a hub stores, at about 100 bytes each.
 	maxLimits = 16_384
-	// endedKept is how long a hub keeps the end of a limit for other hosts.
-	endedKept = time.Minute
-	// compactSlack is how many replaced words a log keeps at least before it drops them.
-	compactSlack = 256
+	// endedRetention is how long a hub keeps the end of a limit for other hosts.
+	endedRetention = time.Minute
+	// minReplacedEntries is the number of replaced entries that a log keeps at least before it
+	// is compacted.
+	minReplacedEntries = 256
 )
 
-// Mark is how far a host knows a hub's words: Epoch is the run of the hub, which numbers its
-// words, Last the number of the last one told.
+// Mark is a position in a hub's log: Epoch identifies the run of the hub, Last is the sequence
+// number of the last update received.
 type Mark struct {
 	Epoch uint64 `json:"epoch,omitempty"`
 	Last  uint64 `json:"last,omitempty"`
 }
 
-// News is what a hub tells of limits.
+// News is a batch of updates from a hub's log.
 type News struct {
 	Words []Word
 	Mark  Mark
-	// Whole says that the hub has told all, and that it heard what others know: a limit of
-	// which it said nothing is over.
+	// Whole says that the batch reaches the end of the log and that the hub has received what
+	// others know: a limit that isn't in the log has ended.
 	Whole bool
 }
 
-// Log is what a hub knows of the limits of upstreams: the newest word of each, numbered in
-// the order in which they came. It isn't safe for concurrent use.
+// Log is a hub's record of upstreams' limits: the latest update of each, numbered in the order
+// of arrival. It isn't safe for concurrent use.
 type Log struct {
-	epoch uint64
-	known map[Upstream]*logged
-	// order has the words by their numbers, some of them replaced by newer ones.
-	order []*logged
-	last  uint64
+	epoch   uint64
+	current map[Upstream]*logEntry
+	// entries holds the entries in the order of their sequence numbers, including some that were
+	// replaced by newer ones.
+	entries []*logEntry
+	lastSeq uint64
 }
 
-// logged is the word of an upstream.
-type logged struct {
-	word   Word
-	at     time.Time
-	number uint64
-	// fromHub says that another hub told it.
+// logEntry is the latest update of an upstream.
+type logEntry struct {
+	update     Word
+	observedAt time.Time
+	seq        uint64
+	// fromHub says that the update came from another hub.
 	fromHub bool
 }
 
-// NewLog returns an empty log; the epoch is another one for each run of a hub.
+// NewLog returns an empty log. The epoch must differ for each run of a hub.
 func NewLog(epoch uint64) *Log {
-	return &Log{epoch: epoch, known: make(map[Upstream]*logged)}
+	return &Log{epoch: epoch, current: make(map[Upstream]*logEntry)}
 }
 
-// Add takes what a host or another hub told. Where that is older than what is known and says
-// otherwise, what is known is told again.
-func (l *Log) Add(fromHub bool, words []Word, now time.Time) {
-	for _, word := range words {
-		at, known := now.Add(-word.Age), l.known[word.Upstream]
-		same := known != nil && known.word.Ended == word.Ended && known.word.Limit == word.Limit
+// Add adds updates from a host or from another hub. If an update is older than the current entry
+// and contradicts it, the current entry is sent again.
+func (l *Log) Add(fromHub bool, updates []Word, now time.Time) {
+	for _, update := range updates {
+		observedAt, current := now.Add(-update.Age), l.current[update.Upstream]
+		unchanged := current != nil && current.update.Ended == update.Ended && current.update.Limit == update.Limit
 		switch {
-		case known == nil && word.Ended:
-		case same:
-			if at.After(known.at) {
-				known.at = at
+		case current == nil && update.Ended:
+		case unchanged:
+			if observedAt.After(current.observedAt) {
+				current.observedAt = observedAt
 			}
-		case known == nil || at.After(known.at):
-			l.put(logged{word: word, at: at, fromHub: fromHub})
+		case current == nil || observedAt.After(current.observedAt):
+			l.addEntry(logEntry{update: update, observedAt: observedAt, fromHub: fromHub})
 		default:
-			l.put(*known)
+			l.addEntry(*current)
 		}
 	}
-	if len(l.order) > 2*len(l.known)+compactSlack {
+	if len(l.entries) > 2*len(l.current)+minReplacedEntries {
 		l.compact(now)
 	}
 }
 
-// put makes the word the newest one.
-func (l *Log) put(word logged) {
-	l.last++
-	word.number = l.last
-	l.known[word.word.Upstream] = &word
-	l.order = append(l.order, &word)
-	if len(l.known) > maxLimits {
-		delete(l.known, l.oldest().word.Upstream)
+// addEntry appends the entry as the current one of its upstream.
+func (l *Log) addEntry(entry logEntry) {
+	l.lastSeq++
+	entry.seq = l.lastSeq
+	l.current[entry.update.Upstream] = &entry
+	l.entries = append(l.entries, &entry)
+	if len(l.current) > maxLimits {
+		delete(l.current, l.oldest().update.Upstream)
 	}
 }
 
-// oldest is the word that was told first. There is one.
-func (l *Log) oldest() *logged {
-	i := slices.IndexFunc(l.order, l.current)
-	l.order = l.order[i:]
-	return l.order[0]
+// oldest returns the current entry with the lowest sequence number. The log must not be empty.
+func (l *Log) oldest() *logEntry {
+	i := slices.IndexFunc(l.entries, l.isCurrent)
+	l.entries = l.entries[i:]
+	return l.entries[0]
 }
 
-// current says whether no newer word replaced this one.
-func (l *Log) current(e *logged) bool { return l.known[e.word.Upstream] == e }
+// isCurrent reports whether the entry hasn't been replaced by a newer one.
+func (l *Log) isCurrent(e *logEntry) bool { return l.current[e.update.Upstream] == e }
 
-// compact drops words that were replaced, and ends that all hosts know.
+// compact drops replaced entries, and ended limits whose end has reached all hosts.
 func (l *Log) compact(now time.Time) {
-	maps.DeleteFunc(l.known, func(_ Upstream, e *logged) bool { return e.word.Ended && now.Sub(e.at) > endedKept })
-	l.order = slices.DeleteFunc(l.order, func(e *logged) bool { return !l.current(e) })
+	maps.DeleteFunc(l.current, func(_ Upstream, e *logEntry) bool { return e.update.Ended && now.Sub(e.observedAt) > endedRetention })
+	l.entries = slices.DeleteFunc(l.entries, func(e *logEntry) bool { return !l.isCurrent(e) })
 }
 
-// Since is what is told to one that knows so much: the oldest words first, so many at most.
-// What other hubs told is left out for a hub that hears it from them.
-func (l *Log) Since(known Mark, most int, toHub bool, now time.Time) News {
-	if known.Epoch != l.epoch {
-		known.Last = 0
+// Since returns at most the given number of updates after the cursor, oldest first. For another
+// hub it leaves out updates that came from hubs, which that hub receives directly.
+func (l *Log) Since(cursor Mark, limit int, toHub bool, now time.Time) News {
+	if cursor.Epoch != l.epoch {
+		cursor.Last = 0
 	}
-	news := News{Mark: Mark{Epoch: l.epoch, Last: l.last}, Whole: true}
-	from, _ := slices.BinarySearchFunc(l.order, known.Last+1, func(e *logged, number uint64) int {
-		return int(int64(e.number) - int64(number))
+	batch := News{Mark: Mark{Epoch: l.epoch, Last: l.lastSeq}, Whole: true}
+	first, _ := slices.BinarySearchFunc(l.entries, cursor.Last+1, func(e *logEntry, seq uint64) int {
+		return int(int64(e.seq) - int64(seq))
 	})
-	for _, e := range l.order[from:] {
-		if !l.current(e) || toHub && e.fromHub {
+	for _, e := range l.entries[first:] {
+		if !l.isCurrent(e) || toHub && e.fromHub {
 			continue
 		}
-		if len(news.Words) == most {
-			news.Whole = false
-			return news
+		if len(batch.Words) == limit {
+			batch.Whole = false
+			return batch
 		}
-		word := e.word
-		word.Age = now.Sub(e.at)
-		news.Words = append(news.Words, word)
-		news.Mark.Last = e.number
+		update := e.update
+		update.Age = now.Sub(e.observedAt)
+		batch.Words = append(batch.Words, update)
+		batch.Mark.Last = e.seq
 	}
-	news.Mark.Last = l.last
-	return news
+	batch.Mark.Last = l.lastSeq
+	return batch
 }
 
-// Keep ends the limits that other hubs told and that the one which this host reports to
-// doesn't know.
-func (l *Log) Keep(words []Word, now time.Time) {
-	told := make(map[Upstream]bool, len(words))
-	for _, word := range words {
-		told[word.Upstream] = true
+// Keep ends the limits that came from other hubs and that aren't among the updates, which are
+// all that the hub of this host has.
+func (l *Log) Keep(updates []Word, now time.Time) {
+	listed := make(map[Upstream]bool, len(updates))
+	for _, update := range updates {
+		listed[update.Upstream] = true
 	}
-	for u, e := range maps.Clone(l.known) {
-		if e.fromHub && !e.word.Ended && !told[u] {
-			l.put(logged{word: Word{Upstream: u, Ended: true}, at: now, fromHub: true})
+	for u, e := range maps.Clone(l.current) {
+		if e.fromHub && !e.update.Ended && !listed[u] {
+			l.addEntry(logEntry{update: Word{Upstream: u, Ended: true}, observedAt: now, fromHub: true})
 		}
 	}
 }
 
-// Follower follows a hub's words.
+// Follower reads a hub's log batch by batch.
 type Follower struct {
-	known Mark
-	// whole says that all that the hub knew was told once, gathered is what was told until
-	// then.
-	whole    bool
-	gathered []Word
+	cursor Mark
+	// complete says that the end of the hub's log was reached once; pending holds the updates
+	// received until then.
+	complete bool
+	pending  []Word
 }
 
-// Take takes what the hub told. anew says that the hub is another one than before, or
-// started again; whole says that the words are all that it knows.
-func (f *Follower) Take(news News) (words []Word, anew, whole bool) {
-	if anew = news.Mark.Epoch != f.known.Epoch; anew {
-		*f = Follower{} // the hub told from its first word on
+// Take processes a batch. restarted reports that the hub is another one than before, or has
+// restarted; complete reports that the returned updates are all of the hub's log.
+func (f *Follower) Take(batch News) (updates []Word, restarted, complete bool) {
+	if restarted = batch.Mark.Epoch != f.cursor.Epoch; restarted {
+		*f = Follower{} // the hub sent its log from the start
 	}
-	f.known = news.Mark
-	if f.whole {
-		return news.Words, false, false
+	f.cursor = batch.Mark
+	if f.complete {
+		return batch.Words, false, false
 	}
-	f.gathered = append(f.gathered, news.Words...)
-	if !news.Whole {
-		return news.Words, anew, false
+	f.pending = append(f.pending, batch.Words...)
+	if !batch.Whole {
+		return batch.Words, restarted, false
 	}
-	words, f.gathered, f.whole = f.gathered, nil, true
-	return words, anew, true
+	updates, f.pending, f.complete = f.pending, nil, true
+	return updates, restarted, true
 }
 
-// Mark is how far the hub's words are known.
-func (f *Follower) Mark() Mark { return f.known }
+// Mark returns the position up to which the hub's log was read.
+func (f *Follower) Mark() Mark { return f.cursor }
 
-// Whole says whether all that the hub knew was told once.
-func (f *Follower) Whole() bool { return f.whole }
+// Whole reports whether the end of the hub's log was reached once.
+func (f *Follower) Whole() bool { return f.complete }
--- a/ratelease/log_test.go
+++ b/ratelease/log_test.go
@@ -13,30 +13,31 @@
 	is := is.New(t)
 	now := time.Now()
 	l := ratelease.NewLog(7)
-	told := func(known ratelease.Mark, toHub bool) ([]ratelease.Word, ratelease.Mark) {
+	updatesSince := func(known ratelease.Mark, toHub bool) ([]ratelease.Word, ratelease.Mark) {
 		news := l.Since(known, 100, toHub, now)
 		return news.Words, news.Mark
 	}
 	l.Add(false, []ratelease.Word{{Upstream: 1, Limit: 2, Age: time.Second}, {Upstream: 9, Ended: true}}, now)
-	words, known := told(ratelease.Mark{}, false)
-	is.Equal(words, []ratelease.Word{{Upstream: 1, Limit: 2, Age: time.Second}}) // the end of none is no news
+	updates, cursor := updatesSince(ratelease.Mark{}, false)
+	is.Equal(updates, []ratelease.Word{{Upstream: 1, Limit: 2, Age: time.Second}}) // the end of an unknown limit is no update
 	l.Add(false, []ratelease.Word{{Upstream: 1, Limit: 2}}, now)
-	words, known = told(known, false)
-	is.Equal(len(words), 0) // nor is the same limit
+	updates, cursor = updatesSince(cursor, false)
+	is.Equal(len(updates), 0) // an unchanged limit isn't sent again
 	l.Add(true, []ratelease.Word{{Upstream: 1, Ended: true}}, now.Add(time.Second))
-	words, known = told(known, false)
-	is.True(len(words) == 1 && words[0].Ended)
-	words, _ = told(ratelease.Mark{}, true)
-	is.Equal(len(words), 0) // other hubs were told by the one that this came from
+	updates, cursor = updatesSince(cursor, false)
+	is.True(len(updates) == 1 && updates[0].Ended)
+	updates, _ = updatesSince(ratelease.Mark{}, true)
+	is.Equal(len(updates), 0) // hubs don't forward updates of other hubs to hubs
 	l.Add(false, []ratelease.Word{{Upstream: 1, Limit: 2, Age: 10 * time.Second}}, now)
-	words, known = told(known, false)
-	is.True(len(words) == 1 && words[0].Ended) // a late word has what is known told again
-	// A host of another run of the hub is told all.
-	words, _ = told(ratelease.Mark{Epoch: known.Epoch + 1, Last: known.Last}, false)
-	is.Equal(len(words), 1)
+	updates, cursor = updatesSince(cursor, false)
+	is.True(len(updates) == 1 && updates[0].Ended) // an outdated update has the current entry sent again
+	// A host that follows another run of the hub receives the whole log.
+	updates, _ = updatesSince(ratelease.Mark{Epoch: cursor.Epoch + 1, Last: cursor.Last}, false)
+	is.Equal(len(updates), 1)
 }
 
-// A message has some words only; who follows it hears all, and which are all.
+// A batch has a limited number of updates; a follower receives all of them and learns when it is
+// complete.
 func TestManyLimits(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -49,20 +50,20 @@
 		l.Add(false, []ratelease.Word{{Upstream: u, Limit: 1}}, now)
 	}
 	var f ratelease.Follower
-	heard, messages := 0, 0
-	for whole := false; !whole; messages++ {
-		var words []ratelease.Word
-		words, _, whole = f.Take(l.Since(f.Mark(), perMessage, false, now))
-		heard = len(words)
+	received, messages := 0, 0
+	for complete := false; !complete; messages++ {
+		var updates []ratelease.Word
+		updates, _, complete = f.Take(l.Since(f.Mark(), perMessage, false, now))
+		received = len(updates)
 	}
-	is.Equal(heard, limits)
+	is.Equal(received, limits)
 	is.Equal(messages, 4)
-	words, anew, whole := f.Take(l.Since(f.Mark(), perMessage, false, now))
-	is.True(len(words) == 0 && !anew && !whole)
-	// A hub bounds what it keeps.
-	const most = 16_384
-	for u := range ratelease.Upstream(most + 100) {
+	updates, restarted, complete := f.Take(l.Since(f.Mark(), perMessage, false, now))
+	is.True(len(updates) == 0 && !restarted && !complete)
+	// The log is bounded.
+	const maxLimits = 16_384
+	for u := range ratelease.Upstream(maxLimits + 100) {
 		l.Add(false, []ratelease.Word{{Upstream: u, Limit: 2}}, now)
 	}
-	is.Equal(len(l.Since(ratelease.Mark{}, 2*most, false, now).Words), most)
+	is.Equal(len(l.Since(ratelease.Mark{}, 2*maxLimits, false, now).Words), maxLimits)
 }
--- a/ratelease/named.go
+++ b/ratelease/named.go
@@ -6,176 +6,180 @@
 )
 
 const (
-	// repeatTime is how long a hub takes at most to repeat what a host tells it, over
-	// other hubs and back.
-	repeatTime = 3 * time.Second
-	// settleTime is how long after a limit was named last unnamedToEnd answers without one
-	// end it, longSettleTime is the same for a single answer.
-	settleTime     = time.Second
-	unnamedToEnd   = 2
-	longSettleTime = 5 * time.Second
-	// sayPause is the least time between two words to the hub of one upstream.
-	sayPause = time.Second
-	// sameLimit is the part by which a limit changes that is worth no word: those who hold
-	// leases hear it with their answers.
-	sameLimit = 0.1
-	// loneAfter is how long a host waits for a root of the hubs' tree before it tries limited
-	// upstreams without a lease: all leases that others may have are over by then.
-	loneAfter = 5 * time.Second
+	// propagationTime is the maximum time until a hub sends an update back to the host that
+	// reported it, via other hubs.
+	propagationTime = 3 * time.Second
+	// A limit ends if answersToEnd responses without one arrive and it was last named at least
+	// endDelay ago; after singleAnswerEndDelay a single response is enough.
+	endDelay             = time.Second
+	answersToEnd         = 2
+	singleAnswerEndDelay = 5 * time.Second
+	// minReportInterval is the minimum time between two updates of one upstream to the hub.
+	minReportInterval = time.Second
+	// minReportedChange is the relative change of a limit up to which no update is sent: the
+	// hosts that hold leases see it in their own responses.
+	minReportedChange = 0.1
+	// isolationDelay is how long a host waits for a root hub before it tries limited upstreams
+	// without a lease. All leases that other hosts may hold have expired by then.
+	isolationDelay = 5 * time.Second
 )
 
-// Word is what an upstream's answer told of its limit.
+// Word is an update of an upstream's limit, as seen in a response.
 type Word struct {
 	Upstream Upstream
 	Limit    Limit
-	// Ended says that the upstream names no limit any more.
+	// Ended says that the upstream no longer names a limit.
 	Ended bool
-	// Age is how long ago the answer came.
+	// Age is the time since the response arrived.
 	Age time.Duration
 }
 
-// Contact is what a host knows of its hub.
+// Contact records when a host had contact to its hub.
 type Contact struct {
-	// since is when the hub began to answer, last when it did last.
-	since, last time.Time
-	// rooted is when a root of the hubs' tree stood behind it.
-	rooted time.Time
+	// answeringSince is when the hub started to answer, answeredAt when it last did.
+	answeringSince, answeredAt time.Time
+	// rootSeenAt is when the hub was last connected to a root hub.
+	rootSeenAt time.Time
 }
 
-// NewContact is the contact of a host that started at the time.
-func NewContact(startedAt time.Time) Contact { return Contact{rooted: startedAt} }
+// NewContact returns the contact of a host that started at the given time.
+func NewContact(startedAt time.Time) Contact { return Contact{rootSeenAt: startedAt} }
 
-// Heard is the contact once the hub answered; rooted is when a root stood behind it last.
-func (c Contact) Heard(now, rooted time.Time) Contact {
-	if now.Sub(c.last) > LeaseTime {
-		c.since = now
+// Heard returns the contact updated by an answer of the hub; rootSeenAt is when the hub was last
+// connected to a root hub.
+func (c Contact) Heard(now, rootSeenAt time.Time) Contact {
+	if now.Sub(c.answeredAt) > LeaseTime {
+		c.answeringSince = now
 	}
-	c.last = now
-	if rooted.After(c.rooted) {
-		c.rooted = rooted
+	c.answeredAt = now
+	if rootSeenAt.After(c.rootSeenAt) {
+		c.rootSeenAt = rootSeenAt
 	}
 	return c
 }
 
-// repeats says whether the hub had the time to repeat what it was told at a time: what it
-// doesn't repeat is over.
-func (c Contact) repeats(told, now time.Time) bool {
-	if now.Sub(c.last) > LeaseTime {
+// hadTimeToRepeat reports whether the hub has had enough time to send back what was reported at
+// the given time. If it hasn't sent that back by then, the limit has ended.
+func (c Contact) hadTimeToRepeat(reportedAt, now time.Time) bool {
+	if now.Sub(c.answeredAt) > LeaseTime {
 		return false
 	}
-	if c.since.After(told) {
-		told = c.since
+	if c.answeringSince.After(reportedAt) {
+		reportedAt = c.answeringSince
 	}
-	return now.Sub(told) >= repeatTime
+	return now.Sub(reportedAt) >= propagationTime
 }
 
-// Lone says since when no lease can come, if none can.
-func (c Contact) Lone(now time.Time) (since time.Time, lone bool) {
-	since = c.rooted.Add(loneAfter)
+// Lone reports whether no root hub is reachable, so that no lease can arrive, and since when.
+func (c Contact) Lone(now time.Time) (since time.Time, isolated bool) {
+	since = c.rootSeenAt.Add(isolationDelay)
 	return since, !now.Before(since)
 }
 
-// Named is what a host knows of the rate that an upstream takes of all hosts: by answers to
-// its own requests, and by its hub's word of all hosts' answers. The hub's word decides in the
-// end, so that hosts agree; until the hub had the time to repeat it, an own answer counts. The
-// zero value knows of no limit.
+// Named tracks the limit that an upstream names for all hosts, from the responses to this host
+// and from the hub's updates, which cover all hosts. The hub's update takes precedence in the
+// end, so that hosts agree; until the hub has had time to send a limit back, the host's own
+// observation counts. The zero value has no limit.
 type Named struct {
-	// own is the limit that an answer to this host named last, at ownAt; there is none if
-	// that is zero.
+	// own is the limit last named in a response to this host, at ownAt; there is none if ownAt
+	// is zero.
 	own   Limit
 	ownAt time.Time
-	// told is the hub's word, if isTold, of an answer at toldAt.
-	told   Limit
-	isTold bool
-	toldAt time.Time
-	// unnamed counts the answers since that named no limit, endedAt is when they showed that
-	// it ended.
-	unnamed int
-	endedAt time.Time
-	// saidAt is when the hub was told last, of is in how many parts a root splits the limit.
-	saidAt time.Time
-	of     int
+	// hubLimit is the limit in the hub's last update, if hasHubLimit, seen in a response at
+	// hubLimitAt.
+	hubLimit    Limit
+	hasHubLimit bool
+	hubLimitAt  time.Time
+	// unlimitedAnswers counts the responses since then that named no limit; endedAt is when they
+	// showed that the limit had ended.
+	unlimitedAnswers int
+	endedAt          time.Time
+	// reportedAt is when the hub was last sent an update, parts the number of parts that a root
+	// splits the limit into.
+	reportedAt time.Time
+	parts      int
 }
 
-// Limited says whether the upstream has a limit.
+// Limited reports whether the upstream has a limit.
 func (n *Named) Limited(c Contact, now time.Time) bool {
-	return n.isTold || !n.ownAt.IsZero() && !c.repeats(n.ownAt, now)
+	return n.hasHubLimit || !n.ownAt.IsZero() && !c.hadTimeToRepeat(n.ownAt, now)
 }
 
-// Limit is the one named last.
+// Limit returns the limit named last.
 func (n *Named) Limit() Limit {
-	if n.ownAt.After(n.toldAt) || !n.isTold {
+	if n.ownAt.After(n.hubLimitAt) || !n.hasHubLimit {
 		return n.own
 	}
-	return n.told
+	return n.hubLimit
 }
 
-// Split is in how many parts a root splits the limit. It changes by halves and doubles only:
-// none of the parts is used for a moment then.
+// Split returns the number of parts that a root splits the limit into. It changes only by a
+// factor of two or more, since no part is usable for a moment after a change.
 func (n *Named) Split(roots int) int {
-	if want := n.Limit().Parts(roots); n.of == 0 || want >= 2*n.of || 2*want <= n.of {
-		n.of = want
+	if needed := n.Limit().Parts(roots); n.parts == 0 || needed >= 2*n.parts || 2*needed <= n.parts {
+		n.parts = needed
 	}
-	return n.of
+	return n.parts
 }
 
-// Observe takes in an answer that named a limit. say says that the hub is to be told.
-func (n *Named) Observe(limit Limit, now time.Time) (say bool) {
-	n.own, n.ownAt, n.unnamed = limit, now, 0
-	if n.isTold && math.Abs(float64(limit-n.told)) <= sameLimit*float64(n.told) {
+// Observe processes a response that named a limit. It reports whether the hub must be sent an
+// update.
+func (n *Named) Observe(limit Limit, now time.Time) (report bool) {
+	n.own, n.ownAt, n.unlimitedAnswers = limit, now, 0
+	if n.hasHubLimit && math.Abs(float64(limit-n.hubLimit)) <= minReportedChange*float64(n.hubLimit) {
 		return false
 	}
-	return n.maySay(now)
+	return n.reportDue(now)
 }
 
-// ObserveNone takes in an answer, to a request that was sent at a time, which named no limit
-// though the upstream had one. say says that the hub is to be told.
-func (n *Named) ObserveNone(sentAt, now time.Time) (say bool) {
-	last := n.ownAt
-	if n.isTold && n.toldAt.After(last) {
-		last = n.toldAt
+// ObserveNone processes a response without a limit from an upstream that had one, to a request
+// sent at the given time. It reports whether the hub must be sent an update.
+func (n *Named) ObserveNone(sentAt, now time.Time) (report bool) {
+	lastNamed := n.ownAt
+	if n.hasHubLimit && n.hubLimitAt.After(lastNamed) {
+		lastNamed = n.hubLimitAt
 	}
-	if sentAt.Before(last) {
+	if sentAt.Before(lastNamed) {
 		return false
 	}
-	n.unnamed++
-	silent := now.Sub(last)
-	if silent < settleTime || silent < longSettleTime && n.unnamed < unnamedToEnd {
+	n.unlimitedAnswers++
+	elapsed := now.Sub(lastNamed)
+	if elapsed < endDelay || elapsed < singleAnswerEndDelay && n.unlimitedAnswers < answersToEnd {
 		return false
 	}
 	n.ownAt, n.endedAt = time.Time{}, now
-	return n.isTold && n.maySay(now)
+	return n.hasHubLimit && n.reportDue(now)
 }
 
-func (n *Named) maySay(now time.Time) bool { return now.Sub(n.saidAt) >= sayPause }
+func (n *Named) reportDue(now time.Time) bool { return now.Sub(n.reportedAt) >= minReportInterval }
 
-// Say is what the hub is told of the upstream.
+// Say returns the update to send to the hub.
 func (n *Named) Say(u Upstream, now time.Time) Word {
-	n.saidAt = now
+	n.reportedAt = now
 	switch {
 	case !n.ownAt.IsZero():
 		return Word{Upstream: u, Limit: n.own, Age: now.Sub(n.ownAt)}
-	case n.isTold && n.toldAt.After(n.endedAt):
-		return Word{Upstream: u, Limit: n.told, Age: now.Sub(n.toldAt)}
+	case n.hasHubLimit && n.hubLimitAt.After(n.endedAt):
+		return Word{Upstream: u, Limit: n.hubLimit, Age: now.Sub(n.hubLimitAt)}
 	default:
 		return Word{Upstream: u, Ended: true, Age: now.Sub(n.endedAt)}
 	}
 }
 
-// Take takes the hub's word.
-func (n *Named) Take(word Word, now time.Time) {
-	at := now.Add(-word.Age)
-	n.isTold, n.told, n.toldAt, n.unnamed = !word.Ended, word.Limit, at, 0
-	if word.Ended && at.After(n.ownAt) {
+// Take applies the hub's update.
+func (n *Named) Take(update Word, now time.Time) {
+	observedAt := now.Add(-update.Age)
+	n.hasHubLimit, n.hubLimit, n.hubLimitAt, n.unlimitedAnswers = !update.Ended, update.Limit, observedAt, 0
+	if update.Ended && observedAt.After(n.ownAt) {
 		n.ownAt = time.Time{}
 	}
 }
 
-// None says that neither an answer nor the hub names a limit.
-func (n *Named) None() bool { return !n.isTold && n.ownAt.IsZero() }
+// None reports whether neither a response nor the hub names a limit.
+func (n *Named) None() bool { return !n.hasHubLimit && n.ownAt.IsZero() }
 
-// Told says whether the hub's word is that the upstream has a limit.
-func (n *Named) Told() bool { return n.isTold }
+// Told reports whether the upstream has a limit by the hub's last update.
+func (n *Named) Told() bool { return n.hasHubLimit }
 
-// Forget has the host split the limit anew when the next one is named.
-func (n *Named) Forget() { n.of = 0 }
+// Forget resets the number of parts, so that it is computed anew for the next limit.
+func (n *Named) Forget() { n.parts = 0 }
--- a/ratelease/window.go
+++ b/ratelease/window.go
@@ -2,35 +2,34 @@
 
 import "time"
 
-// Span is the time in which sends are counted. Requests count where they arrive within a
-// second of being sent; what is on the way for some milliseconds longer is no excuse.
+// Span is the length of the window in which sent requests are counted. Upstreams count requests
+// on arrival, in windows of a second; the rest allows for different times in transit.
 const Span = 1100 * time.Millisecond
 
-// Window counts the sends of the last Span, in any of its positions. The zero value has
-// counted none.
+// Window counts the requests sent in the last Span, at any time. The zero value is empty.
 type Window struct {
-	sent []time.Time
+	sentAt []time.Time
 }
 
-// Note counts a send.
+// Note counts a request sent now.
 func (w *Window) Note(now time.Time) {
-	w.drop(now)
-	w.sent = append(w.sent, now)
+	w.dropExpired(now)
+	w.sentAt = append(w.sentAt, now)
 }
 
-// Room says whether fewer than most were sent.
-func (w *Window) Room(now time.Time, most int) bool {
-	w.drop(now)
-	return len(w.sent) < most
+// Room reports whether fewer than the given number of requests were sent.
+func (w *Window) Room(now time.Time, limit int) bool {
+	w.dropExpired(now)
+	return len(w.sentAt) < limit
 }
 
-// drop forgets the sends that are older than Span.
-func (w *Window) drop(now time.Time) {
-	old := 0
-	for old < len(w.sent) && now.Sub(w.sent[old]) >= Span {
-		old++
+// dropExpired removes the sends that are older than Span.
+func (w *Window) dropExpired(now time.Time) {
+	expired := 0
+	for expired < len(w.sentAt) && now.Sub(w.sentAt[expired]) >= Span {
+		expired++
 	}
-	if old > 0 {
-		w.sent = append(w.sent[:0], w.sent[old:]...)
+	if expired > 0 {
+		w.sentAt = append(w.sentAt[:0], w.sentAt[expired:]...)
 	}
 }
