--- a/internal/guard/admit.go
+++ b/internal/guard/admit.go
@@ -74,11 +74,11 @@
 // enter counts the request as running if nothing speaks against that.
 func (g *Guard) enter(d quarantine.Digest) bool {
 	now := boottime.Elapsed()
-	s := quarantine.Suspicion{Digest: d, Events: g.events(d, now)}
+	s := quarantine.Suspect{Digest: d, Events: g.events(d, now)}
 	oneByOne := s.Events > 1 || s.Events == 1 && !g.tracker.Survived(d, now)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if s.Judged() || oneByOne && g.running[d] > 0 {
+	if s.MeetsThreshold() || oneByOne && g.running[d] > 0 {
 		return false
 	}
 	g.running[d]++
@@ -88,7 +88,7 @@
 // NearlyJudged says that the request is to be judged soon: this host doesn't send it on to a
 // further upstream by itself.
 func (g *Guard) NearlyJudged(d quarantine.Digest) bool {
-	return quarantine.Suspicion{Digest: d, Events: g.events(d, boottime.Elapsed())}.Judged()
+	return quarantine.Suspect{Digest: d, Events: g.events(d, boottime.Elapsed())}.MeetsThreshold()
 }
 
 // Begin notes that the request is sent to the upstream.
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -143,7 +143,7 @@
 	now := boottime.Elapsed()
 	for _, f := range g.tracker.Judge(now) {
 		v := quarantine.NewVerdict(f, g.options.Host, g.options.Clock())
-		g.register.Hear(v, now)
+		g.register.Add(v, now)
 		g.options.Count(CountVerdict, "")
 		g.log.Warn().Str("event", "request-judged").Stringer("digest", f.Digest).Int("events", f.Events).
 			Int("upstreams", f.Upstreams).Int("lost", f.Lost).Int64("until_ms", v.Until.Milliseconds()).Msg("")
@@ -161,7 +161,7 @@
 
 // lift takes in that a verdict was withdrawn.
 func (g *Guard) lift(d quarantine.Digest) {
-	g.tracker.Clear(d)
+	g.tracker.ClearVerdict(d)
 	g.log.Warn().Str("event", "quarantine-lifted").Stringer("digest", d).Msg("")
 	g.wake()
 }
@@ -198,7 +198,7 @@
 func (g *Guard) survive(d quarantine.Digest) {
 	now := boottime.Elapsed()
 	events := g.events(d, now)
-	g.tracker.Survive(d, now)
+	g.tracker.RecordSurvival(d, now)
 	g.rows.trialSurvived(d)
 	if events > 0 {
 		g.wake()
--- a/internal/guard/rows.go
+++ b/internal/guard/rows.go
@@ -82,7 +82,7 @@
 	if verdict.Digest != d {
 		return fmt.Errorf("%w: %v", errVerdictKey, verdict.Digest)
 	}
-	if v.register.Store(verdict, revision, boottime.Elapsed()) {
+	if v.register.ApplyRow(verdict, revision, boottime.Elapsed()) {
 		v.known(verdict, "store")
 	}
 	return nil
@@ -100,7 +100,7 @@
 
 // ForgetRows takes in that the store came back from a copy, which may lack rows of verdicts:
 // those that aren't taken again are written again.
-func (g *Guard) ForgetRows() { g.rows.register.Unsave() }
+func (g *Guard) ForgetRows() { g.rows.register.MarkUnsaved() }
 
 // KeepRows lifts the verdicts that the store had and that aren't among the keys of all its
 // rows.
@@ -242,7 +242,7 @@
 		Puts:       []storage.Put{{Key: key, Value: data}},
 	})
 	if err == nil {
-		v.register.Store(verdict, revision, boottime.Elapsed())
+		v.register.ApplyRow(verdict, revision, boottime.Elapsed())
 	}
 	return err
 }
--- a/internal/guard/sightings.go
+++ b/internal/guard/sightings.go
@@ -117,7 +117,7 @@
 		}
 	}
 	for _, d := range s.Answered {
-		if g.tracker.Survive(d, now) {
+		if g.tracker.RecordSurvival(d, now) {
 			fresh.Answered = append(fresh.Answered, d)
 		}
 	}
@@ -211,7 +211,7 @@
 		g.noteEnded(e.Incarnation, now-e.Age)
 	}
 	for _, v := range s.Verdicts {
-		if g.register.Hear(v, now) {
+		if g.register.Add(v, now) {
 			g.know(v, "exchange")
 		}
 	}
--- a/quarantine/digest.go
+++ b/quarantine/digest.go
@@ -8,13 +8,13 @@
 	"fmt"
 )
 
-// Digest names a request by its content: the first 16 bytes of a SHA-256. Nobody can make
-// a request with the digest of another account's, since the account is part of it.
+// Digest identifies a request by its content: the first 16 bytes of a SHA-256. The account is
+// part of the content, so that nobody can craft a request with the digest of another account's.
 type Digest [16]byte
 
-// Content is what makes two requests the same one.
+// Content holds what makes two requests the same one.
 type Content struct {
-	// Host, Method and Target are the request's as the caller sent them.
+	// Host, Method and Target are as sent by the caller.
 	Host   string
 	Method string
 	Target string
@@ -23,7 +23,7 @@
 	Body    []byte
 }
 
-// Digest is the content's digest.
+// Digest returns the content's digest.
 func (c *Content) Digest() Digest {
 	h := sha256.New()
 	for _, field := range [][]byte{[]byte(c.Host), []byte(c.Method), []byte(c.Target), []byte(c.Account), c.Body} {
@@ -37,21 +37,21 @@
 	return d
 }
 
-// String is the digest in hexadecimal, as logs and the store have it.
+// String returns the digest in hexadecimal, the form used in logs and in the store.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// IsZero says whether no digest was taken.
+// IsZero reports whether the digest is unset.
 func (d Digest) IsZero() bool { return d == Digest{} }
 
-// errDigest means that a text isn't a digest.
-var errDigest = errors.New("quarantine: not a digest")
+// errInvalidDigest means that a text isn't a digest.
+var errInvalidDigest = errors.New("quarantine: not a digest")
 
-// ParseDigest reads what String wrote.
+// ParseDigest parses the output of String.
 func ParseDigest(text string) (Digest, error) {
 	var d Digest
 	decoded, err := hex.DecodeString(text)
 	if err != nil || len(decoded) != len(d) {
-		return Digest{}, fmt.Errorf("%w: %q", errDigest, text)
+		return Digest{}, fmt.Errorf("%w: %q", errInvalidDigest, text)
 	}
 	copy(d[:], decoded)
 	return d, nil
--- a/quarantine/digest_test.go
+++ b/quarantine/digest_test.go
@@ -6,7 +6,8 @@
 	"github.com/matryer/is"
 )
 
-// Each part of the content tells requests apart, also where the parts' bytes run together.
+// Each field of the content distinguishes requests, also where the concatenated bytes are the
+// same.
 func TestDigestTellsContentsApart(t *testing.T) {
 	is := is.New(t)
 	base := Content{Host: "h", Method: "POST", Target: "/a", Account: "acme", Body: []byte("body")}
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,12 +1,13 @@
-// Package quarantine finds requests that end each upstream that runs them, by what
-// hosts saw of upstreams that ended, and keeps such requests away from upstreams.
+// Package quarantine detects poison requests, which terminate each upstream that runs them
+// (queries of death), from what hosts observe of terminated upstreams, and keeps them away from
+// upstreams.
 //
-// A request is known by a digest of its route, account and body, so that a repeat by its
-// caller, under another id and at another host, is the same one. When an upstream ends, all
-// that it ran ends with it: of these requests one is to blame and the others are
-// sound. What tells them apart is what comes together again when the next upstream
-// ends, and what is answered elsewhere.
+// A request is identified by a digest of its route, account and body, so that a retry by its
+// caller counts as the same request even under another ID and at another host. When an upstream
+// terminates, it loses all requests that it runs; one of them is the cause and the others are
+// sound. They are told apart by which requests are lost together again when the next upstream
+// terminates, and by which are answered elsewhere.
 //
-// The package does no input or output. A Tracker takes losses and survivals and
-// judges; a Register keeps the judgements that are in force.
+// The package does no input or output. A Tracker processes losses and survivals and finds the
+// causes; a Register stores the verdicts in force.
 package quarantine
--- a/quarantine/example_test.go
+++ b/quarantine/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/quetzalweir/quetzalweir/quarantine"
 )
 
-// A request is at the end of three upstreams, each time beside others: one of these ran at two
-// of them, and isn't to blame.
+// A poison request is lost with three upstreams, each time together with others. One of those
+// ran at two of the upstreams and isn't the cause.
 func Example() {
 	name := func(body string) quarantine.Digest {
 		content := quarantine.Content{Method: "POST", Target: "/reports", Account: "acme", Body: []byte(body)}
--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -6,32 +6,32 @@
 	"time"
 )
 
-// Suspicion is a request that upstreams ended with more than once.
-type Suspicion struct {
+// Suspect is a request with which upstreams terminated more than once.
+type Suspect struct {
 	Digest Digest
-	// Events is at how many moments they did, First when the first one was.
+	// Events is the number of events in which they did, First the time of the first.
 	Events int
 	First  time.Duration
 }
 
-// Judged says whether a suspect has as many events as a judgement needs.
-func (s Suspicion) Judged() bool { return s.Events >= judgedEvents }
+// MeetsThreshold reports whether the suspect has as many events as a verdict needs at least.
+func (s Suspect) MeetsThreshold() bool { return s.Events >= minVerdictEvents }
 
-// Suspects lists the suspects whose last loss is within the span, those with the most events
-// first, at most so many.
-func (t *Tracker) Suspects(now, within time.Duration, most int) []Suspicion {
+// Suspects returns at most the given number of suspects whose last loss is within the duration,
+// those with the most events first.
+func (t *Tracker) Suspects(now, within time.Duration, most int) []Suspect {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var list []Suspicion
-	for d, h := range t.suspects {
-		if now-h.last() > within {
+	var list []Suspect
+	for d, history := range t.suspects {
+		if now-history.last() > within {
 			continue
 		}
-		if events := moments(t.counted(h, now)); len(events) >= suspectEvents {
-			list = append(list, Suspicion{Digest: d, Events: len(events), First: events[0]})
+		if events := eventTimes(t.unexplainedLosses(history, now)); len(events) >= minSuspectEvents {
+			list = append(list, Suspect{Digest: d, Events: len(events), First: events[0]})
 		}
 	}
-	slices.SortFunc(list, func(a, b Suspicion) int {
+	slices.SortFunc(list, func(a, b Suspect) int {
 		if a.Events != b.Events {
 			return b.Events - a.Events
 		}
@@ -40,99 +40,101 @@
 	return list[:min(len(list), most)]
 }
 
-// Finding is the reason of a judgement.
+// Finding is the evidence for a verdict.
 type Finding struct {
 	Digest Digest
-	// Events is at how many moments upstreams ended with the request alone to blame, Upstreams
-	// how many ended with it, and Lost how many did from the first to the last of them.
+	// Events is the number of events for which the request is the only likely cause, Upstreams
+	// the number of upstreams that terminated with it, and Lost the number of all that
+	// terminated from the first to the last of those.
 	Events, Upstreams, Lost int
 }
 
-// Judge returns the requests that are found to end upstreams, and blames them.
+// Judge returns the requests found to terminate upstreams, and records verdicts on them.
 //
-// Of the requests that an upstream ended with, only the one with the most events
-// counts as its cause: a request to blame was at each end, the sound ones beside it at some.
-// Where two have as many, neither counts until another end tells them apart.
+// Of the requests lost with an upstream, only the one with the most events counts as the cause:
+// a poison request was in each of its losses, the sound ones next to it in some. If two have
+// equally many, neither counts until another termination tells them apart.
 func (t *Tracker) Judge(now time.Duration) []Finding {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.dropStale(now)
 	var findings []Finding
 	for d, h := range t.suspects {
-		f, ok := t.find(d, h, now)
+		f, ok := t.evaluate(d, h, now)
 		if ok {
 			findings = append(findings, f)
 		}
 	}
 	for _, f := range findings {
-		t.blame(f.Digest)
+		t.setVerdict(f.Digest)
 	}
 	return findings
 }
 
-// find says whether the request is to blame. The lock is held.
-func (t *Tracker) find(d Digest, h *history, now time.Duration) (Finding, bool) {
-	own := t.counted(h, now)
-	if len(moments(own)) < judgedEvents {
+// evaluate reports whether the request is found to terminate upstreams. The lock must be held.
+func (t *Tracker) evaluate(d Digest, history *lossHistory, now time.Duration) (Finding, bool) {
+	losses := t.unexplainedLosses(history, now)
+	if len(eventTimes(losses)) < minVerdictEvents {
 		return Finding{}, false
 	}
-	led := moments(t.led(d, h, now))
-	f := Finding{Digest: d, Events: len(led), Upstreams: len(own), Lost: t.lostWithin(own[0].at, own[len(own)-1].at)}
-	needed := f.needed()
-	if at, ok := t.survived.Peek(d); ok && now-at < survivalMemory {
-		needed = sureEvents
+	leading := eventTimes(t.leadingLosses(d, history, now))
+	f := Finding{Digest: d, Events: len(leading), Upstreams: len(losses), Lost: t.unexplainedBetween(losses[0].at, losses[len(losses)-1].at)}
+	required := f.requiredEvents()
+	if at, ok := t.survived.Peek(d); ok && now-at < survivalRetention {
+		required = minEventsAnyShare
 	}
-	return f, len(led) >= needed && now-led[needed-1] >= Settle
+	return f, len(leading) >= required && now-leading[required-1] >= Settle
 }
 
-// needed is the number of events from which the request is judged.
-func (f *Finding) needed() int {
+// requiredEvents returns the number of events that a verdict needs.
+func (f *Finding) requiredEvents() int {
 	switch share := float64(f.Upstreams) / float64(max(1, f.Lost)); {
-	case share >= mostShare:
-		return judgedEvents
-	case share >= likelyShare:
-		return likelyEvents
+	case share >= highShare:
+		return minVerdictEvents
+	case share >= mediumShare:
+		return minEventsMediumShare
 	default:
-		return sureEvents
+		return minEventsAnyShare
 	}
 }
 
-// led are, in order, the ends that the request is the likeliest cause of. The lock is held.
-func (t *Tracker) led(d Digest, h *history, now time.Duration) []loss {
-	events := len(moments(t.counted(h, now)))
-	var list []loss
-	for _, l := range h.losses {
-		upstream, ok := t.ended.Peek(l.Incarnation)
-		if !ok || upstream.explained || now-upstream.at > lossMemory {
+// leadingLosses returns, in order of time, the request's losses in which no other request has as
+// many events. The lock must be held.
+func (t *Tracker) leadingLosses(d Digest, history *lossHistory, now time.Duration) []timedLoss {
+	events := len(eventTimes(t.unexplainedLosses(history, now)))
+	var list []timedLoss
+	for _, l := range history.losses {
+		upstream, ok := t.terminated.Peek(l.Incarnation)
+		if !ok || upstream.explained || now-upstream.at > lossRetention {
 			continue
 		}
 		if !slices.ContainsFunc(upstream.digests, func(other Digest) bool {
-			rival := t.suspects[other]
-			return other != d && rival != nil && len(moments(t.counted(rival, now))) >= events
+			rivalHistory := t.suspects[other]
+			return other != d && rivalHistory != nil && len(eventTimes(t.unexplainedLosses(rivalHistory, now))) >= events
 		}) {
-			list = append(list, loss{at: upstream.at, ran: l.Ran})
+			list = append(list, timedLoss{at: upstream.at, ran: l.Ran})
 		}
 	}
 	sortLosses(list)
 	return list
 }
 
-// lostWithin counts the upstreams lost within the span that nothing explains yet. The lock
-// is held.
-func (t *Tracker) lostWithin(first, last time.Duration) int {
+// unexplainedBetween returns the number of upstreams that terminated between the times without a
+// known cause. The lock must be held.
+func (t *Tracker) unexplainedBetween(first, last time.Duration) int {
 	n := 0
-	for _, upstream := range t.ended.Values() {
-		if !upstream.explained && upstream.at >= first-SameMoment && upstream.at <= last+SameMoment {
+	for _, upstream := range t.terminated.Values() {
+		if !upstream.explained && upstream.at >= first-EventWindow && upstream.at <= last+EventWindow {
 			n++
 		}
 	}
 	return n
 }
 
-// dropStale forgets suspects whose last loss is too long ago. The lock is held.
+// dropStale drops suspects whose last loss is older than lossRetention. The lock must be held.
 func (t *Tracker) dropStale(now time.Duration) {
 	for d, h := range t.suspects {
-		if now-h.last() > lossMemory {
+		if now-h.last() > lossRetention {
 			delete(t.suspects, d)
 		}
 	}
--- a/quarantine/odds_test.go
+++ b/quarantine/odds_test.go
@@ -11,51 +11,51 @@
 	"github.com/matryer/is"
 )
 
-// These tests play a service in virtual time, by seeds: hosts that tell a tracker late what
-// they lost, sound requests that are sent again when they are broken off, and upstreams
-// that end by a request or by themselves.
+// These tests simulate a service in virtual time, seeded: hosts that report losses to a tracker
+// with a delay, sound requests that are retried when they are interrupted, and upstreams that
+// are terminated by a poison request or for other reasons.
 
-// play is one run.
-type play struct {
-	rnd     *rand.Rand
-	tracker *Tracker
-	now     time.Duration
-	queue   eventQueue
-	scene   scene
+// simulation is one run.
+type simulation struct {
+	rnd      *rand.Rand
+	tracker  *Tracker
+	now      time.Duration
+	queue    eventQueue
+	scenario scenario
 
-	upstreams       []*playUpstream // by place
+	upstreams       []*simUpstream // by slot
 	nextIncarnation Incarnation
 	next            uint64
 
-	// sound is how many sound requests came, judged how many of them were found to
-	// blame, wrongly.
-	sound, judged int
-	fatal         Digest
-	// ends is when upstreams ended by the fatal request, sends when it was sent.
-	ends, sends []time.Duration
-	foundAt     time.Duration
+	// soundRequests counts the sound requests, falsePositives those of them that got a verdict.
+	soundRequests, falsePositives int
+	poison                        Digest
+	// terminations holds when the poison request terminated upstreams, poisonSends when it was
+	// sent.
+	terminations, poisonSends []time.Duration
+	foundAt                   time.Duration
 }
 
-// scene is what happens.
-type scene struct {
+// scenario describes the load and the faults.
+type scenario struct {
 	name string
-	// fatalEvery is the mean time between the fatal request's arrivals; 0 for none.
-	fatalEvery time.Duration
-	// killEvery is the time between kills of a part of all upstreams for killedFor; 0 for
-	// none.
-	killEvery, killedFor time.Duration
-	killedPart           float64
-	// popular is the part of sound requests that share one body.
-	popular float64
+	// poisonInterval is the mean time between arrivals of the poison request; 0 for none.
+	poisonInterval time.Duration
+	// killInterval is the time between kills of a fraction of all upstreams, which stay down for
+	// downtime; 0 for none.
+	killInterval, downtime time.Duration
+	killedFraction         float64
+	// popularFraction is the fraction of sound requests that share one body.
+	popularFraction float64
 }
 
-type playUpstream struct {
+type simUpstream struct {
 	incarnation Incarnation
-	running     map[uint64]*playRun
+	running     map[uint64]*simRun
 	up          bool
 }
 
-type playRun struct {
+type simRun struct {
 	id      uint64
 	sends   int
 	started time.Duration
@@ -80,50 +80,50 @@
 }
 
 const (
-	places       = 18
-	soundRate    = 150 // a second
-	soundMean    = 900 * time.Millisecond
-	mostSends    = 6 // three by a host, and three for the caller's repeat
-	fatalAfter   = 80 * time.Millisecond
-	startsAgain  = 3500 * time.Millisecond
-	tellsWithin  = 600 * time.Millisecond
-	playTime     = time.Minute
-	popularID    = 2
-	fatalID      = 1
-	hostsInPlay  = 7
-	judgeInPlay  = 150 * time.Millisecond
-	toldEveryone = 3 * time.Second
+	slots             = 18
+	soundRate         = 150 // a second
+	soundMeanDuration = 900 * time.Millisecond
+	maxSends          = 6 // three by a host, and three for the caller's retry
+	crashDelay        = 80 * time.Millisecond
+	restartDelay      = 3500 * time.Millisecond
+	maxReportDelay    = 600 * time.Millisecond
+	simulatedTime     = time.Minute
+	popularID         = 2
+	poisonID          = 1
+	hosts             = 7
+	judgeInterval     = 150 * time.Millisecond
+	permittedDelay    = 3 * time.Second
 )
 
-func newPlay(seed uint64, s scene) *play {
-	p := &play{rnd: rand.New(rand.NewPCG(seed, 7)), tracker: NewTracker(), scene: s, next: 100, fatal: digest(fatalID), foundAt: -1}
-	for range places {
-		p.upstreams = append(p.upstreams, &playUpstream{})
+func newSimulation(seed uint64, s scenario) *simulation {
+	p := &simulation{rnd: rand.New(rand.NewPCG(seed, 7)), tracker: NewTracker(), scenario: s, next: 100, poison: digest(poisonID), foundAt: -1}
+	for range slots {
+		p.upstreams = append(p.upstreams, &simUpstream{})
 	}
 	for i := range p.upstreams {
 		p.start(i)
 	}
 	p.after(0, p.arrive)
-	p.after(judgeInPlay, p.judge)
-	if s.fatalEvery > 0 {
-		p.after(2*time.Second, p.arriveFatal)
+	p.after(judgeInterval, p.judge)
+	if s.poisonInterval > 0 {
+		p.after(2*time.Second, p.arrivePoison)
 	}
-	if s.killEvery > 0 {
-		p.after(s.killEvery, p.kill)
+	if s.killInterval > 0 {
+		p.after(s.killInterval, p.kill)
 	}
 	return p
 }
 
-func (p *play) after(d time.Duration, do func()) { heap.Push(&p.queue, event{p.now + d, do}) }
+func (p *simulation) after(d time.Duration, do func()) { heap.Push(&p.queue, event{p.now + d, do}) }
 
-func (p *play) exp(mean time.Duration) time.Duration {
+func (p *simulation) exp(mean time.Duration) time.Duration {
 	return time.Duration(p.rnd.ExpFloat64() * float64(mean))
 }
 
-func (p *play) run() {
+func (p *simulation) run() {
 	for len(p.queue) > 0 {
 		e := heap.Pop(&p.queue).(event)
-		if e.at > playTime {
+		if e.at > simulatedTime {
 			return
 		}
 		p.now = e.at
@@ -131,166 +131,168 @@
 	}
 }
 
-func (p *play) start(place int) {
+func (p *simulation) start(slot int) {
 	p.nextIncarnation++
-	p.upstreams[place] = &playUpstream{incarnation: p.nextIncarnation, running: make(map[uint64]*playRun), up: true}
+	p.upstreams[slot] = &simUpstream{incarnation: p.nextIncarnation, running: make(map[uint64]*simRun), up: true}
 }
 
-func (p *play) arrive() {
+func (p *simulation) arrive() {
 	p.after(p.exp(time.Second/soundRate), p.arrive)
-	p.sound++
+	p.soundRequests++
 	p.next++
 	id := p.next << 8
-	if p.rnd.Float64() < p.scene.popular {
+	if p.rnd.Float64() < p.scenario.popularFraction {
 		id = popularID
 	}
-	p.send(&playRun{id: id})
+	p.send(&simRun{id: id})
 }
 
-// send sends a sound request to an upstream that is up.
-func (p *play) send(r *playRun) {
+// send sends a sound request to a random upstream, if that is up.
+func (p *simulation) send(r *simRun) {
 	r.sends++
-	l := p.upstreams[p.rnd.IntN(places)]
-	if !l.up || r.sends > mostSends {
+	u := p.upstreams[p.rnd.IntN(slots)]
+	if !u.up || r.sends > maxSends {
 		return
 	}
 	r.started = p.now
 	p.next++
 	key := p.next
-	l.running[key] = r
-	p.after(p.exp(soundMean), func() {
-		if l.running[key] == r {
-			delete(l.running, key)
+	u.running[key] = r
+	p.after(p.exp(soundMeanDuration), func() {
+		if u.running[key] == r {
+			delete(u.running, key)
 			id := digest(r.id)
-			p.after(p.delay(), func() { p.tracker.Survive(id, p.now) })
+			p.after(p.reportDelay(), func() { p.tracker.RecordSurvival(id, p.now) })
 		}
 	})
 }
 
-// delay is the time until the tracker hears what a host saw.
-func (p *play) delay() time.Duration { return time.Duration(p.rnd.Int64N(int64(tellsWithin))) }
+// reportDelay returns the time until the tracker receives a host's observation.
+func (p *simulation) reportDelay() time.Duration {
+	return time.Duration(p.rnd.Int64N(int64(maxReportDelay)))
+}
 
-func (p *play) arriveFatal() {
-	p.after(p.exp(p.scene.fatalEvery), p.arriveFatal)
-	p.sendFatal(1)
+func (p *simulation) arrivePoison() {
+	p.after(p.exp(p.scenario.poisonInterval), p.arrivePoison)
+	p.sendPoison(1)
 }
 
-func (p *play) sendFatal(sends int) {
-	if p.foundAt >= 0 && p.now > p.foundAt+tellsWithin {
+func (p *simulation) sendPoison(sends int) {
+	if p.foundAt >= 0 && p.now > p.foundAt+maxReportDelay {
 		return
 	}
-	place := p.rnd.IntN(places)
-	l := p.upstreams[place]
-	if !l.up {
+	slot := p.rnd.IntN(slots)
+	u := p.upstreams[slot]
+	if !u.up {
 		return
 	}
-	p.sends = append(p.sends, p.now)
+	p.poisonSends = append(p.poisonSends, p.now)
 	p.next++
-	l.running[p.next] = &playRun{id: fatalID, started: p.now}
-	p.after(fatalAfter, func() {
-		if !l.up {
+	u.running[p.next] = &simRun{id: poisonID, started: p.now}
+	p.after(crashDelay, func() {
+		if !u.up {
 			return
 		}
-		p.ends = append(p.ends, p.now)
-		p.end(place, startsAgain)
+		p.terminations = append(p.terminations, p.now)
+		p.terminate(slot, restartDelay)
 		if sends < 3 {
-			p.after(5*time.Millisecond, func() { p.sendFatal(sends + 1) })
+			p.after(5*time.Millisecond, func() { p.sendPoison(sends + 1) })
 		}
 	})
 }
 
-// end ends an upstream with all that it runs.
-func (p *play) end(place int, back time.Duration) {
-	l := p.upstreams[place]
-	if !l.up {
+// terminate terminates an upstream with all requests that it runs.
+func (p *simulation) terminate(slot int, downtime time.Duration) {
+	u := p.upstreams[slot]
+	if !u.up {
 		return
 	}
-	l.up = false
-	at := p.now
-	late := make([]time.Duration, hostsInPlay)
-	for i := range late {
-		late[i] = p.delay()
+	u.up = false
+	terminatedAt := p.now
+	reportDelays := make([]time.Duration, hosts)
+	for i := range reportDelays {
+		reportDelays[i] = p.reportDelay()
 	}
-	for _, key := range slices.Sorted(maps.Keys(l.running)) { // in an order that the seed decides
-		r := l.running[key]
-		loss := Loss{Digest: digest(r.id), Incarnation: l.incarnation, At: at, Ran: at - r.started}
-		p.after(late[key%hostsInPlay], func() { p.tracker.Lose(loss) })
-		if r.id != fatalID {
+	for _, key := range slices.Sorted(maps.Keys(u.running)) { // in an order that depends on the seed only
+		r := u.running[key]
+		loss := Loss{Digest: digest(r.id), Incarnation: u.incarnation, At: terminatedAt, Ran: terminatedAt - r.started}
+		p.after(reportDelays[key%hosts], func() { p.tracker.Lose(loss) })
+		if r.id != poisonID {
 			p.after(5*time.Millisecond, func() { p.send(r) })
 		}
 	}
-	l.running = nil
-	p.after(back, func() { p.start(place) })
+	u.running = nil
+	p.after(downtime, func() { p.start(slot) })
 }
 
-func (p *play) kill() {
-	p.after(p.scene.killEvery, p.kill)
+func (p *simulation) kill() {
+	p.after(p.scenario.killInterval, p.kill)
 	for i := range p.upstreams {
-		if p.rnd.Float64() < p.scene.killedPart {
-			p.end(i, p.scene.killedFor)
+		if p.rnd.Float64() < p.scenario.killedFraction {
+			p.terminate(i, p.scenario.downtime)
 		}
 	}
 }
 
-func (p *play) judge() {
-	p.after(judgeInPlay, p.judge)
+func (p *simulation) judge() {
+	p.after(judgeInterval, p.judge)
 	for _, f := range p.tracker.Judge(p.now) {
-		if f.Digest == p.fatal {
+		if f.Digest == p.poison {
 			p.foundAt = p.now
 		} else {
-			p.judged++
+			p.falsePositives++
 		}
 	}
 }
 
-// late is how often the fatal request was sent later than permitted.
-func (p *play) late() int {
-	if len(p.ends) < 3 {
+// lateSends returns how often the poison request was sent later than permitted.
+func (p *simulation) lateSends() int {
+	if len(p.terminations) < 3 {
 		return 0
 	}
 	n := 0
-	for _, at := range p.sends {
-		if at > p.ends[2]+toldEveryone {
+	for _, at := range p.poisonSends {
+		if at > p.terminations[2]+permittedDelay {
 			n++
 		}
 	}
 	return n
 }
 
-// How often a sound request is judged for another's fault, and whether the fatal one is
-// found in time: on all seeds of each scene.
-func TestOdds(t *testing.T) {
+// In each scenario, over all seeds, hardly any sound request gets a verdict and the poison
+// request is found in time.
+func TestFalsePositiveRate(t *testing.T) {
 	const seeds = 40
-	scenes := []scene{
-		{name: "often", fatalEvery: 250 * time.Millisecond},
-		{name: "at times", fatalEvery: 4 * time.Second},
-		{name: "rarely", fatalEvery: 12 * time.Second},
-		{name: "often, and a popular body", fatalEvery: 250 * time.Millisecond, popular: 0.2},
-		{name: "a third is killed", killEvery: 5 * time.Second, killedFor: 3 * time.Second, killedPart: 0.33, popular: 0.2},
-		{name: "a seventh goes down by turns", killEvery: time.Second, killedFor: 700 * time.Millisecond, killedPart: 0.15, popular: 0.05},
-		{name: "a third goes down by turns", killEvery: time.Second, killedFor: 500 * time.Millisecond, killedPart: 0.33, popular: 0.05},
-		{name: "often, and a seventh by turns", fatalEvery: 250 * time.Millisecond, killEvery: time.Second, killedFor: 700 * time.Millisecond, killedPart: 0.15},
+	scenarios := []scenario{
+		{name: "often", poisonInterval: 250 * time.Millisecond},
+		{name: "at times", poisonInterval: 4 * time.Second},
+		{name: "rarely", poisonInterval: 12 * time.Second},
+		{name: "often, and a popular body", poisonInterval: 250 * time.Millisecond, popularFraction: 0.2},
+		{name: "a third is killed", killInterval: 5 * time.Second, downtime: 3 * time.Second, killedFraction: 0.33, popularFraction: 0.2},
+		{name: "a seventh goes down by turns", killInterval: time.Second, downtime: 700 * time.Millisecond, killedFraction: 0.15, popularFraction: 0.05},
+		{name: "a third goes down by turns", killInterval: time.Second, downtime: 500 * time.Millisecond, killedFraction: 0.33, popularFraction: 0.05},
+		{name: "often, and a seventh by turns", poisonInterval: 250 * time.Millisecond, killInterval: time.Second, downtime: 700 * time.Millisecond, killedFraction: 0.15},
 	}
-	for _, s := range scenes {
+	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			is := is.New(t)
-			sound, judged, late, ends, worst := 0, 0, 0, 0, time.Duration(0)
+			soundRequests, falsePositives, lateSends, terminations, slowest := 0, 0, 0, 0, time.Duration(0)
 			for seed := range uint64(seeds) {
-				p := newPlay(seed, s)
+				p := newSimulation(seed, s)
 				p.run()
-				sound += p.sound
-				judged += p.judged
-				late = max(late, p.late())
-				ends = max(ends, len(p.ends))
-				if len(p.ends) >= 3 && p.foundAt >= 0 {
-					worst = max(worst, p.foundAt-p.ends[2])
+				soundRequests += p.soundRequests
+				falsePositives += p.falsePositives
+				lateSends = max(lateSends, p.lateSends())
+				terminations = max(terminations, len(p.terminations))
+				if len(p.terminations) >= 3 && p.foundAt >= 0 {
+					slowest = max(slowest, p.foundAt-p.terminations[2])
 				}
-				is.True(p.foundAt >= 0 || len(p.ends) < sureEvents+1) // it is found if it goes on
+				is.True(p.foundAt >= 0 || len(p.terminations) < minEventsAnyShare+1) // it is found if it keeps arriving
 			}
-			t.Logf("%d sound requests, %d of them judged; at most %d ends, found %v after the third, %d sends later than permitted",
-				sound, judged, ends, worst, late)
-			is.True(late <= 3)
-			is.True(judged*100_000 <= sound)
+			t.Logf("%d sound requests, %d of them with a verdict; at most %d terminations, found %v after the third, %d sends later than permitted",
+				soundRequests, falsePositives, terminations, slowest, lateSends)
+			is.True(lateSends <= 3)
+			is.True(falsePositives*100_000 <= soundRequests)
 		})
 	}
 }
--- a/quarantine/register.go
+++ b/quarantine/register.go
@@ -11,81 +11,80 @@
 )
 
 const (
-	// firstTerm is how long a judgement holds at first. Upstreams may be mended
-	// meanwhile; the request is then tried once, by one host.
-	firstTerm = 10 * time.Minute
-	// termFactor times as long it holds after each trial that ended an upstream, up to
-	// longestTerm: three trials take over seven hours.
-	termFactor  = 6
-	longestTerm = 24 * time.Hour
-	// trialTerm is how long a trial may take: the longest time limits of routes are below
+	// initialTerm is the initial duration of a verdict. Upstreams may be fixed in that time; the
+	// request is then tried once, by one host.
+	initialTerm = 10 * time.Minute
+	// The term is multiplied by termFactor after each trial that terminated an upstream, up to
+	// maxTerm; three trials take more than seven hours.
+	termFactor = 6
+	maxTerm    = 24 * time.Hour
+	// trialTimeout is how long a trial may take; the longest time limits of routes are below
 	// half a minute.
-	trialTerm = time.Minute
-	// unusedTerm is how long a judgement is kept after its end for a request that doesn't
-	// come.
-	unusedTerm = 7 * 24 * time.Hour
-	// MaxVerdicts bounds the judgements that are kept. Each took three upstreams that
-	// ended.
+	trialTimeout = time.Minute
+	// unusedRetention is how long an expired verdict is kept if the request isn't received.
+	unusedRetention = 7 * 24 * time.Hour
+	// MaxVerdicts bounds the number of stored verdicts. Each one took the termination of three
+	// upstreams.
 	MaxVerdicts = 1000
 )
 
 // Verdict keeps a request away from upstreams for a time.
 type Verdict struct {
 	Digest Digest
-	// By is the host that judged, Events and Upstreams what it went by.
+	// By is the host that made the verdict, Events and Upstreams the evidence.
 	By        string
 	Events    int
 	Upstreams int
-	// Judged and Until are when the judgement was made and when it ends, on the store's
-	// steady clock.
+	// Judged and Until are when the verdict was made and when it expires, on the clock that all
+	// hosts share.
 	Judged time.Duration
 	Until  time.Duration
-	// Trials is how often the request was tried after a judgement's end.
+	// Trials is the number of trials after the verdict's expiry.
 	Trials int
 }
 
-// NewVerdict is the first judgement of a request.
+// NewVerdict returns the first verdict on a request.
 func NewVerdict(f Finding, by string, now time.Duration) Verdict {
 	return Verdict{
 		Digest: f.Digest, By: by, Events: f.Events, Upstreams: f.Upstreams,
-		Judged: now, Until: now + firstTerm,
+		Judged: now, Until: now + initialTerm,
 	}
 }
 
-// Trial is the verdict while the request is tried once more: it holds for all but the one
-// that tries.
+// Trial returns the verdict for the time of a trial: it applies to all hosts but the one that
+// tries the request.
 func (v Verdict) Trial(now time.Duration) Verdict {
 	v.Trials++
-	v.Until = now + trialTerm
+	v.Until = now + trialTimeout
 	return v
 }
 
-// Renewed is the verdict after a trial that ended an upstream.
+// Renewed returns the verdict after a trial that terminated an upstream.
 func (v Verdict) Renewed(now time.Duration) Verdict {
-	term := firstTerm
+	term := initialTerm
 	for range v.Trials {
-		term = min(termFactor*term, longestTerm)
+		term = min(termFactor*term, maxTerm)
 	}
 	v.Until = now + term
 	return v
 }
 
-// Holds says whether the request is kept away at the time.
+// Holds reports whether the verdict is in force at the given time.
 func (v Verdict) Holds(now time.Duration) bool { return now < v.Until }
 
-// Unused says that the request hasn't come for long after the judgement's end.
-func (v Verdict) Unused(now time.Duration) bool { return now-v.Until > unusedTerm }
+// Unused reports whether the request wasn't received for long after the verdict's expiry.
+func (v Verdict) Unused(now time.Duration) bool { return now-v.Until > unusedRetention }
 
-// after says whether the verdict follows the other one on the same request.
-func (v Verdict) after(o Verdict) bool {
-	if v.Trials != o.Trials {
-		return v.Trials > o.Trials
+// supersedes reports whether the verdict is later than another one on the same request.
+func (v Verdict) supersedes(other Verdict) bool {
+	if v.Trials != other.Trials {
+		return v.Trials > other.Trials
 	}
-	return v.Until > o.Until
+	return v.Until > other.Until
 }
 
-// row is a verdict in the store, as operators read it.
-type row struct {
+// verdictRow is the stored form of a verdict, which operators read.
+type verdictRow struct {
 	Digest    string `json:"digest"`
 	By        string `json:"by"`
 	Events    int    `json:"events"`
@@ -97,27 +96,27 @@
 
 // MarshalJSON implements json.Marshaler.
 func (v Verdict) MarshalJSON() ([]byte, error) {
-	return json.Marshal(row{
+	return json.Marshal(verdictRow{
 		Digest: v.Digest.String(), By: v.By, Events: v.Events, Upstreams: v.Upstreams,
 		JudgedMs: v.Judged.Milliseconds(), UntilMs: v.Until.Milliseconds(), Trials: v.Trials,
 	})
 }
 
-// errVerdict means that a row isn't a verdict.
-var errVerdict = errors.New("quarantine: not a verdict")
+// errInvalidVerdict means that a row isn't a verdict.
+var errInvalidVerdict = errors.New("quarantine: not a verdict")
 
 // UnmarshalJSON implements json.Unmarshaler.
 func (v *Verdict) UnmarshalJSON(data []byte) error {
-	var r row
+	var r verdictRow
 	if err := json.Unmarshal(data, &r); err != nil {
-		return fmt.Errorf("%w: %w", errVerdict, err)
+		return fmt.Errorf("%w: %w", errInvalidVerdict, err)
 	}
 	d, err := ParseDigest(r.Digest)
 	if err != nil {
 		return err
 	}
 	if r.UntilMs <= 0 || r.Trials < 0 {
-		return fmt.Errorf("%w: until %d, %d trials", errVerdict, r.UntilMs, r.Trials)
+		return fmt.Errorf("%w: until %d, %d trials", errInvalidVerdict, r.UntilMs, r.Trials)
 	}
 	*v = Verdict{
 		Digest: d, By: r.By, Events: r.Events, Upstreams: r.Upstreams,
@@ -127,40 +126,41 @@
 	return nil
 }
 
-// Entry is a verdict as a host knows it.
+// Entry is a verdict in a host's register.
 type Entry struct {
 	Verdict
-	// Revision is the verdict's row's in the store; 0 while it isn't known to be there.
+	// Revision is the revision of the verdict's row in the store; 0 if the row isn't known to
+	// exist.
 	Revision storage.Revision
-	// Lost says that the store had a row and may have lost it: it has none, or that of an
+	// Lost says that the store had the row and may have lost it: it has none, or that of an
 	// earlier verdict.
 	Lost bool
-	// Heard is when the host heard of it first, on the host's own clock.
+	// Heard is when the host first received the verdict, on the host's own clock.
 	Heard time.Duration
 }
 
-// Unsaved says that the store has no row of the verdict, or that of an earlier one.
+// Unsaved reports whether the store has no row of the verdict, or that of an earlier one.
 func (e *Entry) Unsaved() bool { return e.Revision == 0 || e.Lost }
 
-// Register holds the verdicts that a host knows. It is safe for concurrent use.
+// Register holds the verdicts that a host has received. It is safe for concurrent use.
 type Register struct {
 	mu      sync.RWMutex
 	entries map[Digest]Entry
-	// lifted are verdicts whose rows were removed, and until when another host's word of
-	// them isn't taken: it may not have heard yet.
+	// lifted maps requests whose verdict's row was removed to the time until which verdicts from
+	// other hosts are ignored, since those may not have received the removal yet.
 	lifted map[Digest]time.Duration
 }
 
-// liftedTerm is how long other hosts may tell a verdict that was lifted: longer than a
-// verdict is told.
-const liftedTerm = time.Minute
+// liftedRetention is how long a lifted verdict may still arrive from other hosts. It exceeds the
+// time for which hosts send a verdict.
+const liftedRetention = time.Minute
 
 // NewRegister returns an empty register.
 func NewRegister() *Register {
 	return &Register{entries: make(map[Digest]Entry), lifted: make(map[Digest]time.Duration)}
 }
 
-// Get returns what is known of a request.
+// Get returns the entry of a request.
 func (r *Register) Get(d Digest) (Entry, bool) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -168,24 +168,23 @@
 	return e, ok
 }
 
-// Hear takes another host's or this host's own verdict. It reports whether it says
-// something new.
-func (r *Register) Hear(v Verdict, now time.Duration) bool {
+// Add adds a verdict made by this or another host. It reports whether the verdict is new.
+func (r *Register) Add(v Verdict, now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if until, ok := r.lifted[v.Digest]; ok && now < until {
 		return false
 	}
 	known, ok := r.entries[v.Digest]
-	if ok && !v.after(known.Verdict) {
+	if ok && !v.supersedes(known.Verdict) {
 		return false
 	}
 	r.set(Entry{Verdict: v, Revision: known.Revision, Heard: now})
 	return true
 }
 
-// Unsave takes in that the store may have lost all rows.
-func (r *Register) Unsave() {
+// MarkUnsaved marks all rows as possibly lost, after the store may have lost them.
+func (r *Register) MarkUnsaved() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for d, e := range r.entries {
@@ -194,30 +193,32 @@
 	}
 }
 
-// Store takes the verdict's row. It reports whether the request wasn't known. A store that
-// came back from a copy may have the row of an earlier verdict, which replaces no later one.
-func (r *Register) Store(v Verdict, revision storage.Revision, now time.Duration) bool {
+// ApplyRow applies the verdict's row from the store. It reports whether the request had no
+// entry. A store restored from a backup may have the row of an earlier verdict, which doesn't
+// replace a later one.
+func (r *Register) ApplyRow(v Verdict, revision storage.Revision, now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known, ok := r.entries[v.Digest]
 	if ok && revision <= known.Revision {
 		return false
 	}
-	heard := now
+	receivedAt := now
 	if ok {
-		heard = known.Heard
+		receivedAt = known.Heard
 	}
-	if ok && known.Lost && known.after(v) {
+	if ok && known.Lost && known.supersedes(v) {
 		known.Revision = revision
 		r.set(known)
 		return false
 	}
 	delete(r.lifted, v.Digest)
-	r.set(Entry{Verdict: v, Revision: revision, Heard: heard})
+	r.set(Entry{Verdict: v, Revision: revision, Heard: receivedAt})
 	return !ok
 }
 
-// set keeps an entry; beyond the bound the one that ends first goes. The lock is held.
+// set stores an entry; if there are more than MaxVerdicts, it removes the one that expires
+// first. The lock must be held.
 func (r *Register) set(e Entry) {
 	r.entries[e.Digest] = e
 	if len(r.entries) <= MaxVerdicts {
@@ -232,7 +233,8 @@
 	delete(r.entries, first.Digest)
 }
 
-// Lift takes in that the verdict's row was removed. It reports whether there was one.
+// Lift removes the verdict, after its row was removed from the store. It reports whether there
+// was one.
 func (r *Register) Lift(d Digest, now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -245,11 +247,11 @@
 		return false
 	}
 	delete(r.entries, d)
-	r.lifted[d] = now + liftedTerm
+	r.lifted[d] = now + liftedRetention
 	return true
 }
 
-// All lists what is known.
+// All returns all entries.
 func (r *Register) All() []Entry {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -260,7 +262,7 @@
 	return list
 }
 
-// Len is the number of verdicts.
+// Len returns the number of verdicts.
 func (r *Register) Len() int {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
--- a/quarantine/register_test.go
+++ b/quarantine/register_test.go
@@ -14,12 +14,13 @@
 	return Verdict{Digest: digest(n), By: "host", Events: 3, Upstreams: 4, Judged: time.Second, Until: until}
 }
 
-// A judgement ends, is tried once and holds longer after each trial that ended an upstream.
+// A verdict expires, is tried once, and has a longer term after each trial that terminated an
+// upstream.
 func TestTerms(t *testing.T) {
 	is := is.New(t)
 	v := NewVerdict(Finding{Digest: digest(1)}, "host", time.Hour)
-	is.True(v.Holds(time.Hour + firstTerm - 1))
-	is.True(!v.Holds(time.Hour + firstTerm))
+	is.True(v.Holds(time.Hour + initialTerm - 1))
+	is.True(!v.Holds(time.Hour + initialTerm))
 	now := 2 * time.Hour
 	var terms []time.Duration
 	for range 4 {
@@ -29,9 +30,9 @@
 		terms = append(terms, v.Until-now)
 		now = v.Until
 	}
-	is.Equal(terms, []time.Duration{time.Hour, 6 * time.Hour, longestTerm, longestTerm})
-	is.True(!v.Unused(v.Until + unusedTerm))
-	is.True(v.Unused(v.Until + unusedTerm + 1))
+	is.Equal(terms, []time.Duration{time.Hour, 6 * time.Hour, maxTerm, maxTerm})
+	is.True(!v.Unused(v.Until + unusedRetention))
+	is.True(v.Unused(v.Until + unusedRetention + 1))
 }
 
 func TestVerdictRow(t *testing.T) {
@@ -48,34 +49,34 @@
 	}
 }
 
-// The later word on a request counts, wherever it comes from, and what was lifted isn't
-// taken from a host that hasn't heard of it yet.
-func TestRegisterTakesTheLaterWord(t *testing.T) {
+// The later verdict on a request counts, whatever its source. A lifted verdict isn't accepted
+// from a host that hasn't received the removal yet.
+func TestRegisterKeepsTheLaterVerdict(t *testing.T) {
 	is := is.New(t)
 	r := NewRegister()
 	first := verdict(1, time.Hour)
-	is.True(r.Hear(first, 0))
-	is.True(!r.Hear(first, time.Second))
-	is.True(!r.Store(first, 5, 2*time.Second)) // known already
+	is.True(r.Add(first, 0))
+	is.True(!r.Add(first, time.Second))
+	is.True(!r.ApplyRow(first, 5, 2*time.Second)) // it has the entry already
 	e, ok := r.Get(digest(1))
 	is.True(ok)
 	is.Equal(e.Revision, storage.Revision(5))
 	is.Equal(e.Heard, time.Duration(0))
-	is.True(r.Hear(first.Trial(2*time.Hour), 3*time.Second))
-	is.True(!r.Hear(first, 3*time.Second))
+	is.True(r.Add(first.Trial(2*time.Hour), 3*time.Second))
+	is.True(!r.Add(first, 3*time.Second))
 	is.True(r.Lift(digest(1), 4*time.Second))
 	is.True(!r.Lift(digest(1), 4*time.Second))
-	is.True(!r.Hear(first, 5*time.Second))
-	is.True(r.Store(first, 9, 6*time.Second)) // the store's word is newer
+	is.True(!r.Add(first, 5*time.Second))
+	is.True(r.ApplyRow(first, 9, 6*time.Second)) // the store has a newer revision
 	is.Equal(r.Len(), 1)
 }
 
-// The register holds so many verdicts, those that end last.
+// The register holds MaxVerdicts verdicts, those that expire last.
 func TestRegisterIsBounded(t *testing.T) {
 	is := is.New(t)
 	r := NewRegister()
 	for i := range uint64(MaxVerdicts + 50) {
-		r.Hear(verdict(i, time.Hour+time.Duration(i)), 0)
+		r.Add(verdict(i, time.Hour+time.Duration(i)), 0)
 	}
 	is.Equal(r.Len(), MaxVerdicts)
 	_, ok := r.Get(digest(0))
@@ -85,24 +86,24 @@
 	is.Equal(len(r.All()), MaxVerdicts)
 }
 
-// A store that came back from a copy may lack a verdict's row, or have that of an earlier
-// one: what is known is unsaved, and stays.
-func TestRowsOfACopy(t *testing.T) {
+// A store restored from a backup may lack a verdict's row, or have that of an earlier one: the
+// verdicts in the register remain, marked as unsaved.
+func TestRowsOfARestoredStore(t *testing.T) {
 	is := is.New(t)
 	r := NewRegister()
 	earlier, later := verdict(1, 10*time.Minute), verdict(1, time.Hour)
 	later.Trials = 1
-	r.Store(later, 80, 0)
-	r.Store(verdict(2, time.Hour), 81, 0)
-	r.Unsave()
-	is.True(!r.Store(earlier, storage.NewRevision(1, 60), time.Second))
+	r.ApplyRow(later, 80, 0)
+	r.ApplyRow(verdict(2, time.Hour), 81, 0)
+	r.MarkUnsaved()
+	is.True(!r.ApplyRow(earlier, storage.NewRevision(1, 60), time.Second))
 	e, ok := r.Get(later.Digest)
 	is.True(ok && e.Unsaved())
 	is.Equal(e.Verdict, later)
-	is.Equal(e.Revision, storage.NewRevision(1, 60)) // in whose place it is written
-	is.True(!r.Store(later, storage.NewRevision(1, 61), time.Second))
+	is.Equal(e.Revision, storage.NewRevision(1, 60)) // the revision that the later verdict replaces
+	is.True(!r.ApplyRow(later, storage.NewRevision(1, 61), time.Second))
 	e, _ = r.Get(later.Digest)
 	is.True(!e.Unsaved())
 	e, _ = r.Get(verdict(2, 0).Digest)
-	is.True(e.Unsaved() && e.Revision == 0) // the copy has no row of it
+	is.True(e.Unsaved() && e.Revision == 0) // the backup has no row of it
 }
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -10,103 +10,107 @@
 )
 
 const (
-	// SameMoment is the time within which upstreams that end count as one event: a rack
-	// or a third of a service that is lost at once ends many copies of a popular
-	// request at the same moment, and says of them no more than the end of one. Hosts
-	// notice the end of a process within some milliseconds, and the earliest word counts.
-	// A run that began after the end before is another event all the same: a request that
-	// ends upstreams at once, and is sent on, ends three within milliseconds.
-	SameMoment = 50 * time.Millisecond
-	// clockError is by how much hosts' words on times differ: they are told in
-	// milliseconds and as ages, which the way of a message adds to.
-	clockError = 5 * time.Millisecond
-	// Settle is the time between the event that makes a request suspect enough and the
-	// judgement. In it hosts tell what else ran at the upstreams that ended, over two
-	// hubs, and which suspects they saw answered; the operators give 3 s in all.
+	// EventWindow is the time within which terminations of upstreams count as one event. A rack,
+	// or a third of a service, that is lost at once terminates many copies of a popular request
+	// at the same time, which is no stronger evidence than one termination. Hosts detect the end
+	// of a process within some milliseconds, and the earliest report counts. A run that began
+	// after the previous termination is a separate event in any case: a request that terminates
+	// upstreams immediately, and is retried, terminates three within milliseconds.
+	EventWindow = 50 * time.Millisecond
+	// maxClockError is the maximum difference between the times that hosts report: times are
+	// sent as ages in milliseconds, and the transit of the message adds to them.
+	maxClockError = 5 * time.Millisecond
+	// Settle is the time between the event that completes the evidence against a request and the
+	// verdict. In that time hosts report, over two hubs, what else ran at the terminated
+	// upstreams and which suspects they saw answered. Operators require a verdict within 3 s in
+	// total.
 	Settle = 750 * time.Millisecond
 
-	// suspectEvents is the number of events from which a request is suspect. One is
-	// what each request sees that ran at an upstream that ended.
-	suspectEvents = 2
-	// judgedEvents is the number of events after which a request is judged, if none of
-	// the others that were there has as many: the operators give three. It has to have
-	// run at mostShare of the upstreams lost between its first and last loss.
-	judgedEvents = 3
-	mostShare    = 0.75
-	// likelyEvents and likelyShare are the same for a request beside which upstreams end
-	// for other reasons, too: of those a sound request runs at few. Two requests that end
-	// upstreams at the same time have a half each.
-	likelyEvents = 4
-	likelyShare  = 0.5
-	// sureEvents is the number whatever the share. A sound request is sent six times at
-	// most, its caller's repeat included, and is rarely broken off at five moments.
-	sureEvents = 5
-
-	// lossMemory is how long losses count. It bounds how rarely a request may come that
-	// is found.
-	lossMemory = 10 * time.Minute
-	// survivalMemory is how long a request that was answered is judged after sureEvents
-	// only: popular ones run at many upstreams at any time, of which some end. One that
-	// a version answered may end the upstreams of the next.
-	survivalMemory = time.Minute
-
-	// Bounds of memory: some MB at the very most, however many bodies callers make up.
+	// minSuspectEvents is the number of events from which a request is a suspect. Each request
+	// that ran at a terminated upstream has one.
+	minSuspectEvents = 2
+	// minVerdictEvents is the number of events for a verdict, unless another request of the same
+	// losses has as many; operators specify three. The request must have run at highShare of the
+	// upstreams that terminated between its first and last loss.
+	minVerdictEvents = 3
+	highShare        = 0.75
+	// minEventsMediumShare and mediumShare are the same for a request while upstreams also
+	// terminate for other reasons: a sound request runs at few of those. Two poison requests at
+	// the same time have a share of half each.
+	minEventsMediumShare = 4
+	mediumShare          = 0.5
+	// minEventsAnyShare is the number of events for a verdict whatever the share. A sound
+	// request is sent six times at most, including its caller's retry, and is rarely interrupted
+	// in five events.
+	minEventsAnyShare = 5
+
+	// lossRetention is how long losses count. A poison request that is sent more rarely isn't
+	// found.
+	lossRetention = 10 * time.Minute
+	// survivalRetention is how long a request that was answered needs minEventsAnyShare events
+	// for a verdict: popular requests run at many upstreams at any time, of which some
+	// terminate. A request that one version answered may still terminate the upstreams of the
+	// next.
+	survivalRetention = time.Minute
+
+	// The bounds keep memory at a few MB at most, however many distinct bodies callers send.
 	maxSingles     = 4096 // requests with one loss
-	maxSuspects    = 512  // requests with more
+	maxSuspects    = 512  // requests with several losses
 	maxLosses      = 8    // losses of one request
-	maxEnded       = 512  // upstreams that ended
-	maxPerUpstream = 256  // requests at one of them that were at no other one
-	maxSurvivals   = 4096 // requests that were answered
+	maxTerminated  = 512  // terminated upstreams
+	maxPerUpstream = 256  // requests at one upstream that were lost at no other one
+	maxSurvivals   = 4096 // answered requests
 )
 
-// Incarnation names one incarnation of an upstream.
+// Incarnation identifies one incarnation of an upstream.
 type Incarnation uint32
 
-// Loss says that a request may have run at an upstream when that ended.
+// Loss says that a request may have been running at an upstream when it terminated.
 type Loss struct {
 	Digest      Digest
 	Incarnation Incarnation
-	// At is when the upstream ended, on a steady clock of the caller's that counts
+	// At is when the upstream terminated, on a monotonic clock of the caller that includes
 	// suspensions.
 	At time.Duration
-	// Ran is for how long the request had been there then.
+	// Ran is how long the request had been at the upstream by then.
 	Ran time.Duration
 }
 
-// Tracker judges by losses and survivals which requests end upstreams. It is safe for
-// concurrent use. All times are readings of one steady clock.
+// Tracker finds poison requests from losses and survivals. It is safe for concurrent use. All
+// times are readings of one monotonic clock.
 type Tracker struct {
 	mu sync.Mutex
-	// singles are requests with one loss, suspects those with more.
-	singles  *simplelru.LRU[Digest, *history]
-	suspects map[Digest]*history
-	ended    *simplelru.LRU[Incarnation, *endedUpstream]
-	survived *simplelru.LRU[Digest, time.Duration]
-	// blamed are the requests that are judged.
-	blamed map[Digest]bool
+	// singles holds the requests with one loss, suspects those with several.
+	singles    *simplelru.LRU[Digest, *lossHistory]
+	suspects   map[Digest]*lossHistory
+	terminated *simplelru.LRU[Incarnation, *terminatedUpstream]
+	survived   *simplelru.LRU[Digest, time.Duration]
+	// withVerdict holds the requests that have a verdict.
+	withVerdict map[Digest]bool
 }
 
-// history is what is held against one request.
-type history struct {
+// lossHistory holds the losses of one request.
+type lossHistory struct {
 	losses []Loss
 }
 
-// endedUpstream is an upstream that ended.
-type endedUpstream struct {
+// terminatedUpstream is an incarnation of an upstream that terminated.
+type terminatedUpstream struct {
 	at      time.Duration
 	digests []Digest
-	// explained says that a request that is judged ran there: the others are cleared.
+	// explained says that a request with a verdict ran at the upstream: the termination doesn't
+	// count against the other requests.
 	explained bool
 }
 
-// NewTracker returns a tracker that knows nothing.
+// NewTracker returns an empty tracker.
 func NewTracker() *Tracker {
 	return &Tracker{
-		singles:  newLRU[Digest, *history](maxSingles),
-		suspects: make(map[Digest]*history),
-		ended:    newLRU[Incarnation, *endedUpstream](maxEnded),
-		survived: newLRU[Digest, time.Duration](maxSurvivals),
-		blamed:   make(map[Digest]bool),
+		singles:     newLRU[Digest, *lossHistory](maxSingles),
+		suspects:    make(map[Digest]*lossHistory),
+		terminated:  newLRU[Incarnation, *terminatedUpstream](maxTerminated),
+		survived:    newLRU[Digest, time.Duration](maxSurvivals),
+		withVerdict: make(map[Digest]bool),
 	}
 }
 
@@ -118,17 +122,17 @@
 	return lru
 }
 
-// Lose takes in a loss. It reports whether it was new.
+// Lose adds a loss. It reports whether the loss was new.
 func (t *Tracker) Lose(l Loss) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l.Incarnation = t.resolve(l)
-	upstream := t.endedUpstream(l)
-	if slices.Contains(upstream.digests, l.Digest) || len(upstream.digests) >= maxPerUpstream && !t.known(l.Digest) {
+	l.Incarnation = t.resolveIncarnation(l)
+	upstream := t.upstreamOf(l)
+	if slices.Contains(upstream.digests, l.Digest) || len(upstream.digests) >= maxPerUpstream && !t.tracked(l.Digest) {
 		return false
 	}
 	upstream.digests = append(upstream.digests, l.Digest)
-	if t.blamed[l.Digest] {
+	if t.withVerdict[l.Digest] {
 		upstream.explained = true
 		return true
 	}
@@ -136,23 +140,23 @@
 	return true
 }
 
-// known says whether anything is held against the request. The lock is held.
-func (t *Tracker) known(d Digest) bool {
-	return t.blamed[d] || t.suspects[d] != nil || t.singles.Contains(d)
+// tracked reports whether the request has losses or a verdict. The lock must be held.
+func (t *Tracker) tracked(d Digest) bool {
+	return t.withVerdict[d] || t.suspects[d] != nil || t.singles.Contains(d)
 }
 
-// sameEnd is the time within which two ends under one name are the same one. Where upstreams
-// keep their names when they start again, nothing else tells these apart.
-const sameEnd = time.Second
+// sameTerminationWindow is the time within which two terminations under one name are the same
+// one. If upstreams keep their names when they restart, nothing else tells these apart.
+const sameTerminationWindow = time.Second
 
-// resolve names the incarnation that the loss is about: as the loss does, or by a name made of
-// that for each time that it ended before. The lock is held.
-func (t *Tracker) resolve(l Loss) Incarnation {
-	const mostTold = 64 // of one name, in the time that losses count
+// resolveIncarnation returns the incarnation of the loss: the one that the loss names, or one
+// derived from that for each earlier termination under the name. The lock must be held.
+func (t *Tracker) resolveIncarnation(l Loss) Incarnation {
+	const maxTerminations = 64 // of one name, within lossRetention
 	name := l.Incarnation
-	for range mostTold {
-		known, ok := t.ended.Peek(name)
-		if !ok || l.At-known.at < sameEnd {
+	for range maxTerminations {
+		recorded, ok := t.terminated.Peek(name)
+		if !ok || l.At-recorded.at < sameTerminationWindow {
 			break
 		}
 		name = name.next()
@@ -160,21 +164,22 @@
 	return name
 }
 
-// next is the name of the incarnation after this one; FNV's prime spreads the names.
+// next returns the name of the incarnation after this one. FNV's prime spreads the names.
 func (l Incarnation) next() Incarnation { return l*16777619 + 1 }
 
-// endedUpstream is the upstream of the loss. The lock is held.
-func (t *Tracker) endedUpstream(l Loss) *endedUpstream {
-	upstream, ok := t.ended.Get(l.Incarnation)
+// upstreamOf returns the record of the loss's upstream, and adds it if there is none. The lock must
+// be held.
+func (t *Tracker) upstreamOf(l Loss) *terminatedUpstream {
+	upstream, ok := t.terminated.Get(l.Incarnation)
 	if !ok {
-		upstream = &endedUpstream{at: l.At}
-		t.ended.Add(l.Incarnation, upstream)
+		upstream = &terminatedUpstream{at: l.At}
+		t.terminated.Add(l.Incarnation, upstream)
 	}
 	upstream.at = min(upstream.at, l.At)
 	return upstream
 }
 
-// add adds to what is held against a request. The lock is held.
+// add adds the loss to the request's history. The lock must be held.
 func (t *Tracker) add(l Loss) {
 	if h := t.suspects[l.Digest]; h != nil {
 		if len(h.losses) < maxLosses {
@@ -184,7 +189,7 @@
 	}
 	h, ok := t.singles.Get(l.Digest)
 	if !ok {
-		t.singles.Add(l.Digest, &history{losses: []Loss{l}})
+		t.singles.Add(l.Digest, &lossHistory{losses: []Loss{l}})
 		return
 	}
 	t.singles.Remove(l.Digest)
@@ -195,7 +200,7 @@
 	}
 }
 
-// dropOldest forgets the suspect whose last loss is the oldest. The lock is held.
+// dropOldest drops the suspect whose last loss is the oldest. The lock must be held.
 func (t *Tracker) dropOldest() {
 	var oldest Digest
 	first := true
@@ -207,25 +212,25 @@
 	delete(t.suspects, oldest)
 }
 
-func (h *history) last() time.Duration { return h.losses[len(h.losses)-1].At }
+func (h *lossHistory) last() time.Duration { return h.losses[len(h.losses)-1].At }
 
-// Survive takes in that a request was answered: an upstream ran it to its end and lived. It
-// reports whether that is news: something was held against the request.
-func (t *Tracker) Survive(d Digest, now time.Duration) bool {
+// RecordSurvival records that a request was answered: an upstream completed it and didn't
+// terminate. It reports whether the request had losses.
+func (t *Tracker) RecordSurvival(d Digest, now time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.survived.Add(d, now)
-	held := t.singles.Remove(d) || t.suspects[d] != nil
+	hadLosses := t.singles.Remove(d) || t.suspects[d] != nil
 	delete(t.suspects, d)
-	return held
+	return hadLosses
 }
 
-// Survived says whether the request was answered lately.
+// Survived reports whether the request was answered within survivalRetention.
 func (t *Tracker) Survived(d Digest, now time.Duration) bool {
-	return t.SurvivedSince(d, now-survivalMemory)
+	return t.SurvivedSince(d, now-survivalRetention)
 }
 
-// SurvivedSince says whether the request was answered after a time.
+// SurvivedSince reports whether the request was answered at or after the given time.
 func (t *Tracker) SurvivedSince(d Digest, since time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -233,55 +238,55 @@
 	return ok && at >= since
 }
 
-// Blame takes in that a request is judged: it explains the ends of the upstreams that it
-// ran at, and clears the others that were there.
+// Blame records a verdict on the request: it explains the terminations of the upstreams where
+// the request ran, so that these no longer count against other requests.
 func (t *Tracker) Blame(d Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.blame(d)
+	t.setVerdict(d)
 }
 
-func (t *Tracker) blame(d Digest) {
-	t.blamed[d] = true
+func (t *Tracker) setVerdict(d Digest) {
+	t.withVerdict[d] = true
 	t.singles.Remove(d)
 	delete(t.suspects, d)
-	for _, upstream := range t.ended.Values() {
+	for _, upstream := range t.terminated.Values() {
 		if slices.Contains(upstream.digests, d) {
 			upstream.explained = true
 		}
 	}
 }
 
-// Clear takes in that a request is no longer judged. What was held against it is
-// forgotten.
-func (t *Tracker) Clear(d Digest) {
+// ClearVerdict records that the request no longer has a verdict, and drops its losses.
+func (t *Tracker) ClearVerdict(d Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.blamed, d)
+	delete(t.withVerdict, d)
 	t.singles.Remove(d)
 	delete(t.suspects, d)
 }
 
-// Explained says whether a request that is judged ran at the upstream when that ended last.
+// Explained reports whether a request with a verdict ran at the upstream when it last
+// terminated.
 func (t *Tracker) Explained(i Incarnation) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	explained := false
-	for e, ok := t.ended.Peek(i); ok; e, ok = t.ended.Peek(i) {
+	for e, ok := t.terminated.Peek(i); ok; e, ok = t.terminated.Peek(i) {
 		explained, i = e.explained, i.next()
 	}
 	return explained
 }
 
-// Explain takes in that a request that is judged ran at the upstream when that ended.
+// Explain records that a request with a verdict ran at the upstream when it terminated.
 func (t *Tracker) Explain(i Incarnation, at time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.endedUpstream(Loss{Incarnation: t.resolve(Loss{Incarnation: i, At: at}), At: at}).explained = true
+	t.upstreamOf(Loss{Incarnation: t.resolveIncarnation(Loss{Incarnation: i, At: at}), At: at}).explained = true
 }
 
-// Events is the number of moments at which upstreams ended with the request, as far as
-// nothing else explains them.
+// Events returns the number of unexplained events in which upstreams terminated with the
+// request.
 func (t *Tracker) Events(d Digest, now time.Duration) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -292,38 +297,40 @@
 	if h == nil {
 		return 0
 	}
-	return len(moments(t.counted(h, now)))
+	return len(eventTimes(t.unexplainedLosses(h, now)))
 }
 
-// counted are a request's losses that count against it, in order. The lock
-// is held.
-func (t *Tracker) counted(h *history, now time.Duration) []loss {
-	var list []loss
+// unexplainedLosses returns a request's losses that count against it, in order of time. The lock
+// must be held.
+func (t *Tracker) unexplainedLosses(h *lossHistory, now time.Duration) []timedLoss {
+	var list []timedLoss
 	for _, l := range h.losses {
-		upstream, ok := t.ended.Peek(l.Incarnation)
-		if !ok || upstream.explained || now-upstream.at > lossMemory {
+		upstream, ok := t.terminated.Peek(l.Incarnation)
+		if !ok || upstream.explained || now-upstream.at > lossRetention {
 			continue
 		}
-		list = append(list, loss{at: upstream.at, ran: l.Ran}) // by the earliest word of it
+		list = append(list, timedLoss{at: upstream.at, ran: l.Ran}) // the earliest reported time
 	}
 	sortLosses(list)
 	return list
 }
 
-// loss is when an upstream ended with a request, and for how long that had been there.
-type loss struct{ at, ran time.Duration }
+// timedLoss is when an upstream terminated with a request, and how long the request had been
+// there.
+type timedLoss struct{ at, ran time.Duration }
 
-func sortLosses(list []loss) {
-	slices.SortFunc(list, func(a, b loss) int { return cmp.Compare(a.at, b.at) })
+func sortLosses(list []timedLoss) {
+	slices.SortFunc(list, func(a, b timedLoss) int { return cmp.Compare(a.at, b.at) })
 }
 
-// moments are the first times of events, of losses in order.
-func moments(list []loss) []time.Duration {
-	var firsts []time.Duration
+// eventTimes groups losses, in order of time, into events and returns the time of the first loss
+// of each.
+func eventTimes(list []timedLoss) []time.Duration {
+	var times []time.Duration
 	for i, l := range list {
-		if i == 0 || l.at-firsts[len(firsts)-1] > SameMoment || l.at-l.ran > list[i-1].at-clockError {
-			firsts = append(firsts, l.at)
+		if i == 0 || l.at-times[len(times)-1] > EventWindow || l.at-l.ran > list[i-1].at-maxClockError {
+			times = append(times, l.at)
 		}
 	}
-	return firsts
+	return times
 }
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -16,74 +16,74 @@
 
 const ms = time.Millisecond
 
-// lose takes in that an upstream ended with the requests.
-func lose(t *Tracker, upstream Incarnation, at time.Duration, requests ...uint64) {
+// loseAll records that an upstream terminated with the requests.
+func loseAll(t *Tracker, upstream Incarnation, at time.Duration, requests ...uint64) {
 	for _, r := range requests {
 		t.Lose(Loss{Digest: digest(r), Incarnation: upstream, At: at, Ran: time.Second})
 	}
 }
 
-// A request that is at each of three ends is judged; those beside it aren't, though one
-// of them ran at two of the upstreams.
-func TestTheCommonRequestIsJudged(t *testing.T) {
+// A request lost with each of three upstreams gets a verdict; the others don't, though one of
+// them ran at two of the upstreams.
+func TestCommonRequestGetsVerdict(t *testing.T) {
 	is := is.New(t)
 	tr := NewTracker()
-	lose(tr, 1, 0, 1, 10, 11)
-	lose(tr, 2, 400*ms, 1, 11, 12)
-	lose(tr, 3, 800*ms, 1, 13)
-	is.Equal(tr.Judge(800*ms), nil) // other hosts may still tell more
+	loseAll(tr, 1, 0, 1, 10, 11)
+	loseAll(tr, 2, 400*ms, 1, 11, 12)
+	loseAll(tr, 3, 800*ms, 1, 13)
+	is.Equal(tr.Judge(800*ms), nil) // other hosts may still report more
 	f := tr.Judge(800*ms + Settle)
 	is.Equal(len(f), 1)
 	is.Equal(f[0], Finding{Digest: digest(1), Events: 3, Upstreams: 3, Lost: 3})
 	for upstream := Incarnation(1); upstream <= 3; upstream++ {
 		is.True(tr.Explained(upstream))
 	}
-	// What ran beside it is cleared, also of ends that come later.
-	lose(tr, 4, time.Second, 1, 11)
+	// The requests that ran next to it are cleared, also for later terminations.
+	loseAll(tr, 4, time.Second, 1, 11)
 	is.Equal(tr.Events(digest(11), time.Second), 0)
 	is.Equal(tr.Judge(10*time.Second), nil)
 }
 
-// A request that was at the same ends as another one is told apart by the next end.
-func TestATieIsntJudged(t *testing.T) {
+// Two requests with the same losses are told apart by the next termination.
+func TestTieGetsNoVerdict(t *testing.T) {
 	is := is.New(t)
 	tr := NewTracker()
 	for i := range 3 {
-		lose(tr, Incarnation(i), time.Duration(i)*400*ms, 1, 2)
+		loseAll(tr, Incarnation(i), time.Duration(i)*400*ms, 1, 2)
 	}
 	is.Equal(tr.Judge(10*time.Second), nil)
-	lose(tr, 9, 11*time.Second, 1)
+	loseAll(tr, 9, 11*time.Second, 1)
 	f := tr.Judge(11*time.Second + Settle)
 	is.Equal(len(f), 1)
 	is.Equal(f[0].Digest, digest(1))
 }
 
-// Two requests that end upstreams at the same time are both judged.
-func TestTwoAtOnce(t *testing.T) {
+// Two requests that terminate upstreams at the same time both get a verdict.
+func TestTwoPoisonRequestsAtOnce(t *testing.T) {
 	is := is.New(t)
 	tr := NewTracker()
 	for i := range 4 {
-		lose(tr, Incarnation(2*i), time.Duration(i)*500*ms, 1, uint64(100+i))
-		lose(tr, Incarnation(2*i+1), time.Duration(i)*500*ms+250*ms, 2, uint64(200+i))
+		loseAll(tr, Incarnation(2*i), time.Duration(i)*500*ms, 1, uint64(100+i))
+		loseAll(tr, Incarnation(2*i+1), time.Duration(i)*500*ms+250*ms, 2, uint64(200+i))
 	}
 	is.Equal(len(tr.Judge(1750*ms+Settle)), 2)
 }
 
-// A popular request that is at a third of all upstreams when these are killed is at one
-// event, however many upstreams that are.
+// A popular request that runs at a third of all upstreams when these are killed has one event,
+// however many upstreams that are.
 func TestUpstreamsKilledAtOnceAreOneEvent(t *testing.T) {
 	is := is.New(t)
 	tr := NewTracker()
 	for upstream := range Incarnation(20) {
-		lose(tr, upstream, time.Duration(upstream)*ms, 1)
+		loseAll(tr, upstream, time.Duration(upstream)*ms, 1)
 	}
 	is.Equal(tr.Events(digest(1), 0), 1)
 	is.Equal(tr.Judge(time.Minute), nil)
 }
 
-// A request that ends upstreams at once and is sent on ends three within milliseconds: each of
-// its runs began after the end before. Of upstreams that are killed at once each had run it
-// before that.
+// A request that terminates upstreams immediately and is retried terminates three within
+// milliseconds: each of its runs began after the previous termination. A request that had run
+// before at upstreams killed at the same time has only one event.
 func TestRunsThatBeganAfterTheEndBeforeAreEvents(t *testing.T) {
 	is := is.New(t)
 	tr := NewTracker()
@@ -99,36 +99,37 @@
 	is.Equal(f[0].Digest, digest(1))
 }
 
-// What was answered is no longer suspected, and for some time it takes more to judge it.
+// An answered request is no longer a suspect, and needs more events for a verdict for some time.
 func TestAnsweredRequestsAreSound(t *testing.T) {
 	is := is.New(t)
 	tr := NewTracker()
-	lose(tr, 1, 0, 1)
-	lose(tr, 2, 500*ms, 1)
-	is.Equal(tr.Suspects(500*ms, time.Second, 10), []Suspicion{{Digest: digest(1), Events: 2, First: 0}})
-	is.True(tr.Survive(digest(1), 600*ms))
-	is.True(!tr.Survive(digest(1), 600*ms)) // that is no news
+	loseAll(tr, 1, 0, 1)
+	loseAll(tr, 2, 500*ms, 1)
+	is.Equal(tr.Suspects(500*ms, time.Second, 10), []Suspect{{Digest: digest(1), Events: 2, First: 0}})
+	is.True(tr.RecordSurvival(digest(1), 600*ms))
+	is.True(!tr.RecordSurvival(digest(1), 600*ms)) // it has no losses left
 	is.True(tr.SurvivedSince(digest(1), 600*ms))
 	is.True(!tr.SurvivedSince(digest(1), 601*ms))
 	is.Equal(tr.Suspects(600*ms, time.Second, 10), nil)
 	for i := range 4 {
-		lose(tr, Incarnation(10+i), time.Duration(i+1)*time.Second, 1)
+		loseAll(tr, Incarnation(10+i), time.Duration(i+1)*time.Second, 1)
 	}
 	is.Equal(tr.Judge(20*time.Second), nil)
-	// The next version's upstreams may end by it all the same.
-	lose(tr, 14, 21*time.Second, 1)
+	// It may still terminate the next version's upstreams.
+	loseAll(tr, 14, 21*time.Second, 1)
 	is.Equal(len(tr.Judge(22*time.Second)), 1)
 
-	// Long after an answer it takes no more than for others.
-	tr.Survive(digest(2), 30*time.Second)
+	// Long after an answer, the usual number of events is enough.
+	tr.RecordSurvival(digest(2), 30*time.Second)
 	for i := range 3 {
-		lose(tr, Incarnation(20+i), 2*time.Minute+time.Duration(i)*time.Second, 2)
+		loseAll(tr, Incarnation(20+i), 2*time.Minute+time.Duration(i)*time.Second, 2)
 	}
 	is.Equal(len(tr.Judge(3*time.Minute)), 1)
 }
 
-// Where upstreams end for other reasons, three ends with a request say little.
-func TestOtherEndsAskForMore(t *testing.T) {
+// While upstreams terminate for other reasons, three losses of a request aren't enough for a
+// verdict.
+func TestUnrelatedTerminationsRequireMoreEvents(t *testing.T) {
 	is := is.New(t)
 	tr := NewTracker()
 	upstream := Incarnation(0)
@@ -136,49 +137,49 @@
 		at := time.Duration(i) * time.Second
 		for range 4 {
 			upstream++
-			lose(tr, upstream, at, uint64(1000+upstream))
+			loseAll(tr, upstream, at, uint64(1000+upstream))
 		}
 		upstream++
-		lose(tr, upstream, at+300*ms, 1)
+		loseAll(tr, upstream, at+300*ms, 1)
 	}
 	is.Equal(tr.Judge(10*time.Second), nil)
-	lose(tr, 99, 11*time.Second, 1)
-	is.Equal(len(tr.Judge(12*time.Second)), 1) // five are no chance
+	loseAll(tr, 99, 11*time.Second, 1)
+	is.Equal(len(tr.Judge(12*time.Second)), 1) // five events are no coincidence
 }
 
-// However many bodies callers make up, the memory stays bounded, and what is at the ends
-// again and again is found all the same.
+// The memory stays bounded however many distinct bodies callers send, and a request that is lost
+// again and again is still found.
 func TestMemoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	tr := NewTracker()
 	next := uint64(10)
 	for i := range 60 {
 		at := time.Duration(i) * time.Second
-		lose(tr, Incarnation(i), at, 1)
+		loseAll(tr, Incarnation(i), at, 1)
 		for range 1000 {
 			next++
-			lose(tr, Incarnation(i), at, next)
+			loseAll(tr, Incarnation(i), at, next)
 		}
-		tr.Survive(digest(next+1_000_000), at)
+		tr.RecordSurvival(digest(next+1_000_000), at)
 	}
 	is.True(tr.singles.Len() <= maxSingles)
 	is.True(len(tr.suspects) <= maxSuspects)
-	is.True(tr.ended.Len() <= maxEnded)
+	is.True(tr.terminated.Len() <= maxTerminated)
 	is.True(tr.survived.Len() <= maxSurvivals)
-	for _, upstream := range tr.ended.Values() {
+	for _, upstream := range tr.terminated.Values() {
 		is.True(len(upstream.digests) <= maxPerUpstream+maxSuspects)
 	}
 	is.Equal(len(tr.Judge(2*time.Minute)), 1)
 }
 
-// An upstream that starts again under its name is another one when it ends again.
+// An upstream that restarts under the same name counts as another one when it terminates again.
 func TestUpstreamsThatKeepTheirNames(t *testing.T) {
 	is := is.New(t)
 	tr := NewTracker()
 	for i := range 3 {
 		at := time.Duration(i) * 4 * time.Second
 		tr.Lose(Loss{Digest: digest(1), Incarnation: 5, At: at})
-		is.True(!tr.Lose(Loss{Digest: digest(1), Incarnation: 5, At: at + 300*ms})) // the same end, told late
+		is.True(!tr.Lose(Loss{Digest: digest(1), Incarnation: 5, At: at + 300*ms})) // a late report of the same termination
 		tr.Lose(Loss{Digest: digest(uint64(100 + i)), Incarnation: 5, At: at + 20*ms})
 	}
 	is.Equal(tr.Events(digest(1), 9*time.Second), 3)
@@ -186,15 +187,15 @@
 	is.True(tr.Explained(5))
 }
 
-// A verdict that is lifted is forgotten, with what was held against the request.
+// When a verdict is lifted, the request's losses are dropped, too.
 func TestClear(t *testing.T) {
 	is := is.New(t)
 	tr := NewTracker()
 	tr.Blame(digest(1))
-	lose(tr, 1, 0, 1, 2)
+	loseAll(tr, 1, 0, 1, 2)
 	is.True(tr.Explained(1))
-	tr.Clear(digest(1))
-	lose(tr, 2, time.Second, 1)
+	tr.ClearVerdict(digest(1))
+	loseAll(tr, 2, time.Second, 1)
 	is.True(!tr.Explained(2))
-	is.Equal(tr.Events(digest(1), time.Second), 1) // the end before the verdict was lifted doesn't count
+	is.Equal(tr.Events(digest(1), time.Second), 1) // the loss before the verdict was lifted doesn't count
 }
