--- a/internal/guard/endings.go
+++ b/internal/guard/endings.go
@@ -13,102 +13,102 @@
 )
 
 const (
-	// survivalWait is the time after an answer from which its upstream counts as having
-	// survived the run: another host's word that it ended has come by then.
-	survivalWait = 600 * time.Millisecond
-	// breakGather is the time in which the answers that one upstream breaks off are
-	// gathered before it is looked at: the end of a process breaks all within 2 ms.
-	breakGather = 5 * time.Millisecond
-	// checkTimeout bounds the look at an upstream that broke answers off. A process
-	// that ended refuses connections at once; where nothing comes back, the upstream may
-	// live behind a cut.
+	// survivalDelay is the time after a response from which its upstream counts as having
+	// survived the run. A report from another host that it terminated has arrived by then.
+	survivalDelay = 600 * time.Millisecond
+	// checkDelay is how long the interrupted responses of one upstream are collected before it
+	// is checked: the end of a process interrupts all of them within 2 ms.
+	checkDelay = 5 * time.Millisecond
+	// checkTimeout bounds the check of an upstream that interrupted responses. If its process
+	// has ended, connections are refused at once; if there is no reply, the upstream may be
+	// alive behind a network partition.
 	checkTimeout = 250 * time.Millisecond
 )
 
-// settle tells of the requests whose upstreams outlived them. Where upstreams ended with the
-// request before, this one is asked, beside the others' turns.
-func (e *exposures) settle() {
-	for _, run := range e.due() {
-		if e.suspected(run.digest) {
-			go e.confirm(run)
+// reportSurvivals reports the requests whose upstreams survived them. For suspects it first
+// checks the upstream, in a goroutine of its own.
+func (e *runTracker) reportSurvivals() {
+	for _, run := range e.takeDue() {
+		if e.isSuspect(run.digest) {
+			go e.confirmSurvival(run)
 			continue
 		}
-		e.survived(run.digest)
+		e.onSurvival(run.digest)
 	}
 }
 
-// confirm finds out whether the upstream outlived a run that was answered.
-func (e *exposures) confirm(run answeredRun) {
-	if !refuses(run.exposure.upstream.Address) {
-		e.survived(run.digest)
+// confirmSurvival checks whether the upstream survived an answered run.
+func (e *runTracker) confirmSurvival(run answeredRun) {
+	if !refusesConnections(run.runs.upstream.Address) {
+		e.onSurvival(run.digest)
 		return
 	}
 	e.mu.Lock()
-	known := !run.exposure.endedAt.IsZero()
-	if !known {
-		run.exposure.endedAt = run.at
+	alreadyTerminated := !run.runs.terminatedAt.IsZero()
+	if !alreadyTerminated {
+		run.runs.terminatedAt = run.overAt
 	}
-	runs := run.exposure.take()
+	runs := run.runs.takeExposed()
 	e.mu.Unlock()
-	if !known || len(runs) > 0 {
-		e.ended(run.exposure.upstream, boottime.Since(run.at), runs)
+	if !alreadyTerminated || len(runs) > 0 {
+		e.onTermination(run.runs.upstream, boottime.Since(run.overAt), runs)
 	}
 }
 
-// due takes the runs that were answered long enough ago and whose upstreams aren't known to
-// have ended.
-func (e *exposures) due() []answeredRun {
+// takeDue removes and returns the runs that were answered at least survivalDelay ago and whose
+// upstreams aren't known to have terminated.
+func (e *runTracker) takeDue() []answeredRun {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	n := 0
-	for n < len(e.answered) && boottime.Since(e.answered[n].at) >= survivalWait {
+	for n < len(e.answered) && boottime.Since(e.answered[n].overAt) >= survivalDelay {
 		n++
 	}
 	due := slices.Clone(e.answered[:n])
 	e.answered = slices.Delete(e.answered, 0, n)
-	return slices.DeleteFunc(due, func(run answeredRun) bool { return !run.exposure.endedAt.IsZero() })
+	return slices.DeleteFunc(due, func(run answeredRun) bool { return !run.runs.terminatedAt.IsZero() })
 }
 
-// look finds out whether the upstream ended, unless that is under way or known. The lock is
-// held.
-func (e *exposures) look(x *exposure) {
-	if x.checking || !x.endedAt.IsZero() {
+// scheduleCheck has the upstream checked, unless a check is pending or its termination is known.
+// The lock must be held.
+func (e *runTracker) scheduleCheck(x *upstreamRuns) {
+	if x.checking || !x.terminatedAt.IsZero() {
 		return
 	}
-	x.checking, x.lookedAt = true, boottime.Now()
-	time.AfterFunc(breakGather, func() { e.check(x) })
+	x.checking, x.brokeAt = true, boottime.Now()
+	time.AfterFunc(checkDelay, func() { e.check(x) })
 }
 
-// check asks the upstream for a connection. Other requests that go on there show that it
-// lives, and spare the connection.
-func (e *exposures) check(x *exposure) {
+// check tries to connect to the upstream, unless other requests still run there and thus show
+// that it is alive.
+func (e *runTracker) check(x *upstreamRuns) {
 	e.mu.Lock()
-	others, broke := len(x.running), x.lookedAt
+	others, brokeAt := len(x.running), x.brokeAt
 	e.mu.Unlock()
-	gone := others == 0 && refuses(x.upstream.Address)
+	terminated := others == 0 && refusesConnections(x.upstream.Address)
 	e.mu.Lock()
 	x.checking = false
-	var runs []endedRun
-	if gone {
-		x.endedAt = broke
-		runs = x.take()
+	var runs []exposedRun
+	if terminated {
+		x.terminatedAt = brokeAt
+		runs = x.takeExposed()
 	}
 	e.mu.Unlock()
-	e.log.Warn().Str("event", "upstream-checked").Str("upstream", x.upstream.ID).Bool("ended", gone).
+	e.log.Warn().Str("event", "upstream-checked").Str("upstream", x.upstream.ID).Bool("ended", terminated).
 		Int("exposed", len(runs)).Int("running", others).Strs("digests", digestTexts(runs)).Msg("")
-	if gone {
-		e.ended(x.upstream, boottime.Since(broke), runs)
+	if terminated {
+		e.onTermination(x.upstream, boottime.Since(brokeAt), runs)
 	}
 }
 
-// refuses says whether nothing listens at the address.
-func refuses(address string) bool {
+// refusesConnections reports whether nothing listens at the address.
+func refusesConnections(address string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), checkTimeout)
 	defer cancel()
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err == nil {
-		// It was only to see whether there is somebody.
+		// the connection only serves as a check
 		_ = conn.Close()
 		return false
 	}
@@ -118,7 +118,7 @@
 // maxLoggedDigests bounds the digests in one log line.
 const maxLoggedDigests = 16
 
-func digestTexts(runs []endedRun) []string {
+func digestTexts(runs []exposedRun) []string {
 	list := make([]string, 0, min(len(runs), maxLoggedDigests))
 	for _, run := range runs[:min(len(runs), maxLoggedDigests)] {
 		list = append(list, run.digest.String())
@@ -126,24 +126,24 @@
 	return list
 }
 
-// endedElsewhere takes in another host's word that an upstream ended: what this host gave
-// up there shortly before may be to blame, and nobody else knows of it.
-func (e *exposures) endedElsewhere(name quarantine.Incarnation, ago time.Duration) {
+// terminatedElsewhere processes another host's report that an upstream terminated. The requests
+// that this host abandoned there shortly before may be the cause, and no other host has them.
+func (e *runTracker) terminatedElsewhere(name quarantine.Incarnation, ago time.Duration) {
 	e.mu.Lock()
 	x := e.upstreams[name]
-	if x == nil || !x.endedAt.IsZero() || x.checking {
+	if x == nil || !x.terminatedAt.IsZero() || x.checking {
 		e.mu.Unlock()
 		return
 	}
 	if len(x.running) > 0 {
-		e.look(x)
+		e.scheduleCheck(x)
 		e.mu.Unlock()
 		return
 	}
-	x.endedAt = boottime.Now().Add(-ago)
-	runs := x.take()
+	x.terminatedAt = boottime.Now().Add(-ago)
+	runs := x.takeExposed()
 	e.mu.Unlock()
 	if len(runs) > 0 {
-		e.ended(x.upstream, ago, runs)
+		e.onTermination(x.upstream, ago, runs)
 	}
 }
--- a/internal/guard/exposures.go
+++ b/internal/guard/exposures.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	// recentKept is how long a run is remembered that is over: another host's word that the
-	// upstream ended comes over two hubs.
-	recentKept = 3 * time.Second
-	// lingering is how long a run that this host gave up may go on at its upstream: the
-	// upstream notices the closed connection late, and an engine that was given a prompt
-	// can end by it up to 0.1 s after its answer was dropped.
-	lingering = time.Second
-	// aftermath is the same for a run that the upstream finished: short ones are over before
-	// what they brought about ends it.
-	aftermath = 300 * time.Millisecond
-	// sameEnd is the time after an upstream's end in which answers still arrive that it made
-	// before.
-	sameEnd = time.Second
-	// endedKept is how long the end of an upstream is remembered for answers whose end
-	// is noticed late.
-	endedKept = 5 * time.Second
+	// recentRunRetention is how long a finished run is kept: reports from other hosts that the
+	// upstream terminated arrive over two hubs.
+	recentRunRetention = 3 * time.Second
+	// abandonedRunExposure is how long a run that this host abandoned may go on at its upstream.
+	// The upstream detects the closed connection late, and an engine that was given a prompt can
+	// terminate up to 0.1 s after its response was dropped.
+	abandonedRunExposure = time.Second
+	// answeredRunExposure is the same for a run that the upstream completed: short runs are over
+	// before their effects terminate the upstream.
+	answeredRunExposure = 300 * time.Millisecond
+	// lateResponseWindow is the time after an upstream's termination in which responses that it
+	// sent before still arrive.
+	lateResponseWindow = time.Second
+	// terminationRetention is how long the termination of an upstream is kept for responses
+	// whose interruption is detected late.
+	terminationRetention = 5 * time.Second
 )
 
 // Upstream is one incarnation of an upstream.
@@ -35,111 +35,113 @@
 	ID      string
 	Service string
 	Address string
-	// Incarnation names the incarnation, the same on all hosts.
+	// Incarnation identifies the incarnation, the same on all hosts.
 	Incarnation quarantine.Incarnation
 }
 
-// Outcome is how a request's attempt at an upstream ended.
+// Outcome is the result of an attempt at an upstream.
 type Outcome int
 
 const (
-	// Answered: the upstream ran the request to a complete answer, a failure included.
+	// Answered: the upstream sent a complete response, possibly an error.
 	Answered Outcome = iota
-	// NotRun: the upstream didn't run it.
+	// NotRun: the upstream didn't run the request.
 	NotRun
 	// Unreachable: nothing listened at the upstream's address.
 	Unreachable
-	// Broken: it was sent and the connection ended without a complete answer.
+	// Broken: the request was sent and the connection ended before a complete response.
 	Broken
-	// GivenUp: this host ended the attempt, or waited no longer; the run may go on.
+	// GivenUp: this host ended the attempt or stopped waiting; the run may go on.
 	GivenUp
 )
 
-// exposures keep which requests run at each upstream, and notice when an upstream ends.
-type exposures struct {
-	// ended is told of an upstream that ended so long ago, with what this host had there.
-	ended func(u Upstream, ago time.Duration, runs []endedRun)
-	// survived is told of a request whose run an upstream outlived.
-	survived func(d quarantine.Digest)
-	// suspected says whether an upstream ended with the request before.
-	suspected func(d quarantine.Digest) bool
+// runTracker tracks which requests run at each upstream, and detects terminated upstreams.
+type runTracker struct {
+	// onTermination is called when an upstream is found to have terminated, with the time since
+	// then and the runs of this host that it may have interrupted.
+	onTermination func(u Upstream, ago time.Duration, runs []exposedRun)
+	// onSurvival is called for a request that its upstream survived.
+	onSurvival func(d quarantine.Digest)
+	// isSuspect reports whether an upstream terminated with the request before.
+	isSuspect func(d quarantine.Digest) bool
 	log       zerolog.Logger
 
 	mu        sync.Mutex
-	upstreams map[quarantine.Incarnation]*exposure
-	// answered are the runs of which it isn't known yet whether their upstreams outlive
-	// them, the oldest first.
+	upstreams map[quarantine.Incarnation]*upstreamRuns
+	// answered holds the answered runs for which it isn't known yet whether their upstreams
+	// survive, oldest first.
 	answered []answeredRun
 }
 
 // answeredRun is a run that was answered, and its upstream.
 type answeredRun struct {
-	exposure *exposure
+	runs *upstreamRuns
 	recentRun
 }
 
-// exposure is what this host sent to one incarnation of an upstream.
-type exposure struct {
+// upstreamRuns holds the runs of this host at one incarnation of an upstream.
+type upstreamRuns struct {
 	upstream Upstream
-	running  map[quarantine.Digest]runs
-	// recent are runs that are over for this host: given up, broken off or answered.
+	running  map[quarantine.Digest]activeRuns
+	// recent holds runs that are over for this host: abandoned, interrupted or answered.
 	recent []recentRun
-	// checking says that a look at the upstream is under way, since when.
+	// checking says that a check of the upstream is pending, brokeAt when the response that
+	// caused the check was interrupted.
 	checking bool
-	lookedAt time.Time
-	// endedAt is when the upstream was found to have ended; zero before.
-	endedAt time.Time
+	brokeAt  time.Time
+	// terminatedAt is when the upstream terminated; zero while it isn't known to have.
+	terminatedAt time.Time
 }
 
-// runs are those of one request at an upstream: how many, and when the first began.
-type runs struct {
-	count int
-	began time.Time
+// activeRuns counts the runs of one request at an upstream. startedAt is the start of the first.
+type activeRuns struct {
+	count     int
+	startedAt time.Time
 }
 
-// recentRun is a run that is over, since when, and how long after that it may end its
-// upstream.
+// recentRun is a run that is over for this host. It may terminate its upstream for the duration
+// exposure after overAt.
 type recentRun struct {
-	digest quarantine.Digest
-	began  time.Time
-	at     time.Time
-	after  time.Duration
+	digest    quarantine.Digest
+	startedAt time.Time
+	overAt    time.Time
+	exposure  time.Duration
 }
 
-// endedRun is a run that an upstream may have ended by, and for how long it had been there.
-type endedRun struct {
+// exposedRun is a run that may have terminated an upstream, and how long it had been there.
+type exposedRun struct {
 	digest quarantine.Digest
 	ran    time.Duration
 }
 
-func newExposures(log zerolog.Logger) *exposures {
-	return &exposures{
-		ended: func(Upstream, time.Duration, []endedRun) {}, survived: func(quarantine.Digest) {},
-		suspected: func(quarantine.Digest) bool { return false }, log: log, upstreams: make(map[quarantine.Incarnation]*exposure),
+func newRunTracker(log zerolog.Logger) *runTracker {
+	return &runTracker{
+		onTermination: func(Upstream, time.Duration, []exposedRun) {}, onSurvival: func(quarantine.Digest) {},
+		isSuspect: func(quarantine.Digest) bool { return false }, log: log, upstreams: make(map[quarantine.Incarnation]*upstreamRuns),
 	}
 }
 
-// begin notes that a request is sent to an upstream.
-func (e *exposures) begin(u Upstream, d quarantine.Digest) {
+// begin records that a request is sent to an upstream.
+func (e *runTracker) begin(u Upstream, d quarantine.Digest) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	x := e.upstreams[u.Incarnation]
 	if x == nil {
-		x = &exposure{upstream: u, running: make(map[quarantine.Digest]runs)}
+		x = &upstreamRuns{upstream: u, running: make(map[quarantine.Digest]activeRuns)}
 		e.upstreams[u.Incarnation] = x
 	}
-	if !x.endedAt.IsZero() && boottime.Since(x.endedAt) > sameEnd {
-		x.endedAt, x.recent = time.Time{}, nil // it may have started again under its name
+	if !x.terminatedAt.IsZero() && boottime.Since(x.terminatedAt) > lateResponseWindow {
+		x.terminatedAt, x.recent = time.Time{}, nil // the upstream may have restarted under the same name
 	}
 	r := x.running[d]
 	if r.count++; r.count == 1 {
-		r.began = boottime.Now()
+		r.startedAt = boottime.Now()
 	}
 	x.running[d] = r
 }
 
-// end notes how the request's attempt there ended.
-func (e *exposures) end(u Upstream, d quarantine.Digest, how Outcome) {
+// end records the outcome of an attempt.
+func (e *runTracker) end(u Upstream, d quarantine.Digest, how Outcome) {
 	e.mu.Lock()
 	x := e.upstreams[u.Incarnation]
 	if x == nil {
@@ -154,84 +156,84 @@
 	}
 	switch how {
 	case Broken:
-		x.over(d, r.began, lingering)
-		e.look(x)
+		x.addRecent(d, r.startedAt, abandonedRunExposure)
+		e.scheduleCheck(x)
 	case GivenUp:
-		x.over(d, r.began, lingering)
+		x.addRecent(d, r.startedAt, abandonedRunExposure)
 	case Unreachable:
-		if x.exposed() {
-			e.look(x)
+		if x.hasRuns() {
+			e.scheduleCheck(x)
 		}
 	case Answered:
-		e.answered = append(e.answered, answeredRun{exposure: x, recentRun: x.over(d, r.began, aftermath)})
+		e.answered = append(e.answered, answeredRun{runs: x, recentRun: x.addRecent(d, r.startedAt, answeredRunExposure)})
 	}
-	late, ago := x.takeLate()
+	late, ago := x.takeLateExposed()
 	e.mu.Unlock()
 	if len(late) > 0 {
-		e.ended(u, ago, late)
+		e.onTermination(u, ago, late)
 	}
 }
 
-// over notes a run that is over for this host. The lock is held.
-func (x *exposure) over(d quarantine.Digest, began time.Time, after time.Duration) recentRun {
-	run := recentRun{digest: d, began: began, at: boottime.Now(), after: after}
+// addRecent adds a run that is over for this host. The lock must be held.
+func (x *upstreamRuns) addRecent(d quarantine.Digest, startedAt time.Time, exposure time.Duration) recentRun {
+	run := recentRun{digest: d, startedAt: startedAt, overAt: boottime.Now(), exposure: exposure}
 	x.recent = append(x.recent, run)
 	return run
 }
 
-// exposed says whether anything of this host's may run there. The lock is held.
-func (x *exposure) exposed() bool {
+// hasRuns reports whether runs of this host may exist at the upstream. The lock must be held.
+func (x *upstreamRuns) hasRuns() bool {
 	x.dropOld()
 	return len(x.running)+len(x.recent) > 0
 }
 
-// dropOld forgets runs that were over long ago. The lock is held.
-func (x *exposure) dropOld() {
-	x.recent = slices.DeleteFunc(x.recent, func(run recentRun) bool { return boottime.Since(run.at) > recentKept })
+// dropOld drops runs that were over more than recentRunRetention ago. The lock must be held.
+func (x *upstreamRuns) dropOld() {
+	x.recent = slices.DeleteFunc(x.recent, func(run recentRun) bool { return boottime.Since(run.overAt) > recentRunRetention })
 }
 
-// take returns the runs that are over and may have ended it, one a request, and forgets
-// these. What still runs there will break off and is taken then, unless it is on its way
-// only. The lock is held.
-func (x *exposure) take() []endedRun {
+// takeExposed removes the recent runs and returns, one for each request, those that may have
+// terminated the upstream. Requests that still run there will be interrupted and are returned
+// then, unless they are only in transit. The lock must be held.
+func (x *upstreamRuns) takeExposed() []exposedRun {
 	longest := make(map[quarantine.Digest]time.Duration)
 	for _, run := range x.recent {
-		if x.endedAt.Sub(run.at) <= run.after {
-			longest[run.digest] = max(longest[run.digest], x.endedAt.Sub(run.began))
+		if x.terminatedAt.Sub(run.overAt) <= run.exposure {
+			longest[run.digest] = max(longest[run.digest], x.terminatedAt.Sub(run.startedAt))
 		}
 	}
 	x.recent = nil
-	list := make([]endedRun, 0, len(longest))
+	list := make([]exposedRun, 0, len(longest))
 	for d, ran := range longest {
-		list = append(list, endedRun{digest: d, ran: ran})
+		list = append(list, exposedRun{digest: d, ran: ran})
 	}
 	return list
 }
 
-// takeLate returns what is found to have broken off after the upstream's end was noticed,
-// and how long ago that end was. The lock is held.
-func (x *exposure) takeLate() ([]endedRun, time.Duration) {
-	if x.endedAt.IsZero() || len(x.recent) == 0 {
+// takeLateExposed returns the runs that were found to be interrupted after the upstream's
+// termination was detected, and the time since the termination. The lock must be held.
+func (x *upstreamRuns) takeLateExposed() ([]exposedRun, time.Duration) {
+	if x.terminatedAt.IsZero() || len(x.recent) == 0 {
 		return nil, 0
 	}
-	return x.take(), boottime.Since(x.endedAt)
+	return x.takeExposed(), boottime.Since(x.terminatedAt)
 }
 
-// hasEnded says whether the upstream is known to have ended.
-func (e *exposures) hasEnded(u Upstream) bool {
+// hasTerminated reports whether the upstream is known to have terminated.
+func (e *runTracker) hasTerminated(u Upstream) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	x := e.upstreams[u.Incarnation]
-	return x != nil && !x.endedAt.IsZero()
+	return x != nil && !x.terminatedAt.IsZero()
 }
 
-// sweep forgets upstreams at which nothing of this host's runs.
-func (e *exposures) sweep() {
+// sweep drops upstreams without runs of this host.
+func (e *runTracker) sweep() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for name, x := range e.upstreams {
-		old := x.endedAt.IsZero() || boottime.Since(x.endedAt) > endedKept
-		if old && !x.checking && !x.exposed() {
+		old := x.terminatedAt.IsZero() || boottime.Since(x.terminatedAt) > terminationRetention
+		if old && !x.checking && !x.hasRuns() {
 			delete(e.upstreams, name)
 		}
 	}
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,7 +1,7 @@
-// Package guard keeps requests that end upstreams away from them: it notes what this host
-// runs at each upstream, finds out which upstreams ended, tells the other hosts and
-// hears from them, and answers whether a request may be sent. What is a suspect and what
-// is judged, package quarantine decides.
+// Package guard keeps poison requests away from upstreams. It records which requests this host
+// runs at each upstream, detects terminated upstreams, exchanges these observations with the
+// other hosts, and decides whether a request may be sent. Package quarantine decides which
+// requests are suspects and which get verdicts.
 package guard
 
 import (
@@ -19,81 +19,83 @@
 )
 
 const (
-	// judgeInterval is the time between two judgements: a small part of the time in
-	// which all hosts must know of one.
-	judgeInterval = 100 * time.Millisecond
-	// sweepInterval is how often what is kept of upstreams that ended is tidied.
+	// evaluationInterval is the time between two evaluations of the losses: a small part of the time
+	// in which a verdict must reach all hosts.
+	evaluationInterval = 100 * time.Millisecond
+	// sweepInterval is how often the records of idle upstreams are dropped.
 	sweepInterval = 10 * time.Second
-	// blameWait is how long the end of an upstream isn't held against its version: a
-	// request that is to blame for it is found in that time. Operators give 5 s to stop a
-	// bad version.
-	blameWait = 2500 * time.Millisecond
-	// checkedWithin is the time within which it is known whether an upstream that broke an
-	// answer off ended.
-	checkedWithin = breakGather + checkTimeout + 50*time.Millisecond
+	// verdictWait is how long the termination of an upstream isn't attributed to its version: if
+	// a poison request is the cause, it is found in that time. Operators require a bad version
+	// to be stopped within 5 s.
+	verdictWait = 2500 * time.Millisecond
+	// checkDuration is the time within which it is known whether an upstream that interrupted a
+	// response has terminated.
+	checkDuration = checkDelay + checkTimeout + 50*time.Millisecond
 )
 
-// Counted is what a guard counts.
+// Counted is a kind of event that a guard counts.
 type Counted int
 
 const (
 	// CountVerdict is a verdict that this host made.
 	CountVerdict Counted = iota
-	// CountEnded is an upstream that ended with requests of this host's.
+	// CountEnded is an upstream that terminated with requests of this host.
 	CountEnded
 	// CountRefused is a request that was refused because of a verdict.
 	CountRefused
 )
 
-// Options are what a guard needs.
+// Options configure a guard.
 type Options struct {
 	// Host is this host's name.
 	Host string
-	// Table keeps the verdicts under keys that begin with Prefix.
+	// Table stores the verdicts under keys that begin with Prefix.
 	Table  storage.Table
 	Prefix string
-	// Clock is a clock that all hosts share, by which verdicts end.
+	// Clock is the clock, shared by all hosts, by which verdicts expire.
 	Clock func() time.Duration
-	// Ended is told once of each upstream that ended, wherever that was seen. It may be nil.
+	// Ended is called once for each upstream that terminated, whichever host observed it. It may
+	// be nil.
 	Ended func(quarantine.Incarnation)
-	// Count is told what happens at a service; the service is empty for verdicts.
+	// Count counts an event at a service; the service is empty for verdicts.
 	Count func(what Counted, service string)
 	Log   zerolog.Logger
 }
 
-// Guard is one host's part. It is safe for concurrent use.
+// Guard tracks suspects and enforces verdicts on one host. It is safe for concurrent use.
 type Guard struct {
-	options   Options
-	tracker   *quarantine.Tracker
-	register  *quarantine.Register
-	exposures *exposures
-	rows      *rows
-	log       zerolog.Logger
+	options     Options
+	tracker     *quarantine.Tracker
+	register    *quarantine.Register
+	runs        *runTracker
+	verdictRows *verdictRows
+	log         zerolog.Logger
 
 	mu sync.Mutex
-	// judges says that this host judges by what it knows.
-	judges bool
-	seen   sightingBook
-	told   map[quarantine.Digest]toldSuspect
-	// ended are the upstreams that ended lately.
-	ended []endedUpstream
-	// standing is what followers were told last, as of standingAt.
+	// makesVerdicts says that this host makes verdicts from its observations.
+	makesVerdicts bool
+	sightings     sightingBuffer
+	hubSuspects   map[quarantine.Digest]hubSuspect
+	// terminations holds the recent terminations of upstreams.
+	terminations []termination
+	// standing is the standing last sent to followers, built at standingAt.
 	standing   exchange.Standing
 	standingAt time.Duration
-	// running counts the requests that this host has at upstreams, by digest.
+	// running counts the requests of this host at upstreams, by digest.
 	running map[quarantine.Digest]int
-	// changed is closed when something changed for requests that wait.
+	// changed is closed when waiting requests must check their state again.
 	changed chan struct{}
 }
 
-// toldSuspect is a suspect that the hub told.
-type toldSuspect struct {
+// hubSuspect is a suspect that the hub sent.
+type hubSuspect struct {
 	events int
-	// first is when the first upstream ended with it, at when that was told.
+	// first is the time of the first termination with it, at the time of the report.
 	first, at time.Duration
 }
 
-// New returns a guard; Run runs it. A host judges until another one does that for it.
+// New returns a guard; Run must be called to run it. Until Judges is called, the host makes
+// verdicts itself.
 func New(options Options) *Guard {
 	if options.Ended == nil {
 		options.Ended = func(quarantine.Incarnation) {}
@@ -101,43 +103,45 @@
 	register := quarantine.NewRegister()
 	g := &Guard{
 		options: options, tracker: quarantine.NewTracker(), register: register,
-		exposures: newExposures(options.Log), rows: newRows(&options, register), log: options.Log,
-		judges: true, told: make(map[quarantine.Digest]toldSuspect), running: make(map[quarantine.Digest]int),
+		runs: newRunTracker(options.Log), verdictRows: newVerdictRows(&options, register), log: options.Log,
+		makesVerdicts: true, hubSuspects: make(map[quarantine.Digest]hubSuspect), running: make(map[quarantine.Digest]int),
 		changed: make(chan struct{}),
 	}
-	g.exposures.ended, g.exposures.survived = g.lose, g.survive
-	g.exposures.suspected = func(d quarantine.Digest) bool { return g.events(d, boottime.Elapsed()) > 1 }
-	g.rows.known, g.rows.lifted = g.know, g.lift
+	g.runs.onTermination, g.runs.onSurvival = g.recordTermination, g.recordSurvival
+	g.runs.isSuspect = func(d quarantine.Digest) bool { return g.events(d, boottime.Elapsed()) > 1 }
+	g.verdictRows.onVerdict, g.verdictRows.onLift = g.applyVerdict, g.applyLift
 	return g
 }
 
-// Run judges and keeps the verdicts' rows until the context ends.
+// Run makes verdicts and writes their rows until the context ends.
 func (g *Guard) Run(ctx context.Context) {
 	var loops sync.WaitGroup
-	loops.Go(func() { wait.Every(ctx, judgeInterval, g.judge) })
-	loops.Go(func() { wait.Every(ctx, judgeInterval, func() { g.rows.write(ctx, g.judging()) }) })
-	loops.Go(func() { wait.Every(ctx, judgeInterval, g.exposures.settle) })
-	loops.Go(func() { wait.Every(ctx, sweepInterval, g.exposures.sweep) })
+	loops.Go(func() { wait.Every(ctx, evaluationInterval, g.makeVerdicts) })
+	loops.Go(func() {
+		wait.Every(ctx, evaluationInterval, func() { g.verdictRows.writeMissing(ctx, g.shouldMakeVerdicts()) })
+	})
+	loops.Go(func() { wait.Every(ctx, evaluationInterval, g.runs.reportSurvivals) })
+	loops.Go(func() { wait.Every(ctx, sweepInterval, g.runs.sweep) })
 	loops.Wait()
 }
 
-// Judges says whether this host judges by what it knows: it hears from all others, or from
-// none.
+// Judges sets whether this host makes verdicts from its observations: it does if it receives
+// those of all other hosts, or of none.
 func (g *Guard) Judges(judges bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.judges = judges
+	g.makesVerdicts = judges
 }
 
-func (g *Guard) judging() bool {
+func (g *Guard) shouldMakeVerdicts() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.judges
+	return g.makesVerdicts
 }
 
-// judge makes the verdicts that are due, if this host is one that judges.
-func (g *Guard) judge() {
-	if !g.judging() {
+// makeVerdicts makes the verdicts that are due, if this host makes verdicts.
+func (g *Guard) makeVerdicts() {
+	if !g.shouldMakeVerdicts() {
 		return
 	}
 	now := boottime.Elapsed()
@@ -147,35 +151,35 @@
 		g.options.Count(CountVerdict, "")
 		g.log.Warn().Str("event", "request-judged").Stringer("digest", f.Digest).Int("events", f.Events).
 			Int("upstreams", f.Upstreams).Int("lost", f.Lost).Int64("until_ms", v.Until.Milliseconds()).Msg("")
-		g.wake()
+		g.notifyWaiting()
 	}
 }
 
-// know takes in a verdict that another host made, or the store has.
-func (g *Guard) know(v quarantine.Verdict, from string) {
+// applyVerdict processes a verdict that came from another host or from the store.
+func (g *Guard) applyVerdict(v quarantine.Verdict, from string) {
 	g.tracker.Blame(v.Digest)
 	g.log.Warn().Str("event", "request-judged-elsewhere").Stringer("digest", v.Digest).Str("by", v.By).Str("from", from).
 		Int("events", v.Events).Int("upstreams", v.Upstreams).Int64("until_ms", v.Until.Milliseconds()).Msg("")
-	g.wake()
+	g.notifyWaiting()
 }
 
-// lift takes in that a verdict was withdrawn.
-func (g *Guard) lift(d quarantine.Digest) {
+// applyLift processes the withdrawal of a verdict.
+func (g *Guard) applyLift(d quarantine.Digest) {
 	g.tracker.ClearVerdict(d)
 	g.log.Warn().Str("event", "quarantine-lifted").Stringer("digest", d).Msg("")
-	g.wake()
+	g.notifyWaiting()
 }
 
-// wake has requests that wait look again.
-func (g *Guard) wake() {
+// notifyWaiting has waiting requests check their state again.
+func (g *Guard) notifyWaiting() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
 
-// lose takes in that an upstream ended so long ago with the requests.
-func (g *Guard) lose(u Upstream, ago time.Duration, runs []endedRun) {
+// recordTermination records that an upstream terminated, the given time ago, with the runs.
+func (g *Guard) recordTermination(u Upstream, ago time.Duration, runs []exposedRun) {
 	now := boottime.Elapsed()
 	at := now - ago
 	g.options.Count(CountEnded, u.Service)
@@ -185,59 +189,59 @@
 		if !g.tracker.Lose(loss) {
 			continue
 		}
-		g.see(loss)
-		g.rows.trialLost(d)
+		g.addLoss(loss)
+		g.verdictRows.trialFailed(d)
 		if n := g.tracker.Events(d, now); n > 1 {
 			g.log.Warn().Str("event", "request-suspected").Stringer("digest", d).Int("events", n).Str("upstream", u.ID).Msg("")
 		}
 	}
-	g.noteEnded(u.Incarnation, at)
+	g.addTermination(u.Incarnation, at)
 }
 
-// survive takes in that a request was answered, and that its upstream outlived it.
-func (g *Guard) survive(d quarantine.Digest) {
+// recordSurvival records that a request was answered and that its upstream survived it.
+func (g *Guard) recordSurvival(d quarantine.Digest) {
 	now := boottime.Elapsed()
 	events := g.events(d, now)
 	g.tracker.RecordSurvival(d, now)
-	g.rows.trialSurvived(d)
+	g.verdictRows.trialSucceeded(d)
 	if events > 0 {
-		g.wake()
+		g.notifyWaiting()
 	}
 	if events > 1 {
 		g.log.Info().Str("event", "suspicion-ended").Stringer("digest", d).Msg("")
-		g.seeAnswered(d)
+		g.addAnswered(d)
 	}
 }
 
-// events is at how many moments upstreams ended with the request, by what this host knows
-// itself or its hub told.
+// events returns the number of events in which upstreams terminated with the request, as
+// observed by this host or reported by its hub.
 func (g *Guard) events(d quarantine.Digest, now time.Duration) int {
 	n := g.tracker.Events(d, now)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if t, ok := g.told[d]; ok && now-t.at < toldFor {
+	if t, ok := g.hubSuspects[d]; ok && now-t.at < hubSuspectTTL {
 		n = max(n, t.events)
 	}
 	return n
 }
 
-// Blame is what to do with an answer that broke off.
+// Blame holds the callbacks for an interrupted response.
 type Blame struct {
-	// Version is called if nothing else explains it than the upstream's version, Request if
-	// a request that is judged ended the upstream. Request may be nil.
+	// Version is called if only the upstream's version can be the cause, Request if a request
+	// with a verdict terminated the upstream. Request may be nil.
 	Version func()
 	Request func()
 }
 
-// Unexplained finds out who is to blame that an upstream broke an answer off: soon if the
-// upstream lives, and after a judgement is due otherwise.
+// Unexplained finds the cause of a response that an upstream interrupted and calls the callback
+// for it: soon if the upstream is alive, otherwise once a verdict would have been made.
 func (g *Guard) Unexplained(u Upstream, blame Blame) {
-	time.AfterFunc(checkedWithin, func() {
-		if !g.exposures.hasEnded(u) {
+	time.AfterFunc(checkDuration, func() {
+		if !g.runs.hasTerminated(u) {
 			blame.Version()
 			return
 		}
-		time.AfterFunc(blameWait, func() {
+		time.AfterFunc(verdictWait, func() {
 			switch {
 			case !g.tracker.Explained(u.Incarnation):
 				blame.Version()
@@ -248,8 +252,8 @@
 	})
 }
 
-// Verdicts lists the verdicts that this host knows.
+// Verdicts returns the verdicts that this host has.
 func (g *Guard) Verdicts() []quarantine.Entry { return g.register.All() }
 
-// Len is their number.
+// Len returns the number of verdicts.
 func (g *Guard) Len() int { return g.register.Len() }
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -27,16 +27,16 @@
 	return d
 }
 
-// bench is a guard before a table of the test's.
-type bench struct {
+// testGuard is a guard with a table and a shared clock that the test controls.
+type testGuard struct {
 	*Guard
 	table storage.Table
 	mu    sync.Mutex
 	now   time.Duration
 }
 
-func newBench(host string, table storage.Table) *bench {
-	b := &bench{table: table, now: time.Hour}
+func newTestGuard(host string, table storage.Table) *testGuard {
+	b := &testGuard{table: table, now: time.Hour}
 	b.Guard = New(Options{
 		Host: host, Table: table, Prefix: "quarantine/", Log: zerolog.Nop(), Count: func(Counted, string) {},
 		Clock: func() time.Duration {
@@ -48,18 +48,18 @@
 	return b
 }
 
-// pass moves the clock on that all hosts share.
-func (b *bench) pass(d time.Duration) {
+// advance advances the clock shared by all hosts.
+func (b *testGuard) advance(d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.now += d
 }
 
-// fresh is what followers are told, not what they were told just before.
-func (b *bench) fresh() exchange.Standing { return b.standingNow(boottime.Elapsed()) }
+// currentStanding returns the standing for followers without the cache.
+func (b *testGuard) currentStanding() exchange.Standing { return b.buildStanding(boottime.Elapsed()) }
 
-// follow takes the table's rows, as a watcher would hand them on.
-func (b *bench) follow(t *testing.T) {
+// syncRows applies the table's rows as a watcher would.
+func (b *testGuard) syncRows(t *testing.T) {
 	t.Helper()
 	rows, err := b.table.List(t.Context(), "quarantine/", "", 100)
 	if err != nil {
@@ -75,26 +75,26 @@
 	b.KeepRows(keys)
 }
 
-// spoil has upstreams end with the request, some time apart.
-func (b *bench) spoil(d quarantine.Digest, from, ends int) {
+// terminateWith has upstreams terminate with the request, some time apart.
+func (b *testGuard) terminateWith(d quarantine.Digest, from, ends int) {
 	for i := range ends {
-		b.lose(Upstream{ID: "u", Service: "svc", Incarnation: quarantine.Incarnation(from + i)}, time.Duration(ends-i)*200*time.Millisecond+quarantine.Settle, []endedRun{{digest: d, ran: 40 * time.Millisecond}})
+		b.recordTermination(Upstream{ID: "u", Service: "svc", Incarnation: quarantine.Incarnation(from + i)}, time.Duration(ends-i)*200*time.Millisecond+quarantine.Settle, []exposedRun{{digest: d, ran: 40 * time.Millisecond}})
 	}
 }
 
-// judged is a guard with a verdict on the request.
-func judged(t *testing.T, host string, table storage.Table, d quarantine.Digest) *bench {
+// guardWithVerdict returns a guard with a verdict on the request.
+func guardWithVerdict(t *testing.T, host string, table storage.Table, d quarantine.Digest) *testGuard {
 	t.Helper()
-	b := newBench(host, table)
-	b.spoil(d, 1, 3)
-	b.judge()
+	b := newTestGuard(host, table)
+	b.terminateWith(d, 1, 3)
+	b.makeVerdicts()
 	if b.Len() != 1 {
-		t.Fatal("not judged")
+		t.Fatal("no verdict was made")
 	}
 	return b
 }
 
-// listener is an upstream's address, where something listens until it is closed.
+// listener returns an upstream whose address accepts connections until the listener is closed.
 func listener(t *testing.T) (Upstream, net.Listener) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -105,49 +105,49 @@
 	return Upstream{ID: "u", Service: "svc", Address: l.Addr().String(), Incarnation: 1}, l
 }
 
-// endings gathers what exposures tell.
-type endings struct {
-	*exposures
-	told     chan []quarantine.Digest
-	outlived []quarantine.Digest
+// recordedRuns is a run tracker that records its callbacks.
+type recordedRuns struct {
+	*runTracker
+	terminations chan []quarantine.Digest
+	survivals    []quarantine.Digest
 }
 
-func newEndings() *endings {
-	e := &endings{exposures: newExposures(zerolog.Nop()), told: make(chan []quarantine.Digest, 10)}
-	e.survived = func(d quarantine.Digest) { e.outlived = append(e.outlived, d) }
-	e.ended = func(_ Upstream, _ time.Duration, runs []endedRun) {
+func newRecordedRuns() *recordedRuns {
+	e := &recordedRuns{runTracker: newRunTracker(zerolog.Nop()), terminations: make(chan []quarantine.Digest, 10)}
+	e.onSurvival = func(d quarantine.Digest) { e.survivals = append(e.survivals, d) }
+	e.onTermination = func(_ Upstream, _ time.Duration, runs []exposedRun) {
 		var digests []quarantine.Digest
 		for _, run := range runs {
 			digests = append(digests, run.digest)
 		}
-		e.told <- digests
+		e.terminations <- digests
 	}
 	return e
 }
 
-func (e *endings) next(t *testing.T) []quarantine.Digest {
+func (e *recordedRuns) next(t *testing.T) []quarantine.Digest {
 	t.Helper()
 	select {
-	case digests := <-e.told:
+	case digests := <-e.terminations:
 		slices.SortFunc(digests, func(a, b quarantine.Digest) int { return slices.Compare(a[:], b[:]) })
 		return digests
 	case <-time.After(5 * time.Second):
-		t.Fatal("no upstream ended")
+		t.Fatal("no termination was reported")
 		return nil
 	}
 }
 
-// An upstream that broke an answer off and refuses connections has ended: with what broke
-// off, and with what this host itself had given up there just before.
-func TestEndOfAnUpstreamTellsWhatRanThere(t *testing.T) {
+// An upstream that interrupts a response and refuses connections has terminated. It is reported
+// with the interrupted runs and with those that this host abandoned there just before.
+func TestTerminationReportsRuns(t *testing.T) {
 	is := is.New(t)
-	e := newEndings()
+	e := newRecordedRuns()
 	u, l := listener(t)
 	for n := range uint64(5) {
 		e.begin(u, digest(n))
 	}
 	e.end(u, digest(0), Answered)
-	undo := boottime.Simulate(aftermath + time.Millisecond)
+	undo := boottime.Simulate(answeredRunExposure + time.Millisecond)
 	t.Cleanup(undo)
 	e.end(u, digest(1), NotRun)
 	e.end(u, digest(2), GivenUp)
@@ -155,44 +155,44 @@
 	e.end(u, digest(3), Broken)
 	e.end(u, digest(4), Broken)
 	is.Equal(e.next(t), []quarantine.Digest{digest(2), digest(3), digest(4)})
-	is.True(e.hasEnded(u))
-	e.settle()
-	is.Equal(len(e.outlived), 0) // of an upstream that ended nothing is known to be sound
-	// What is noticed later is told, too.
+	is.True(e.hasTerminated(u))
+	e.reportSurvivals()
+	is.Equal(len(e.survivals), 0) // no request counts as survived by a terminated upstream
+	// Interruptions that are detected later are reported, too.
 	e.begin(u, digest(5))
 	e.end(u, digest(5), Broken)
 	is.Equal(e.next(t), []quarantine.Digest{digest(5)})
 }
 
-// A short run may be answered before it ends its upstream: an answer shows that the request is
-// sound only if the upstream is there some time later.
-func TestAnswersCountOnceTheUpstreamOutlivedThem(t *testing.T) {
+// A short run may be answered before it terminates its upstream: an answer shows that the
+// request is sound only if the upstream is still alive some time later.
+func TestAnswersCountOnceTheUpstreamSurvives(t *testing.T) {
 	is := is.New(t)
-	e := newEndings()
+	e := newRecordedRuns()
 	u, l := listener(t)
 	e.begin(u, digest(1))
 	e.end(u, digest(1), Answered)
-	e.settle()
-	is.Equal(len(e.outlived), 0)
-	undo := boottime.Simulate(survivalWait)
-	e.settle()
-	is.Equal(e.outlived, []quarantine.Digest{digest(1)})
-	e.settle()
-	is.Equal(len(e.outlived), 1)
+	e.reportSurvivals()
+	is.Equal(len(e.survivals), 0)
+	undo := boottime.Simulate(survivalDelay)
+	e.reportSurvivals()
+	is.Equal(e.survivals, []quarantine.Digest{digest(1)})
+	e.reportSurvivals()
+	is.Equal(len(e.survivals), 1)
 	undo()
 
-	// One that an upstream ended with before has to be outlived for sure.
-	e.suspected = func(d quarantine.Digest) bool { return d == digest(2) }
+	// For a suspect, the upstream is checked for certain.
+	e.isSuspect = func(d quarantine.Digest) bool { return d == digest(2) }
 	u.Incarnation = 3
 	e.begin(u, digest(2))
 	e.end(u, digest(2), Answered)
 	l.Close()
-	t.Cleanup(boottime.Simulate(survivalWait))
-	e.settle()
+	t.Cleanup(boottime.Simulate(survivalDelay))
+	e.reportSurvivals()
 	is.Equal(e.next(t), []quarantine.Digest{digest(2)})
-	is.Equal(len(e.outlived), 1)
+	is.Equal(len(e.survivals), 1)
 
-	// What broke off tells as well.
+	// The check after an interruption reports answered runs as well.
 	v, m := listener(t)
 	v.Incarnation = 2
 	e.begin(v, digest(4))
@@ -203,88 +203,89 @@
 	is.Equal(e.next(t), []quarantine.Digest{digest(4), digest(5)})
 }
 
-// An upstream that listens lives, whatever broke off; and so does one at which others go on.
-func TestBrokenAnswersAreNoEnd(t *testing.T) {
+// An upstream that accepts connections is alive, whichever responses were interrupted; so is one
+// where other requests still run.
+func TestBrokenResponseIsNoTermination(t *testing.T) {
 	is := is.New(t)
-	e := newEndings()
+	e := newRecordedRuns()
 	u, l := listener(t)
 	e.begin(u, digest(1))
 	e.end(u, digest(1), Broken)
-	time.Sleep(20 * breakGather)
+	time.Sleep(20 * checkDelay)
 	l.Close()
 	other := Upstream{ID: "o", Service: "svc", Address: u.Address, Incarnation: 2}
 	e.begin(other, digest(2))
 	e.begin(other, digest(3))
 	e.end(other, digest(2), Broken)
-	time.Sleep(20 * breakGather)
-	is.Equal(len(e.told), 0)
-	// A connection that is refused shows it after all.
+	time.Sleep(20 * checkDelay)
+	is.Equal(len(e.terminations), 0)
+	// A refused connection shows the termination in the end.
 	e.end(other, digest(3), GivenUp)
 	e.begin(other, digest(4))
 	e.end(other, digest(4), Unreachable)
 	is.Equal(e.next(t), []quarantine.Digest{digest(2), digest(3)})
 }
 
-// What this host gave up at an upstream that another host saw end is told, if it was shortly
-// before.
-func TestEndSeenElsewhere(t *testing.T) {
+// When another host observes a termination, this host reports the runs that it abandoned there
+// shortly before.
+func TestTerminationSeenElsewhere(t *testing.T) {
 	is := is.New(t)
-	e := newEndings()
+	e := newRecordedRuns()
 	u, _ := listener(t)
 	e.begin(u, digest(1))
 	e.end(u, digest(1), GivenUp)
-	t.Cleanup(boottime.Simulate(lingering + 200*time.Millisecond))
+	t.Cleanup(boottime.Simulate(abandonedRunExposure + 200*time.Millisecond))
 	e.begin(u, digest(2))
 	e.end(u, digest(2), GivenUp)
-	e.endedElsewhere(u.Incarnation, 100*time.Millisecond)
+	e.terminatedElsewhere(u.Incarnation, 100*time.Millisecond)
 	is.Equal(e.next(t), []quarantine.Digest{digest(2)})
-	e.endedElsewhere(99, 0) // nothing of this host's ran there
-	is.Equal(len(e.told), 0)
+	e.terminatedElsewhere(99, 0) // this host had no runs there
+	is.Equal(len(e.terminations), 0)
 }
 
-// What is kept of upstreams is forgotten when nothing runs there any more.
-func TestExposuresAreTidied(t *testing.T) {
+// The record of an upstream is dropped once no runs remain.
+func TestIdleUpstreamsAreDropped(t *testing.T) {
 	is := is.New(t)
-	e := newEndings()
+	e := newRecordedRuns()
 	u, _ := listener(t)
 	e.begin(u, digest(1))
 	e.end(u, digest(1), GivenUp)
 	e.sweep()
 	is.Equal(len(e.upstreams), 1)
-	t.Cleanup(boottime.Simulate(recentKept + time.Second))
+	t.Cleanup(boottime.Simulate(recentRunRetention + time.Second))
 	e.sweep()
 	is.Equal(len(e.upstreams), 0)
 }
 
-// A request that nothing is held against never waits; a suspect is at one upstream at a
-// time, and one that is to be judged waits for that.
-func TestSuspectsGoOneByOne(t *testing.T) {
+// A request without losses never waits. A suspect runs at one upstream at a time, and one with
+// enough events for a verdict waits for that.
+func TestSuspectsRunOneAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := t.Context()
-		b := newBench("h", memory.New())
+		b := newTestGuard("h", memory.New())
 		start := time.Now()
 		for range 100 {
 			is.NoErr(b.Admit(ctx, digest(1), "svc"))
 		}
 		is.Equal(time.Since(start), time.Duration(0))
 
-		// One that an upstream ended with isn't sent to a second one beside it, unless it was
-		// answered just before: then it is a popular one.
+		// A request that was lost once isn't sent to a second upstream at the same time, unless
+		// it was answered just before: such a request is a popular one.
 		once, popular := digest(8), digest(9)
-		b.spoil(once, 100, 1)
-		b.survive(popular)
-		b.spoil(popular, 101, 1)
+		b.terminateWith(once, 100, 1)
+		b.recordSurvival(popular)
+		b.terminateWith(popular, 101, 1)
 		is.NoErr(b.Admit(ctx, popular, "svc"))
 		is.NoErr(b.Admit(ctx, popular, "svc"))
 		is.NoErr(b.Admit(ctx, once, "svc"))
 		is.Equal(time.Since(start), time.Duration(0))
 		is.NoErr(b.Admit(ctx, once, "svc"))
-		is.Equal(time.Since(start), longestHold)
+		is.Equal(time.Since(start), maxSuspectWait)
 		start = time.Now()
 
 		d := digest(2)
-		b.spoil(d, 1, 2)
+		b.terminateWith(d, 1, 2)
 		is.NoErr(b.Admit(ctx, d, "svc"))
 		entered := make(chan time.Duration, 2)
 		go func() {
@@ -296,31 +297,31 @@
 		b.Leave(d)
 		is.Equal(<-entered, 300*time.Millisecond)
 
-		// Answered, it waits for nothing more.
-		b.survive(d)
+		// Once answered, it doesn't wait any more.
+		b.recordSurvival(d)
 		b.Leave(d)
 		is.NoErr(b.Admit(ctx, d, "svc"))
 		is.NoErr(b.Admit(ctx, d, "svc"))
 
-		// One that isn't judged after all goes on.
+		// If no verdict is made, the request is sent after the maximum wait.
 		d = digest(3)
-		b.spoil(d, 10, 3)
+		b.terminateWith(d, 10, 3)
 		is.True(b.NearlyJudged(d))
 		before := time.Now()
 		is.NoErr(b.Admit(ctx, d, "svc"))
-		is.Equal(time.Since(before), longestHold)
+		is.Equal(time.Since(before), maxSuspectWait)
 
-		// One that is judged meanwhile doesn't.
+		// If a verdict is made in the meantime, it is refused.
 		b.Leave(d)
 		go func() {
 			time.Sleep(200 * time.Millisecond)
-			b.judge()
+			b.makeVerdicts()
 		}()
 		is.True(errors.Is(b.Admit(ctx, d, "svc"), ErrQuarantined))
 
-		// Whose time is over doesn't either.
+		// A request whose deadline expires isn't sent.
 		d = digest(4)
-		b.spoil(d, 20, 2)
+		b.terminateWith(d, 20, 2)
 		is.NoErr(b.Admit(ctx, d, "svc"))
 		short, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 		defer cancel()
@@ -328,18 +329,18 @@
 	})
 }
 
-// A verdict is in the store, where hosts that weren't there find it, and it is lifted by
-// the removal of its row.
+// A verdict is written to the store, where hosts that started later find it. It is lifted by the
+// removal of its row.
 func TestVerdictsOutliveTheirHosts(t *testing.T) {
 	is := is.New(t)
 	table, d := memory.New(), digest(1)
-	b := judged(t, "h1", table, d)
+	b := guardWithVerdict(t, "h1", table, d)
 	is.True(errors.Is(b.Admit(t.Context(), d, "svc"), ErrQuarantined))
-	b.rows.write(t.Context(), true)
+	b.verdictRows.writeMissing(t.Context(), true)
 
-	later := newBench("h2", table)
-	is.NoErr(later.Admit(t.Context(), d, "svc")) // it doesn't know yet, and doesn't wait
-	later.follow(t)
+	later := newTestGuard("h2", table)
+	is.NoErr(later.Admit(t.Context(), d, "svc")) // the verdict isn't known to it yet, and it doesn't wait
+	later.syncRows(t)
 	is.True(errors.Is(later.Admit(t.Context(), d, "svc"), ErrQuarantined))
 	is.NoErr(later.Admit(t.Context(), digest(2), "svc"))
 
@@ -347,53 +348,53 @@
 	is.NoErr(err)
 	_, err = table.Commit(t.Context(), storage.Txn{Conditions: []storage.Condition{{Key: row.Key, Version: row.Version}}, Deletes: []string{row.Key}})
 	is.NoErr(err)
-	later.follow(t)
+	later.syncRows(t)
 	is.NoErr(later.Admit(t.Context(), d, "svc"))
-	// Another host that hasn't heard yet doesn't bring it back.
-	later.TakeStanding(b.fresh())
+	// A host that hasn't received the removal yet doesn't restore the verdict.
+	later.TakeStanding(b.currentStanding())
 	is.NoErr(later.Admit(t.Context(), d, "svc"))
 }
 
-// A verdict that the store couldn't take is told by hosts as long as that, and written by
-// another judging host if the one that made it is gone.
-func TestVerdictWhileTheStoreIsAway(t *testing.T) {
+// Hosts exchange a verdict for as long as it couldn't be stored; another host that makes
+// verdicts writes it if the one that made it is gone.
+func TestVerdictWhileTheStoreIsUnavailable(t *testing.T) {
 	is := is.New(t)
 	table, d := memory.New(), digest(1)
-	b := judged(t, "h1", table, d)
+	b := guardWithVerdict(t, "h1", table, d)
 	undo := boottime.Simulate(time.Minute)
 	t.Cleanup(undo)
-	standing := b.fresh()
-	is.Equal(len(standing.Verdicts), 1) // not stored, so told on
-	other := newBench("h2", table)
+	standing := b.currentStanding()
+	is.Equal(len(standing.Verdicts), 1) // not stored, so still sent
+	other := newTestGuard("h2", table)
 	other.TakeStanding(standing)
 	is.True(errors.Is(other.Admit(t.Context(), d, "svc"), ErrQuarantined))
-	other.rows.write(t.Context(), true)
+	other.verdictRows.writeMissing(t.Context(), true)
 	_, err := table.Get(t.Context(), "quarantine/"+d.String())
 	is.True(errors.Is(err, storage.ErrNotFound)) // the first host may still write it
-	t.Cleanup(boottime.Simulate(writeForOthers + time.Second))
-	other.rows.write(t.Context(), false) // it doesn't judge
-	other.rows.write(t.Context(), true)
+	t.Cleanup(boottime.Simulate(takeoverAge + time.Second))
+	other.verdictRows.writeMissing(t.Context(), false) // it doesn't make verdicts
+	other.verdictRows.writeMissing(t.Context(), true)
 	_, err = table.Get(t.Context(), "quarantine/"+d.String())
 	is.NoErr(err)
-	t.Cleanup(boottime.Simulate(verdictFor + time.Second))
-	is.Equal(len(other.fresh().Verdicts), 0) // the store tells it now
+	t.Cleanup(boottime.Simulate(storedVerdictTTL + time.Second))
+	is.Equal(len(other.currentStanding().Verdicts), 0) // now followers receive it from the store
 }
 
-// After a verdict's end one host tries the request once. If an upstream ends with it, it is
-// kept away for longer; if it is answered, the verdict is gone.
+// After a verdict's expiry, one host tries the request once. If an upstream terminates with it,
+// the verdict is renewed with a longer term; if it is answered, the verdict is withdrawn.
 func TestTrial(t *testing.T) {
 	is := is.New(t)
 	table, d := memory.New(), digest(1)
-	a := judged(t, "h1", table, d)
-	a.rows.write(t.Context(), true)
-	b := newBench("h2", table)
-	b.follow(t)
+	a := guardWithVerdict(t, "h1", table, d)
+	a.verdictRows.writeMissing(t.Context(), true)
+	b := newTestGuard("h2", table)
+	b.syncRows(t)
 	u := Upstream{ID: "u", Service: "svc", Incarnation: 77}
-	pass := func(by time.Duration) {
-		a.pass(by)
-		b.pass(by)
+	advance := func(by time.Duration) {
+		a.advance(by)
+		b.advance(by)
 	}
-	admitted := func(g *bench) bool { return g.Admit(t.Context(), d, "svc") == nil }
+	admitted := func(g *testGuard) bool { return g.Admit(t.Context(), d, "svc") == nil }
 	eventually := func(what string, holds func() bool) {
 		t.Helper()
 		for range 500 {
@@ -409,49 +410,49 @@
 		return e.Until
 	}
 
-	pass(11 * time.Minute)
-	is.True(!admitted(a)) // it only claims the trial
+	advance(11 * time.Minute)
+	is.True(!admitted(a)) // this request only claims the trial
 	eventually("a may try", func() bool { return admitted(a) })
-	b.follow(t)
-	is.True(!admitted(b)) // nobody else may
+	b.syncRows(t)
+	is.True(!admitted(b)) // no other host may
 	is.True(!admitted(a)) // and a only once
 	term := until()
-	a.lose(u, 0, []endedRun{{digest: d, ran: time.Second}})
+	a.recordTermination(u, 0, []exposedRun{{digest: d, ran: time.Second}})
 	eventually("the verdict holds again", func() bool { return until() > term })
 	is.Equal(until()-a.options.Clock(), time.Hour)
 	is.True(!admitted(a))
 
-	pass(61 * time.Minute)
-	b.follow(t)
+	advance(61 * time.Minute)
+	b.syncRows(t)
 	is.True(!admitted(b))
 	eventually("b may try", func() bool { return admitted(b) })
-	b.survive(d)
+	b.recordSurvival(d)
 	eventually("the row is gone", func() bool {
 		_, err := table.Get(t.Context(), "quarantine/"+d.String())
 		return errors.Is(err, storage.ErrNotFound)
 	})
-	a.follow(t)
+	a.syncRows(t)
 	is.True(admitted(a) && admitted(b))
 }
 
-// The row of a verdict that nobody asked for in a week after its end is removed.
+// The row of a verdict is removed if its request wasn't received for a week after the expiry.
 func TestUnusedVerdictsAreRemoved(t *testing.T) {
 	is := is.New(t)
 	table := memory.New()
-	b := judged(t, "h1", table, digest(1))
-	b.rows.write(t.Context(), true)
-	b.pass(8 * 24 * time.Hour)
-	t.Cleanup(boottime.Simulate(2 * tidyGap))
-	b.rows.write(t.Context(), true)
+	b := guardWithVerdict(t, "h1", table, digest(1))
+	b.verdictRows.writeMissing(t.Context(), true)
+	b.advance(8 * 24 * time.Hour)
+	t.Cleanup(boottime.Simulate(2 * cleanupInterval))
+	b.verdictRows.writeMissing(t.Context(), true)
 	is.Equal(b.Len(), 0)
 	_, err := table.Get(t.Context(), "quarantine/"+digest(1).String())
 	is.True(errors.Is(err, storage.ErrNotFound))
 }
 
-// Rows that aren't verdicts keep nothing away.
+// Rows that aren't verdicts are refused and quarantine nothing.
 func TestUnreadableRows(t *testing.T) {
 	is := is.New(t)
-	b := newBench("h", memory.New())
+	b := newTestGuard("h", memory.New())
 	is.True(b.TakeRow("quarantine/zz", []byte("{}"), 1) != nil)
 	is.True(b.TakeRow("quarantine/"+digest(1).String(), []byte("["), 1) != nil)
 	is.True(b.TakeRow("quarantine/"+digest(1).String(), []byte(`{"digest":"`+digest(2).String()+`","until_ms":1}`), 1) != nil)
@@ -459,125 +460,127 @@
 	is.Equal(b.Len(), 0)
 }
 
-// A suspect that the hub tells and that this host saw answered since is cleared; the hub hears
-// that.
-func TestSuspectThatWasAnsweredHere(t *testing.T) {
+// A suspect that the hub sent and that this host saw answered since is cleared, and the hub is
+// told.
+func TestLocallyAnsweredSuspect(t *testing.T) {
 	is := is.New(t)
-	hub, host := newBench("hub", memory.New()), newBench("host", memory.New())
+	hub, host := newTestGuard("hub", memory.New()), newTestGuard("host", memory.New())
 	d := digest(1)
-	hub.spoil(d, 1, 2)
-	host.survive(d)
-	host.TakeStanding(hub.fresh())
+	hub.terminateWith(d, 1, 2)
+	host.recordSurvival(d)
+	host.TakeStanding(hub.currentStanding())
 	is.Equal(host.events(d, boottime.Elapsed()), 0)
 	hub.Take(host.Sightings())
 	is.Equal(hub.events(d, boottime.Elapsed()), 0)
-	is.Equal(len(hub.fresh().Suspects), 0)
+	is.Equal(len(hub.currentStanding().Suspects), 0)
 
-	// One that it didn't see answered since is a suspect here, too, for as long as it is told.
+	// A suspect that it didn't see answered since counts for as long as the hub sends it.
 	d = digest(2)
-	host.survive(d)
+	host.recordSurvival(d)
 	t.Cleanup(boottime.Simulate(10 * time.Second))
-	hub.spoil(d, 10, 2)
-	host.TakeStanding(hub.fresh())
+	hub.terminateWith(d, 10, 2)
+	host.TakeStanding(hub.currentStanding())
 	is.Equal(host.events(d, boottime.Elapsed()), 2)
-	t.Cleanup(boottime.Simulate(toldFor + time.Second))
+	t.Cleanup(boottime.Simulate(hubSuspectTTL + time.Second))
 	is.Equal(host.events(d, boottime.Elapsed()), 0)
 }
 
-// What hosts tell each other to and fro ends.
-func TestSuspectsDontGoRound(t *testing.T) {
+// Two hosts that send each other their suspects don't keep them alive.
+func TestSuspectsAreNotEchoed(t *testing.T) {
 	is := is.New(t)
-	a, b := newBench("a", memory.New()), newBench("b", memory.New())
+	a, b := newTestGuard("a", memory.New()), newTestGuard("b", memory.New())
 	d := digest(1)
-	a.spoil(d, 1, 2)
+	a.terminateWith(d, 1, 2)
 	for range 10 {
-		b.TakeStanding(a.fresh())
-		a.TakeStanding(b.fresh())
+		b.TakeStanding(a.currentStanding())
+		a.TakeStanding(b.currentStanding())
 	}
-	for range 2 + (suspectFor+2*toldFor)/(toldFor/5) {
-		t.Cleanup(boottime.Simulate(toldFor / 5))
-		b.TakeStanding(a.fresh())
-		a.TakeStanding(b.fresh())
+	for range 2 + (suspectTTL+2*hubSuspectTTL)/(hubSuspectTTL/5) {
+		t.Cleanup(boottime.Simulate(hubSuspectTTL / 5))
+		b.TakeStanding(a.currentStanding())
+		a.TakeStanding(b.currentStanding())
 	}
-	is.Equal(len(a.fresh().Suspects)+len(b.fresh().Suspects), 0)
+	is.Equal(len(a.currentStanding().Suspects)+len(b.currentStanding().Suspects), 0)
 }
 
-// What followers are told is made for all of them at once, and is young.
+// The standing is built once for all followers, and is recent.
 func TestStandingIsShared(t *testing.T) {
 	is := is.New(t)
-	b := newBench("h", memory.New())
+	b := newTestGuard("h", memory.New())
 	is.True(b.Standing().IsZero())
-	b.spoil(digest(1), 1, 2)
+	b.terminateWith(digest(1), 1, 2)
 	is.True(b.Standing().IsZero())
-	t.Cleanup(boottime.Simulate(standingEvery))
+	t.Cleanup(boottime.Simulate(standingCacheTime))
 	is.Equal(len(b.Standing().Suspects), 1)
 }
 
-// A request on its way to an upstream that ended isn't held against: it never ran there.
-func TestRequestsOnTheirWayArentExposed(t *testing.T) {
+// A request in transit to an upstream that terminated isn't counted as lost with it: it never
+// ran there.
+func TestRequestsInTransitAreNotExposed(t *testing.T) {
 	is := is.New(t)
-	e := newEndings()
+	e := newRecordedRuns()
 	u, l := listener(t)
 	e.begin(u, digest(1))
 	l.Close()
 	e.end(u, digest(1), Broken)
 	is.Equal(e.next(t), []quarantine.Digest{digest(1)})
-	e.begin(u, digest(2)) // it meets nobody there
+	e.begin(u, digest(2)) // its connection will be refused
 	e.begin(u, digest(3))
-	e.end(u, digest(3), Broken) // this one was noticed late
+	e.end(u, digest(3), Broken) // its interruption was detected late
 	is.Equal(e.next(t), []quarantine.Digest{digest(3)})
 	e.end(u, digest(2), Unreachable)
-	is.Equal(len(e.told), 0)
-	// Started again under its name, it begins anew.
-	t.Cleanup(boottime.Simulate(sameEnd + time.Millisecond))
+	is.Equal(len(e.terminations), 0)
+	// After a restart under the same name, the record starts anew.
+	t.Cleanup(boottime.Simulate(lateResponseWindow + time.Millisecond))
 	e.begin(u, digest(4))
-	is.True(!e.hasEnded(u))
+	is.True(!e.hasTerminated(u))
 }
 
-// A new hub is told what the host saw lately, another time.
+// A new hub is sent the recent losses again.
 func TestRecentSightings(t *testing.T) {
 	is := is.New(t)
-	b := newBench("h", memory.New())
-	b.spoil(digest(1), 1, 2)
+	b := newTestGuard("h", memory.New())
+	b.terminateWith(digest(1), 1, 2)
 	is.Equal(len(b.Sightings().Losses), 2)
 	is.Equal(len(b.Sightings().Losses), 0)
 	is.Equal(len(b.Recent().Losses), 2)
 	fresh := b.Take(exchange.Sightings{Losses: exchange.Losses{{Digest: digest(1), Incarnation: 1, Age: 2*200*time.Millisecond + quarantine.Settle}, {Digest: digest(1), Incarnation: 50}}})
 	is.Equal(len(fresh.Losses), 1)
-	t.Cleanup(boottime.Simulate(recentFor + time.Second))
+	t.Cleanup(boottime.Simulate(recentRetention + time.Second))
 	is.Equal(len(b.Recent().Losses), 0)
 }
 
-// The end of an upstream is held against its version, unless a request is to blame.
+// The termination of an upstream is attributed to its version, unless a poison request is the
+// cause.
 func TestUnexplained(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench("h", memory.New())
-		held := make(chan string, 10)
+		b := newTestGuard("h", memory.New())
+		attributed := make(chan string, 10)
 		lives := Upstream{ID: "lives", Incarnation: 100}
-		b.Unexplained(lives, Blame{Version: func() { held <- "lives" }})
-		time.Sleep(breakGather + checkTimeout + time.Millisecond)
-		is.Equal(<-held, "lives") // its answer broke off, and it answers still
+		b.Unexplained(lives, Blame{Version: func() { attributed <- "lives" }})
+		time.Sleep(checkDelay + checkTimeout + time.Millisecond)
+		is.Equal(<-attributed, "lives") // the response was interrupted, but the upstream is alive
 
 		d := digest(1)
 		for incarnation := range quarantine.Incarnation(4) {
 			u := Upstream{ID: "ended", Service: "svc", Address: "", Incarnation: incarnation}
 			b.Begin(u, d)
-			b.exposures.upstreams[incarnation].endedAt = boottime.Now()
-			b.lose(u, 0, []endedRun{{digest: d, ran: time.Second}})
-			b.Unexplained(u, Blame{Version: func() { held <- "ended" }})
+			b.runs.upstreams[incarnation].terminatedAt = boottime.Now()
+			b.recordTermination(u, 0, []exposedRun{{digest: d, ran: time.Second}})
+			b.Unexplained(u, Blame{Version: func() { attributed <- "ended" }})
 			time.Sleep(100 * time.Millisecond)
 		}
 		other := Upstream{ID: "other", Service: "svc", Incarnation: 200}
 		b.Begin(other, digest(2))
-		b.exposures.upstreams[200].endedAt = boottime.Now()
-		b.lose(other, 0, []endedRun{{digest: digest(2), ran: time.Second}})
-		b.Unexplained(other, Blame{Version: func() { held <- "other" }})
+		b.runs.upstreams[200].terminatedAt = boottime.Now()
+		b.recordTermination(other, 0, []exposedRun{{digest: digest(2), ran: time.Second}})
+		b.Unexplained(other, Blame{Version: func() { attributed <- "other" }})
 		time.Sleep(quarantine.Settle + time.Millisecond)
-		b.judge()
-		time.Sleep(2 * blameWait)
+		b.makeVerdicts()
+		time.Sleep(2 * verdictWait)
 		is.Equal(b.Len(), 1)
-		is.Equal(len(held), 1)
-		is.Equal(<-held, "other")
+		is.Equal(len(attributed), 1)
+		is.Equal(<-attributed, "other")
 	})
 }
--- a/internal/guard/rows.go
+++ b/internal/guard/rows.go
@@ -18,59 +18,61 @@
 )
 
 const (
-	// verdictWriteTimeout bounds a write of a verdict's row. No request waits for it.
+	// verdictWriteTimeout bounds the write of a verdict's row. No request waits for it.
 	verdictWriteTimeout = time.Second
-	// writeGap is the mean time between two tries to write rows, longer than a write and
-	// its return through the watcher take.
-	writeGap = time.Second
-	// writeForOthers is the age from which a judging host writes a verdict that another
-	// one made: that host may be gone.
-	writeForOthers = 2 * time.Second
-	// tidyGap is the time between two looks for rows that nobody asks for any more.
-	tidyGap = time.Minute
+	// writeInterval is the mean time between two attempts to write rows. It exceeds the time
+	// that a write takes until the watcher returns it.
+	writeInterval = time.Second
+	// takeoverAge is the age from which a host that makes verdicts writes the verdicts of other
+	// hosts, too: the host that made them may be gone.
+	takeoverAge = 2 * time.Second
+	// cleanupInterval is the time between two searches for unused rows.
+	cleanupInterval = time.Minute
 )
 
-// rows keep the verdicts in the store, so that they outlive the hosts, and let one
-// host at a time try a request again whose judgement has ended.
-type rows struct {
+// verdictRows keeps the verdicts in the store, so that they survive the hosts, and lets one host
+// at a time try a request again after its verdict has expired.
+type verdictRows struct {
 	host     string
 	prefix   string
 	table    storage.Table
 	register *quarantine.Register
 	log      zerolog.Logger
-	// clock is the clock that all hosts share.
+	// clock is the clock shared by all hosts.
 	clock func() time.Duration
-	// known is told of a verdict that came from the store, lifted of one whose row is gone.
-	known  func(v quarantine.Verdict, from string)
-	lifted func(d quarantine.Digest)
+	// onVerdict is called for a verdict that came from the store, onLift for one whose row was
+	// removed.
+	onVerdict func(v quarantine.Verdict, from string)
+	onLift    func(d quarantine.Digest)
 
 	mu sync.Mutex
-	// trials are requests that this host may try, or has sent.
-	trials map[quarantine.Digest]*trial
-	nextAt time.Time
-	tidyAt time.Time
+	// trials holds the requests that this host may try, or has sent as a trial.
+	trials        map[quarantine.Digest]*trial
+	nextWriteAt   time.Time
+	nextCleanupAt time.Time
 }
 
-// trial is one send of a request whose judgement has ended.
+// trial is one send of a request whose verdict has expired.
 type trial struct {
-	// granted says that the store has this host's claim, sent that the request went out.
+	// granted says that the store accepted this host's claim of the trial, sent that the request
+	// was sent.
 	granted, sent bool
 }
 
-func newRows(o *Options, register *quarantine.Register) *rows {
-	return &rows{
+func newVerdictRows(o *Options, register *quarantine.Register) *verdictRows {
+	return &verdictRows{
 		host: o.Host, prefix: o.Prefix, table: o.Table, register: register, log: o.Log, clock: o.Clock,
-		trials: make(map[quarantine.Digest]*trial),
-		known:  func(quarantine.Verdict, string) {}, lifted: func(quarantine.Digest) {},
+		trials:    make(map[quarantine.Digest]*trial),
+		onVerdict: func(quarantine.Verdict, string) {}, onLift: func(quarantine.Digest) {},
 	}
 }
 
-// errVerdictKey means that a verdict's row has another request's key.
-var errVerdictKey = errors.New("guard: the verdict is on another request")
+// errVerdictKey means that a verdict's row has the key of another request.
+var errVerdictKey = errors.New("guard: the verdict is on another request than the key of its row")
 
-// TakeRow takes a verdict's row of the store.
+// TakeRow applies a verdict's row from the store.
 func (g *Guard) TakeRow(key string, data []byte, revision storage.Revision) error {
-	v := g.rows
+	v := g.verdictRows
 	d, err := v.digest(key)
 	if err != nil {
 		return err
@@ -83,43 +85,43 @@
 		return fmt.Errorf("%w: %v", errVerdictKey, verdict.Digest)
 	}
 	if v.register.ApplyRow(verdict, revision, boottime.Elapsed()) {
-		v.known(verdict, "store")
+		v.onVerdict(verdict, "store")
 	}
 	return nil
 }
 
-// RowRemoved takes in that a verdict's row was removed from the store.
+// RowRemoved processes the removal of a verdict's row from the store.
 func (g *Guard) RowRemoved(key string) error {
-	d, err := g.rows.digest(key)
+	d, err := g.verdictRows.digest(key)
 	if err != nil {
 		return err
 	}
-	g.rows.lift(d)
+	g.verdictRows.lift(d)
 	return nil
 }
 
-// ForgetRows takes in that the store came back from a copy, which may lack rows of verdicts:
-// those that aren't taken again are written again.
-func (g *Guard) ForgetRows() { g.rows.register.MarkUnsaved() }
+// ForgetRows marks the verdicts as unsaved, after the store was restored from a backup, which
+// may lack rows of verdicts: those that aren't received again are written again.
+func (g *Guard) ForgetRows() { g.verdictRows.register.MarkUnsaved() }
 
-// KeepRows lifts the verdicts that the store had and that aren't among the keys of all its
-// rows.
-func (g *Guard) KeepRows(keys map[string]bool) { g.rows.keep(keys) }
+// KeepRows lifts the stored verdicts that aren't among the keys, which are those of all rows in
+// the store.
+func (g *Guard) KeepRows(keys map[string]bool) { g.verdictRows.liftMissing(keys) }
 
-// digest is the one in a row's key.
-func (v *rows) digest(key string) (quarantine.Digest, error) {
+// digest returns the digest in a row's key.
+func (v *verdictRows) digest(key string) (quarantine.Digest, error) {
 	return quarantine.ParseDigest(strings.TrimPrefix(key, v.prefix))
 }
 
-// lift forgets a verdict.
-func (v *rows) lift(d quarantine.Digest) {
+// lift removes a verdict from the register.
+func (v *verdictRows) lift(d quarantine.Digest) {
 	if v.register.Lift(d, boottime.Elapsed()) {
-		v.lifted(d)
+		v.onLift(d)
 	}
 }
 
-// keep lifts the verdicts that the store had and that aren't among the keys.
-func (v *rows) keep(keys map[string]bool) {
+// liftMissing lifts the stored verdicts that aren't among the keys.
+func (v *verdictRows) liftMissing(keys map[string]bool) {
 	for _, e := range v.register.All() {
 		if e.Revision > 0 && !keys[v.key(e.Digest)] {
 			v.lift(e.Digest)
@@ -127,12 +129,12 @@
 	}
 }
 
-func (v *rows) key(d quarantine.Digest) string { return v.prefix + d.String() }
+func (v *verdictRows) key(d quarantine.Digest) string { return v.prefix + d.String() }
 
-// permits says whether a request with a verdict may be sent now: the judgement has ended
-// and this host is the one that tries. The first request after the end only has the host
-// claim the trial, which takes a write of the store.
-func (v *rows) permits(e quarantine.Entry) bool {
+// permitsTrial reports whether a request with a verdict may be sent now, because the verdict has
+// expired and this host has claimed the trial. The first request after the expiry only starts
+// the claim, which takes a write to the store.
+func (v *verdictRows) permitsTrial(e quarantine.Entry) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if t := v.trials[e.Digest]; t != nil {
@@ -153,31 +155,32 @@
 }
 
 // claim claims the trial in the store.
-func (v *rows) claim(t *trial, e quarantine.Entry) {
+func (v *verdictRows) claim(t *trial, e quarantine.Entry) {
 	err := v.put(context.Background(), e.Trial(v.clock()), e.Revision)
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if err != nil {
-		// Another host was first, or the store is away: the next request tells.
+		// Another host claimed it first or the store is unavailable; the next request tries
+		// again.
 		delete(v.trials, e.Digest)
 		return
 	}
 	t.granted = true
 }
 
-// trialLost takes in that an upstream ended with the request: if this host tried it, it is
-// kept away again, for longer.
-func (v *rows) trialLost(d quarantine.Digest) {
+// trialFailed processes the termination of an upstream with the request: if this host tried it,
+// the verdict is renewed with a longer term.
+func (v *verdictRows) trialFailed(d quarantine.Digest) {
 	e, ok := v.endTrial(d)
 	if !ok {
 		return
 	}
-	go func() { _ = v.put(context.Background(), e.Renewed(v.clock()), e.Revision) }() // logged there
+	go func() { _ = v.put(context.Background(), e.Renewed(v.clock()), e.Revision) }() // the error is logged in commit
 }
 
-// trialSurvived takes in that the request was answered: if this host tried it, the verdict
-// is withdrawn.
-func (v *rows) trialSurvived(d quarantine.Digest) {
+// trialSucceeded processes an answer to the request: if this host tried it, the verdict is
+// withdrawn.
+func (v *verdictRows) trialSucceeded(d quarantine.Digest) {
 	e, ok := v.endTrial(d)
 	if !ok {
 		return
@@ -186,7 +189,7 @@
 }
 
 // endTrial ends this host's trial of the request, if it was sent.
-func (v *rows) endTrial(d quarantine.Digest) (quarantine.Entry, bool) {
+func (v *verdictRows) endTrial(d quarantine.Digest) (quarantine.Entry, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if t := v.trials[d]; t == nil || !t.sent {
@@ -196,42 +199,43 @@
 	return v.register.Get(d)
 }
 
-// write writes the rows of verdicts that the store doesn't have, those of other hosts if
-// this host judges, too; and removes rows that nobody asks for any more.
-func (v *rows) write(ctx context.Context, judges bool) {
+// writeMissing writes the rows of this host's verdicts that the store doesn't have. If this host
+// makes verdicts, it also writes those of other hosts and removes unused rows.
+func (v *verdictRows) writeMissing(ctx context.Context, makesVerdicts bool) {
 	now := boottime.Now()
-	if now.Before(v.nextAt) {
+	if now.Before(v.nextWriteAt) {
 		return
 	}
 	wrote := false
 	for _, e := range v.register.All() {
 		own := e.By == v.host
-		late := judges && boottime.Elapsed()-e.Heard > writeForOthers
-		if e.Unsaved() && (own || late) {
+		takeover := makesVerdicts && boottime.Elapsed()-e.Heard > takeoverAge
+		if e.Unsaved() && (own || takeover) {
 			wrote = true
-			_ = v.put(ctx, e.Verdict, e.Revision) // logged there; tried again after the pause
+			_ = v.put(ctx, e.Verdict, e.Revision) // logged in commit; the next call tries again
 		}
 	}
 	if wrote {
-		v.nextAt = now.Add(writeGap/2 + rand.N(writeGap))
+		v.nextWriteAt = now.Add(writeInterval/2 + rand.N(writeInterval))
 	}
-	if judges && now.After(v.tidyAt) {
-		v.tidyAt = now.Add(tidyGap)
-		v.tidy(ctx)
+	if makesVerdicts && now.After(v.nextCleanupAt) {
+		v.nextCleanupAt = now.Add(cleanupInterval)
+		v.removeUnused(ctx)
 	}
 }
 
-// tidy removes the rows of verdicts that ended long ago.
-func (v *rows) tidy(ctx context.Context) {
+// removeUnused removes the rows of verdicts whose requests weren't received for long after the
+// expiry.
+func (v *verdictRows) removeUnused(ctx context.Context) {
 	for _, e := range v.register.All() {
 		if e.Revision > 0 && e.Unused(v.clock()) {
-			_ = v.remove(ctx, e) // logged there; the next look tries again
+			_ = v.remove(ctx, e) // logged in commit; the next call tries again
 		}
 	}
 }
 
-// put writes a verdict's row in place of the revision.
-func (v *rows) put(ctx context.Context, verdict quarantine.Verdict, expected storage.Revision) error {
+// put writes a verdict's row in place of the expected revision.
+func (v *verdictRows) put(ctx context.Context, verdict quarantine.Verdict, expected storage.Revision) error {
 	data, err := json.Marshal(verdict)
 	if err != nil {
 		return err
@@ -248,7 +252,7 @@
 }
 
 // remove removes a verdict's row.
-func (v *rows) remove(ctx context.Context, e quarantine.Entry) error {
+func (v *verdictRows) remove(ctx context.Context, e quarantine.Entry) error {
 	key := v.key(e.Digest)
 	_, err := v.commit(ctx, "remove", storage.Txn{
 		Conditions: []storage.Condition{{Key: key, Version: uint64(e.Revision)}},
@@ -260,7 +264,7 @@
 	return err
 }
 
-func (v *rows) commit(ctx context.Context, kind string, txn storage.Txn) (storage.Revision, error) {
+func (v *verdictRows) commit(ctx context.Context, kind string, txn storage.Txn) (storage.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, verdictWriteTimeout)
 	defer cancel()
 	number, err := v.table.Commit(ctx, txn)
@@ -270,11 +274,12 @@
 	return revision, err
 }
 
-// Withdraw removes a verdict's row and forgets the verdict. A request without one is none.
+// Withdraw removes a verdict's row and drops the verdict. It does nothing if the request has no
+// verdict.
 func (g *Guard) Withdraw(ctx context.Context, d quarantine.Digest) error {
 	e, ok := g.register.Get(d)
 	if !ok {
 		return nil
 	}
-	return g.rows.remove(ctx, e)
+	return g.verdictRows.remove(ctx, e)
 }
--- a/internal/guard/sightings.go
+++ b/internal/guard/sightings.go
@@ -10,88 +10,89 @@
 )
 
 const (
-	// toldFor is how long a suspect counts that the hub told: some rounds of the
+	// hubSuspectTTL is how long a suspect that the hub sent counts: several rounds of the
 	// exchange, of which one may be lost.
-	toldFor = time.Second
-	// recentFor is how long a new hub is told what this host saw.
-	recentFor = 30 * time.Second
-	// endedFor is how long followers are told of an upstream that ended: some rounds of the
-	// exchange. explainedFor is the same where a judged request explains it, which is
-	// known later. maxEnded bounds how many are kept, the newest.
-	endedFor     = 800 * time.Millisecond
-	explainedFor = 5 * time.Second
-	maxEnded     = 128
-	// maxToldSuspects bounds the suspects that followers are told.
-	maxToldSuspects = 64
-	// verdictFor is how long a verdict is told that the store has: followers hear of it
-	// by the store's table, too, a moment later.
-	verdictFor = 4 * time.Second
-	// suspectFor is how long after its last loss a suspect is told: hosts hold back others
-	// with its content meanwhile, and say if they saw it answered.
-	suspectFor = 5 * time.Second
-	// maxSeen bounds what is kept for hubs.
-	maxSeen = 256
+	hubSuspectTTL = time.Second
+	// recentRetention is the maximum age of the losses that are sent to a new hub.
+	recentRetention = 30 * time.Second
+	// terminationTTL is how long followers are sent the termination of an upstream: several
+	// rounds of the exchange. explainedTTL is the same if a request with a verdict explains it,
+	// which is known later. maxTerminations bounds the number of stored terminations; the newest
+	// are kept.
+	terminationTTL  = 800 * time.Millisecond
+	explainedTTL    = 5 * time.Second
+	maxTerminations = 128
+	// maxSentSuspects bounds the number of suspects sent to followers.
+	maxSentSuspects = 64
+	// storedVerdictTTL is how long a stored verdict is sent; followers also receive it from the
+	// store's table a moment later.
+	storedVerdictTTL = 4 * time.Second
+	// suspectTTL is how long after its last loss a suspect is sent. Hosts hold back other
+	// requests with its content in that time, and report if they saw it answered.
+	suspectTTL = 5 * time.Second
+	// maxSightings bounds the sightings stored for hubs.
+	maxSightings = 256
 )
 
-// sightingBook is what this host saw: what its hub wasn't told yet, and all losses of late.
-type sightingBook struct {
-	untold, recent []seenLoss
+// sightingBuffer holds the sightings not yet sent to the hub, and the recent losses.
+type sightingBuffer struct {
+	unsent, recent []sighting
 }
 
-// seenLoss is a loss, or a suspect that was answered, and when it was seen.
-type seenLoss struct {
+// sighting is a loss, or a suspect that was answered, with the time when it was observed.
+type sighting struct {
 	loss     quarantine.Loss
 	answered bool
 }
 
-func (b *sightingBook) add(s seenLoss) {
-	b.untold = lastOf(append(b.untold, s), maxSeen)
+func (b *sightingBuffer) add(s sighting) {
+	b.unsent = keepLast(append(b.unsent, s), maxSightings)
 	if !s.answered {
-		b.recent = lastOf(append(b.recent, s), maxSeen)
+		b.recent = keepLast(append(b.recent, s), maxSightings)
 	}
 }
 
-// lastOf keeps the last of a list, at most so many.
-func lastOf[T any](list []T, most int) []T {
+// keepLast returns the last elements of a list, at most the given number.
+func keepLast[T any](list []T, most int) []T {
 	if len(list) <= most {
 		return list
 	}
 	return append([]T(nil), list[len(list)-most:]...)
 }
 
-func (g *Guard) see(l quarantine.Loss) {
+func (g *Guard) addLoss(l quarantine.Loss) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.seen.add(seenLoss{loss: l})
+	g.sightings.add(sighting{loss: l})
 }
 
-func (g *Guard) seeAnswered(d quarantine.Digest) {
+func (g *Guard) addAnswered(d quarantine.Digest) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if slices.ContainsFunc(g.seen.untold, func(s seenLoss) bool { return s.answered && s.loss.Digest == d }) {
+	if slices.ContainsFunc(g.sightings.unsent, func(s sighting) bool { return s.answered && s.loss.Digest == d }) {
 		return
 	}
-	g.seen.add(seenLoss{loss: quarantine.Loss{Digest: d, At: boottime.Elapsed()}, answered: true})
+	g.sightings.add(sighting{loss: quarantine.Loss{Digest: d, At: boottime.Elapsed()}, answered: true})
 }
 
 // Sightings implements exchange.Quarantine.
 func (g *Guard) Sightings() exchange.Sightings {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	untold := g.seen.untold
-	g.seen.untold = nil
-	return sightings(untold, recentFor)
+	unsent := g.sightings.unsent
+	g.sightings.unsent = nil
+	return agedSightings(unsent, recentRetention)
 }
 
 // Recent implements exchange.Quarantine.
 func (g *Guard) Recent() exchange.Sightings {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.seen.untold = nil
-	return sightings(g.seen.recent, recentFor)
+	g.sightings.unsent = nil
+	return agedSightings(g.sightings.recent, recentRetention)
 }
 
-func sightings(list []seenLoss, within time.Duration) exchange.Sightings {
+func agedSightings(list []sighting, within time.Duration) exchange.Sightings {
 	now := boottime.Elapsed()
 	var s exchange.Sightings
 	for _, seen := range list {
@@ -113,7 +114,7 @@
 	for _, l := range s.Losses {
 		if g.tracker.Lose(quarantine.Loss{Digest: l.Digest, Incarnation: l.Incarnation, At: now - l.Age, Ran: l.Ran}) {
 			fresh.Losses = append(fresh.Losses, l)
-			g.noteEnded(l.Incarnation, now-l.Age)
+			g.addTermination(l.Incarnation, now-l.Age)
 		}
 	}
 	for _, d := range s.Answered {
@@ -124,80 +125,81 @@
 	return fresh
 }
 
-// endedUpstream is an upstream that ended, when, and when this host heard of it.
-type endedUpstream struct {
-	incarnation quarantine.Incarnation
-	at, heard   time.Duration
+// termination records that an upstream terminated, and when this host learned of it.
+type termination struct {
+	incarnation              quarantine.Incarnation
+	terminatedAt, reportedAt time.Duration
 }
 
-// noteEnded keeps that an upstream ended, and looks for what this host gave up there.
-func (g *Guard) noteEnded(i quarantine.Incarnation, at time.Duration) {
+// addTermination records that an upstream terminated, and checks for runs that this host
+// abandoned there.
+func (g *Guard) addTermination(i quarantine.Incarnation, at time.Duration) {
 	g.mu.Lock()
-	for _, e := range g.ended {
+	for _, e := range g.terminations {
 		if e.incarnation == i {
 			g.mu.Unlock()
 			return
 		}
 	}
-	g.ended = lastOf(append(g.ended, endedUpstream{incarnation: i, at: at, heard: boottime.Elapsed()}), maxEnded)
+	g.terminations = keepLast(append(g.terminations, termination{incarnation: i, terminatedAt: at, reportedAt: boottime.Elapsed()}), maxTerminations)
 	g.mu.Unlock()
 	g.options.Ended(i)
-	g.exposures.endedElsewhere(i, boottime.Elapsed()-at)
+	g.runs.terminatedElsewhere(i, boottime.Elapsed()-at)
 }
 
-// standingEvery is how long what followers are told is kept: a hub has up to 64 of them,
-// each of which asks seven times a second.
-const standingEvery = 50 * time.Millisecond
+// standingCacheTime is how long the standing for followers is cached: a hub has up to 64
+// followers, each of which requests it seven times a second.
+const standingCacheTime = 50 * time.Millisecond
 
 // Standing implements exchange.Quarantine.
 func (g *Guard) Standing() exchange.Standing {
 	now := boottime.Elapsed()
 	g.mu.Lock()
-	standing, fresh := g.standing, now-g.standingAt < standingEvery && g.standingAt != 0
+	standing, fresh := g.standing, now-g.standingAt < standingCacheTime && g.standingAt != 0
 	g.mu.Unlock()
 	if fresh {
 		return standing
 	}
-	standing = g.standingNow(now)
+	standing = g.buildStanding(now)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.standing, g.standingAt = standing, now
 	return standing
 }
 
-// standingNow is what followers are told now.
-func (g *Guard) standingNow(now time.Duration) exchange.Standing {
+// buildStanding returns the current standing for followers.
+func (g *Guard) buildStanding(now time.Duration) exchange.Standing {
 	var s exchange.Standing
-	for _, suspect := range g.tracker.Suspects(now, suspectFor, maxToldSuspects) {
+	for _, suspect := range g.tracker.Suspects(now, suspectTTL, maxSentSuspects) {
 		s.Suspects = append(s.Suspects, exchange.AgedSuspicion{Digest: suspect.Digest, Events: suspect.Events, FirstAge: now - suspect.First})
 	}
 	for _, e := range g.register.All() {
-		if e.Revision == 0 || now-e.Heard < verdictFor {
+		if e.Revision == 0 || now-e.Heard < storedVerdictTTL {
 			s.Verdicts = append(s.Verdicts, e.Verdict)
 		}
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for d, t := range g.told {
-		if now-t.at >= toldFor {
-			delete(g.told, d)
+	for d, suspect := range g.hubSuspects {
+		if now-suspect.at >= hubSuspectTTL {
+			delete(g.hubSuspects, d)
 			continue
 		}
 		s.Suspects = append(s.Suspects, exchange.AgedSuspicion{
-			Digest: d, Events: t.events, Age: now - t.at, FirstAge: now - t.first,
+			Digest: d, Events: suspect.events, Age: now - suspect.at, FirstAge: now - suspect.first,
 		})
 	}
-	kept := g.ended[:0]
-	for _, e := range g.ended {
-		if now-e.at > explainedFor {
+	kept := g.terminations[:0]
+	for _, e := range g.terminations {
+		if now-e.terminatedAt > explainedTTL {
 			continue
 		}
 		kept = append(kept, e)
-		if explained := g.tracker.Explained(e.incarnation); explained || now-e.heard < endedFor {
-			s.Ended = append(s.Ended, exchange.Ending{Incarnation: e.incarnation, Age: now - e.at, Explained: explained})
+		if explained := g.tracker.Explained(e.incarnation); explained || now-e.reportedAt < terminationTTL {
+			s.Ended = append(s.Ended, exchange.Ending{Incarnation: e.incarnation, Age: now - e.terminatedAt, Explained: explained})
 		}
 	}
-	g.ended = kept
+	g.terminations = kept
 	return s
 }
 
@@ -208,30 +210,30 @@
 		if e.Explained {
 			g.tracker.Explain(e.Incarnation, now-e.Age)
 		}
-		g.noteEnded(e.Incarnation, now-e.Age)
+		g.addTermination(e.Incarnation, now-e.Age)
 	}
 	for _, v := range s.Verdicts {
 		if g.register.Add(v, now) {
-			g.know(v, "exchange")
+			g.applyVerdict(v, "exchange")
 		}
 	}
 	for _, suspect := range s.Suspects {
-		g.takeSuspect(suspect, now)
+		g.addHubSuspect(suspect, now)
 	}
 }
 
-// takeSuspect takes a suspect that the hub told. One that was answered here is no suspect,
-// and the hub hears that.
-func (g *Guard) takeSuspect(s exchange.AgedSuspicion, now time.Duration) {
+// addHubSuspect adds a suspect that the hub sent. If it was answered here, it isn't a suspect,
+// and this is reported to the hub.
+func (g *Guard) addHubSuspect(s exchange.AgedSuspicion, now time.Duration) {
 	if g.tracker.SurvivedSince(s.Digest, now-s.FirstAge) {
-		g.seeAnswered(s.Digest)
+		g.addAnswered(s.Digest)
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	at := now - s.Age
-	if known, ok := g.told[s.Digest]; ok && at < known.at || len(g.told) >= 2*maxToldSuspects {
+	if known, ok := g.hubSuspects[s.Digest]; ok && at < known.at || len(g.hubSuspects) >= 2*maxSentSuspects {
 		return
 	}
-	g.told[s.Digest] = toldSuspect{events: s.Events, first: now - s.FirstAge, at: at}
+	g.hubSuspects[s.Digest] = hubSuspect{events: s.Events, first: now - s.FirstAge, at: at}
 }
