--- a/evenhash/evenhash.go
+++ b/evenhash/evenhash.go
@@ -1,10 +1,11 @@
-// Package evenhash maps texts to numbers that are spread evenly, the same on all hosts: what
-// belongs to whom, and who is in a share, is decided alike without a word between them.
+// Package evenhash hashes strings to uniformly distributed numbers that are the same on all
+// hosts, so that hosts agree on ownership and on membership in a percentage without
+// communication.
 package evenhash
 
 import "hash/fnv"
 
-// Sum is a number of 64 bits for the texts in their order.
+// Sum returns a 64-bit hash of the strings in their order.
 func Sum(parts ...string) uint64 {
 	h := fnv.New64a()
 	for _, p := range parts {
@@ -15,7 +16,7 @@
 	return Mix(h.Sum64())
 }
 
-// Mix spreads the bits of a number evenly; different numbers stay different.
+// Mix spreads the bits of a number; it maps different numbers to different ones.
 func Mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -24,7 +25,7 @@
 	return x ^ x>>33
 }
 
-// Point is a number from 0 up to 1 for the texts in their order.
+// Point returns a hash of the strings in their order as a number in [0, 1).
 func Point(parts ...string) float64 {
 	return float64(Sum(parts...)>>11) / (1 << 53)
 }
--- a/evenhash/evenhash_test.go
+++ b/evenhash/evenhash_test.go
@@ -10,8 +10,8 @@
 	"github.com/quetzalweir/quetzalweir/evenhash"
 )
 
-// Hosts of different releases decide alike only while the numbers stay as they are.
-func TestNumbersStay(t *testing.T) {
+// Hosts of different releases agree only if the hashes never change.
+func TestValuesAreStable(t *testing.T) {
 	is := is.New(t)
 	is.Equal(evenhash.Sum("canary", "v2", "r-1"), uint64(11701761124922990364))
 	is.Equal(evenhash.Sum("aa"), uint64(11969697449738629932))
@@ -20,7 +20,7 @@
 	is.Equal(evenhash.Point("canary", "v2", "r-1"), float64(evenhash.Sum("canary", "v2", "r-1")>>11)/(1<<53))
 }
 
-// Texts that differ in their last character alone are spread as well.
+// Strings that differ only in their last character are spread evenly, too.
 func TestPointsAreEven(t *testing.T) {
 	const texts, parts = 100_000, 20
 	counts := make([]int, parts)
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -8,22 +8,22 @@
 	"github.com/matryer/is"
 )
 
-// A host that was suspended finds that the time went on, by as much.
+// After a suspension the clock is ahead by its duration.
 func TestSuspensionCounts(t *testing.T) {
 	for _, d := range []time.Duration{time.Second, 5 * time.Second, 20 * time.Second} {
 		is := is.New(t)
-		before, steady := Now(), time.Now()
+		before, monotonicStart := Now(), time.Now()
 		undo := Simulate(d)
-		passed, awake := Since(before), time.Since(steady)
+		passed, monotonicElapsed := Since(before), time.Since(monotonicStart)
 		is.True(passed >= d)
-		is.True(passed < d+awake+time.Second) // nothing else is added
+		is.True(passed < d+monotonicElapsed+time.Second) // nothing else is added
 		is.True(before.Before(Now()))
 		is.True(Until(before) <= -d)
 		undo()
 	}
 }
 
-// Without a suspension the clock goes with the steady one.
+// Without a suspension the clock advances like the monotonic one.
 func TestClockIsSteady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -34,17 +34,18 @@
 	})
 }
 
-// A reading that differs by the time between its halves isn't a suspension, a longer one is.
+// A reading that differs by no more than the time between its system calls isn't a suspension; a
+// greater difference is one.
 func TestJitterIsNoSuspension(t *testing.T) {
 	is := is.New(t)
-	known := suspended.Load()
-	defer suspended.Store(known)
-	note(known + int64(jitter))
-	is.Equal(suspended.Load(), known)
-	note(known - int64(time.Second))
-	is.Equal(suspended.Load(), known) // never goes back
-	note(known + int64(2*time.Second))
-	is.Equal(suspended.Load(), known+int64(2*time.Second))
+	current := suspended.Load()
+	defer suspended.Store(current)
+	updateSuspended(current + int64(maxReadError))
+	is.Equal(suspended.Load(), current)
+	updateSuspended(current - int64(time.Second))
+	is.Equal(suspended.Load(), current) // it never decreases
+	updateSuspended(current + int64(2*time.Second))
+	is.Equal(suspended.Load(), current+int64(2*time.Second))
 }
 
 func BenchmarkNow(b *testing.B) {
--- a/internal/logline/bounded.go
+++ b/internal/logline/bounded.go
@@ -7,21 +7,21 @@
 	"sync/atomic"
 )
 
-// queueLines is how many lines wait for a slow output: about a second's worth
-// of a busy host's.
+// queueLines is the number of lines queued for a slow output: about what a busy host logs in a
+// second.
 const queueLines = 4096
 
-// Bounded passes lines on from a goroutine of its own. A line that finds the
-// queue full is left out and counted, so that no writer ever waits.
+// Bounded is an asynchronous writer with a bounded queue. If the queue is full, a line is
+// dropped and counted, so that Write never blocks.
 type Bounded struct {
 	out     io.Writer
 	lines   chan []byte
-	left    atomic.Uint64
+	dropped atomic.Uint64
 	closed  sync.Once
 	drained chan struct{}
 }
 
-// NewBounded returns a writer to out. Close ends it.
+// NewBounded returns a writer to out. Close stops it.
 func NewBounded(out io.Writer) *Bounded {
 	b := &Bounded{out: out, lines: make(chan []byte, queueLines), drained: make(chan struct{})}
 	go b.run()
@@ -33,15 +33,15 @@
 	select {
 	case b.lines <- append([]byte(nil), line...):
 	default:
-		b.left.Add(1)
+		b.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// LeftOut counts the lines that were left out.
-func (b *Bounded) LeftOut() uint64 { return b.left.Load() }
+// LeftOut returns the number of dropped lines.
+func (b *Bounded) LeftOut() uint64 { return b.dropped.Load() }
 
-// Close writes the lines that wait. Nothing may be written after it.
+// Close writes the queued lines. Write must not be called after it.
 func (b *Bounded) Close() {
 	b.closed.Do(func() { close(b.lines) })
 	<-b.drained
@@ -49,13 +49,13 @@
 
 func (b *Bounded) run() {
 	defer close(b.drained)
-	told := uint64(0)
+	reported := uint64(0)
 	for line := range b.lines {
-		// There is no other place to tell that the log can't be written.
+		// A failure to write the log can't be reported anywhere else.
 		_, _ = b.out.Write(line)
-		if left := b.left.Load(); left != told {
-			_, _ = fmt.Fprintf(b.out, "level=warn event=log-lines-left-out count=%d total=%d\n", left-told, left)
-			told = left
+		if dropped := b.dropped.Load(); dropped != reported {
+			_, _ = fmt.Fprintf(b.out, "level=warn event=log-lines-left-out count=%d total=%d\n", dropped-reported, dropped)
+			reported = dropped
 		}
 	}
 }
--- a/internal/logline/logline.go
+++ b/internal/logline/logline.go
@@ -1,8 +1,7 @@
-// Package logline makes the loggers of the processes: one line of key=value
-// pairs for each event.
+// Package logline provides loggers that write one line of key=value pairs for each event.
 //
-// The command line makes the loggers of hosts with it; library packages don't
-// log. Pairs are for reading and searching: their names promise no stability.
+// The command line creates the loggers of hosts; library packages don't log. The lines are meant
+// for reading and searching, and the names of pairs aren't a stable interface.
 package logline
 
 import (
@@ -12,9 +11,9 @@
 	"github.com/rs/zerolog"
 )
 
-// New returns a logger that writes to w, one Write a line. It is safe for
-// concurrent use where w is.
-func New(w io.Writer, least zerolog.Level) zerolog.Logger {
+// New returns a logger that writes events of at least minLevel to w, with one Write for each
+// line. It is safe for concurrent use if w is.
+func New(w io.Writer, minLevel zerolog.Level) zerolog.Logger {
 	zerolog.TimeFieldFormat = time.RFC3339Nano
-	return zerolog.New(&pairWriter{out: w}).Level(least).With().Timestamp().Logger()
+	return zerolog.New(&pairWriter{out: w}).Level(minLevel).With().Timestamp().Logger()
 }
--- a/internal/logline/logline_test.go
+++ b/internal/logline/logline_test.go
@@ -18,7 +18,7 @@
 	log.Info().Str("event", "place").Str("text", "a \"b\"\nc=d").Int("among", 3).Msg("")
 	pair := `[a-z_]+=("([^"\\]|\\.)*"|[^ "=]+)`
 	is.True(regexp.MustCompile(`^` + pair + `( ` + pair + `)+\n$`).Match(out.Bytes())) // key=value pairs on one line
-	is.True(bytes.Contains(out.Bytes(), []byte(`text="a \"b\"\nc=d"`)))                // a value can't forge a pair
+	is.True(bytes.Contains(out.Bytes(), []byte(`text="a \"b\"\nc=d"`)))                // a value can't be mistaken for a pair
 }
 
 func BenchmarkLine(b *testing.B) {
--- a/internal/logline/pairs.go
+++ b/internal/logline/pairs.go
@@ -9,10 +9,9 @@
 	"github.com/rs/zerolog"
 )
 
-// pairWriter turns zerolog's events, flat JSON objects, into lines of
-// key=value pairs: time, level and message first, then the fields in the order
-// in which the event got them. It does without reflection, since each request
-// writes several lines.
+// pairWriter converts zerolog's events, which are flat JSON objects, into lines of key=value
+// pairs: time, level and message first, then the other fields in their order. It avoids
+// reflection, since each request writes several lines.
 type pairWriter struct {
 	out io.Writer
 }
@@ -28,24 +27,24 @@
 	return len(event), nil
 }
 
-// leading are the fields that start a line.
+// leading lists the fields at the start of a line.
 var leading = [...]string{
 	zerolog.TimestampFieldName,
 	zerolog.LevelFieldName,
 	zerolog.MessageFieldName,
 }
 
-// keyMalformed is the one key of a line whose event isn't valid JSON.
+// keyMalformed is the only key of a line whose event isn't valid JSON.
 const keyMalformed = "malformed"
 
-// line holds the buffers of one line.
+// line holds the buffers for formatting one line.
 type line struct {
 	text []byte
-	// lead are the pairs of the leading fields, rest those of all others, each
-	// pair with a space behind it.
-	lead [len(leading)][]byte
-	rest []byte
-	// add is the line's addPair, bound once, so that no event allocates it.
+	// leadingPairs holds the pairs of the leading fields, otherPairs those of all others, each
+	// pair followed by a space.
+	leadingPairs [len(leading)][]byte
+	otherPairs   []byte
+	// add is the line's addPair method, bound once to avoid an allocation per event.
 	add func(key, value []byte, kind jsonparser.ValueType, offset int) error
 }
 
@@ -55,17 +54,17 @@
 	return l
 }}
 
-// format makes the text of the event's line.
+// format formats the event as a line.
 func (l *line) format(event []byte) {
 	l.reset()
 	if err := jsonparser.ObjectEach(event, l.add); err != nil {
 		l.reset()
-		l.rest = appendPair(l.rest, []byte(keyMalformed), event, jsonparser.Unknown)
+		l.otherPairs = appendPair(l.otherPairs, []byte(keyMalformed), event, jsonparser.Unknown)
 	}
-	for _, pair := range l.lead {
+	for _, pair := range l.leadingPairs {
 		l.text = append(l.text, pair...)
 	}
-	l.text = append(l.text, l.rest...)
+	l.text = append(l.text, l.otherPairs...)
 	if n := len(l.text); n > 0 {
 		l.text = l.text[:n-1]
 	}
@@ -74,21 +73,21 @@
 
 func (l *line) reset() {
 	l.text = l.text[:0]
-	l.rest = l.rest[:0]
-	for i := range l.lead {
-		l.lead[i] = l.lead[i][:0]
+	l.otherPairs = l.otherPairs[:0]
+	for i := range l.leadingPairs {
+		l.leadingPairs[i] = l.leadingPairs[i][:0]
 	}
 }
 
-// addPair takes one field of an event.
+// addPair adds one field of an event.
 func (l *line) addPair(key, value []byte, kind jsonparser.ValueType, _ int) error {
 	for i, name := range leading {
 		if string(key) == name {
-			l.lead[i] = appendPair(l.lead[i][:0], key, value, kind)
+			l.leadingPairs[i] = appendPair(l.leadingPairs[i][:0], key, value, kind)
 			return nil
 		}
 	}
-	l.rest = appendPair(l.rest, key, value, kind)
+	l.otherPairs = appendPair(l.otherPairs, key, value, kind)
 	return nil
 }
 
@@ -104,7 +103,7 @@
 	return append(dst, ' ')
 }
 
-// appendKey replaces what could be taken for the end of a key.
+// appendKey appends a key and replaces the characters that could be taken for its end.
 func appendKey(dst, key []byte) []byte {
 	for _, c := range key {
 		if !isPlain(c) {
@@ -115,8 +114,8 @@
 	return dst
 }
 
-// appendString appends the value of a JSON string. Printable ASCII without
-// escapes reads the same in JSON and in Go.
+// appendString appends the value of a JSON string. Printable ASCII without escapes is the same
+// in JSON and in Go syntax.
 func appendString(dst, escaped []byte) []byte {
 	switch {
 	case allBytes(escaped, isPlain) && len(escaped) > 0:
@@ -133,7 +132,7 @@
 	return strconv.AppendQuote(dst, string(text))
 }
 
-// appendText appends a number, a truth value, or the JSON of anything else.
+// appendText appends a number, a boolean, or the JSON of any other value.
 func appendText(dst, text []byte) []byte {
 	if allBytes(text, isPlain) && len(text) > 0 {
 		return append(dst, text...)
@@ -150,12 +149,12 @@
 	return true
 }
 
-// isVerbatim says that a quoted text may hold the byte as it is.
+// isVerbatim reports whether a quoted string may contain the byte unescaped.
 func isVerbatim(c byte) bool {
 	return c >= ' ' && c <= '~' && c != '"' && c != '\\'
 }
 
-// isPlain says that a text may hold the byte without quotes around it.
+// isPlain reports whether an unquoted value may contain the byte.
 func isPlain(c byte) bool {
 	return isVerbatim(c) && c != ' ' && c != '='
 }
--- a/internal/logline/pairs_test.go
+++ b/internal/logline/pairs_test.go
@@ -14,8 +14,8 @@
 	_ "github.com/quetzalweir/quetzalweir/internal/rapidseed"
 )
 
-// parseLine is a strict reader of lines: it returns the keys and values in
-// turn, and false for what isn't one line of pairs.
+// parseLine is a strict parser of lines. It returns the keys and values alternately, and false
+// if the text isn't one line of pairs.
 func parseLine(text string) (parts []string, ok bool) {
 	text, ok = strings.CutSuffix(text, "\n")
 	for ok && text != "" {
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,7 +1,7 @@
-// Package wait waits for a time or the end of a context, whichever is first.
+// Package wait waits for a duration or the end of a context, whichever comes first.
 //
-// Loops and retries of most packages use it. It keeps no exact time: a wait ends
-// at its duration or somewhat later.
+// It is meant for loops and retries. A wait isn't exact: it ends at its duration or somewhat
+// later.
 package wait
 
 import (
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// For waits for d. It returns nil then, or the context's error once ctx has
-// ended; a d that isn't positive doesn't wait.
+// For waits for d. It returns nil, or the context's error if ctx ends first. It doesn't wait if
+// d isn't positive.
 func For(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
@@ -25,8 +25,8 @@
 	}
 }
 
-// Every calls do at an interval, the first time after one, until ctx ends. A call that
-// takes longer than the interval delays the next one.
+// Every calls do once per interval, first after one interval, until ctx ends. A call that takes
+// longer than the interval delays the next one.
 func Every(ctx context.Context, interval time.Duration, do func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/internal/wait/wait_test.go
+++ b/internal/wait/wait_test.go
@@ -16,7 +16,7 @@
 	tests := []struct {
 		desc string
 		d    time.Duration
-		// timeout is when the context ends.
+		// timeout is when the context ends; took is how long the wait must take.
 		timeout, took time.Duration
 		want          error
 	}{
