--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// evaluationInterval is the time between two evaluations of the losses: a small part of the time
-	// in which a verdict must reach all hosts.
+	// evaluationInterval is the time between two evaluations of the losses: a small part of the
+	// time in which a verdict must reach all hosts.
 	evaluationInterval = 100 * time.Millisecond
 	// sweepInterval is how often the records of idle upstreams are dropped.
 	sweepInterval = 10 * time.Second
--- a/internal/guard/sightings.go
+++ b/internal/guard/sightings.go
@@ -208,7 +208,7 @@
 	now := boottime.Elapsed()
 	for _, e := range s.Ended {
 		if e.Explained {
-			g.tracker.Explain(e.Incarnation, now-e.Age)
+			g.tracker.MarkExplained(e.Incarnation, now-e.Age)
 		}
 		g.addTermination(e.Incarnation, now-e.Age)
 	}
--- a/quarantine/odds_test.go
+++ b/quarantine/odds_test.go
@@ -80,19 +80,19 @@
 }
 
 const (
-	slots             = 18
-	soundRate         = 150 // a second
-	soundMeanDuration = 900 * time.Millisecond
-	maxSends          = 6 // three by a host, and three for the caller's retry
-	crashDelay        = 80 * time.Millisecond
-	restartDelay      = 3500 * time.Millisecond
-	maxReportDelay    = 600 * time.Millisecond
-	simulatedTime     = time.Minute
-	popularID         = 2
-	poisonID          = 1
-	hosts             = 7
-	judgeInterval     = 150 * time.Millisecond
-	permittedDelay    = 3 * time.Second
+	slots              = 18
+	soundRate          = 150 // a second
+	soundMeanDuration  = 900 * time.Millisecond
+	maxSends           = 6 // three by a host, and three for the caller's retry
+	crashDelay         = 80 * time.Millisecond
+	restartDelay       = 3500 * time.Millisecond
+	maxReportDelay     = 600 * time.Millisecond
+	simulatedTime      = time.Minute
+	popularID          = 2
+	poisonID           = 1
+	hosts              = 7
+	evaluationInterval = 150 * time.Millisecond
+	permittedDelay     = 3 * time.Second
 )
 
 func newSimulation(seed uint64, s scenario) *simulation {
@@ -104,7 +104,7 @@
 		p.start(i)
 	}
 	p.after(0, p.arrive)
-	p.after(judgeInterval, p.judge)
+	p.after(evaluationInterval, p.evaluate)
 	if s.poisonInterval > 0 {
 		p.after(2*time.Second, p.arrivePoison)
 	}
@@ -234,8 +234,8 @@
 	}
 }
 
-func (p *simulation) judge() {
-	p.after(judgeInterval, p.judge)
+func (p *simulation) evaluate() {
+	p.after(evaluationInterval, p.evaluate)
 	for _, f := range p.tracker.Judge(p.now) {
 		if f.Digest == p.poison {
 			p.foundAt = p.now
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -278,8 +278,8 @@
 	return explained
 }
 
-// Explain records that a request with a verdict ran at the upstream when it terminated.
-func (t *Tracker) Explain(i Incarnation, at time.Duration) {
+// MarkExplained records that a request with a verdict ran at the upstream when it terminated.
+func (t *Tracker) MarkExplained(i Incarnation, at time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.upstreamOf(Loss{Incarnation: t.resolveIncarnation(Loss{Incarnation: i, At: at}), At: at}).explained = true
--- a/ratelease/limit_test.go
+++ b/ratelease/limit_test.go
@@ -72,7 +72,7 @@
 }
 
 // A share that moves to another holder starts without tokens.
-func TestShareThatMovesBringsNothingSaved(t *testing.T) {
+func TestMovedShareStartsWithoutTokens(t *testing.T) {
 	is := is.New(t)
 	const limit = ratelease.Limit(3)
 	share := ratelease.Share{Parts: 1, Of: 1, Roots: 1, Since: start}
@@ -106,7 +106,7 @@
 	is.True(len(sent) > 60 && len(sent) <= 150)
 }
 
-func TestLimitThatBindsNobody(t *testing.T) {
+func TestHighLimitDoesNotBind(t *testing.T) {
 	is := is.New(t)
 	is.True(ratelease.Limit(999).Binds())
 	is.True(!ratelease.Limit(1e9).Binds())
--- a/ratelease/named.go
+++ b/ratelease/named.go
@@ -9,11 +9,11 @@
 	// propagationTime is the maximum time until a hub sends an update back to the host that
 	// reported it, via other hubs.
 	propagationTime = 3 * time.Second
-	// A limit ends if answersToEnd responses without one arrive and it was last named at least
-	// endDelay ago; after singleAnswerEndDelay a single response is enough.
-	endDelay             = time.Second
-	answersToEnd         = 2
-	singleAnswerEndDelay = 5 * time.Second
+	// A limit ends if responsesToEnd responses without one arrive and it was last named at least
+	// endDelay ago; after singleResponseEndDelay a single response is enough.
+	endDelay               = time.Second
+	responsesToEnd         = 2
+	singleResponseEndDelay = 5 * time.Second
 	// minReportInterval is the minimum time between two updates of one upstream to the hub.
 	minReportInterval = time.Second
 	// minReportedChange is the relative change of a limit up to which no update is sent: the
@@ -90,10 +90,10 @@
 	hubLimit    Limit
 	hasHubLimit bool
 	hubLimitAt  time.Time
-	// unlimitedAnswers counts the responses since then that named no limit; endedAt is when they
-	// showed that the limit had ended.
-	unlimitedAnswers int
-	endedAt          time.Time
+	// unlimitedResponses counts the responses since then that named no limit; endedAt is when
+	// they showed that the limit had ended.
+	unlimitedResponses int
+	endedAt            time.Time
 	// reportedAt is when the hub was last sent an update, parts the number of parts that a root
 	// splits the limit into.
 	reportedAt time.Time
@@ -125,7 +125,7 @@
 // Observe processes a response that named a limit. It reports whether the hub must be sent an
 // update.
 func (n *Named) Observe(limit Limit, now time.Time) (report bool) {
-	n.own, n.ownAt, n.unlimitedAnswers = limit, now, 0
+	n.own, n.ownAt, n.unlimitedResponses = limit, now, 0
 	if n.hasHubLimit && math.Abs(float64(limit-n.hubLimit)) <= minReportedChange*float64(n.hubLimit) {
 		return false
 	}
@@ -142,9 +142,9 @@
 	if sentAt.Before(lastNamed) {
 		return false
 	}
-	n.unlimitedAnswers++
+	n.unlimitedResponses++
 	elapsed := now.Sub(lastNamed)
-	if elapsed < endDelay || elapsed < singleAnswerEndDelay && n.unlimitedAnswers < answersToEnd {
+	if elapsed < endDelay || elapsed < singleResponseEndDelay && n.unlimitedResponses < responsesToEnd {
 		return false
 	}
 	n.ownAt, n.endedAt = time.Time{}, now
@@ -169,7 +169,7 @@
 // Take applies the hub's update.
 func (n *Named) Take(update Word, now time.Time) {
 	observedAt := now.Add(-update.Age)
-	n.hasHubLimit, n.hubLimit, n.hubLimitAt, n.unlimitedAnswers = !update.Ended, update.Limit, observedAt, 0
+	n.hasHubLimit, n.hubLimit, n.hubLimitAt, n.unlimitedResponses = !update.Ended, update.Limit, observedAt, 0
 	if update.Ended && observedAt.After(n.ownAt) {
 		n.ownAt = time.Time{}
 	}
