--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -90,8 +90,8 @@
 // hubSuspect is a suspect that the hub sent.
 type hubSuspect struct {
 	events int
-	// first is the time of the first termination with it, at the time of the report.
-	first, at time.Duration
+	// firstAt is the time of the first termination with it, reportedAt that of the report.
+	firstAt, reportedAt time.Duration
 }
 
 // New returns a guard; Run must be called to run it. Until Judges is called, the host makes
@@ -219,8 +219,8 @@
 	n := g.tracker.Events(d, now)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if t, ok := g.hubSuspects[d]; ok && now-t.at < hubSuspectTTL {
-		n = max(n, t.events)
+	if suspect, ok := g.hubSuspects[d]; ok && now-suspect.reportedAt < hubSuspectTTL {
+		n = max(n, suspect.events)
 	}
 	return n
 }
--- a/internal/guard/sightings.go
+++ b/internal/guard/sightings.go
@@ -53,11 +53,11 @@
 }
 
 // keepLast returns the last elements of a list, at most the given number.
-func keepLast[T any](list []T, most int) []T {
-	if len(list) <= most {
+func keepLast[T any](list []T, limit int) []T {
+	if len(list) <= limit {
 		return list
 	}
-	return append([]T(nil), list[len(list)-most:]...)
+	return append([]T(nil), list[len(list)-limit:]...)
 }
 
 func (g *Guard) addLoss(l quarantine.Loss) {
@@ -181,12 +181,12 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for d, suspect := range g.hubSuspects {
-		if now-suspect.at >= hubSuspectTTL {
+		if now-suspect.reportedAt >= hubSuspectTTL {
 			delete(g.hubSuspects, d)
 			continue
 		}
 		s.Suspects = append(s.Suspects, exchange.AgedSuspicion{
-			Digest: d, Events: suspect.events, Age: now - suspect.at, FirstAge: now - suspect.first,
+			Digest: d, Events: suspect.events, Age: now - suspect.reportedAt, FirstAge: now - suspect.firstAt,
 		})
 	}
 	kept := g.terminations[:0]
@@ -232,8 +232,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	at := now - s.Age
-	if known, ok := g.hubSuspects[s.Digest]; ok && at < known.at || len(g.hubSuspects) >= 2*maxSentSuspects {
+	if known, ok := g.hubSuspects[s.Digest]; ok && at < known.reportedAt || len(g.hubSuspects) >= 2*maxSentSuspects {
 		return
 	}
-	g.hubSuspects[s.Digest] = hubSuspect{events: s.Events, first: now - s.FirstAge, at: at}
+	g.hubSuspects[s.Digest] = hubSuspect{events: s.Events, firstAt: now - s.FirstAge, reportedAt: at}
 }
--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -19,7 +19,7 @@
 
 // Suspects returns at most the given number of suspects whose last loss is within the duration,
 // those with the most events first.
-func (t *Tracker) Suspects(now, within time.Duration, most int) []Suspect {
+func (t *Tracker) Suspects(now, within time.Duration, limit int) []Suspect {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var list []Suspect
@@ -37,7 +37,7 @@
 		}
 		return bytes.Compare(a.Digest[:], b.Digest[:])
 	})
-	return list[:min(len(list), most)]
+	return list[:min(len(list), limit)]
 }
 
 // Finding is the evidence for a verdict.
--- a/ratelease/lease_test.go
+++ b/ratelease/lease_test.go
@@ -104,7 +104,7 @@
 	var names []string
 	l.Assign(ratelease.Root(wholeGrants(u), 1), reporters, now)
 	for name := range reporters {
-		if given := leaseOf(l, name, now); len(given.Grants) == 1 {
+		if lease := leaseOf(l, name, now); len(lease.Grants) == 1 {
 			names = append(names, name)
 		}
 	}
@@ -124,16 +124,16 @@
 		now = now.Add(100 * time.Millisecond)
 		is.Equal(holdersOf(l, all, 1, now), first) // the lease stays with its holder
 	}
-	left := map[string]int{"d": 1}
+	remaining := map[string]int{"d": 1}
 	for name := range all {
 		if name != first[0] {
-			left[name] = 1
+			remaining[name] = 1
 		}
 	}
 	// A holder that no longer reports may send until its lease expires, and its requests stay in
 	// the window for some time longer.
-	is.Equal(len(holdersOf(l, left, 1, now.Add(ratelease.LeaseTime+ratelease.Span))), 0)
-	next := holdersOf(l, left, 1, now.Add(ratelease.LeaseTime+ratelease.Handover))
+	is.Equal(len(holdersOf(l, remaining, 1, now.Add(ratelease.LeaseTime+ratelease.Span))), 0)
+	next := holdersOf(l, remaining, 1, now.Add(ratelease.LeaseTime+ratelease.Handover))
 	is.Equal(len(next), 1)
 	is.True(next[0] != first[0])
 }
