--- a/balance/balance.go
+++ b/balance/balance.go
@@ -117,8 +117,8 @@
 // Choice is the result of a selection.
 type Choice struct {
 	Upstream *Upstream
-	// Among is the number of candidates that passed the filters.
-	Among int
+	// Eligible is the number of candidates that passed the filters.
+	Eligible int
 	// Dropped lists the filters that removed candidates, in the order of the
 	// chain.
 	Dropped []DropCount
@@ -150,7 +150,7 @@
 			choice.Dropped = append(choice.Dropped, DropCount{Filter: f.Name(), N: n})
 		}
 	}
-	choice.Among = len(candidates)
+	choice.Eligible = len(candidates)
 	if len(candidates) == 0 {
 		return choice, false
 	}
--- a/balance/selector_test.go
+++ b/balance/selector_test.go
@@ -67,7 +67,7 @@
 	choice, ok := NewSelector(NewPrefixIndex(0, time.Now)).Select(modelRequest, list, start, seeded())
 	is.True(ok)
 	is.Equal(choice.Upstream.ID, "c")
-	is.Equal(choice.Among, 2)
+	is.Equal(choice.Eligible, 2)
 	is.Equal(choice.Dropped, []DropCount{{Filter: "leaving", N: 1}})
 	is.Equal(ids(list), []string{"a", "b", "c"}) // the caller's list is unchanged
 	_, ok = NewSelector(NewPrefixIndex(0, time.Now)).Select(modelRequest, list[:1], start, seeded())
--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -31,7 +31,7 @@
 	// refreshedAt is when it was last read, in nanoseconds since start.
 	suspended   atomic.Int64
 	refreshedAt atomic.Int64
-	// simulated is added to suspended, for Simulate.
+	// simulated is added to suspended, for SimulateSuspension.
 	simulated atomic.Int64
 )
 
@@ -80,8 +80,8 @@
 	return boot.Nano() - monotonic.Nano()
 }
 
-// Simulate advances the clock as a suspension of the host would, for tests; undo reverts that.
-func Simulate(d time.Duration) (undo func()) {
+// SimulateSuspension advances the clock as a suspension of the host would, for tests; undo reverts that.
+func SimulateSuspension(d time.Duration) (undo func()) {
 	simulated.Add(int64(d))
 	return func() { simulated.Add(-int64(d)) }
 }
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -13,7 +13,7 @@
 	for _, d := range []time.Duration{time.Second, 5 * time.Second, 20 * time.Second} {
 		is := is.New(t)
 		before, monotonicStart := Now(), time.Now()
-		undo := Simulate(d)
+		undo := SimulateSuspension(d)
 		passed, monotonicElapsed := Since(before), time.Since(monotonicStart)
 		is.True(passed >= d)
 		is.True(passed < d+monotonicElapsed+time.Second) // nothing else is added
--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -80,36 +80,36 @@
 	store := platform.NewStore(site.Store)
 	tables := platform.Tables()
 	s := gateway.Settings{
-		Host:      site.Host,
-		Zone:      site.Zone,
-		Regions:   site.Regions,
-		Callers:   site.Callers,
-		Ready:     site.Ready,
-		ReadyPath: platform.PathReady,
-		Source:    store,
-		Statuses:  store.Table(tables.Status),
-		Tables:    tables,
-		Codec:     platform.Codec(),
-		Headers:   platform.Headers(),
-		AnyModel:  platform.AnyModel,
+		Host:          site.Host,
+		Zone:          site.Zone,
+		Regions:       site.Regions,
+		CallerAddress: site.Callers,
+		ReadyAddress:  site.Ready,
+		ReadyPath:     platform.PathReady,
+		Source:        store,
+		Statuses:      store.Table(tables.Status),
+		Tables:        tables,
+		Codec:         platform.Codec(),
+		Headers:       platform.Headers(),
+		AnyModel:      platform.AnyModel,
 		Peers: gateway.Peers{
 			Listen: site.Peers, Seeds: site.Seeds, FirstStart: site.FirstStart, Cores: site.Cores, LinkMbps: site.LinkMbps,
 			Keys: store.Table(platform.TableKeys),
 		},
 		StopTimeout:      site.StopTimeout,
 		DrainTime:        site.DrainTime,
-		HeedTime:         site.HeedTime,
+		ApplyTime:        site.HeedTime,
 		RetryRatio:       site.RetryRatio,
 		RetryWindow:      site.RetryWindow,
-		RetrySpare:       site.RetrySpare,
+		RetryHeadroom:    site.RetrySpare,
 		CanaryShare:      site.CanaryShare,
 		ColdOverrun:      site.ColdOverrun,
-		ColdSpare:        site.ColdSpare,
-		FirstModel:       c.FirstModel,
+		ColdHeadroom:     site.ColdSpare,
+		FirstModelIndex:  c.FirstModel,
 		AcceptConfidence: c.AcceptConfidence,
 	}
 	if c.MetricsPort != 0 {
-		s.Metrics = net.JoinHostPort(site.IP, fmt.Sprint(c.MetricsPort))
+		s.MetricsAddress = net.JoinHostPort(site.IP, fmt.Sprint(c.MetricsPort))
 	}
 	return s
 }
--- a/internal/entry/chooseversion.go
+++ b/internal/entry/chooseversion.go
@@ -86,7 +86,7 @@
 		f.rollout.Observe(model, version, outcome)
 		return
 	}
-	f.guard.Unexplained(*r.brokeAt, guard.Blame{
+	f.guard.AttributeInterruption(*r.brokeAt, guard.Attribution{
 		Version: func() { f.rollout.Observe(model, version, outcome) },
 		Request: func() { f.rollout.Abandon(model, version) },
 	})
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -157,7 +157,7 @@
 	}
 	how := guardOutcome(ctx, err)
 	f.guard.End(target, r.digest, how)
-	if how == guard.Broken {
+	if how == guard.Interrupted {
 		r.brokeAt = &target
 	}
 	r.Faulted = r.Faulted || faults(ctx, err)
@@ -273,7 +273,7 @@
 // budget: it would be spent just when many upstreams died at once.
 func (f *dispatch) mayRetry(ctx context.Context, r *Request, attempt int, err error) bool {
 	switch {
-	case ctx.Err() != nil, attempt >= maxAttempts, r.Sink.Started(), f.guard.NearlyJudged(r.digest):
+	case ctx.Err() != nil, attempt >= maxAttempts, r.Sink.Started(), f.guard.VerdictDue(r.digest):
 		return false
 	case r.state.State() != runstate.NotRun && !r.Repeatable:
 		return false
@@ -295,7 +295,7 @@
 		Str("route", r.Route).
 		Str("version", r.Version.Name).
 		Bool("found", ok).
-		Int("among", c.Among).
+		Int("among", c.Eligible).
 		Int("attempt", r.Attempts+1)
 	if ok {
 		event = event.Str("upstream", c.Upstream.ID).Str("zone", c.Upstream.Zone).Float64("score", c.Score)
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -39,8 +39,8 @@
 
 // sightingsParams is what one host tells another about upstreams that ended.
 type sightingsParams struct {
-	Sightings exchange.Sightings `json:"sightings,omitzero"`
-	Standing  exchange.Standing  `json:"standing,omitzero"`
+	Sightings exchange.Sightings        `json:"sightings,omitzero"`
+	Standing  exchange.QuarantineStatus `json:"standing,omitzero"`
 }
 
 // quarantineExchange tells the other hosts what this host saw of upstreams that ended, and
@@ -61,12 +61,12 @@
 	e.guard = guard.New(guard.Options{
 		Host: h.incarnation, Table: h.platform.Table, Prefix: verdictsPrefix, Log: h.log,
 		// Hosts have no other clock in common.
-		Clock: func() time.Duration { return time.Duration(time.Now().UnixNano()) },
-		Count: h.metrics.guarded,
+		Clock:   func() time.Duration { return time.Duration(time.Now().UnixNano()) },
+		OnEvent: h.metrics.guarded,
 	})
 	peer.Handle(h.peerSrv, methodSightings, func(_ context.Context, _ string, p sightingsParams) (none, error) {
-		e.guard.Take(p.Sightings)
-		e.guard.TakeStanding(p.Standing)
+		e.guard.AddSightings(p.Sightings)
+		e.guard.ApplyStatus(p.Standing)
 		return none{}, nil
 	})
 	return e
@@ -107,7 +107,7 @@
 const toldAgain = time.Second
 
 // news are the suspects and verdicts that the others weren't told just now.
-func (e *quarantineExchange) news() exchange.Standing {
+func (e *quarantineExchange) news() exchange.QuarantineStatus {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
@@ -116,8 +116,8 @@
 			delete(e.told, d)
 		}
 	}
-	standing := e.guard.Standing()
-	var s exchange.Standing
+	standing := e.guard.Status()
+	var s exchange.QuarantineStatus
 	for _, suspect := range standing.Suspects {
 		if _, ok := e.told[suspect.Digest]; !ok && suspect.Age == 0 {
 			s.Suspects = append(s.Suspects, suspect)
@@ -148,11 +148,11 @@
 	keys := make(map[string]bool, len(rows))
 	for _, row := range rows {
 		keys[row.Key] = true
-		if err := e.guard.TakeRow(row.Key, row.Value, storage.Revision(row.Version)); err != nil {
+		if err := e.guard.ApplyRow(row.Key, row.Value, storage.Revision(row.Version)); err != nil {
 			e.host.log.Error().Str("event", "verdict-unreadable").Str("key", row.Key).Err(err).Msg("")
 		}
 	}
-	e.guard.KeepRows(keys)
+	e.guard.LiftMissingRows(keys)
 }
 
 // content is what makes two requests the same one.
@@ -164,7 +164,7 @@
 
 // guarded is the upstream as the guard knows it.
 func guarded(u *balance.Upstream) guard.Upstream {
-	return guard.Upstream{ID: u.ID, Service: u.Name, Address: u.Address, Incarnation: quarantine.Incarnation(exchange.NameOf(u.ID))}
+	return guard.Upstream{ID: u.ID, Service: u.Name, Address: u.Address, Incarnation: quarantine.Incarnation(exchange.HashID(u.ID))}
 }
 
 // guardOutcome is what an attempt's error says of the upstream's run.
@@ -183,9 +183,9 @@
 	case errors.Is(err, upstream.ErrConnect), errors.Is(err, errNotPlaced):
 		return guard.NotRun
 	case ctx.Err() != nil:
-		return guard.GivenUp
+		return guard.Abandoned
 	default:
-		return guard.Broken
+		return guard.Interrupted
 	}
 }
 
@@ -225,11 +225,11 @@
 }
 
 // guarded counts what the guard tells.
-func (m *requestMetrics) guarded(what guard.Counted, service string) {
+func (m *requestMetrics) guarded(what guard.CountedEvent, service string) {
 	switch what {
 	case guard.CountVerdict:
 		m.set.GetOrCreateCounter("quetzalweir_verdicts_total").Inc()
-	case guard.CountEnded:
+	case guard.CountTerminated:
 		m.set.GetOrCreateCounter(fmt.Sprintf(`quetzalweir_upstreams_ended_total{service=%q}`, service)).Inc()
 	case guard.CountRefused:
 		m.set.GetOrCreateCounter(fmt.Sprintf(`quetzalweir_quarantine_refusals_total{service=%q}`, service)).Inc()
--- a/internal/exchange/choose.go
+++ b/internal/exchange/choose.go
@@ -50,7 +50,7 @@
 	m.currentHub.Store(&address)
 	m.hubSince = boottime.Now()
 	m.hubReadsSeq, m.forwardedReadsSeq = 0, 0
-	m.limits, m.granted = ratelease.Follower{}, nil
+	m.limits, m.granted = ratelease.LogReader{}, nil
 	m.resendSightings()
 }
 
--- a/internal/exchange/evidence.go
+++ b/internal/exchange/evidence.go
@@ -24,8 +24,8 @@
 	t.From |= o.From
 }
 
-// Blame records the upstream of a bad answer.
-func (t *Tally) Blame(upstream string) {
+// AddSource records the upstream of a bad answer.
+func (t *Tally) AddSource(upstream string) {
 	t.From |= 1 << (hash(upstream) % 64)
 }
 
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -70,12 +70,12 @@
 	// reads that the host has received.
 	Reads      Reads  `json:"reads,omitempty"`
 	ReadsSince uint64 `json:"reads_since,omitempty"`
-	// Limits are the rate limits that the host's upstreams announced. LimitsMark is the
+	// Limits are the rate limits that the host's upstreams announced. LimitsCursor is the
 	// position in the hub's log of limits up to which the host has received it. GrantsDigest is
 	// the digest of the grants that the host has received from the hub.
-	Limits       LimitUpdates   `json:"limits,omitempty"`
-	LimitsMark   ratelease.Mark `json:"limits_known,omitzero"`
-	GrantsDigest uint64         `json:"holds,omitempty"`
+	Limits       LimitUpdates        `json:"limits,omitempty"`
+	LimitsCursor ratelease.LogCursor `json:"limits_known,omitzero"`
+	GrantsDigest uint64              `json:"holds,omitempty"`
 	// WantTimings requests the other hosts' measured speeds of the models. Timings are the
 	// host's own measurements; it sends them with such a request.
 	WantTimings bool    `json:"want_timings,omitempty"`
@@ -109,8 +109,8 @@
 	// are sent to other hubs only.
 	Sightings     Sightings `json:"sightings,omitzero"`
 	SightingsLast uint64    `json:"sightings_last,omitempty"`
-	// Standing lists the upstreams that ended, the suspected requests and the verdicts.
-	Standing Standing `json:"standing,omitzero"`
+	// QuarantineStatus lists the upstreams that ended, the suspected requests and the verdicts.
+	QuarantineStatus QuarantineStatus `json:"standing,omitzero"`
 	// Limits holds the upstreams' limits that the hub has and the host doesn't.
 	Limits LimitBatch `json:"limits"`
 	// Lease grants the host parts of the upstreams' request limits. Rooted reports whether the
@@ -127,7 +127,7 @@
 	Tables       map[string]TableUpdate `json:"tables,omitempty"`
 }
 
-// TableUpdate is feed.News on the wire.
+// TableUpdate is feed.Update on the wire.
 type TableUpdate struct {
 	Since    storage.Revision `json:"since"`
 	Revision storage.Revision `json:"revision"`
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -31,13 +31,13 @@
 			is.NoErr(err)
 			return reply
 		}
-		report("a", "z1", Work{NameOf("u1"): 2, NameOf("u2"): 1})
-		report("far", "z2", Work{NameOf("u1"): 50})
-		report("b", "z1", Work{NameOf("u1"): 3})
-		reply := report("b", "z1", Work{NameOf("u1"): 4}) // the host's own work isn't counted
+		report("a", "z1", Work{HashID("u1"): 2, HashID("u2"): 1})
+		report("far", "z2", Work{HashID("u1"): 50})
+		report("b", "z1", Work{HashID("u1"): 3})
+		reply := report("b", "z1", Work{HashID("u1"): 4}) // the host's own work isn't counted
 		is.Equal(reply.Zone, "z1")
-		is.Equal(reply.Work, Work{NameOf("u1"): 52, NameOf("u2"): 1})
-		is.Equal(report("a", "z1", nil).Work, Work{NameOf("u1"): 54}) // the newest report
+		is.Equal(reply.Work, Work{HashID("u1"): 52, HashID("u2"): 1})
+		is.Equal(report("a", "z1", nil).Work, Work{HashID("u1"): 54}) // the newest report
 
 		time.Sleep(WorkAge + time.Millisecond) // the others' reports expire
 		is.Equal(len(report("a", "z1", nil).Work), 0)
@@ -51,7 +51,7 @@
 	hubs := map[string]*hub{"one": one, "two": two, "three": three}
 	bad := Evidence{Service: "s", Order: 7, Routes: map[string]Versions{"r": {New: Tally{Answers: 2, Failed: 1}}}}
 	for name, h := range hubs {
-		h.record("host of "+name, Report{Work: Work{NameOf("u"): 10}, Evidence: []Evidence{bad}})
+		h.record("host of "+name, Report{Work: Work{HashID("u"): 10}, Evidence: []Evidence{bad}})
 	}
 	for range 5 {
 		for _, asker := range hubs {
@@ -70,7 +70,7 @@
 		is.Equal(h.hostCount(toHost), 3)
 		reply, err := h.exchange(t.Context(), "me", Report{})
 		is.NoErr(err)
-		is.Equal(reply.Work, Work{NameOf("u"): 30})
+		is.Equal(reply.Work, Work{HashID("u"): 30})
 		is.Equal(reply.Evidence[0].Routes["r"].New, Tally{Answers: 6, Failed: 3})
 	}
 }
@@ -81,12 +81,12 @@
 	h := newHub(Options{Zone: "z1"}, zerolog.Nop())
 	work := make(Work)
 	for i := range 10 * maxReportedUpstreams {
-		work[NameOf(fmt.Sprint("u", i))] = float64(i)
+		work[HashID(fmt.Sprint("u", i))] = float64(i)
 	}
 	h.record("a", Report{Work: work})
 	reported := h.otherWork("b", toHost)
 	is.Equal(len(reported), maxReportedUpstreams)
-	is.Equal(reported[NameOf(fmt.Sprint("u", 10*maxReportedUpstreams-1))], float64(10*maxReportedUpstreams-1))
+	is.Equal(reported[HashID(fmt.Sprint("u", 10*maxReportedUpstreams-1))], float64(10*maxReportedUpstreams-1))
 }
 
 // A host that switches its hub sends the new one no evidence until the old one's copy has
@@ -106,10 +106,10 @@
 func TestTallyCountsSources(t *testing.T) {
 	is := is.New(t)
 	var one, other Tally
-	one.Blame("u1")
-	one.Blame("u1")
+	one.AddSource("u1")
+	one.AddSource("u1")
 	is.Equal(one.Sources(), 1)
-	other.Blame("u2")
+	other.AddSource("u2")
 	one.Add(other)
 	is.Equal(one.Sources(), 2)
 }
@@ -250,7 +250,7 @@
 	h.member = New(Options{
 		Host: name, Zone: "z1", Listen: listen, Seeds: in.seeds, Keys: in.keys, Tables: tables,
 		Work: func() Work { return work },
-		Others: func(others Work, at time.Time) {
+		OnWork: func(others Work, at time.Time) {
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			h.work, h.at = others, at
@@ -283,11 +283,11 @@
 
 func TestHostsReceiveEachOthersWork(t *testing.T) {
 	in := newInstallation(t, 2)
-	first := in.start("hub-1", in.seeds[0], Work{NameOf("u"): 1}, nil)
-	second := in.start("hub-2", in.seeds[1], Work{NameOf("u"): 2}, nil)
-	third := in.start("host", freeAddress(t), Work{NameOf("u"): 4}, nil)
+	first := in.start("hub-1", in.seeds[0], Work{HashID("u"): 1}, nil)
+	second := in.start("hub-2", in.seeds[1], Work{HashID("u"): 2}, nil)
+	third := in.start("host", freeAddress(t), Work{HashID("u"): 4}, nil)
 	otherWorkIs := func(h *host, want float64) func() bool {
-		return func() bool { work, _ := h.others(); return work[NameOf("u")] == want }
+		return func() bool { work, _ := h.others(); return work[HashID("u")] == want }
 	}
 	eventually(t, "the hub has the work of both others", otherWorkIs(first, 6))
 	eventually(t, "the other seed has the work of both others", otherWorkIs(second, 5))
@@ -468,10 +468,10 @@
 				for i := range test.hosts {
 					r := Report{Zone: "z1", Work: make(Work), Reads: make(Reads)}
 					for j := range max(1, test.engines/test.hosts*2) {
-						r.Work[NameOf(fmt.Sprintf("i-%010d", (i+j*7)%test.engines))] = 1234
+						r.Work[HashID(fmt.Sprintf("i-%010d", (i+j*7)%test.engines))] = 1234
 					}
 					if i < test.reads/7 {
-						r.Reads[NameOf(fmt.Sprintf("i-%010d", i))] = []placement.Key{4123456789}
+						r.Reads[HashID(fmt.Sprintf("i-%010d", i))] = []placement.PrefixKey{4123456789}
 					}
 					h.record(fmt.Sprint("host-", i), r)
 					if i == 0 {
@@ -497,14 +497,14 @@
 func TestWorkAndReadsOnTheWire(t *testing.T) {
 	is := is.New(t)
 	report := Report{
-		Work:  Work{NameOf("a"): 12.4, NameOf("b"): 1e9},
-		Reads: Reads{NameOf("a"): {1, 4123456789}, NameOf("b"): {7}},
+		Work:  Work{HashID("a"): 12.4, HashID("b"): 1e9},
+		Reads: Reads{HashID("a"): {1, 4123456789}, HashID("b"): {7}},
 	}
 	data, err := json.Marshal(report)
 	is.NoErr(err)
 	var got Report
 	is.NoErr(json.Unmarshal(data, &got))
-	is.Equal(got.Work, Work{NameOf("a"): 12, NameOf("b"): maxWork}) // rounded to milliseconds, capped at about a minute
+	is.Equal(got.Work, Work{HashID("a"): 12, HashID("b"): maxWork}) // rounded to milliseconds, capped at about a minute
 	is.Equal(got.Reads, report.Reads)
 	for _, bad := range []string{`{"work":"AAA"}`, `{"work":"!"}`, `{"work":7}`, `{"reads":"AAAAAAA"}`} {
 		is.True(json.Unmarshal([]byte(bad), &got) != nil)
--- a/internal/exchange/fleet_test.go
+++ b/internal/exchange/fleet_test.go
@@ -142,8 +142,8 @@
 	// holding holds the grants for leased upstreams, contact the state of the contact to the
 	// hub, limits the upstreams' limits that the host has.
 	holding ratelease.Holding
-	contact ratelease.Contact
-	limits  map[ratelease.Upstream]*hostLimit
+	contact ratelease.HubContact
+	limits  map[ratelease.UpstreamID]*hostLimit
 }
 
 func (h *fleetHost) Replace(rows []feed.Row, _ storage.Revision) {
@@ -199,7 +199,7 @@
 	byAddress map[string]*fleetHost
 	// cold lists the upstreams that all hosts treat as cold. disconnected reports whether two
 	// hosts can't reach each other; nil if all can.
-	cold         []ratelease.Upstream
+	cold         []ratelease.UpstreamID
 	disconnected func(from, to *fleetHost) bool
 }
 
@@ -237,38 +237,38 @@
 func (f *fleet) start(h *fleetHost, strong bool) {
 	h.revisions, h.receivedAt = make(map[string]storage.Revision), make(map[storage.Revision]time.Time)
 	h.mu.Lock()
-	h.contact, h.limits = ratelease.NewContact(time.Now()), make(map[ratelease.Upstream]*hostLimit)
+	h.contact, h.limits = ratelease.NewHubContact(time.Now()), make(map[ratelease.UpstreamID]*hostLimit)
 	h.mu.Unlock()
 	// A stopped watcher may still call the member that it belonged to.
 	var member *Member
 	options := feed.Options{
-		Relays:     func() bool { return member.Relays() },
-		HubAnswers: func() bool { return member.Heard() },
-		FirstTable: 150 * time.Millisecond, FirstWord: 900 * time.Millisecond, Gather: 2 * time.Second,
+		Relays:         func() bool { return member.Relays() },
+		HubAnswers:     func() bool { return member.HubAnswered() },
+		FirstTableWait: 150 * time.Millisecond, FirstUpdateWait: 900 * time.Millisecond, BatchDelay: 2 * time.Second,
 	}
 	link := 20.0
 	if strong {
 		link = 200
 	}
 	if slices.Contains(f.seeds, h.address) {
-		options.FirstTable = 0
+		options.FirstTableWait = 0
 	}
 	h.watcher = feed.NewWatcher("t", f.store, h, options, zerolog.Nop())
 	h.quarantine = newFleetQuarantine()
 	member = New(Options{
 		Quarantine: h.quarantine,
 		Host:       h.name, Zone: h.zone, Listen: h.address, Seeds: f.seeds, LinkMbps: link, Cores: 1,
-		Tables: map[string]*feed.Watcher{"t": h.watcher},
-		Work:   func() Work { return Work{NameOf("u"): 1} },
-		Leased: func(roots int) []ratelease.Grant { return append(f.coldGrants(roots), h.limitGrants(roots)...) },
-		Limits: h.newLimits, KnownLimits: h.knownLimits, TakeLimits: h.takeLimits,
-		TakeHolding: func(holding ratelease.Holding, rooted time.Time) {
+		Tables:     map[string]*feed.Watcher{"t": h.watcher},
+		Work:       func() Work { return Work{HashID("u"): 1} },
+		RootGrants: func(roots int) []ratelease.Grant { return append(f.coldGrants(roots), h.limitGrants(roots)...) },
+		Limits:     h.newLimits, KnownLimits: h.knownLimits, OnLimits: h.takeLimits,
+		OnHolding: func(holding ratelease.Holding, rooted time.Time) {
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			h.holding = holding
-			h.contact = h.contact.Heard(time.Now(), rooted)
+			h.contact = h.contact.Answered(time.Now(), rooted)
 		},
-		Others: func(w Work, _ time.Time) {
+		OnWork: func(w Work, _ time.Time) {
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			h.work = w
@@ -419,7 +419,7 @@
 				is.True(mean <= bytesPerSecond)
 				is.True(ok && took <= changeWithin)
 				// Each host is counted once.
-				is.True(f.allHosts(func(h *fleetHost) bool { return h.others()[NameOf("u")] == float64(size.hosts-1) }))
+				is.True(f.allHosts(func(h *fleetHost) bool { return h.others()[HashID("u")] == float64(size.hosts-1) }))
 			})
 		})
 	}
@@ -466,7 +466,7 @@
 				took, ok := f.waitAll(10*time.Second, func(h *fleetHost) bool { return h.rows() == upstreams })
 				after, _ := f.store.count()
 				t.Logf("%d hosts have %d upstreams %v after the last one started; %d calls of the store", size.hosts, upstreams, took, after-calls)
-				is.True(ok && took < 2*time.Second) // the default of feed.Options.Heed
+				is.True(ok && took < 2*time.Second) // the default of feed.Options.ApplyTime
 				seeds := 3*int((span+took)/feed.RelayBatchDelay) + 3*(upstreams/storePage+1)
 				is.True(after-calls <= seeds+size.hosts/10) // few hosts other than the seeds query the store
 			})
--- a/internal/exchange/follow.go
+++ b/internal/exchange/follow.go
@@ -51,7 +51,7 @@
 	m.setHasFollowers(hasFollowers)
 	report, upTo := m.report(), forwarded{}
 	sentLimits := len(report.Limits)
-	report.ReadsSince, report.LimitsMark, report.GrantsDigest = m.hubReadsSeq, m.limits.Mark(), ratelease.Digest(m.granted)
+	report.ReadsSince, report.LimitsCursor, report.GrantsDigest = m.hubReadsSeq, m.limits.Cursor(), ratelease.Digest(m.granted)
 	if hasFollowers {
 		report, upTo = m.aggregateReport(report)
 	}
@@ -63,7 +63,7 @@
 		m.hubFailed(net, err)
 		return
 	}
-	m.applyStanding(reply.Standing)
+	m.applyQuarantineStatus(reply.QuarantineStatus)
 	m.acceptLease(reply, requestedAt)
 	m.unsentLimits = m.unsentLimits[sentLimits:]
 	m.applyHubLimits(reply.Limits, hasFollowers)
@@ -84,7 +84,7 @@
 // to the hub above.
 type forwarded struct {
 	reads, sightings uint64
-	limits           ratelease.Mark
+	limits           ratelease.LogCursor
 }
 
 // aggregateReport returns the report on behalf of this host and its followers, and the
@@ -96,7 +96,7 @@
 	report, upTo.reads = m.hub.subtreeReport(own, m.forwardedReadsSeq, m.current)
 	report.Sightings, upTo.sightings = m.hub.sightingsSince(m.forwardedSightingsSeq, m.current)
 	limits := m.hub.limitsSince(m.forwardedLimitsMark, toHub)
-	report.Limits, upTo.limits = limits.Words, limits.Mark
+	report.Limits, upTo.limits = limits.Updates, limits.Cursor
 	if !m.previousHubExpired() {
 		report.Evidence = nil
 	}
@@ -144,12 +144,12 @@
 // apply passes the other hosts' data in a reply, as of the given time, to the callbacks in
 // Options.
 func (m *Member) apply(reply Reply, at time.Time) {
-	m.options.Others(reply.Work, at)
+	m.options.OnWork(reply.Work, at)
 	m.applyHostCount(reply.Hosts)
 	m.applyEvidence(reply.Evidence)
 	m.applyReads(reply.Reads)
-	if m.options.TakeTimings != nil && len(reply.Timings) > 0 {
-		m.options.TakeTimings(reply.Timings)
+	if m.options.OnTimings != nil && len(reply.Timings) > 0 {
+		m.options.OnTimings(reply.Timings)
 	}
 }
 
@@ -157,19 +157,19 @@
 // the hub has received.
 func (m *Member) applyReads(reads Reads) {
 	m.unsentReads = make(Reads)
-	if m.options.TakeReads != nil && len(reads) > 0 {
-		m.options.TakeReads(reads)
+	if m.options.OnReads != nil && len(reads) > 0 {
+		m.options.OnReads(reads)
 	}
 }
 
 func (m *Member) applyHostCount(n int) {
-	if m.options.Hosts != nil && n > 0 {
-		m.options.Hosts(n)
+	if m.options.OnHostCount != nil && n > 0 {
+		m.options.OnHostCount(n)
 	}
 }
 
 func (m *Member) applyEvidence(list []Evidence) {
-	if m.options.TakeEvidence != nil && len(list) > 0 {
-		m.options.TakeEvidence(list)
+	if m.options.OnEvidence != nil && len(list) > 0 {
+		m.options.OnEvidence(list)
 	}
 }
--- a/internal/exchange/hub.go
+++ b/internal/exchange/hub.go
@@ -44,7 +44,7 @@
 	// that report here.
 	lessor *ratelease.Lessor
 	// limits holds the upstreams' limits that this hub has received.
-	limits *ratelease.Log
+	limits *ratelease.LimitLog
 	// hasAllLimits reports whether the hub that this one reports to has sent all its limits, or
 	// this host is a root.
 	hasAllLimits bool
@@ -86,7 +86,7 @@
 	return &hub{
 		self: options.Host, zone: options.Zone, linkMbps: options.LinkMbps, tables: options.Tables, quarantine: options.Quarantine, log: log,
 		reports: make(map[string]receivedReport), timings: make(map[string]Timings), zones: make(map[string]*zoneHubs),
-		lessor: ratelease.NewLessor(boottime.Now()), limits: ratelease.NewLog(uint64(rand.Uint32())), startedAt: boottime.Now(),
+		lessor: ratelease.NewLessor(boottime.Now()), limits: ratelease.NewLimitLog(uint64(rand.Uint32())), startedAt: boottime.Now(),
 	}
 }
 
@@ -101,8 +101,8 @@
 			reply.Timings = h.otherTimings(from, toHub)
 		}
 		reply.Sightings, reply.SightingsLast = h.sightingsSince(r.SightingsSince, r.Address)
-		reply.Limits = h.limitsSince(r.LimitsMark, toHub)
-		reply.Standing = h.standing(toHub)
+		reply.Limits = h.limitsSince(r.LimitsCursor, toHub)
+		reply.QuarantineStatus = h.quarantineStatus(toHub)
 		if h.relays() {
 			reply.Tables, _ = h.tableUpdates(from, r, true)
 		}
@@ -116,9 +116,9 @@
 	if r.WantTimings {
 		reply.Timings = h.otherTimings(from, toHost)
 	}
-	reply.Standing = h.standing(toHost)
+	reply.QuarantineStatus = h.quarantineStatus(toHost)
 	reply.Lease, reply.Rooted = h.leaseFor(from, r.GrantsDigest), h.rooted()
-	reply.Limits = h.limitsSince(r.LimitsMark, toHost)
+	reply.Limits = h.limitsSince(r.LimitsCursor, toHost)
 	reply.Assigned = h.assign(from, r)
 	reply.Relays = h.relaysTo(from)
 	reply.Tables, reply.TablePending = h.tableUpdates(from, r, reply.Relays)
--- a/internal/exchange/hubs.go
+++ b/internal/exchange/hubs.go
@@ -21,7 +21,7 @@
 	sightingsSince uint64
 	answered       bool
 	// limitsMark is the position in the other hub's log of limits up to which it was received.
-	limitsMark ratelease.Mark
+	limitsMark ratelease.LogCursor
 }
 
 // askHubs queries each of the other seeds for the sums over its followers, concurrently, so
@@ -36,7 +36,7 @@
 			continue
 		}
 		report := Report{
-			Zone: m.options.Zone, Address: m.options.Listen, Hub: true, ReadsSince: state.readsSince, SightingsSince: state.sightingsSince, LimitsMark: state.limitsMark, Revisions: m.revisions(),
+			Zone: m.options.Zone, Address: m.options.Listen, Hub: true, ReadsSince: state.readsSince, SightingsSince: state.sightingsSince, LimitsCursor: state.limitsMark, Revisions: m.revisions(),
 			WantTimings: m.exchanges%timingsEvery == 1,
 		}
 		requestedAt := boottime.Now()
@@ -48,10 +48,10 @@
 				return
 			}
 			m.hub.recordHub(seed, reply, reply.Hosts)
-			m.hub.recordLimits(true, reply.Limits.Words, false)
-			m.applyStanding(reply.Standing)
+			m.hub.recordLimits(true, reply.Limits.Updates, false)
+			m.applyQuarantineStatus(reply.QuarantineStatus)
 			m.offerTablesIfDisconnected(reply, requestedAt)
-			m.endQuery(seed, hubQuery{readsSince: reply.ReadsLast, sightingsSince: reply.SightingsLast, limitsMark: reply.Limits.Mark, answered: true})
+			m.endQuery(seed, hubQuery{readsSince: reply.ReadsLast, sightingsSince: reply.SightingsLast, limitsMark: reply.Limits.Cursor, answered: true})
 		}()
 	}
 }
--- a/internal/exchange/lease.go
+++ b/internal/exchange/lease.go
@@ -45,7 +45,7 @@
 	}
 	*g = make(Grants, 0, len(packed)/grantSize)
 	for grant := range slices.Chunk(packed, grantSize) {
-		*g = append(*g, ratelease.Grant{Upstream: ratelease.Upstream(binary.BigEndian.Uint64(grant)), Parts: int(grant[8]), Of: int(grant[9])})
+		*g = append(*g, ratelease.Grant{Upstream: ratelease.UpstreamID(binary.BigEndian.Uint64(grant)), Parts: int(grant[8]), Of: int(grant[9])})
 	}
 	return nil
 }
@@ -89,13 +89,13 @@
 			reporters[name] = got.hosts
 		}
 	}
-	holding := ratelease.Hold(l, requestedAt, nil)
+	holding := ratelease.NewHolding(l, requestedAt, nil)
 	h.lessor.Assign(holding.Lease(now), reporters, now)
 }
 
 // rooted reports whether this host's grants derive from a root of the hub tree, or it is a
 // root.
-func (h *hub) rooted() bool { return boottime.Since(h.lastRooted()) < ratelease.LeaseTime }
+func (h *hub) rooted() bool { return boottime.Since(h.lastRooted()) < ratelease.LeaseDuration }
 
 // lastRooted returns when this host's grants last derived from a root of the hub tree.
 func (h *hub) lastRooted() time.Time {
@@ -124,36 +124,36 @@
 
 // assignRootLease makes a root of the hub tree hold its own part of all leased upstreams.
 func (m *Member) assignRootLease() {
-	if m.options.Leased == nil {
+	if m.options.RootGrants == nil {
 		return
 	}
 	roots := len(m.options.Seeds)
 	m.hub.setRootedAt(boottime.Now())
-	m.hub.assignLease(ratelease.Root(m.options.Leased(roots), roots), boottime.Now())
+	m.hub.assignLease(ratelease.RootLease(m.options.RootGrants(roots), roots), boottime.Now())
 }
 
 // applyOwnLease takes over this host's part of the lease that its own hub divides.
 func (m *Member) applyOwnLease() {
-	if m.options.TakeHolding == nil {
+	if m.options.OnHolding == nil {
 		return
 	}
 	now := boottime.Now()
 	lease := m.hub.leaseFor(m.options.Host, 0).decode(nil)
 	if own := m.unusedRootGrants(); len(own) > 0 {
-		lease = ratelease.Root(ratelease.Merge(own, lease.Grants), len(m.options.Seeds))
+		lease = ratelease.RootLease(ratelease.Merge(own, lease.Grants), len(m.options.Seeds))
 	}
-	m.holding = ratelease.Hold(lease, now, &m.holding)
-	m.options.TakeHolding(m.holding, m.hub.lastRooted())
+	m.holding = ratelease.NewHolding(lease, now, &m.holding)
+	m.options.OnHolding(m.holding, m.hub.lastRooted())
 }
 
 // unusedRootGrants returns the root's part of a seed that reports to another seed of its zone.
 // The seed uses this part alone: no other host has it.
 func (m *Member) unusedRootGrants() []ratelease.Grant {
 	seeds, self := m.options.Seeds, m.options.Listen
-	if m.options.Leased == nil || m.current == self || !slices.Contains(seeds, self) || boottime.Since(m.hub.startedAt) < ratelease.Handover {
+	if m.options.RootGrants == nil || m.current == self || !slices.Contains(seeds, self) || boottime.Since(m.hub.startedAt) < ratelease.HandoverDelay {
 		return nil
 	}
-	return m.options.Leased(len(seeds))
+	return m.options.RootGrants(len(seeds))
 }
 
 var (
--- a/internal/exchange/lease_test.go
+++ b/internal/exchange/lease_test.go
@@ -21,19 +21,19 @@
 // greatest number of requests that reaches an upstream in a second is what the leases permit.
 
 // coldBound permits 32 requests a second.
-var coldBound = ratelease.Bound{Rate: 18, Overrun: 1.5, Spare: 5}
+var coldBound = ratelease.Bound{Rate: 18, Overrun: 1.5, Headroom: 5}
 
 // coldSends records the requests sent to cold upstreams.
 type coldSends struct {
-	at map[ratelease.Upstream][]time.Time
+	at map[ratelease.UpstreamID][]time.Time
 	// windows holds the hosts' own counts; a host that restarts begins without any.
-	windows map[string]map[ratelease.Upstream]*ratelease.Window
+	windows map[string]map[ratelease.UpstreamID]*ratelease.Window
 	// nonCompliant is a host that ignores its leases; empty for none.
 	nonCompliant string
 }
 
 func newColdSends() *coldSends {
-	return &coldSends{at: make(map[ratelease.Upstream][]time.Time), windows: make(map[string]map[ratelease.Upstream]*ratelease.Window)}
+	return &coldSends{at: make(map[ratelease.UpstreamID][]time.Time), windows: make(map[string]map[ratelease.UpstreamID]*ratelease.Window)}
 }
 
 // send makes each host send as much as it may.
@@ -45,7 +45,7 @@
 		h.mu.Unlock()
 		windows := s.windows[h.name]
 		if windows == nil {
-			windows = make(map[ratelease.Upstream]*ratelease.Window)
+			windows = make(map[ratelease.UpstreamID]*ratelease.Window)
 			s.windows[h.name] = windows
 		}
 		if h.name == s.nonCompliant {
@@ -60,8 +60,8 @@
 				windows[u] = &ratelease.Window{}
 			}
 			share, _ := holding.Share(u, now)
-			for windows[u].Room(now, coldBound.Each(share)) {
-				windows[u].Note(now)
+			for windows[u].Allows(now, coldBound.RequestsPerSpan(share)) {
+				windows[u].Record(now)
 				s.at[u] = append(s.at[u], now)
 			}
 		}
@@ -97,7 +97,7 @@
 func coldFleet(t *testing.T, size fleetSize, cold int) *fleet {
 	f := newFleet(t, size.hosts, size.zones, 10)
 	for i := range cold {
-		f.cold = append(f.cold, ratelease.UpstreamOf(fmt.Sprint("cold-", i)))
+		f.cold = append(f.cold, ratelease.NewUpstreamID(fmt.Sprint("cold-", i)))
 	}
 	return f
 }
@@ -257,13 +257,13 @@
 	h.lessor = ratelease.NewLessor(boottime.Now().Add(-time.Minute))
 	h.reports["host"] = receivedReport{at: boottime.Now(), hosts: 1}
 	grants := []ratelease.Grant{{Upstream: 1, Parts: 4, Of: 4}, {Upstream: 2, Parts: 4, Of: 4}, {Upstream: 3, Parts: 4, Of: 4}}
-	h.assignLease(ratelease.Root(grants, 3), boottime.Now())
+	h.assignLease(ratelease.RootLease(grants, 3), boottime.Now())
 	first := h.leaseFor("host", 0)
 	is.True(len(first.Grants) > 0 && !first.Unchanged)
 	again := h.leaseFor("host", ratelease.Digest(first.Grants))
 	is.Equal(again, Lease{Unchanged: true, ForMs: again.ForMs, Roots: 3})
 	is.Equal(again.decode(first.Grants).Grants, []ratelease.Grant(first.Grants))
-	h.assignLease(ratelease.Root(grants[:1], 3), boottime.Now())
+	h.assignLease(ratelease.RootLease(grants[:1], 3), boottime.Now())
 	is.True(!h.leaseFor("host", ratelease.Digest(first.Grants)).Unchanged)
 }
 
@@ -275,8 +275,8 @@
 	var held ratelease.Holding
 	m := New(Options{
 		Host: "second", Listen: "b", Seeds: []string{"a", "b", "c"},
-		Leased:      func(int) []ratelease.Grant { return []ratelease.Grant{grant} },
-		TakeHolding: func(h ratelease.Holding, _ time.Time) { held = h },
+		RootGrants: func(int) []ratelease.Grant { return []ratelease.Grant{grant} },
+		OnHolding:  func(h ratelease.Holding, _ time.Time) { held = h },
 	}, zerolog.Nop())
 	m.current = "a"
 	share := func() ratelease.Share {
@@ -285,7 +285,7 @@
 		return s
 	}
 	is.Equal(share().Parts, 0) // leases from before its restart may still be valid
-	m.hub.startedAt = boottime.Now().Add(-ratelease.Handover)
+	m.hub.startedAt = boottime.Now().Add(-ratelease.HandoverDelay)
 	is.Equal(share().Part(), 1.0/3)
 	m.options.Listen = "d"
 	is.Equal(share().Parts, 0) // the host isn't a seed
--- a/internal/exchange/limits.go
+++ b/internal/exchange/limits.go
@@ -12,7 +12,7 @@
 )
 
 // LimitUpdates are changes of upstreams' limits on the wire.
-type LimitUpdates []ratelease.Word
+type LimitUpdates []ratelease.LimitUpdate
 
 const (
 	// limitEntrySize is the size of an encoded update in bytes, before base64: the upstream,
@@ -48,7 +48,7 @@
 	}
 	*w = make(LimitUpdates, 0, len(packed)/limitEntrySize)
 	for entry := range slices.Chunk(packed, limitEntrySize) {
-		word := ratelease.Word{Upstream: ratelease.Upstream(binary.BigEndian.Uint64(entry)), Age: time.Duration(binary.BigEndian.Uint16(entry[12:])) * time.Millisecond}
+		word := ratelease.LimitUpdate{Upstream: ratelease.UpstreamID(binary.BigEndian.Uint64(entry)), Age: time.Duration(binary.BigEndian.Uint16(entry[12:])) * time.Millisecond}
 		limit := math.Float32frombits(binary.BigEndian.Uint32(entry[8:]))
 		if limit >= 0 {
 			word.Limit = ratelease.Limit(limit)
@@ -60,24 +60,24 @@
 	return nil
 }
 
-// LimitBatch is ratelease.News on the wire.
+// LimitBatch is ratelease.LimitBatch on the wire.
 type LimitBatch struct {
-	Words LimitUpdates   `json:"words,omitempty"`
-	Mark  ratelease.Mark `json:"mark"`
-	Whole bool           `json:"whole,omitempty"`
+	Updates  LimitUpdates        `json:"words,omitempty"`
+	Cursor   ratelease.LogCursor `json:"mark"`
+	Complete bool                `json:"whole,omitempty"`
 }
 
-func (n LimitBatch) decode() ratelease.News {
-	return ratelease.News{Words: n.Words, Mark: n.Mark, Whole: n.Whole}
+func (n LimitBatch) decode() ratelease.LimitBatch {
+	return ratelease.LimitBatch{Updates: n.Updates, Cursor: n.Cursor, Complete: n.Complete}
 }
 
 // limitsSince returns the limits after the mark that are sent to the audience.
-func (h *hub) limitsSince(known ratelease.Mark, to audience) LimitBatch {
+func (h *hub) limitsSince(known ratelease.LogCursor, to audience) LimitBatch {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	news := h.limits.Since(known, maxLimitUpdates, to == toHub, boottime.Now())
-	whole := news.Whole && h.hasAllLimits && boottime.Since(h.startedAt) >= limitRelearnTime
-	return LimitBatch{Words: news.Words, Mark: news.Mark, Whole: whole}
+	whole := news.Complete && h.hasAllLimits && boottime.Since(h.startedAt) >= limitRelearnTime
+	return LimitBatch{Updates: news.Updates, Cursor: news.Cursor, Complete: whole}
 }
 
 // limitRelearnTime is how long a hub that has started waits for its followers and other hubs to
@@ -86,24 +86,24 @@
 
 // recordLimits records limits that a host or another hub sent. whole means that they are all
 // the limits of the hub that this one reports to.
-func (h *hub) recordLimits(fromHub bool, words []ratelease.Word, whole bool) {
+func (h *hub) recordLimits(fromHub bool, words []ratelease.LimitUpdate, whole bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := boottime.Now()
 	h.limits.Add(fromHub, words, now)
 	if whole {
-		h.limits.Keep(words, now)
+		h.limits.EndMissing(words, now)
 	}
 }
 
 // applyHubLimits applies the limits in the hub's reply. A host with followers passes them on
 // through its own hub.
 func (m *Member) applyHubLimits(batch LimitBatch, hasFollowers bool) {
-	words, reset, whole := m.limits.Take(batch.decode())
+	words, reset, whole := m.limits.Apply(batch.decode())
 	if reset {
 		m.resendLimits()
 	}
-	m.hub.setHasAllLimits(m.limits.Whole())
+	m.hub.setHasAllLimits(m.limits.Complete())
 	if hasFollowers {
 		m.hub.recordLimits(true, words, whole)
 		return
@@ -114,14 +114,14 @@
 // resendLimits makes the next reports repeat all limits of this host and its followers, for a
 // hub that may have none.
 func (m *Member) resendLimits() {
-	m.forwardedLimitsMark = ratelease.Mark{}
+	m.forwardedLimitsMark = ratelease.LogCursor{}
 	if m.options.KnownLimits != nil && !m.hasFollowers {
 		m.unsentLimits = m.options.KnownLimits()
 	}
 }
 
 // nextLimitUpdates returns the limit updates for the next report.
-func (m *Member) nextLimitUpdates() []ratelease.Word {
+func (m *Member) nextLimitUpdates() []ratelease.LimitUpdate {
 	if m.options.Limits == nil {
 		return nil
 	}
@@ -139,13 +139,13 @@
 
 // applyOwnHubLimits applies the limits that this host's own hub has.
 func (m *Member) applyOwnHubLimits() {
-	words, _, whole := m.ownLimits.Take(m.hub.limitsSince(m.ownLimits.Mark(), toHost).decode())
+	words, _, whole := m.ownLimits.Apply(m.hub.limitsSince(m.ownLimits.Cursor(), toHost).decode())
 	m.deliverLimits(words, whole)
 }
 
-func (m *Member) deliverLimits(words []ratelease.Word, whole bool) {
-	if m.options.TakeLimits != nil && (whole || len(words) > 0) {
-		m.options.TakeLimits(words, whole)
+func (m *Member) deliverLimits(words []ratelease.LimitUpdate, whole bool) {
+	if m.options.OnLimits != nil && (whole || len(words) > 0) {
+		m.options.OnLimits(words, whole)
 	}
 }
 
@@ -154,7 +154,7 @@
 func (m *Member) setHasFollowers(hasFollowers bool) {
 	if hasFollowers != m.hasFollowers {
 		m.hasFollowers = hasFollowers
-		m.limits, m.ownLimits = ratelease.Follower{}, ratelease.Follower{}
+		m.limits, m.ownLimits = ratelease.LogReader{}, ratelease.LogReader{}
 	}
 }
 
--- a/internal/exchange/limits_test.go
+++ b/internal/exchange/limits_test.go
@@ -21,13 +21,13 @@
 
 // hostLimit is a host's record of an upstream's limit.
 type hostLimit struct {
-	named   ratelease.Named
+	named   ratelease.LimitState
 	bucket  ratelease.Bucket
 	pending bool
 }
 
 // limit returns the host's record of the upstream. The caller holds the lock.
-func (h *fleetHost) limit(u ratelease.Upstream) *hostLimit {
+func (h *fleetHost) limit(u ratelease.UpstreamID) *hostLimit {
 	if h.limits[u] == nil {
 		h.limits[u] = &hostLimit{}
 	}
@@ -40,55 +40,55 @@
 	var grants []ratelease.Grant
 	for u, l := range h.limits {
 		if l.named.Limited(h.contact, time.Now()) {
-			parts := l.named.Split(roots)
+			parts := l.named.PartCount(roots)
 			grants = append(grants, ratelease.Grant{Upstream: u, Parts: parts, Of: parts})
 		}
 	}
 	return grants
 }
 
-func (h *fleetHost) newLimits() []ratelease.Word {
+func (h *fleetHost) newLimits() []ratelease.LimitUpdate {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var words []ratelease.Word
+	var words []ratelease.LimitUpdate
 	for u, l := range h.limits {
 		if l.pending {
-			words = append(words, l.named.Say(u, time.Now()))
+			words = append(words, l.named.NextUpdate(u, time.Now()))
 			l.pending = false
 		}
 	}
 	return words
 }
 
-func (h *fleetHost) knownLimits() []ratelease.Word {
+func (h *fleetHost) knownLimits() []ratelease.LimitUpdate {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var words []ratelease.Word
+	var words []ratelease.LimitUpdate
 	for u, l := range h.limits {
 		if l.named.Limited(h.contact, time.Now()) {
-			words = append(words, l.named.Say(u, time.Now()))
+			words = append(words, l.named.NextUpdate(u, time.Now()))
 		}
 	}
 	return words
 }
 
-func (h *fleetHost) takeLimits(words []ratelease.Word, whole bool) {
+func (h *fleetHost) takeLimits(words []ratelease.LimitUpdate, whole bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	received := make(map[ratelease.Upstream]bool)
+	received := make(map[ratelease.UpstreamID]bool)
 	for _, word := range words {
 		received[word.Upstream] = true
-		h.limit(word.Upstream).named.Take(word, time.Now())
+		h.limit(word.Upstream).named.Apply(word, time.Now())
 	}
 	for u, l := range h.limits {
-		if whole && l.named.Told() && !received[u] {
-			l.named.Take(ratelease.Word{Upstream: u, Ended: true}, time.Now())
+		if whole && l.named.HasHubLimit() && !received[u] {
+			l.named.Apply(ratelease.LimitUpdate{Upstream: u, Ended: true}, time.Now())
 		}
 	}
 }
 
 // trySend reports whether the host may send a request to the upstream now, and counts it.
-func (h *fleetHost) trySend(u ratelease.Upstream, now time.Time) bool {
+func (h *fleetHost) trySend(u ratelease.UpstreamID, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	l := h.limit(u)
@@ -99,7 +99,7 @@
 	if share, ok := h.holding.Share(u, now); ok {
 		allowance = l.named.Limit().Allowance(share)
 	}
-	if !l.bucket.Room(allowance, now) {
+	if !l.bucket.Allows(allowance, now) {
 		return false
 	}
 	l.bucket.Take()
@@ -107,7 +107,7 @@
 }
 
 // observe processes an answer.
-func (h *fleetHost) observe(u ratelease.Upstream, limit ratelease.Limit, named bool, sentAt time.Time) {
+func (h *fleetHost) observe(u ratelease.UpstreamID, limit ratelease.Limit, named bool, sentAt time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	l := h.limit(u)
@@ -116,13 +116,13 @@
 	case named:
 		l.pending = l.named.Observe(limit, now) || l.pending
 	case l.named.Limited(h.contact, now):
-		l.pending = l.named.ObserveNone(sentAt, now) || l.pending
+		l.pending = l.named.ObserveUnlimited(sentAt, now) || l.pending
 	}
 }
 
 // limitedUpstream is an upstream that announces a limit for a while.
 type limitedUpstream struct {
-	name  ratelease.Upstream
+	name  ratelease.UpstreamID
 	limit ratelease.Limit
 	// from and until are when it announces the limit.
 	from, until time.Time
@@ -143,7 +143,7 @@
 	upstreams []*limitedUpstream
 	rnd       *rand.Rand
 	// firstObservedAt is when each host first observed each limit since its start.
-	firstObservedAt map[*fleetHost]map[ratelease.Upstream]time.Time
+	firstObservedAt map[*fleetHost]map[ratelease.UpstreamID]time.Time
 	// excusedUntil holds the hosts that recently started or were disconnected; their requests
 	// don't count until then.
 	excusedUntil map[*fleetHost]time.Time
@@ -163,9 +163,9 @@
 const answerTime = 80 * time.Millisecond
 
 func newLimitTraffic(f *fleet, rnd *rand.Rand, limits int) *limitTraffic {
-	p := &limitTraffic{fleet: f, rnd: rnd, firstObservedAt: make(map[*fleetHost]map[ratelease.Upstream]time.Time), excusedUntil: make(map[*fleetHost]time.Time)}
+	p := &limitTraffic{fleet: f, rnd: rnd, firstObservedAt: make(map[*fleetHost]map[ratelease.UpstreamID]time.Time), excusedUntil: make(map[*fleetHost]time.Time)}
 	for i := range limits {
-		p.upstreams = append(p.upstreams, &limitedUpstream{name: ratelease.UpstreamOf(fmt.Sprint("u-", i)), limit: ratelease.Limit(rnd.IntN(60)) / 10})
+		p.upstreams = append(p.upstreams, &limitedUpstream{name: ratelease.NewUpstreamID(fmt.Sprint("u-", i)), limit: ratelease.Limit(rnd.IntN(60)) / 10})
 	}
 	return p
 }
@@ -179,7 +179,7 @@
 		a.host.observe(a.upstream.name, a.upstream.limit, a.named, a.sentAt)
 		if _, ok := p.firstObservedAt[a.host][a.upstream.name]; a.named && !ok {
 			if p.firstObservedAt[a.host] == nil {
-				p.firstObservedAt[a.host] = make(map[ratelease.Upstream]time.Time)
+				p.firstObservedAt[a.host] = make(map[ratelease.UpstreamID]time.Time)
 			}
 			p.firstObservedAt[a.host][a.upstream.name] = now
 		}
--- a/internal/exchange/member.go
+++ b/internal/exchange/member.go
@@ -35,39 +35,39 @@
 	Tables map[string]*feed.Watcher
 	// Work returns this host's own work in flight by upstream.
 	Work func() Work
-	// Others receives the other hosts' work by upstream, as of the given time. It isn't called
+	// OnWork receives the other hosts' work by upstream, as of the given time. It isn't called
 	// while no hub answers.
-	Others func(work Work, at time.Time)
-	// Hosts receives the number of hosts, including this one. It may be nil.
-	Hosts func(n int)
+	OnWork func(work Work, at time.Time)
+	// OnHostCount receives the number of hosts, including this one. It may be nil.
+	OnHostCount func(n int)
 	// Reads returns the shared prompt prefixes that were sent to upstreams for the first time
-	// since the last call. TakeReads receives the other hosts' reads. Both may be nil.
-	Reads     func() Reads
-	TakeReads func(Reads)
-	// Timings returns the speeds of models that this host measured. TakeTimings receives the
+	// since the last call. OnReads receives the other hosts' reads. Both may be nil.
+	Reads   func() Reads
+	OnReads func(Reads)
+	// Timings returns the speeds of models that this host measured. OnTimings receives the
 	// other hosts' measurements. Both may be nil.
-	Timings     func() Timings
-	TakeTimings func(Timings)
+	Timings   func() Timings
+	OnTimings func(Timings)
 	// FirstStart reports that the whole installation starts for the first time, so the key is
 	// yet to be created.
 	FirstStart bool
-	// Leased returns the grants of one root, out of the given number of roots, for all leased
-	// upstreams. TakeHolding receives the grants that this host holds, and when they last
+	// RootGrants returns the grants of one root, out of the given number of roots, for all leased
+	// upstreams. OnHolding receives the grants that this host holds, and when they last
 	// derived from a root of the hub tree. Both may be nil.
-	Leased      func(roots int) []ratelease.Grant
-	TakeHolding func(holding ratelease.Holding, rootedAt time.Time)
+	RootGrants func(roots int) []ratelease.Grant
+	OnHolding  func(holding ratelease.Holding, rootedAt time.Time)
 	// Limits returns the limits that this host's upstreams announced and the hub hasn't sent
-	// back yet. KnownLimits returns all limits that this host has. TakeLimits receives the
+	// back yet. KnownLimits returns all limits that this host has. OnLimits receives the
 	// limits of all hosts from the hub. All may be nil.
-	Limits      func() []ratelease.Word
-	KnownLimits func() []ratelease.Word
-	TakeLimits  func(words []ratelease.Word, whole bool)
+	Limits      func() []ratelease.LimitUpdate
+	KnownLimits func() []ratelease.LimitUpdate
+	OnLimits    func(words []ratelease.LimitUpdate, whole bool)
 	// Quarantine tracks the requests that end upstreams. It may be nil.
 	Quarantine Quarantine
-	// Evidence returns this host's counts for the roll-outs in progress. TakeEvidence receives
+	// Evidence returns this host's counts for the roll-outs in progress. OnEvidence receives
 	// the other hosts' counts. Both may be nil.
-	Evidence     func() []Evidence
-	TakeEvidence func([]Evidence)
+	Evidence   func() []Evidence
+	OnEvidence func([]Evidence)
 }
 
 // Member takes part in the exchange on behalf of one host.
@@ -106,10 +106,10 @@
 	// limits tracks the hub's log of limits, ownLimits that of this host's own hub.
 	// forwardedLimitsMark is the position in the own hub's log up to which it was forwarded to
 	// the hub above.
-	limits, ownLimits   ratelease.Follower
-	forwardedLimitsMark ratelease.Mark
+	limits, ownLimits   ratelease.LogReader
+	forwardedLimitsMark ratelease.LogCursor
 	// unsentLimits holds limit updates that the hub hasn't received yet.
-	unsentLimits []ratelease.Word
+	unsentLimits []ratelease.LimitUpdate
 	// hasFollowers reports whether other hosts report to this one.
 	hasFollowers bool
 	// exchanges counts the reports.
@@ -143,8 +143,8 @@
 // Relays reports whether other hosts depend on this one for table updates.
 func (m *Member) Relays() bool { return m.hub.relays() }
 
-// Heard reports whether the hub answered the last exchange.
-func (m *Member) Heard() bool { return m.hubAnswered.Load() }
+// HubAnswered reports whether the hub answered the last exchange.
+func (m *Member) HubAnswered() bool { return m.hubAnswered.Load() }
 
 // Hub returns the address of this host's hub, or "" without one.
 func (m *Member) Hub() string {
--- a/internal/exchange/quarantine.go
+++ b/internal/exchange/quarantine.go
@@ -9,18 +9,18 @@
 // and hubs exchange them with each other; the hubs that are seeds reach verdicts. Hosts receive
 // the upstreams that ended, the suspects and the verdicts in return.
 type Quarantine interface {
-	// Sightings returns this host's sightings since the last call. Recent returns its recent
+	// Sightings returns this host's sightings since the last call. RecentSightings returns its recent
 	// ones, which a new hub needs.
 	Sightings() Sightings
-	Recent() Sightings
-	// Take records other hosts' sightings and returns those that were new.
-	Take(Sightings) Sightings
-	// Standing returns what this host's followers are sent. TakeStanding receives the hub's.
-	Standing() Standing
-	TakeStanding(Standing)
-	// Judges sets whether this host reaches verdicts itself: it does if it receives the
+	RecentSightings() Sightings
+	// AddSightings records other hosts' sightings and returns those that were new.
+	AddSightings(Sightings) Sightings
+	// Status returns what this host's followers are sent. ApplyStatus receives the hub's.
+	Status() QuarantineStatus
+	ApplyStatus(QuarantineStatus)
+	// SetMakesVerdicts sets whether this host reaches verdicts itself: it does if it receives the
 	// sightings of all other hosts, or of none.
-	Judges(bool)
+	SetMakesVerdicts(bool)
 }
 
 // Sightings lists losses, and suspected requests that were answered.
@@ -49,15 +49,15 @@
 	return s
 }
 
-// Standing lists the upstreams that ended, the suspected requests and the verdicts.
-type Standing struct {
+// QuarantineStatus lists the upstreams that ended, the suspected requests and the verdicts.
+type QuarantineStatus struct {
 	Ended    Endings              `json:"ended,omitempty"`
 	Suspects Suspects             `json:"suspects,omitempty"`
 	Verdicts []quarantine.Verdict `json:"verdicts,omitempty"`
 }
 
 // IsZero reports whether there is nothing to send.
-func (s Standing) IsZero() bool { return len(s.Ended)+len(s.Suspects)+len(s.Verdicts) == 0 }
+func (s QuarantineStatus) IsZero() bool { return len(s.Ended)+len(s.Suspects)+len(s.Verdicts) == 0 }
 
 // recordSightings records the new ones among a host's or another hub's sightings.
 func (h *hub) recordSightings(from string, s Sightings) {
@@ -65,7 +65,7 @@
 		return
 	}
 	if from != h.self { // the quarantine has this host's own already
-		s = h.quarantine.Take(s)
+		s = h.quarantine.AddSightings(s)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -80,23 +80,23 @@
 	return h.sightings.since(number, hubKey(address), boottime.Now())
 }
 
-// standing returns what a follower is sent. Another hub is sent the verdicts only: it derives
+// quarantineStatus returns what a follower is sent. Another hub is sent the verdicts only: it derives
 // the rest from the sightings.
-func (h *hub) standing(to audience) Standing {
+func (h *hub) quarantineStatus(to audience) QuarantineStatus {
 	if h.quarantine == nil {
-		return Standing{}
+		return QuarantineStatus{}
 	}
-	s := h.quarantine.Standing()
+	s := h.quarantine.Status()
 	if to == toHub {
-		return Standing{Verdicts: s.Verdicts}
+		return QuarantineStatus{Verdicts: s.Verdicts}
 	}
 	return s
 }
 
-// applyStanding passes a hub's standing to the quarantine.
-func (m *Member) applyStanding(s Standing) {
+// applyQuarantineStatus passes a hub's status to the quarantine.
+func (m *Member) applyQuarantineStatus(s QuarantineStatus) {
 	if m.options.Quarantine != nil && !s.IsZero() {
-		m.options.Quarantine.TakeStanding(s)
+		m.options.Quarantine.ApplyStatus(s)
 	}
 }
 
@@ -113,7 +113,7 @@
 func (m *Member) resendSightings() {
 	m.forwardedSightingsSeq = 0
 	if m.options.Quarantine != nil {
-		m.unsentSightings = m.options.Quarantine.Recent().bounded()
+		m.unsentSightings = m.options.Quarantine.RecentSightings().bounded()
 	}
 }
 
@@ -121,15 +121,15 @@
 // hub: the host has no data on the other requests that ran at the upstreams that ended.
 func (m *Member) updateJudging() {
 	if m.options.Quarantine != nil {
-		m.options.Quarantine.Judges(m.current == "" || m.current == m.options.Listen)
+		m.options.Quarantine.SetMakesVerdicts(m.current == "" || m.current == m.options.Listen)
 	}
 }
 
-// Told reports whether this host receives the verdicts of all others, through its hub or, for a
+// ReceivesVerdicts reports whether this host receives the verdicts of all others, through its hub or, for a
 // seed, from the other seeds.
-func (m *Member) Told() bool {
+func (m *Member) ReceivesVerdicts() bool {
 	if m.Hub() != m.options.Listen {
-		return m.Heard()
+		return m.HubAnswered()
 	}
 	return m.seedsAnswered.Load()
 }
--- a/internal/exchange/quarantine_test.go
+++ b/internal/exchange/quarantine_test.go
@@ -36,7 +36,7 @@
 	is.NoErr(json.Unmarshal(data, &read))
 	is.Equal(read.Sightings, report.Sightings)
 
-	reply := Reply{Standing: Standing{
+	reply := Reply{QuarantineStatus: QuarantineStatus{
 		Ended:    Endings{{Incarnation: 7, Age: 20 * time.Millisecond, Explained: true}, {Incarnation: 8, Age: time.Hour}},
 		Suspects: Suspects{{Digest: testDigest(1), Events: 3, Age: 40 * time.Millisecond, FirstAge: 2 * time.Second}, {Digest: testDigest(2), Events: 1000}},
 		Verdicts: []quarantine.Verdict{{Digest: testDigest(1), By: "h", Events: 3, Upstreams: 3, Judged: time.Second, Until: time.Hour}},
@@ -45,10 +45,10 @@
 	is.NoErr(err)
 	var back Reply
 	is.NoErr(json.Unmarshal(data, &back))
-	want := reply.Standing
+	want := reply.QuarantineStatus
 	want.Ended[1].Age = 65535 * time.Millisecond // the longest age on the wire
 	want.Suspects[1].Events = 255
-	is.Equal(back.Standing, want)
+	is.Equal(back.QuarantineStatus, want)
 
 	quiet, err := json.Marshal(Report{Zone: "z"})
 	is.NoErr(err)
@@ -117,7 +117,7 @@
 func (q *fleetQuarantine) recordLoss(d quarantine.Digest, incarnation quarantine.Incarnation) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.tracker.Lose(quarantine.Loss{Digest: d, Incarnation: incarnation, At: boottime.Elapsed()})
+	q.tracker.RecordLoss(quarantine.Loss{Digest: d, Incarnation: incarnation, At: boottime.Elapsed()})
 	q.unsent.Losses = append(q.unsent.Losses, AgedLoss{Digest: d, Incarnation: incarnation})
 	q.recent.Losses = append(q.recent.Losses, AgedLoss{Digest: d, Incarnation: incarnation})
 }
@@ -137,18 +137,18 @@
 	return unsent
 }
 
-func (q *fleetQuarantine) Recent() Sightings {
+func (q *fleetQuarantine) RecentSightings() Sightings {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return Sightings{Losses: slices.Clone(q.recent.Losses)}
 }
 
-func (q *fleetQuarantine) Take(s Sightings) Sightings {
+func (q *fleetQuarantine) AddSightings(s Sightings) Sightings {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	var fresh Sightings
 	for _, l := range s.Losses {
-		if q.tracker.Lose(quarantine.Loss{Digest: l.Digest, Incarnation: l.Incarnation, At: boottime.Elapsed() - l.Age}) {
+		if q.tracker.RecordLoss(quarantine.Loss{Digest: l.Digest, Incarnation: l.Incarnation, At: boottime.Elapsed() - l.Age}) {
 			fresh.Losses = append(fresh.Losses, l)
 		}
 
@@ -156,31 +156,31 @@
 	return fresh
 }
 
-func (q *fleetQuarantine) Standing() Standing {
+func (q *fleetQuarantine) Status() QuarantineStatus {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.judges {
-		for _, f := range q.tracker.Judge(boottime.Elapsed()) {
+		for _, f := range q.tracker.FindPoisonRequests(boottime.Elapsed()) {
 			q.verdicts[f.Digest] = quarantine.NewVerdict(f, "h", time.Hour)
 		}
 	}
-	var s Standing
+	var s QuarantineStatus
 	for _, v := range q.verdicts {
 		s.Verdicts = append(s.Verdicts, v)
 	}
 	return s
 }
 
-func (q *fleetQuarantine) TakeStanding(s Standing) {
+func (q *fleetQuarantine) ApplyStatus(s QuarantineStatus) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, v := range s.Verdicts {
 		q.verdicts[v.Digest] = v
-		q.tracker.Blame(v.Digest)
+		q.tracker.SetVerdict(v.Digest)
 	}
 }
 
-func (q *fleetQuarantine) Judges(judges bool) {
+func (q *fleetQuarantine) SetMakesVerdicts(judges bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.judges = judges
@@ -261,9 +261,9 @@
 	is := is.New(t)
 	for _, d := range []time.Duration{time.Second, 5 * time.Second, 20 * time.Second} {
 		h := newHub(Options{Host: "self"}, zerolog.Nop())
-		h.record("other", Report{Work: Work{NameOf("u"): 5}})
-		is.Equal(h.otherWork("self", toHost)[NameOf("u")], 5.0)
-		undo := boottime.Simulate(d)
+		h.record("other", Report{Work: Work{HashID("u"): 5}})
+		is.Equal(h.otherWork("self", toHost)[HashID("u")], 5.0)
+		undo := boottime.SimulateSuspension(d)
 		is.Equal(len(h.otherWork("self", toHost)), 0)
 		undo()
 	}
@@ -294,7 +294,7 @@
 		}
 		for incarnation := range quarantine.Incarnation(8 * hosts) { // the seeds have all losses
 			for i := range uint64(10) {
-				is.True(!f.hosts[0].quarantine.tracker.Lose(quarantine.Loss{
+				is.True(!f.hosts[0].quarantine.tracker.RecordLoss(quarantine.Loss{
 					Digest: testDigest(uint64(incarnation)*10 + i), Incarnation: 100 + incarnation, At: boottime.Elapsed() - 10*time.Second,
 				}))
 			}
--- a/internal/exchange/quarantinewire.go
+++ b/internal/exchange/quarantinewire.go
@@ -102,10 +102,10 @@
 }
 
 // Suspects are suspicions on the wire.
-type Suspects []AgedSuspicion
+type Suspects []AgedSuspect
 
-// AgedSuspicion is a suspicion and its age.
-type AgedSuspicion struct {
+// AgedSuspect is a suspicion and its age.
+type AgedSuspect struct {
 	Digest quarantine.Digest
 	Events int
 	// Age is the time since a host with first-hand data last raised the suspicion; passing it
@@ -118,7 +118,7 @@
 
 // MarshalJSON implements json.Marshaler.
 func (s Suspects) MarshalJSON() ([]byte, error) {
-	return marshalList(s, suspectSize, func(packed []byte, suspect AgedSuspicion) []byte {
+	return marshalList(s, suspectSize, func(packed []byte, suspect AgedSuspect) []byte {
 		packed = append(packed, suspect.Digest[:]...)
 		packed = append(packed, byte(min(math.MaxUint8, suspect.Events)))
 		packed = appendAge(packed, suspect.Age)
@@ -129,8 +129,8 @@
 
 // UnmarshalJSON implements json.Unmarshaler.
 func (s *Suspects) UnmarshalJSON(data []byte) (err error) {
-	*s, err = unmarshalList(data, suspectSize, func(entry []byte) AgedSuspicion {
-		return AgedSuspicion{
+	*s, err = unmarshalList(data, suspectSize, func(entry []byte) AgedSuspect {
+		return AgedSuspect{
 			Digest: quarantine.Digest(entry[:digestSize]), Events: int(entry[digestSize]),
 			Age: decodeAge(entry[digestSize+1:]), FirstAge: decodeAge(entry[digestSize+3:]),
 		}
--- a/internal/exchange/reads.go
+++ b/internal/exchange/reads.go
@@ -14,8 +14,8 @@
 }
 
 type loggedRead struct {
-	upstream Name
-	key      placement.Key
+	upstream IDHash
+	key      placement.PrefixKey
 	from     string
 	fromHub  bool
 }
--- a/internal/exchange/tables.go
+++ b/internal/exchange/tables.go
@@ -45,7 +45,7 @@
 		if !relays && known > 0 {
 			continue
 		}
-		n, ok := watcher.News(known, maxBytes)
+		n, ok := watcher.UpdateSince(known, maxBytes)
 		switch {
 		case !ok:
 			pending = true // this hub is still reading the table
@@ -79,7 +79,7 @@
 	return int(min(maxTableBytes, share)), h.awaitsHub(r)
 }
 
-func encodeUpdate(n feed.News) TableUpdate {
+func encodeUpdate(n feed.Update) TableUpdate {
 	t := TableUpdate{
 		Since: n.Since, Revision: n.Revision, Complete: n.Complete, Whole: n.Whole, Packed: n.Packed,
 		AgeMs: n.Age.Milliseconds(), ClockMs: n.Clock.Milliseconds(),
@@ -90,8 +90,8 @@
 	return t
 }
 
-func (t *TableUpdate) decode() feed.News {
-	n := feed.News{
+func (t *TableUpdate) decode() feed.Update {
+	n := feed.Update{
 		Since:    t.Since,
 		Revision: t.Revision,
 		Complete: t.Complete,
--- a/internal/exchange/timings.go
+++ b/internal/exchange/timings.go
@@ -10,7 +10,7 @@
 
 // Timings holds sums over the measured speeds of models, by service and model. They change
 // slowly and are sent only once in timingsEvery exchanges.
-type Timings map[Name]placement.Timings
+type Timings map[IDHash]placement.Timings
 
 // timingsEvery is the number of exchanges between two that send timings: about a second.
 const timingsEvery = 7
@@ -42,7 +42,7 @@
 		for i := range v {
 			v[i] = float64(math.Float32frombits(binary.BigEndian.Uint32(packed[4+4*i:])))
 		}
-		(*t)[Name(binary.BigEndian.Uint32(packed))] = placement.Timings{
+		(*t)[IDHash(binary.BigEndian.Uint32(packed))] = placement.Timings{
 			Answers: v[0], Weight: v[1], Tokens: v[2], Squares: v[3], Times: v[4], Products: v[5],
 		}
 		packed = packed[timingsEntrySize:]
--- a/internal/exchange/work.go
+++ b/internal/exchange/work.go
@@ -12,18 +12,18 @@
 	"github.com/quetzalweir/quetzalweir/placement"
 )
 
-// Name is a four-byte hash that stands for an upstream's ID in messages. Two of 12,000
+// IDHash is a four-byte hash that stands for an upstream's ID in messages. Two of 12,000
 // upstreams collide in about one installation of sixty; the sum of both's work then counts for
 // each of them.
-type Name uint32
+type IDHash uint32
 
-// NameOf returns the name of an upstream.
-func NameOf(upstream string) Name { return Name(hash(upstream)) }
+// HashID returns the name of an upstream.
+func HashID(upstream string) IDHash { return IDHash(hash(upstream)) }
 
 // Work holds the work in flight by upstream: milliseconds of engine time, or requests. An entry
 // takes eight bytes in a message. With upstream IDs written out, 90 upstreams would take twice
 // a host's 7 KB a second.
-type Work map[Name]float64
+type Work map[IDHash]float64
 
 // workEntrySize is the size of an encoded entry in bytes: a name, and the work up to maxWork.
 const (
@@ -49,14 +49,14 @@
 	}
 	*w = make(Work, len(packed)/workEntrySize)
 	for entry := range slices.Chunk(packed, workEntrySize) {
-		(*w)[Name(binary.BigEndian.Uint32(entry))] = float64(binary.BigEndian.Uint16(entry[4:]))
+		(*w)[IDHash(binary.BigEndian.Uint32(entry))] = float64(binary.BigEndian.Uint16(entry[4:]))
 	}
 	return nil
 }
 
 // Reads lists the shared prompt prefixes that were sent to upstreams for the first time, by
 // upstream.
-type Reads map[Name][]placement.Key
+type Reads map[IDHash][]placement.PrefixKey
 
 // readEntrySize is the size of an encoded read in bytes, before base64.
 const readEntrySize = 8
@@ -81,8 +81,8 @@
 	}
 	*r = make(Reads)
 	for entry := range slices.Chunk(packed, readEntrySize) {
-		name := Name(binary.BigEndian.Uint32(entry))
-		(*r)[name] = append((*r)[name], placement.Key(binary.BigEndian.Uint32(entry[4:])))
+		name := IDHash(binary.BigEndian.Uint32(entry))
+		(*r)[name] = append((*r)[name], placement.PrefixKey(binary.BigEndian.Uint32(entry[4:])))
 	}
 	return nil
 }
--- a/internal/feed/applyupdate.go
+++ b/internal/feed/applyupdate.go
@@ -10,7 +10,7 @@
 
 // applyUpdate applies another host's update as the store's answer of the given time. It returns
 // false if the store must be called for the changes.
-func (w *Watcher) applyUpdate(update News, at time.Time) bool {
+func (w *Watcher) applyUpdate(update Update, at time.Time) bool {
 	switch {
 	case !w.hasTable && (!update.Whole || update.Revision < w.revision):
 		return false // after lost history only a whole table helps, and never an older one
@@ -28,7 +28,7 @@
 }
 
 // applyRows applies the whole table, or its changes, from another host.
-func (w *Watcher) applyRows(update News) bool {
+func (w *Watcher) applyRows(update Update) bool {
 	rows := update.Rows
 	if update.Packed != nil {
 		var err error
@@ -56,9 +56,9 @@
 // Otherwise a fleet that starts at once would read the store's tables as many times as it has
 // hosts.
 func (w *Watcher) loadTable(ctx context.Context) error {
-	if !w.waitedFirstTable && w.options.FirstTable > 0 {
+	if !w.waitedFirstTable && w.options.FirstTableWait > 0 {
 		w.waitedFirstTable = true
-		if err := w.awaitFreshUpdate(ctx, w.options.FirstTable); err != nil {
+		if err := w.awaitFreshUpdate(ctx, w.options.FirstTableWait); err != nil {
 			return err
 		}
 	}
@@ -131,11 +131,11 @@
 // awaitFirstUpdate waits once for another host's update. Without it, the watcher's own call
 // would be held until the next change, although the hub's update makes that call unnecessary.
 func (w *Watcher) awaitFirstUpdate(ctx context.Context) error {
-	if w.waitedFirstUpdate || w.options.FirstWord <= 0 || w.relays() {
+	if w.waitedFirstUpdate || w.options.FirstUpdateWait <= 0 || w.relays() {
 		return nil
 	}
 	w.waitedFirstUpdate = true
-	return w.awaitFreshUpdate(ctx, w.options.FirstWord)
+	return w.awaitFreshUpdate(ctx, w.options.FirstUpdateWait)
 }
 
 // logRelying logs when the watcher starts and stops relying on another host.
--- a/internal/feed/arriving_test.go
+++ b/internal/feed/arriving_test.go
@@ -113,7 +113,7 @@
 		runBoth(t, w, other, down+arriving)
 		is.True(back > down)
 		is.True(back <= down+maxBackoff+answerTimeout)
-		is.True(!other.Interrupted())
+		is.True(!other.Unreachable())
 	})
 }
 
@@ -153,7 +153,7 @@
 				source := &scriptedSource{}
 				test.source(source)
 				w, _ := watch(source, Options{}, arriving+time.Second)
-				n, ok := w.News(0, 1<<20)
+				n, ok := w.UpdateSince(0, 1<<20)
 				is.True(ok)
 				is.Equal(n.Revision, storage.Revision(2))
 				first := arriving + time.Second - answerTimeout/2 // since the first part
@@ -179,7 +179,7 @@
 			}
 			return Page{Rows: rows(8), Revision: 8}, nil
 		})
-		offerRepeatedly(w, News{Since: 5, Revision: 8}, behind+time.Second)
+		offerRepeatedly(w, Update{Since: 5, Revision: 8}, behind+time.Second)
 		is.Equal(seen.changes, rows(8))
 		is.True(source.polls <= int(behind/minBackoff)+5)
 	})
--- a/internal/feed/calllog.go
+++ b/internal/feed/calllog.go
@@ -36,5 +36,5 @@
 	return e.Str("event", event).Str("call", c.kind).
 		Int64("hold_ms", c.hold.Milliseconds()).Int64("limit_ms", c.firstPartTimeout.Milliseconds()).
 		Int64("took_ms", time.Since(c.started).Milliseconds()).Uint64("received_bytes", c.receivedBytes.Load()).
-		Stringer("revision", w.revision).Stringer("told", storage.Revision(w.lag.target.Load())).Int64("behind_ms", w.Behind().Milliseconds())
+		Stringer("revision", w.revision).Stringer("told", storage.Revision(w.lag.target.Load())).Int64("behind_ms", w.Lag().Milliseconds())
 }
--- a/internal/feed/calllog_test.go
+++ b/internal/feed/calllog_test.go
@@ -59,7 +59,7 @@
 				w := NewWatcher("t", source, &recorder{}, Options{}, zerolog.New(&log))
 				ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 				defer cancel()
-				w.Offer(News{Since: 5, Revision: 8}, time.Now()) // too large to be sent with the update
+				w.Offer(Update{Since: 5, Revision: 8}, time.Now()) // too large to be sent with the update
 				w.Run(ctx)
 
 				failed := events(t, &log, "store-call-failed")
@@ -68,7 +68,7 @@
 				is.Equal(failed[0]["received_bytes"], test.received)
 				is.Equal(failed[0]["revision"], "5")
 				is.Equal(failed[0]["told"], "8")
-				is.True(w.Behind() > 2*time.Second)
+				is.True(w.Lag() > 2*time.Second)
 				is.True(w.Calls().Failed >= uint64(len(failed)))
 				is.Equal(w.Calls().Answered, uint64(1)) // the listing
 				is.True(float64(w.Calls().ReceivedBytes) >= test.received)
@@ -94,13 +94,13 @@
 		w := NewWatcher("t", source, &recorder{}, Options{}, zerolog.New(&log))
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		w.Offer(News{Since: 5, Revision: 8}, time.Now())
+		w.Offer(Update{Since: 5, Revision: 8}, time.Now())
 		w.Run(ctx)
 
 		large := events(t, &log, "large-answer")
 		is.Equal(len(large), 1)
 		is.Equal(large[0]["received_bytes"], float64(1<<20))
 		is.Equal(large[0]["newest"], "8")
-		is.Equal(w.Behind(), time.Duration(0))
+		is.Equal(w.Lag(), time.Duration(0))
 	})
 }
--- a/internal/feed/era_test.go
+++ b/internal/feed/era_test.go
@@ -73,7 +73,7 @@
 	seen := &recorder{}
 	w := NewWatcher("t", &scriptedSource{}, seen, Options{}, zerolog.Nop())
 	w.replace(rows(at(1, 20)), at(1, 20), nil)
-	for _, n := range []News{
+	for _, n := range []Update{
 		{Since: at(0, 10), Revision: at(0, 90), Complete: true, Rows: rows(at(0, 90))},
 		{Revision: at(0, 90), Whole: true, Packed: pack(rows(at(0, 90)))},
 	} {
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -165,7 +165,7 @@
 			changes: func(ctx context.Context, _ int, since storage.Revision) (Page, error) {
 				is.Equal(since, storage.Revision(1)) // the watcher continues where it was
 				if time.Since(began) < down {
-					duringOutage = duringOutage || w.Interrupted()
+					duringOutage = duringOutage || w.Unreachable()
 					return Page{}, errors.New("refused")
 				}
 				back = true
@@ -214,7 +214,7 @@
 				return Page{Rows: rows(2), Revision: 2}, nil
 			},
 		}
-		watch(source, Options{Gather: 500 * time.Millisecond}, 5*time.Second)
+		watch(source, Options{BatchDelay: 500 * time.Millisecond}, 5*time.Second)
 		is.True(source.polls <= 11)
 	})
 }
--- a/internal/feed/lag.go
+++ b/internal/feed/lag.go
@@ -28,9 +28,9 @@
 	}
 }
 
-// Behind returns the time since another host first announced changes that the watcher hasn't
+// Lag returns the time since another host first announced changes that the watcher hasn't
 // read yet, or 0 if there are none.
-func (w *Watcher) Behind() time.Duration {
+func (w *Watcher) Lag() time.Duration {
 	since := w.lag.since.Load()
 	if since == 0 {
 		return 0
--- a/internal/feed/pack.go
+++ b/internal/feed/pack.go
@@ -130,14 +130,14 @@
 
 // Whole returns the whole table, for a host that doesn't have it or is far behind. ok is false
 // if the watcher doesn't have the table, or if it takes more than maxPacked bytes.
-func (w *Watcher) Whole(maxPacked int) (n News, ok bool) {
+func (w *Watcher) Whole(maxPacked int) (n Update, ok bool) {
 	age, answered := w.Age()
 	if !answered {
-		return News{}, false
+		return Update{}, false
 	}
 	packed, revision, ok := w.recent.whole()
 	if !ok || len(packed) > maxPacked {
-		return News{}, false
+		return Update{}, false
 	}
-	return News{Revision: revision, Whole: true, Packed: packed, Age: age, Clock: w.StoreClock()}, true
+	return Update{Revision: revision, Whole: true, Packed: packed, Age: age, Clock: w.StoreClock()}, true
 }
--- a/internal/feed/recent.go
+++ b/internal/feed/recent.go
@@ -95,10 +95,10 @@
 }
 
 // since returns the changes after the revision. ok is false before the first listing.
-func (r *recent) since(revision storage.Revision) (n News, ok bool) {
+func (r *recent) since(revision storage.Revision) (n Update, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	n = News{Since: revision, Revision: r.revision}
+	n = Update{Since: revision, Revision: r.revision}
 	if !r.hasTable || revision < r.floor {
 		return n, r.hasTable
 	}
--- a/internal/feed/relay.go
+++ b/internal/feed/relay.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// defaultMaxStaleness is the value of Options.Heed where a deployment sets none.
-	defaultMaxStaleness = 2 * time.Second
-	// relayedFraction of Heed is the greatest age of a relayed update at which a watcher makes
+	// defaultApplyTime is the value of Options.ApplyTime where a deployment sets none.
+	defaultApplyTime = 2 * time.Second
+	// relayedFraction of ApplyTime is the greatest age of a relayed update at which a watcher makes
 	// no calls of its own. A watcher whose relay is disconnected, suspended or gone calls the
 	// store itself after this time, and has the answer well within the rest.
 	relayedFraction = 0.65
@@ -20,19 +20,19 @@
 	// others' updates are too old: otherwise all of a hub's followers would call the store at
 	// once.
 	hubRelayedFraction = 0.5
-	// relayHoldFraction of Heed is how long the store holds a call of a watcher that other
+	// relayHoldFraction of ApplyTime is how long the store holds a call of a watcher that other
 	// hosts rely on. The answer is relayed a few times a second, over two hosts at most, and
 	// one failed exchange must not make it too old.
 	relayHoldFraction = 0.35
-	// RelayBatchDelay bounds Options.Gather while other hosts rely on the watcher: its calls
+	// RelayBatchDelay bounds Options.BatchDelay while other hosts rely on the watcher: its calls
 	// serve many hosts, so the age of their data matters more.
 	RelayBatchDelay = 200 * time.Millisecond
 	// minPackedBytes is the size of rows' data, in bytes, from which they are sent packed.
 	minPackedBytes = 1 << 10
 )
 
-// News is a table update that one host sends to another.
-type News struct {
+// Update is a table update that one host sends to another.
+type Update struct {
 	// Since is the revision after which Rows are the table's changes, up to Revision.
 	Since    storage.Revision
 	Revision storage.Revision
@@ -52,7 +52,7 @@
 // relayed holds the newest update that another host sent.
 type relayed struct {
 	mu     sync.Mutex
-	update News
+	update Update
 	// answeredAt is when the store had answered that host.
 	answeredAt time.Time
 	// notRelayed reports that the other host relays nothing.
@@ -63,7 +63,7 @@
 
 // Offer receives an update from another host. Its data are as old as n.Age, counted from
 // requestedAt.
-func (w *Watcher) Offer(n News, requestedAt time.Time) {
+func (w *Watcher) Offer(n Update, requestedAt time.Time) {
 	r := &w.relayed
 	r.mu.Lock()
 	r.update = n
@@ -77,7 +77,7 @@
 // OfferIfDisconnected is Offer for a host that others rely on: it uses another host's update
 // only while its own calls fail. If two hosts relied on each other, the data of both would grow
 // old.
-func (w *Watcher) OfferIfDisconnected(n News, requestedAt time.Time) {
+func (w *Watcher) OfferIfDisconnected(n Update, requestedAt time.Time) {
 	if w.failingSince.Load() != 0 || w.options.Link.unreachable() {
 		w.Offer(n, requestedAt)
 	}
@@ -109,7 +109,7 @@
 
 // freshUpdate returns the other host's last update and its time, and whether it is recent
 // enough to rely on.
-func (w *Watcher) freshUpdate() (n News, at time.Time, ok bool) {
+func (w *Watcher) freshUpdate() (n Update, at time.Time, ok bool) {
 	r := &w.relayed
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -119,37 +119,37 @@
 // maxRelayedAge returns the age up to which this watcher relies on another host's update.
 func (w *Watcher) maxRelayedAge() time.Duration {
 	if w.relays() {
-		return time.Duration(hubRelayedFraction * float64(w.options.Heed))
+		return time.Duration(hubRelayedFraction * float64(w.options.ApplyTime))
 	}
 	return w.followerMaxRelayedAge()
 }
 
 // followerMaxRelayedAge returns the same for watchers that no other host relies on.
 func (w *Watcher) followerMaxRelayedAge() time.Duration {
-	return time.Duration(relayedFraction * float64(w.options.Heed))
+	return time.Duration(relayedFraction * float64(w.options.ApplyTime))
 }
 
 // relayHold returns how long the store holds a call while other hosts rely on the watcher.
 func (w *Watcher) relayHold() time.Duration {
-	return time.Duration(relayHoldFraction * float64(w.options.Heed))
+	return time.Duration(relayHoldFraction * float64(w.options.ApplyTime))
 }
 
-// Relying reports whether another host's last update is recent enough to rely on.
-func (w *Watcher) Relying() bool {
+// UsesRelay reports whether another host's last update is recent enough to rely on.
+func (w *Watcher) UsesRelay() bool {
 	_, _, ok := w.freshUpdate()
 	return ok
 }
 
-// News returns the update for a host that has the table up to the revision. The changes are
+// UpdateSince returns the update for a host that has the table up to the revision. The changes are
 // left out if they take more than maxPacked bytes packed. ok is false if the watcher doesn't
 // have the table.
-func (w *Watcher) News(since storage.Revision, maxPacked int) (n News, ok bool) {
+func (w *Watcher) UpdateSince(since storage.Revision, maxPacked int) (n Update, ok bool) {
 	age, answered := w.Age()
 	if !answered {
-		return News{}, false
+		return Update{}, false
 	}
 	if n, ok = w.recent.since(since); !ok {
-		return News{}, false
+		return Update{}, false
 	}
 	if len(n.Packed) > maxPacked {
 		n.Packed, n.Complete = nil, false
--- a/internal/feed/relay_test.go
+++ b/internal/feed/relay_test.go
@@ -15,10 +15,10 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// The limits of a watcher with the default Options.Heed, computed in floating point like its own.
+// The limits of a watcher with the default Options.ApplyTime, computed in floating point like its own.
 const (
-	testMaxRelayedAge = time.Duration(relayedFraction * float64(defaultMaxStaleness))
-	testRelayHold     = time.Duration(relayHoldFraction * float64(defaultMaxStaleness))
+	testMaxRelayedAge = time.Duration(relayedFraction * float64(defaultApplyTime))
+	testRelayHold     = time.Duration(relayHoldFraction * float64(defaultApplyTime))
 )
 
 // storeAnswers is how a store answers calls for changes; the test changes it while a watcher
@@ -57,7 +57,7 @@
 }
 
 // offerRepeatedly offers the update at each interval for the span.
-func offerRepeatedly(w *Watcher, n News, span time.Duration) {
+func offerRepeatedly(w *Watcher, n Update, span time.Duration) {
 	const interval = 250 * time.Millisecond
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(interval) {
 		w.Offer(n, time.Now())
@@ -69,13 +69,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w, source, seen, _ := relayedWatcher(t, Options{})
-		offerRepeatedly(w, News{Since: 5, Revision: 5, Complete: true}, 10*time.Second)
+		offerRepeatedly(w, Update{Since: 5, Revision: 5, Complete: true}, 10*time.Second)
 		first := source.polls // one call may have begun before the first update
 		is.True(first <= 2)
-		offerRepeatedly(w, News{Since: 5, Revision: 8, Complete: true, Rows: rows(7, 8)}, 10*time.Second)
+		offerRepeatedly(w, Update{Since: 5, Revision: 8, Complete: true, Rows: rows(7, 8)}, 10*time.Second)
 		is.Equal(source.polls, first)
 		is.Equal(seen.changes, rows(7, 8)) // once, although sent repeatedly
-		is.True(!w.Interrupted())
+		is.True(!w.Unreachable())
 		age, ok := w.Age()
 		is.True(ok && age < time.Second)
 
@@ -104,7 +104,7 @@
 		t.Run(test.desc, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w, source, _, store := relayedWatcher(t, Options{FirstWord: first, Relays: func() bool { return test.relays }})
+				w, source, _, store := relayedWatcher(t, Options{FirstUpdateWait: first, Relays: func() bool { return test.relays }})
 				store.set(func(ctx context.Context, _ storage.Revision) (Page, error) {
 					select {
 					case <-ctx.Done():
@@ -113,7 +113,7 @@
 						return Page{Revision: 5}, nil
 					}
 				})
-				time.AfterFunc(test.updateAt, func() { w.Offer(News{Since: 5, Revision: 5, Complete: true}, time.Now()) })
+				time.AfterFunc(test.updateAt, func() { w.Offer(Update{Since: 5, Revision: 5, Complete: true}, time.Now()) })
 				time.Sleep(first + 10*time.Millisecond)
 				synctest.Wait()
 				is.Equal(source.polls, test.polls)
@@ -129,7 +129,7 @@
 		w, source, _, _ := relayedWatcher(t, Options{})
 		began := time.Now()
 		for time.Since(began) < 20*time.Second {
-			w.Offer(News{Since: 5, Revision: 5, Complete: true, Age: time.Since(began)}, time.Now())
+			w.Offer(Update{Since: 5, Revision: 5, Complete: true, Age: time.Since(began)}, time.Now())
 			time.Sleep(250 * time.Millisecond)
 		}
 		synctest.Wait()
@@ -141,13 +141,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w, source, seen, store := relayedWatcher(t, Options{})
-		offerRepeatedly(w, News{Since: 5, Revision: 5, Complete: true}, 8*time.Second)
+		offerRepeatedly(w, Update{Since: 5, Revision: 5, Complete: true}, 8*time.Second)
 		polls := source.polls
 		store.set(func(_ context.Context, since storage.Revision) (Page, error) {
 			is.Equal(since, storage.Revision(5))
 			return Page{Rows: rows(9), Revision: 9}, nil
 		})
-		offerRepeatedly(w, News{Since: 5, Revision: 9}, 2*time.Second)
+		offerRepeatedly(w, Update{Since: 5, Revision: 9}, 2*time.Second)
 		is.Equal(source.polls, polls+1)
 		is.Equal(source.hold, time.Duration(0)) // the store can answer at once
 		is.Equal(seen.changes, rows(9))
@@ -158,9 +158,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w, _, seen, _ := relayedWatcher(t, Options{})
-		offerRepeatedly(w, News{Since: 5, Revision: 9, Complete: true, Rows: rows(7, 9)}, 8*time.Second)
-		offerRepeatedly(w, News{Since: 3, Revision: 8, Complete: true, Rows: rows(4, 8)}, time.Second)   // from a host that is behind
-		offerRepeatedly(w, News{Since: 7, Revision: 10, Complete: true, Rows: rows(9, 10)}, time.Second) // requested before 9 was received
+		offerRepeatedly(w, Update{Since: 5, Revision: 9, Complete: true, Rows: rows(7, 9)}, 8*time.Second)
+		offerRepeatedly(w, Update{Since: 3, Revision: 8, Complete: true, Rows: rows(4, 8)}, time.Second)   // from a host that is behind
+		offerRepeatedly(w, Update{Since: 7, Revision: 10, Complete: true, Rows: rows(9, 10)}, time.Second) // requested before 9 was received
 		is.Equal(seen.changes, rows(7, 9, 10))
 		is.Equal(w.Revision(), storage.Revision(10))
 	})
@@ -171,9 +171,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w, source, seen, _ := relayedWatcher(t, Options{})
-		offerRepeatedly(w, News{Since: 5, Revision: 5, Complete: true}, 8*time.Second)
+		offerRepeatedly(w, Update{Since: 5, Revision: 5, Complete: true}, 8*time.Second)
 		polls := source.polls
-		offerRepeatedly(w, News{Since: 6, Revision: 9, Complete: true, Rows: rows(9)}, 500*time.Millisecond)
+		offerRepeatedly(w, Update{Since: 6, Revision: 9, Complete: true, Rows: rows(9)}, 500*time.Millisecond)
 		is.Equal(len(seen.changes), 0)
 		is.True(source.polls > polls)
 	})
@@ -191,10 +191,10 @@
 				return Page{Rows: rows(2), Revision: 2}, nil
 			},
 		}
-		w, _ := watch(source, Options{Gather: time.Minute, Relays: func() bool { return true }}, time.Second)
+		w, _ := watch(source, Options{BatchDelay: time.Minute, Relays: func() bool { return true }}, time.Second)
 		is.Equal(source.hold, testRelayHold)
 		is.Equal(source.polls, 2) // the pause after a change is short as well
-		n, ok := w.News(1, 1<<20)
+		n, ok := w.UpdateSince(1, 1<<20)
 		is.True(ok)
 		is.Equal(n.Rows, rows(2))
 		is.True(n.Age > 0 && n.Age < time.Second)
@@ -262,12 +262,12 @@
 		w, _, seen, store := relayedWatcher(t, Options{})
 		store.set(func(context.Context, storage.Revision) (Page, error) { return Page{}, errors.New("refused") })
 		time.Sleep(10 * time.Second)
-		is.True(w.Interrupted())
-		offerRepeatedly(w, News{Since: 5, Revision: 6, Complete: true, Rows: rows(6)}, 3*time.Second)
-		is.True(!w.Interrupted())
+		is.True(w.Unreachable())
+		offerRepeatedly(w, Update{Since: 5, Revision: 6, Complete: true, Rows: rows(6)}, 3*time.Second)
+		is.True(!w.Unreachable())
 		is.Equal(seen.changes, rows(6))
 		time.Sleep(5 * time.Second)
-		is.True(w.Interrupted())
+		is.True(w.Unreachable())
 	})
 }
 
@@ -298,7 +298,7 @@
 		is.Equal(source.hold, testRelayHold)
 		age, _ := w.Age()
 		is.True(age < testMaxRelayedAge)
-		is.True(!w.Interrupted()) // the store answers
+		is.True(!w.Unreachable()) // the store answers
 	})
 }
 
@@ -310,9 +310,9 @@
 	w := NewWatcher("t", &scriptedSource{}, seen, Options{}, zerolog.Nop())
 	w.replace(rows(8), 8, nil)
 	w.hasTable = false
-	is.True(!w.applyUpdate(News{Revision: 7, Whole: true, Packed: pack(rows(7))}, time.Now()))
+	is.True(!w.applyUpdate(Update{Revision: 7, Whole: true, Packed: pack(rows(7))}, time.Now()))
 	is.Equal(w.Revision(), storage.Revision(8))
-	is.True(w.applyUpdate(News{Revision: 9, Whole: true, Packed: pack(rows(9))}, time.Now()))
+	is.True(w.applyUpdate(Update{Revision: 9, Whole: true, Packed: pack(rows(9))}, time.Now()))
 	is.Equal(w.Revision(), storage.Revision(9))
 	is.Equal(len(seen.tables), 2)
 }
@@ -333,9 +333,9 @@
 			return hang(ctx)
 		})
 		time.Sleep(10 * time.Second)
-		n, ok := w.News(5, 1<<20)
+		n, ok := w.UpdateSince(5, 1<<20)
 		is.True(ok && n.Complete && len(n.Packed) > 0)
-		small, ok := w.News(5, len(n.Packed)-1)
+		small, ok := w.UpdateSince(5, len(n.Packed)-1)
 		is.True(ok && !small.Complete)
 		is.Equal(len(small.Packed)+len(small.Rows), 0)
 		is.Equal(small.Revision, n.Revision) // the host learns that there are changes to read
@@ -358,18 +358,18 @@
 	is.True(errors.Is(err, errCorruptPacked))
 }
 
-// With a longer Heed, a relayed update is relied on for longer.
-func TestLongerStalenessLimit(t *testing.T) {
+// With a longer ApplyTime, a relayed update is relied on for longer.
+func TestLongerApplyTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w, source, _, _ := relayedWatcher(t, Options{Heed: 2 * defaultMaxStaleness})
-		offerRepeatedly(w, News{Since: 5, Revision: 5, Complete: true}, 10*time.Second)
+		w, source, _, _ := relayedWatcher(t, Options{ApplyTime: 2 * defaultApplyTime})
+		offerRepeatedly(w, Update{Since: 5, Revision: 5, Complete: true}, 10*time.Second)
 		before := source.polls
-		w.Offer(News{Since: 5, Revision: 5, Complete: true}, time.Now())
+		w.Offer(Update{Since: 5, Revision: 5, Complete: true}, time.Now())
 		time.Sleep(testMaxRelayedAge + 100*time.Millisecond)
 		synctest.Wait()
 		is.Equal(source.polls, before)
-		is.True(!w.Interrupted())
+		is.True(!w.Unreachable())
 		time.Sleep(testMaxRelayedAge - 50*time.Millisecond) // the next call comes 100 ms after the first
 		synctest.Wait()
 		is.Equal(source.polls, before+1)
@@ -395,7 +395,7 @@
 			return Page{Rows: rows(since + 1), Revision: since + 1, Truncated: call < pages}, nil
 		}
 		seen := &recorder{}
-		w = NewWatcher("t", source, seen, Options{Gather: gather}, zerolog.Nop())
+		w = NewWatcher("t", source, seen, Options{BatchDelay: gather}, zerolog.Nop())
 		ctx, cancel := context.WithTimeout(t.Context(), gather+2*pages*answer)
 		defer cancel()
 		w.Run(ctx)
--- a/internal/feed/watcher.go
+++ b/internal/feed/watcher.go
@@ -44,24 +44,24 @@
 	// that share a link should use different times, so that their calls end at different
 	// moments.
 	Hold time.Duration
-	// Gather is the pause after a change before the next call, so that several changes in quick
+	// BatchDelay is the pause after a change before the next call, so that several changes in quick
 	// succession cost one call. It adds to the age of the data.
-	Gather time.Duration
+	BatchDelay time.Duration
 	// Needed reports whether the table must be followed now; nil means always. While it isn't
 	// needed, the watcher makes no calls.
 	Needed func() bool
 	// Relays reports whether other hosts rely on this watcher now; it then calls the store more
 	// often. Nil means that none does.
 	Relays func() bool
-	// Heed is the time within which changes of the table must take effect; 0 means two seconds.
+	// ApplyTime is the time within which changes of the table must take effect; 0 means two seconds.
 	// It bounds the age of another host's update that the watcher relies on.
-	Heed time.Duration
-	// FirstWord is how long the watcher waits for another host's first update before it follows
+	ApplyTime time.Duration
+	// FirstUpdateWait is how long the watcher waits for another host's first update before it follows
 	// the table by its own calls; 0 if no host relays updates.
-	FirstWord time.Duration
-	// FirstTable is how long the watcher waits at its start for another host to send the whole
+	FirstUpdateWait time.Duration
+	// FirstTableWait is how long the watcher waits at its start for another host to send the whole
 	// table, before it reads the table from the store; 0 if no host does.
-	FirstTable time.Duration
+	FirstTableWait time.Duration
 	// HubAnswers reports whether such a host answers; nil means that none does.
 	HubAnswers func() bool
 }
@@ -102,8 +102,8 @@
 	// relying reports that the last step made no call, because another host sent an update;
 	// used by Run alone.
 	relying bool
-	// waitedFirstUpdate reports that the wait of FirstWord is over, waitedFirstTable that of
-	// FirstTable, and waitedLargeTable that of largeTableWait; used by Run alone.
+	// waitedFirstUpdate reports that the wait of FirstUpdateWait is over, waitedFirstTable that of
+	// FirstTableWait, and waitedLargeTable that of largeTableWait; used by Run alone.
 	waitedFirstUpdate bool
 	waitedFirstTable  bool
 	waitedLargeTable  bool
@@ -112,7 +112,7 @@
 // NewWatcher returns a watcher of the table that passes its rows to the handler while Run runs.
 func NewWatcher(table string, source Source, handler Handler, options Options, log zerolog.Logger) *Watcher {
 	options.Hold = cmp.Or(options.Hold, DefaultHold)
-	options.Heed = cmp.Or(options.Heed, defaultMaxStaleness)
+	options.ApplyTime = cmp.Or(options.ApplyTime, defaultApplyTime)
 	if options.Link == nil {
 		options.Link = NewLink()
 	}
@@ -137,18 +137,18 @@
 	return w.sinceStart() - time.Duration(at), true
 }
 
-// Interrupted reports whether the store is unreachable, by this watcher's calls or by those of
+// Unreachable reports whether the store is unreachable, by this watcher's calls or by those of
 // another one on the link, and no recent update was relayed.
-func (w *Watcher) Interrupted() bool {
+func (w *Watcher) Unreachable() bool {
 	if _, _, ok := w.freshUpdate(); ok {
 		return false
 	}
 	return w.failingSince.Load() != 0 || w.options.Link.unreachable()
 }
 
-// Returned reports whether an outage is just ending or ended within the span, by this watcher's
+// RecoveredWithin reports whether an outage is just ending or ended within the span, by this watcher's
 // calls or by those of another one on the link.
-func (w *Watcher) Returned(within time.Duration) bool {
+func (w *Watcher) RecoveredWithin(within time.Duration) bool {
 	return w.failingSince.Load() != 0 || w.options.Link.recoveredWithin(within)
 }
 
@@ -268,9 +268,9 @@
 
 func (w *Watcher) batchDelay() time.Duration {
 	if w.relays() {
-		return min(RelayBatchDelay, w.options.Gather)
+		return min(RelayBatchDelay, w.options.BatchDelay)
 	}
-	return w.options.Gather
+	return w.options.BatchDelay
 }
 
 // recordClock records the store's clock at the time since start.
--- a/internal/gateway/attemptresult.go
+++ b/internal/gateway/attemptresult.go
@@ -67,9 +67,9 @@
 	case outcomeDone, outcomeFailed:
 		return guard.Answered
 	case outcomeUnknown, outcomeBroken:
-		return guard.Broken
+		return guard.Interrupted
 	case outcomeAbandoned, outcomeSilent:
-		return guard.GivenUp
+		return guard.Abandoned
 	}
 	if errors.Is(r.err, syscall.ECONNREFUSED) {
 		return guard.Unreachable
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -39,7 +39,7 @@
 		return 0
 	}
 	const used = 0.5
-	return used * g.settings.RetrySpare / float64(hosts)
+	return used * g.settings.RetryHeadroom / float64(hosts)
 }
 
 // budgetSlots is the number of parts in which a window is counted.
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -50,7 +50,7 @@
 	// price is the operators' price of the model; 0 if the document declares none.
 	price float64
 	// keys identify the prompt's leading parts in the engines' caches.
-	keys []placement.Key
+	keys []placement.PrefixKey
 	// priority is the priority that is sent to the upstream, rank the operators' rank.
 	priority int
 	rank     int
@@ -72,7 +72,7 @@
 	s := f.shard(w.service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ration.Note(w.rank, now)
+	s.ration.RecordArrival(w.rank, now)
 	list := s.candidates(&w, now, f.removalGrace)
 	if len(list.members) == 0 || s.shedByRank(list, w.rank, now) {
 		return choice{}, false
--- a/internal/gateway/cold.go
+++ b/internal/gateway/cold.go
@@ -23,7 +23,7 @@
 	if m.coldState != nil && !now.Before(m.coldState.until) && !m.coldState.logged {
 		m.coldState = nil
 	}
-	if _, unreported := m.shard.unreportedLimits[m]; !unreported && m.limit != nil && m.limit.None() && m.limit.logged.since.IsZero() {
+	if _, unreported := m.shard.unreportedLimits[m]; !unreported && m.limit != nil && m.limit.IsEmpty() && m.limit.logged.since.IsZero() {
 		m.limit = nil
 	}
 	if m.coldState == nil && m.limit == nil {
@@ -37,7 +37,7 @@
 		return true
 	}
 	share, ok := m.shard.policy.leasedShare(m.lease, now)
-	return ok && m.ensureUsage().sent.Room(now, m.shard.coldBound.Each(share))
+	return ok && m.ensureUsage().sent.Allows(now, m.shard.coldBound.RequestsPerSpan(share))
 }
 
 // isCold reports whether the upstream counts as cold.
@@ -76,7 +76,7 @@
 		d := &services[i]
 		s := f.shard(d.Name)
 		s.mu.Lock()
-		s.coldBound = ratelease.Bound{Rate: d.ColdRate, Overrun: f.policy.coldOverrun, Spare: f.policy.coldHeadroom}
+		s.coldBound = ratelease.Bound{Rate: d.ColdRate, Overrun: f.policy.coldOverrun, Headroom: f.policy.coldHeadroom}
 		s.coldStart = d.ColdStart
 		for _, m := range s.members {
 			m.markCold(m.ColdFor-boottime.Since(m.updatedAt), coldEntry, f.log)
--- a/internal/gateway/cold_test.go
+++ b/internal/gateway/cold_test.go
@@ -30,15 +30,15 @@
 	parts := w.gateway.fleet.shard("svc").coldBound.Parts(roots)
 	var grants []ratelease.Grant
 	for _, id := range ids {
-		grants = append(grants, ratelease.Grant{Upstream: ratelease.UpstreamOf(id), Parts: parts, Of: parts})
+		grants = append(grants, ratelease.Grant{Upstream: ratelease.NewUpstreamID(id), Parts: parts, Of: parts})
 	}
 	now := boottime.Now()
-	w.gateway.fleet.SetHolding(ratelease.Hold(ratelease.Root(grants, roots), now, nil), now)
+	w.gateway.fleet.SetHolding(ratelease.NewHolding(ratelease.RootLease(grants, roots), now, nil), now)
 }
 
 // leasedUpstreams returns the upstreams whose requests are leased.
-func (w *testGateway) leasedUpstreams() []ratelease.Upstream {
-	var upstreams []ratelease.Upstream
+func (w *testGateway) leasedUpstreams() []ratelease.UpstreamID {
+	var upstreams []ratelease.UpstreamID
 	for _, g := range w.gateway.fleet.LeaseGrants(3) {
 		upstreams = append(upstreams, g.Upstream)
 	}
@@ -60,7 +60,7 @@
 		is.Equal(w.do(w.newRequest("GET", "/many/x", "")).body, "warm")
 	}
 	is.Equal(cold.count(), 0)
-	is.Equal(w.leasedUpstreams(), []ratelease.Upstream{ratelease.UpstreamOf("cold")})
+	is.Equal(w.leasedUpstreams(), []ratelease.UpstreamID{ratelease.NewUpstreamID("cold")})
 }
 
 func TestColdUpstreamGetsTheLeasedShare(t *testing.T) {
@@ -135,7 +135,7 @@
 	w.leaseCold(1, "near")
 	is.Equal(w.do(w.newRequest("GET", "/many/x", "")).body, "near")
 	rows.Change(evacuation("z2", 8, true))
-	is.Equal(w.leasedUpstreams(), slices.Sorted(slices.Values([]ratelease.Upstream{ratelease.UpstreamOf("far"), ratelease.UpstreamOf("near")})))
+	is.Equal(w.leasedUpstreams(), slices.Sorted(slices.Values([]ratelease.UpstreamID{ratelease.NewUpstreamID("far"), ratelease.NewUpstreamID("near")})))
 }
 
 // An evacuation must not make another version the one in service without an order.
@@ -158,7 +158,7 @@
 	w.startUpstreamOf(Upstream{ID: "old", Zone: "z2", Version: "v1"}, respondOK("old"))
 	w.startUpstreamOf(Upstream{ID: "new", Zone: "z1", Version: "v2"}, respondOK("new"))
 	m := w.gateway.rollouts
-	m.addOrder(Order{Service: "svc", Version: "v2", Duration: time.Hour, Revision: 2}, false)
+	m.addOrder(RolloutOrder{Service: "svc", Version: "v2", Duration: time.Hour, Revision: 2}, false)
 	m.setStatus(RolloutStatus{Service: "svc", Version: "v2", State: RolloutCompleted, OrderRevision: 2, Revision: 3})
 	is.Equal(w.do(w.newRequest("GET", "/many/x", "")).body, "new")
 	newOperatorRows(w.gateway).Change(evacuation("z1", 5, false))
--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -52,7 +52,7 @@
 	}
 	w.startCrashingUpstream("old", "v1")
 	m := w.gateway.rollouts
-	m.addOrder(Order{Service: "svc", Version: "v2", Duration: time.Minute, Revision: 5}, false)
+	m.addOrder(RolloutOrder{Service: "svc", Version: "v2", Duration: time.Minute, Revision: 5}, false)
 	m.mu.Lock()
 	m.active["svc"].share = 1
 	m.mu.Unlock()
@@ -83,7 +83,7 @@
 	w := newTestGateway(t, testDocument())
 	w.startUpstreamOf(Upstream{ID: "new", Zone: "z1", Version: "v2"}, resetConnection)
 	m := w.gateway.rollouts
-	m.addOrder(Order{Service: "svc", Version: "v2", Duration: time.Minute, Revision: 5}, false)
+	m.addOrder(RolloutOrder{Service: "svc", Version: "v2", Duration: time.Minute, Revision: 5}, false)
 	m.mu.Lock()
 	m.active["svc"].share = 1
 	m.mu.Unlock()
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -33,7 +33,7 @@
 // requests that are late.
 func (r *Request) priority(largest bool) int {
 	rank := r.rank()
-	if (r.Table.LowestRank()+1)*levelsPerRank > lowestPriority+1 {
+	if (r.Table.LowestPriority()+1)*levelsPerRank > lowestPriority+1 {
 		// There aren't enough priorities to split the ranks: the operators' order takes
 		// precedence.
 		return min(lowestPriority, rank)
@@ -185,7 +185,7 @@
 	if r.Prompt.TokensIn > 0 {
 		w.prompt = r.Prompt.placementPrompt(r.Route.PrefixAffinity)
 		w.model = cmp.Or(model, r.Prompt.Model)
-		w.keys = placement.Keys(w.model, w.prompt)
+		w.keys = placement.PrefixKeys(w.model, w.prompt)
 		w.price = r.Table.Price(r.Service, w.model)
 		w.priority = r.priority(largest)
 		w.target = r.Route.Target
@@ -221,7 +221,7 @@
 		return
 	}
 	if g.rollouts.evaluating(r.Service) {
-		g.guard.Unexplained(a.choice.upstream.guardUpstream(), guard.Blame{
+		g.guard.AttributeInterruption(a.choice.upstream.guardUpstream(), guard.Attribution{
 			Version: func() { g.rollouts.observe(r, &a.choice, result, a.headSeen) },
 		})
 	}
@@ -236,10 +236,10 @@
 	if !ok {
 		return true // no upstream could do better now
 	}
-	upgrade.Usual = float64(d.gateway.settings.AcceptConfidence)
+	upgrade.Threshold = float64(d.gateway.settings.AcceptConfidence)
 	upgrade.Expected += boottime.Since(r.Arrived)
 	upgrade.Target = r.Route.Target
-	a.threshold, a.pressure = int(upgrade.Required()), upgrade.Pressure
+	a.threshold, a.pressure = int(upgrade.RequiredConfidence()), upgrade.Pressure
 	if head.confidence >= a.threshold {
 		return true
 	}
@@ -255,7 +255,7 @@
 	if errors.Is(result.err, errLowConfidence) || errors.Is(result.err, errResponseTimeout) {
 		return true // the budget was charged when the attempt was given up
 	}
-	if result.outcome == outcomeAbandoned || d.gateway.guard.NearlyJudged(r.Digest) {
+	if result.outcome == outcomeAbandoned || d.gateway.guard.VerdictDue(r.Digest) {
 		return false
 	}
 	if r.state.State() != runstate.NotRun && !r.Route.Repeatable() {
--- a/internal/gateway/dispatchend.go
+++ b/internal/gateway/dispatchend.go
@@ -76,7 +76,7 @@
 		Int("among", a.choice.among).Float64("load", math.Round(10*a.choice.load)/10).
 		Str("load_from", string(a.choice.loadFrom)).Int64("load_age_ms", a.choice.loadAge.Milliseconds()).
 		Int("tokens", r.Prompt.TokensIn).Int64("ahead_ms", a.choice.ahead.Milliseconds()).Int64("expected_ms", a.choice.placed.Expected.Milliseconds()).
-		Int("missing", a.choice.placed.Missing).Bool("owner", a.choice.placed.Owner).Int("threshold", a.threshold).Float64("pressure", math.Round(100*a.pressure)/100).
+		Int("missing", a.choice.placed.UncachedTokens).Bool("owner", a.choice.placed.Owner).Int("threshold", a.threshold).Float64("pressure", math.Round(100*a.pressure)/100).
 		Str("outcome", result.outcome.String()).Int("status", result.status).Int("confidence", result.confidence).Str("limit", strings.Join(result.limit, ",")).
 		Int64("first_ms", result.firstByte.Milliseconds()).Int64("took_ms", time.Since(a.startedAt).Milliseconds())
 	if result.err != nil {
--- a/internal/gateway/entryexpiry_test.go
+++ b/internal/gateway/entryexpiry_test.go
@@ -32,14 +32,14 @@
 		return ok
 	}
 	is.True(chosen("lapsed") && chosen("removed"))
-	t.Cleanup(boottime.Simulate(2 * time.Second))
+	t.Cleanup(boottime.SimulateSuspension(2 * time.Second))
 	is.True(chosen("lapsed"))
 	is.True(!chosen("removed"))
-	t.Cleanup(boottime.Simulate(time.Second))
+	t.Cleanup(boottime.SimulateSuspension(time.Second))
 	is.True(!chosen("lapsed")) // what isn't listed again by now is gone
 	f.Set(Upstream{ID: "lapsed", Service: "lapsed", Zone: "z1", Version: "v1", Slots: 8}, 3)
 	is.True(chosen("lapsed"))
 	f.Remove("lapsed", 4, false)
-	t.Cleanup(boottime.Simulate(2 * time.Second))
+	t.Cleanup(boottime.SimulateSuspension(2 * time.Second))
 	is.True(!chosen("lapsed"))
 }
--- a/internal/gateway/evidence.go
+++ b/internal/gateway/evidence.go
@@ -147,7 +147,7 @@
 		side.Slow++
 	}
 	if failed || slow {
-		side.Blame(o.upstream)
+		side.AddSource(o.upstream)
 	}
 }
 
--- a/internal/gateway/evidence_test.go
+++ b/internal/gateway/evidence_test.go
@@ -16,7 +16,7 @@
 // newRolloutInProgress returns the roll-outs of a host with one in progress.
 func newRolloutInProgress() *rollouts {
 	m := newRollouts(&Settings{CanaryShare: 0.2}, fleetWithTwoNewUpstreams(), zerolog.Nop())
-	m.addOrder(Order{Service: "svc", Version: "v2", Duration: time.Minute, Revision: 5}, false)
+	m.addOrder(RolloutOrder{Service: "svc", Version: "v2", Duration: time.Minute, Revision: 5}, false)
 	return m
 }
 
@@ -44,8 +44,8 @@
 
 // withBothSources adds both upstreams of the new version as sources of bad answers.
 func withBothSources(v exchange.Versions) exchange.Versions {
-	v.New.Blame("b")
-	v.New.Blame("c")
+	v.New.AddSource("b")
+	v.New.AddSource("c")
 	return v
 }
 
@@ -62,10 +62,10 @@
 	}
 	is.True(!m.active["svc"].stopped)
 	own := answers(50, 0, minBadAnswers-1, minBadAnswers-1)
-	own.New.Blame("b")
+	own.New.AddSource("b")
 	is.Equal(m.ownEvidence(), []exchange.Evidence{{Service: "svc", Order: 5, Routes: map[string]exchange.Versions{"r": own}}})
 	others := answers(100, 0, 1, 1)
-	others.New.Blame("c")
+	others.New.AddSource("c")
 	m.setRemoteEvidence([]exchange.Evidence{{Service: "svc", Order: 5, Routes: map[string]exchange.Versions{"r": others}}})
 	is.True(m.active["svc"].stopped)
 }
--- a/internal/gateway/filters.go
+++ b/internal/gateway/filters.go
@@ -36,7 +36,7 @@
 	if key == "" {
 		key = r.ID
 	}
-	r.Service = route.Pick(evenhash.Point("split", key))
+	r.Service = route.SelectService(evenhash.Point("split", key))
 	return next(ctx, r)
 }
 
@@ -59,7 +59,7 @@
 func (f *identify) serve(ctx context.Context, r *Request, next next) error {
 	key := r.Header.Get(f.headers.AccountKey)
 	r.Account = r.Table.Account(key)
-	if r.Account == nil && r.Table.Keyed() && !r.Route.Public {
+	if r.Account == nil && r.Table.RequiresKey() && !r.Route.Public {
 		return resultcode.New(resultcode.UnknownKey, "the key is missing or unknown")
 	}
 	return next(ctx, r)
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -59,10 +59,10 @@
 	// addresses maps each address to the member that was listed there last.
 	addresses map[string]*member
 	// names maps the members by their names in messages between hosts.
-	names map[exchange.Name]*member
+	names map[exchange.IDHash]*member
 	// leases maps the members by their ids in leases. unreportedLimits are those whose rate limits
 	// have to be reported to the hub.
-	leases           map[ratelease.Upstream]*member
+	leases           map[ratelease.UpstreamID]*member
 	unreportedLimits map[*member]struct{}
 	// active are the members with requests of this host in flight, leased those that may be cold
 	// or rate-limited. Periodic tasks that run several times a second visit these only.
@@ -76,7 +76,7 @@
 	// index finds members without a scan of all. cachedPrompts are the prompts that the members
 	// are assumed to have cached.
 	index         memberIndex
-	cachedPrompts *placement.Kept[*member]
+	cachedPrompts *placement.CacheTracker[*member]
 	// policy is the fleet's. coldBound and coldStart are what the operators declared for the
 	// service's cold upstreams.
 	policy    *sendPolicy
@@ -92,7 +92,7 @@
 	// models, workByPriority is the decayed work of new prompts by priority, meanPrefill the
 	// decayed mean of the longer ones.
 	servesPrompts bool
-	rates         *placement.Rates
+	rates         *placement.PrefillEstimator
 	// remoteTimings are the other hosts' measurements for models that weren't used yet.
 	remoteTimings  exchange.Timings
 	workByPriority [lowestPriority + 1]float64
@@ -103,7 +103,7 @@
 	sentPrefixes exchange.Reads
 	// ration distributes rate limits that don't suffice by rank. supply is this host's part of the
 	// limits, in requests a second, as of suppliedAt.
-	ration     placement.Ration
+	ration     placement.RankAdmission
 	supply     float64
 	suppliedAt time.Time
 	// meanRequestTime is the decayed mean of the times that requests spend at upstreams.
@@ -134,9 +134,9 @@
 func newShard(a *sendPolicy, g *zoneTopology) *shard {
 	return &shard{
 		policy: a, topology: g, members: make(map[string]*member), addresses: make(map[string]*member),
-		names: make(map[exchange.Name]*member), leases: make(map[ratelease.Upstream]*member),
+		names: make(map[exchange.IDHash]*member), leases: make(map[ratelease.UpstreamID]*member),
 		active: make(map[*member]struct{}), leased: make(map[*member]struct{}), unreportedLimits: make(map[*member]struct{}),
-		cachedPrompts: placement.NewKept[*member](placement.MaxKept), sentPrefixes: make(exchange.Reads), rates: placement.NewRates(),
+		cachedPrompts: placement.NewCacheTracker[*member](placement.MaxCachedPrefixes), sentPrefixes: make(exchange.Reads), rates: placement.NewPrefillEstimator(),
 	}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -88,15 +88,15 @@
 	g.fleet.topology = zoneTopology{zone: s.Zone, regions: s.Regions}
 	g.fleet.policy.singleHost = s.Peers.Listen == ""
 	g.fleet.policy.seed, g.fleet.policy.hosts = s.Host, func() int { return int(g.hostCount.Load()) }
-	g.fleet.policy.coldOverrun, g.fleet.policy.coldHeadroom = s.ColdOverrun, s.ColdSpare
+	g.fleet.policy.coldOverrun, g.fleet.policy.coldHeadroom = s.ColdOverrun, s.ColdHeadroom
 	g.rollouts = newRollouts(s, g.fleet, log)
 	g.budgets.make = func() *retryBudget { return newRetryBudget(retryMargin*s.RetryRatio, s.RetryWindow, g.spareRetries) }
 	g.responseTimes.make = func() *responseTime { return new(responseTime) }
 	g.pauses.make = func() *responseTime { return new(responseTime) }
 	g.sizes.make = func() *promptSizes { return new(promptSizes) }
 	g.guard = guard.New(guard.Options{
-		Host: s.Host, Table: s.Statuses, Prefix: s.Tables.VerdictsPrefix, Clock: g.storeClock, Count: g.metrics.countGuardEvent, Log: log,
-		Ended: func(i quarantine.Incarnation) { g.fleet.ejectEnded(exchange.Name(i)) },
+		Host: s.Host, Table: s.Statuses, Prefix: s.Tables.VerdictsPrefix, Clock: g.storeClock, OnEvent: g.metrics.countGuardEvent, Log: log,
+		OnTermination: func(i quarantine.Incarnation) { g.fleet.ejectEnded(exchange.IDHash(i)) },
 	})
 	g.transport = newTransport()
 	g.pipeline = chain(g.filters())
@@ -117,7 +117,7 @@
 
 // Run serves requests until the context ends, and then stops within StopTimeout.
 func (g *Gateway) Run(ctx context.Context) error {
-	g.log.Info().Str("event", "start").Str("callers", g.settings.Callers).Str("ready", g.settings.Ready).Msg("")
+	g.log.Info().Str("event", "start").Str("callers", g.settings.CallerAddress).Str("ready", g.settings.ReadyAddress).Msg("")
 	// The watchers outlive the stop request, so that requests that are still in progress are
 	// routed by current data.
 	watchCtx, stopWatchers := context.WithCancel(context.WithoutCancel(ctx))
@@ -184,23 +184,23 @@
 	link := feed.NewLink()
 	upstreamBatchDelay := time.Duration(upstreamBatchFraction * float64(g.settings.DrainTime))
 	// The notice that an upstream leaves has to take effect as quickly as an operators' document.
-	common := feed.Options{Link: link, Heed: min(g.settings.HeedTime, g.settings.DrainTime)}
+	common := feed.Options{Link: link, ApplyTime: min(g.settings.ApplyTime, g.settings.DrainTime)}
 	if g.settings.Peers.Listen != "" {
 		common.Relays = func() bool { return g.peers.Relays() }
 		g.rollouts.hasFollowers = common.Relays
-		common.FirstWord = firstHubUpdateTimeout
+		common.FirstUpdateWait = firstHubUpdateTimeout
 		if !slices.Contains(g.settings.Peers.Seeds, g.settings.Peers.Listen) {
-			common.FirstTable = firstTableTimeout
+			common.FirstTableWait = firstTableTimeout
 			if g.settings.Peers.FirstStart {
-				common.FirstTable = firstStartTableTimeout
+				common.FirstTableWait = firstStartTableTimeout
 			}
-			common.HubAnswers = func() bool { return g.peers.Heard() }
+			common.HubAnswers = func() bool { return g.peers.HubAnswered() }
 		}
 	}
 	statusOptions, operatorOptions, upstreamOptions := common, common, common
 	statusOptions.Hold, statusOptions.Needed = statusPollTimeout, g.needsStatus
-	operatorOptions.Hold, operatorOptions.Gather = operatorPollTimeout, operatorBatchDelay
-	upstreamOptions.Gather = upstreamBatchDelay
+	operatorOptions.Hold, operatorOptions.BatchDelay = operatorPollTimeout, operatorBatchDelay
+	upstreamOptions.BatchDelay = upstreamBatchDelay
 	status := feed.NewWatcher(tables.Status, store, newStatusRows(g), statusOptions, g.log)
 	g.rollouts.statuses = status
 	g.upstreamWatcher = feed.NewWatcher(tables.Upstreams, store, newUpstreamRows(g), upstreamOptions, g.log)
@@ -214,13 +214,13 @@
 		g.peers = exchange.New(exchange.Options{
 			Host: g.settings.Host, Zone: g.settings.Zone, Listen: peers.Listen, Seeds: peers.Seeds, Keys: peers.Keys,
 			FirstStart: peers.FirstStart, LinkMbps: peers.LinkMbps, Cores: peers.Cores,
-			Tables: watchers, Work: g.fleet.work, Others: g.fleet.setRemoteWork,
-			Hosts: func(n int) { g.hostCount.Store(int64(n)) },
-			Reads: g.fleet.takeSentPrefixes, TakeReads: g.fleet.addRemotePrefixes,
-			Leased: g.fleet.LeaseGrants, TakeHolding: g.fleet.SetHolding,
-			Limits: g.fleet.takeLimitReports, KnownLimits: g.fleet.currentLimits, TakeLimits: g.fleet.applyLimits,
-			Timings: g.fleet.timings, TakeTimings: g.fleet.setRemoteTimings,
-			Evidence: g.rollouts.ownEvidence, TakeEvidence: g.rollouts.setRemoteEvidence, Quarantine: g.guard,
+			Tables: watchers, Work: g.fleet.work, OnWork: g.fleet.setRemoteWork,
+			OnHostCount: func(n int) { g.hostCount.Store(int64(n)) },
+			Reads:       g.fleet.takeSentPrefixes, OnReads: g.fleet.addRemotePrefixes,
+			RootGrants: g.fleet.LeaseGrants, OnHolding: g.fleet.SetHolding,
+			Limits: g.fleet.takeLimitReports, KnownLimits: g.fleet.currentLimits, OnLimits: g.fleet.applyLimits,
+			Timings: g.fleet.timings, OnTimings: g.fleet.setRemoteTimings,
+			Evidence: g.rollouts.ownEvidence, OnEvidence: g.rollouts.setRemoteEvidence, Quarantine: g.guard,
 		}, g.log)
 		group.Go(func() { g.peers.Run(ctx) })
 	}
@@ -244,7 +244,7 @@
 	if _, received := g.rollouts.statuses.Age(); !received {
 		return true
 	}
-	return g.rollouts.hasUnfinished() || g.guard.Len() > 0 || g.peers == nil || !g.peers.Told()
+	return g.rollouts.hasUnfinished() || g.guard.Len() > 0 || g.peers == nil || !g.peers.ReceivesVerdicts()
 }
 
 // lapseWindow is the time after an outage of the store in which a removed entry counts as expired
@@ -254,7 +254,7 @@
 
 // storeRecentlyReturned reports whether an outage of the store ended within lapseWindow.
 func (g *Gateway) storeRecentlyReturned() bool {
-	return g.upstreamWatcher != nil && g.upstreamWatcher.Returned(lapseWindow)
+	return g.upstreamWatcher != nil && g.upstreamWatcher.RecoveredWithin(lapseWindow)
 }
 
 // storeClock returns the store's monotonic clock; 0 while it is unknown.
--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -39,8 +39,8 @@
 	LastEventID string
 	// Session identifies requests that belong together.
 	Session string
-	// SystemOnly are further headers that a caller must not set.
-	SystemOnly []string
+	// Reserved are further headers that a caller must not set.
+	Reserved []string
 }
 
 // hopByHop are the headers that apply to a single connection, RFC 9110 section 7.6.1.
@@ -69,7 +69,7 @@
 	for _, name := range []string{h.AccountKey, h.Account, h.Deadline, h.ExpectInstance, h.Priority, h.NotRun, h.Stamp, h.Load, h.Instance} {
 		out.Del(name)
 	}
-	for _, name := range h.SystemOnly {
+	for _, name := range h.Reserved {
 		out.Del(name)
 	}
 	out.Del("Content-Length")
--- a/internal/gateway/helpers_test.go
+++ b/internal/gateway/helpers_test.go
@@ -30,7 +30,7 @@
 		Instance: "T-Instance", ExpectInstance: "T-Expect", Stamp: "T-Stamp", NotRun: "T-Not-Run",
 		Load: "T-Load", Limit: "T-Limit", Model: "T-Model", TokenCount: "T-Tokens", PromptParts: "T-Parts",
 		Priority: "T-Priority", Confidence: "T-Confidence",
-		LastEventID: "T-Last-Event", Session: "T-Session", SystemOnly: []string{"T-Pin"},
+		LastEventID: "T-Last-Event", Session: "T-Session", Reserved: []string{"T-Pin"},
 	}
 }
 
@@ -87,7 +87,7 @@
 			u.ID = id
 			return u, err
 		},
-		Order: func(data []byte, revision storage.Revision) (o Order, err error) {
+		Order: func(data []byte, revision storage.Revision) (o RolloutOrder, err error) {
 			err = json.Unmarshal(data, &o)
 			o.Revision = revision
 			return o, err
@@ -106,7 +106,7 @@
 	split := []routing.Share{{Service: "svc", Weight: 1}}
 	route := func(name string, kind routing.Kind) routing.Route {
 		return routing.Route{
-			Name: name, Host: testHost, Prefix: "/" + name + "/", Kind: kind, Split: split,
+			Name: name, Host: testHost, Prefix: "/" + name + "/", Kind: kind, Shares: split,
 			Timeout: 2 * time.Second, Target: time.Second, MaxAttempts: 3, Priority: 4,
 		}
 	}
--- a/internal/gateway/incarnation.go
+++ b/internal/gateway/incarnation.go
@@ -83,7 +83,7 @@
 	if former := s.members[u.ID]; former != nil {
 		s.unindex(former)
 	}
-	m := &member{Upstream: *u, shard: s, name: u.exchangeName(), lease: ratelease.UpstreamOf(u.incarnationID()), listedAt: boottime.Now()}
+	m := &member{Upstream: *u, shard: s, name: u.exchangeName(), lease: ratelease.NewUpstreamID(u.incarnationID()), listedAt: boottime.Now()}
 	m.Leaving = false
 	s.members[u.ID] = m
 	s.starts.count(u, 1)
@@ -104,7 +104,7 @@
 }
 
 // exchangeName returns the name of the incarnation in messages between hosts.
-func (u *Upstream) exchangeName() exchange.Name { return exchange.NameOf(u.incarnationID()) }
+func (u *Upstream) exchangeName() exchange.IDHash { return exchange.HashID(u.incarnationID()) }
 
 // guardUpstream returns the incarnation as package guard identifies it.
 func (u *Upstream) guardUpstream() guard.Upstream {
@@ -164,7 +164,7 @@
 
 // ejectEnded ejects an upstream whose process another host found to have ended. Otherwise each
 // host would detect that by failed requests of its own.
-func (f *Fleet) ejectEnded(name exchange.Name) {
+func (f *Fleet) ejectEnded(name exchange.IDHash) {
 	f.each(func(s *shard) {
 		if m := s.names[name]; m != nil {
 			m.ensureUsage().ejectedUntil = boottime.Now().Add(endedEjection)
--- a/internal/gateway/incarnation_test.go
+++ b/internal/gateway/incarnation_test.go
@@ -31,9 +31,9 @@
 
 // promptCriteria returns the criteria of a request whose prompt has one shared part.
 func promptCriteria() criteria {
-	prompt := &placement.Prompt{Parts: []placement.Part{{ID: "p", Tokens: 1000}}, Tokens: 1200, Shared: 1}
+	prompt := &placement.Prompt{Parts: []placement.Part{{ID: "p", Tokens: 1000}}, Tokens: 1200, SharedParts: 1}
 	return criteria{
-		service: "svc", zone: "z1", prompt: prompt, model: "m", keys: placement.Keys("m", prompt),
+		service: "svc", zone: "z1", prompt: prompt, model: "m", keys: placement.PrefixKeys("m", prompt),
 		target: time.Second, admits: func(string) bool { return true },
 	}
 }
@@ -61,7 +61,7 @@
 	is.Equal(m.cachedParts(former.criteria.keys), 0)                    // and its cached parts
 	is.Equal(m.currentFailureRate(now), 0.0)                            // and its failures
 	is.True(!m.ejected(now))                                            // and its ejection
-	is.True(m.name != exchange.NameOf(former.upstream.incarnationID())) // and its name in messages between hosts
+	is.True(m.name != exchange.HashID(former.upstream.incarnationID())) // and its name in messages between hosts
 
 	// The result of a request to the former incarnation doesn't affect the new one.
 	f.headReceived(&formerCopy, 100*time.Millisecond)
@@ -183,7 +183,7 @@
 	is := is.New(t)
 	w := newTestGateway(t, testDocument())
 	m := w.gateway.rollouts
-	m.addOrder(Order{Service: "svc", Version: "v2", Duration: time.Minute, Revision: 1}, false)
+	m.addOrder(RolloutOrder{Service: "svc", Version: "v2", Duration: time.Minute, Revision: 1}, false)
 	rows := newStatusRows(w.gateway)
 	for _, data := range []string{"{", `{"Service":"other","Version":"v2"}`} {
 		revision := m.active["svc"].status.Revision + 3
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -20,7 +20,7 @@
 
 // limitState is the state of the rate limit that an upstream's answers announce.
 type limitState struct {
-	ratelease.Named
+	ratelease.LimitState
 	logged loggedLimit
 	// bucket counts this host's requests against its part of the limit.
 	bucket ratelease.Bucket
@@ -45,7 +45,7 @@
 
 // limitAllows reports whether the rate limit, if any, leaves this host another request.
 func (m *member) limitAllows(now time.Time) bool {
-	return !m.isLimited(now) || m.limit.bucket.Room(m.allowance(now), now)
+	return !m.isLimited(now) || m.limit.bucket.Allows(m.allowance(now), now)
 }
 
 // allowance returns this host's part of the upstream's rate limit.
@@ -90,7 +90,7 @@
 		if !m.isLimited(now) {
 			continue
 		}
-		if until, ok := m.limit.bucket.Wait(m.allowance(now), now); ok {
+		if until, ok := m.limit.bucket.TimeToNext(m.allowance(now), now); ok {
 			wait = min(wait, until)
 		}
 	}
@@ -137,7 +137,7 @@
 	case ok && limit.Binds():
 		report = m.ensureLimit().Observe(limit, now)
 	case limited && header.ran:
-		report = m.limit.ObserveNone(sentAt, now)
+		report = m.limit.ObserveUnlimited(sentAt, now)
 	}
 	if report {
 		m.shard.unreportedLimits[m] = struct{}{}
@@ -146,12 +146,12 @@
 }
 
 // takeLimitReports returns the limits to report to the hub since the last call.
-func (f *Fleet) takeLimitReports() []ratelease.Word {
-	var reports []ratelease.Word
+func (f *Fleet) takeLimitReports() []ratelease.LimitUpdate {
+	var reports []ratelease.LimitUpdate
 	now := boottime.Now()
 	f.each(func(s *shard) {
 		for m := range s.unreportedLimits {
-			reports = append(reports, m.ensureLimit().Say(m.lease, now))
+			reports = append(reports, m.ensureLimit().NextUpdate(m.lease, now))
 		}
 		clear(s.unreportedLimits)
 	})
@@ -159,13 +159,13 @@
 }
 
 // currentLimits returns all known limits, for a hub that has no data yet.
-func (f *Fleet) currentLimits() []ratelease.Word {
-	var reports []ratelease.Word
+func (f *Fleet) currentLimits() []ratelease.LimitUpdate {
+	var reports []ratelease.LimitUpdate
 	now := boottime.Now()
 	f.each(func(s *shard) {
 		for m := range s.leased {
 			if m.isLimited(now) {
-				reports = append(reports, m.limit.Say(m.lease, now))
+				reports = append(reports, m.limit.NextUpdate(m.lease, now))
 			}
 		}
 	})
@@ -174,14 +174,14 @@
 
 // applyLimits applies the hub's data on upstreams' limits. If whole is set, upstreams that are
 // missing from the reports have no limit at the hub.
-func (f *Fleet) applyLimits(reports []ratelease.Word, whole bool) {
+func (f *Fleet) applyLimits(reports []ratelease.LimitUpdate, whole bool) {
 	now := boottime.Now()
-	reported := make(map[ratelease.Upstream]bool, len(reports))
+	reported := make(map[ratelease.UpstreamID]bool, len(reports))
 	f.each(func(s *shard) {
 		for _, report := range reports {
 			reported[report.Upstream] = true
 			if m := s.leases[report.Upstream]; m != nil {
-				m.ensureLimit().Take(report, now)
+				m.ensureLimit().Apply(report, now)
 				m.logLimit(now, f.log)
 			}
 		}
@@ -189,8 +189,8 @@
 			return
 		}
 		for u, m := range s.leases {
-			if m.limit != nil && m.limit.Told() && !reported[u] {
-				m.limit.Take(ratelease.Word{Upstream: u, Ended: true}, now)
+			if m.limit != nil && m.limit.HasHubLimit() && !reported[u] {
+				m.limit.Apply(ratelease.LimitUpdate{Upstream: u, Ended: true}, now)
 				m.logLimit(now, f.log)
 			}
 		}
@@ -204,7 +204,7 @@
 	}
 	logged, limited, limit := &m.limit.logged, m.isLimited(now), m.limit.Limit()
 	event := func(name string) *zerolog.Event {
-		return log.Warn().Str("event", name).Str("upstream", m.ID).Str("service", m.Service).Str("zone", m.Zone).Bool("told", m.limit.Told())
+		return log.Warn().Str("event", name).Str("upstream", m.ID).Str("service", m.Service).Str("zone", m.Zone).Bool("told", m.limit.HasHubLimit())
 	}
 	switch {
 	case limited && logged.since.IsZero():
@@ -216,6 +216,6 @@
 	case !limited && !logged.since.IsZero():
 		event("upstream-unlimited").Float64("limit", float64(logged.limit)).Int64("for_ms", now.Sub(logged.since).Milliseconds()).Msg("")
 		*logged = loggedLimit{}
-		m.limit.Forget()
+		m.limit.ResetPartCount()
 	}
 }
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -45,12 +45,12 @@
 func (w *testGateway) lease(since time.Duration, of, roots int, ids ...string) {
 	var grants []ratelease.Grant
 	for _, id := range ids {
-		grants = append(grants, ratelease.Grant{Upstream: ratelease.UpstreamOf(id), Parts: 1, Of: of})
+		grants = append(grants, ratelease.Grant{Upstream: ratelease.NewUpstreamID(id), Parts: 1, Of: of})
 	}
 	now := boottime.Now()
 	var holding ratelease.Holding
-	for requestedAt := now.Add(-since); !requestedAt.After(now); requestedAt = requestedAt.Add(ratelease.LeaseTime / 2) {
-		holding = ratelease.Hold(ratelease.Root(grants, roots), requestedAt, &holding)
+	for requestedAt := now.Add(-since); !requestedAt.After(now); requestedAt = requestedAt.Add(ratelease.LeaseDuration / 2) {
+		holding = ratelease.NewHolding(ratelease.RootLease(grants, roots), requestedAt, &holding)
 	}
 	w.gateway.fleet.SetHolding(holding, now)
 }
@@ -78,7 +78,7 @@
 	reports := w.gateway.fleet.takeLimitReports()
 	is.Equal(len(reports), 1)
 	is.Equal(reports[0].Limit, ratelease.Limit(1.9))
-	is.Equal(w.leasedUpstreams(), []ratelease.Upstream{ratelease.UpstreamOf("limited")}) // a root hub would grant leases for it
+	is.Equal(w.leasedUpstreams(), []ratelease.UpstreamID{ratelease.NewUpstreamID("limited")}) // a root hub would grant leases for it
 }
 
 func TestLimitedUpstreamGetsTheLeasedShare(t *testing.T) {
@@ -95,8 +95,8 @@
 func TestLimitThatAnotherHostReported(t *testing.T) {
 	is := is.New(t)
 	w, limited, _ := newLimitTest(t, limitValues("1"))
-	word := ratelease.Word{Upstream: ratelease.UpstreamOf("limited"), Limit: 1}
-	w.gateway.fleet.applyLimits([]ratelease.Word{word, {Upstream: 77, Limit: 3}}, false)
+	word := ratelease.LimitUpdate{Upstream: ratelease.NewUpstreamID("limited"), Limit: 1}
+	w.gateway.fleet.applyLimits([]ratelease.LimitUpdate{word, {Upstream: 77, Limit: 3}}, false)
 	w.mustServe(5)
 	is.Equal(limited.count(), 0)
 	w.gateway.fleet.applyLimits(nil, true) // the hub has no limits
@@ -229,7 +229,7 @@
 	f.Set(Upstream{ID: "limited", Service: "svc", Zone: "z1", Version: "v1", Slots: 8}, 1)
 	m := f.memberOf("svc", "limited")
 	m.ensureLimit().Observe(50, boottime.Now())
-	long := ratelease.NewContact(boottime.Now().Add(-time.Hour)) // the last contact with a root hub
+	long := ratelease.NewHubContact(boottime.Now().Add(-time.Hour)) // the last contact with a root hub
 	f.policy.hubContact.Store(&long)
 	for range 20 {
 		is.True(!m.limitAllows(boottime.Now()))
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -21,9 +21,9 @@
 		address string
 		handler http.Handler
 	}{
-		{g.settings.Callers, g},
-		{g.settings.Ready, ready},
-		{g.settings.Metrics, ready},
+		{g.settings.CallerAddress, g},
+		{g.settings.ReadyAddress, ready},
+		{g.settings.MetricsAddress, ready},
 	}
 	var endpoints []endpoint
 	for _, p := range specs {
--- a/internal/gateway/member.go
+++ b/internal/gateway/member.go
@@ -39,7 +39,7 @@
 	Upstream
 	shard *shard
 	// name identifies the upstream in messages between hosts.
-	name exchange.Name
+	name exchange.IDHash
 	// revision is the store revision of the newest entry.
 	revision  storage.Revision
 	removedAt time.Time
@@ -47,7 +47,7 @@
 	listedAt  time.Time
 	updatedAt time.Time
 	// lease identifies the upstream in leases.
-	lease ratelease.Upstream
+	lease ratelease.UpstreamID
 	// lapsed is set if the entry may have expired because of an outage of the store.
 	lapsed bool
 	// withdrawn is set while the entry doesn't describe a usable upstream.
--- a/internal/gateway/memberindex.go
+++ b/internal/gateway/memberindex.go
@@ -281,7 +281,7 @@
 // first and in a random order where many hold the same prefix.
 func (s *shard) addCacheHolders(list *candidateList, w *criteria, usable func(*member) bool) {
 	for i := len(w.keys) - 1; i >= 0; i-- {
-		holders := s.cachedPrompts.Holders(w.keys[i])
+		holders := s.cachedPrompts.Engines(w.keys[i])
 		if len(holders) == 0 {
 			continue
 		}
@@ -318,7 +318,7 @@
 	s.starts.count(&m.Upstream, -1)
 	delete(s.active, m)
 	delete(s.leased, m)
-	s.cachedPrompts.Drop(m)
+	s.cachedPrompts.RemoveEngine(m)
 	s.setAddress(m, "")
 	if s.names[m.name] == m {
 		delete(s.names, m.name)
--- a/internal/gateway/memberindex_test.go
+++ b/internal/gateway/memberindex_test.go
@@ -28,8 +28,8 @@
 // shared part.
 func sharedPrefixCriteria(part string) criteria {
 	w := promptCriteria()
-	w.prompt = &placement.Prompt{Parts: []placement.Part{{ID: part, Tokens: 6000}, {ID: part + "-own", Tokens: 900}}, Tokens: 7000, Shared: 1}
-	w.keys = placement.Keys(w.model, w.prompt)
+	w.prompt = &placement.Prompt{Parts: []placement.Part{{ID: part, Tokens: 6000}, {ID: part + "-own", Tokens: 900}}, Tokens: 7000, SharedParts: 1}
+	w.keys = placement.PrefixKeys(w.model, w.prompt)
 	return w
 }
 
@@ -122,7 +122,7 @@
 	f := largeFleet(engines, 5)
 	work := make(exchange.Work)
 	for j := idle; j < engines; j++ {
-		work[exchange.NameOf(fmt.Sprintf("i-%05d", j))] = 800
+		work[exchange.HashID(fmt.Sprintf("i-%05d", j))] = 800
 	}
 	counts := make(map[string]int)
 	for i := range hosts {
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -51,11 +51,11 @@
 }
 
 // countGuardEvent counts an event that the guard reports.
-func (m *gatewayMetrics) countGuardEvent(event guard.Counted, service string) {
+func (m *gatewayMetrics) countGuardEvent(event guard.CountedEvent, service string) {
 	switch event {
 	case guard.CountVerdict:
 		m.verdicts.Inc()
-	case guard.CountEnded:
+	case guard.CountTerminated:
 		m.set.GetOrCreateCounter(fmt.Sprintf(`quetzalweir_gateway_upstreams_ended_total{service=%q}`, service)).Inc()
 	case guard.CountRefused:
 		m.set.GetOrCreateCounter(fmt.Sprintf(`quetzalweir_gateway_quarantine_refusals_total{service=%q}`, service)).Inc()
@@ -81,7 +81,7 @@
 		}
 		return age.Seconds()
 	})
-	gauge("table_behind_seconds", func() float64 { return w.Behind().Seconds() })
+	gauge("table_behind_seconds", func() float64 { return w.Lag().Seconds() })
 	gauge("store_received_bytes_total", func() float64 { return float64(w.Calls().ReceivedBytes) })
 	calls := func(outcome string, count func(feed.Calls) uint64) {
 		m.set.NewGauge(fmt.Sprintf(`quetzalweir_gateway_store_calls_total{table=%q,outcome=%q}`, table, outcome), func() float64 {
--- a/internal/gateway/models.go
+++ b/internal/gateway/models.go
@@ -21,7 +21,7 @@
 		// cheapest.
 		s.models = []string{models[0], models[len(models)-1]}
 	}
-	s.at = min(g.settings.FirstModel, len(s.models)-1)
+	s.at = min(g.settings.FirstModelIndex, len(s.models)-1)
 	return s
 }
 
--- a/internal/gateway/models_test.go
+++ b/internal/gateway/models_test.go
@@ -37,7 +37,7 @@
 			is := is.New(t)
 			table, err := routing.New(routing.Document{
 				Services: []routing.Service{{Name: "s"}},
-				Routes:   []routing.Route{{Name: "lowest", Priority: test.lowest, Split: []routing.Share{{Service: "s", Weight: 1}}}},
+				Routes:   []routing.Route{{Name: "lowest", Priority: test.lowest, Shares: []routing.Share{{Service: "s", Weight: 1}}}},
 			})
 			is.NoErr(err)
 			r := &Request{Table: table, Route: &routing.Route{Priority: test.rank}, relativePromptSize: 1}
--- a/internal/gateway/notreached_test.go
+++ b/internal/gateway/notreached_test.go
@@ -97,7 +97,7 @@
 	near := w.startUpstream("near", respondOK("near"))
 	w.startUpstreamOf(Upstream{ID: "far", Zone: "z2", Version: "v1"}, respondOK("far"))
 	u := Upstream{ID: "near"}
-	w.gateway.guard.TakeStanding(exchange.Standing{Ended: []exchange.Ending{{Incarnation: quarantine.Incarnation(u.exchangeName()), Age: 100 * time.Millisecond}}})
+	w.gateway.guard.ApplyStatus(exchange.QuarantineStatus{Ended: []exchange.Ending{{Incarnation: quarantine.Incarnation(u.exchangeName()), Age: 100 * time.Millisecond}}})
 	for range 5 {
 		is.Equal(w.do(w.newRequest("GET", "/many/x", "")).body, "far")
 	}
--- a/internal/gateway/operatorrows.go
+++ b/internal/gateway/operatorrows.go
@@ -98,7 +98,7 @@
 	g.table.Store(table)
 	g.fleet.SetServices(doc.Services)
 	g.log.Info().Str("event", "document-in-force").Uint64("version", doc.Version).Stringer("revision", row.Revision).
-		Int("routes", table.Routes()).Int("accounts", len(doc.Accounts)).
+		Int("routes", table.RouteCount()).Int("accounts", len(doc.Accounts)).
 		Int("bytes", len(row.Data)).Int64("decode_ms", time.Since(start).Milliseconds()).Msg("")
 	return nil
 }
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -26,20 +26,20 @@
 // millisecond, computing a part again takes hundreds.
 func (s *shard) place(list candidateList, c *choice, now time.Time) *member {
 	w := &c.criteria
-	s.rates.Price(w.model, w.price)
+	s.rates.SetPrice(w.model, w.price)
 	s.applyTimings(w.service, w.model)
 	candidates := s.placementCandidates(list, w, now)
 	c.placed = placement.Place(s.rates, &placement.Request{
-		Model:  w.model,
-		Prompt: w.prompt,
-		Target: w.target,
-		Way:    crossZoneLatency + time.Duration(w.bytes)*crossZoneCostPerKB/1024,
+		Model:    w.model,
+		Prompt:   w.prompt,
+		Target:   w.target,
+		ZoneCost: crossZoneLatency + time.Duration(w.bytes)*crossZoneCostPerKB/1024,
 
-		RegionWay: crossRegionLatency,
-		Draw:      rand.Float64(),
+		RegionCost: crossRegionLatency,
+		Random:     rand.Float64(),
 	}, candidates)
 	picked := &candidates[c.placed.Index]
-	c.ahead, c.cachedParts = picked.Ahead, picked.Kept
+	c.ahead, c.cachedParts = picked.QueuedWork, picked.CachedParts
 	return list.members[c.placed.Index]
 }
 
@@ -65,13 +65,13 @@
 func (s *shard) applyTimings(service, model string) {
 	name := timingsKey(service, model)
 	if t, ok := s.remoteTimings[name]; ok {
-		s.rates.TakeTimings(model, t)
+		s.rates.SetPeerTimings(model, t)
 		delete(s.remoteTimings, name)
 	}
 }
 
 // timingsKey returns the key of a service's model in messages between hosts.
-func timingsKey(service, model string) exchange.Name { return exchange.NameOf(service + "/" + model) }
+func timingsKey(service, model string) exchange.IDHash { return exchange.HashID(service + "/" + model) }
 
 // queueStats holds decayed means of the times that prompts were queued at engines and took to be
 // processed.
@@ -103,26 +103,26 @@
 	candidates := make([]placement.Candidate, len(list.members))
 	for i, m := range list.members {
 		c := &candidates[i]
-		c.Ahead = m.workAhead(w.priority, now)
-		c.Kept = m.cachedParts(w.keys)
-		c.Order = list.preference(m, subject)
-		c.Far = m.Zone != w.zone
-		c.Abroad = !s.topology.sameRegion(m.Zone)
+		c.QueuedWork = m.workAhead(w.priority, now)
+		c.CachedParts = m.cachedParts(w.keys)
+		c.OwnerRank = list.preference(m, subject)
+		c.OtherZone = m.Zone != w.zone
+		c.OtherRegion = !s.topology.sameRegion(m.Zone)
 	}
 	return candidates
 }
 
 // sharedPrefix returns the id of the prompt's longest prefix that other requests share.
 func sharedPrefix(p *placement.Prompt) string {
-	if p.Shared == 0 {
+	if p.SharedParts == 0 {
 		return ""
 	}
-	return p.Parts[p.Shared-1].ID
+	return p.Parts[p.SharedParts-1].ID
 }
 
 // upgrade returns the expected result of running the request on the model's best engine now; ok is
 // false if none is available.
-func (f *Fleet) upgrade(w criteria) (u placement.Upgrade, ok bool) {
+func (f *Fleet) upgrade(w criteria) (u placement.Escalation, ok bool) {
 	now := boottime.Now()
 	s := f.shard(w.service)
 	s.mu.Lock()
--- a/internal/gateway/regions_test.go
+++ b/internal/gateway/regions_test.go
@@ -172,7 +172,7 @@
 	f, m := w.gateway.fleet, w.gateway.rollouts
 	f.Set(Upstream{ID: "old", Service: "svc", Zone: "z1", Version: "v1"}, 1)
 	f.Set(Upstream{ID: "new", Service: "svc", Zone: "z3", Version: "v2"}, 2)
-	m.addOrder(Order{Service: "svc", Version: "v2", Duration: time.Minute, Revision: 3}, false)
+	m.addOrder(RolloutOrder{Service: "svc", Version: "v2", Duration: time.Minute, Revision: 3}, false)
 	m.active["svc"].share = 1
 	route, _ := w.gateway.table.Load().Match(testHost, "/once/x")
 	r := &Request{ID: "r", Service: "svc", Table: w.gateway.table.Load(), Route: route, Host: testHost, Target: "/once/x", Header: http.Header{}}
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -100,7 +100,7 @@
 	for _, part := range p.Parts {
 		prompt.Parts = append(prompt.Parts, placement.Part(part))
 	}
-	prompt.Shared = max(0, len(p.Parts)-1)
+	prompt.SharedParts = max(0, len(p.Parts)-1)
 	return prompt
 }
 
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -116,7 +116,7 @@
 			is.Equal(p.TokensIn, test.in)
 			is.Equal(p.TokensOut, test.out)
 			prompt := p.placementPrompt(true)
-			is.Equal(prompt.Shared, test.shared)
+			is.Equal(prompt.SharedParts, test.shared)
 			is.Equal(sharedPrefix(prompt), test.last)
 			is.Equal(prompt.Tokens, test.in)
 			is.Equal(len(p.placementPrompt(false).Parts), 0) // the route shares no prefixes
--- a/internal/gateway/restore.go
+++ b/internal/gateway/restore.go
@@ -40,7 +40,7 @@
 // adoptReissuedOrder handles an order that was known before the store was restored from a backup
 // and that operators wrote again: the same roll-out continues under the order's new revision. It
 // also returns true for the previous order, which the backup contains.
-func (m *rollouts) adoptReissuedOrder(current *activeRollout, o Order, listed bool) bool {
+func (m *rollouts) adoptReissuedOrder(current *activeRollout, o RolloutOrder, listed bool) bool {
 	current.era.observe(o.Revision)
 	if !current.era.inRestoreGrace() {
 		return false
--- a/internal/gateway/restore_test.go
+++ b/internal/gateway/restore_test.go
@@ -16,10 +16,10 @@
 func revisionIn(era, version uint64) storage.Revision { return storage.NewRevision(era, version) }
 
 // newCompletedRollout returns the roll-outs of a host with a completed one, and its order.
-func newCompletedRollout() (*rollouts, Order) {
+func newCompletedRollout() (*rollouts, RolloutOrder) {
 	s := Settings{CanaryShare: 0.2, Tables: testTables()}
 	m := newRollouts(&s, NewFleet(time.Second, zerolog.Nop()), zerolog.Nop())
-	o := Order{Service: "svc", Version: "v2", Duration: time.Minute, Revision: revisionIn(0, 57)}
+	o := RolloutOrder{Service: "svc", Version: "v2", Duration: time.Minute, Revision: revisionIn(0, 57)}
 	m.addOrder(o, false)
 	m.setStatus(RolloutStatus{Service: "svc", Version: "v2", State: RolloutCompleted, OrderRevision: o.Revision, Revision: revisionIn(0, 80)})
 	return m, o
@@ -87,10 +87,10 @@
 func TestEarlierOrderInABackup(t *testing.T) {
 	is := is.New(t)
 	m, o := newCompletedRollout()
-	m.addOrder(Order{Service: "svc", Version: "v1", Duration: time.Minute, Revision: revisionIn(1, 20)}, true)
+	m.addOrder(RolloutOrder{Service: "svc", Version: "v1", Duration: time.Minute, Revision: revisionIn(1, 20)}, true)
 	is.Equal(m.active["svc"].order.Version, "v2")
 	// A new order of the operators is accepted, whatever its version.
-	m.addOrder(Order{Service: "svc", Version: "v3", Duration: time.Minute, Revision: revisionIn(1, 30)}, false)
+	m.addOrder(RolloutOrder{Service: "svc", Version: "v3", Duration: time.Minute, Revision: revisionIn(1, 30)}, false)
 	is.Equal(m.active["svc"].order.Version, "v3")
 	is.Equal(o.Version, "v2")
 }
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -6,8 +6,8 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// Order is an operators' order to move a service's requests to a version.
-type Order struct {
+// RolloutOrder is an operators' order to move a service's requests to a version.
+type RolloutOrder struct {
 	Service  string
 	Version  string
 	Duration time.Duration
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -59,7 +59,7 @@
 
 // activeRollout is a service's newest roll-out.
 type activeRollout struct {
-	order  Order
+	order  RolloutOrder
 	status RolloutStatus
 	// stopped is set if this host's evidence shows that the version is worse.
 	stopped bool
@@ -100,7 +100,7 @@
 }
 
 // addOrder applies an operators' order. listed is set if it was received with the whole table.
-func (m *rollouts) addOrder(o Order, listed bool) {
+func (m *rollouts) addOrder(o RolloutOrder, listed bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if current := m.active[o.Service]; current != nil {
@@ -324,7 +324,7 @@
 		return
 	}
 	age, ok := m.statuses.Age()
-	if !ok || age > maxStatusAge || m.statuses.Interrupted() {
+	if !ok || age > maxStatusAge || m.statuses.Unreachable() {
 		return
 	}
 	at := m.progress(a)
--- a/internal/gateway/rollouts_test.go
+++ b/internal/gateway/rollouts_test.go
@@ -42,7 +42,7 @@
 }
 
 func (h *rolloutHosts) order(version string, duration time.Duration) {
-	h.store.put("operator", "order/svc", Order{Service: "svc", Version: version, Duration: duration})
+	h.store.put("operator", "order/svc", RolloutOrder{Service: "svc", Version: version, Duration: duration})
 }
 
 // shorten reduces the roll-out's duration. Checks before the call are independent of how long they
@@ -230,7 +230,7 @@
 	eventually(t, "canaries", func() bool { return h.share(false) > 0.05 })
 	h.store.setDown(true)
 	h.store.put("other", "wakes", 1) // ends the pending calls
-	eventually(t, "the outage is noticed", m.statuses.Interrupted)
+	eventually(t, "the outage is noticed", m.statuses.Unreachable)
 	// The roll-out's time is over at once, so the test's duration doesn't matter.
 	h.shorten(time.Millisecond)
 	time.Sleep(10 * rolloutTick)
@@ -268,7 +268,7 @@
 	is := is.New(t)
 	w := newTestGateway(t, testDocument())
 	m := w.gateway.rollouts
-	m.addOrder(Order{Service: "svc", Version: "v2", Duration: time.Minute, Revision: 5}, false)
+	m.addOrder(RolloutOrder{Service: "svc", Version: "v2", Duration: time.Minute, Revision: 5}, false)
 	for range 20 {
 		m.tick(t.Context())
 		time.Sleep(writeSpread / 10)
--- a/internal/gateway/rolloutstatus.go
+++ b/internal/gateway/rolloutstatus.go
@@ -62,7 +62,7 @@
 // isTurn reports whether this host should now write the status that is due, which every host finds
 // due at about the same time. During an outage of the store none should.
 func (m *rollouts) isTurn(a *activeRollout, next RolloutState) bool {
-	if m.statuses.Interrupted() {
+	if m.statuses.Unreachable() {
 		return false
 	}
 	if a.writeAt.IsZero() {
@@ -80,9 +80,9 @@
 	switch {
 	case m.hasFollowers():
 		return rand.N(hubSpread)
-	case m.statuses.Relying() && urgent:
+	case m.statuses.UsesRelay() && urgent:
 		return followerUrgentDelay + rand.N(followerUrgentDelay)
-	case m.statuses.Relying():
+	case m.statuses.UsesRelay():
 		return followerDelay + rand.N(writeSpread)
 	case next == RolloutReverted:
 		return 0 // without a hub the other hosts may not have detected the failure
--- a/internal/gateway/scale_test.go
+++ b/internal/gateway/scale_test.go
@@ -177,17 +177,17 @@
 	is := is.New(t)
 	f := largeFleet(12_000, 5)
 	reads := make(exchange.Reads)
-	key := placement.Key(0)
+	key := placement.PrefixKey(0)
 	for i := range 12_000 {
 		for range 4 {
 			key++
-			name := exchange.NameOf(fmt.Sprintf("i-%05d", i))
+			name := exchange.HashID(fmt.Sprintf("i-%05d", i))
 			reads[name] = append(reads[name], key)
 		}
 	}
 	f.addRemotePrefixes(reads)
 	s := f.shard("svc")
-	is.Equal(s.cachedPrompts.Len(), placement.MaxKept)
+	is.Equal(s.cachedPrompts.Len(), placement.MaxCachedPrefixes)
 	for _, m := range s.members {
 		is.True(m.usage == nil)
 	}
--- a/internal/gateway/sendpolicy.go
+++ b/internal/gateway/sendpolicy.go
@@ -22,14 +22,14 @@
 	// holding are the leases of this host: the parts of upstreams' requests that it may send.
 	holding atomic.Pointer[ratelease.Holding]
 	// hubContact is the state of this host's contact with its hub.
-	hubContact atomic.Pointer[ratelease.Contact]
+	hubContact atomic.Pointer[ratelease.HubContact]
 	// evacuatedZones are the zones whose upstreams get no requests.
 	evacuatedZones atomic.Pointer[map[string]bool]
 }
 
 func newSendPolicy(seed string) *sendPolicy {
 	a := &sendPolicy{singleHost: true, seed: seed, hosts: func() int { return 0 }}
-	c := ratelease.NewContact(boottime.Now())
+	c := ratelease.NewHubContact(boottime.Now())
 	a.hubContact.Store(&c)
 	return a
 }
@@ -37,18 +37,18 @@
 // SetHolding sets the leases of this host and the time at which a root hub last confirmed them. It
 // is called for each answer of a hub.
 func (f *Fleet) SetHolding(h ratelease.Holding, confirmedAt time.Time) {
-	c := f.policy.currentContact().Heard(boottime.Now(), confirmedAt)
+	c := f.policy.currentContact().Answered(boottime.Now(), confirmedAt)
 	f.policy.holding.Store(&h)
 	f.policy.hubContact.Store(&c)
 }
 
-func (a *sendPolicy) currentContact() ratelease.Contact { return *a.hubContact.Load() }
+func (a *sendPolicy) currentContact() ratelease.HubContact { return *a.hubContact.Load() }
 
 // leasedShare returns the share of an upstream's requests that this host may send; ok is false if
 // it holds no lease.
-func (a *sendPolicy) leasedShare(u ratelease.Upstream, now time.Time) (leasedShare ratelease.Share, ok bool) {
+func (a *sendPolicy) leasedShare(u ratelease.UpstreamID, now time.Time) (leasedShare ratelease.Share, ok bool) {
 	if a.singleHost {
-		return ratelease.Whole(1, time.Time{}), true
+		return ratelease.FullShare(1, time.Time{}), true
 	}
 	holding := a.holding.Load()
 	if holding == nil {
@@ -59,8 +59,8 @@
 
 // disconnectedAllowance returns what this host may send to a rate-limited upstream while no root
 // hub grants leases.
-func (a *sendPolicy) disconnectedAllowance(u ratelease.Upstream, now time.Time) ratelease.Allowance {
-	since, disconnected := a.currentContact().Lone(now)
+func (a *sendPolicy) disconnectedAllowance(u ratelease.UpstreamID, now time.Time) ratelease.Allowance {
+	since, disconnected := a.currentContact().Isolated(now)
 	if !disconnected {
 		return ratelease.Allowance{}
 	}
@@ -70,7 +70,7 @@
 		// limit.
 		return ratelease.Allowance{}
 	}
-	return ratelease.Lone(hosts, u.Draw(a.seed), since)
+	return ratelease.IsolatedAllowance(hosts, u.Point(a.seed), since)
 }
 
 // isEvacuated reports whether the zone's upstreams get no requests.
@@ -90,7 +90,7 @@
 // recordSent counts a request to the upstream against its cold bound and its rate limit.
 func (m *member) recordSent(now time.Time) {
 	if m.shard.coldBound.Rate > 0 {
-		m.ensureUsage().sent.Note(now)
+		m.ensureUsage().sent.Record(now)
 	}
 	if m.isLimited(now) {
 		m.limit.bucket.Take()
@@ -118,11 +118,11 @@
 func (m *member) leaseParts(roots int, now time.Time) int {
 	switch cold, limited := m.isCold(now), m.isLimited(now); {
 	case cold && limited:
-		return min(m.shard.coldBound.Parts(roots), m.limit.Split(roots))
+		return min(m.shard.coldBound.Parts(roots), m.limit.PartCount(roots))
 	case cold:
 		return m.shard.coldBound.Parts(roots)
 	case limited:
-		return m.limit.Split(roots)
+		return m.limit.PartCount(roots)
 	}
 	return 0
 }
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -16,10 +16,10 @@
 	// Regions maps availability zones to regions; empty if there is only one region. A zone that
 	// is missing is in a region of its own.
 	Regions map[string]string
-	// Callers, Ready and Metrics are addresses to listen on, IP and port; Metrics may be empty.
-	Callers string
-	Ready   string
-	Metrics string
+	// CallerAddress, ReadyAddress and MetricsAddress are addresses to listen on, IP and port; MetricsAddress may be empty.
+	CallerAddress  string
+	ReadyAddress   string
+	MetricsAddress string
 	// ReadyPath responds with 200 while the host accepts new connections.
 	ReadyPath string
 
@@ -41,24 +41,24 @@
 	StopTimeout time.Duration
 	// DrainTime is how long a leaving upstream still serves.
 	DrainTime time.Duration
-	// HeedTime is the time within which operators' documents have to take effect.
-	HeedTime time.Duration
+	// ApplyTime is the time within which operators' documents have to take effect.
+	ApplyTime time.Duration
 	// RetryRatio bounds a service's retries relative to its requests, in each span of RetryWindow.
 	RetryRatio  float64
 	RetryWindow time.Duration
-	// RetrySpare is the number of additional retries that all hosts together may make in each
+	// RetryHeadroom is the number of additional retries that all hosts together may make in each
 	// window.
-	RetrySpare float64
+	RetryHeadroom float64
 	// CanaryShare bounds a new version's share of a roll-out's requests.
 	CanaryShare float64
-	// ColdOverrun times the rate that a cold upstream tolerates, plus ColdSpare requests, is the
+	// ColdOverrun times the rate that a cold upstream tolerates, plus ColdHeadroom requests, is the
 	// number of requests of all hosts together that may reach it in one second.
-	ColdOverrun float64
-	ColdSpare   float64
+	ColdOverrun  float64
+	ColdHeadroom float64
 
-	// FirstModel is the index of the model at which a request with a choice of models starts, 0
+	// FirstModelIndex is the index of the model at which a request with a choice of models starts, 0
 	// for the cheapest.
-	FirstModel int
+	FirstModelIndex int
 	// AcceptConfidence is the confidence, 0 to 100, from which a cheaper model's answer is passed
 	// on.
 	AcceptConfidence int
@@ -98,7 +98,7 @@
 	s.RetryWindow = cmp.Or(s.RetryWindow, defaultRetryWindow)
 	s.StopTimeout = cmp.Or(s.StopTimeout, defaultStopTimeout)
 	s.DrainTime = cmp.Or(s.DrainTime, defaultDrainTime)
-	s.HeedTime = cmp.Or(s.HeedTime, defaultApplyTime)
+	s.ApplyTime = cmp.Or(s.ApplyTime, defaultApplyTime)
 	s.CanaryShare = cmp.Or(s.CanaryShare, defaultCanaryShare)
 	return s
 }
--- a/internal/gateway/start_memory_test.go
+++ b/internal/gateway/start_memory_test.go
@@ -63,9 +63,9 @@
 	const upstreams, page = 12_000, 400
 	w := newTestGateway(t, testDocument())
 	store := &pagedStore{pages: make(chan []feed.Row)}
-	options := feed.Options{Relays: func() bool { return true }, Gather: time.Millisecond}
+	options := feed.Options{Relays: func() bool { return true }, BatchDelay: time.Millisecond}
 	hub := feed.NewWatcher("upstreams", store, noRows{}, options, zerolog.Nop())
-	host := feed.NewWatcher("upstreams", emptyStore{}, newUpstreamRows(w.gateway), feed.Options{FirstWord: 5 * time.Second}, zerolog.Nop())
+	host := feed.NewWatcher("upstreams", emptyStore{}, newUpstreamRows(w.gateway), feed.Options{FirstUpdateWait: 5 * time.Second}, zerolog.Nop())
 	var running sync.WaitGroup
 	ctx, stop := context.WithCancel(t.Context())
 	running.Go(func() { hub.Run(ctx) })
@@ -79,7 +79,7 @@
 		store.pages <- table[i : i+page]
 		last := table[i+page-1].Revision
 		eventually(t, "the hub has the page", func() bool { return hub.Revision() >= last })
-		news, ok := hub.News(host.Revision(), 1<<20)
+		news, ok := hub.UpdateSince(host.Revision(), 1<<20)
 		is.True(ok && news.Complete)
 		host.Offer(news, time.Now())
 		eventually(t, "the host has the page", func() bool { return host.Revision() >= last })
--- a/internal/gateway/statusrows.go
+++ b/internal/gateway/statusrows.go
@@ -24,14 +24,14 @@
 func (h *statusRows) Replace(rows []feed.Row, revision storage.Revision) {
 	if h.era.observe(revision) {
 		h.gateway.rollouts.resetStored()
-		h.gateway.guard.ForgetRows()
+		h.gateway.guard.MarkRowsUnsaved()
 	}
 	keys := make(map[string]bool, len(rows))
 	for _, row := range rows {
 		keys[row.Key] = true
 		h.Change(row)
 	}
-	h.gateway.guard.KeepRows(keys)
+	h.gateway.guard.LiftMissingRows(keys)
 }
 
 // changeVerdict applies the row of a quarantine verdict. A row that can't be decoded quarantines
@@ -41,7 +41,7 @@
 	if row.Deleted {
 		err = h.gateway.guard.RowRemoved(row.Key)
 	} else {
-		err = h.gateway.guard.TakeRow(row.Key, row.Data, row.Revision)
+		err = h.gateway.guard.ApplyRow(row.Key, row.Data, row.Revision)
 	}
 	if err != nil {
 		h.unreadable.report(row, err)
--- a/internal/gateway/statuswrite_test.go
+++ b/internal/gateway/statuswrite_test.go
@@ -31,7 +31,7 @@
 					m := &rollouts{statuses: feed.NewWatcher("status", newFakeStore(), nil, feed.Options{}, zerolog.Nop())}
 					m.hasFollowers = func() bool { return i < hubs }
 					if i >= hubs {
-						m.statuses.Offer(feed.News{Complete: true}, time.Now())
+						m.statuses.Offer(feed.Update{Complete: true}, time.Now())
 					}
 					delays = append(delays, m.delay(state))
 				}
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -83,19 +83,19 @@
 			var log lockedBuffer
 			g := w.gateway
 			g.log = zerolog.New(&log)
-			g.settings.Callers, g.settings.Ready = freePort(t), freePort(t)
+			g.settings.CallerAddress, g.settings.ReadyAddress = freePort(t), freePort(t)
 			ctx, stop := context.WithCancel(context.Background())
 			ended := make(chan error)
 			go func() { ended <- g.Run(ctx) }()
 			eventually(t, "the gateway listens", func() bool {
-				conn, err := net.Dial("tcp", g.settings.Callers)
+				conn, err := net.Dial("tcp", g.settings.CallerAddress)
 				if err == nil {
 					conn.Close()
 				}
 				return err == nil
 			})
 			req := w.newRequest("POST", "/stream/x", "body", "T-Deadline", "60000")
-			req.URL.Host = g.settings.Callers
+			req.URL.Host = g.settings.CallerAddress
 			answered := make(chan callerAnswer)
 			go func() { answered <- w.do(req) }()
 			time.Sleep(150 * time.Millisecond)
--- a/internal/gateway/suspend_test.go
+++ b/internal/gateway/suspend_test.go
@@ -29,7 +29,7 @@
 		req := w.newRequest("POST", "/many/x", "")
 		req.Body, req.ContentLength = &slowBody{Reader: strings.NewReader("body"), before: func() {
 			time.Sleep(50 * time.Millisecond)
-			undo = boottime.Simulate(d)
+			undo = boottime.SimulateSuspension(d)
 			close(sent)
 		}}, 4
 		req.Header.Set("T-Deadline", "4000")
@@ -73,7 +73,7 @@
 	}
 	time.Sleep(600 * time.Millisecond) // requests count once their part of the window is over
 	is.True(b.tryTake())
-	t.Cleanup(boottime.Simulate(20 * time.Second))
+	t.Cleanup(boottime.SimulateSuspension(20 * time.Second))
 	is.True(!b.tryTake())
 }
 
@@ -83,11 +83,11 @@
 		is := is.New(t)
 		w := newTestGateway(t, testDocument())
 		statuses := w.gateway.rollouts.statuses
-		statuses.Offer(feed.News{Revision: 1, Complete: true, Clock: time.Minute}, boottime.Now())
-		is.True(statuses.Relying())
+		statuses.Offer(feed.Update{Revision: 1, Complete: true, Clock: time.Minute}, boottime.Now())
+		is.True(statuses.UsesRelay())
 		clock := statuses.StoreClock()
-		undo := boottime.Simulate(d + time.Second)
-		is.True(!statuses.Relying())
+		undo := boottime.SimulateSuspension(d + time.Second)
+		is.True(!statuses.UsesRelay())
 		is.True(statuses.StoreClock()-clock >= d) // the store's clock advanced
 		undo()
 	}
--- a/internal/gateway/tables.go
+++ b/internal/gateway/tables.go
@@ -27,7 +27,7 @@
 type Codec struct {
 	Document     func(data []byte) (routing.Document, error)
 	Upstream     func(id string, data []byte) (Upstream, error)
-	Order        func(data []byte, revision storage.Revision) (Order, error)
+	Order        func(data []byte, revision storage.Revision) (RolloutOrder, error)
 	Status       func(data []byte, revision storage.Revision) (RolloutStatus, error)
 	EncodeStatus func(status RolloutStatus) ([]byte, error)
 }
--- a/internal/gateway/work.go
+++ b/internal/gateway/work.go
@@ -39,7 +39,7 @@
 	if c.criteria.prompt == nil {
 		return
 	}
-	c.prefill = &prefill{work: c.placed.Reading, priority: c.criteria.priority, beginsAt: c.chosenAt.Add(c.ahead)}
+	c.prefill = &prefill{work: c.placed.PrefillTime, priority: c.criteria.priority, beginsAt: c.chosenAt.Add(c.ahead)}
 	m.ensureUsage().prefills = append(m.ensureUsage().prefills, c.prefill)
 	m.shard.servesPrompts = true
 	m.shard.observePrefill(c.prefill)
@@ -80,9 +80,9 @@
 		m.ensureUsage().lastPrefillEnd = boottime.Now()
 	}
 	c.prefill = nil
-	s.queueStats.observe(took, c.placed.Alone)
-	if c.ahead < c.placed.Reading/paceSampleDivisor {
-		s.rates.Observe(c.criteria.model, c.placed.Missing, took, boottime.Now())
+	s.queueStats.observe(took, c.placed.ExpectedUnqueued)
+	if c.ahead < c.placed.PrefillTime/paceSampleDivisor {
+		s.rates.Observe(c.criteria.model, c.placed.UncachedTokens, took, boottime.Now())
 	}
 }
 
@@ -200,14 +200,14 @@
 func (m *member) recordCached(c *choice) {
 	w := &c.criteria
 	m.shard.cachedPrompts.Add(m, w.keys...)
-	if shared := w.prompt.Shared; c.cachedParts < shared {
+	if shared := w.prompt.SharedParts; c.cachedParts < shared {
 		m.shard.sentPrefixes[m.name] = append(m.shard.sentPrefixes[m.name], w.keys[shared-1])
 	}
 }
 
 // cachedParts returns the number of a prompt's leading parts that the engine has cached.
-func (m *member) cachedParts(keys []placement.Key) int {
-	return m.shard.cachedPrompts.Count(m, keys)
+func (m *member) cachedParts(keys []placement.PrefixKey) int {
+	return m.shard.cachedPrompts.CachedParts(m, keys)
 }
 
 // takeSentPrefixes returns the shared prefixes that upstreams were sent for the first time since
--- a/internal/gateway/work_test.go
+++ b/internal/gateway/work_test.go
@@ -39,7 +39,7 @@
 	is.True(ok)
 	is.Equal(c.upstream.ID, "b")
 	is.Equal(len(f.work()), 1)
-	is.True(math.Abs(f.work()[exchange.NameOf("b")]-float64(c.placed.Reading.Milliseconds())) < 100) // the prefill has progressed
+	is.True(math.Abs(f.work()[exchange.HashID("b")]-float64(c.placed.PrefillTime.Milliseconds())) < 100) // the prefill has progressed
 	f.headReceived(&c, time.Second)
 	is.Equal(len(f.work()), 0) // the prefill is over
 	f.headReceived(&c, time.Second)
@@ -57,15 +57,15 @@
 	reported, work := 0.0, time.Duration(0)
 	for i := range hosts {
 		f := engineFleet()
-		f.setRemoteWork(exchange.Work{exchange.NameOf("b"): float64(work.Milliseconds())}, now)
+		f.setRemoteWork(exchange.Work{exchange.HashID("b"): float64(work.Milliseconds())}, now)
 		c, ok := f.choose(promptOf(10_000, "a", "c"))
 		is.True(ok)
-		work += c.placed.Reading
+		work += c.placed.PrefillTime
 		m := f.memberOf("svc", "b")
-		later := now.Add(c.placed.Reading) // the first host's prefill is over
+		later := now.Add(c.placed.PrefillTime) // the first host's prefill is over
 		reported += m.work(later)
 		if i == 0 {
-			is.True(m.work(later) >= minRemainingFraction*float64(c.placed.Reading.Milliseconds())-1) // its answer is late
+			is.True(m.work(later) >= minRemainingFraction*float64(c.placed.PrefillTime.Milliseconds())-1) // its answer is late
 		}
 	}
 	is.True(reported >= 0.75*float64(work.Milliseconds()))
@@ -76,8 +76,8 @@
 	is := is.New(t)
 	f := engineFleet()
 	w := promptOf(10_000, "a", "c")
-	w.prompt = &placement.Prompt{Tokens: 10_000, Shared: 1, Parts: []placement.Part{{ID: "p", Tokens: 9_000}, {ID: "q", Tokens: 1_000}}}
-	w.keys = placement.Keys(w.model, w.prompt)
+	w.prompt = &placement.Prompt{Tokens: 10_000, SharedParts: 1, Parts: []placement.Part{{ID: "p", Tokens: 9_000}, {ID: "q", Tokens: 1_000}}}
+	w.keys = placement.PrefixKeys(w.model, w.prompt)
 	c, _ := f.choose(w)
 	is.Equal(f.shard("svc").members["b"].cachedParts(w.keys), 2)
 	f.release(c, attemptResult{outcome: outcomeUnknown})
@@ -89,7 +89,7 @@
 func TestRemoteWorkIsAvoided(t *testing.T) {
 	is := is.New(t)
 	f := engineFleet()
-	f.setRemoteWork(exchange.Work{exchange.NameOf("a"): 3000, exchange.NameOf("c"): 3000}, time.Now())
+	f.setRemoteWork(exchange.Work{exchange.HashID("a"): 3000, exchange.HashID("c"): 3000}, time.Now())
 	for range 4 {
 		c, _ := f.choose(promptOf(1000))
 		is.Equal(c.upstream.ID, "b")
@@ -99,9 +99,9 @@
 // The prefixes that other hosts sent are known to be cached at their engines.
 func TestRemotePrefixesAreKnown(t *testing.T) {
 	is := is.New(t)
-	prompt := &placement.Prompt{Tokens: 10_000, Shared: 1, Parts: []placement.Part{{ID: "p", Tokens: 9_000}, {ID: "q", Tokens: 1_000}}}
+	prompt := &placement.Prompt{Tokens: 10_000, SharedParts: 1, Parts: []placement.Part{{ID: "p", Tokens: 9_000}, {ID: "q", Tokens: 1_000}}}
 	w := promptOf(0)
-	w.prompt, w.keys = prompt, placement.Keys("m", prompt)
+	w.prompt, w.keys = prompt, placement.PrefixKeys("m", prompt)
 	one, other := engineFleet(), engineFleet()
 	c, _ := one.choose(w)
 	other.addRemotePrefixes(one.takeSentPrefixes())
@@ -109,7 +109,7 @@
 	is.Equal(other.shard("svc").members[c.upstream.ID].cachedParts(w.keys), 1)
 	again, _ := other.choose(w)
 	is.Equal(again.upstream.ID, c.upstream.ID)
-	is.Equal(again.placed.Missing, 1_000)
+	is.Equal(again.placed.UncachedTokens, 1_000)
 }
 
 // A prompt waits for those of the same or a higher priority and for the one in progress.
@@ -161,7 +161,7 @@
 // is known once it has received the number of hosts.
 func TestSpareRetries(t *testing.T) {
 	is := is.New(t)
-	g := New(Settings{RetryRatio: 0.5, RetryWindow: 10 * time.Second, RetrySpare: 40}, zerolog.Nop())
+	g := New(Settings{RetryRatio: 0.5, RetryWindow: 10 * time.Second, RetryHeadroom: 40}, zerolog.Nop())
 	is.True(!g.budgets.get("svc").tryTake()) // the number of hosts is unknown
 	g.hostCount.Store(4)
 	for range 5 {
--- a/internal/guard/admit.go
+++ b/internal/guard/admit.go
@@ -29,7 +29,7 @@
 		changed := g.changed
 		g.mu.Unlock()
 		if g.quarantined(d) {
-			g.options.Count(CountRefused, service)
+			g.options.OnEvent(CountRefused, service)
 			return ErrQuarantined
 		}
 		if g.tryStart(d) {
@@ -86,9 +86,9 @@
 	return true
 }
 
-// NearlyJudged reports whether the request has enough events for a verdict, which is then due
+// VerdictDue reports whether the request has enough events for a verdict, which is then due
 // soon: this host doesn't retry it at another upstream.
-func (g *Guard) NearlyJudged(d quarantine.Digest) bool {
+func (g *Guard) VerdictDue(d quarantine.Digest) bool {
 	return quarantine.Suspect{Digest: d, Events: g.events(d, boottime.Elapsed())}.MeetsThreshold()
 }
 
--- a/internal/guard/exposures.go
+++ b/internal/guard/exposures.go
@@ -49,10 +49,10 @@
 	NotRun
 	// Unreachable: nothing listened at the upstream's address.
 	Unreachable
-	// Broken: the request was sent and the connection ended before a complete response.
-	Broken
-	// GivenUp: this host ended the attempt or stopped waiting; the run may go on.
-	GivenUp
+	// Interrupted: the request was sent and the connection ended before a complete response.
+	Interrupted
+	// Abandoned: this host ended the attempt or stopped waiting; the run may go on.
+	Abandoned
 )
 
 // runTracker tracks which requests run at each upstream, and detects terminated upstreams.
@@ -155,10 +155,10 @@
 		x.running[d] = r
 	}
 	switch how {
-	case Broken:
+	case Interrupted:
 		x.addRecent(d, r.startedAt, abandonedRunExposure)
 		e.scheduleCheck(x)
-	case GivenUp:
+	case Abandoned:
 		x.addRecent(d, r.startedAt, abandonedRunExposure)
 	case Unreachable:
 		if x.hasRuns() {
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -33,14 +33,14 @@
 	checkDuration = checkDelay + checkTimeout + 50*time.Millisecond
 )
 
-// Counted is a kind of event that a guard counts.
-type Counted int
+// CountedEvent is a kind of event that a guard counts.
+type CountedEvent int
 
 const (
 	// CountVerdict is a verdict that this host made.
-	CountVerdict Counted = iota
-	// CountEnded is an upstream that terminated with requests of this host.
-	CountEnded
+	CountVerdict CountedEvent = iota
+	// CountTerminated is an upstream that terminated with requests of this host.
+	CountTerminated
 	// CountRefused is a request that was refused because of a verdict.
 	CountRefused
 )
@@ -54,12 +54,12 @@
 	Prefix string
 	// Clock is the clock, shared by all hosts, by which verdicts expire.
 	Clock func() time.Duration
-	// Ended is called once for each upstream that terminated, whichever host observed it. It may
+	// OnTermination is called once for each upstream that terminated, whichever host observed it. It may
 	// be nil.
-	Ended func(quarantine.Incarnation)
-	// Count counts an event at a service; the service is empty for verdicts.
-	Count func(what Counted, service string)
-	Log   zerolog.Logger
+	OnTermination func(quarantine.Incarnation)
+	// OnEvent counts an event at a service; the service is empty for verdicts.
+	OnEvent func(what CountedEvent, service string)
+	Log     zerolog.Logger
 }
 
 // Guard tracks suspects and enforces verdicts on one host. It is safe for concurrent use.
@@ -78,9 +78,9 @@
 	hubSuspects   map[quarantine.Digest]hubSuspect
 	// terminations holds the recent terminations of upstreams.
 	terminations []termination
-	// standing is the standing last sent to followers, built at standingAt.
-	standing   exchange.Standing
-	standingAt time.Duration
+	// status is the status last sent to followers, built at statusAt.
+	status   exchange.QuarantineStatus
+	statusAt time.Duration
 	// running counts the requests of this host at upstreams, by digest.
 	running map[quarantine.Digest]int
 	// changed is closed when waiting requests must check their state again.
@@ -94,11 +94,11 @@
 	firstAt, reportedAt time.Duration
 }
 
-// New returns a guard; Run must be called to run it. Until Judges is called, the host makes
+// New returns a guard; Run must be called to run it. Until SetMakesVerdicts is called, the host makes
 // verdicts itself.
 func New(options Options) *Guard {
-	if options.Ended == nil {
-		options.Ended = func(quarantine.Incarnation) {}
+	if options.OnTermination == nil {
+		options.OnTermination = func(quarantine.Incarnation) {}
 	}
 	register := quarantine.NewRegister()
 	g := &Guard{
@@ -125,9 +125,9 @@
 	loops.Wait()
 }
 
-// Judges sets whether this host makes verdicts from its observations: it does if it receives
+// SetMakesVerdicts sets whether this host makes verdicts from its observations: it does if it receives
 // those of all other hosts, or of none.
-func (g *Guard) Judges(judges bool) {
+func (g *Guard) SetMakesVerdicts(judges bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.makesVerdicts = judges
@@ -145,10 +145,10 @@
 		return
 	}
 	now := boottime.Elapsed()
-	for _, f := range g.tracker.Judge(now) {
+	for _, f := range g.tracker.FindPoisonRequests(now) {
 		v := quarantine.NewVerdict(f, g.options.Host, g.options.Clock())
 		g.register.Add(v, now)
-		g.options.Count(CountVerdict, "")
+		g.options.OnEvent(CountVerdict, "")
 		g.log.Warn().Str("event", "request-judged").Stringer("digest", f.Digest).Int("events", f.Events).
 			Int("upstreams", f.Upstreams).Int("lost", f.Lost).Int64("until_ms", v.Until.Milliseconds()).Msg("")
 		g.notifyWaiting()
@@ -157,7 +157,7 @@
 
 // applyVerdict processes a verdict that came from another host or from the store.
 func (g *Guard) applyVerdict(v quarantine.Verdict, from string) {
-	g.tracker.Blame(v.Digest)
+	g.tracker.SetVerdict(v.Digest)
 	g.log.Warn().Str("event", "request-judged-elsewhere").Stringer("digest", v.Digest).Str("by", v.By).Str("from", from).
 		Int("events", v.Events).Int("upstreams", v.Upstreams).Int64("until_ms", v.Until.Milliseconds()).Msg("")
 	g.notifyWaiting()
@@ -182,11 +182,11 @@
 func (g *Guard) recordTermination(u Upstream, ago time.Duration, runs []exposedRun) {
 	now := boottime.Elapsed()
 	at := now - ago
-	g.options.Count(CountEnded, u.Service)
+	g.options.OnEvent(CountTerminated, u.Service)
 	for _, run := range runs {
 		d := run.digest
 		loss := quarantine.Loss{Digest: d, Incarnation: u.Incarnation, At: at, Ran: run.ran}
-		if !g.tracker.Lose(loss) {
+		if !g.tracker.RecordLoss(loss) {
 			continue
 		}
 		g.addLoss(loss)
@@ -225,17 +225,17 @@
 	return n
 }
 
-// Blame holds the callbacks for an interrupted response.
-type Blame struct {
+// Attribution holds the callbacks for an interrupted response.
+type Attribution struct {
 	// Version is called if only the upstream's version can be the cause, Request if a request
 	// with a verdict terminated the upstream. Request may be nil.
 	Version func()
 	Request func()
 }
 
-// Unexplained finds the cause of a response that an upstream interrupted and calls the callback
+// AttributeInterruption finds the cause of a response that an upstream interrupted and calls the callback
 // for it: soon if the upstream is alive, otherwise once a verdict would have been made.
-func (g *Guard) Unexplained(u Upstream, blame Blame) {
+func (g *Guard) AttributeInterruption(u Upstream, blame Attribution) {
 	time.AfterFunc(checkDuration, func() {
 		if !g.runs.hasTerminated(u) {
 			blame.Version()
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -38,7 +38,7 @@
 func newTestGuard(host string, table storage.Table) *testGuard {
 	b := &testGuard{table: table, now: time.Hour}
 	b.Guard = New(Options{
-		Host: host, Table: table, Prefix: "quarantine/", Log: zerolog.Nop(), Count: func(Counted, string) {},
+		Host: host, Table: table, Prefix: "quarantine/", Log: zerolog.Nop(), OnEvent: func(CountedEvent, string) {},
 		Clock: func() time.Duration {
 			b.mu.Lock()
 			defer b.mu.Unlock()
@@ -55,8 +55,10 @@
 	b.now += d
 }
 
-// currentStanding returns the standing for followers without the cache.
-func (b *testGuard) currentStanding() exchange.Standing { return b.buildStanding(boottime.Elapsed()) }
+// currentStatus returns the status for followers without the cache.
+func (b *testGuard) currentStatus() exchange.QuarantineStatus {
+	return b.buildStatus(boottime.Elapsed())
+}
 
 // syncRows applies the table's rows as a watcher would.
 func (b *testGuard) syncRows(t *testing.T) {
@@ -68,17 +70,17 @@
 	keys := make(map[string]bool)
 	for _, row := range rows {
 		keys[row.Key] = true
-		if err := b.TakeRow(row.Key, row.Value, storage.Revision(row.Version)); err != nil {
+		if err := b.ApplyRow(row.Key, row.Value, storage.Revision(row.Version)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	b.KeepRows(keys)
+	b.LiftMissingRows(keys)
 }
 
 // terminateWith has upstreams terminate with the request, some time apart.
 func (b *testGuard) terminateWith(d quarantine.Digest, from, ends int) {
 	for i := range ends {
-		b.recordTermination(Upstream{ID: "u", Service: "svc", Incarnation: quarantine.Incarnation(from + i)}, time.Duration(ends-i)*200*time.Millisecond+quarantine.Settle, []exposedRun{{digest: d, ran: 40 * time.Millisecond}})
+		b.recordTermination(Upstream{ID: "u", Service: "svc", Incarnation: quarantine.Incarnation(from + i)}, time.Duration(ends-i)*200*time.Millisecond+quarantine.SettleDelay, []exposedRun{{digest: d, ran: 40 * time.Millisecond}})
 	}
 }
 
@@ -147,20 +149,20 @@
 		e.begin(u, digest(n))
 	}
 	e.end(u, digest(0), Answered)
-	undo := boottime.Simulate(answeredRunExposure + time.Millisecond)
+	undo := boottime.SimulateSuspension(answeredRunExposure + time.Millisecond)
 	t.Cleanup(undo)
 	e.end(u, digest(1), NotRun)
-	e.end(u, digest(2), GivenUp)
+	e.end(u, digest(2), Abandoned)
 	l.Close()
-	e.end(u, digest(3), Broken)
-	e.end(u, digest(4), Broken)
+	e.end(u, digest(3), Interrupted)
+	e.end(u, digest(4), Interrupted)
 	is.Equal(e.next(t), []quarantine.Digest{digest(2), digest(3), digest(4)})
 	is.True(e.hasTerminated(u))
 	e.reportSurvivals()
 	is.Equal(len(e.survivals), 0) // no request counts as survived by a terminated upstream
 	// Interruptions that are detected later are reported, too.
 	e.begin(u, digest(5))
-	e.end(u, digest(5), Broken)
+	e.end(u, digest(5), Interrupted)
 	is.Equal(e.next(t), []quarantine.Digest{digest(5)})
 }
 
@@ -174,7 +176,7 @@
 	e.end(u, digest(1), Answered)
 	e.reportSurvivals()
 	is.Equal(len(e.survivals), 0)
-	undo := boottime.Simulate(survivalDelay)
+	undo := boottime.SimulateSuspension(survivalDelay)
 	e.reportSurvivals()
 	is.Equal(e.survivals, []quarantine.Digest{digest(1)})
 	e.reportSurvivals()
@@ -187,7 +189,7 @@
 	e.begin(u, digest(2))
 	e.end(u, digest(2), Answered)
 	l.Close()
-	t.Cleanup(boottime.Simulate(survivalDelay))
+	t.Cleanup(boottime.SimulateSuspension(survivalDelay))
 	e.reportSurvivals()
 	is.Equal(e.next(t), []quarantine.Digest{digest(2)})
 	is.Equal(len(e.survivals), 1)
@@ -199,7 +201,7 @@
 	e.begin(v, digest(5))
 	e.end(v, digest(4), Answered)
 	m.Close()
-	e.end(v, digest(5), Broken)
+	e.end(v, digest(5), Interrupted)
 	is.Equal(e.next(t), []quarantine.Digest{digest(4), digest(5)})
 }
 
@@ -210,17 +212,17 @@
 	e := newRecordedRuns()
 	u, l := listener(t)
 	e.begin(u, digest(1))
-	e.end(u, digest(1), Broken)
+	e.end(u, digest(1), Interrupted)
 	time.Sleep(20 * checkDelay)
 	l.Close()
 	other := Upstream{ID: "o", Service: "svc", Address: u.Address, Incarnation: 2}
 	e.begin(other, digest(2))
 	e.begin(other, digest(3))
-	e.end(other, digest(2), Broken)
+	e.end(other, digest(2), Interrupted)
 	time.Sleep(20 * checkDelay)
 	is.Equal(len(e.terminations), 0)
 	// A refused connection shows the termination in the end.
-	e.end(other, digest(3), GivenUp)
+	e.end(other, digest(3), Abandoned)
 	e.begin(other, digest(4))
 	e.end(other, digest(4), Unreachable)
 	is.Equal(e.next(t), []quarantine.Digest{digest(2), digest(3)})
@@ -233,10 +235,10 @@
 	e := newRecordedRuns()
 	u, _ := listener(t)
 	e.begin(u, digest(1))
-	e.end(u, digest(1), GivenUp)
-	t.Cleanup(boottime.Simulate(abandonedRunExposure + 200*time.Millisecond))
+	e.end(u, digest(1), Abandoned)
+	t.Cleanup(boottime.SimulateSuspension(abandonedRunExposure + 200*time.Millisecond))
 	e.begin(u, digest(2))
-	e.end(u, digest(2), GivenUp)
+	e.end(u, digest(2), Abandoned)
 	e.terminatedElsewhere(u.Incarnation, 100*time.Millisecond)
 	is.Equal(e.next(t), []quarantine.Digest{digest(2)})
 	e.terminatedElsewhere(99, 0) // this host had no runs there
@@ -249,10 +251,10 @@
 	e := newRecordedRuns()
 	u, _ := listener(t)
 	e.begin(u, digest(1))
-	e.end(u, digest(1), GivenUp)
+	e.end(u, digest(1), Abandoned)
 	e.sweep()
 	is.Equal(len(e.upstreams), 1)
-	t.Cleanup(boottime.Simulate(recentRunRetention + time.Second))
+	t.Cleanup(boottime.SimulateSuspension(recentRunRetention + time.Second))
 	e.sweep()
 	is.Equal(len(e.upstreams), 0)
 }
@@ -306,7 +308,7 @@
 		// If no verdict is made, the request is sent after the maximum wait.
 		d = digest(3)
 		b.terminateWith(d, 10, 3)
-		is.True(b.NearlyJudged(d))
+		is.True(b.VerdictDue(d))
 		before := time.Now()
 		is.NoErr(b.Admit(ctx, d, "svc"))
 		is.Equal(time.Since(before), maxSuspectWait)
@@ -351,7 +353,7 @@
 	later.syncRows(t)
 	is.NoErr(later.Admit(t.Context(), d, "svc"))
 	// A host that hasn't received the removal yet doesn't restore the verdict.
-	later.TakeStanding(b.currentStanding())
+	later.ApplyStatus(b.currentStatus())
 	is.NoErr(later.Admit(t.Context(), d, "svc"))
 }
 
@@ -361,23 +363,23 @@
 	is := is.New(t)
 	table, d := memory.New(), digest(1)
 	b := guardWithVerdict(t, "h1", table, d)
-	undo := boottime.Simulate(time.Minute)
+	undo := boottime.SimulateSuspension(time.Minute)
 	t.Cleanup(undo)
-	standing := b.currentStanding()
+	standing := b.currentStatus()
 	is.Equal(len(standing.Verdicts), 1) // not stored, so still sent
 	other := newTestGuard("h2", table)
-	other.TakeStanding(standing)
+	other.ApplyStatus(standing)
 	is.True(errors.Is(other.Admit(t.Context(), d, "svc"), ErrQuarantined))
 	other.verdictRows.writeMissing(t.Context(), true)
 	_, err := table.Get(t.Context(), "quarantine/"+d.String())
 	is.True(errors.Is(err, storage.ErrNotFound)) // the first host may still write it
-	t.Cleanup(boottime.Simulate(takeoverAge + time.Second))
+	t.Cleanup(boottime.SimulateSuspension(takeoverAge + time.Second))
 	other.verdictRows.writeMissing(t.Context(), false) // it doesn't make verdicts
 	other.verdictRows.writeMissing(t.Context(), true)
 	_, err = table.Get(t.Context(), "quarantine/"+d.String())
 	is.NoErr(err)
-	t.Cleanup(boottime.Simulate(storedVerdictTTL + time.Second))
-	is.Equal(len(other.currentStanding().Verdicts), 0) // now followers receive it from the store
+	t.Cleanup(boottime.SimulateSuspension(storedVerdictTTL + time.Second))
+	is.Equal(len(other.currentStatus().Verdicts), 0) // now followers receive it from the store
 }
 
 // After a verdict's expiry, one host tries the request once. If an upstream terminates with it,
@@ -442,7 +444,7 @@
 	b := guardWithVerdict(t, "h1", table, digest(1))
 	b.verdictRows.writeMissing(t.Context(), true)
 	b.advance(8 * 24 * time.Hour)
-	t.Cleanup(boottime.Simulate(2 * cleanupInterval))
+	t.Cleanup(boottime.SimulateSuspension(2 * cleanupInterval))
 	b.verdictRows.writeMissing(t.Context(), true)
 	is.Equal(b.Len(), 0)
 	_, err := table.Get(t.Context(), "quarantine/"+digest(1).String())
@@ -453,9 +455,9 @@
 func TestUnreadableRows(t *testing.T) {
 	is := is.New(t)
 	b := newTestGuard("h", memory.New())
-	is.True(b.TakeRow("quarantine/zz", []byte("{}"), 1) != nil)
-	is.True(b.TakeRow("quarantine/"+digest(1).String(), []byte("["), 1) != nil)
-	is.True(b.TakeRow("quarantine/"+digest(1).String(), []byte(`{"digest":"`+digest(2).String()+`","until_ms":1}`), 1) != nil)
+	is.True(b.ApplyRow("quarantine/zz", []byte("{}"), 1) != nil)
+	is.True(b.ApplyRow("quarantine/"+digest(1).String(), []byte("["), 1) != nil)
+	is.True(b.ApplyRow("quarantine/"+digest(1).String(), []byte(`{"digest":"`+digest(2).String()+`","until_ms":1}`), 1) != nil)
 	is.True(b.RowRemoved("quarantine/zz") != nil)
 	is.Equal(b.Len(), 0)
 }
@@ -468,20 +470,20 @@
 	d := digest(1)
 	hub.terminateWith(d, 1, 2)
 	host.recordSurvival(d)
-	host.TakeStanding(hub.currentStanding())
+	host.ApplyStatus(hub.currentStatus())
 	is.Equal(host.events(d, boottime.Elapsed()), 0)
-	hub.Take(host.Sightings())
+	hub.AddSightings(host.Sightings())
 	is.Equal(hub.events(d, boottime.Elapsed()), 0)
-	is.Equal(len(hub.currentStanding().Suspects), 0)
+	is.Equal(len(hub.currentStatus().Suspects), 0)
 
 	// A suspect that it didn't see answered since counts for as long as the hub sends it.
 	d = digest(2)
 	host.recordSurvival(d)
-	t.Cleanup(boottime.Simulate(10 * time.Second))
+	t.Cleanup(boottime.SimulateSuspension(10 * time.Second))
 	hub.terminateWith(d, 10, 2)
-	host.TakeStanding(hub.currentStanding())
+	host.ApplyStatus(hub.currentStatus())
 	is.Equal(host.events(d, boottime.Elapsed()), 2)
-	t.Cleanup(boottime.Simulate(hubSuspectTTL + time.Second))
+	t.Cleanup(boottime.SimulateSuspension(hubSuspectTTL + time.Second))
 	is.Equal(host.events(d, boottime.Elapsed()), 0)
 }
 
@@ -492,26 +494,26 @@
 	d := digest(1)
 	a.terminateWith(d, 1, 2)
 	for range 10 {
-		b.TakeStanding(a.currentStanding())
-		a.TakeStanding(b.currentStanding())
+		b.ApplyStatus(a.currentStatus())
+		a.ApplyStatus(b.currentStatus())
 	}
 	for range 2 + (suspectTTL+2*hubSuspectTTL)/(hubSuspectTTL/5) {
-		t.Cleanup(boottime.Simulate(hubSuspectTTL / 5))
-		b.TakeStanding(a.currentStanding())
-		a.TakeStanding(b.currentStanding())
+		t.Cleanup(boottime.SimulateSuspension(hubSuspectTTL / 5))
+		b.ApplyStatus(a.currentStatus())
+		a.ApplyStatus(b.currentStatus())
 	}
-	is.Equal(len(a.currentStanding().Suspects)+len(b.currentStanding().Suspects), 0)
+	is.Equal(len(a.currentStatus().Suspects)+len(b.currentStatus().Suspects), 0)
 }
 
-// The standing is built once for all followers, and is recent.
-func TestStandingIsShared(t *testing.T) {
+// The status is built once for all followers, and is recent.
+func TestStatusIsShared(t *testing.T) {
 	is := is.New(t)
 	b := newTestGuard("h", memory.New())
-	is.True(b.Standing().IsZero())
+	is.True(b.Status().IsZero())
 	b.terminateWith(digest(1), 1, 2)
-	is.True(b.Standing().IsZero())
-	t.Cleanup(boottime.Simulate(standingCacheTime))
-	is.Equal(len(b.Standing().Suspects), 1)
+	is.True(b.Status().IsZero())
+	t.Cleanup(boottime.SimulateSuspension(statusCacheTime))
+	is.Equal(len(b.Status().Suspects), 1)
 }
 
 // A request in transit to an upstream that terminated isn't counted as lost with it: it never
@@ -522,16 +524,16 @@
 	u, l := listener(t)
 	e.begin(u, digest(1))
 	l.Close()
-	e.end(u, digest(1), Broken)
+	e.end(u, digest(1), Interrupted)
 	is.Equal(e.next(t), []quarantine.Digest{digest(1)})
 	e.begin(u, digest(2)) // its connection will be refused
 	e.begin(u, digest(3))
-	e.end(u, digest(3), Broken) // its interruption was detected late
+	e.end(u, digest(3), Interrupted) // its interruption was detected late
 	is.Equal(e.next(t), []quarantine.Digest{digest(3)})
 	e.end(u, digest(2), Unreachable)
 	is.Equal(len(e.terminations), 0)
 	// After a restart under the same name, the record starts anew.
-	t.Cleanup(boottime.Simulate(lateResponseWindow + time.Millisecond))
+	t.Cleanup(boottime.SimulateSuspension(lateResponseWindow + time.Millisecond))
 	e.begin(u, digest(4))
 	is.True(!e.hasTerminated(u))
 }
@@ -543,11 +545,11 @@
 	b.terminateWith(digest(1), 1, 2)
 	is.Equal(len(b.Sightings().Losses), 2)
 	is.Equal(len(b.Sightings().Losses), 0)
-	is.Equal(len(b.Recent().Losses), 2)
-	fresh := b.Take(exchange.Sightings{Losses: exchange.Losses{{Digest: digest(1), Incarnation: 1, Age: 2*200*time.Millisecond + quarantine.Settle}, {Digest: digest(1), Incarnation: 50}}})
+	is.Equal(len(b.RecentSightings().Losses), 2)
+	fresh := b.AddSightings(exchange.Sightings{Losses: exchange.Losses{{Digest: digest(1), Incarnation: 1, Age: 2*200*time.Millisecond + quarantine.SettleDelay}, {Digest: digest(1), Incarnation: 50}}})
 	is.Equal(len(fresh.Losses), 1)
-	t.Cleanup(boottime.Simulate(recentRetention + time.Second))
-	is.Equal(len(b.Recent().Losses), 0)
+	t.Cleanup(boottime.SimulateSuspension(recentRetention + time.Second))
+	is.Equal(len(b.RecentSightings().Losses), 0)
 }
 
 // The termination of an upstream is attributed to its version, unless a poison request is the
@@ -558,7 +560,7 @@
 		b := newTestGuard("h", memory.New())
 		attributed := make(chan string, 10)
 		lives := Upstream{ID: "lives", Incarnation: 100}
-		b.Unexplained(lives, Blame{Version: func() { attributed <- "lives" }})
+		b.AttributeInterruption(lives, Attribution{Version: func() { attributed <- "lives" }})
 		time.Sleep(checkDelay + checkTimeout + time.Millisecond)
 		is.Equal(<-attributed, "lives") // the response was interrupted, but the upstream is alive
 
@@ -568,15 +570,15 @@
 			b.Begin(u, d)
 			b.runs.upstreams[incarnation].terminatedAt = boottime.Now()
 			b.recordTermination(u, 0, []exposedRun{{digest: d, ran: time.Second}})
-			b.Unexplained(u, Blame{Version: func() { attributed <- "ended" }})
+			b.AttributeInterruption(u, Attribution{Version: func() { attributed <- "ended" }})
 			time.Sleep(100 * time.Millisecond)
 		}
 		other := Upstream{ID: "other", Service: "svc", Incarnation: 200}
 		b.Begin(other, digest(2))
 		b.runs.upstreams[200].terminatedAt = boottime.Now()
 		b.recordTermination(other, 0, []exposedRun{{digest: digest(2), ran: time.Second}})
-		b.Unexplained(other, Blame{Version: func() { attributed <- "other" }})
-		time.Sleep(quarantine.Settle + time.Millisecond)
+		b.AttributeInterruption(other, Attribution{Version: func() { attributed <- "other" }})
+		time.Sleep(quarantine.SettleDelay + time.Millisecond)
 		b.makeVerdicts()
 		time.Sleep(2 * verdictWait)
 		is.Equal(b.Len(), 1)
--- a/internal/guard/rows.go
+++ b/internal/guard/rows.go
@@ -70,8 +70,8 @@
 // errVerdictKey means that a verdict's row has the key of another request.
 var errVerdictKey = errors.New("guard: the verdict is on another request than the key of its row")
 
-// TakeRow applies a verdict's row from the store.
-func (g *Guard) TakeRow(key string, data []byte, revision storage.Revision) error {
+// ApplyRow applies a verdict's row from the store.
+func (g *Guard) ApplyRow(key string, data []byte, revision storage.Revision) error {
 	v := g.verdictRows
 	d, err := v.digest(key)
 	if err != nil {
@@ -100,13 +100,13 @@
 	return nil
 }
 
-// ForgetRows marks the verdicts as unsaved, after the store was restored from a backup, which
+// MarkRowsUnsaved marks the verdicts as unsaved, after the store was restored from a backup, which
 // may lack rows of verdicts: those that aren't received again are written again.
-func (g *Guard) ForgetRows() { g.verdictRows.register.MarkUnsaved() }
+func (g *Guard) MarkRowsUnsaved() { g.verdictRows.register.MarkUnsaved() }
 
-// KeepRows lifts the stored verdicts that aren't among the keys, which are those of all rows in
+// LiftMissingRows lifts the stored verdicts that aren't among the keys, which are those of all rows in
 // the store.
-func (g *Guard) KeepRows(keys map[string]bool) { g.verdictRows.liftMissing(keys) }
+func (g *Guard) LiftMissingRows(keys map[string]bool) { g.verdictRows.liftMissing(keys) }
 
 // digest returns the digest in a row's key.
 func (v *verdictRows) digest(key string) (quarantine.Digest, error) {
--- a/internal/guard/sightings.go
+++ b/internal/guard/sightings.go
@@ -84,8 +84,8 @@
 	return agedSightings(unsent, recentRetention)
 }
 
-// Recent implements exchange.Quarantine.
-func (g *Guard) Recent() exchange.Sightings {
+// RecentSightings implements exchange.Quarantine.
+func (g *Guard) RecentSightings() exchange.Sightings {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.sightings.unsent = nil
@@ -107,12 +107,12 @@
 	return s
 }
 
-// Take implements exchange.Quarantine.
-func (g *Guard) Take(s exchange.Sightings) exchange.Sightings {
+// AddSightings implements exchange.Quarantine.
+func (g *Guard) AddSightings(s exchange.Sightings) exchange.Sightings {
 	now := boottime.Elapsed()
 	var fresh exchange.Sightings
 	for _, l := range s.Losses {
-		if g.tracker.Lose(quarantine.Loss{Digest: l.Digest, Incarnation: l.Incarnation, At: now - l.Age, Ran: l.Ran}) {
+		if g.tracker.RecordLoss(quarantine.Loss{Digest: l.Digest, Incarnation: l.Incarnation, At: now - l.Age, Ran: l.Ran}) {
 			fresh.Losses = append(fresh.Losses, l)
 			g.addTermination(l.Incarnation, now-l.Age)
 		}
@@ -143,35 +143,35 @@
 	}
 	g.terminations = keepLast(append(g.terminations, termination{incarnation: i, terminatedAt: at, reportedAt: boottime.Elapsed()}), maxTerminations)
 	g.mu.Unlock()
-	g.options.Ended(i)
+	g.options.OnTermination(i)
 	g.runs.terminatedElsewhere(i, boottime.Elapsed()-at)
 }
 
-// standingCacheTime is how long the standing for followers is cached: a hub has up to 64
+// statusCacheTime is how long the status for followers is cached: a hub has up to 64
 // followers, each of which requests it seven times a second.
-const standingCacheTime = 50 * time.Millisecond
+const statusCacheTime = 50 * time.Millisecond
 
-// Standing implements exchange.Quarantine.
-func (g *Guard) Standing() exchange.Standing {
+// Status implements exchange.Quarantine.
+func (g *Guard) Status() exchange.QuarantineStatus {
 	now := boottime.Elapsed()
 	g.mu.Lock()
-	standing, fresh := g.standing, now-g.standingAt < standingCacheTime && g.standingAt != 0
+	standing, fresh := g.status, now-g.statusAt < statusCacheTime && g.statusAt != 0
 	g.mu.Unlock()
 	if fresh {
 		return standing
 	}
-	standing = g.buildStanding(now)
+	standing = g.buildStatus(now)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.standing, g.standingAt = standing, now
+	g.status, g.statusAt = standing, now
 	return standing
 }
 
-// buildStanding returns the current standing for followers.
-func (g *Guard) buildStanding(now time.Duration) exchange.Standing {
-	var s exchange.Standing
+// buildStatus returns the current status for followers.
+func (g *Guard) buildStatus(now time.Duration) exchange.QuarantineStatus {
+	var s exchange.QuarantineStatus
 	for _, suspect := range g.tracker.Suspects(now, suspectTTL, maxSentSuspects) {
-		s.Suspects = append(s.Suspects, exchange.AgedSuspicion{Digest: suspect.Digest, Events: suspect.Events, FirstAge: now - suspect.First})
+		s.Suspects = append(s.Suspects, exchange.AgedSuspect{Digest: suspect.Digest, Events: suspect.Events, FirstAge: now - suspect.First})
 	}
 	for _, e := range g.register.All() {
 		if e.Revision == 0 || now-e.Heard < storedVerdictTTL {
@@ -185,7 +185,7 @@
 			delete(g.hubSuspects, d)
 			continue
 		}
-		s.Suspects = append(s.Suspects, exchange.AgedSuspicion{
+		s.Suspects = append(s.Suspects, exchange.AgedSuspect{
 			Digest: d, Events: suspect.events, Age: now - suspect.reportedAt, FirstAge: now - suspect.firstAt,
 		})
 	}
@@ -203,8 +203,8 @@
 	return s
 }
 
-// TakeStanding implements exchange.Quarantine.
-func (g *Guard) TakeStanding(s exchange.Standing) {
+// ApplyStatus implements exchange.Quarantine.
+func (g *Guard) ApplyStatus(s exchange.QuarantineStatus) {
 	now := boottime.Elapsed()
 	for _, e := range s.Ended {
 		if e.Explained {
@@ -224,7 +224,7 @@
 
 // addHubSuspect adds a suspect that the hub sent. If it was answered here, it isn't a suspect,
 // and this is reported to the hub.
-func (g *Guard) addHubSuspect(s exchange.AgedSuspicion, now time.Duration) {
+func (g *Guard) addHubSuspect(s exchange.AgedSuspect, now time.Duration) {
 	if g.tracker.SurvivedSince(s.Digest, now-s.FirstAge) {
 		g.addAnswered(s.Digest)
 		return
--- a/internal/logline/bounded.go
+++ b/internal/logline/bounded.go
@@ -38,8 +38,8 @@
 	return len(line), nil
 }
 
-// LeftOut returns the number of dropped lines.
-func (b *Bounded) LeftOut() uint64 { return b.dropped.Load() }
+// Dropped returns the number of dropped lines.
+func (b *Bounded) Dropped() uint64 { return b.dropped.Load() }
 
 // Close writes the queued lines. Write must not be called after it.
 func (b *Bounded) Close() {
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -201,7 +201,7 @@
 	for _, d := range []time.Duration{time.Second, 5 * time.Second, 20 * time.Second} {
 		l, err := lease.New(lease.Options{Table: memory.New()}).Acquire(t.Context(), name, "host-a", 4*time.Second)
 		is.NoErr(err)
-		undo := boottime.Simulate(d)
+		undo := boottime.SimulateSuspension(d)
 		is.Equal(l.Valid(), d < 4*time.Second*9/10)
 		undo()
 	}
--- a/placement/doc.go
+++ b/placement/doc.go
@@ -5,7 +5,7 @@
 // it has memory. The time to the first event is therefore the sum of the queued work, the
 // prefill of the parts that aren't cached, and the network latency, which makes load, cache
 // affinity and availability zones comparable. Engines report neither their prefill speed nor
-// the contents of their caches: Rates estimates the speed from answers, and Kept tracks the
+// the contents of their caches: PrefillEstimator estimates the speed from answers, and CacheTracker tracks the
 // prompts that were sent to each engine.
 //
 // The selection handles these load patterns:
@@ -18,6 +18,6 @@
 //   - Several hosts choose at the same moment: they rank the engines for a part by the same
 //     hash and agree without communication.
 //
-// The package doesn't read clocks, settings or connections. Rates is safe for concurrent use;
+// The package doesn't read clocks, settings or connections. PrefillEstimator is safe for concurrent use;
 // all other types are not.
 package placement
--- a/placement/kept.go
+++ b/placement/kept.go
@@ -7,30 +7,30 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// MaxKept is the maximum number of cached prefixes tracked for all engines of a service
+// MaxCachedPrefixes is the maximum number of cached prefixes tracked for all engines of a service
 // together. It bounds the memory of a host independently of the number of engines: an entry
 // takes about 170 bytes.
-const MaxKept = 1 << 15
+const MaxCachedPrefixes = 1 << 15
 
-// Kept tracks which prompt prefixes each engine probably has in its cache: the prefixes most
+// CacheTracker tracks which prompt prefixes each engine probably has in its cache: the prefixes most
 // recently sent to it. E identifies an engine.
-type Kept[E comparable] struct {
+type CacheTracker[E comparable] struct {
 	lru *simplelru.LRU[cachedPrefix[E], struct{}]
 	// enginesByKey lists the engines that cache a prefix, keysByEngine the prefixes that an
 	// engine caches.
-	enginesByKey map[Key][]E
-	keysByEngine map[E][]Key
+	enginesByKey map[PrefixKey][]E
+	keysByEngine map[E][]PrefixKey
 }
 
 // cachedPrefix is a prompt prefix in the cache of an engine.
 type cachedPrefix[E comparable] struct {
 	engine E
-	key    Key
+	key    PrefixKey
 }
 
-// NewKept returns a tracker of at most capacity prefixes. The capacity must be positive.
-func NewKept[E comparable](capacity int) *Kept[E] {
-	k := &Kept[E]{enginesByKey: make(map[Key][]E), keysByEngine: make(map[E][]Key)}
+// NewCacheTracker returns a tracker of at most capacity prefixes. The capacity must be positive.
+func NewCacheTracker[E comparable](capacity int) *CacheTracker[E] {
+	k := &CacheTracker[E]{enginesByKey: make(map[PrefixKey][]E), keysByEngine: make(map[E][]PrefixKey)}
 	lru, err := simplelru.NewLRU(capacity, func(p cachedPrefix[E], _ struct{}) { k.removeFromIndexes(p) })
 	if err != nil {
 		panic(err) // the size is positive
@@ -40,7 +40,7 @@
 }
 
 // removeFromIndexes removes an evicted prefix from both indexes.
-func (k *Kept[E]) removeFromIndexes(p cachedPrefix[E]) {
+func (k *CacheTracker[E]) removeFromIndexes(p cachedPrefix[E]) {
 	if k.enginesByKey[p.key] = removeElement(k.enginesByKey[p.key], p.engine); len(k.enginesByKey[p.key]) == 0 {
 		delete(k.enginesByKey, p.key)
 	}
@@ -59,7 +59,7 @@
 }
 
 // Add records that the engine prefills the prefixes.
-func (k *Kept[E]) Add(engine E, keys ...Key) {
+func (k *CacheTracker[E]) Add(engine E, keys ...PrefixKey) {
 	for _, key := range keys {
 		p := cachedPrefix[E]{engine, key}
 		if !k.lru.Contains(p) {
@@ -71,24 +71,26 @@
 }
 
 // Remove records that the engine didn't prefill the prefixes.
-func (k *Kept[E]) Remove(engine E, keys ...Key) {
+func (k *CacheTracker[E]) Remove(engine E, keys ...PrefixKey) {
 	for _, key := range keys {
 		k.lru.Remove(cachedPrefix[E]{engine, key})
 	}
 }
 
-// Drop removes all prefixes of an engine.
-func (k *Kept[E]) Drop(engine E) { k.Remove(engine, slices.Clone(k.keysByEngine[engine])...) }
+// RemoveEngine removes all prefixes of an engine.
+func (k *CacheTracker[E]) RemoveEngine(engine E) {
+	k.Remove(engine, slices.Clone(k.keysByEngine[engine])...)
+}
 
-// Holders returns the engines that cache the prefix. The list is valid until the next change.
-func (k *Kept[E]) Holders(key Key) []E { return k.enginesByKey[key] }
+// Engines returns the engines that cache the prefix. The list is valid until the next change.
+func (k *CacheTracker[E]) Engines(key PrefixKey) []E { return k.enginesByKey[key] }
 
 // Len returns the number of tracked prefixes.
-func (k *Kept[E]) Len() int { return k.lru.Len() }
+func (k *CacheTracker[E]) Len() int { return k.lru.Len() }
 
-// Count returns the number of leading parts that the engine caches: the parts of the longest
+// CachedParts returns the number of leading parts that the engine caches: the parts of the longest
 // tracked prefix among keys.
-func (k *Kept[E]) Count(engine E, keys []Key) int {
+func (k *CacheTracker[E]) CachedParts(engine E, keys []PrefixKey) int {
 	for n := len(keys); n > 0; n-- {
 		if k.lru.Contains(cachedPrefix[E]{engine, keys[n-1]}) {
 			return n
@@ -97,22 +99,22 @@
 	return 0
 }
 
-// Key identifies a prompt prefix, a sequence of leading parts, for one model. It is short
+// PrefixKey identifies a prompt prefix, a sequence of leading parts, for one model. It is short
 // because hosts send keys to each other. Among some thousand prefixes, two collide with a
 // probability of about one in a thousand; an engine then counts as caching a prefix that it
 // doesn't cache.
-type Key uint32
+type PrefixKey uint32
 
-// Keys returns the keys of all prefixes of the prompt, the shortest first.
-func Keys(model string, p *Prompt) []Key {
+// PrefixKeys returns the keys of all prefixes of the prompt, the shortest first.
+func PrefixKeys(model string, p *Prompt) []PrefixKey {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(model)
-	list := make([]Key, len(p.Parts))
+	list := make([]PrefixKey, len(p.Parts))
 	for i, part := range p.Parts {
 		_, _ = d.Write([]byte{0})
 		_, _ = d.WriteString(part.ID)
-		list[i] = Key(d.Sum64())
+		list[i] = PrefixKey(d.Sum64())
 	}
 	return list
 }
