--- a/placement/place.go
+++ b/placement/place.go
@@ -8,27 +8,27 @@
 	Prompt *Prompt
 	// Target is the target for the time to the first event; 0 means none.
 	Target time.Duration
-	// Way is the cost of sending the request to another availability zone; RegionWay is added
+	// ZoneCost is the cost of sending the request to another availability zone; RegionCost is added
 	// for another region.
-	Way       time.Duration
-	RegionWay time.Duration
-	// Draw is a random number in [0, 1).
-	Draw float64
+	ZoneCost   time.Duration
+	RegionCost time.Duration
+	// Random is a random number in [0, 1).
+	Random float64
 }
 
 // Candidate is an engine that can serve the request.
 type Candidate struct {
-	// Ahead is the queued work that the engine finishes before it prefills this prompt.
-	Ahead time.Duration
-	// Far reports whether the engine is in another availability zone.
-	Far bool
-	// Abroad reports whether the engine is in another region.
-	Abroad bool
-	// Kept is the number of leading parts of the prompt that the engine caches.
-	Kept int
-	// Order ranks the engine for the prompt's shared parts, identically on all hosts; the
+	// QueuedWork is the queued work that the engine finishes before it prefills this prompt.
+	QueuedWork time.Duration
+	// OtherZone reports whether the engine is in another availability zone.
+	OtherZone bool
+	// OtherRegion reports whether the engine is in another region.
+	OtherRegion bool
+	// CachedParts is the number of leading parts of the prompt that the engine caches.
+	CachedParts int
+	// OwnerRank ranks the engine for the prompt's shared parts, identically on all hosts; the
 	// highest rank is the owner.
-	Order uint64
+	OwnerRank uint64
 }
 
 // Choice is the selected engine and the expected times of the request.
@@ -37,13 +37,13 @@
 	Index int
 	// Expected is the expected time to the first event.
 	Expected time.Duration
-	// Alone is the expected time to the first event without queued work. Reading is the
+	// ExpectedUnqueued is the expected time to the first event without queued work. PrefillTime is the
 	// portion of it during which the engine works on this prompt alone and other prompts
 	// wait: the prefill and the least overhead.
-	Alone   time.Duration
-	Reading time.Duration
-	// Missing is the number of tokens to prefill.
-	Missing int
+	ExpectedUnqueued time.Duration
+	PrefillTime      time.Duration
+	// UncachedTokens is the number of tokens to prefill.
+	UncachedTokens int
 	// Owner reports whether the engine is the owner of the prompt's shared parts.
 	Owner bool
 }
@@ -57,7 +57,7 @@
 // which is small far below the target and counts in full at the target, and the cost of
 // another zone or region. At equal costs the engine with the higher rank is selected, so that
 // all hosts select the same engine without communication.
-func Place(rates *Rates, r *Request, list []Candidate) Choice {
+func Place(rates *PrefillEstimator, r *Request, list []Candidate) Choice {
 	local := r.prefersLocalOwner(rates)
 	ownerIndex := findOwner(list, local)
 	best := Choice{Index: -1}
@@ -69,33 +69,33 @@
 		if local && c.Owner {
 			cost -= r.sharedPrefillTime(rates, &list[i]) // later requests reuse this prefill
 		}
-		if best.Index < 0 || cost < lowest || cost == lowest && list[i].Order > list[best.Index].Order {
+		if best.Index < 0 || cost < lowest || cost == lowest && list[i].OwnerRank > list[best.Index].OwnerRank {
 			best, lowest = c, cost
 		}
 	}
 	return best
 }
 
-func (r *Request) evaluate(rates *Rates, c *Candidate) Choice {
-	uncached := r.Prompt.uncachedTokens(c.Kept)
+func (r *Request) evaluate(rates *PrefillEstimator, c *Candidate) Choice {
+	uncached := r.Prompt.uncachedTokens(c.CachedParts)
 	unloaded := rates.TimeToFirstEvent(r.Model, uncached)
-	return Choice{Expected: c.Ahead + unloaded, Alone: unloaded, Reading: overhead + rates.PrefillTime(r.Model, uncached), Missing: uncached}
+	return Choice{Expected: c.QueuedWork + unloaded, ExpectedUnqueued: unloaded, PrefillTime: overhead + rates.PrefillTime(r.Model, uncached), UncachedTokens: uncached}
 }
 
 func (r *Request) cost(choice *Choice, c *Candidate) time.Duration {
-	cost := choice.Reading + r.latencyCost(choice.Expected)
-	if c.Far {
-		cost += r.Way
+	cost := choice.PrefillTime + r.latencyCost(choice.Expected)
+	if c.OtherZone {
+		cost += r.ZoneCost
 	}
-	if c.Abroad {
-		cost += r.RegionWay
+	if c.OtherRegion {
+		cost += r.RegionCost
 	}
 	return cost
 }
 
 // sharedPrefillTime returns the prefill time of the shared parts that the engine doesn't cache.
-func (r *Request) sharedPrefillTime(rates *Rates, c *Candidate) time.Duration {
-	return rates.PrefillTime(r.Model, r.Prompt.uncachedSharedTokens(c.Kept))
+func (r *Request) sharedPrefillTime(rates *PrefillEstimator, c *Candidate) time.Duration {
+	return rates.PrefillTime(r.Model, r.Prompt.uncachedSharedTokens(c.CachedParts))
 }
 
 // latencyCost returns the cost of a time to the first event. It is quadratic, because latency
@@ -110,13 +110,13 @@
 
 // prefersLocalOwner reports whether the owner of the shared parts is chosen among the engines
 // of this zone only, which matters if the owner among all engines is in another zone.
-// Requests to another zone cost Way each time; a prefill in this zone costs once, after which
-// the parts are cached here. The probability of a local owner is the ratio of Way to the
+// Requests to another zone cost ZoneCost each time; a prefill in this zone costs once, after which
+// the parts are cached here. The probability of a local owner is the ratio of ZoneCost to the
 // prefill time, so that the expected total cost of remote requests is about one prefill: small
 // for parts that are frequent or fast to prefill, and large only for long, rare parts.
-func (r *Request) prefersLocalOwner(rates *Rates) bool {
+func (r *Request) prefersLocalOwner(rates *PrefillEstimator) bool {
 	prefill := float64(rates.PrefillTime(r.Model, r.Prompt.uncachedSharedTokens(0)))
-	return r.Draw*prefill < float64(r.Way)
+	return r.Random*prefill < float64(r.ZoneCost)
 }
 
 // findOwner returns the index of the engine with the highest rank for the shared parts. If
@@ -124,10 +124,10 @@
 func findOwner(list []Candidate, local bool) int {
 	best := -1
 	for i := range list {
-		if local && list[i].Far {
+		if local && list[i].OtherZone {
 			continue
 		}
-		if best < 0 || list[i].Order > list[best].Order {
+		if best < 0 || list[i].OwnerRank > list[best].OwnerRank {
 			best = i
 		}
 	}
--- a/placement/place_test.go
+++ b/placement/place_test.go
@@ -12,14 +12,14 @@
 // engine simulates an engine that prefills one prompt at a time and caches all of them.
 type engine struct {
 	idleAt    time.Duration
-	cache     *Kept[int]
+	cache     *CacheTracker[int]
 	otherZone bool
 }
 
 // fleet simulates engines under a load pattern in virtual time.
 type fleet struct {
 	engines     []*engine
-	rates       *Rates
+	rates       *PrefillEstimator
 	rng         *rand.Rand
 	now         time.Duration
 	target      time.Duration
@@ -38,9 +38,9 @@
 const tokenTime = 100 * time.Microsecond
 
 func newFleet(engines int) *fleet {
-	f := &fleet{rates: NewRates(), rng: rand.New(rand.NewPCG(3, 5)), target: 2 * time.Second, zonePenalty: 20 * time.Millisecond}
+	f := &fleet{rates: NewPrefillEstimator(), rng: rand.New(rand.NewPCG(3, 5)), target: 2 * time.Second, zonePenalty: 20 * time.Millisecond}
 	for range engines {
-		f.engines = append(f.engines, &engine{cache: NewKept[int](MaxKept)})
+		f.engines = append(f.engines, &engine{cache: NewCacheTracker[int](MaxCachedPrefixes)})
 	}
 	observeRepeatedly(f.rates, "m", 10_000, overhead+10_000*tokenTime)
 	return f
@@ -48,12 +48,12 @@
 
 // send sends a request at the current time and returns the index of the selected engine.
 func (f *fleet) send(p *Prompt) int {
-	keys := Keys("m", p)
+	keys := PrefixKeys("m", p)
 	list := make([]Candidate, len(f.engines))
 	for i, e := range f.engines {
-		list[i] = Candidate{Ahead: max(0, e.idleAt-f.now), Far: e.otherZone, Kept: e.cache.Count(0, keys), Order: order(p, i)}
+		list[i] = Candidate{QueuedWork: max(0, e.idleAt-f.now), OtherZone: e.otherZone, CachedParts: e.cache.CachedParts(0, keys), OwnerRank: order(p, i)}
 	}
-	r := &Request{Model: "m", Prompt: p, Target: f.target, Way: f.zonePenalty, Draw: f.rng.Float64()}
+	r := &Request{Model: "m", Prompt: p, Target: f.target, ZoneCost: f.zonePenalty, Random: f.rng.Float64()}
 	index := 0
 	if f.pick != nil {
 		index = f.pick(f, r, list)
@@ -61,7 +61,7 @@
 		index = Place(f.rates, r, list).Index
 	}
 	e := f.engines[index]
-	missing := p.uncachedTokens(list[index].Kept)
+	missing := p.uncachedTokens(list[index].CachedParts)
 	e.idleAt = max(e.idleAt, f.now) + overhead + time.Duration(missing)*tokenTime
 	e.cache.Add(0, keys...)
 	f.prefilled += missing
@@ -76,17 +76,17 @@
 // order returns the rank of an engine for a prompt's shared part.
 func order(p *Prompt, engine int) uint64 {
 	subject := ""
-	if p.Shared > 0 {
-		subject = p.Parts[p.Shared-1].ID
+	if p.SharedParts > 0 {
+		subject = p.Parts[p.SharedParts-1].ID
 	}
-	return uint64(Keys(subject, &Prompt{Parts: []Part{{ID: fmt.Sprint("engine ", engine)}}})[0])
+	return uint64(PrefixKeys(subject, &Prompt{Parts: []Part{{ID: fmt.Sprint("engine ", engine)}}})[0])
 }
 
 // sharedPrompt returns a prompt with a shared part of 10,000 tokens and 1,000 unique tokens.
 func sharedPrompt(subject, own int) *Prompt {
 	return &Prompt{
 		Parts:  []Part{{ID: fmt.Sprint("subject ", subject), Tokens: 10_000}, {ID: fmt.Sprint("own ", own), Tokens: 1_000}},
-		Tokens: 11_000, Shared: 1,
+		Tokens: 11_000, SharedParts: 1,
 	}
 }
 
@@ -101,7 +101,7 @@
 func leastQueued(_ *fleet, _ *Request, list []Candidate) int {
 	best := 0
 	for i := range list {
-		if list[i].Ahead < list[best].Ahead {
+		if list[i].QueuedWork < list[best].QueuedWork {
 			best = i
 		}
 	}
@@ -148,7 +148,7 @@
 	f.replay(600, 40, 80*time.Millisecond)
 	before := f.late
 	for _, e := range f.engines[:4] {
-		e.cache, e.idleAt = NewKept[int](MaxKept), f.now
+		e.cache, e.idleAt = NewCacheTracker[int](MaxCachedPrefixes), f.now
 	}
 	f.replay(600, 40, 80*time.Millisecond)
 	is.True(f.late-before < 600/20)
@@ -223,7 +223,7 @@
 }
 
 // observeRepeatedly observes the same answer often enough for an estimate.
-func observeRepeatedly(r *Rates, model string, tokens int, took time.Duration) {
+func observeRepeatedly(r *PrefillEstimator, model string, tokens int, took time.Duration) {
 	for range 3 {
 		r.Observe(model, tokens, took, time.Time{})
 	}
@@ -231,7 +231,7 @@
 
 func TestRatesIgnoreOutliers(t *testing.T) {
 	is := is.New(t)
-	r := NewRates()
+	r := NewPrefillEstimator()
 	for i := range 400 {
 		took := overhead + 10_000*tokenTime
 		if i%10 == 0 {
@@ -263,7 +263,7 @@
 
 // estimatesMatch reports whether the estimates are close to the actual times for prompts of
 // all sizes.
-func estimatesMatch(t *testing.T, r *Rates) bool {
+func estimatesMatch(t *testing.T, r *PrefillEstimator) bool {
 	t.Helper()
 	ok := true
 	for _, tokens := range []int{500, 2000, 8000, 16_000, 40_000} {
@@ -277,7 +277,7 @@
 // A host with 60 observed answers estimates the right time for prompts of any size.
 func TestRatesOfShortAndLongPrompts(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	r := NewRates()
+	r := NewPrefillEstimator()
 	for range 60 {
 		tokens, took := randomAnswer(rng)
 		r.Observe("m", tokens, took, time.Time{})
@@ -291,25 +291,25 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	var sum Timings
 	for range 50 { // hosts with six answers each
-		other := NewRates()
+		other := NewPrefillEstimator()
 		for range 6 {
 			tokens, took := randomAnswer(rng)
 			other.Observe("m", tokens, took, time.Time{})
 		}
 		sum.Add(other.Timings(time.Time{})["m"])
 	}
-	r := NewRates()
+	r := NewPrefillEstimator()
 	r.Observe("m", 500, time.Second, time.Time{}) // delayed by queueing
-	r.TakeTimings("m", sum)
+	r.SetPeerTimings("m", sum)
 	is.True(estimatesMatch(t, r))
-	r.TakeTimings("m", Timings{Answers: 100, Weight: -1})
+	r.SetPeerTimings("m", Timings{Answers: 100, Weight: -1})
 	is.True(estimatesMatch(t, r)) // invalid sums are ignored
 }
 
 // The estimate follows a fourfold slowdown of the engines within half a minute.
 func TestRatesFollowSlowerEngines(t *testing.T) {
 	is := is.New(t)
-	r := NewRates()
+	r := NewPrefillEstimator()
 	now := time.Unix(0, 0)
 	for range 60 {
 		now = now.Add(time.Second)
@@ -325,29 +325,29 @@
 // The estimate of a model without answers is that of another model scaled by the price ratio.
 func TestRateOfAnUnknownModel(t *testing.T) {
 	is := is.New(t)
-	r := NewRates()
+	r := NewPrefillEstimator()
 	observeRepeatedly(r, "small", 10_000, overhead+100*time.Millisecond)
 	is.Equal(r.TimeToFirstEvent("large", 10_000).Round(time.Millisecond), overhead+100*time.Millisecond)
-	r.Price("small", 1)
-	r.Price("large", 12)
+	r.SetPrice("small", 1)
+	r.SetPrice("large", 12)
 	is.Equal(r.TimeToFirstEvent("large", 10_000).Round(time.Millisecond), overhead+1200*time.Millisecond)
 }
 
 func TestKeptParts(t *testing.T) {
 	is := is.New(t)
-	k := NewKept[int](MaxKept)
-	p := &Prompt{Parts: []Part{{"a", 1}, {"b", 2}, {"c", 3}}, Tokens: 6, Shared: 2}
-	keys := Keys("m", p)
-	is.Equal(k.Count(1, keys), 0)
+	k := NewCacheTracker[int](MaxCachedPrefixes)
+	p := &Prompt{Parts: []Part{{"a", 1}, {"b", 2}, {"c", 3}}, Tokens: 6, SharedParts: 2}
+	keys := PrefixKeys("m", p)
+	is.Equal(k.CachedParts(1, keys), 0)
 	k.Add(1, keys[1]) // a cached prefix includes all shorter ones
-	is.Equal(k.Count(1, keys), 2)
+	is.Equal(k.CachedParts(1, keys), 2)
 	is.Equal(p.uncachedTokens(2), 3)
 	is.Equal(p.uncachedSharedTokens(1), 2)
-	is.Equal(k.Count(1, Keys("other model", p)), 0)
+	is.Equal(k.CachedParts(1, PrefixKeys("other model", p)), 0)
 	other := &Prompt{Parts: []Part{{"b", 2}}}
-	is.Equal(k.Count(1, Keys("m", other)), 0) // the same part after a different prefix
+	is.Equal(k.CachedParts(1, PrefixKeys("m", other)), 0) // the same part after a different prefix
 	k.Remove(1, keys[1:]...)
-	is.Equal(k.Count(1, keys), 0)
+	is.Equal(k.CachedParts(1, keys), 0)
 }
 
 // The number of tracked prefixes is bounded over all engines together: the least recently used
@@ -355,23 +355,23 @@
 func TestKeptPartsOfAllEnginesAreBounded(t *testing.T) {
 	is := is.New(t)
 	const capacity, engines = 100, 1000
-	k := NewKept[int](capacity)
+	k := NewCacheTracker[int](capacity)
 	for i := range engines {
-		k.Add(i, Key(i), 7)
+		k.Add(i, PrefixKey(i), 7)
 		k.Add(0, 7) // kept in use
 	}
 	is.Equal(k.Len(), capacity)
-	is.Equal(k.Count(0, []Key{7}), 1)
-	is.Equal(k.Count(1, []Key{7}), 0)
-	is.Equal(k.Count(engines-1, []Key{Key(engines - 1)}), 1)
-	is.Equal(len(k.Holders(1)), 0)
+	is.Equal(k.CachedParts(0, []PrefixKey{7}), 1)
+	is.Equal(k.CachedParts(1, []PrefixKey{7}), 0)
+	is.Equal(k.CachedParts(engines-1, []PrefixKey{PrefixKey(engines - 1)}), 1)
+	is.Equal(len(k.Engines(1)), 0)
 	pairs := 0
 	for _, holders := range k.enginesByKey {
 		pairs += len(holders)
 	}
 	is.Equal(pairs, capacity)
 	for i := range engines {
-		k.Drop(i)
+		k.RemoveEngine(i)
 	}
 	is.Equal(k.Len()+len(k.enginesByKey)+len(k.keysByEngine), 0)
 }
--- a/placement/prompt.go
+++ b/placement/prompt.go
@@ -7,8 +7,8 @@
 	Parts []Part
 	// Tokens is the size of the whole prompt, including text that belongs to no part.
 	Tokens int
-	// Shared is the number of leading parts that other requests probably contain.
-	Shared int
+	// SharedParts is the number of leading parts that other requests probably contain.
+	SharedParts int
 }
 
 // Part is a section of a prompt that engines can cache.
@@ -30,7 +30,7 @@
 // first n parts are cached.
 func (p *Prompt) uncachedSharedTokens(n int) int {
 	uncached := 0
-	for _, part := range p.Parts[min(n, p.Shared):p.Shared] {
+	for _, part := range p.Parts[min(n, p.SharedParts):p.SharedParts] {
 		uncached += part.Tokens
 	}
 	return uncached
--- a/placement/rates.go
+++ b/placement/rates.go
@@ -18,9 +18,9 @@
 	defaultTimePerToken = 50 * time.Microsecond
 )
 
-// Rates estimates the prefill times of models from the answers that this host and its peers
+// PrefillEstimator estimates the prefill times of models from the answers that this host and its peers
 // received. It is safe for concurrent use.
-type Rates struct {
+type PrefillEstimator struct {
 	mu     sync.Mutex
 	local  map[string]Timings
 	peers  map[string]Timings
@@ -31,18 +31,18 @@
 	decayedAt time.Time
 }
 
-// NewRates returns a Rates without observations.
-func NewRates() *Rates {
-	return &Rates{
+// NewPrefillEstimator returns a PrefillEstimator without observations.
+func NewPrefillEstimator() *PrefillEstimator {
+	return &PrefillEstimator{
 		local: make(map[string]Timings), peers: make(map[string]Timings),
 		prices: make(map[string]float64), estimates: make(map[string]estimate),
 	}
 }
 
-// Price sets the price that operators pay for a model. Prices stand in for speeds until a
+// SetPrice sets the price that operators pay for a model. Prices stand in for speeds until a
 // model has answered: without them a newly started host expects the largest model to be as
 // fast as the smallest, which is ten times as fast, and gives up on its answers.
-func (r *Rates) Price(model string, price float64) {
+func (r *PrefillEstimator) SetPrice(model string, price float64) {
 	if price <= 0 {
 		return
 	}
@@ -52,7 +52,7 @@
 }
 
 // TimeToFirstEvent returns the expected time to prefill the tokens and send the first event.
-func (r *Rates) TimeToFirstEvent(model string, tokens int) time.Duration {
+func (r *PrefillEstimator) TimeToFirstEvent(model string, tokens int) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.estimate(model).timeToFirstEvent(tokens)
@@ -60,7 +60,7 @@
 
 // PrefillTime returns the portion of TimeToFirstEvent that depends on the number of tokens,
 // during which the engine works on this prompt alone.
-func (r *Rates) PrefillTime(model string, tokens int) time.Duration {
+func (r *PrefillEstimator) PrefillTime(model string, tokens int) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.estimate(model).prefillTime(tokens)
@@ -68,7 +68,7 @@
 
 // estimate returns the model's estimate. For a model with too few answers it returns the mean
 // estimate of the other models, scaled by the ratio of the prices.
-func (r *Rates) estimate(model string) estimate {
+func (r *PrefillEstimator) estimate(model string) estimate {
 	if e, ok := r.estimates[model]; ok {
 		return e
 	}
@@ -88,7 +88,7 @@
 }
 
 // Observe adds the time to the first event of an answer whose prompt was hardly queued.
-func (r *Rates) Observe(model string, tokens int, took time.Duration, now time.Time) {
+func (r *PrefillEstimator) Observe(model string, tokens int, took time.Duration, now time.Time) {
 	if took <= overhead {
 		return
 	}
@@ -106,7 +106,7 @@
 }
 
 // decay decays the local timings up to now. The caller holds the lock.
-func (r *Rates) decay(now time.Time) {
+func (r *PrefillEstimator) decay(now time.Time) {
 	weight := math.Exp2(-float64(now.Sub(r.decayedAt)) / float64(timingsHalfLife))
 	for model, t := range r.local {
 		r.local[model] = t.scaled(weight)
@@ -115,7 +115,7 @@
 }
 
 // refit updates the model's estimate from the timings. The caller holds the lock.
-func (r *Rates) refit(model string) {
+func (r *PrefillEstimator) refit(model string) {
 	all := r.local[model]
 	all.Add(r.peers[model])
 	if p, ok := all.estimate(); ok {
@@ -124,15 +124,15 @@
 }
 
 // Timings returns the sums of this host's own answers, by model.
-func (r *Rates) Timings(now time.Time) map[string]Timings {
+func (r *PrefillEstimator) Timings(now time.Time) map[string]Timings {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.decay(now)
 	return maps.Clone(r.local)
 }
 
-// TakeTimings replaces the sums of the peers' answers for a model. It ignores invalid sums.
-func (r *Rates) TakeTimings(model string, t Timings) {
+// SetPeerTimings replaces the sums of the peers' answers for a model. It ignores invalid sums.
+func (r *PrefillEstimator) SetPeerTimings(model string, t Timings) {
 	if !t.valid() {
 		return
 	}
--- a/placement/ration.go
+++ b/placement/ration.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Ration divides the capacity of a service among requests by rank, the most urgent first.
+// RankAdmission divides the capacity of a service among requests by rank, the most urgent first.
 //
 // It is meant for services whose upstreams all report limits while requests exceed the sum of
 // the limits. Without it, capacity would go to whichever request arrives first, mostly of the
 // most frequent kind. Requests in excess of the capacity are rejected at once. The zero value
 // is ready for use. It isn't safe for concurrent use.
-type Ration struct {
+type RankAdmission struct {
 	// arrivalRates holds the decayed rate of requests per second by rank, as of updatedAt.
 	arrivalRates [rankCount]float64
 	updatedAt    time.Time
@@ -24,8 +24,8 @@
 	arrivalHalfLife = 2 * time.Second
 )
 
-// Note counts an arriving request.
-func (r *Ration) Note(rank int, now time.Time) {
+// RecordArrival counts an arriving request.
+func (r *RankAdmission) RecordArrival(rank int, now time.Time) {
 	r.decay(now)
 	r.arrivalRates[clampRank(rank)] += math.Ln2 / arrivalHalfLife.Seconds()
 }
@@ -33,7 +33,7 @@
 // Admits reports whether a request is admitted when supply, the capacity in requests per
 // second, doesn't suffice for all. The draw is a random number in [0, 1): the rank that the
 // remaining supply serves in part is admitted in proportion.
-func (r *Ration) Admits(rank int, supply, draw float64, now time.Time) bool {
+func (r *RankAdmission) Admits(rank int, supply, draw float64, now time.Time) bool {
 	r.decay(now)
 	rank = clampRank(rank)
 	remaining := supply
@@ -43,7 +43,7 @@
 	return draw*r.arrivalRates[rank] < remaining
 }
 
-func (r *Ration) decay(now time.Time) {
+func (r *RankAdmission) decay(now time.Time) {
 	if elapsed := now.Sub(r.updatedAt); elapsed > 0 {
 		weight := math.Exp2(-float64(elapsed) / float64(arrivalHalfLife))
 		for i := range r.arrivalRates {
--- a/placement/ration_test.go
+++ b/placement/ration_test.go
@@ -16,12 +16,12 @@
 	is := is.New(t)
 	rnd := rand.New(rand.NewPCG(1, 1))
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	var r placement.Ration
+	var r placement.RankAdmission
 	var arrived, admitted [3]int
 	for i := range 20 * 60 {
 		now = now.Add(50 * time.Millisecond)
 		rank := []int{0, 1, 2, 2, 1}[i%5] // 4, 8 and 8 per second
-		r.Note(rank, now)
+		r.RecordArrival(rank, now)
 		if i < 200 {
 			continue // warm up the arrival rates
 		}
@@ -39,10 +39,10 @@
 func TestRationWithoutAShortage(t *testing.T) {
 	is := is.New(t)
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	var r placement.Ration
+	var r placement.RankAdmission
 	is.True(r.Admits(3, 1, 0.99, now))
-	r.Note(-1, now)
-	r.Note(99, now)
+	r.RecordArrival(-1, now)
+	r.RecordArrival(99, now)
 	is.True(r.Admits(99, 5, 0.99, now))
 	is.True(!r.Admits(99, 0, 0, now)) // no supply
 }
--- a/placement/upgrade.go
+++ b/placement/upgrade.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Upgrade decides whether a request is escalated to a better model after a cheaper model has
+// Escalation decides whether a request is escalated to a better model after a cheaper model has
 // answered with some confidence.
-type Upgrade struct {
-	// Usual is the confidence threshold set by the operators, from 0 to 100.
-	Usual float64
+type Escalation struct {
+	// Threshold is the confidence threshold set by the operators, from 0 to 100.
+	Threshold float64
 	// Expected is the expected time from the request's arrival to the better model's first
 	// event. Target is the target for that time; 0 means none.
 	Expected time.Duration
@@ -27,13 +27,13 @@
 	maxLatePressure = 0.6
 )
 
-// Required returns the confidence from which the cheaper model's answer is accepted. While
-// the better answer would be in time it is Usual, at any load. Lowering it under pressure, or
+// RequiredConfidence returns the confidence from which the cheaper model's answer is accepted. While
+// the better answer would be in time it is Threshold, at any load. Lowering it under pressure, or
 // by the cost of the better model's prefill, serves callers worse: it accepts answers of
 // medium confidence, and most answers below the usual threshold are poor.
-func (u *Upgrade) Required() float64 {
+func (u *Escalation) RequiredConfidence() float64 {
 	if u.Target <= 0 || float64(u.Expected) <= lateFraction*float64(u.Target) {
-		return u.Usual
+		return u.Threshold
 	}
-	return u.Usual * lateThresholdFactor * max(0, 1-u.Pressure/maxLatePressure)
+	return u.Threshold * lateThresholdFactor * max(0, 1-u.Pressure/maxLatePressure)
 }
--- a/quarantine/example_test.go
+++ b/quarantine/example_test.go
@@ -18,10 +18,10 @@
 	for upstream, bodies := range [][]string{{"fatal", "a", "b"}, {"fatal", "b"}, {"fatal", "c"}} {
 		at := time.Duration(upstream) * time.Second
 		for _, body := range bodies {
-			tracker.Lose(quarantine.Loss{Digest: name(body), Incarnation: quarantine.Incarnation(upstream), At: at})
+			tracker.RecordLoss(quarantine.Loss{Digest: name(body), Incarnation: quarantine.Incarnation(upstream), At: at})
 		}
 	}
-	for _, finding := range tracker.Judge(2*time.Second + quarantine.Settle) {
+	for _, finding := range tracker.FindPoisonRequests(2*time.Second + quarantine.SettleDelay) {
 		fmt.Println(finding.Digest == name("fatal"), finding.Events, "events")
 	}
 	fmt.Println("b at", tracker.Events(name("b"), 3*time.Second))
--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -49,12 +49,12 @@
 	Events, Upstreams, Lost int
 }
 
-// Judge returns the requests found to terminate upstreams, and records verdicts on them.
+// FindPoisonRequests returns the requests found to terminate upstreams, and records verdicts on them.
 //
 // Of the requests lost with an upstream, only the one with the most events counts as the cause:
 // a poison request was in each of its losses, the sound ones next to it in some. If two have
 // equally many, neither counts until another termination tells them apart.
-func (t *Tracker) Judge(now time.Duration) []Finding {
+func (t *Tracker) FindPoisonRequests(now time.Duration) []Finding {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.dropStale(now)
@@ -83,7 +83,7 @@
 	if at, ok := t.survived.Peek(d); ok && now-at < survivalRetention {
 		required = minEventsAnyShare
 	}
-	return f, len(leading) >= required && now-leading[required-1] >= Settle
+	return f, len(leading) >= required && now-leading[required-1] >= SettleDelay
 }
 
 // requiredEvents returns the number of events that a verdict needs.
--- a/quarantine/odds_test.go
+++ b/quarantine/odds_test.go
@@ -216,7 +216,7 @@
 	for _, key := range slices.Sorted(maps.Keys(u.running)) { // in an order that depends on the seed only
 		r := u.running[key]
 		loss := Loss{Digest: digest(r.id), Incarnation: u.incarnation, At: terminatedAt, Ran: terminatedAt - r.started}
-		p.after(reportDelays[key%hosts], func() { p.tracker.Lose(loss) })
+		p.after(reportDelays[key%hosts], func() { p.tracker.RecordLoss(loss) })
 		if r.id != poisonID {
 			p.after(5*time.Millisecond, func() { p.send(r) })
 		}
@@ -236,7 +236,7 @@
 
 func (p *simulation) evaluate() {
 	p.after(evaluationInterval, p.evaluate)
-	for _, f := range p.tracker.Judge(p.now) {
+	for _, f := range p.tracker.FindPoisonRequests(p.now) {
 		if f.Digest == p.poison {
 			p.foundAt = p.now
 		} else {
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -20,11 +20,11 @@
 	// maxClockError is the maximum difference between the times that hosts report: times are
 	// sent as ages in milliseconds, and the transit of the message adds to them.
 	maxClockError = 5 * time.Millisecond
-	// Settle is the time between the event that completes the evidence against a request and the
+	// SettleDelay is the time between the event that completes the evidence against a request and the
 	// verdict. In that time hosts report, over two hubs, what else ran at the terminated
 	// upstreams and which suspects they saw answered. Operators require a verdict within 3 s in
 	// total.
-	Settle = 750 * time.Millisecond
+	SettleDelay = 750 * time.Millisecond
 
 	// minSuspectEvents is the number of events from which a request is a suspect. Each request
 	// that ran at a terminated upstream has one.
@@ -122,8 +122,8 @@
 	return lru
 }
 
-// Lose adds a loss. It reports whether the loss was new.
-func (t *Tracker) Lose(l Loss) bool {
+// RecordLoss adds a loss. It reports whether the loss was new.
+func (t *Tracker) RecordLoss(l Loss) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	l.Incarnation = t.resolveIncarnation(l)
@@ -238,9 +238,9 @@
 	return ok && at >= since
 }
 
-// Blame records a verdict on the request: it explains the terminations of the upstreams where
+// SetVerdict records a verdict on the request: it explains the terminations of the upstreams where
 // the request ran, so that these no longer count against other requests.
-func (t *Tracker) Blame(d Digest) {
+func (t *Tracker) SetVerdict(d Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.setVerdict(d)
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -19,7 +19,7 @@
 // loseAll records that an upstream terminated with the requests.
 func loseAll(t *Tracker, upstream Incarnation, at time.Duration, requests ...uint64) {
 	for _, r := range requests {
-		t.Lose(Loss{Digest: digest(r), Incarnation: upstream, At: at, Ran: time.Second})
+		t.RecordLoss(Loss{Digest: digest(r), Incarnation: upstream, At: at, Ran: time.Second})
 	}
 }
 
@@ -31,8 +31,8 @@
 	loseAll(tr, 1, 0, 1, 10, 11)
 	loseAll(tr, 2, 400*ms, 1, 11, 12)
 	loseAll(tr, 3, 800*ms, 1, 13)
-	is.Equal(tr.Judge(800*ms), nil) // other hosts may still report more
-	f := tr.Judge(800*ms + Settle)
+	is.Equal(tr.FindPoisonRequests(800*ms), nil) // other hosts may still report more
+	f := tr.FindPoisonRequests(800*ms + SettleDelay)
 	is.Equal(len(f), 1)
 	is.Equal(f[0], Finding{Digest: digest(1), Events: 3, Upstreams: 3, Lost: 3})
 	for upstream := Incarnation(1); upstream <= 3; upstream++ {
@@ -41,7 +41,7 @@
 	// The requests that ran next to it are cleared, also for later terminations.
 	loseAll(tr, 4, time.Second, 1, 11)
 	is.Equal(tr.Events(digest(11), time.Second), 0)
-	is.Equal(tr.Judge(10*time.Second), nil)
+	is.Equal(tr.FindPoisonRequests(10*time.Second), nil)
 }
 
 // Two requests with the same losses are told apart by the next termination.
@@ -51,9 +51,9 @@
 	for i := range 3 {
 		loseAll(tr, Incarnation(i), time.Duration(i)*400*ms, 1, 2)
 	}
-	is.Equal(tr.Judge(10*time.Second), nil)
+	is.Equal(tr.FindPoisonRequests(10*time.Second), nil)
 	loseAll(tr, 9, 11*time.Second, 1)
-	f := tr.Judge(11*time.Second + Settle)
+	f := tr.FindPoisonRequests(11*time.Second + SettleDelay)
 	is.Equal(len(f), 1)
 	is.Equal(f[0].Digest, digest(1))
 }
@@ -66,7 +66,7 @@
 		loseAll(tr, Incarnation(2*i), time.Duration(i)*500*ms, 1, uint64(100+i))
 		loseAll(tr, Incarnation(2*i+1), time.Duration(i)*500*ms+250*ms, 2, uint64(200+i))
 	}
-	is.Equal(len(tr.Judge(1750*ms+Settle)), 2)
+	is.Equal(len(tr.FindPoisonRequests(1750*ms+SettleDelay)), 2)
 }
 
 // A popular request that runs at a third of all upstreams when these are killed has one event,
@@ -78,7 +78,7 @@
 		loseAll(tr, upstream, time.Duration(upstream)*ms, 1)
 	}
 	is.Equal(tr.Events(digest(1), 0), 1)
-	is.Equal(tr.Judge(time.Minute), nil)
+	is.Equal(tr.FindPoisonRequests(time.Minute), nil)
 }
 
 // A request that terminates upstreams immediately and is retried terminates three within
@@ -89,12 +89,12 @@
 	tr := NewTracker()
 	for i := range 3 {
 		at := time.Second + time.Duration(i)*3*ms
-		tr.Lose(Loss{Digest: digest(1), Incarnation: Incarnation(i), At: at, Ran: 2 * ms})
-		tr.Lose(Loss{Digest: digest(2), Incarnation: Incarnation(i), At: at, Ran: 500 * ms})
+		tr.RecordLoss(Loss{Digest: digest(1), Incarnation: Incarnation(i), At: at, Ran: 2 * ms})
+		tr.RecordLoss(Loss{Digest: digest(2), Incarnation: Incarnation(i), At: at, Ran: 500 * ms})
 	}
 	is.Equal(tr.Events(digest(1), time.Second), 3)
 	is.Equal(tr.Events(digest(2), time.Second), 1)
-	f := tr.Judge(2 * time.Second)
+	f := tr.FindPoisonRequests(2 * time.Second)
 	is.Equal(len(f), 1)
 	is.Equal(f[0].Digest, digest(1))
 }
@@ -114,17 +114,17 @@
 	for i := range 4 {
 		loseAll(tr, Incarnation(10+i), time.Duration(i+1)*time.Second, 1)
 	}
-	is.Equal(tr.Judge(20*time.Second), nil)
+	is.Equal(tr.FindPoisonRequests(20*time.Second), nil)
 	// It may still terminate the next version's upstreams.
 	loseAll(tr, 14, 21*time.Second, 1)
-	is.Equal(len(tr.Judge(22*time.Second)), 1)
+	is.Equal(len(tr.FindPoisonRequests(22*time.Second)), 1)
 
 	// Long after an answer, the usual number of events is enough.
 	tr.RecordSurvival(digest(2), 30*time.Second)
 	for i := range 3 {
 		loseAll(tr, Incarnation(20+i), 2*time.Minute+time.Duration(i)*time.Second, 2)
 	}
-	is.Equal(len(tr.Judge(3*time.Minute)), 1)
+	is.Equal(len(tr.FindPoisonRequests(3*time.Minute)), 1)
 }
 
 // While upstreams terminate for other reasons, three losses of a request aren't enough for a
@@ -142,9 +142,9 @@
 		upstream++
 		loseAll(tr, upstream, at+300*ms, 1)
 	}
-	is.Equal(tr.Judge(10*time.Second), nil)
+	is.Equal(tr.FindPoisonRequests(10*time.Second), nil)
 	loseAll(tr, 99, 11*time.Second, 1)
-	is.Equal(len(tr.Judge(12*time.Second)), 1) // five events are no coincidence
+	is.Equal(len(tr.FindPoisonRequests(12*time.Second)), 1) // five events are no coincidence
 }
 
 // The memory stays bounded however many distinct bodies callers send, and a request that is lost
@@ -169,7 +169,7 @@
 	for _, upstream := range tr.terminated.Values() {
 		is.True(len(upstream.digests) <= maxPerUpstream+maxSuspects)
 	}
-	is.Equal(len(tr.Judge(2*time.Minute)), 1)
+	is.Equal(len(tr.FindPoisonRequests(2*time.Minute)), 1)
 }
 
 // An upstream that restarts under the same name counts as another one when it terminates again.
@@ -178,12 +178,12 @@
 	tr := NewTracker()
 	for i := range 3 {
 		at := time.Duration(i) * 4 * time.Second
-		tr.Lose(Loss{Digest: digest(1), Incarnation: 5, At: at})
-		is.True(!tr.Lose(Loss{Digest: digest(1), Incarnation: 5, At: at + 300*ms})) // a late report of the same termination
-		tr.Lose(Loss{Digest: digest(uint64(100 + i)), Incarnation: 5, At: at + 20*ms})
+		tr.RecordLoss(Loss{Digest: digest(1), Incarnation: 5, At: at})
+		is.True(!tr.RecordLoss(Loss{Digest: digest(1), Incarnation: 5, At: at + 300*ms})) // a late report of the same termination
+		tr.RecordLoss(Loss{Digest: digest(uint64(100 + i)), Incarnation: 5, At: at + 20*ms})
 	}
 	is.Equal(tr.Events(digest(1), 9*time.Second), 3)
-	is.Equal(len(tr.Judge(10*time.Second)), 1)
+	is.Equal(len(tr.FindPoisonRequests(10*time.Second)), 1)
 	is.True(tr.Explained(5))
 }
 
@@ -191,7 +191,7 @@
 func TestClear(t *testing.T) {
 	is := is.New(t)
 	tr := NewTracker()
-	tr.Blame(digest(1))
+	tr.SetVerdict(digest(1))
 	loseAll(tr, 1, 0, 1, 2)
 	is.True(tr.Explained(1))
 	tr.ClearVerdict(digest(1))
--- a/ratelease/bound.go
+++ b/ratelease/bound.go
@@ -5,9 +5,9 @@
 	// Rate is the rate that one cold upstream tolerates, in requests a second; 0 if the service
 	// has no cold upstreams.
 	Rate float64
-	// At most Overrun*Rate + Spare requests may reach a cold upstream in any second.
-	Overrun float64
-	Spare   float64
+	// At most Overrun*Rate + Headroom requests may reach a cold upstream in any second.
+	Overrun  float64
+	Headroom float64
 }
 
 // allocatedFraction is the fraction of the permitted requests that is leased. The rest covers a
@@ -16,7 +16,7 @@
 const allocatedFraction = 0.75
 
 // Permitted returns how many requests may reach a cold upstream in any second.
-func (b Bound) Permitted() float64 { return max(1, b.Overrun)*b.Rate + b.Spare }
+func (b Bound) Permitted() float64 { return max(1, b.Overrun)*b.Rate + b.Headroom }
 
 const (
 	// maxColdParts bounds the number of parts that a root's requests for a cold upstream are
@@ -37,8 +37,8 @@
 	return min(maxColdParts, max(1, b.rootBudget(roots)/minPartRequests))
 }
 
-// Each returns how many requests the holder of the share may send in any Span.
-func (b Bound) Each(s Share) int {
+// RequestsPerWindowSpan returns how many requests the holder of the share may send in any Span.
+func (b Bound) RequestsPerSpan(s Share) int {
 	if s.Of == 0 {
 		return 0
 	}
--- a/ratelease/lease.go
+++ b/ratelease/lease.go
@@ -7,35 +7,35 @@
 	"github.com/quetzalweir/quetzalweir/evenhash"
 )
 
-// Upstream identifies one incarnation of an upstream in messages between hosts, by a 64-bit hash
+// UpstreamID identifies one incarnation of an upstream in messages between hosts, by a 64-bit hash
 // of its name. With 12,000 upstreams, a collision occurs in one installation of a hundred
 // billion; the two upstreams would then share their leases.
-type Upstream uint64
+type UpstreamID uint64
 
-// UpstreamOf returns the identifier of the upstream with the name.
-func UpstreamOf(name string) Upstream { return Upstream(evenhash.Sum(name)) }
+// NewUpstreamID returns the identifier of the upstream with the name.
+func NewUpstreamID(name string) UpstreamID { return UpstreamID(evenhash.Sum(name)) }
 
-// Draw returns a pseudorandom number in [0, 1) for the upstream and the host, uniformly
+// Point returns a pseudorandom number in [0, 1) for the upstream and the host, uniformly
 // distributed.
-func (u Upstream) Draw(host string) float64 {
+func (u UpstreamID) Point(host string) float64 {
 	return float64(evenhash.Mix(uint64(u)^evenhash.Sum(host))>>11) / (1 << 53)
 }
 
 const (
-	// LeaseTime is the duration of a lease that isn't renewed. It covers several exchanges
+	// LeaseDuration is the duration of a lease that isn't renewed. It covers several exchanges
 	// between two hosts, one of which may be lost.
-	LeaseTime = 1200 * time.Millisecond
-	// Handover is the time from the start of a host to the first lease that it grants. It also
+	LeaseDuration = 1200 * time.Millisecond
+	// HandoverDelay is the time from the start of a host to the first lease that it grants. It also
 	// exceeds the time between the last grant to a holder and the grant of the same part to
 	// another one: by then the previous lease has expired, and the requests sent under it have
 	// left the window.
-	Handover = LeaseTime + Span + 200*time.Millisecond
+	HandoverDelay = LeaseDuration + WindowSpan + 200*time.Millisecond
 )
 
 // Grant is the right to send an upstream some of the parts that each root splits its requests
 // into.
 type Grant struct {
-	Upstream Upstream
+	Upstream UpstreamID
 	// Parts is the number of parts granted, out of Of.
 	Parts int
 	Of    int
@@ -60,7 +60,7 @@
 // of parts, only the first root's grant is kept.
 func Merge(first, second []Grant) []Grant {
 	merged := slices.Clone(first)
-	index := make(map[Upstream]int, len(merged))
+	index := make(map[UpstreamID]int, len(merged))
 	for i, g := range merged {
 		index[g.Upstream] = i
 	}
@@ -85,9 +85,9 @@
 	Roots int
 }
 
-// Root returns the lease that a root hub holds by itself: all of its own parts.
-func Root(grants []Grant, roots int) Lease {
-	return Lease{Grants: grants, For: LeaseTime, Roots: max(1, roots)}
+// RootLease returns the lease that a root hub holds by itself: all of its own parts.
+func RootLease(grants []Grant, roots int) Lease {
+	return Lease{Grants: grants, For: LeaseDuration, Roots: max(1, roots)}
 }
 
 // Share is the part of an upstream's requests that a host may send.
@@ -106,21 +106,23 @@
 	return float64(s.Parts) / float64(s.Of) / float64(s.Roots)
 }
 
-// Whole returns the share of the only host of an installation.
-func Whole(of int, since time.Time) Share { return Share{Parts: of, Of: of, Roots: 1, Since: since} }
+// FullShare returns the share of the only host of an installation.
+func FullShare(of int, since time.Time) Share {
+	return Share{Parts: of, Of: of, Roots: 1, Since: since}
+}
 
 // Holding is a lease that a host was granted, with its expiry by the host's own clock.
 type Holding struct {
-	shares    map[Upstream]Share
+	shares    map[UpstreamID]Share
 	grants    []Grant
 	expiresAt time.Time
 	roots     int
 }
 
-// Hold starts a lease that was requested at the given time. A share that was in the previous
+// NewHolding starts a lease that was requested at the given time. A share that was in the previous
 // holding and hasn't expired keeps its Since.
-func Hold(l Lease, requestedAt time.Time, previous *Holding) Holding {
-	h := Holding{shares: make(map[Upstream]Share, len(l.Grants)), grants: l.Grants, expiresAt: requestedAt.Add(min(l.For, LeaseTime)), roots: max(1, l.Roots)}
+func NewHolding(l Lease, requestedAt time.Time, previous *Holding) Holding {
+	h := Holding{shares: make(map[UpstreamID]Share, len(l.Grants)), grants: l.Grants, expiresAt: requestedAt.Add(min(l.For, LeaseDuration)), roots: max(1, l.Roots)}
 	for _, g := range l.Grants {
 		share := Share{Parts: g.Parts, Of: g.Of, Roots: h.roots, Since: requestedAt}
 		if previous != nil {
@@ -134,7 +136,7 @@
 }
 
 // Share returns the share of the upstream's requests that the host may send now.
-func (h *Holding) Share(u Upstream, now time.Time) (share Share, ok bool) {
+func (h *Holding) Share(u UpstreamID, now time.Time) (share Share, ok bool) {
 	if !now.Before(h.expiresAt) {
 		return Share{}, false
 	}
--- a/ratelease/lease_test.go
+++ b/ratelease/lease_test.go
@@ -19,10 +19,10 @@
 		parts int
 		each  int // part
 	}{
-		{ratelease.Bound{Rate: 18, Overrun: 1.5, Spare: 5}, 1, 4, 6},
-		{ratelease.Bound{Rate: 18, Overrun: 1.5, Spare: 5}, 3, 4, 2},
-		{ratelease.Bound{Rate: 18, Overrun: 1.5, Spare: 5}, 0, 4, 6}, // a host without seeds
-		{ratelease.Bound{Rate: 4, Overrun: 1.5, Spare: 5}, 3, 1, 2},
+		{ratelease.Bound{Rate: 18, Overrun: 1.5, Headroom: 5}, 1, 4, 6},
+		{ratelease.Bound{Rate: 18, Overrun: 1.5, Headroom: 5}, 3, 4, 2},
+		{ratelease.Bound{Rate: 18, Overrun: 1.5, Headroom: 5}, 0, 4, 6}, // a host without seeds
+		{ratelease.Bound{Rate: 4, Overrun: 1.5, Headroom: 5}, 3, 1, 2},
 		{ratelease.Bound{Rate: 1, Overrun: 1}, 3, 1, 0}, // too few to be split
 		{ratelease.Bound{Rate: 4}, 1, 1, 3},             // the rate may not be exceeded
 	}
@@ -30,9 +30,9 @@
 		is := is.New(t)
 		is.Equal(test.bound.Parts(test.roots), test.parts)
 		share := ratelease.Share{Parts: 1, Of: test.parts, Roots: test.roots}
-		is.Equal(test.bound.Each(share), test.each)
+		is.Equal(test.bound.RequestsPerSpan(share), test.each)
 		share.Parts = test.parts
-		handedOut := max(1, test.roots) * test.bound.Each(share)
+		handedOut := max(1, test.roots) * test.bound.RequestsPerSpan(share)
 		is.True(float64(handedOut) <= 0.75*test.bound.Permitted())
 	}
 }
@@ -44,31 +44,31 @@
 	var w ratelease.Window
 	var sent []time.Time
 	for now := start; now.Before(start.Add(10 * time.Second)); now = now.Add(7 * time.Millisecond) {
-		if w.Room(now, maxSends) {
-			w.Note(now)
+		if w.Allows(now, maxSends) {
+			w.Record(now)
 			sent = append(sent, now)
 		}
 	}
 	is.True(len(sent) >= maxSends*9)
 	for i := range len(sent) - maxSends {
-		is.True(sent[i+maxSends].Sub(sent[i]) >= ratelease.Span)
+		is.True(sent[i+maxSends].Sub(sent[i]) >= ratelease.WindowSpan)
 	}
 }
 
 func TestHoldingEndsByTheHoldersClock(t *testing.T) {
 	is := is.New(t)
-	h := ratelease.Hold(ratelease.Lease{Grants: wholeGrants(1), For: time.Hour, Roots: 3}, start, nil)
-	is.Equal(heldParts(&h, 1, start.Add(ratelease.LeaseTime-1)), 1)
-	is.Equal(heldParts(&h, 1, start.Add(ratelease.LeaseTime)), 0) // whatever duration the lease names
+	h := ratelease.NewHolding(ratelease.Lease{Grants: wholeGrants(1), For: time.Hour, Roots: 3}, start, nil)
+	is.Equal(heldParts(&h, 1, start.Add(ratelease.LeaseDuration-1)), 1)
+	is.Equal(heldParts(&h, 1, start.Add(ratelease.LeaseDuration)), 0) // whatever duration the lease names
 	is.Equal(heldParts(&h, 2, start), 0)
-	is.Equal(h.Lease(start.Add(ratelease.LeaseTime-time.Millisecond)).For, time.Millisecond)
-	is.Equal(len(h.Lease(start.Add(ratelease.LeaseTime)).Grants), 0)
+	is.Equal(h.Lease(start.Add(ratelease.LeaseDuration-time.Millisecond)).For, time.Millisecond)
+	is.Equal(len(h.Lease(start.Add(ratelease.LeaseDuration)).Grants), 0)
 	var none ratelease.Holding
 	is.Equal(heldParts(&none, 0, start), 0)
 }
 
 // wholeGrants returns grants of upstreams that are split into one part each.
-func wholeGrants(upstreams ...ratelease.Upstream) []ratelease.Grant {
+func wholeGrants(upstreams ...ratelease.UpstreamID) []ratelease.Grant {
 	var grants []ratelease.Grant
 	for _, u := range upstreams {
 		grants = append(grants, ratelease.Grant{Upstream: u, Parts: 1, Of: 1})
@@ -76,7 +76,7 @@
 	return grants
 }
 
-func heldParts(h *ratelease.Holding, u ratelease.Upstream, now time.Time) int {
+func heldParts(h *ratelease.Holding, u ratelease.UpstreamID, now time.Time) int {
 	share, _ := h.Share(u, now)
 	return share.Parts
 }
@@ -100,9 +100,9 @@
 }
 
 // holdersOf requests a lease for each reporter and returns those that got the upstream.
-func holdersOf(l *ratelease.Lessor, reporters map[string]int, u ratelease.Upstream, now time.Time) []string {
+func holdersOf(l *ratelease.Lessor, reporters map[string]int, u ratelease.UpstreamID, now time.Time) []string {
 	var names []string
-	l.Assign(ratelease.Root(wholeGrants(u), 1), reporters, now)
+	l.Assign(ratelease.RootLease(wholeGrants(u), 1), reporters, now)
 	for name := range reporters {
 		if lease := leaseOf(l, name, now); len(lease.Grants) == 1 {
 			names = append(names, name)
@@ -116,8 +116,8 @@
 	l := ratelease.NewLessor(start)
 	all := map[string]int{"a": 1, "b": 1, "c": 1}
 	// Leases of the host's previous run may still be valid.
-	is.Equal(len(holdersOf(l, all, 1, start.Add(ratelease.Handover-1))), 0)
-	now := start.Add(ratelease.Handover)
+	is.Equal(len(holdersOf(l, all, 1, start.Add(ratelease.HandoverDelay-1))), 0)
+	now := start.Add(ratelease.HandoverDelay)
 	first := holdersOf(l, all, 1, now)
 	is.Equal(len(first), 1)
 	for range 100 {
@@ -132,8 +132,8 @@
 	}
 	// A holder that no longer reports may send until its lease expires, and its requests stay in
 	// the window for some time longer.
-	is.Equal(len(holdersOf(l, remaining, 1, now.Add(ratelease.LeaseTime+ratelease.Span))), 0)
-	next := holdersOf(l, remaining, 1, now.Add(ratelease.LeaseTime+ratelease.Handover))
+	is.Equal(len(holdersOf(l, remaining, 1, now.Add(ratelease.LeaseDuration+ratelease.WindowSpan))), 0)
+	next := holdersOf(l, remaining, 1, now.Add(ratelease.LeaseDuration+ratelease.HandoverDelay))
 	is.Equal(len(next), 1)
 	is.True(next[0] != first[0])
 }
@@ -144,8 +144,8 @@
 	l := ratelease.NewLessor(start)
 	reporters := map[string]int{"small": 1, "large": 4}
 	held := make(map[string]int)
-	for u := range ratelease.Upstream(5000) {
-		for _, name := range holdersOf(l, reporters, u, start.Add(ratelease.Handover)) {
+	for u := range ratelease.UpstreamID(5000) {
+		for _, name := range holdersOf(l, reporters, u, start.Add(ratelease.HandoverDelay)) {
 			held[name]++
 		}
 	}
@@ -158,12 +158,12 @@
 	is := is.New(t)
 	const upstreams = 12_000
 	var grants []ratelease.Grant
-	for u := range ratelease.Upstream(upstreams) {
+	for u := range ratelease.UpstreamID(upstreams) {
 		grants = append(grants, ratelease.Grant{Upstream: u, Parts: 2, Of: 2})
 	}
 	l := ratelease.NewLessor(start)
-	l.Assign(ratelease.Root(grants, 3), map[string]int{"a": 1, "b": 1}, start.Add(ratelease.Handover))
-	a, b := leaseOf(l, "a", start.Add(ratelease.Handover)), leaseOf(l, "b", start.Add(ratelease.Handover))
+	l.Assign(ratelease.RootLease(grants, 3), map[string]int{"a": 1, "b": 1}, start.Add(ratelease.HandoverDelay))
+	a, b := leaseOf(l, "a", start.Add(ratelease.HandoverDelay)), leaseOf(l, "b", start.Add(ratelease.HandoverDelay))
 	is.Equal(countParts(a.Grants)+countParts(b.Grants), 2*upstreams)
 }
 
@@ -171,14 +171,14 @@
 // reporters.
 func TestPartsOfAnUpstream(t *testing.T) {
 	is := is.New(t)
-	now := start.Add(ratelease.Handover)
+	now := start.Add(ratelease.HandoverDelay)
 	root, hub := ratelease.NewLessor(start), ratelease.NewLessor(start)
-	own := ratelease.Root([]ratelease.Grant{{Upstream: 7, Parts: 4, Of: 4}}, 3)
+	own := ratelease.RootLease([]ratelease.Grant{{Upstream: 7, Parts: 4, Of: 4}}, 3)
 	reporters := map[string]int{"hub": 3, "host": 1}
 	root.Assign(own, reporters, now)
 	toHub, toHost := leaseOf(root, "hub", now), leaseOf(root, "host", now)
 	is.Equal(countParts(toHub.Grants)+countParts(toHost.Grants), 4)
-	held := ratelease.Hold(toHub, now, nil)
+	held := ratelease.NewHolding(toHub, now, nil)
 	is.Equal(heldParts(&held, 7, now), countParts(toHub.Grants))
 	total := 0
 	followers := map[string]int{"hub": 1, "a": 1, "b": 1}
@@ -188,7 +188,7 @@
 	}
 	is.Equal(total, countParts(toHub.Grants))
 	// A part that the hub no longer holds isn't renewed for anyone.
-	fewer := ratelease.Lease{Grants: []ratelease.Grant{{Upstream: 7, Parts: 1, Of: 4}}, For: ratelease.LeaseTime, Roots: 3}
+	fewer := ratelease.Lease{Grants: []ratelease.Grant{{Upstream: 7, Parts: 1, Of: 4}}, For: ratelease.LeaseDuration, Roots: 3}
 	total = 0
 	hub.Assign(fewer, followers, now)
 	for name := range followers {
@@ -201,11 +201,11 @@
 // Otherwise two halves and a whole could be in use at once.
 func TestPartsOfAnotherSize(t *testing.T) {
 	is := is.New(t)
-	now := start.Add(ratelease.Handover)
+	now := start.Add(ratelease.HandoverDelay)
 	l := ratelease.NewLessor(start)
 	reporters := map[string]int{"a": 1, "b": 1, "c": 1}
 	leasedParts := func(of int) int {
-		l.Assign(ratelease.Root([]ratelease.Grant{{Upstream: 7, Parts: of, Of: of}}, 3), reporters, now)
+		l.Assign(ratelease.RootLease([]ratelease.Grant{{Upstream: 7, Parts: of, Of: of}}, 3), reporters, now)
 		n := 0
 		for name := range reporters {
 			n += countParts(leaseOf(l, name, now).Grants)
@@ -213,7 +213,7 @@
 		return n
 	}
 	is.Equal(leasedParts(2), 2)
-	until := now.Add(ratelease.Handover)
+	until := now.Add(ratelease.HandoverDelay)
 	for now = now.Add(100 * time.Millisecond); now.Before(until); now = now.Add(100 * time.Millisecond) {
 		is.Equal(leasedParts(1), 0)
 	}
@@ -233,26 +233,26 @@
 // again.
 func TestShareSince(t *testing.T) {
 	is := is.New(t)
-	lease := ratelease.Lease{Grants: wholeGrants(7), For: ratelease.LeaseTime, Roots: 3}
-	first := ratelease.Hold(lease, start, nil)
-	second := ratelease.Hold(lease, start.Add(time.Second), &first)
+	lease := ratelease.Lease{Grants: wholeGrants(7), For: ratelease.LeaseDuration, Roots: 3}
+	first := ratelease.NewHolding(lease, start, nil)
+	second := ratelease.NewHolding(lease, start.Add(time.Second), &first)
 	share, _ := second.Share(7, start.Add(time.Second))
 	is.Equal(share.Since, start)
-	later := start.Add(time.Second + ratelease.LeaseTime)
-	third := ratelease.Hold(lease, later, &second)
+	later := start.Add(time.Second + ratelease.LeaseDuration)
+	third := ratelease.NewHolding(lease, later, &second)
 	share, _ = third.Share(7, later)
 	is.Equal(share.Since, later)
 }
 
 func ExampleLessor() {
 	l := ratelease.NewLessor(start)
-	now := start.Add(ratelease.Handover)
+	now := start.Add(ratelease.HandoverDelay)
 	reporters := map[string]int{"host-1": 1}
-	l.Assign(ratelease.Root([]ratelease.Grant{{Upstream: 7, Parts: 4, Of: 4}}, 3), reporters, now)
+	l.Assign(ratelease.RootLease([]ratelease.Grant{{Upstream: 7, Parts: 4, Of: 4}}, 3), reporters, now)
 	lease, _ := l.Lease("host-1", now)
-	holding := ratelease.Hold(lease, now, nil)
+	holding := ratelease.NewHolding(lease, now, nil)
 	share, _ := holding.Share(7, now)
-	bound := ratelease.Bound{Rate: 18, Overrun: 1.5, Spare: 5}
-	fmt.Println(bound.Each(share))
+	bound := ratelease.Bound{Rate: 18, Overrun: 1.5, Headroom: 5}
+	fmt.Println(bound.RequestsPerSpan(share))
 	// Output: 8
 }
--- a/ratelease/lessor.go
+++ b/ratelease/lessor.go
@@ -13,7 +13,7 @@
 type Lessor struct {
 	startedAt time.Time
 	// assigned holds the lessees of each upstream's parts.
-	assigned map[Upstream]*assignment
+	assigned map[UpstreamID]*assignment
 	// allotments holds what each reporter is granted, of a holding that expires at expiresAt.
 	allotments map[string]*allotment
 	expiresAt  time.Time
@@ -38,7 +38,7 @@
 // available reports whether the part may be leased to another host: the lease expired so long
 // ago that the requests sent under it have left the window.
 func (l *lessee) available(now time.Time) bool {
-	return l.name == "" || !now.Before(l.expiresAt.Add(Handover-LeaseTime))
+	return l.name == "" || !now.Before(l.expiresAt.Add(HandoverDelay-LeaseDuration))
 }
 
 // allotment is what one reporter is granted.
@@ -51,13 +51,13 @@
 
 // NewLessor returns the lessor of a host that started at the given time.
 func NewLessor(startedAt time.Time) *Lessor {
-	return &Lessor{startedAt: startedAt, assigned: make(map[Upstream]*assignment)}
+	return &Lessor{startedAt: startedAt, assigned: make(map[UpstreamID]*assignment)}
 }
 
 // Assign assigns the parts of the holding to reporters. The map has the hosts that report now,
 // with the number of hosts that each represents.
 func (l *Lessor) Assign(holding Lease, reporters map[string]int, now time.Time) {
-	l.allotments, l.expiresAt, l.roots = make(map[string]*allotment, len(reporters)), now.Add(min(holding.For, LeaseTime)), holding.Roots
+	l.allotments, l.expiresAt, l.roots = make(map[string]*allotment, len(reporters)), now.Add(min(holding.For, LeaseDuration)), holding.Roots
 	picker := newWeightedPicker(reporters)
 	for _, g := range holding.Grants {
 		a := l.assignmentFor(g, now)
@@ -74,7 +74,7 @@
 	for _, allotted := range l.allotments {
 		allotted.digest = Digest(allotted.grants)
 	}
-	maps.DeleteFunc(l.assigned, func(_ Upstream, a *assignment) bool { return now.Sub(a.lastHeldAt) > Handover && a.expired(now) })
+	maps.DeleteFunc(l.assigned, func(_ UpstreamID, a *assignment) bool { return now.Sub(a.lastHeldAt) > HandoverDelay && a.expired(now) })
 }
 
 // assignmentFor returns the assignment of the grant's upstream, or nil while leases of parts of
@@ -107,11 +107,11 @@
 
 // resolveLessee reports whether the part has a current lessee, and assigns an available part to
 // a reporter. It returns false while the part may not be assigned.
-func (l *Lessor) resolveLessee(part *lessee, u Upstream, partIndex int, picker weightedPicker, now time.Time) bool {
+func (l *Lessor) resolveLessee(part *lessee, u UpstreamID, partIndex int, picker weightedPicker, now time.Time) bool {
 	if _, reports := picker.hostCounts[part.name]; reports {
 		return true
 	}
-	if !part.available(now) || now.Sub(l.startedAt) < Handover {
+	if !part.available(now) || now.Sub(l.startedAt) < HandoverDelay {
 		return false
 	}
 	*part = lessee{name: picker.pick(u, partIndex)}
@@ -164,7 +164,7 @@
 }
 
 // pick picks a reporter for the part, with a probability in proportion to its number of hosts.
-func (p weightedPicker) pick(u Upstream, partIndex int) string {
+func (p weightedPicker) pick(u UpstreamID, partIndex int) string {
 	picked, lowest := "", math.Inf(1)
 	for name, seed := range p.seeds {
 		uniform := float64(evenhash.Mix(uint64(u)^seed^uint64(partIndex)*0x9e3779b97f4a7c15)>>11+1) / (1 << 53)
--- a/ratelease/limit.go
+++ b/ratelease/limit.go
@@ -50,10 +50,10 @@
 	return Allowance{Rate: part * max(probeRate, float64(l)), Burst: part * l.burst(), Since: s.Since}
 }
 
-// Lone returns the allowance of a host that no hub answers, where hosts is the number of such
+// IsolatedAllowance returns the allowance of a host that no hub answers, where hosts is the number of such
 // hosts: together they try the upstream now and then, so that they learn when its limit ends.
 // The draw, in [0, 1), spreads their tries over time.
-func Lone(hosts int, draw float64, since time.Time) Allowance {
+func IsolatedAllowance(hosts int, draw float64, since time.Time) Allowance {
 	rate := probeRate / float64(max(1, hosts))
 	delay := time.Duration(draw / rate * float64(time.Second))
 	return Allowance{Rate: rate, Burst: 1, Since: since.Add(delay)}
@@ -75,8 +75,8 @@
 	allowanceSince time.Time
 }
 
-// Room reports whether a request may be sent.
-func (b *Bucket) Room(a Allowance, now time.Time) bool {
+// Allows reports whether a request may be sent.
+func (b *Bucket) Allows(a Allowance, now time.Time) bool {
 	b.refill(a, now)
 	return b.tokens >= 1
 }
@@ -84,8 +84,8 @@
 // Take counts a sent request.
 func (b *Bucket) Take() { b.tokens-- }
 
-// Wait returns the time until a request may be sent; ok is false if none ever may.
-func (b *Bucket) Wait(a Allowance, now time.Time) (wait time.Duration, ok bool) {
+// TimeToNext returns the time until a request may be sent; ok is false if none ever may.
+func (b *Bucket) TimeToNext(a Allowance, now time.Time) (wait time.Duration, ok bool) {
 	b.refill(a, now)
 	switch {
 	case b.tokens >= 1:
--- a/ratelease/limit_test.go
+++ b/ratelease/limit_test.go
@@ -56,7 +56,7 @@
 						idleUntil = now.Add(time.Duration(rnd.IntN(8000)) * time.Millisecond)
 					}
 					for _, h := range holders {
-						for allowance := limit.Allowance(h.share); h.bucket.Room(allowance, now); h.bucket.Take() {
+						for allowance := limit.Allowance(h.share); h.bucket.Allows(allowance, now); h.bucket.Take() {
 							sent = append(sent, now)
 						}
 					}
@@ -78,13 +78,13 @@
 	share := ratelease.Share{Parts: 1, Of: 1, Roots: 1, Since: start}
 	var b ratelease.Bucket
 	later := start.Add(time.Minute)
-	is.True(b.Room(limit.Allowance(share), later))
+	is.True(b.Allows(limit.Allowance(share), later))
 	share.Since = later
-	is.True(!b.Room(limit.Allowance(share), later))
-	wait, ok := b.Wait(limit.Allowance(share), later)
+	is.True(!b.Allows(limit.Allowance(share), later))
+	wait, ok := b.TimeToNext(limit.Allowance(share), later)
 	is.True(ok)
 	is.Equal(wait.Round(time.Millisecond), 333*time.Millisecond)
-	_, ok = b.Wait(ratelease.Allowance{}, later)
+	_, ok = b.TimeToNext(ratelease.Allowance{}, later)
 	is.True(!ok) // a host without a share may never send
 }
 
@@ -95,9 +95,9 @@
 	var sent []time.Time
 	for i := range hosts {
 		var b ratelease.Bucket
-		a := ratelease.Lone(hosts, float64(i)/hosts, start)
+		a := ratelease.IsolatedAllowance(hosts, float64(i)/hosts, start)
 		for now := start; now.Before(start.Add(10 * time.Minute)); now = now.Add(100 * time.Millisecond) {
-			if b.Room(a, now) {
+			if b.Allows(a, now) {
 				b.Take()
 				sent = append(sent, now)
 			}
--- a/ratelease/log.go
+++ b/ratelease/log.go
@@ -16,27 +16,27 @@
 	minReplacedEntries = 256
 )
 
-// Mark is a position in a hub's log: Epoch identifies the run of the hub, Last is the sequence
+// LogCursor is a position in a hub's log: Epoch identifies the run of the hub, Last is the sequence
 // number of the last update received.
-type Mark struct {
+type LogCursor struct {
 	Epoch uint64 `json:"epoch,omitempty"`
 	Last  uint64 `json:"last,omitempty"`
 }
 
-// News is a batch of updates from a hub's log.
-type News struct {
-	Words []Word
-	Mark  Mark
-	// Whole says that the batch reaches the end of the log and that the hub has received what
+// LimitBatch is a batch of updates from a hub's log.
+type LimitBatch struct {
+	Updates []LimitUpdate
+	Cursor  LogCursor
+	// Complete says that the batch reaches the end of the log and that the hub has received what
 	// others know: a limit that isn't in the log has ended.
-	Whole bool
+	Complete bool
 }
 
-// Log is a hub's record of upstreams' limits: the latest update of each, numbered in the order
+// LimitLog is a hub's record of upstreams' limits: the latest update of each, numbered in the order
 // of arrival. It isn't safe for concurrent use.
-type Log struct {
+type LimitLog struct {
 	epoch   uint64
-	current map[Upstream]*logEntry
+	current map[UpstreamID]*logEntry
 	// entries holds the entries in the order of their sequence numbers, including some that were
 	// replaced by newer ones.
 	entries []*logEntry
@@ -45,21 +45,21 @@
 
 // logEntry is the latest update of an upstream.
 type logEntry struct {
-	update     Word
+	update     LimitUpdate
 	observedAt time.Time
 	seq        uint64
 	// fromHub says that the update came from another hub.
 	fromHub bool
 }
 
-// NewLog returns an empty log. The epoch must differ for each run of a hub.
-func NewLog(epoch uint64) *Log {
-	return &Log{epoch: epoch, current: make(map[Upstream]*logEntry)}
+// NewLimitLog returns an empty log. The epoch must differ for each run of a hub.
+func NewLimitLog(epoch uint64) *LimitLog {
+	return &LimitLog{epoch: epoch, current: make(map[UpstreamID]*logEntry)}
 }
 
 // Add adds updates from a host or from another hub. If an update is older than the current entry
 // and contradicts it, the current entry is sent again.
-func (l *Log) Add(fromHub bool, updates []Word, now time.Time) {
+func (l *LimitLog) Add(fromHub bool, updates []LimitUpdate, now time.Time) {
 	for _, update := range updates {
 		observedAt, current := now.Add(-update.Age), l.current[update.Upstream]
 		unchanged := current != nil && current.update.Ended == update.Ended && current.update.Limit == update.Limit
@@ -81,7 +81,7 @@
 }
 
 // addEntry appends the entry as the current one of its upstream.
-func (l *Log) addEntry(entry logEntry) {
+func (l *LimitLog) addEntry(entry logEntry) {
 	l.lastSeq++
 	entry.seq = l.lastSeq
 	l.current[entry.update.Upstream] = &entry
@@ -92,28 +92,28 @@
 }
 
 // oldest returns the current entry with the lowest sequence number. The log must not be empty.
-func (l *Log) oldest() *logEntry {
+func (l *LimitLog) oldest() *logEntry {
 	i := slices.IndexFunc(l.entries, l.isCurrent)
 	l.entries = l.entries[i:]
 	return l.entries[0]
 }
 
 // isCurrent reports whether the entry hasn't been replaced by a newer one.
-func (l *Log) isCurrent(e *logEntry) bool { return l.current[e.update.Upstream] == e }
+func (l *LimitLog) isCurrent(e *logEntry) bool { return l.current[e.update.Upstream] == e }
 
 // compact drops replaced entries, and ended limits whose end has reached all hosts.
-func (l *Log) compact(now time.Time) {
-	maps.DeleteFunc(l.current, func(_ Upstream, e *logEntry) bool { return e.update.Ended && now.Sub(e.observedAt) > endedRetention })
+func (l *LimitLog) compact(now time.Time) {
+	maps.DeleteFunc(l.current, func(_ UpstreamID, e *logEntry) bool { return e.update.Ended && now.Sub(e.observedAt) > endedRetention })
 	l.entries = slices.DeleteFunc(l.entries, func(e *logEntry) bool { return !l.isCurrent(e) })
 }
 
 // Since returns at most the given number of updates after the cursor, oldest first. For another
 // hub it leaves out updates that came from hubs, which that hub receives directly.
-func (l *Log) Since(cursor Mark, limit int, toHub bool, now time.Time) News {
+func (l *LimitLog) Since(cursor LogCursor, limit int, toHub bool, now time.Time) LimitBatch {
 	if cursor.Epoch != l.epoch {
 		cursor.Last = 0
 	}
-	batch := News{Mark: Mark{Epoch: l.epoch, Last: l.lastSeq}, Whole: true}
+	batch := LimitBatch{Cursor: LogCursor{Epoch: l.epoch, Last: l.lastSeq}, Complete: true}
 	first, _ := slices.BinarySearchFunc(l.entries, cursor.Last+1, func(e *logEntry, seq uint64) int {
 		return int(int64(e.seq) - int64(seq))
 	})
@@ -121,62 +121,62 @@
 		if !l.isCurrent(e) || toHub && e.fromHub {
 			continue
 		}
-		if len(batch.Words) == limit {
-			batch.Whole = false
+		if len(batch.Updates) == limit {
+			batch.Complete = false
 			return batch
 		}
 		update := e.update
 		update.Age = now.Sub(e.observedAt)
-		batch.Words = append(batch.Words, update)
-		batch.Mark.Last = e.seq
+		batch.Updates = append(batch.Updates, update)
+		batch.Cursor.Last = e.seq
 	}
-	batch.Mark.Last = l.lastSeq
+	batch.Cursor.Last = l.lastSeq
 	return batch
 }
 
-// Keep ends the limits that came from other hubs and that aren't among the updates, which are
+// EndMissing ends the limits that came from other hubs and that aren't among the updates, which are
 // all that the hub of this host has.
-func (l *Log) Keep(updates []Word, now time.Time) {
-	listed := make(map[Upstream]bool, len(updates))
+func (l *LimitLog) EndMissing(updates []LimitUpdate, now time.Time) {
+	listed := make(map[UpstreamID]bool, len(updates))
 	for _, update := range updates {
 		listed[update.Upstream] = true
 	}
 	for u, e := range maps.Clone(l.current) {
 		if e.fromHub && !e.update.Ended && !listed[u] {
-			l.addEntry(logEntry{update: Word{Upstream: u, Ended: true}, observedAt: now, fromHub: true})
+			l.addEntry(logEntry{update: LimitUpdate{Upstream: u, Ended: true}, observedAt: now, fromHub: true})
 		}
 	}
 }
 
-// Follower reads a hub's log batch by batch.
-type Follower struct {
-	cursor Mark
+// LogReader reads a hub's log batch by batch.
+type LogReader struct {
+	cursor LogCursor
 	// complete says that the end of the hub's log was reached once; pending holds the updates
 	// received until then.
 	complete bool
-	pending  []Word
+	pending  []LimitUpdate
 }
 
-// Take processes a batch. restarted reports that the hub is another one than before, or has
+// Apply processes a batch. restarted reports that the hub is another one than before, or has
 // restarted; complete reports that the returned updates are all of the hub's log.
-func (f *Follower) Take(batch News) (updates []Word, restarted, complete bool) {
-	if restarted = batch.Mark.Epoch != f.cursor.Epoch; restarted {
-		*f = Follower{} // the hub sent its log from the start
+func (f *LogReader) Apply(batch LimitBatch) (updates []LimitUpdate, restarted, complete bool) {
+	if restarted = batch.Cursor.Epoch != f.cursor.Epoch; restarted {
+		*f = LogReader{} // the hub sent its log from the start
 	}
-	f.cursor = batch.Mark
+	f.cursor = batch.Cursor
 	if f.complete {
-		return batch.Words, false, false
+		return batch.Updates, false, false
 	}
-	f.pending = append(f.pending, batch.Words...)
-	if !batch.Whole {
-		return batch.Words, restarted, false
+	f.pending = append(f.pending, batch.Updates...)
+	if !batch.Complete {
+		return batch.Updates, restarted, false
 	}
 	updates, f.pending, f.complete = f.pending, nil, true
 	return updates, restarted, true
 }
 
-// Mark returns the position up to which the hub's log was read.
-func (f *Follower) Mark() Mark { return f.cursor }
+// Cursor returns the position up to which the hub's log was read.
+func (f *LogReader) Cursor() LogCursor { return f.cursor }
 
-// Whole reports whether the end of the hub's log was reached once.
-func (f *Follower) Whole() bool { return f.complete }
+// Complete reports whether the end of the hub's log was reached once.
+func (f *LogReader) Complete() bool { return f.complete }
--- a/ratelease/named.go
+++ b/ratelease/named.go
@@ -24,9 +24,9 @@
 	isolationDelay = 5 * time.Second
 )
 
-// Word is an update of an upstream's limit, as seen in a response.
-type Word struct {
-	Upstream Upstream
+// LimitUpdate is an update of an upstream's limit, as seen in a response.
+type LimitUpdate struct {
+	Upstream UpstreamID
 	Limit    Limit
 	// Ended says that the upstream no longer names a limit.
 	Ended bool
@@ -34,21 +34,21 @@
 	Age time.Duration
 }
 
-// Contact records when a host had contact to its hub.
-type Contact struct {
+// HubContact records when a host had contact to its hub.
+type HubContact struct {
 	// answeringSince is when the hub started to answer, answeredAt when it last did.
 	answeringSince, answeredAt time.Time
 	// rootSeenAt is when the hub was last connected to a root hub.
 	rootSeenAt time.Time
 }
 
-// NewContact returns the contact of a host that started at the given time.
-func NewContact(startedAt time.Time) Contact { return Contact{rootSeenAt: startedAt} }
+// NewHubContact returns the contact of a host that started at the given time.
+func NewHubContact(startedAt time.Time) HubContact { return HubContact{rootSeenAt: startedAt} }
 
-// Heard returns the contact updated by an answer of the hub; rootSeenAt is when the hub was last
+// Answered returns the contact updated by an answer of the hub; rootSeenAt is when the hub was last
 // connected to a root hub.
-func (c Contact) Heard(now, rootSeenAt time.Time) Contact {
-	if now.Sub(c.answeredAt) > LeaseTime {
+func (c HubContact) Answered(now, rootSeenAt time.Time) HubContact {
+	if now.Sub(c.answeredAt) > LeaseDuration {
 		c.answeringSince = now
 	}
 	c.answeredAt = now
@@ -60,8 +60,8 @@
 
 // hadTimeToRepeat reports whether the hub has had enough time to send back what was reported at
 // the given time. If it hasn't sent that back by then, the limit has ended.
-func (c Contact) hadTimeToRepeat(reportedAt, now time.Time) bool {
-	if now.Sub(c.answeredAt) > LeaseTime {
+func (c HubContact) hadTimeToRepeat(reportedAt, now time.Time) bool {
+	if now.Sub(c.answeredAt) > LeaseDuration {
 		return false
 	}
 	if c.answeringSince.After(reportedAt) {
@@ -70,17 +70,17 @@
 	return now.Sub(reportedAt) >= propagationTime
 }
 
-// Lone reports whether no root hub is reachable, so that no lease can arrive, and since when.
-func (c Contact) Lone(now time.Time) (since time.Time, isolated bool) {
+// Isolated reports whether no root hub is reachable, so that no lease can arrive, and since when.
+func (c HubContact) Isolated(now time.Time) (since time.Time, isolated bool) {
 	since = c.rootSeenAt.Add(isolationDelay)
 	return since, !now.Before(since)
 }
 
-// Named tracks the limit that an upstream names for all hosts, from the responses to this host
+// LimitState tracks the limit that an upstream names for all hosts, from the responses to this host
 // and from the hub's updates, which cover all hosts. The hub's update takes precedence in the
 // end, so that hosts agree; until the hub has had time to send a limit back, the host's own
 // observation counts. The zero value has no limit.
-type Named struct {
+type LimitState struct {
 	// own is the limit last named in a response to this host, at ownAt; there is none if ownAt
 	// is zero.
 	own   Limit
@@ -101,21 +101,21 @@
 }
 
 // Limited reports whether the upstream has a limit.
-func (n *Named) Limited(c Contact, now time.Time) bool {
+func (n *LimitState) Limited(c HubContact, now time.Time) bool {
 	return n.hasHubLimit || !n.ownAt.IsZero() && !c.hadTimeToRepeat(n.ownAt, now)
 }
 
 // Limit returns the limit named last.
-func (n *Named) Limit() Limit {
+func (n *LimitState) Limit() Limit {
 	if n.ownAt.After(n.hubLimitAt) || !n.hasHubLimit {
 		return n.own
 	}
 	return n.hubLimit
 }
 
-// Split returns the number of parts that a root splits the limit into. It changes only by a
+// PartCount returns the number of parts that a root splits the limit into. It changes only by a
 // factor of two or more, since no part is usable for a moment after a change.
-func (n *Named) Split(roots int) int {
+func (n *LimitState) PartCount(roots int) int {
 	if needed := n.Limit().Parts(roots); n.parts == 0 || needed >= 2*n.parts || 2*needed <= n.parts {
 		n.parts = needed
 	}
@@ -124,7 +124,7 @@
 
 // Observe processes a response that named a limit. It reports whether the hub must be sent an
 // update.
-func (n *Named) Observe(limit Limit, now time.Time) (report bool) {
+func (n *LimitState) Observe(limit Limit, now time.Time) (report bool) {
 	n.own, n.ownAt, n.unlimitedResponses = limit, now, 0
 	if n.hasHubLimit && math.Abs(float64(limit-n.hubLimit)) <= minReportedChange*float64(n.hubLimit) {
 		return false
@@ -132,9 +132,9 @@
 	return n.reportDue(now)
 }
 
-// ObserveNone processes a response without a limit from an upstream that had one, to a request
+// ObserveUnlimited processes a response without a limit from an upstream that had one, to a request
 // sent at the given time. It reports whether the hub must be sent an update.
-func (n *Named) ObserveNone(sentAt, now time.Time) (report bool) {
+func (n *LimitState) ObserveUnlimited(sentAt, now time.Time) (report bool) {
 	lastNamed := n.ownAt
 	if n.hasHubLimit && n.hubLimitAt.After(lastNamed) {
 		lastNamed = n.hubLimitAt
@@ -151,23 +151,23 @@
 	return n.hasHubLimit && n.reportDue(now)
 }
 
-func (n *Named) reportDue(now time.Time) bool { return now.Sub(n.reportedAt) >= minReportInterval }
+func (n *LimitState) reportDue(now time.Time) bool { return now.Sub(n.reportedAt) >= minReportInterval }
 
-// Say returns the update to send to the hub.
-func (n *Named) Say(u Upstream, now time.Time) Word {
+// NextUpdate returns the update to send to the hub.
+func (n *LimitState) NextUpdate(u UpstreamID, now time.Time) LimitUpdate {
 	n.reportedAt = now
 	switch {
 	case !n.ownAt.IsZero():
-		return Word{Upstream: u, Limit: n.own, Age: now.Sub(n.ownAt)}
+		return LimitUpdate{Upstream: u, Limit: n.own, Age: now.Sub(n.ownAt)}
 	case n.hasHubLimit && n.hubLimitAt.After(n.endedAt):
-		return Word{Upstream: u, Limit: n.hubLimit, Age: now.Sub(n.hubLimitAt)}
+		return LimitUpdate{Upstream: u, Limit: n.hubLimit, Age: now.Sub(n.hubLimitAt)}
 	default:
-		return Word{Upstream: u, Ended: true, Age: now.Sub(n.endedAt)}
+		return LimitUpdate{Upstream: u, Ended: true, Age: now.Sub(n.endedAt)}
 	}
 }
 
-// Take applies the hub's update.
-func (n *Named) Take(update Word, now time.Time) {
+// Apply applies the hub's update.
+func (n *LimitState) Apply(update LimitUpdate, now time.Time) {
 	observedAt := now.Add(-update.Age)
 	n.hasHubLimit, n.hubLimit, n.hubLimitAt, n.unlimitedResponses = !update.Ended, update.Limit, observedAt, 0
 	if update.Ended && observedAt.After(n.ownAt) {
@@ -175,11 +175,11 @@
 	}
 }
 
-// None reports whether neither a response nor the hub names a limit.
-func (n *Named) None() bool { return !n.hasHubLimit && n.ownAt.IsZero() }
+// IsEmpty reports whether neither a response nor the hub names a limit.
+func (n *LimitState) IsEmpty() bool { return !n.hasHubLimit && n.ownAt.IsZero() }
 
-// Told reports whether the upstream has a limit by the hub's last update.
-func (n *Named) Told() bool { return n.hasHubLimit }
+// HasHubLimit reports whether the upstream has a limit by the hub's last update.
+func (n *LimitState) HasHubLimit() bool { return n.hasHubLimit }
 
-// Forget resets the number of parts, so that it is computed anew for the next limit.
-func (n *Named) Forget() { n.parts = 0 }
+// ResetPartCount resets the number of parts, so that it is computed anew for the next limit.
+func (n *LimitState) ResetPartCount() { n.parts = 0 }
--- a/routing/document.go
+++ b/routing/document.go
@@ -44,8 +44,8 @@
 	// Models are the models that may answer, the cheapest first. If empty, the
 	// caller specifies the model.
 	Models []string
-	// Split are the services that the route's requests are divided among.
-	Split []Share
+	// Shares are the services that the route's requests are divided among.
+	Shares []Share
 	// MaxAttempts is the maximum number of upstreams that one request is sent to.
 	MaxAttempts int
 	// Public reports whether the route requires no account key.
--- a/routing/table.go
+++ b/routing/table.go
@@ -67,10 +67,10 @@
 }
 
 func (t *Table) addRoute(r *Route) error {
-	if len(r.Split) == 0 {
+	if len(r.Shares) == 0 {
 		return fmt.Errorf("%w: route %q has no service", ErrInvalid, r.Name)
 	}
-	for _, s := range r.Split {
+	for _, s := range r.Shares {
 		if t.services[s.Service] == nil {
 			return fmt.Errorf("%w: route %q refers to unknown service %q", ErrInvalid, r.Name, s.Service)
 		}
@@ -120,15 +120,15 @@
 // Account returns the account with the key, or nil.
 func (t *Table) Account(key string) *Account { return t.accounts[key] }
 
-// Keyed reports whether routes that aren't public require an account key.
-func (t *Table) Keyed() bool { return t.requiresKey }
+// RequiresKey reports whether routes that aren't public require an account key.
+func (t *Table) RequiresKey() bool { return t.requiresKey }
 
-// LowestRank returns the highest number, that is the least urgent, among the
+// LowestPriority returns the highest number, that is the least urgent, among the
 // priorities of routes and accounts.
-func (t *Table) LowestRank() int { return t.lowestPriority }
+func (t *Table) LowestPriority() int { return t.lowestPriority }
 
-// Routes returns the number of routes.
-func (t *Table) Routes() int {
+// RouteCount returns the number of routes.
+func (t *Table) RouteCount() int {
 	n := 0
 	for _, routes := range t.routes {
 		n += len(routes)
@@ -136,19 +136,19 @@
 	return n
 }
 
-// Pick returns the service for a point in [0, 1), divided in proportion to the
+// SelectService returns the service for a point in [0, 1), divided in proportion to the
 // shares. The same point yields the same service until the shares change.
-func (r *Route) Pick(point float64) string {
+func (r *Route) SelectService(point float64) string {
 	total := 0
-	for _, s := range r.Split {
+	for _, s := range r.Shares {
 		total += s.Weight
 	}
 	remaining := point * float64(total)
-	for _, s := range r.Split {
+	for _, s := range r.Shares {
 		remaining -= float64(s.Weight)
 		if remaining < 0 {
 			return s.Service
 		}
 	}
-	return r.Split[len(r.Split)-1].Service
+	return r.Shares[len(r.Shares)-1].Service
 }
--- a/routing/table_test.go
+++ b/routing/table_test.go
@@ -14,9 +14,9 @@
 	return routing.Document{
 		Version: 3,
 		Routes: []routing.Route{
-			{Name: "short", Host: "one.example", Prefix: "/a/", Split: split},
-			{Name: "long", Host: "one.example", Prefix: "/a/b/", Split: split},
-			{Name: "other", Host: "Two.example", Prefix: "/", Split: split},
+			{Name: "short", Host: "one.example", Prefix: "/a/", Shares: split},
+			{Name: "long", Host: "one.example", Prefix: "/a/b/", Shares: split},
+			{Name: "other", Host: "Two.example", Prefix: "/", Shares: split},
 		},
 		Services: []routing.Service{{Name: "a"}, {Name: "b"}},
 		Accounts: []routing.Account{{Name: "acme", Keys: []string{"k1", "k2"}}},
@@ -52,10 +52,10 @@
 
 func TestPickKeepsShares(t *testing.T) {
 	is := is.New(t)
-	r := routing.Route{Split: []routing.Share{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
+	r := routing.Route{Shares: []routing.Share{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	counts := map[string]int{}
 	for i := range 1000 {
-		counts[r.Pick(float64(i)/1000)]++
+		counts[r.SelectService(float64(i)/1000)]++
 	}
 	is.Equal(counts, map[string]int{"a": 900, "b": 100})
 }
@@ -71,7 +71,7 @@
 
 func TestRouteToUnknownServiceIsInvalid(t *testing.T) {
 	doc := document()
-	doc.Routes[0].Split = []routing.Share{{Service: "gone", Weight: 1}}
+	doc.Routes[0].Shares = []routing.Share{{Service: "gone", Weight: 1}}
 	_, err := routing.New(doc)
 	is.New(t).True(errors.Is(err, routing.ErrInvalid))
 }
