--- a/quarantine/example_test.go
+++ b/quarantine/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/quetzalweir/quetzalweir/quarantine"
 )
 
-// A request is at the end of three upstreams, each time beside others: one of these ran at two
-// of them, and isn't to blame.
+// A poison request is lost with three upstreams, each time together with others. One of those
+// ran at two of the upstreams and isn't the cause.
 func Example() {
 	name := func(body string) quarantine.Digest {
 		content := quarantine.Content{Method: "POST", Target: "/reports", Account: "acme", Body: []byte(body)}
@@ -18,10 +18,10 @@
 	for upstream, bodies := range [][]string{{"fatal", "a", "b"}, {"fatal", "b"}, {"fatal", "c"}} {
 		at := time.Duration(upstream) * time.Second
 		for _, body := range bodies {
-			tracker.Lose(quarantine.Loss{Digest: name(body), Incarnation: quarantine.Incarnation(upstream), At: at})
+			tracker.RecordLoss(quarantine.Loss{Digest: name(body), Incarnation: quarantine.Incarnation(upstream), At: at})
 		}
 	}
-	for _, finding := range tracker.Judge(2*time.Second + quarantine.Settle) {
+	for _, finding := range tracker.FindPoisonRequests(2*time.Second + quarantine.SettleDelay) {
 		fmt.Println(finding.Digest == name("fatal"), finding.Events, "events")
 	}
 	fmt.Println("b at", tracker.Events(name("b"), 3*time.Second))
