--- a/internal/exchange/limits.go
+++ b/internal/exchange/limits.go
@@ -28,14 +28,14 @@
 // MarshalJSON implements json.Marshaler.
 func (w LimitUpdates) MarshalJSON() ([]byte, error) {
 	packed := make([]byte, 0, limitEntrySize*len(w))
-	for _, word := range w {
-		limit := float32(word.Limit)
-		if word.Ended {
+	for _, update := range w {
+		limit := float32(update.Limit)
+		if update.Ended {
 			limit = noLimitValue
 		}
-		packed = binary.BigEndian.AppendUint64(packed, uint64(word.Upstream))
+		packed = binary.BigEndian.AppendUint64(packed, uint64(update.Upstream))
 		packed = binary.BigEndian.AppendUint32(packed, math.Float32bits(limit))
-		packed = binary.BigEndian.AppendUint16(packed, uint16(min(maxLimitAge, max(0, word.Age))/time.Millisecond))
+		packed = binary.BigEndian.AppendUint16(packed, uint16(min(maxLimitAge, max(0, update.Age))/time.Millisecond))
 	}
 	return marshalPacked(packed)
 }
@@ -48,14 +48,14 @@
 	}
 	*w = make(LimitUpdates, 0, len(packed)/limitEntrySize)
 	for entry := range slices.Chunk(packed, limitEntrySize) {
-		word := ratelease.LimitUpdate{Upstream: ratelease.UpstreamID(binary.BigEndian.Uint64(entry)), Age: time.Duration(binary.BigEndian.Uint16(entry[12:])) * time.Millisecond}
+		update := ratelease.LimitUpdate{Upstream: ratelease.UpstreamID(binary.BigEndian.Uint64(entry)), Age: time.Duration(binary.BigEndian.Uint16(entry[12:])) * time.Millisecond}
 		limit := math.Float32frombits(binary.BigEndian.Uint32(entry[8:]))
 		if limit >= 0 {
-			word.Limit = ratelease.Limit(limit)
+			update.Limit = ratelease.Limit(limit)
 		} else {
-			word.Ended = true // negative or NaN
+			update.Ended = true // negative or NaN
 		}
-		*w = append(*w, word)
+		*w = append(*w, update)
 	}
 	return nil
 }
@@ -75,9 +75,9 @@
 func (h *hub) limitsSince(known ratelease.LogCursor, to audience) LimitBatch {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	news := h.limits.Since(known, maxLimitUpdates, to == toHub, boottime.Now())
-	whole := news.Complete && h.hasAllLimits && boottime.Since(h.startedAt) >= limitRelearnTime
-	return LimitBatch{Updates: news.Updates, Cursor: news.Cursor, Complete: whole}
+	batch := h.limits.Since(known, maxLimitUpdates, to == toHub, boottime.Now())
+	whole := batch.Complete && h.hasAllLimits && boottime.Since(h.startedAt) >= limitRelearnTime
+	return LimitBatch{Updates: batch.Updates, Cursor: batch.Cursor, Complete: whole}
 }
 
 // limitRelearnTime is how long a hub that has started waits for its followers and other hubs to
@@ -86,29 +86,29 @@
 
 // recordLimits records limits that a host or another hub sent. whole means that they are all
 // the limits of the hub that this one reports to.
-func (h *hub) recordLimits(fromHub bool, words []ratelease.LimitUpdate, whole bool) {
+func (h *hub) recordLimits(fromHub bool, updates []ratelease.LimitUpdate, whole bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := boottime.Now()
-	h.limits.Add(fromHub, words, now)
+	h.limits.Add(fromHub, updates, now)
 	if whole {
-		h.limits.EndMissing(words, now)
+		h.limits.EndMissing(updates, now)
 	}
 }
 
 // applyHubLimits applies the limits in the hub's reply. A host with followers passes them on
 // through its own hub.
 func (m *Member) applyHubLimits(batch LimitBatch, hasFollowers bool) {
-	words, reset, whole := m.limits.Apply(batch.decode())
+	updates, reset, whole := m.limits.Apply(batch.decode())
 	if reset {
 		m.resendLimits()
 	}
 	m.hub.setHasAllLimits(m.limits.Complete())
 	if hasFollowers {
-		m.hub.recordLimits(true, words, whole)
+		m.hub.recordLimits(true, updates, whole)
 		return
 	}
-	m.deliverLimits(words, whole)
+	m.deliverLimits(updates, whole)
 }
 
 // resendLimits makes the next reports repeat all limits of this host and its followers, for a
@@ -139,13 +139,13 @@
 
 // applyOwnHubLimits applies the limits that this host's own hub has.
 func (m *Member) applyOwnHubLimits() {
-	words, _, whole := m.ownLimits.Apply(m.hub.limitsSince(m.ownLimits.Cursor(), toHost).decode())
-	m.deliverLimits(words, whole)
+	updates, _, whole := m.ownLimits.Apply(m.hub.limitsSince(m.ownLimits.Cursor(), toHost).decode())
+	m.deliverLimits(updates, whole)
 }
 
-func (m *Member) deliverLimits(words []ratelease.LimitUpdate, whole bool) {
-	if m.options.OnLimits != nil && (whole || len(words) > 0) {
-		m.options.OnLimits(words, whole)
+func (m *Member) deliverLimits(updates []ratelease.LimitUpdate, whole bool) {
+	if m.options.OnLimits != nil && (whole || len(updates) > 0) {
+		m.options.OnLimits(updates, whole)
 	}
 }
 
--- a/internal/exchange/limits_test.go
+++ b/internal/exchange/limits_test.go
@@ -50,35 +50,35 @@
 func (h *fleetHost) newLimits() []ratelease.LimitUpdate {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var words []ratelease.LimitUpdate
+	var updates []ratelease.LimitUpdate
 	for u, l := range h.limits {
 		if l.pending {
-			words = append(words, l.named.NextUpdate(u, time.Now()))
+			updates = append(updates, l.named.NextUpdate(u, time.Now()))
 			l.pending = false
 		}
 	}
-	return words
+	return updates
 }
 
 func (h *fleetHost) knownLimits() []ratelease.LimitUpdate {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var words []ratelease.LimitUpdate
+	var updates []ratelease.LimitUpdate
 	for u, l := range h.limits {
 		if l.named.Limited(h.contact, time.Now()) {
-			words = append(words, l.named.NextUpdate(u, time.Now()))
+			updates = append(updates, l.named.NextUpdate(u, time.Now()))
 		}
 	}
-	return words
+	return updates
 }
 
-func (h *fleetHost) takeLimits(words []ratelease.LimitUpdate, whole bool) {
+func (h *fleetHost) takeLimits(updates []ratelease.LimitUpdate, whole bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	received := make(map[ratelease.UpstreamID]bool)
-	for _, word := range words {
-		received[word.Upstream] = true
-		h.limit(word.Upstream).named.Apply(word, time.Now())
+	for _, update := range updates {
+		received[update.Upstream] = true
+		h.limit(update.Upstream).named.Apply(update, time.Now())
 	}
 	for u, l := range h.limits {
 		if whole && l.named.HasHubLimit() && !received[u] {
@@ -362,15 +362,15 @@
 
 func TestLimitUpdatesOnTheWire(t *testing.T) {
 	is := is.New(t)
-	words := LimitUpdates{
+	updates := LimitUpdates{
 		{Upstream: 1 << 63, Limit: 1.5, Age: 250 * time.Millisecond},
 		{Upstream: 2, Ended: true},
 		{Upstream: 3, Limit: 0, Age: time.Hour},
 	}
-	data, err := json.Marshal(words)
+	data, err := json.Marshal(updates)
 	is.NoErr(err)
 	var got LimitUpdates
 	is.NoErr(json.Unmarshal(data, &got))
-	words[2].Age = maxLimitAge
-	is.Equal(got, words)
+	updates[2].Age = maxLimitAge
+	is.Equal(got, updates)
 }
--- a/internal/exchange/member.go
+++ b/internal/exchange/member.go
@@ -61,7 +61,7 @@
 	// limits of all hosts from the hub. All may be nil.
 	Limits      func() []ratelease.LimitUpdate
 	KnownLimits func() []ratelease.LimitUpdate
-	OnLimits    func(words []ratelease.LimitUpdate, whole bool)
+	OnLimits    func(updates []ratelease.LimitUpdate, whole bool)
 	// Quarantine tracks the requests that end upstreams. It may be nil.
 	Quarantine Quarantine
 	// Evidence returns this host's counts for the roll-outs in progress. OnEvidence receives
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -95,8 +95,8 @@
 func TestLimitThatAnotherHostReported(t *testing.T) {
 	is := is.New(t)
 	w, limited, _ := newLimitTest(t, limitValues("1"))
-	word := ratelease.LimitUpdate{Upstream: ratelease.NewUpstreamID("limited"), Limit: 1}
-	w.gateway.fleet.applyLimits([]ratelease.LimitUpdate{word, {Upstream: 77, Limit: 3}}, false)
+	update := ratelease.LimitUpdate{Upstream: ratelease.NewUpstreamID("limited"), Limit: 1}
+	w.gateway.fleet.applyLimits([]ratelease.LimitUpdate{update, {Upstream: 77, Limit: 3}}, false)
 	w.mustServe(5)
 	is.Equal(limited.count(), 0)
 	w.gateway.fleet.applyLimits(nil, true) // the hub has no limits
--- a/internal/gateway/start_memory_test.go
+++ b/internal/gateway/start_memory_test.go
@@ -79,9 +79,9 @@
 		store.pages <- table[i : i+page]
 		last := table[i+page-1].Revision
 		eventually(t, "the hub has the page", func() bool { return hub.Revision() >= last })
-		news, ok := hub.UpdateSince(host.Revision(), 1<<20)
-		is.True(ok && news.Complete)
-		host.Offer(news, time.Now())
+		update, ok := hub.UpdateSince(host.Revision(), 1<<20)
+		is.True(ok && update.Complete)
+		host.Offer(update, time.Now())
 		eventually(t, "the host has the page", func() bool { return host.Revision() >= last })
 	}
 	runtime.ReadMemStats(&after)
--- a/internal/gateway/statuswrite_test.go
+++ b/internal/gateway/statuswrite_test.go
@@ -18,9 +18,9 @@
 func TestFewHostsWriteAStatus(t *testing.T) {
 	const (
 		hubs, followers = 5, 190
-		// news is the time until a write has reached all hosts: the store's answer, and two
+		// propagationTime is the time until a write has reached all hosts: the store's answer, and two
 		// exchanges.
-		news = 500 * time.Millisecond
+		propagationTime = 500 * time.Millisecond
 	)
 	for _, state := range []RolloutState{RolloutRunning, RolloutCompleted, RolloutReverted} {
 		t.Run(state.String(), func(t *testing.T) {
@@ -41,7 +41,7 @@
 				}
 				writes := 0
 				for _, turn := range delays {
-					if turn <= first+news {
+					if turn <= first+propagationTime {
 						writes++
 					}
 				}
--- a/ratelease/log_test.go
+++ b/ratelease/log_test.go
@@ -14,8 +14,8 @@
 	now := time.Now()
 	l := ratelease.NewLimitLog(7)
 	updatesSince := func(known ratelease.LogCursor, toHub bool) ([]ratelease.LimitUpdate, ratelease.LogCursor) {
-		news := l.Since(known, 100, toHub, now)
-		return news.Updates, news.Cursor
+		batch := l.Since(known, 100, toHub, now)
+		return batch.Updates, batch.Cursor
 	}
 	l.Add(false, []ratelease.LimitUpdate{{Upstream: 1, Limit: 2, Age: time.Second}, {Upstream: 9, Ended: true}}, now)
 	updates, cursor := updatesSince(ratelease.LogCursor{}, false)
