--- a/session/cache.go
+++ b/session/cache.go
@@ -7,18 +7,19 @@
 	lru "github.com/hashicorp/golang-lru/v2"
 )
 
-// cacheShards is the number of independently locked parts, a power of two.
+// cacheShards is the number of independently locked shards, a power of two.
 const cacheShards = 16
 
-// entry is a binding as this host last saw it.
+// entry is a cached copy of a binding.
 type entry struct {
 	record record
-	// durable says that the binding was read from or written to its row.
+	// durable is true if the binding was read from or written to its row.
 	durable bool
 	readAt  time.Time
 }
 
-// cache holds the bindings last used, in shards, each under its own lock.
+// cache is a sharded LRU cache of bindings by row key. Each shard has its own
+// lock.
 type cache struct {
 	shards [cacheShards]*lru.Cache[string, entry]
 }
--- a/session/choose.go
+++ b/session/choose.go
@@ -9,32 +9,34 @@
 	"github.com/quetzalweir/quetzalweir/manifest"
 )
 
-// pointBits is the precision of a point, that of a float64's mantissa.
-const pointBits = 53
+// hashBits is the number of hash bits kept in a float64, the precision of its
+// significand.
+const hashBits = 53
 
-// Point maps a session and model to a number in [0,1), the same on all hosts.
+// Point returns a hash of the session and model in [0,1). It is the same on all
+// hosts.
 func Point(account, sessionID, model string) float64 {
 	var d xxhash.Digest
 	d.Reset()
 	writeField(&d, account)
 	writeField(&d, sessionID)
 	writeField(&d, model)
-	return unit(d.Sum64())
+	return unitInterval(d.Sum64())
 }
 
-// Choose picks the version of a new session by weighted rendezvous hashing:
-// each version draws a number from the point and its name, and the lowest
-// draw, scaled by the version's share, wins. The choice depends neither on
-// the versions' order nor on those without a share. It returns false if no
-// version takes new sessions.
+// Choose selects the version of a new session by weighted rendezvous hashing.
+// Each version gets a score from the hash of the point and its name, scaled by
+// its share, and the lowest score wins. The choice doesn't depend on the order
+// of the versions or on versions without a share. It returns false if no
+// version accepts new sessions.
 func Choose(versions []manifest.Version, point float64) (manifest.Version, bool) {
 	best := -1
 	lowest := math.Inf(1)
 	for i, v := range versions {
-		if !takesSessions(v) {
+		if !acceptsNewSessions(v) {
 			continue
 		}
-		score := -math.Log(draw(point, v.Name)) / float64(v.Share)
+		score := -math.Log(versionHash(point, v.Name)) / float64(v.Share)
 		if score < lowest {
 			lowest = score
 			best = i
@@ -46,26 +48,27 @@
 	return versions[best], true
 }
 
-func takesSessions(v manifest.Version) bool {
+func acceptsNewSessions(v manifest.Version) bool {
 	if v.Share <= 0 {
 		return false
 	}
 	return v.State == manifest.Serving || v.State == manifest.RollingIn
 }
 
-// draw returns a number in (0,1].
-func draw(point float64, name string) float64 {
+// versionHash returns a hash of the point and the version name in (0,1]. It is
+// never 0, since Choose takes its logarithm.
+func versionHash(point float64, name string) float64 {
 	var d xxhash.Digest
 	d.Reset()
 	var bits [8]byte
 	binary.LittleEndian.PutUint64(bits[:], math.Float64bits(point))
 	_, _ = d.Write(bits[:])
 	_, _ = d.WriteString(name)
-	return 1 - unit(d.Sum64())
+	return 1 - unitInterval(d.Sum64())
 }
 
-// writeField adds a text with its length, so that ("a","bc") and ("ab","c")
-// differ.
+// writeField hashes the length of s and then s, so that ("a","bc") and
+// ("ab","c") have different hashes.
 func writeField(d *xxhash.Digest, s string) {
 	var length [8]byte
 	binary.LittleEndian.PutUint64(length[:], uint64(len(s)))
@@ -73,7 +76,7 @@
 	_, _ = d.WriteString(s)
 }
 
-// unit maps a hash to [0,1).
-func unit(h uint64) float64 {
-	return float64(h>>(64-pointBits)) / (1 << pointBits)
+// unitInterval maps a hash to [0,1).
+func unitInterval(h uint64) float64 {
+	return float64(h>>(64-hashBits)) / (1 << hashBits)
 }
--- a/session/codec.go
+++ b/session/codec.go
@@ -12,21 +12,22 @@
 )
 
 const (
-	// tokenFormat is the first byte of each token.
+	// tokenFormat is the format version, the first byte of each token.
 	tokenFormat = 1
-	// macBytes is the length of the truncated HMAC-SHA256, 128 bits.
+	// macBytes is the length of the truncated HMAC-SHA256: 128 bits.
 	macBytes = 16
-	// maxTokenChars bounds the text of a token: the fields, the key's id,
-	// their lengths, two numbers and the MAC, in base64.
+	// maxTokenChars is the maximum length of an encoded token: the fields, the
+	// key ID, their length bytes, two varints and the MAC, in base64.
 	maxTokenChars = (4*(maxFieldBytes+2) + maxKeyIDBytes + 2*binary.MaxVarintLen64 + macBytes + 2 + 2) * 4 / 3
 )
 
-// encoding is strict, so that exactly one text stands for a token.
-var encoding = base64.RawURLEncoding.Strict()
+// tokenEncoding is strict, so that each token has exactly one encoded form.
+var tokenEncoding = base64.RawURLEncoding.Strict()
 
-// Codec mints and opens tokens. It is safe for concurrent use.
+// Codec creates and verifies signed session tokens. It is safe for concurrent
+// use.
 type Codec struct {
-	ttl   atomic.Int64 // nanoseconds
+	ttl   atomic.Int64 // lifetime of tokens, in nanoseconds
 	clock storage.Clock
 	keys  atomic.Pointer[keyring]
 }
@@ -37,9 +38,9 @@
 	byID   map[string]Key
 }
 
-// NewCodec returns a codec whose tokens are valid for ttl after they were
-// minted. The first key signs and all verify; a nil clock means time.Now. It
-// panics on keys that ParseKeys would refuse.
+// NewCodec returns a Codec whose tokens are valid for ttl after they are
+// issued. The first key signs, all keys verify. A nil clock means time.Now. It
+// panics if the keys are invalid, by the rules of ParseKeys.
 func NewCodec(keys []Key, ttl time.Duration, clock storage.Clock) *Codec {
 	if clock == nil {
 		clock = time.Now
@@ -52,12 +53,13 @@
 	return c
 }
 
-// SetTTL changes how long tokens are valid, for those minted before as well.
+// SetTTL sets the lifetime of tokens, including those already issued.
 func (c *Codec) SetTTL(ttl time.Duration) { c.ttl.Store(int64(ttl)) }
 
-// Rotate replaces the keys at once for all later calls. To rotate without a
-// cut, hand all hosts the new key in second place, then in first, and drop
-// the old one a time to live later. Refused keys leave the old ones in force.
+// Rotate atomically replaces the keys for all later calls. To rotate without
+// invalidating tokens, add the new key to all hosts in second position, then
+// move it to the first, and remove the old key one TTL later. If the new keys
+// are invalid, the old ones stay in use.
 func (c *Codec) Rotate(keys []Key) error {
 	if err := checkKeys(keys); err != nil {
 		return err
@@ -70,8 +72,8 @@
 	return nil
 }
 
-// Mint returns the token of a binding. A zero IssuedAt means now. It returns
-// the empty string for a binding that Validate refuses.
+// Mint returns a signed token for a binding. A zero IssuedAt means now. Mint
+// returns the empty string if the binding isn't valid.
 func (c *Codec) Mint(b Binding) string {
 	if b.Validate() != nil {
 		return ""
@@ -90,21 +92,21 @@
 	raw = binary.AppendUvarint(raw, b.Epoch)
 	raw = binary.AppendVarint(raw, b.IssuedAt.UnixMilli())
 	raw = append(raw, mac(signer.Secret, raw)...)
-	return encoding.EncodeToString(raw)
+	return tokenEncoding.EncodeToString(raw)
 }
 
-// Open checks a token and returns its binding. Any failure is exactly one of
+// Open verifies a token and returns its binding. The error is exactly one of
 // ErrMalformed, ErrUnknownKey, ErrOtherAccount and ErrExpired.
 func (c *Codec) Open(token, account string) (Binding, error) {
 	if len(token) > maxTokenChars {
 		return Binding{}, ErrMalformed
 	}
-	raw, err := encoding.DecodeString(token)
+	raw, err := tokenEncoding.DecodeString(token)
 	if err != nil || len(raw) < 1+macBytes || raw[0] != tokenFormat {
 		return Binding{}, ErrMalformed
 	}
-	signed, sum := raw[:len(raw)-macBytes], raw[len(raw)-macBytes:]
-	r := reader{rest: signed[1:]}
+	signed, tokenMAC := raw[:len(raw)-macBytes], raw[len(raw)-macBytes:]
+	r := tokenReader{remaining: signed[1:]}
 	keyID := r.field()
 	if r.failed {
 		return Binding{}, ErrMalformed
@@ -113,7 +115,7 @@
 	if !known {
 		return Binding{}, ErrUnknownKey
 	}
-	if !hmac.Equal(sum, mac(key.Secret, signed)) {
+	if !hmac.Equal(tokenMAC, mac(key.Secret, signed)) {
 		return Binding{}, ErrMalformed
 	}
 	b, ok := r.binding()
@@ -129,8 +131,9 @@
 	return b, nil
 }
 
-// expired tolerates issuers whose clock is ahead, up to the time to live, so
-// that clock skew between hosts doesn't end sessions.
+// expired reports whether a token issued at the given time is out of its TTL.
+// It accepts times up to one TTL in the future, so that clock skew between hosts
+// doesn't end sessions.
 func (c *Codec) expired(issued time.Time) bool {
 	return c.clock().Sub(issued).Abs() > time.Duration(c.ttl.Load())
 }
@@ -141,47 +144,48 @@
 	return h.Sum(nil)[:macBytes]
 }
 
-// appendField appends a length byte and the text; Validate and checkKeys keep
-// the length within a byte.
+// appendField appends a length byte and s. Validate and checkKeys guarantee
+// that the length fits in a byte.
 func appendField(dst []byte, s string) []byte {
 	dst = append(dst, byte(len(s)))
 	return append(dst, s...)
 }
 
-// reader takes fields off a token; after a failure it returns zero values.
-type reader struct {
-	rest   []byte
-	failed bool
+// tokenReader decodes the fields of a token in order. After a failure it returns
+// zero values.
+type tokenReader struct {
+	remaining []byte
+	failed    bool
 }
 
-func (r *reader) field() string {
-	if len(r.rest) < 1 || len(r.rest) < 1+int(r.rest[0]) {
+func (r *tokenReader) field() string {
+	if len(r.remaining) < 1 || len(r.remaining) < 1+int(r.remaining[0]) {
 		r.failed = true
 		return ""
 	}
-	end := 1 + int(r.rest[0])
-	s := string(r.rest[1:end])
-	r.rest = r.rest[end:]
+	end := 1 + int(r.remaining[0])
+	s := string(r.remaining[1:end])
+	r.remaining = r.remaining[end:]
 	return s
 }
 
-func (r *reader) uvarint() uint64 { return number(r, binary.Uvarint) }
+func (r *tokenReader) uvarint() uint64 { return readNumber(r, binary.Uvarint) }
 
-func (r *reader) varint() int64 { return number(r, binary.Varint) }
+func (r *tokenReader) varint() int64 { return readNumber(r, binary.Varint) }
 
-// number reads a number whose decoder returns its value and its length; no
-// length above zero means that it is cut or too long.
-func number[T uint64 | int64](r *reader, decode func([]byte) (T, int)) T {
-	v, n := decode(r.rest)
+// readNumber reads a varint. The decoder returns the value and its length, which
+// is 0 or negative if the number is truncated or overflows.
+func readNumber[T uint64 | int64](r *tokenReader, decode func([]byte) (T, int)) T {
+	v, n := decode(r.remaining)
 	if n <= 0 {
 		r.failed = true
 		return 0
 	}
-	r.rest = r.rest[n:]
+	r.remaining = r.remaining[n:]
 	return v
 }
 
-func (r *reader) binding() (Binding, bool) {
+func (r *tokenReader) binding() (Binding, bool) {
 	b := Binding{
 		Account:   r.field(),
 		SessionID: r.field(),
@@ -190,5 +194,5 @@
 		Epoch:     r.uvarint(),
 		IssuedAt:  time.UnixMilli(r.varint()).UTC(),
 	}
-	return b, !r.failed && len(r.rest) == 0
+	return b, !r.failed && len(r.remaining) == 0
 }
--- a/session/cost_test.go
+++ b/session/cost_test.go
@@ -15,8 +15,8 @@
 	"github.com/quetzalweir/quetzalweir/storage/memory"
 )
 
-// TestTableCost prints what new sessions without a token cost the table, with
-// and without group commit, in virtual time. Each session comes to two hosts.
+// TestTableCost logs the table load from new sessions without a token, with and
+// without group commit, in virtual time. Each session is bound on two hosts.
 func TestTableCost(t *testing.T) {
 	const (
 		hosts      = 7
@@ -25,12 +25,12 @@
 		tableDelay = 4 * time.Millisecond
 	)
 	cases := []struct {
-		desc       string
-		grouped    bool
-		mostCommit float64
+		desc          string
+		grouped       bool
+		maxCommitRate float64
 	}{
-		{desc: "a commit for each session", mostCommit: perSecond},
-		{desc: "group commit", grouped: true, mostCommit: hosts * (groupcommit.DefaultCommitsPerSecond + 2)},
+		{desc: "one commit per session", maxCommitRate: perSecond},
+		{desc: "group commit", grouped: true, maxCommitRate: hosts * (groupcommit.DefaultCommitsPerSecond + 2)},
 	}
 	for _, tc := range cases {
 		t.Run(tc.desc, func(t *testing.T) {
@@ -39,7 +39,7 @@
 				table.SetDelay(tableDelay)
 				var registries []*Registry
 				for range hosts {
-					registries = append(registries, testRegistry(grouped(t, table, tc.grouped)))
+					registries = append(registries, testRegistry(withGroupCommit(t, table, tc.grouped)))
 				}
 				cost := new(bindCost)
 				var wg sync.WaitGroup
@@ -54,15 +54,15 @@
 				wg.Wait()
 				counts := table.Counts()
 				commits := float64(counts.Commits) / seconds
-				t.Logf("commits/s %.0f reads/s %.0f longest bind %v not durable %d", commits, float64(counts.Gets)/seconds, cost.longest, cost.notDurable)
+				t.Logf("commits/s %.0f reads/s %.0f longest bind %v, bindings not durable %d", commits, float64(counts.Gets)/seconds, cost.longest, cost.notDurable)
 				is.New(t).Equal(cost.notDurable, 0)
-				is.New(t).True(commits <= tc.mostCommit)
+				is.New(t).True(commits <= tc.maxCommitRate)
 			})
 		})
 	}
 }
 
-// bindCost sums up concurrent calls of Bind.
+// bindCost collects statistics of concurrent Bind calls.
 type bindCost struct {
 	mu         sync.Mutex
 	longest    time.Duration
@@ -82,7 +82,7 @@
 	}
 }
 
-func grouped(t *testing.T, table storage.Table, on bool) storage.Table {
+func withGroupCommit(t *testing.T, table storage.Table, on bool) storage.Table {
 	if !on {
 		return table
 	}
--- a/session/key.go
+++ b/session/key.go
@@ -8,35 +8,37 @@
 )
 
 const (
-	// MinSecretBytes is the least length of a signing secret.
+	// MinSecretBytes is the minimum length of a signing secret.
 	MinSecretBytes = 32
-	// maxKeyIDBytes bounds a key's id, which stands in each token.
+	// maxKeyIDBytes is the maximum length of a key ID, which is part of each
+	// token.
 	maxKeyIDBytes = 32
 )
 
-// ErrInvalidKey means that a signing key can't be used. The error's text never
-// holds any part of a secret.
+// ErrInvalidKey means that a signing key is malformed or missing. The error text
+// never contains any part of a secret.
 var ErrInvalidKey = errors.New("session: invalid key")
 
-// Key is a signing key of tokens.
+// Key is a signing key for tokens.
 type Key struct {
-	// ID stands in the token in clear.
+	// ID is stored in the token as plain text.
 	ID string
 	// Secret has at least MinSecretBytes bytes.
 	Secret []byte
 }
 
-// String gives the id alone, so that logging a key doesn't reveal it.
+// String returns only the ID, so that logging a key doesn't reveal its secret.
 func (k Key) String() string {
 	return k.ID
 }
 
-// GoString hides the secret from the %#v verb.
+// GoString omits the secret from the output of the %#v verb.
 func (k Key) GoString() string {
 	return "session.Key{ID:" + k.ID + "}"
 }
 
-// ParseKeys reads "id:hex,id:hex". The first key signs and all verify.
+// ParseKeys parses keys of the form "id:hex,id:hex". The first key signs, all
+// keys verify.
 func ParseKeys(s string) ([]Key, error) {
 	var keys []Key
 	for i, part := range strings.Split(s, ",") {
@@ -59,7 +61,7 @@
 	}
 	secret, err := hex.DecodeString(text)
 	if err != nil {
-		// The decoder's error quotes a byte of the secret, so it is dropped.
+		// The decoder's error quotes a byte of the secret, so it isn't wrapped.
 		return Key{}, fmt.Errorf("%w: secret isn't hexadecimal", ErrInvalidKey)
 	}
 	return Key{ID: id, Secret: secret}, nil
@@ -73,11 +75,11 @@
 	for i, k := range keys {
 		switch {
 		case k.ID == "" || len(k.ID) > maxKeyIDBytes:
-			return fmt.Errorf("%w: key %d: id must have 1 to %d bytes", ErrInvalidKey, i+1, maxKeyIDBytes)
+			return fmt.Errorf("%w: key %d: ID must have 1 to %d bytes", ErrInvalidKey, i+1, maxKeyIDBytes)
 		case len(k.Secret) < MinSecretBytes:
-			return fmt.Errorf("%w: key %d: secret has %d bytes, at least %d", ErrInvalidKey, i+1, len(k.Secret), MinSecretBytes)
+			return fmt.Errorf("%w: key %d: secret has %d bytes, want at least %d", ErrInvalidKey, i+1, len(k.Secret), MinSecretBytes)
 		case seen[k.ID]:
-			return fmt.Errorf("%w: key %d: id stands twice", ErrInvalidKey, i+1)
+			return fmt.Errorf("%w: key %d: duplicate ID", ErrInvalidKey, i+1)
 		}
 		seen[k.ID] = true
 	}
--- a/session/record.go
+++ b/session/record.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// record is the value of a session's row.
+// record is the value of a session's row in the table.
 type record struct {
 	Binding
-	// TTLMillis is the time to live after the last use, in milliseconds.
+	// TTLMillis is the TTL after the last use, in milliseconds.
 	TTLMillis int64 `json:"ttl_millis"`
 }
 
-// record makes the row's value of a binding that is in use now.
-func (r *Registry) record(b Binding, now time.Time) record {
+// newRecord returns the row value for a binding that is used now.
+func (r *Registry) newRecord(b Binding, now time.Time) record {
 	b.IssuedAt = now
 	return record{Binding: b, TTLMillis: time.Duration(r.ttl.Load()).Milliseconds()}
 }
@@ -19,12 +19,13 @@
 	return time.Duration(r.TTLMillis) * time.Millisecond
 }
 
-// stale reports whether a use must write the row again to prolong it.
-func (r record) stale(now time.Time) bool {
+// needsRewrite reports whether a use at now must rewrite the row to extend its
+// lifetime.
+func (r record) needsRewrite(now time.Time) bool {
 	return now.Sub(r.IssuedAt) >= r.ttl()
 }
 
-// expired reports whether the row has outlived its last use.
+// expired reports whether the row's lifetime has ended.
 func (r record) expired(now time.Time) bool {
-	return now.Sub(r.IssuedAt) >= rowLives*r.ttl()
+	return now.Sub(r.IssuedAt) >= rowTTLFactor*r.ttl()
 }
--- a/session/registry.go
+++ b/session/registry.go
@@ -14,13 +14,14 @@
 )
 
 const (
-	// rowPrefix starts the keys of all session rows.
+	// rowPrefix is the key prefix of all session rows.
 	rowPrefix = "session/"
-	// rowLives is a row's life in times to live. Rows are written again by the
-	// first use that is one time to live after the last write, so a row lasts
-	// at least one time to live after each use without a write for each.
-	rowLives = 2
-	// maxAttempts bounds how often a bind follows a row that others move.
+	// rowTTLFactor is the lifetime of a row, in TTLs. A row is rewritten by the
+	// first use at least one TTL after its last write, so it lives at least one
+	// TTL after each use without a write per use.
+	rowTTLFactor = 2
+	// maxAttempts is the maximum number of attempts of one bind when other hosts
+	// change the row concurrently.
 	maxAttempts = 4
 )
 
@@ -33,26 +34,27 @@
 	defaultCacheSize = 16384
 )
 
-// errContended means that a row changed at each of maxAttempts attempts.
+// errContended means that the row changed during each of maxAttempts attempts.
 var errContended = errors.New("session: row changes too often")
 
 // Options configures a Registry.
 type Options struct {
 	Table storage.Table
-	// Clock gives the time; nil means time.Now.
+	// Clock returns the current time; nil means time.Now.
 	Clock storage.Clock
-	// TTL is how long a binding lasts after its last use; default 30 min. It
-	// can be changed by SetTTL.
+	// TTL is the lifetime of a binding after its last use; default 30 min.
+	// SetTTL changes it.
 	TTL time.Duration
-	// Timeout bounds each table call on the request path; default 250 ms.
+	// Timeout is the timeout of each table call on the request path; default
+	// 250 ms.
 	Timeout time.Duration
-	// Recheck is the age at which a cached binding is read again; default
-	// 5 min.
+	// Recheck is the age at which a cached binding is read from the table
+	// again; default 5 min.
 	Recheck time.Duration
-	// Backoff is how long the table isn't called after it failed, so that an
-	// outage doesn't cost each request the timeout; default 1 s.
+	// Backoff is how long no table call is made after one failed, so that
+	// requests don't each wait for the timeout during an outage; default 1 s.
 	Backoff time.Duration
-	// CacheSize is the number of bindings held in memory; default 16,384.
+	// CacheSize is the number of cached bindings; default 16,384.
 	CacheSize int
 }
 
@@ -68,19 +70,19 @@
 	return o
 }
 
-// Registry binds sessions of callers that carry no token. The first host to
-// insert the session's row decides; all others follow the row. It is safe for
-// concurrent use.
+// Registry binds sessions of callers that send no token. The first host to
+// insert the session's row determines the version; all other hosts use the
+// row. It is safe for concurrent use.
 type Registry struct {
 	opts  Options
 	cache *cache
-	// ttl is the time to live of rows written from now on, in nanoseconds.
+	// ttl is the TTL of rows written from now on, in nanoseconds.
 	ttl atomic.Int64
-	// retryAt is when the table may be called again, in Unix nanoseconds.
+	// retryAt is the end of the current backoff, in Unix nanoseconds.
 	retryAt atomic.Int64
 }
 
-// NewRegistry returns a registry over a table.
+// NewRegistry returns a Registry that stores bindings in opts.Table.
 func NewRegistry(opts Options) *Registry {
 	opts = opts.withDefaults()
 	r := &Registry{opts: opts, cache: newCache(opts.CacheSize)}
@@ -88,16 +90,16 @@
 	return r
 }
 
-// SetTTL changes how long bindings last after their last use. Each row keeps
-// the time that it was written with until it is written again, so that a host
-// that doesn't know of a longer time can't sweep it early.
+// SetTTL sets the lifetime of bindings after their last use. Each row keeps the
+// TTL that it was written with until it is rewritten, so that a host with a
+// shorter TTL can't sweep it early.
 func (r *Registry) SetTTL(ttl time.Duration) { r.ttl.Store(int64(ttl)) }
 
-// Bind returns the session's binding: the one that the row holds, or else the
-// proposal, which is then written down. durable reports whether the binding
-// was seen in the table; without it, the binding is only this host's own, and
-// another host may choose otherwise. An unreachable table is no error. The
-// error is ErrInvalidBinding, or the context's.
+// Bind returns the binding in the session's row. If there is no row, it inserts
+// the proposal and returns that. durable reports whether the binding was read
+// from or written to the table. A binding that isn't durable applies to this
+// host only, and another host may choose a different version. An unreachable
+// table isn't an error. The error is ErrInvalidBinding or that of the context.
 func (r *Registry) Bind(ctx context.Context, proposal Binding) (b Binding, durable bool, err error) {
 	if err := proposal.Validate(); err != nil {
 		return Binding{}, false, err
@@ -106,31 +108,32 @@
 	now := r.now()
 	cached, hit := r.cache.get(key)
 	hit = hit && !cached.record.expired(now)
-	if hit && cached.durable && now.Sub(cached.readAt) < r.opts.Recheck && !cached.record.stale(now) {
+	if hit && cached.durable && now.Sub(cached.readAt) < r.opts.Recheck && !cached.record.needsRewrite(now) {
 		return cached.record.Binding, true, nil
 	}
 	if hit {
 		proposal = cached.record.Binding
 	}
-	fresh := r.record(proposal, now)
+	candidate := r.newRecord(proposal, now)
 	if !r.tableUsable(now) {
-		return r.bindLocally(key, fresh, hit && cached.durable, now)
+		return r.bindLocally(key, candidate, hit && cached.durable, now)
 	}
-	held, err := r.settle(ctx, key, fresh, now)
+	current, err := r.readOrInsert(ctx, key, candidate, now)
 	if ctxErr := ctx.Err(); ctxErr != nil {
 		return Binding{}, false, fmt.Errorf("session: bind: %w", ctxErr)
 	}
 	if err != nil {
-		r.tableFailed(now)
-		return r.bindLocally(key, fresh, hit && cached.durable, now)
+		r.startBackoff(now)
+		return r.bindLocally(key, candidate, hit && cached.durable, now)
 	}
-	r.cache.put(key, entry{record: held, durable: true, readAt: now})
-	return held.Binding, true, nil
+	r.cache.put(key, entry{record: current, durable: true, readAt: now})
+	return current.Binding, true, nil
 }
 
-// Rebind moves a session off a version that was withdrawn. If another host
-// moved it first, that host's choice is returned, so the caller checks the
-// result as it checks any binding. The other results are as for Bind.
+// Rebind moves a session from a withdrawn version to a replacement. If another
+// host moved the session first, Rebind returns that host's choice, so the caller
+// must check the result like any other binding. The other results are as for
+// Bind.
 func (r *Registry) Rebind(ctx context.Context, old, replacement Binding) (b Binding, durable bool, err error) {
 	if err := replacement.Validate(); err != nil {
 		return Binding{}, false, err
@@ -140,90 +143,90 @@
 	}
 	key := rowKey(replacement)
 	now := r.now()
-	fresh := r.record(replacement, now)
+	candidate := r.newRecord(replacement, now)
 	if !r.tableUsable(now) {
-		return r.bindLocally(key, fresh, false, now)
+		return r.bindLocally(key, candidate, false, now)
 	}
-	held, err := r.replace(ctx, key, old.Version, fresh, now)
+	current, err := r.replace(ctx, key, old.Version, candidate, now)
 	if ctxErr := ctx.Err(); ctxErr != nil {
 		return Binding{}, false, fmt.Errorf("session: rebind: %w", ctxErr)
 	}
 	if err != nil {
-		r.tableFailed(now)
-		return r.bindLocally(key, fresh, false, now)
+		r.startBackoff(now)
+		return r.bindLocally(key, candidate, false, now)
 	}
-	r.cache.put(key, entry{record: held, durable: true, readAt: now})
-	return held.Binding, true, nil
+	r.cache.put(key, entry{record: current, durable: true, readAt: now})
+	return current.Binding, true, nil
 }
 
-// Evict forgets cached bindings to a version, so that each is read from its
+// Evict removes all cached bindings to a version, so that each is read from its
 // row again. It is called when a version is withdrawn.
 func (r *Registry) Evict(model, version string) {
 	r.cache.evict(model, version)
 }
 
-// bindLocally answers without the table. A binding once read from its row
-// keeps the claim while the row can't have expired.
-func (r *Registry) bindLocally(key string, fresh record, wasDurable bool, now time.Time) (Binding, bool, error) {
+// bindLocally returns a binding without a table call. A cached binding that was
+// read from its row stays durable until the row can have expired.
+func (r *Registry) bindLocally(key string, candidate record, wasDurable bool, now time.Time) (Binding, bool, error) {
 	if old, ok := r.cache.get(key); ok && wasDurable {
 		return old.record.Binding, true, nil
 	}
-	r.cache.put(key, entry{record: fresh, readAt: now})
-	return fresh.Binding, false, nil
+	r.cache.put(key, entry{record: candidate, readAt: now})
+	return candidate.Binding, false, nil
 }
 
-// settle returns what the row holds, after it inserted the row if it was
+// readOrInsert returns the row's value. It inserts the proposal if the row is
 // absent or expired. It reads before it writes, since most sessions that are
-// new to a host have a row and commits are scarcer than reads. A lost answer
-// needs no attempt token: whatever the row holds after it is the decision,
-// whoever wrote it.
-func (r *Registry) settle(ctx context.Context, key string, proposal record, now time.Time) (record, error) {
+// new to a host have a row, and commits are scarcer than reads. A lost reply
+// needs no attempt token: the row's value afterwards is the binding, whichever
+// host wrote it.
+func (r *Registry) readOrInsert(ctx context.Context, key string, proposal record, now time.Time) (record, error) {
 	for range maxAttempts {
-		held, version, err := r.read(ctx, key)
+		current, version, err := r.read(ctx, key)
 		if err != nil {
 			return record{}, err
 		}
-		if version > 0 && !held.expired(now) {
-			if !held.stale(now) {
-				return held, nil
+		if version > 0 && !current.expired(now) {
+			if !current.needsRewrite(now) {
+				return current, nil
 			}
-			proposal = r.record(held.Binding, now)
+			proposal = r.newRecord(current.Binding, now)
 		}
 		err = r.write(ctx, key, version, proposal)
 		if err == nil {
 			return proposal, nil
 		}
-		if !follow(err) {
+		if !shouldReread(err) {
 			return record{}, err
 		}
 	}
 	return record{}, errContended
 }
 
-// replace writes the replacement over a row that still holds the withdrawn
-// version, or over none.
+// replace writes the replacement if the row still has the withdrawn version, is
+// expired or is absent. Otherwise it returns the row's value.
 func (r *Registry) replace(ctx context.Context, key, withdrawn string, replacement record, now time.Time) (record, error) {
 	for range maxAttempts {
-		held, version, err := r.read(ctx, key)
+		current, version, err := r.read(ctx, key)
 		if err != nil {
 			return record{}, err
 		}
-		if version > 0 && held.Version != withdrawn && !held.expired(now) {
-			return held, nil
+		if version > 0 && current.Version != withdrawn && !current.expired(now) {
+			return current, nil
 		}
 		err = r.write(ctx, key, version, replacement)
 		if err == nil {
 			return replacement, nil
 		}
-		if !follow(err) {
+		if !shouldReread(err) {
 			return record{}, err
 		}
 	}
 	return record{}, errContended
 }
 
-// follow reports whether the row is to be read after a failed write.
-func follow(err error) bool {
+// shouldReread reports whether to read the row again after a failed write.
+func shouldReread(err error) bool {
 	return errors.Is(err, storage.ErrConflict) || errors.Is(err, storage.ErrUnknown)
 }
 
@@ -259,7 +262,8 @@
 	return value, row.Version, nil
 }
 
-// now is in the form that rows and tokens give back.
+// now returns the time in UTC, truncated to the millisecond precision of rows
+// and tokens.
 func (r *Registry) now() time.Time {
 	return r.opts.Clock().UTC().Truncate(time.Millisecond)
 }
@@ -268,11 +272,12 @@
 	return now.UnixNano() >= r.retryAt.Load()
 }
 
-func (r *Registry) tableFailed(now time.Time) {
+func (r *Registry) startBackoff(now time.Time) {
 	r.retryAt.Store(now.Add(r.opts.Backoff).UnixNano())
 }
 
-// rowKey names a session's row. Escaping keeps the parts apart.
+// rowKey returns the key of a session's row. Its parts are escaped so that they
+// contain no separator.
 func rowKey(b Binding) string {
 	return rowPrefix + url.PathEscape(b.Account) + "/" + url.PathEscape(b.SessionID) + "/" + url.PathEscape(b.Model)
 }
--- a/session/registry_test.go
+++ b/session/registry_test.go
@@ -26,14 +26,14 @@
 	return NewRegistry(Options{Table: table, TTL: testTTL})
 }
 
-// overTable runs a test over an empty table in a synctest bubble of its own.
-func overTable(t *testing.T, test func(t *testing.T, is *is.I, table *faulty.Table)) {
+// withTable runs a test with an empty table in its own synctest bubble.
+func withTable(t *testing.T, test func(t *testing.T, is *is.I, table *faulty.Table)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { test(t, is.New(t), faulty.New(memory.New())) })
 }
 
 func proposal(version string) Binding {
-	b := bound
+	b := testBinding
 	b.Version = version
 	b.IssuedAt = time.Time{}
 	return b
@@ -52,9 +52,9 @@
 		fault func(*faulty.Table)
 	}{
 		{desc: "no fault", fault: func(*faulty.Table) {}},
-		{desc: "answers lost after their effect", fault: func(f *faulty.Table) { f.LoseNext(4) }},
-		{desc: "a commit that comes late", fault: func(f *faulty.Table) { f.DelayNext(1, time.Second) }},
-		{desc: "commits dropped without an answer", fault: func(f *faulty.Table) { f.DropNext(2) }},
+		{desc: "replies lost after commit", fault: func(f *faulty.Table) { f.LoseNext(4) }},
+		{desc: "delayed commit", fault: func(f *faulty.Table) { f.DelayNext(1, time.Second) }},
+		{desc: "commits dropped without reply", fault: func(f *faulty.Table) { f.DropNext(2) }},
 		{desc: "slow calls", fault: func(f *faulty.Table) { f.SetDelay(100 * time.Millisecond) }},
 	}
 	for _, tc := range cases {
@@ -75,38 +75,38 @@
 				wg.Wait()
 				for i := range hosts {
 					is.True(durable[i])
-					is.Equal(got[i], got[0]) // one version for all concurrent first requests
+					is.Equal(got[i], got[0]) // all concurrent first requests get one version
 				}
-				time.Sleep(2 * time.Second) // a late commit has come
+				time.Sleep(2 * time.Second) // the delayed commit has been applied
 				later, _ := mustBind(t, testRegistry(table), "later")
-				is.Equal(later, got[0].Version) // changed shares don't move the session
+				is.Equal(later, got[0].Version) // a new proposal doesn't move the session
 			})
 		})
 	}
 }
 
 func TestBindWithoutTable(t *testing.T) {
-	overTable(t, func(t *testing.T, is *is.I, table *faulty.Table) {
-		here, there := testRegistry(table), testRegistry(table)
+	withTable(t, func(t *testing.T, is *is.I, table *faulty.Table) {
+		hostA, hostB := testRegistry(table), testRegistry(table)
 		table.SetDown(true)
-		v, durable := mustBind(t, here, "v1")
+		v, durable := mustBind(t, hostA, "v1")
 		is.Equal(v, "v1")
-		is.True(!durable) // told truthfully
-		v, durable = mustBind(t, here, "v2")
-		is.Equal(v, "v1") // this host keeps its choice
+		is.True(!durable) // the table was unreachable
+		v, durable = mustBind(t, hostA, "v2")
+		is.Equal(v, "v1") // the host keeps its local binding
 		is.True(!durable)
-		is.Equal(table.Counts().Gets, 1) // an outage isn't paid for by each request
+		is.Equal(table.Counts().Gets, 1) // no table call during the backoff
 		table.Heal()
 		time.Sleep(2 * defaultBackoff)
-		v, durable = mustBind(t, here, "v2")
+		v, durable = mustBind(t, hostA, "v2")
 		is.Equal(v, "v1")
-		is.True(durable) // written down after the outage
-		v, _ = mustBind(t, there, "v2")
+		is.True(durable) // written after the outage
+		v, _ = mustBind(t, hostB, "v2")
 		is.Equal(v, "v1")
 		table.SetDown(true)
-		v, durable = mustBind(t, there, "v2")
+		v, durable = mustBind(t, hostB, "v2")
 		is.Equal(v, "v1")
-		is.True(durable) // seen in the table before
+		is.True(durable) // read from the table before the outage
 	})
 }
 
@@ -121,21 +121,21 @@
 }
 
 func TestRowLastsTTLAfterUse(t *testing.T) {
-	overTable(t, func(t *testing.T, is *is.I, table *faulty.Table) {
+	withTable(t, func(t *testing.T, is *is.I, table *faulty.Table) {
 		mustBind(t, testRegistry(table), "v1")
 		for range 50 {
 			time.Sleep(testTTL / 5)
 			v, _ := mustBind(t, testRegistry(table), "v2")
-			is.Equal(v, "v1") // used often enough
+			is.Equal(v, "v1") // each use is within the lifetime
 		}
-		is.True(table.Counts().Commits <= 12) // but not written at each use
+		is.True(table.Counts().Commits <= 12) // not every use writes the row
 		_, deleted, err := testRegistry(table).Sweep(t.Context(), "")
 		is.NoErr(err)
 		is.Equal(deleted, 0)
 		time.Sleep(testTTL)
 		v, _ := mustBind(t, testRegistry(table), "v2")
-		is.Equal(v, "v1") // one time to live after the last use
-		time.Sleep(rowLives * testTTL)
+		is.Equal(v, "v1") // one TTL after the last use
+		time.Sleep(rowTTLFactor * testTTL)
 		_, deleted, err = testRegistry(table).Sweep(t.Context(), "")
 		is.NoErr(err)
 		is.Equal(deleted, 1)
@@ -145,14 +145,14 @@
 }
 
 func TestRowsKeepTheirTTL(t *testing.T) {
-	overTable(t, func(t *testing.T, is *is.I, table *faulty.Table) {
+	withTable(t, func(t *testing.T, is *is.I, table *faulty.Table) {
 		long, short := testRegistry(table), testRegistry(table)
 		long.SetTTL(24 * time.Hour)
 		mustBind(t, long, "v1")
 		time.Sleep(5 * testTTL)
 		_, deleted, err := short.Sweep(t.Context(), "")
 		is.NoErr(err)
-		is.Equal(deleted, 0) // a host that knows only a shorter time spares it
+		is.Equal(deleted, 0) // a host with a shorter TTL doesn't delete the row
 		v, durable := mustBind(t, short, "v2")
 		is.Equal(v, "v1")
 		is.True(durable)
@@ -160,7 +160,7 @@
 }
 
 func TestSweepPassesOverPages(t *testing.T) {
-	overTable(t, func(t *testing.T, is *is.I, table *faulty.Table) {
+	withTable(t, func(t *testing.T, is *is.I, table *faulty.Table) {
 		r := testRegistry(table)
 		const sessions = 2*sweepPage + 10
 		for i := range sessions {
@@ -169,29 +169,29 @@
 			_, _, err := r.Bind(t.Context(), b)
 			is.NoErr(err)
 		}
-		time.Sleep(rowLives * testTTL)
+		time.Sleep(rowTTLFactor * testTTL)
 		mustBind(t, r, "v1")
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
 		r.Run(ctx, time.Second)
 		rows, err := table.List(t.Context(), rowPrefix, "", sessions)
 		is.NoErr(err)
-		is.Equal(len(rows), 1) // only the one in use
+		is.Equal(len(rows), 1) // only the row of the session in use
 	})
 }
 
 func TestRebind(t *testing.T) {
-	overTable(t, func(t *testing.T, is *is.I, table *faulty.Table) {
-		here, there := testRegistry(table), testRegistry(table)
-		mustBind(t, here, "v1")
-		mustBind(t, there, "v1")
-		b, durable, err := here.Rebind(t.Context(), proposal("v1"), proposal("v2"))
+	withTable(t, func(t *testing.T, is *is.I, table *faulty.Table) {
+		hostA, hostB := testRegistry(table), testRegistry(table)
+		mustBind(t, hostA, "v1")
+		mustBind(t, hostB, "v1")
+		b, durable, err := hostA.Rebind(t.Context(), proposal("v1"), proposal("v2"))
 		is.NoErr(err)
 		is.True(durable)
 		is.Equal(b.Version, "v2")
-		b, _, err = there.Rebind(t.Context(), proposal("v1"), proposal("v3"))
+		b, _, err = hostB.Rebind(t.Context(), proposal("v1"), proposal("v3"))
 		is.NoErr(err)
-		is.Equal(b.Version, "v2") // the first to move it decides
+		is.Equal(b.Version, "v2") // the first host to move the session determines the version
 		third := testRegistry(table)
 		mustBind(t, third, "v1")
 		table.LoseNext(1)
@@ -199,35 +199,35 @@
 		is.NoErr(err)
 		is.True(durable)
 		is.Equal(b.Version, "v4")
-		v, _ := mustBind(t, here, "v1")
+		v, _ := mustBind(t, hostA, "v1")
 		is.Equal(v, "v2") // still cached
-		here.Evict(bound.Model, "v2")
-		v, _ = mustBind(t, here, "v1")
+		hostA.Evict(testBinding.Model, "v2")
+		v, _ = mustBind(t, hostA, "v1")
 		is.Equal(v, "v4")
 		table.SetDown(true)
-		b, durable, err = here.Rebind(t.Context(), proposal("v4"), proposal("v5"))
+		b, durable, err = hostA.Rebind(t.Context(), proposal("v4"), proposal("v5"))
 		is.NoErr(err)
 		is.True(!durable)
-		is.Equal(b.Version, "v5") // a withdrawn version gets no work, table or not
+		is.Equal(b.Version, "v5") // a withdrawn version isn't used, even without the table
 		other := proposal("v1")
 		other.SessionID = "another"
-		_, _, err = here.Rebind(t.Context(), proposal("v1"), other)
+		_, _, err = hostA.Rebind(t.Context(), proposal("v1"), other)
 		is.True(errors.Is(err, ErrInvalidBinding))
 	})
 }
 
-// TestDurableBindingsNeverDiffer runs hosts against faults in random order: as
-// long as the session is in use and isn't moved, all durable answers agree.
+// TestDurableBindingsNeverDiffer runs hosts with random table faults. While the
+// session is in use and isn't rebound, all durable bindings must be the same.
 func TestDurableBindingsNeverDiffer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		now := start
+		now := testTime
 		clock := func() time.Time { return now }
 		table := faulty.New(memory.New())
 		var hosts []*Registry
 		for range 3 {
 			hosts = append(hosts, NewRegistry(Options{Table: table, TTL: testTTL, Clock: clock, CacheSize: cacheShards}))
 		}
-		decided := ""
+		boundVersion := ""
 		actions := map[string]func(*rapid.T){
 			"bind": func(t *rapid.T) {
 				i := rapid.IntRange(0, len(hosts)-1).Draw(t, "host")
@@ -239,10 +239,10 @@
 				if !durable {
 					return
 				}
-				if decided != "" && b.Version != decided {
-					t.Fatalf("bound to %s, before to %s", b.Version, decided)
+				if boundVersion != "" && b.Version != boundVersion {
+					t.Fatalf("bound to %s, previously to %s", b.Version, boundVersion)
 				}
-				decided = b.Version
+				boundVersion = b.Version
 			},
 			"replace host": func(t *rapid.T) {
 				i := rapid.IntRange(0, len(hosts)-1).Draw(t, "host")
@@ -252,17 +252,17 @@
 				_, _, _ = hosts[0].Sweep(context.Background(), "")
 			},
 			"time": func(t *rapid.T) {
-				// Each step is followed by a use, so that the session lives on.
+				// A use follows each step, so that the session doesn't expire.
 				now = now.Add(time.Duration(rapid.IntRange(1, 59).Draw(t, "minutes")) * time.Minute)
 				table.Heal()
 				b, durable, err := hosts[0].Bind(context.Background(), proposal("v9"))
 				if err != nil || !durable {
-					t.Skip("the table was just called in vain")
+					t.Skip("the table is in backoff after a failed call")
 				}
-				if decided != "" && b.Version != decided {
-					t.Fatalf("moved to %s from %s", b.Version, decided)
+				if boundVersion != "" && b.Version != boundVersion {
+					t.Fatalf("moved to %s from %s", b.Version, boundVersion)
 				}
-				decided = b.Version
+				boundVersion = b.Version
 			},
 		}
 		maps.Copy(actions, storagetest.FaultActions(table))
--- a/session/session.go
+++ b/session/session.go
@@ -1,13 +1,13 @@
-// Package session keeps a session on the version that it began with.
+// Package session binds each session to the model version that it started on.
 //
-// A session is bound to one version of a model. The binding travels in a
-// signed token that any host can open without I/O (Codec). A caller that
-// sends a bare session id instead is bound by a row of the platform's table
-// (Registry). The version of a new session is chosen by Choose, a pure
-// function of the session's identity and the versions' shares.
+// The binding is carried in a signed token, which any host can verify without
+// I/O (Codec). If a caller sends only a session ID, the binding is stored in a
+// row of the platform's table (Registry). Choose selects the version of a new
+// session. It is a pure function of the session's identity and the versions'
+// shares.
 //
-// The entry host embeds all three. A session without a token that begins on two
-// hosts while the table is out of reach can get two versions; Bind says then
+// The entry host uses all three. A session without a token that starts on two
+// hosts while the table is unreachable can get two versions. Bind then reports
 // that the binding isn't durable.
 package session
 
@@ -17,17 +17,18 @@
 	"time"
 )
 
-// maxFieldBytes bounds each text field of a binding, so that tokens and rows
-// are bounded too.
+// maxFieldBytes is the maximum length of each text field of a binding. It also
+// limits the size of tokens and rows.
 const maxFieldBytes = 200
 
 // Errors of tokens and bindings.
 var (
-	// ErrMalformed means that the text isn't a token that a known key signed.
+	// ErrMalformed means that the text isn't a token, or that its signature
+	// isn't valid.
 	ErrMalformed = errors.New("session: malformed token")
-	// ErrExpired means that the token is genuine but past its time to live.
+	// ErrExpired means that the signature is valid but the token's TTL is over.
 	ErrExpired = errors.New("session: expired token")
-	// ErrUnknownKey means that the token names a key that isn't held.
+	// ErrUnknownKey means that the token's key ID isn't in the key set.
 	ErrUnknownKey = errors.New("session: unknown key")
 	// ErrOtherAccount means that the token belongs to another client account.
 	ErrOtherAccount = errors.New("session: token of another account")
@@ -35,22 +36,23 @@
 	ErrInvalidBinding = errors.New("session: invalid binding")
 )
 
-// Binding ties a session to a version.
+// Binding assigns a session to a version of a model.
 type Binding struct {
 	// Account is the client account that owns the session.
 	Account string `json:"account"`
-	// SessionID is the caller's or the system's name for the session.
+	// SessionID identifies the session. It is set by the caller or generated.
 	SessionID string `json:"session_id"`
 	Model     string `json:"model"`
 	Version   string `json:"version"`
 	// Epoch is the manifest epoch under which the version was chosen.
 	Epoch uint64 `json:"epoch"`
-	// IssuedAt is the time of the last use that was written down, to the
-	// millisecond.
+	// IssuedAt is when the token was issued or the row was last written, with
+	// millisecond precision.
 	IssuedAt time.Time `json:"issued_at"`
 }
 
-// Validate reports whether the binding can be written as a token or a row.
+// Validate returns ErrInvalidBinding if the binding can't be stored in a token or
+// a row.
 func (b Binding) Validate() error {
 	fields := []struct{ name, value string }{
 		{"account", b.Account},
@@ -63,13 +65,14 @@
 			return fmt.Errorf("%w: %s is empty", ErrInvalidBinding, f.name)
 		}
 		if len(f.value) > maxFieldBytes {
-			return fmt.Errorf("%w: %s has %d bytes, at most %d", ErrInvalidBinding, f.name, len(f.value), maxFieldBytes)
+			return fmt.Errorf("%w: %s has %d bytes, want at most %d", ErrInvalidBinding, f.name, len(f.value), maxFieldBytes)
 		}
 	}
 	return nil
 }
 
-// sameSession reports whether two bindings are of one session and model.
+// sameSession reports whether two bindings have the same account, session and
+// model.
 func (b Binding) sameSession(other Binding) bool {
 	return b.Account == other.Account && b.SessionID == other.SessionID && b.Model == other.Model
 }
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -14,22 +14,22 @@
 )
 
 var (
-	keyA  = Key{ID: "a", Secret: []byte(strings.Repeat("A", MinSecretBytes))}
-	keyB  = Key{ID: "b", Secret: []byte(strings.Repeat("B", MinSecretBytes))}
-	start = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
-	bound = Binding{Account: "acme", SessionID: "s-1", Model: "small", Version: "v1", Epoch: 7, IssuedAt: start}
+	keyA        = Key{ID: "a", Secret: []byte(strings.Repeat("A", MinSecretBytes))}
+	keyB        = Key{ID: "b", Secret: []byte(strings.Repeat("B", MinSecretBytes))}
+	testTime    = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
+	testBinding = Binding{Account: "acme", SessionID: "s-1", Model: "small", Version: "v1", Epoch: 7, IssuedAt: testTime}
 )
 
-// testClock is a clock that the test moves.
+// testClock is a clock that the test sets.
 type testClock struct{ now time.Time }
 
 func (c *testClock) Now() time.Time { return c.now }
 
 func TestOpen(t *testing.T) {
 	longest := strings.Repeat("x", maxFieldBytes)
-	big := Binding{Account: longest, SessionID: longest, Model: longest, Version: longest, Epoch: math.MaxUint64, IssuedAt: start}
+	big := Binding{Account: longest, SessionID: longest, Model: longest, Version: longest, Epoch: math.MaxUint64, IssuedAt: testTime}
 	mint := func(b Binding, keys ...Key) string { return NewCodec(keys, time.Hour, nil).Mint(b) }
-	good := mint(bound, keyA)
+	good := mint(testBinding, keyA)
 	cases := []struct {
 		desc    string
 		token   string
@@ -38,17 +38,17 @@
 		want    error
 	}{
 		{desc: "genuine", token: good, account: "acme"},
-		{desc: "signed by the second key", token: mint(bound, keyB), account: "acme"},
+		{desc: "signed by the second key", token: mint(testBinding, keyB), account: "acme"},
 		{desc: "longest fields", token: mint(big, keyA), account: longest},
-		{desc: "at its last moment", token: good, account: "acme", after: time.Hour},
+		{desc: "at the end of its TTL", token: good, account: "acme", after: time.Hour},
 		{desc: "issuer's clock ahead", token: good, account: "acme", after: -time.Minute},
 		{desc: "expired", token: good, account: "acme", after: time.Hour + 1, want: ErrExpired},
-		{desc: "issued far ahead", token: good, account: "acme", after: -2 * time.Hour, want: ErrExpired},
+		{desc: "issued too far in the future", token: good, account: "acme", after: -2 * time.Hour, want: ErrExpired},
 		{desc: "another account", token: good, account: "other", want: ErrOtherAccount},
-		{desc: "key not held", token: mint(bound, Key{ID: "c", Secret: keyA.Secret}), account: "acme", want: ErrUnknownKey},
-		{desc: "right key id, other secret", token: mint(bound, Key{ID: "a", Secret: keyB.Secret}), account: "acme", want: ErrMalformed},
+		{desc: "unknown key", token: mint(testBinding, Key{ID: "c", Secret: keyA.Secret}), account: "acme", want: ErrUnknownKey},
+		{desc: "known key ID, other secret", token: mint(testBinding, Key{ID: "a", Secret: keyB.Secret}), account: "acme", want: ErrMalformed},
 		{desc: "empty", token: "", account: "acme", want: ErrMalformed},
-		{desc: "cut short", token: good[:len(good)-4], account: "acme", want: ErrMalformed},
+		{desc: "truncated token", token: good[:len(good)-4], account: "acme", want: ErrMalformed},
 		{desc: "extended", token: good + "AAAA", account: "acme", want: ErrMalformed},
 		{desc: "padded", token: good + "==", account: "acme", want: ErrMalformed},
 		{desc: "over the size limit", token: strings.Repeat("A", maxTokenChars+1), account: "acme", want: ErrMalformed},
@@ -56,13 +56,13 @@
 	for _, tc := range cases {
 		t.Run(tc.desc, func(t *testing.T) {
 			is := is.New(t)
-			clock := &testClock{now: start.Add(tc.after)}
+			clock := &testClock{now: testTime.Add(tc.after)}
 			codec := NewCodec([]Key{keyA, keyB}, time.Hour, clock.Now)
 			b, err := codec.Open(tc.token, tc.account)
-			is.True(errors.Is(err, tc.want)) // the stated error
+			is.True(errors.Is(err, tc.want)) // the expected error
 			is.True(len(tc.token) <= maxTokenChars || tc.want != nil)
 			if tc.want != nil {
-				is.Equal(b, Binding{}) // nothing of a refused token is shown
+				is.Equal(b, Binding{}) // no field of a rejected token is returned
 			}
 		})
 	}
@@ -70,33 +70,33 @@
 
 func TestOpenRefusesEachChangedBit(t *testing.T) {
 	is := is.New(t)
-	clock := &testClock{now: start}
+	clock := &testClock{now: testTime}
 	codec := NewCodec([]Key{keyA}, time.Hour, clock.Now)
-	raw, err := encoding.DecodeString(codec.Mint(bound))
+	raw, err := tokenEncoding.DecodeString(codec.Mint(testBinding))
 	is.NoErr(err)
 	for i := range len(raw) * 8 {
 		changed := append([]byte(nil), raw...)
 		changed[i/8] ^= 1 << (i % 8)
-		_, err := codec.Open(encoding.EncodeToString(changed), bound.Account)
-		is.True(err != nil) // a changed bit is refused
+		_, err := codec.Open(tokenEncoding.EncodeToString(changed), testBinding.Account)
+		is.True(err != nil) // a flipped bit is rejected
 	}
 }
 
 func TestRotate(t *testing.T) {
 	is := is.New(t)
-	clock := &testClock{now: start}
+	clock := &testClock{now: testTime}
 	codec := NewCodec([]Key{keyA}, time.Hour, clock.Now)
-	old := codec.Mint(bound)
+	old := codec.Mint(testBinding)
 	is.NoErr(codec.Rotate([]Key{keyB, keyA}))
-	got, err := codec.Open(old, bound.Account)
+	got, err := codec.Open(old, testBinding.Account)
 	is.NoErr(err)
-	is.Equal(got, bound)
-	is.True(codec.Mint(bound) != old) // the new key signs
+	is.Equal(got, testBinding)
+	is.True(codec.Mint(testBinding) != old) // the new key signs
 	is.True(codec.Rotate(nil) != nil)
-	_, err = codec.Open(old, bound.Account)
-	is.NoErr(err) // refused keys leave the old ones in force
+	_, err = codec.Open(old, testBinding.Account)
+	is.NoErr(err) // after invalid keys, the old ones stay in use
 	is.NoErr(codec.Rotate([]Key{keyB}))
-	_, err = codec.Open(old, bound.Account)
+	_, err = codec.Open(old, testBinding.Account)
 	is.True(errors.Is(err, ErrUnknownKey))
 }
 
@@ -123,10 +123,10 @@
 			is.Equal(len(keys), tc.want)
 			is.Equal(errors.Is(err, ErrInvalidKey), tc.want == 0)
 			if err != nil {
-				is.True(!strings.Contains(err.Error(), "5e5e")) // no secret in errors
+				is.True(!strings.Contains(err.Error(), "5e5e")) // errors contain no secret
 			}
-			shown := fmt.Sprintf("%v %+v %#v %s", keys, keys, keys, keys)
-			is.True(!strings.Contains(shown, "5e5e") && !strings.Contains(shown, "94 94") && !strings.Contains(shown, "^^"))
+			formatted := fmt.Sprintf("%v %+v %#v %s", keys, keys, keys, keys)
+			is.True(!strings.Contains(formatted, "5e5e") && !strings.Contains(formatted, "94 94") && !strings.Contains(formatted, "^^"))
 		})
 	}
 }
@@ -140,7 +140,7 @@
 		func(b *Binding) { b.SessionID = strings.Repeat("x", maxFieldBytes+1) },
 	} {
 		is := is.New(t)
-		b := bound
+		b := testBinding
 		change(&b)
 		is.True(errors.Is(b.Validate(), ErrInvalidBinding))
 		is.Equal(NewCodec([]Key{keyA}, time.Hour, nil).Mint(b), "")
@@ -148,18 +148,18 @@
 }
 
 func FuzzOpen(f *testing.F) {
-	clock := &testClock{now: start}
+	clock := &testClock{now: testTime}
 	codec := NewCodec([]Key{keyA}, time.Hour, clock.Now)
-	f.Add(codec.Mint(bound))
+	f.Add(codec.Mint(testBinding))
 	f.Add("")
 	f.Add("AQFhBGFjbWU")
 	f.Fuzz(func(t *testing.T, token string) {
-		b, err := codec.Open(token, bound.Account)
+		b, err := codec.Open(token, testBinding.Account)
 		if err != nil {
 			return
 		}
 		if codec.Mint(b) != token {
-			t.Fatalf("accepted %q, which isn't what %+v is minted as", token, b)
+			t.Fatalf("accepted %q, but %+v encodes to another token", token, b)
 		}
 	})
 }
@@ -191,14 +191,14 @@
 	codec := NewCodec([]Key{keyA}, time.Hour, nil)
 	b.ReportAllocs()
 	for b.Loop() {
-		codec.Mint(bound)
+		codec.Mint(testBinding)
 	}
 }
 
 func BenchmarkOpen(b *testing.B) {
-	clock := &testClock{now: start}
+	clock := &testClock{now: testTime}
 	codec := NewCodec([]Key{keyA}, time.Hour, clock.Now)
-	token := codec.Mint(bound)
+	token := codec.Mint(testBinding)
 	b.ReportMetric(float64(len(token)), "chars")
 	b.ReportAllocs()
 	for b.Loop() {
--- a/session/sweep.go
+++ b/session/sweep.go
@@ -8,13 +8,14 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// sweepPage is the number of rows that one sweep step reads.
+// sweepPage is the maximum number of rows that one Sweep call reads.
 const sweepPage = 200
 
-// Sweep deletes expired rows among one page of rows whose keys are above
-// after. It returns the key to go on from, empty at the end, and how many rows
-// it deleted. Any host may sweep at any time: a row is deleted only at the
-// version that was read, so a use that prolongs it wins.
+// Sweep reads one page of rows with keys greater than after and deletes the
+// expired ones. It returns the key to continue from, which is empty at the end,
+// and the number of deleted rows. Hosts may sweep concurrently: a row is deleted
+// only at the version that was read, so a concurrent use that extends it
+// prevails.
 func (r *Registry) Sweep(ctx context.Context, after string) (next string, deleted int, err error) {
 	rows, err := r.opts.Table.List(ctx, rowPrefix, after, sweepPage)
 	if err != nil {
@@ -33,8 +34,8 @@
 	return next, len(txn.Deletes), nil
 }
 
-// Run sweeps one page each interval until ctx ends. A failed step is passed
-// over: its rows come up again in the next round.
+// Run sweeps one page per interval until ctx ends. Errors are ignored: the rows
+// of a failed page are read again in the next pass.
 func (r *Registry) Run(ctx context.Context, interval time.Duration) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
