--- a/resultcode/example_test.go
+++ b/resultcode/example_test.go
@@ -8,8 +8,8 @@
 	"github.com/quetzalweir/quetzalweir/runstate"
 )
 
-// A layer believes that nothing was sent; the run state knows better, and the
-// caller isn't told to come back.
+// The error code states that nothing was sent, but the run state shows that the
+// request may have run. The replacement code has no Retry-After.
 func Example() {
 	cause := errors.New("connection reset")
 	e := resultcode.Wrap(resultcode.UpstreamUnreachable, cause, "engine-07")
@@ -17,9 +17,9 @@
 
 	var state runstate.Tracker
 	state.Raise(runstate.MayHaveRun)
-	told := resultcode.ForState(e, state.State())
-	fmt.Println(int(told.Code), told.Code, resultcode.Lookup(told.Code).Status, told.Retry())
-	fmt.Println(errors.Is(told, cause))
+	adjusted := resultcode.ForState(e, state.State())
+	fmt.Println(int(adjusted.Code), adjusted.Code, resultcode.Lookup(adjusted.Code).Status, adjusted.Retry())
+	fmt.Println(errors.Is(adjusted, cause))
 	// Output:
 	// 4001 upstream-unreachable 502 1s
 	// 4002 outcome-unknown 502 0s
--- a/resultcode/resultcode.go
+++ b/resultcode/resultcode.go
@@ -1,11 +1,11 @@
-// Package resultcode holds the numbered result codes that callers, logs and
-// bills see. docs/RESULT-CODES.md is generated from the table in this package.
+// Package resultcode defines the numbered result codes used in responses, logs
+// and bills. docs/RESULT-CODES.md is generated from the table in this package.
 //
-// A code never carries a run state of its own: the run state of an answer is
-// read from the request's runstate.Tracker when the answer is written.
+// A code doesn't determine the run state: the run state of a response is read
+// from the request's runstate.Tracker when the response is written.
 //
-// The entry host and the command line use it. An answer's text is for people
-// and can change with any release; programs go by the number.
+// The entry host and the command line use it. The text of a response is for
+// people and can change with any release; programs must use the number.
 package resultcode
 
 import (
@@ -16,10 +16,10 @@
 	"github.com/quetzalweir/quetzalweir/runstate"
 )
 
-// Code is a numbered result. Numbers are stable and never reused.
+// Code is the number of a result. Numbers are stable and never reused.
 type Code int
 
-// Thousands group the codes by whose matter they are.
+// Codes are grouped by area, one thousand per area.
 const (
 	OK Code = 0
 
@@ -61,7 +61,7 @@
 	AnswerMismatch      Code = 4006
 	RequestQuarantined  Code = 4007
 
-	// 5xxx: the platform's store and this host.
+	// 5xxx: the platform's table and this host.
 	StoreUnavailable   Code = 5001
 	DuplicateInFlight  Code = 5002
 	EarlierOutcomeOpen Code = 5003
@@ -74,16 +74,16 @@
 // Spec describes one code.
 type Spec struct {
 	Code Code
-	// Name is the stable identifier used in logs and JSON.
+	// Name is the stable name used in logs and JSON.
 	Name string
-	// Status is the HTTP status of an answer with this code.
+	// Status is the HTTP status of a response with this code.
 	Status int
-	// States are the run states that an answer with this code can have.
+	// States are the run states that a response with this code can have.
 	States []runstate.State
-	// Retry is the default Retry-After; zero means that coming back with the
-	// same request doesn't help.
+	// Retry is the default Retry-After; zero means that retrying the same request
+	// doesn't help.
 	Retry time.Duration
-	// Meaning is the text of the documentation's table.
+	// Meaning is the description in the documentation.
 	Meaning string
 }
 
@@ -136,9 +136,9 @@
 	{Internal, "internal", 500, anyState, 0, "A fault of the host."},
 }
 
-var specs = index(table)
+var specs = indexByCode(table)
 
-func index(list []Spec) map[Code]Spec {
+func indexByCode(list []Spec) map[Code]Spec {
 	m := make(map[Code]Spec, len(list))
 	for _, s := range list {
 		m[s.Code] = s
@@ -146,12 +146,12 @@
 	return m
 }
 
-// All returns the specs of all codes in ascending order of their numbers.
+// All returns the specs of all codes in ascending order of number.
 func All() []Spec {
 	return append([]Spec(nil), table...)
 }
 
-// Lookup returns the spec of c; an unknown number gives the spec of Internal.
+// Lookup returns the spec of c, or that of Internal if c is unknown.
 func Lookup(c Code) Spec {
 	if s, ok := specs[c]; ok {
 		return s
@@ -162,12 +162,13 @@
 // String returns the code's name.
 func (c Code) String() string { return Lookup(c).Name }
 
-// Error is a final result other than OK.
+// Error is the final result of a request that failed.
 type Error struct {
 	Code Code
-	// RetryAfter overrides the code's default where it isn't zero.
+	// RetryAfter overrides the code's default Retry-After unless it is zero.
 	RetryAfter time.Duration
-	// Detail is text for the caller; it holds no keys and no internal addresses.
+	// Detail is text for the caller. It must not contain keys or internal
+	// addresses.
 	Detail string
 	// Err is the cause, for logs; it may be nil.
 	Err error
@@ -194,7 +195,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Retry returns when the caller should come back; zero means never.
+// Retry returns the time after which the caller should retry; zero means that it
+// shouldn't.
 func (e *Error) Retry() time.Duration {
 	if e.RetryAfter > 0 {
 		return e.RetryAfter
@@ -202,7 +204,7 @@
 	return Lookup(e.Code).Retry
 }
 
-// From returns the Error inside err, or one with code Internal.
+// From returns the Error that err wraps, or a new one with code Internal.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -211,19 +213,19 @@
 	return Wrap(Internal, err, "internal error")
 }
 
-// ForState returns an error whose code can be true in state. A code that
-// claims less than what happened is replaced by the one that states the
-// actual run state, so "not run" is never said of a request that was sent.
+// ForState returns e if its code allows the run state, or else an error that
+// wraps e and has the code of the run state. This ensures that a request that was
+// sent is never reported as not run.
 func ForState(e *Error, state runstate.State) *Error {
 	for _, s := range Lookup(e.Code).States {
 		if s == state {
 			return e
 		}
 	}
-	return &Error{Code: replacement(state), Detail: e.Detail, Err: e}
+	return &Error{Code: codeForState(state), Detail: e.Detail, Err: e}
 }
 
-func replacement(state runstate.State) Code {
+func codeForState(state runstate.State) Code {
 	switch state {
 	case runstate.MayHaveRun:
 		return OutcomeUnknown
--- a/resultcode/resultcode_test.go
+++ b/resultcode/resultcode_test.go
@@ -23,7 +23,7 @@
 	last := Code(-1)
 	for _, s := range All() {
 		is.True(s.Code > last)      // ascending, so unique
-		is.True(!names[s.Name])     // a name stands once
+		is.True(!names[s.Name])     // names are unique
 		is.True(s.Status >= 200)    // an HTTP status
 		is.True(len(s.States) > 0)  // some state is possible
 		is.True(len(s.Meaning) > 0) // documented
@@ -32,15 +32,15 @@
 	}
 }
 
-// No code may claim "not run" for a request that was sent, whatever the layer
-// that made the error believed.
+// TestForStateNeverUnderstates checks that no request that was sent is reported as
+// not run, whichever code its error has.
 func TestForStateNeverUnderstates(t *testing.T) {
 	states := []runstate.State{runstate.NotRun, runstate.MayHaveRun, runstate.Ran}
 	for _, s := range All() {
 		for _, state := range states {
 			got := ForState(New(s.Code, "x"), state)
 			if !allows(Lookup(got.Code), state) {
-				t.Errorf("%s in state %s became %s, which can't be true", s.Name, state, got.Code)
+				t.Errorf("%s in state %s became %s, which doesn't allow that state", s.Name, state, got.Code)
 			}
 		}
 	}
--- a/runstate/runstate.go
+++ b/runstate/runstate.go
@@ -1,23 +1,23 @@
-// Package runstate tracks whether a request can have had an effect on an
-// upstream. The state only rises, so a refusal derived from it never claims
-// less than what happened.
+// Package runstate tracks whether a request may have had an effect on an
+// upstream. The state never decreases, so an error response derived from it never
+// understates what happened.
 //
-// Package upstream raises the state, the entry host reads it for refusals and
-// bills. MayHaveRun says nothing on whether the request ran.
+// Package upstream raises the state, and the entry host reads it for error
+// responses and bills. MayHaveRun doesn't determine whether the request ran.
 package runstate
 
 import "sync/atomic"
 
-// State says how far a request can have come on any upstream.
+// State is the furthest that a request can have progressed on any upstream.
 type State uint32
 
 const (
-	// NotRun means that no byte of the request was handed to a connection.
+	// NotRun means that no byte of the request was passed to a connection.
 	NotRun State = iota
 	// MayHaveRun means that at least one byte was written to a connection and
-	// no complete answer was read.
+	// no complete response was read.
 	MayHaveRun
-	// Ran means that an upstream answered, in whole or in part.
+	// Ran means that an upstream responded, in whole or in part.
 	Ran
 )
 
@@ -39,8 +39,8 @@
 	state atomic.Uint32
 }
 
-// Raise moves the state up to s. A lower state is ignored: an attempt that
-// failed before its first byte doesn't undo an earlier attempt's write.
+// Raise raises the state to s. A lower state is ignored: an attempt that failed
+// before its first byte doesn't undo the write of an earlier attempt.
 func (t *Tracker) Raise(s State) {
 	for {
 		current := t.state.Load()
