--- a/lease/errors.go
+++ b/lease/errors.go
@@ -7,21 +7,21 @@
 )
 
 var (
-	// ErrLapsed means that the lease's time ran out. It never becomes valid
-	// again; Release gives its name free before others' wait is over.
+	// ErrLapsed means that the lease has expired. It never becomes valid again.
+	// Release frees its name before the wait of other contenders is over.
 	ErrLapsed = errors.New("lease: lapsed")
-	// ErrLost means that the row has another holder.
+	// ErrLost means that the row belongs to another acquisition.
 	ErrLost = errors.New("lease: lost to another holder")
-	// ErrReleased means that the lease was released before.
+	// ErrReleased means that the lease was already released.
 	ErrReleased = errors.New("lease: released")
 )
 
-// HeldError reports that the name has a holder.
+// HeldError means that the name is held by another holder.
 type HeldError struct {
 	Holder  string
 	Fencing uint64
-	// Wait is how long the row must stay unchanged, from now, until this
-	// manager may take the name.
+	// Wait is how much longer the row must stay unchanged before this Manager
+	// may acquire the name.
 	Wait time.Duration
 }
 
@@ -30,10 +30,10 @@
 	return fmt.Sprintf("lease: held by %q with fencing number %d", e.Holder, e.Fencing)
 }
 
-// TooEarlyError reports that a receiver that doesn't check fencing numbers
-// can't be given an order yet.
+// TooEarlyError means that no order may be sent yet to a receiver that doesn't
+// check fencing numbers.
 type TooEarlyError struct {
-	// Wait is the time left.
+	// Wait is the remaining time until an order may be sent.
 	Wait time.Duration
 }
 
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -9,52 +9,56 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// renewalsPerTTL is how often Keep renews within the usable part of a TTL.
+// renewalsPerTTL is the number of renewals by Keep within the usable part of a
+// TTL.
 const renewalsPerTTL = 3
 
-// retriesPerInterval is how often Keep retries a failed renewal in the time
-// between two renewals.
+// retriesPerInterval is the number of retries by Keep of a failed renewal within
+// one renewal interval.
 const retriesPerInterval = 4
 
-// Lease is a name held for a time. It is safe for concurrent use.
+// Lease is the exclusive right to a name for a limited time. It is safe for
+// concurrent use.
 type Lease struct {
 	manager *Manager
 	name    string
-	// acquired is when Acquire had its answer.
-	acquired time.Time
-	// predecessor is the TTL of the holder before; zero if there was none.
-	predecessor time.Duration
+	// acquiredAt is when the reply to Acquire's write was received.
+	acquiredAt time.Time
+	// predecessorTTL is the TTL of the previous holder; zero if there was none.
+	predecessorTTL time.Duration
 
-	// writing has room for one Renew or Release at a time, and a caller's wait
-	// for it ends with its context.
-	writing chan struct{}
+	// writeSlot is a semaphore that admits one Renew or Release at a time. It is
+	// a channel so that a caller's wait ends with its context.
+	writeSlot chan struct{}
 
 	mu sync.Mutex
-	// record and version are the row as last known to be written.
+	// record is the value of the last write, and version the last known version
+	// of the row.
 	record  record
 	version uint64
-	// start is when the last successful write was begun.
-	start time.Time
-	// ended is why the lease is over; nil while it isn't known to be.
-	ended error
+	// renewedAt is when the last successful write was started.
+	renewedAt time.Time
+	// endReason is the error that ended the lease; nil until it is known to have
+	// ended.
+	endReason error
 }
 
-// Name returns the name that is held.
+// Name returns the name of the lease.
 func (l *Lease) Name() string { return l.name }
 
-// Fencing returns the number of this acquisition. Each acquisition of a name
-// has a higher one than all before it.
+// Fencing returns the fencing number of this acquisition. It is higher than that
+// of each earlier acquisition of the name.
 func (l *Lease) Fencing() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.record.Fencing
 }
 
-// Valid reports whether the lease is held now. Once false it stays false.
+// Valid reports whether the lease is held now. Once it is false, it stays false.
 func (l *Lease) Valid() bool { return l.Remaining() > 0 }
 
-// Remaining returns how long the lease is valid without another renewal; zero
-// if it isn't valid.
+// Remaining returns how long the lease stays valid without another renewal. It
+// is zero if the lease isn't valid.
 func (l *Lease) Remaining() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,38 +66,38 @@
 }
 
 func (l *Lease) remaining() time.Duration {
-	if l.ended != nil {
+	if l.endReason != nil {
 		return 0
 	}
 	usable := l.record.TTL - l.manager.margin(l.record.TTL)
-	left := usable - elapsed(l.manager.clock(), l.start)
+	left := usable - elapsed(l.manager.clock(), l.renewedAt)
 	if left <= 0 {
-		l.ended = ErrLapsed
+		l.endReason = ErrLapsed
 		return 0
 	}
 	return left
 }
 
-// Renew extends the lease by its TTL, counted from the call. ErrLapsed,
-// ErrLost and ErrReleased are final; after another error the lease is as valid
-// as before and Renew may be tried again.
+// Renew extends the lease by its TTL, measured from the start of the call.
+// ErrLapsed, ErrLost and ErrReleased are final. After any other error the
+// lease's expiry is unchanged and Renew may be retried.
 func (l *Lease) Renew(ctx context.Context) error {
-	return l.exclusive(ctx, l.renew)
+	return l.withWriteSlot(ctx, l.renew)
 }
 
-// exclusive runs write while no other write of this lease runs.
-func (l *Lease) exclusive(ctx context.Context, write func(context.Context) error) error {
+// withWriteSlot runs write while no other write of this lease is running.
+func (l *Lease) withWriteSlot(ctx context.Context, write func(context.Context) error) error {
 	select {
-	case l.writing <- struct{}{}:
+	case l.writeSlot <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	defer func() { <-l.writing }()
+	defer func() { <-l.writeSlot }()
 	return l.retryConflict(ctx, write)
 }
 
-// retryConflict calls write again if a renewal that arrived late was in its
-// way.
+// retryConflict runs write and repeats it once if it conflicted with a renewal of
+// this lease that arrived late.
 func (l *Lease) retryConflict(ctx context.Context, write func(context.Context) error) error {
 	err := write(ctx)
 	if !errors.Is(err, storage.ErrConflict) {
@@ -105,9 +109,9 @@
 	return write(ctx)
 }
 
-// resync takes over the version of a renewal that arrived late. The time of
-// that renewal isn't counted. ErrLost says that the row is another's,
-// ErrReleased that an earlier Release took effect.
+// resync adopts the row version that a late renewal wrote. That renewal doesn't
+// extend the lease. It returns ErrLost if the row belongs to another acquisition
+// and ErrReleased if an earlier Release took effect.
 func (l *Lease) resync(ctx context.Context) error {
 	found, err := l.manager.rows.read(ctx, l.name)
 	if err != nil {
@@ -116,20 +120,20 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if found.Token != l.record.Token {
-		l.end(ErrLost)
+		l.endWith(ErrLost)
 		return ErrLost
 	}
 	if found.Released {
-		l.end(ErrReleased)
+		l.endWith(ErrReleased)
 		return ErrReleased
 	}
 	l.version = found.version
 	return nil
 }
 
-// renew writes the row once.
+// renew makes one attempt to renew the lease.
 func (l *Lease) renew(ctx context.Context) error {
-	next, version, err := l.next()
+	next, version, err := l.nextRenewal()
 	if err != nil {
 		return err
 	}
@@ -141,70 +145,70 @@
 	return l.extend(written, start)
 }
 
-// next returns the record of the next renewal and the version it replaces. A
-// number is never used twice: a renewal whose outcome is unknown may arrive
-// late and must not be taken for a later one.
-func (l *Lease) next() (record, uint64, error) {
+// nextRenewal returns the record of the next renewal and the version that it
+// replaces. A renewal number is never reused: a renewal with an unknown outcome
+// may arrive late and must not be mistaken for a newer one.
+func (l *Lease) nextRenewal() (record, uint64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.remaining() == 0 {
-		return record{}, 0, l.ended
+		return record{}, 0, l.endReason
 	}
 	l.record.Renewal++
 	return l.record, l.version, nil
 }
 
-// extend counts a renewal's time from start, unless the lease lapsed before
-// the answer came.
+// extend extends the lease from the start of the renewal, unless the lease lapsed
+// before the reply arrived.
 func (l *Lease) extend(version uint64, start time.Time) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.version = version
 	if l.remaining() == 0 {
-		return l.ended
+		return l.endReason
 	}
-	l.start = start
+	l.renewedAt = start
 	return nil
 }
 
-func (l *Lease) end(why error) {
-	if l.ended == nil {
-		l.ended = why
+func (l *Lease) endWith(reason error) {
+	if l.endReason == nil {
+		l.endReason = reason
 	}
 }
 
-// Release ends the lease at once and frees the name for others. The lease is
-// over even if the row can't be written; others then wait for its TTL.
+// Release ends the lease immediately and frees the name. The lease ends even if
+// the row can't be written; other contenders then wait for its TTL.
 func (l *Lease) Release(ctx context.Context) error {
 	l.markReleased()
-	return l.exclusive(ctx, l.release)
+	return l.withWriteSlot(ctx, l.release)
 }
 
 func (l *Lease) markReleased() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.end(ErrReleased)
+	l.endWith(ErrReleased)
 }
 
-// release writes the row once.
+// release makes one attempt to write the released row.
 func (l *Lease) release(ctx context.Context) error {
-	rec, version := l.nextRecord()
+	rec, version := l.nextRelease()
 	rec.Released = true
 	_, err := l.manager.rows.write(ctx, l.name, rec, version)
 	return err
 }
 
-func (l *Lease) nextRecord() (record, uint64) {
+func (l *Lease) nextRelease() (record, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.record.Renewal++
 	return l.record, l.version
 }
 
-// Keep renews the lease until ctx ends or the lease does. It returns the
-// reason.
+// Keep renews the lease periodically until ctx or the lease ends. It returns the
+// error of whichever ended.
 func (l *Lease) Keep(ctx context.Context) error {
-	interval := l.interval()
+	interval := l.renewalInterval()
 	timer := time.NewTimer(interval)
 	defer timer.Stop()
 	for {
@@ -217,27 +221,28 @@
 		if isFinal(err) {
 			return err
 		}
-		timer.Reset(l.untilNext(interval, err))
+		timer.Reset(l.nextDelay(interval, err))
 	}
 }
 
-// untilNext returns the wait for the next renewal; a failed one is repeated
+// nextDelay returns the time until the next renewal. A failed one is retried
 // sooner.
-func (l *Lease) untilNext(interval time.Duration, err error) time.Duration {
+func (l *Lease) nextDelay(interval time.Duration, err error) time.Duration {
 	if err != nil {
 		return interval / retriesPerInterval
 	}
 	return interval
 }
 
-// renewOnce bounds a renewal, so that a hung one leaves time for another.
+// renewOnce renews the lease with a timeout, so that a hung renewal leaves time
+// for another.
 func (l *Lease) renewOnce(ctx context.Context, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return l.Renew(ctx)
 }
 
-func (l *Lease) interval() time.Duration {
+func (l *Lease) renewalInterval() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	ttl := l.record.TTL
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -21,28 +21,28 @@
 	name   = "pool/report"
 )
 
-// pair is two managers on one table.
-type pair struct {
+// managerPair is two managers that share a table.
+type managerPair struct {
 	table *faulty.Table
 	a, b  *lease.Manager
 }
 
-func newPair() pair {
+func newManagerPair() managerPair {
 	table := faulty.New(memory.New())
-	return pair{
+	return managerPair{
 		table: table,
 		a:     lease.New(lease.Options{Table: table}),
 		b:     lease.New(lease.Options{Table: table}),
 	}
 }
 
-// inPair runs a test over a pair in a synctest bubble of its own.
-func inPair(t *testing.T, test func(t *testing.T, is *is.I, p pair)) {
+// withManagerPair runs a test with a managerPair in its own synctest bubble.
+func withManagerPair(t *testing.T, test func(t *testing.T, is *is.I, p managerPair)) {
 	t.Helper()
-	synctest.Test(t, func(t *testing.T) { test(t, is.New(t), newPair()) })
+	synctest.Test(t, func(t *testing.T) { test(t, is.New(t), newManagerPair()) })
 }
 
-func (p pair) acquireA(t *testing.T) *lease.Lease {
+func (p managerPair) acquireA(t *testing.T) *lease.Lease {
 	l, err := p.a.Acquire(t.Context(), name, "host-a", ttl)
 	if err != nil {
 		t.Fatal(err)
@@ -50,8 +50,8 @@
 	return l
 }
 
-// heldFor returns how long b has to wait; zero if it got the lease.
-func (p pair) heldFor(t *testing.T) time.Duration {
+// waitForB returns how long b has to wait, or zero if b acquired the lease.
+func (p managerPair) waitForB(t *testing.T) time.Duration {
 	_, err := p.b.Acquire(t.Context(), name, "host-b", ttl)
 	var held *lease.HeldError
 	if errors.As(err, &held) {
@@ -63,56 +63,57 @@
 	return 0
 }
 
-// TestValidity checks how long a lease is valid and when another may have it.
+// TestValidity checks how long a lease is valid and when another holder may
+// acquire it.
 func TestValidity(t *testing.T) {
 	tests := []struct {
 		desc string
-		// act runs after a acquired the lease and b saw it held.
-		act   func(t *testing.T, p pair, l *lease.Lease)
+		// act runs after a acquired the lease and b read the row.
+		act   func(t *testing.T, p managerPair, l *lease.Lease)
 		valid bool
 		wait  time.Duration
 	}{
-		{"at once", func(*testing.T, pair, *lease.Lease) {}, true, ttl},
-		{"just before the margin", func(*testing.T, pair, *lease.Lease) {
+		{"at once", func(*testing.T, managerPair, *lease.Lease) {}, true, ttl},
+		{"just before the margin", func(*testing.T, managerPair, *lease.Lease) {
 			time.Sleep(usable - 1)
 		}, true, time.Second + 1},
-		{"within the margin", func(*testing.T, pair, *lease.Lease) {
+		{"within the margin", func(*testing.T, managerPair, *lease.Lease) {
 			time.Sleep(usable)
 		}, false, time.Second},
-		{"after the TTL", func(*testing.T, pair, *lease.Lease) {
+		{"after the TTL", func(*testing.T, managerPair, *lease.Lease) {
 			time.Sleep(ttl)
 		}, false, 0},
-		{"renewed", func(t *testing.T, _ pair, l *lease.Lease) {
+		{"renewed", func(t *testing.T, _ managerPair, l *lease.Lease) {
 			time.Sleep(5 * time.Second)
 			is.New(t).NoErr(l.Renew(t.Context()))
 			time.Sleep(5 * time.Second)
 		}, true, ttl},
-		{"renewed too late", func(t *testing.T, _ pair, l *lease.Lease) {
+		{"renewed too late", func(t *testing.T, _ managerPair, l *lease.Lease) {
 			time.Sleep(usable)
 			is.New(t).True(errors.Is(l.Renew(t.Context()), lease.ErrLapsed))
 		}, false, time.Second},
-		{"released", func(t *testing.T, _ pair, l *lease.Lease) {
+		{"released", func(t *testing.T, _ managerPair, l *lease.Lease) {
 			is.New(t).NoErr(l.Release(t.Context()))
 		}, false, 0},
-		{"renewal's answer lost", func(t *testing.T, p pair, l *lease.Lease) {
+		{"reply to renewal lost", func(t *testing.T, p managerPair, l *lease.Lease) {
 			time.Sleep(8 * time.Second)
 			p.table.LoseNext(1)
 			is.New(t).NoErr(l.Renew(t.Context()))
 			time.Sleep(8 * time.Second)
 		}, true, ttl},
-		{"renewal lost", func(t *testing.T, p pair, l *lease.Lease) {
+		{"renewal lost", func(t *testing.T, p managerPair, l *lease.Lease) {
 			time.Sleep(8 * time.Second)
 			p.table.DropNext(1)
 			is.New(t).True(errors.Is(l.Renew(t.Context()), storage.ErrUnknown))
 			time.Sleep(time.Second)
 		}, false, time.Second},
-		{"renewal's answer comes after the lapse", func(t *testing.T, p pair, l *lease.Lease) {
+		{"reply to renewal arrives after the lease lapsed", func(t *testing.T, p managerPair, l *lease.Lease) {
 			time.Sleep(8 * time.Second)
 			p.table.SetDelay(2 * time.Second)
 			is.New(t).True(errors.Is(l.Renew(t.Context()), lease.ErrLapsed))
 			p.table.Heal()
 		}, false, ttl},
-		{"time counts from the renewal's start", func(t *testing.T, p pair, l *lease.Lease) {
+		{"renewal extends from its start", func(t *testing.T, p managerPair, l *lease.Lease) {
 			p.table.SetDelay(4 * time.Second)
 			is.New(t).NoErr(l.Renew(t.Context()))
 			p.table.Heal()
@@ -121,22 +122,23 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
-			inPair(t, func(t *testing.T, is *is.I, p pair) {
+			withManagerPair(t, func(t *testing.T, is *is.I, p managerPair) {
 				l := p.acquireA(t)
-				is.Equal(p.heldFor(t), ttl)
+				is.Equal(p.waitForB(t), ttl)
 				tt.act(t, p, l)
 				is.Equal(l.Valid(), tt.valid)
-				is.Equal(p.heldFor(t), tt.wait)
+				is.Equal(p.waitForB(t), tt.wait)
 			})
 		})
 	}
 }
 
-// TestLateRenewalIsNotCreditedAsANewerOne has renewal 1 arrive while renewal 2,
-// which is lost, is being settled. Contenders count from the arrival of
-// renewal 1, so the holder must not count from the start of renewal 2.
+// TestLateRenewalIsNotCreditedAsANewerOne guards against a lease that outlasts
+// the wait of contenders. Renewal 1 arrives late, and renewal 2 is lost. Contenders
+// measure from the arrival of renewal 1, so the holder must not measure from the
+// start of renewal 2.
 func TestLateRenewalIsNotCreditedAsANewerOne(t *testing.T) {
-	inPair(t, func(t *testing.T, is *is.I, p pair) {
+	withManagerPair(t, func(t *testing.T, is *is.I, p managerPair) {
 		l := p.acquireA(t)
 		p.table.DelayNext(1, time.Second)
 		is.True(errors.Is(l.Renew(t.Context()), storage.ErrUnknown)) // renewal 1
@@ -144,18 +146,18 @@
 		p.table.DropNext(1)
 		is.True(errors.Is(l.Renew(t.Context()), storage.ErrUnknown)) // renewal 2
 		is.Equal(l.Remaining(), usable-6*time.Second)
-		is.NoErr(l.Renew(t.Context())) // renewal 3 passes over the late one
+		is.NoErr(l.Renew(t.Context())) // renewal 3 replaces the late renewal 1
 		is.Equal(l.Remaining(), usable)
 	})
 }
 
 func TestLateAcquisitionBlocksForOneTTLOnly(t *testing.T) {
-	inPair(t, func(t *testing.T, is *is.I, p pair) {
+	withManagerPair(t, func(t *testing.T, is *is.I, p managerPair) {
 		p.table.DelayNext(1, time.Second)
 		_, err := p.a.Acquire(t.Context(), name, "host-a", ttl)
 		is.True(errors.Is(err, storage.ErrUnknown))
 		time.Sleep(2 * time.Second)
-		is.Equal(p.heldFor(t), ttl)
+		is.Equal(p.waitForB(t), ttl)
 		time.Sleep(ttl)
 		l, err := p.b.Acquire(t.Context(), name, "host-b", ttl)
 		is.NoErr(err)
@@ -166,7 +168,7 @@
 func TestKeep(t *testing.T) {
 	tests := []struct {
 		desc string
-		// outage is how long the table is down, from 10 s after the start.
+		// outage is how long the table is down, starting after 10 s.
 		outage time.Duration
 		want   error
 	}{
@@ -176,7 +178,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
-			inPair(t, func(t *testing.T, is *is.I, p pair) {
+			withManagerPair(t, func(t *testing.T, is *is.I, p managerPair) {
 				l := p.acquireA(t)
 				ended := make(chan error, 1)
 				go func() { ended <- l.Keep(t.Context()) }()
@@ -194,8 +196,8 @@
 	}
 }
 
-// A host that was suspended for longer than its lease doesn't hold it on waking, whatever
-// the time of day says.
+// TestLeaseLapsesDuringASuspension checks that a host doesn't hold a lease after a
+// suspension that was longer than the lease, whatever the wall clock shows.
 func TestLeaseLapsesDuringASuspension(t *testing.T) {
 	is := is.New(t)
 	for _, d := range []time.Duration{time.Second, 5 * time.Second, 20 * time.Second} {
@@ -209,7 +211,7 @@
 
 func TestSuspendedMonotonicClock(t *testing.T) {
 	is := is.New(t)
-	// The wall clock goes on by an hour while the monotonic one stands still.
+	// The wall clock advances by an hour while the monotonic clock stands still.
 	start := time.Now()
 	now := start
 	m := lease.New(lease.Options{Table: memory.New(), Clock: func() time.Time { return now }})
@@ -219,5 +221,5 @@
 	now = start.Round(0).Add(time.Hour)
 	is.True(!l.Valid())
 	now = start
-	is.True(!l.Valid()) // it stays lapsed
+	is.True(!l.Valid()) // a lapsed lease stays lapsed
 }
--- a/lease/manager.go
+++ b/lease/manager.go
@@ -11,63 +11,66 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// DefaultMarginPart is the part of a lease's TTL that its holder doesn't use.
-// It covers the clocks' different rates.
-const DefaultMarginPart = 10
+// DefaultMarginDivisor is the default divisor of the TTL that gives the safety
+// margin, the end of the TTL that the holder doesn't use. The margin covers
+// differences in clock rate.
+const DefaultMarginDivisor = 10
 
-// Options sets up a Manager.
+// Options configures a Manager.
 type Options struct {
 	Table storage.Table
-	// Clock must give monotonic times that count suspensions; default boottime.Now.
+	// Clock must return monotonic times that include suspensions; default
+	// boottime.Now.
 	Clock storage.Clock
-	// MarginPart divides the TTL to give the safety margin; default 10, which
+	// MarginDivisor divides the TTL to give the safety margin; default 10, which
 	// makes a TTL of 10 s usable for 9 s.
-	MarginPart int
+	MarginDivisor int
 }
 
-// Manager acquires leases. It is safe for concurrent use. It must live as long
-// as its process contends, since it remembers when it first saw each row.
+// Manager acquires leases. It is safe for concurrent use. A process must use one
+// Manager for as long as it contends, since the Manager records when it first
+// read each row version.
 type Manager struct {
-	rows       rows
-	clock      storage.Clock
-	marginPart int
+	rows          rowStore
+	clock         storage.Clock
+	marginDivisor int
 
-	mu   sync.Mutex
-	seen map[string]sighting
+	mu       sync.Mutex
+	observed map[string]observation
 }
 
-// sighting is the first time that a row was seen at a version.
-type sighting struct {
+// observation is the time at which a row was first read with a version.
+type observation struct {
 	version uint64
 	at      time.Time
 }
 
-// New returns a Manager.
+// New returns a Manager that stores leases in options.Table.
 func New(options Options) *Manager {
 	if options.Clock == nil {
 		options.Clock = boottime.Now
 	}
-	if options.MarginPart <= 0 {
-		options.MarginPart = DefaultMarginPart
+	if options.MarginDivisor <= 0 {
+		options.MarginDivisor = DefaultMarginDivisor
 	}
 	return &Manager{
-		rows:       rows{table: options.Table},
-		clock:      options.Clock,
-		marginPart: options.MarginPart,
-		seen:       make(map[string]sighting),
+		rows:          rowStore{table: options.Table},
+		clock:         options.Clock,
+		marginDivisor: options.MarginDivisor,
+		observed:      make(map[string]observation),
 	}
 }
 
-// Acquire takes the name for holder if it is free, was released, or its row
-// was seen unchanged for its TTL. Otherwise it returns *HeldError without
-// waiting; the caller comes back until it succeeds. Other errors wrap those of
-// the platform: the lease isn't held, though its row may say so for one TTL.
+// Acquire acquires the name for holder if it has no row, was released, or its
+// row was observed unchanged for its TTL. Otherwise it returns *HeldError without
+// waiting, and the caller retries. Other errors wrap those of the table: the
+// lease isn't held, but its row may block the name for one TTL.
 func (m *Manager) Acquire(ctx context.Context, name, holder string, ttl time.Duration) (*Lease, error) {
 	found, err := m.rows.read(ctx, name)
 	if err != nil {
 		return nil, err
 	}
-	if wait := m.wait(name, found); wait > 0 {
+	if wait := m.remainingWait(name, found); wait > 0 {
 		return nil, &HeldError{Holder: found.Holder, Fencing: found.Fencing, Wait: wait}
 	}
 	rec := record{
@@ -82,14 +85,14 @@
 		return nil, err
 	}
 	l := &Lease{
-		manager:     m,
-		name:        name,
-		acquired:    m.clock(),
-		predecessor: found.TTL,
-		record:      rec,
-		version:     version,
-		start:       start,
-		writing:     make(chan struct{}, 1),
+		manager:        m,
+		name:           name,
+		acquiredAt:     m.clock(),
+		predecessorTTL: found.TTL,
+		record:         rec,
+		version:        version,
+		renewedAt:      start,
+		writeSlot:      make(chan struct{}, 1),
 	}
 	if !l.Valid() {
 		return nil, ErrLapsed
@@ -97,28 +100,29 @@
 	return l, nil
 }
 
-// wait returns how long the found row still keeps others out. The time runs
-// from after the read that first saw it, hence from after the holder's write.
-func (m *Manager) wait(name string, found row) time.Duration {
+// remainingWait returns how long the row that was read still blocks the name. The
+// time is measured from after the first read of its version, and therefore from
+// after the holder's write.
+func (m *Manager) remainingWait(name string, found row) time.Duration {
 	if found.version == 0 || found.Released {
 		return 0
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.clock()
-	first := m.seen[name]
+	first := m.observed[name]
 	if first.version != found.version {
-		first = sighting{version: found.version, at: now}
-		m.seen[name] = first
+		first = observation{version: found.version, at: now}
+		m.observed[name] = first
 	}
 	return found.TTL - now.Sub(first.at)
 }
 
-// margin is the part of ttl that a holder leaves unused.
+// margin returns the part of ttl that a holder doesn't use.
 func (m *Manager) margin(ttl time.Duration) time.Duration {
-	return ttl / time.Duration(m.marginPart)
+	return ttl / time.Duration(m.marginDivisor)
 }
 
-// elapsed is the time since start. It counts the time for which the host was suspended,
-// whatever the time of day says meanwhile: that may be set back.
+// elapsed returns the time since start. It includes the time for which the host
+// was suspended and doesn't depend on the wall clock, which may be set back.
 func elapsed(now, start time.Time) time.Duration { return now.Sub(start) }
--- a/lease/orders_test.go
+++ b/lease/orders_test.go
@@ -15,13 +15,13 @@
 
 var errOldFencing = errors.New("engine: fencing number is too low")
 
-// fakeEngine obeys orders; a fenced one refuses old fencing numbers.
+// fakeEngine executes orders. If it is fenced, it rejects old fencing numbers.
 type fakeEngine struct {
 	mu      sync.Mutex
 	fenced  bool
 	highest uint64
-	// obeyed are the fencing numbers of the orders that were carried out.
-	obeyed []uint64
+	// executed has the fencing numbers of the executed orders.
+	executed []uint64
 }
 
 func (e *fakeEngine) order(fencing uint64) error {
@@ -31,22 +31,23 @@
 		return errOldFencing
 	}
 	e.highest = max(e.highest, fencing)
-	e.obeyed = append(e.obeyed, fencing)
+	e.executed = append(e.executed, fencing)
 	return nil
 }
 
-// last is the fencing number of the order in effect.
-func (e *fakeEngine) last() uint64 {
+// lastExecuted returns the fencing number of the order in effect; 0 if there is
+// none.
+func (e *fakeEngine) lastExecuted() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if len(e.obeyed) == 0 {
+	if len(e.executed) == 0 {
 		return 0
 	}
-	return e.obeyed[len(e.obeyed)-1]
+	return e.executed[len(e.executed)-1]
 }
 
-// pausedSend is a SendFunc that is paused for d just before it writes. A
-// paused process doesn't see its context end.
+// pausedSend returns a SendFunc that is paused for d just before it sends. It
+// ignores its context, as a paused process does.
 func (e *fakeEngine) pausedSend(d time.Duration) lease.SendFunc {
 	return func(_ context.Context, _ lease.Receiver, fencing uint64) error {
 		time.Sleep(d)
@@ -54,18 +55,20 @@
 	}
 }
 
-// TestPausedHolder has holder a pause and wake, before or after its check of
-// the lease, while holder b takes over and gives its own order.
+// TestPausedHolder guards against a late order of a paused holder. Holder a is
+// paused before or after it checks its lease, while holder b takes over and sends
+// its own order.
 func TestPausedHolder(t *testing.T) {
 	tests := []struct {
 		desc   string
 		fenced bool
-		// beforeCheck and afterCheck are how long a is paused.
+		// beforeCheck and afterCheck are the durations of the pauses of a.
 		beforeCheck, afterCheck time.Duration
-		// wantA is what a's order comes to.
+		// wantA is the result of a's order.
 		wantA error
-		// afterTakeover is whose order is in effect 30 s after a's pause began,
-		// and afterRepeat when b has repeated its order.
+		// afterTakeover is the fencing number of the order in effect after b's
+		// first order, and afterRepeat after b has repeated its order. a's late
+		// order has arrived before both checks.
 		afterTakeover, afterRepeat uint64
 	}{
 		{"fenced, paused before the check", true, 40 * time.Second, 0, lease.ErrLapsed, 2, 2},
@@ -73,35 +76,35 @@
 		{"fenced, late by less than TTL and margin", true, 0, 15 * time.Second, errOldFencing, 2, 2},
 		{"unfenced, late by less than TTL and margin", false, 0, 15 * time.Second, nil, 2, 2},
 		{"fenced, late by more", true, 0, 40 * time.Second, errOldFencing, 2, 2},
-		// The limit of what can be had without fencing: the late order is
-		// carried out, and the holder's repetition overrides it.
+		// A known limit without fencing: the late order is executed, and the
+		// repeated order of the holder overrides it.
 		{"unfenced, late by more", false, 0, 40 * time.Second, nil, 1, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
-			inPair(t, func(t *testing.T, is *is.I, p pair) {
+			withManagerPair(t, func(t *testing.T, is *is.I, p managerPair) {
 				engine := &fakeEngine{fenced: tt.fenced}
 				receiver := lease.Receiver{ID: "engine-1", Fenced: tt.fenced}
 				a := lease.NewOrders(p.acquireA(t), engine.pausedSend(tt.afterCheck))
-				fromA := make(chan error, 1)
+				resultOfA := make(chan error, 1)
 				go func() {
 					time.Sleep(tt.beforeCheck)
-					fromA <- a.Send(t.Context(), receiver)
+					resultOfA <- a.Send(t.Context(), receiver)
 				}()
 				b := lease.NewOrders(takeOver(t, p), engine.pausedSend(0))
 				sendWhenAllowed(t, b, receiver)
 				time.Sleep(time.Minute)
-				is.True(errors.Is(<-fromA, tt.wantA))
-				is.Equal(engine.last(), tt.afterTakeover)
+				is.True(errors.Is(<-resultOfA, tt.wantA))
+				is.Equal(engine.lastExecuted(), tt.afterTakeover)
 				is.NoErr(b.Send(t.Context(), receiver))
-				is.Equal(engine.last(), tt.afterRepeat)
+				is.Equal(engine.lastExecuted(), tt.afterRepeat)
 			})
 		})
 	}
 }
 
-// takeOver contends until b has the lease, and keeps it.
-func takeOver(t *testing.T, p pair) *lease.Lease {
+// takeOver retries until b acquires the lease, and renews it.
+func takeOver(t *testing.T, p managerPair) *lease.Lease {
 	for {
 		l, err := p.b.Acquire(t.Context(), name, "host-b", ttl)
 		if err == nil {
@@ -131,20 +134,20 @@
 func TestFirstHolderNeedsNoWait(t *testing.T) {
 	is := is.New(t)
 	engine := &fakeEngine{}
-	orders := lease.NewOrders(newPair().acquireA(t), engine.pausedSend(0))
+	orders := lease.NewOrders(newManagerPair().acquireA(t), engine.pausedSend(0))
 	is.NoErr(orders.Send(t.Context(), lease.Receiver{ID: "engine-1"}))
-	is.Equal(engine.last(), uint64(1))
+	is.Equal(engine.lastExecuted(), uint64(1))
 }
 
 func TestOrderEndsWithTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		l := newPair().acquireA(t)
-		hang := func(ctx context.Context, _ lease.Receiver, _ uint64) error {
+		l := newManagerPair().acquireA(t)
+		sendUntilDone := func(ctx context.Context, _ lease.Receiver, _ uint64) error {
 			<-ctx.Done()
 			return ctx.Err()
 		}
-		err := lease.NewOrders(l, hang).Send(t.Context(), lease.Receiver{ID: "engine-1"})
+		err := lease.NewOrders(l, sendUntilDone).Send(t.Context(), lease.Receiver{ID: "engine-1"})
 		is.True(errors.Is(err, context.DeadlineExceeded))
 		is.True(!l.Valid())
 	})
--- a/lease/record.go
+++ b/lease/record.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// rowPrefix is the prefix of all lease rows.
+// rowPrefix is the key prefix of all lease rows.
 const rowPrefix = "lease/"
 
-// record is the value of a lease's row. Rows are never deleted, since the next
-// fencing number is derived from the last one.
+// record is the value of a lease's row. Rows are never deleted, since each
+// fencing number is derived from the previous one.
 type record struct {
 	Holder string `json:"holder"`
 	// Token identifies the acquisition.
 	Token string `json:"token"`
-	// Renewal numbers the writes of one acquisition, from 0. It tells a late
-	// renewal from the one that is being settled.
+	// Renewal numbers the writes of one acquisition, from 0. It distinguishes a
+	// late renewal from the one whose outcome is being determined.
 	Renewal uint64 `json:"renewal"`
 	Fencing uint64 `json:"fencing"`
-	// TTL is how long contenders wait after they saw the row, in nanoseconds.
+	// TTL is how long contenders wait after they first read the row, in
+	// nanoseconds.
 	TTL      time.Duration `json:"ttl_ns"`
 	Released bool          `json:"released,omitempty"`
 }
--- a/lease/rows.go
+++ b/lease/rows.go
@@ -7,18 +7,18 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// row is a lease's row as read; version zero means that it's absent.
+// row is a lease's row as read. Version 0 means that it is absent.
 type row struct {
 	record
 	version uint64
 }
 
-// rows reads and writes lease rows.
-type rows struct {
+// rowStore reads and writes lease rows.
+type rowStore struct {
 	table storage.Table
 }
 
-func (r rows) read(ctx context.Context, name string) (row, error) {
+func (r rowStore) read(ctx context.Context, name string) (row, error) {
 	found, err := r.table.Get(ctx, rowPrefix+name)
 	if errors.Is(err, storage.ErrNotFound) {
 		return row{}, nil
@@ -30,9 +30,9 @@
 	return row{record: rec, version: found.Version}, err
 }
 
-// write puts rec if the row has the version. A commit whose outcome is unknown
-// is settled by reading the row back.
-func (r rows) write(ctx context.Context, name string, rec record, version uint64) (uint64, error) {
+// write stores rec if the row has the given version. If the outcome of the commit
+// is unknown, write reads the row to determine it.
+func (r rowStore) write(ctx context.Context, name string, rec record, version uint64) (uint64, error) {
 	value, err := rec.encode()
 	if err != nil {
 		return 0, err
--- a/session/codec.go
+++ b/session/codec.go
@@ -131,7 +131,7 @@
 	return b, nil
 }
 
-// expired reports whether a token issued at the given time is out of its TTL.
+// expired reports whether a token issued at the given time is outside its TTL.
 // It accepts times up to one TTL in the future, so that clock skew between hosts
 // doesn't end sessions.
 func (c *Codec) expired(issued time.Time) bool {
