--- a/claim/active.go
+++ b/claim/active.go
@@ -6,48 +6,49 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// activeShards is the number of locks that the active claims are spread over.
+// activeShards is the number of independently locked shards of the active
+// claims.
 const activeShards = 16
 
-// entry is an active claim of this process: from before its row is written
-// until its outcome is in the table.
-type entry struct {
-	// record is the row as claimed; it doesn't change.
+// activeClaim is a claim of this process. It is active from before its row is
+// written until its outcome is in the table.
+type activeClaim struct {
+	// record is the row value of the claim; it is immutable.
 	record record
-	// outcome is the record waiting to be written, nil before the outcome is
-	// known. It is guarded by the lock of the entry's shard.
+	// outcome is the record to be written; nil until the outcome is known. It
+	// is guarded by the lock of the claim's shard.
 	outcome *record
 }
 
-// active is the set of this process's active claims. It answers repeats that
-// arrive at the same host without the table.
-type active struct {
+// activeClaims is the set of active claims of this process. Duplicates that
+// arrive at the same host are answered from it, without a table call.
+type activeClaims struct {
 	shards [activeShards]activeShard
 }
 
 type activeShard struct {
 	mu      sync.Mutex
-	entries map[Key]*entry
+	entries map[Key]*activeClaim
 }
 
-func newActive() *active {
-	a := &active{}
+func newActiveClaims() *activeClaims {
+	a := &activeClaims{}
 	for i := range a.shards {
-		a.shards[i].entries = make(map[Key]*entry)
+		a.shards[i].entries = make(map[Key]*activeClaim)
 	}
 	return a
 }
 
-func (a *active) shard(key Key) *activeShard {
+func (a *activeClaims) shard(key Key) *activeShard {
 	var hash xxhash.Digest
 	_, _ = hash.WriteString(key.Account)
 	_, _ = hash.WriteString(key.RequestKey)
 	return &a.shards[hash.Sum64()%activeShards]
 }
 
-// add registers e unless its key is active. In that case it returns a copy of
-// the other entry and false.
-func (a *active) add(e *entry) (other entry, added bool) {
+// add adds e to the set. If its key is already active, add returns a copy of the
+// other claim and false instead.
+func (a *activeClaims) add(e *activeClaim) (other activeClaim, added bool) {
 	s := a.shard(e.record.Key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,11 +56,11 @@
 		return *found, false
 	}
 	s.entries[e.record.Key] = e
-	return entry{}, true
+	return activeClaim{}, true
 }
 
-// remove ends e. Only e's own registration is removed.
-func (a *active) remove(e *entry) {
+// remove removes e from the set. It doesn't remove another claim of the same key.
+func (a *activeClaims) remove(e *activeClaim) {
 	s := a.shard(e.record.Key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,8 +69,8 @@
 	}
 }
 
-// setOutcome gives e its outcome and reports false if it has one already.
-func (a *active) setOutcome(e *entry, outcome record) bool {
+// setOutcome sets the outcome of e. It returns false if e already has one.
+func (a *activeClaims) setOutcome(e *activeClaim, outcome record) bool {
 	s := a.shard(e.record.Key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,16 +81,16 @@
 	return true
 }
 
-// replaceOutcome changes an outcome that was set before.
-func (a *active) replaceOutcome(e *entry, outcome record) {
+// replaceOutcome replaces an outcome that was set by setOutcome.
+func (a *activeClaims) replaceOutcome(e *activeClaim, outcome record) {
 	s := a.shard(e.record.Key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e.outcome = &outcome
 }
 
-// owns reports whether the token is that of an active claim.
-func (a *active) owns(key Key, token string) bool {
+// hasToken reports whether the active claim of the key has the token.
+func (a *activeClaims) hasToken(key Key, token string) bool {
 	s := a.shard(key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/claim/attempt.go
+++ b/claim/attempt.go
@@ -7,36 +7,37 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// maxClaimWrites bounds the writes of one Acquire. A second one is needed when
-// an answer was lost or the row was released; more are rare.
+// maxClaimWrites is the maximum number of writes by one Acquire. A second write
+// is needed if a reply was lost or the row was released; more are rare.
 const maxClaimWrites = 4
 
-// attempt is one Acquire at work on the table.
+// attempt is the state of one Acquire while it writes its claim to the table.
 type attempt struct {
 	store *Store
-	entry *entry
-	// version is what the row must have to be claimed; zero is absent.
+	entry *activeClaim
+	// version is the expected version of the row; 0 means that it is absent.
 	version uint64
-	// open says that a write of this attempt may still take effect.
-	open bool
-	// contended says that the table showed a row which may be another's.
+	// mayTakeEffect is true if a write of this attempt may still take effect.
+	mayTakeEffect bool
+	// contended is true if a row exists, or existed, that may belong to another
+	// attempt.
 	contended bool
 }
 
-func (s *Store) newAttempt(e *entry) *attempt {
+func (s *Store) newAttempt(e *activeClaim) *attempt {
 	return &attempt{store: s, entry: e}
 }
 
-// run writes the claim and returns its row's version.
+// run writes the claim and returns the version of its row.
 func (a *attempt) run(ctx context.Context) (uint64, error) {
-	var last error
+	var lastErr error
 	for range maxClaimWrites {
 		version, err := a.store.rows.write(ctx, a.entry.record, a.version)
 		if err == nil {
 			return version, nil
 		}
-		last = err
-		if !a.note(err) || ctx.Err() != nil {
+		lastErr = err
+		if !a.shouldReadBack(err) || ctx.Err() != nil {
 			break
 		}
 		version, done, err := a.readBack(ctx)
@@ -44,12 +45,12 @@
 			return version, err
 		}
 	}
-	return 0, a.giveUp(last)
+	return 0, a.fail(lastErr)
 }
 
-// note records what a failed write means and reports whether reading the row
-// can help.
-func (a *attempt) note(err error) bool {
+// shouldReadBack updates the attempt after a failed write and reports whether to
+// read the row.
+func (a *attempt) shouldReadBack(err error) bool {
 	if errors.Is(err, storage.ErrConflict) {
 		a.contended = true
 		return true
@@ -57,59 +58,60 @@
 	if errors.Is(err, storage.ErrUnavailable) {
 		return false
 	}
-	a.open = true
+	a.mayTakeEffect = true
 	return true
 }
 
-// readBack looks at the row after a write that didn't succeed. If it isn't
-// done, the claim can be written once more on the row's new version.
+// readBack reads the row after a failed write. If done is false, the claim can be
+// written again on the version that was read.
 func (a *attempt) readBack(ctx context.Context) (version uint64, done bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, a.store.options.ReadTimeout)
 	defer cancel()
 	found, err := a.store.rows.read(ctx, a.entry.record.Key)
 	if errors.Is(err, storage.ErrNotFound) {
-		// A write on its way may yet arrive. Writing again is safe: only one
-		// of the two can find the row absent.
-		a.retryOn(0)
+		// An earlier write may still be in transit. Writing again is safe, since
+		// only one of the two can find the row absent.
+		a.retryOnVersion(0)
 		return 0, false, nil
 	}
 	if err != nil {
-		return 0, true, a.giveUp(err)
+		return 0, true, a.fail(err)
 	}
 	if found.Token == a.entry.record.Token {
 		return found.version, true, nil
 	}
 	if found.State == released || a.store.isOrphan(found.record) {
-		a.retryOn(found.version)
+		a.retryOnVersion(found.version)
 		return 0, false, nil
 	}
-	// The row exists under another token, so no write of this attempt can
-	// take effect any more.
-	return 0, true, a.store.answer(ctx, found, a.entry.record.Digest)
+	// The row has another token, so no write of this attempt can take effect
+	// any more.
+	return 0, true, a.store.duplicateError(ctx, found, a.entry.record.Digest)
 }
 
-// retryOn sets the version for the next write. The row that was read shows that
-// nothing has run on the key so far.
-func (a *attempt) retryOn(version uint64) {
+// retryOnVersion sets the expected version of the next write. It is called if the
+// row that was read shows that no request with the key has run.
+func (a *attempt) retryOnVersion(version uint64) {
 	a.version = version
 	a.contended = false
 }
 
-// isOrphan reports that a claim in flight is this process's own and was never
-// handed out: its attempt gave up on an unknown outcome. Nothing ran on it. If
-// the row is newer than it looks, the write on its version fails.
+// isOrphan reports whether an in-flight claim belongs to this process but was
+// never returned by Acquire, because the outcome of its write was unknown. No
+// request ran under it. If the row has changed since it was read, the next write
+// on its version fails.
 func (s *Store) isOrphan(rec record) bool {
-	return rec.State == inFlight && rec.Process == s.process && !s.active.owns(rec.Key, rec.Token)
+	return rec.State == inFlight && rec.Process == s.process && !s.active.hasToken(rec.Key, rec.Token)
 }
 
-// giveUp ends an attempt without a claim. A write that may still take effect
-// is queued to be released.
-func (a *attempt) giveUp(err error) error {
-	if a.open {
-		a.store.queue(&abandon{record: a.entry.record})
+// fail ends the attempt and returns its error. If a write may still take effect,
+// it queues a cancellation.
+func (a *attempt) fail(err error) error {
+	if a.mayTakeEffect {
+		a.store.enqueue(&cancellation{record: a.entry.record})
 	}
 	if a.contended {
-		// A row exists, or did, so "not run" could be false of this key.
+		// A row exists, or existed, so a request with this key may have run.
 		return &InFlightError{}
 	}
 	return unavailable(err)
--- a/claim/backlog.go
+++ b/claim/backlog.go
@@ -9,66 +9,66 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// retryConcurrency bounds the writes that one retry of the backlog has at a
-// time. They merge into few commits.
+// retryConcurrency is the maximum number of concurrent writes by retry and Sweep.
+// Group commit merges them into few commits.
 const retryConcurrency = 128
 
-// job is a write that is retried until it is in the table.
-type job interface {
+// pendingWrite is a write that is retried until it is in the table.
+type pendingWrite interface {
 	write(ctx context.Context, s *Store) error
-	// done is called once, after write succeeded or became pointless.
-	done(s *Store)
-	// size is the memory held beyond a fixed part, in bytes.
-	size() int
-	// shrink gives that memory back at the cost of the answer.
-	shrink(s *Store)
+	// complete is called once, after write succeeded or the row expired.
+	complete(s *Store)
+	// resultBytes returns the size of the result held in memory, in bytes.
+	resultBytes() int
+	// dropResult discards the result to free that memory.
+	dropResult(s *Store)
 }
 
-// backlog holds the jobs that await the table.
+// backlog is the bounded list of pending writes.
 type backlog struct {
-	mu       sync.Mutex
-	jobs     []job
-	bytes    int
-	maxJobs  int
-	maxBytes int
+	mu        sync.Mutex
+	writes    []pendingWrite
+	bytes     int
+	maxWrites int
+	maxBytes  int
 }
 
-func newBacklog(maxJobs, maxBytes int) *backlog {
-	return &backlog{maxJobs: maxJobs, maxBytes: maxBytes}
+func newBacklog(maxWrites, maxBytes int) *backlog {
+	return &backlog{maxWrites: maxWrites, maxBytes: maxBytes}
 }
 
-// fits reports whether a job of the size has room.
+// fits reports whether a result of the given size fits in the backlog.
 func (b *backlog) fits(size int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.bytes+size <= b.maxBytes
 }
 
-// push appends a job and reports false if the backlog is full.
-func (b *backlog) push(j job) bool {
+// push appends a write. It returns false if the backlog is full.
+func (b *backlog) push(w pendingWrite) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.jobs) >= b.maxJobs {
+	if len(b.writes) >= b.maxWrites {
 		return false
 	}
-	b.jobs = append(b.jobs, j)
-	b.bytes += j.size()
+	b.writes = append(b.writes, w)
+	b.bytes += w.resultBytes()
 	return true
 }
 
-func (b *backlog) snapshot() []job {
+func (b *backlog) snapshot() []pendingWrite {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return append([]job(nil), b.jobs...)
+	return append([]pendingWrite(nil), b.writes...)
 }
 
-func (b *backlog) remove(done job) {
+func (b *backlog) remove(written pendingWrite) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for i, j := range b.jobs {
-		if j == done {
-			b.jobs = append(b.jobs[:i], b.jobs[i+1:]...)
-			b.bytes -= j.size()
+	for i, w := range b.writes {
+		if w == written {
+			b.writes = append(b.writes[:i], b.writes[i+1:]...)
+			b.bytes -= w.resultBytes()
 			return
 		}
 	}
@@ -77,32 +77,32 @@
 func (b *backlog) len() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return len(b.jobs)
+	return len(b.writes)
 }
 
-// queue keeps a job for Run. When there is no room for an answer, the fact
-// that the request ran is kept without it. When there is no room at all, the
-// job is dropped: the row then stays in flight, which is safe, and the claim
-// stays active on this host, so that it is never taken for an orphan.
-func (s *Store) queue(j job) {
-	if !s.backlog.fits(j.size()) {
-		j.shrink(s)
+// enqueue adds a write to the backlog, for Run. If the result doesn't fit, it is
+// dropped and only the fact that the request ran is kept. If the backlog is full,
+// the write is dropped. The row then stays in flight, which is safe, and the
+// claim stays active on this host, so that it is never treated as an orphan.
+func (s *Store) enqueue(w pendingWrite) {
+	if !s.backlog.fits(w.resultBytes()) {
+		w.dropResult(s)
 		s.dropped.Add(1)
 	}
-	if !s.backlog.push(j) {
-		j.shrink(s)
+	if !s.backlog.push(w) {
+		w.dropResult(s)
 		s.dropped.Add(1)
 	}
 }
 
-// Pending returns how many outcomes await the table.
+// Pending returns the number of writes that aren't in the table yet.
 func (s *Store) Pending() int { return s.backlog.len() }
 
-// Dropped returns how many answers or outcomes were given up because the
+// Dropped returns the number of results and writes that were dropped because the
 // backlog was full.
 func (s *Store) Dropped() uint64 { return s.dropped.Load() }
 
-// Run retries pending outcomes until ctx ends. It returns the context's error.
+// Run retries pending writes until ctx ends. It returns the error of ctx.
 func (s *Store) Run(ctx context.Context) error {
 	ticker := time.NewTicker(s.options.RetryInterval)
 	defer ticker.Stop()
@@ -116,8 +116,8 @@
 	}
 }
 
-// Flush retries until nothing is pending or ctx ends. A planned stop calls it
-// after the last request.
+// Flush retries until no writes are pending or ctx ends. It is called after the
+// last request of a graceful shutdown.
 func (s *Store) Flush(ctx context.Context) error {
 	for {
 		s.retry(ctx)
@@ -132,24 +132,24 @@
 	}
 }
 
-// retry tries every pending job once.
+// retry attempts each pending write once.
 func (s *Store) retry(ctx context.Context) {
 	var group errgroup.Group
 	group.SetLimit(retryConcurrency)
-	for _, j := range s.backlog.snapshot() {
+	for _, w := range s.backlog.snapshot() {
 		group.Go(func() error {
-			s.retryJob(ctx, j)
+			s.retryWrite(ctx, w)
 			return nil
 		})
 	}
 	_ = group.Wait()
 }
 
-func (s *Store) retryJob(ctx context.Context, j job) {
-	err := j.write(ctx, s)
-	if err != nil && !errors.Is(err, ErrLost) {
+func (s *Store) retryWrite(ctx context.Context, w pendingWrite) {
+	err := w.write(ctx, s)
+	if err != nil && !errors.Is(err, ErrRowExpired) {
 		return
 	}
-	s.backlog.remove(j)
-	j.done(s)
+	s.backlog.remove(w)
+	w.complete(s)
 }
--- a/claim/bench_test.go
+++ b/claim/bench_test.go
@@ -15,10 +15,10 @@
 	"github.com/quetzalweir/quetzalweir/storage/memory"
 )
 
-// BenchmarkClaims measures claims, each acquired and finished with an answer
-// of 500 bytes, through one group committer of 20 commits a second on a table
-// that takes 4 ms. It reports claims/s, commits and reads of the table per
-// claim, and the mean time to acquire.
+// BenchmarkClaims measures claims that are acquired and finished with a result of
+// 500 bytes, through one group committer of 20 commits per second on a table with
+// a latency of 4 ms. It reports claims per second, commits and table reads per
+// claim, and the mean latency of Acquire.
 func BenchmarkClaims(b *testing.B) {
 	for _, repeatEvery := range []int{0, 100, 10} {
 		for _, concurrency := range []int{1, 10, 100, 1000} {
@@ -53,7 +53,7 @@
 	b.ReportMetric(float64(acquiring.Load())/count/1e6, "acquire-ms")
 }
 
-// keyNumber makes every so many-th request a repeat of the first.
+// keyNumber makes every repeatEvery-th request a duplicate of the first.
 func keyNumber(n int64, repeatEvery int) int64 {
 	if repeatEvery > 0 && n%int64(repeatEvery) == 0 {
 		return 1
@@ -65,17 +65,17 @@
 	ctx := context.Background()
 	start := time.Now()
 	c, err := store.Acquire(ctx, claim.Key{RequestKey: fmt.Sprint(number)}, testDigest, "req")
-	took := time.Since(start)
+	latency := time.Since(start)
 	var done *claim.DoneError
 	var inFlight *claim.InFlightError
 	if errors.As(err, &done) || errors.As(err, &inFlight) {
-		return took
+		return latency
 	}
 	if err == nil {
-		err = c.Finish(ctx, answerOf(500))
+		err = c.Finish(ctx, resultOfSize(500))
 	}
 	if err != nil {
 		b.Error(err)
 	}
-	return took
+	return latency
 }
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -9,115 +9,117 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// Claim is the right to send one request once. Exactly one of its methods is
-// called, once; a second call gives ErrSettled.
+// Claim is the exclusive right to send one request once. The caller must call
+// exactly one of its methods, once. A second call returns ErrOutcomeSet.
 type Claim struct {
-	store   *Store
-	entry   *entry
-	version uint64
-	settled atomic.Bool
+	store      *Store
+	entry      *activeClaim
+	version    uint64
+	outcomeSet atomic.Bool
 }
 
-// Finish records the whole answer. The caller of the request may be answered
-// whatever Finish returns. ErrPending says that the outcome is kept in memory
-// and retried by Run.
+// Finish records the complete result. The response may be sent to the client
+// whatever Finish returns. ErrPending means that the outcome is kept in memory
+// and that Run retries the write.
 func (c *Claim) Finish(ctx context.Context, result Result) error {
 	rec := c.entry.record.with(finished)
 	rec.Result = &result
 	if result.size() > c.store.options.MaxResultBytes {
-		rec = rec.with(answerGone)
+		rec = rec.with(resultGone)
 	}
-	return c.settle(ctx, rec)
+	return c.recordOutcome(ctx, rec)
 }
 
 // MayHaveRun records that the request was sent, at least in part, and that no
-// whole answer came. It is never run again.
+// complete response was received. The request is never run again.
 func (c *Claim) MayHaveRun(ctx context.Context) error {
-	return c.settle(ctx, c.entry.record.with(mayHaveRun))
+	return c.recordOutcome(ctx, c.entry.record.with(mayHaveRun))
 }
 
-// Release gives the claim up. It may be called only if no byte of the request
-// was sent; the key can then be claimed again.
+// Release releases the claim, so that the key can be claimed again. It may be
+// called only if no byte of the request was sent.
 func (c *Claim) Release(ctx context.Context) error {
-	return c.settle(ctx, c.entry.record.with(released))
+	return c.recordOutcome(ctx, c.entry.record.with(released))
 }
 
-func (c *Claim) settle(ctx context.Context, outcome record) error {
-	if !c.settled.CompareAndSwap(false, true) {
-		return ErrSettled
+func (c *Claim) recordOutcome(ctx context.Context, outcome record) error {
+	if !c.outcomeSet.CompareAndSwap(false, true) {
+		return ErrOutcomeSet
 	}
 	c.store.active.setOutcome(c.entry, outcome)
-	job := &settlement{entry: c.entry, outcome: outcome, version: c.version}
-	err := job.write(ctx, c.store)
-	if err == nil || errors.Is(err, ErrLost) {
+	pending := &outcomeWrite{entry: c.entry, outcome: outcome, version: c.version}
+	err := pending.write(ctx, c.store)
+	if err == nil || errors.Is(err, ErrRowExpired) {
 		c.store.active.remove(c.entry)
 		return err
 	}
-	c.store.queue(job)
+	c.store.enqueue(pending)
 	return fmt.Errorf("%w: %w", ErrPending, err)
 }
 
-// settlement is an outcome on its way to the table.
-type settlement struct {
-	entry   *entry
+// outcomeWrite is the pending write of an outcome.
+type outcomeWrite struct {
+	entry   *activeClaim
 	outcome record
-	// version is the row's version as claimed.
+	// version is the version of the row that the claim wrote.
 	version uint64
 }
 
-// write records the outcome. It may be called again after an error: the row's
-// condition lets the outcome through once.
-func (j *settlement) write(ctx context.Context, s *Store) error {
-	rec, err := s.answers.store(ctx, j.outcome)
+// write writes the outcome. It may be retried after an error: the version
+// condition admits the outcome only once.
+func (w *outcomeWrite) write(ctx context.Context, s *Store) error {
+	rec, err := s.results.store(ctx, w.outcome)
 	if err != nil {
 		return err
 	}
-	_, err = s.rows.write(ctx, rec, j.version)
+	_, err = s.rows.write(ctx, rec, w.version)
 	if err == nil || errors.Is(err, storage.ErrUnavailable) {
 		return err
 	}
-	return j.readBack(ctx, s, err)
+	return w.readBack(ctx, s, err)
 }
 
-// readBack tells whether an earlier write of this outcome took effect.
-func (j *settlement) readBack(ctx context.Context, s *Store, cause error) error {
+// readBack reads the row to determine whether a write of this outcome took
+// effect. It returns nil if it did.
+func (w *outcomeWrite) readBack(ctx context.Context, s *Store, cause error) error {
 	ctx, cancel := context.WithTimeout(ctx, s.options.ReadTimeout)
 	defer cancel()
-	found, err := s.rows.read(ctx, j.outcome.Key)
+	found, err := s.rows.read(ctx, w.outcome.Key)
 	if errors.Is(err, storage.ErrNotFound) {
-		return ErrLost
+		return ErrRowExpired
 	}
 	if err != nil {
 		return err
 	}
-	if found.Token == j.outcome.Token && found.State == j.outcome.State {
+	if found.Token == w.outcome.Token && found.State == w.outcome.State {
 		return nil
 	}
-	if found.version == j.version {
-		// Not written yet; a write on its way and the next one can't both be.
+	if found.version == w.version {
+		// The outcome isn't written yet. A write in transit and the next one
+		// can't both succeed.
 		return cause
 	}
-	if j.outcome.State == released {
-		// Somebody claimed the row after the release took effect.
+	if w.outcome.State == released {
+		// The key was claimed again after the release took effect.
 		return nil
 	}
-	return ErrLost
+	return ErrRowExpired
 }
 
-func (j *settlement) done(s *Store) { s.active.remove(j.entry) }
+func (w *outcomeWrite) complete(s *Store) { s.active.remove(w.entry) }
 
-func (j *settlement) size() int {
-	if j.outcome.Result == nil {
+func (w *outcomeWrite) resultBytes() int {
+	if w.outcome.Result == nil {
 		return 0
 	}
-	return j.outcome.Result.size()
+	return w.outcome.Result.size()
 }
 
-// shrink drops the answer and keeps the fact that the request ran.
-func (j *settlement) shrink(s *Store) {
-	if j.outcome.Result == nil {
+// dropResult discards the result and keeps the fact that the request ran.
+func (w *outcomeWrite) dropResult(s *Store) {
+	if w.outcome.Result == nil {
 		return
 	}
-	j.outcome = j.outcome.with(answerGone)
-	s.active.replaceOutcome(j.entry, j.outcome)
+	w.outcome = w.outcome.with(resultGone)
+	s.active.replaceOutcome(w.entry, w.outcome)
 }
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -22,39 +22,39 @@
 	testDigest = sha256.Sum256([]byte("bid 1200"))
 )
 
-// world is a platform with two hosts' stores on it.
-type world struct {
+// testPlatform is a table and an object store, shared by the stores of two hosts.
+type testPlatform struct {
 	table   *faulty.Table
 	objects *faulty.Objects
-	gone    *goneHosts
+	dead    *deadHosts
 	a, b    *claim.Store
 }
 
-func newWorld(options claim.Options) *world {
-	w := &world{
+func newTestPlatform(options claim.Options) *testPlatform {
+	p := &testPlatform{
 		table:   faulty.New(memory.New()),
 		objects: faulty.NewObjects(memory.NewObjects()),
-		gone:    newGoneHosts(),
+		dead:    newDeadHosts(),
 	}
-	w.a = w.store(options, "host-a")
-	w.b = w.store(options, "host-b")
-	return w
+	p.a = p.store(options, "host-a")
+	p.b = p.store(options, "host-b")
+	return p
 }
 
-func (w *world) store(options claim.Options, host string) *claim.Store {
-	options.Table, options.Objects = w.table, w.objects
-	options.Host, options.Alive = host, w.gone
+func (p *testPlatform) store(options claim.Options, host string) *claim.Store {
+	options.Table, options.Objects = p.table, p.objects
+	options.Host, options.Alive = host, p.dead
 	return claim.New(options)
 }
 
-// inWorld runs a test in a synctest bubble of its own.
-func inWorld(t *testing.T, test func(t *testing.T, is *is.I, w *world)) {
+// withTestPlatform runs a test with a testPlatform in its own synctest bubble.
+func withTestPlatform(t *testing.T, test func(t *testing.T, is *is.I, p *testPlatform)) {
 	synctest.Test(t, func(t *testing.T) {
-		test(t, is.New(t), newWorld(claim.Options{}))
+		test(t, is.New(t), newTestPlatform(claim.Options{}))
 	})
 }
 
-// mustAcquire claims the test's key.
+// mustAcquire claims testKey.
 func mustAcquire(t *testing.T, s *claim.Store) *claim.Claim {
 	t.Helper()
 	c, err := acquire(s)
@@ -64,8 +64,9 @@
 	return c
 }
 
-// describe turns an outcome of Acquire into a word for the tables.
-func describe(err error) string {
+// describeAcquire returns a short name for the result of Acquire, for test tables
+// and models.
+func describeAcquire(err error) string {
 	var done *claim.DoneError
 	var inFlight *claim.InFlightError
 	var mayHaveRun *claim.MayHaveRunError
@@ -76,8 +77,8 @@
 		return "done"
 	case errors.As(err, &inFlight):
 		return "in flight"
-	case errors.As(err, &mayHaveRun) && mayHaveRun.AnswerGone:
-		return "answer gone"
+	case errors.As(err, &mayHaveRun) && mayHaveRun.ResultGone:
+		return "result gone"
 	case errors.As(err, &mayHaveRun):
 		return "may have run"
 	case errors.Is(err, claim.ErrReused):
@@ -93,12 +94,12 @@
 	return s.Acquire(context.Background(), testKey, testDigest, "req-1")
 }
 
-func outcomeOf(s *claim.Store) string {
+func acquireResult(s *claim.Store) string {
 	_, err := acquire(s)
-	return describe(err)
+	return describeAcquire(err)
 }
 
-func answerOf(size int) claim.Result {
+func resultOfSize(size int) claim.Result {
 	return claim.Result{
 		Status:    200,
 		Header:    []byte("content-type: text/plain"),
@@ -111,64 +112,65 @@
 	}
 }
 
-// TestRepeat checks what repeats are told, on the owner's host and elsewhere.
-func TestRepeat(t *testing.T) {
+// TestDuplicate checks the results of duplicates, on the owner's host and on another
+// host.
+func TestDuplicate(t *testing.T) {
 	tests := []struct {
-		desc    string
-		settle  func(*world, *claim.Claim) error
-		onOwner string
-		onOther string
+		desc       string
+		setOutcome func(*testPlatform, *claim.Claim) error
+		onOwner    string
+		onOther    string
 	}{
-		{"in flight", func(*world, *claim.Claim) error { return nil }, "in flight", "in flight"},
-		{"owner gone", func(w *world, _ *claim.Claim) error {
-			w.gone.set("host-a", true)
+		{"in flight", func(*testPlatform, *claim.Claim) error { return nil }, "in flight", "in flight"},
+		{"owner dead", func(p *testPlatform, _ *claim.Claim) error {
+			p.dead.set("host-a", true)
 			return nil
 		}, "in flight", "may have run"},
-		{"finished", func(_ *world, c *claim.Claim) error {
-			return c.Finish(context.Background(), answerOf(10))
+		{"finished", func(_ *testPlatform, c *claim.Claim) error {
+			return c.Finish(context.Background(), resultOfSize(10))
 		}, "done", "done"},
-		{"finished with a large answer", func(_ *world, c *claim.Claim) error {
-			return c.Finish(context.Background(), answerOf(100_000))
+		{"finished with a large result", func(_ *testPlatform, c *claim.Claim) error {
+			return c.Finish(context.Background(), resultOfSize(100_000))
 		}, "done", "done"},
-		{"finished, then the object store goes down", func(w *world, c *claim.Claim) error {
-			err := c.Finish(context.Background(), answerOf(100_000))
-			w.objects.SetDown(true)
+		{"finished, then the object store is down", func(p *testPlatform, c *claim.Claim) error {
+			err := c.Finish(context.Background(), resultOfSize(100_000))
+			p.objects.SetDown(true)
 			return err
 		}, "in flight", "in flight"},
-		{"finished with too large an answer", func(_ *world, c *claim.Claim) error {
-			return c.Finish(context.Background(), answerOf(9<<20))
-		}, "answer gone", "answer gone"},
-		{"may have run", func(_ *world, c *claim.Claim) error {
+		{"finished with a result over the limit", func(_ *testPlatform, c *claim.Claim) error {
+			return c.Finish(context.Background(), resultOfSize(9<<20))
+		}, "result gone", "result gone"},
+		{"may have run", func(_ *testPlatform, c *claim.Claim) error {
 			return c.MayHaveRun(context.Background())
 		}, "may have run", "may have run"},
-		{"released", func(_ *world, c *claim.Claim) error {
+		{"released", func(_ *testPlatform, c *claim.Claim) error {
 			return c.Release(context.Background())
 		}, "claimed", "in flight"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(claim.Options{})
-			c := mustAcquire(t, w.a)
-			is.NoErr(tt.settle(w, c))
-			is.Equal(outcomeOf(w.a), tt.onOwner)
-			is.Equal(outcomeOf(w.b), tt.onOther)
+			p := newTestPlatform(claim.Options{})
+			c := mustAcquire(t, p.a)
+			is.NoErr(tt.setOutcome(p, c))
+			is.Equal(acquireResult(p.a), tt.onOwner)
+			is.Equal(acquireResult(p.b), tt.onOther)
 			if tt.onOther != "in flight" {
-				_, err := w.b.Acquire(t.Context(), testKey, sha256.Sum256([]byte("other")), "req-2")
+				_, err := p.b.Acquire(t.Context(), testKey, sha256.Sum256([]byte("other")), "req-2")
 				is.True(errors.Is(err, claim.ErrReused))
 			}
 		})
 	}
 }
 
-func TestRepeatGetsTheWholeAnswer(t *testing.T) {
+func TestDuplicateGetsTheCompleteResult(t *testing.T) {
 	for _, size := range []int{0, 1, 8 << 10, 8<<10 + 1, 1 << 20} {
 		is := is.New(t)
-		w := newWorld(claim.Options{})
-		c := mustAcquire(t, w.a)
-		want := answerOf(size)
+		p := newTestPlatform(claim.Options{})
+		c := mustAcquire(t, p.a)
+		want := resultOfSize(size)
 		is.NoErr(c.Finish(t.Context(), want))
-		_, err := acquire(w.b)
+		_, err := acquire(p.b)
 		var done *claim.DoneError
 		is.True(errors.As(err, &done))
 		is.True(bytes.Equal(done.Result.Body, want.Body))
@@ -177,8 +179,8 @@
 	}
 }
 
-// TestClaimWriteFaults checks that a claim is handed out only when its row is
-// there, and that the key isn't lost when the claim was not handed out.
+// TestClaimWriteFaults checks that Acquire returns a claim only if its row is
+// written, and that the key can still be claimed if Acquire failed.
 func TestClaimWriteFaults(t *testing.T) {
 	tests := []struct {
 		desc   string
@@ -187,7 +189,7 @@
 		healed string
 	}{
 		{"down", func(f *faulty.Table) { f.SetDown(true) }, "unavailable", "claimed"},
-		{"answer lost", func(f *faulty.Table) { f.LoseNext(1) }, "claimed", "in flight"},
+		{"reply lost", func(f *faulty.Table) { f.LoseNext(1) }, "claimed", "in flight"},
 		{"write lost", func(f *faulty.Table) { f.DropNext(1) }, "claimed", "in flight"},
 		{"all writes lost", func(f *faulty.Table) { f.DropNext(100) }, "unavailable", "claimed"},
 		{"write late", func(f *faulty.Table) { f.DelayNext(1, time.Second) }, "claimed", "in flight"},
@@ -195,49 +197,49 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
-			inWorld(t, func(t *testing.T, is *is.I, w *world) {
-				tt.fault(w.table)
-				is.Equal(outcomeOf(w.a), tt.first)
-				w.table.Heal()
-				is.NoErr(w.a.Flush(t.Context()))
-				time.Sleep(2 * time.Second) // late writes arrive
-				is.Equal(outcomeOf(w.b), tt.healed)
+			withTestPlatform(t, func(t *testing.T, is *is.I, p *testPlatform) {
+				tt.fault(p.table)
+				is.Equal(acquireResult(p.a), tt.first)
+				p.table.Heal()
+				is.NoErr(p.a.Flush(t.Context()))
+				time.Sleep(2 * time.Second) // late writes are applied
+				is.Equal(acquireResult(p.b), tt.healed)
 			})
 		})
 	}
 }
 
-// TestOutcomeFaults checks that an outcome is kept until the table has it, and
-// that repeats on the owner's host are answered meanwhile.
+// TestOutcomeFaults checks that an outcome is kept in memory until it is in the
+// table, and that it answers duplicates on the owner's host meanwhile.
 func TestOutcomeFaults(t *testing.T) {
 	tests := []struct {
 		desc    string
 		fault   func(*faulty.Table)
 		pending int
-		// before and after are what the other host says before and after the
-		// table is well again.
+		// before and after are the results on the other host before and after
+		// the table recovers.
 		before, after string
 	}{
 		{"down", func(f *faulty.Table) { f.SetDown(true) }, 1, "unavailable", "done"},
-		{"answer lost", func(f *faulty.Table) { f.LoseNext(1) }, 0, "done", "done"},
+		{"reply lost", func(f *faulty.Table) { f.LoseNext(1) }, 0, "done", "done"},
 		{"write lost", func(f *faulty.Table) { f.DropNext(1) }, 1, "in flight", "done"},
 		{"write late", func(f *faulty.Table) { f.DelayNext(1, time.Second) }, 1, "in flight", "done"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
-			inWorld(t, func(t *testing.T, is *is.I, w *world) {
-				c := mustAcquire(t, w.a)
-				tt.fault(w.table)
-				err := c.Finish(t.Context(), answerOf(10))
+			withTestPlatform(t, func(t *testing.T, is *is.I, p *testPlatform) {
+				c := mustAcquire(t, p.a)
+				tt.fault(p.table)
+				err := c.Finish(t.Context(), resultOfSize(10))
 				is.Equal(errors.Is(err, claim.ErrPending), tt.pending == 1)
-				is.Equal(w.a.Pending(), tt.pending)
-				is.Equal(outcomeOf(w.a), "done")
-				is.Equal(outcomeOf(w.b), tt.before)
-				w.table.Heal()
-				is.NoErr(w.a.Flush(t.Context()))
-				is.Equal(outcomeOf(w.b), tt.after)
-				time.Sleep(2 * time.Second) // late writes arrive
-				is.Equal(outcomeOf(w.b), tt.after)
+				is.Equal(p.a.Pending(), tt.pending)
+				is.Equal(acquireResult(p.a), "done")
+				is.Equal(acquireResult(p.b), tt.before)
+				p.table.Heal()
+				is.NoErr(p.a.Flush(t.Context()))
+				is.Equal(acquireResult(p.b), tt.after)
+				time.Sleep(2 * time.Second) // late writes are applied
+				is.Equal(acquireResult(p.b), tt.after)
 			})
 		})
 	}
@@ -245,15 +247,15 @@
 
 func TestConflictWithoutReadIsNotCalledNotRun(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(claim.Options{})
-	mustAcquire(t, w.a)
-	blind := claim.New(claim.Options{Table: noReads{w.table}, Host: "host-b"})
-	is.Equal(outcomeOf(blind), "in flight")
+	p := newTestPlatform(claim.Options{})
+	mustAcquire(t, p.a)
+	withoutReads := claim.New(claim.Options{Table: unreadableTable{p.table}, Host: "host-b"})
+	is.Equal(acquireResult(withoutReads), "in flight")
 }
 
-// noReads is a table whose reads fail.
-type noReads struct{ storage.Table }
+// unreadableTable is a table whose reads fail.
+type unreadableTable struct{ storage.Table }
 
-func (noReads) Get(context.Context, string) (storage.Row, error) {
+func (unreadableTable) Get(context.Context, string) (storage.Row, error) {
 	return storage.Row{}, storage.ErrUnavailable
 }
--- a/claim/errors.go
+++ b/claim/errors.go
@@ -6,22 +6,24 @@
 )
 
 var (
-	// ErrReused means that the key was used before with another request.
-	ErrReused = errors.New("claim: request key used for another request")
-	// ErrUnavailable means that the claim couldn't be recorded. Nothing may be
-	// sent, and this call sent nothing. It wraps the platform's error.
+	// ErrReused means that the key was already used with a different request.
+	ErrReused = errors.New("claim: request key already used for a different request")
+	// ErrUnavailable means that the claim couldn't be recorded. The request must
+	// not be sent. The error also wraps that of the table.
 	ErrUnavailable = errors.New("claim: not recorded")
-	// ErrPending means that an outcome couldn't be recorded yet. It is kept in
-	// memory, answers repeats on this host, and is retried by Run.
+	// ErrPending means that the outcome isn't in the table yet. It is kept in
+	// memory, where it answers duplicates on this host, and Run retries the
+	// write.
 	ErrPending = errors.New("claim: outcome not recorded yet")
-	// ErrSettled means that the claim's outcome was given before.
-	ErrSettled = errors.New("claim: outcome already given")
-	// ErrLost means that the claim's row expired before the outcome came.
-	ErrLost = errors.New("claim: row expired")
+	// ErrOutcomeSet means that the outcome of the claim was already set.
+	ErrOutcomeSet = errors.New("claim: outcome already set")
+	// ErrRowExpired means that the row of the claim expired before the outcome
+	// was written.
+	ErrRowExpired = errors.New("claim: row expired")
 )
 
-// DoneError reports that a request with this key has finished. A repeat is
-// answered with Result, whole.
+// DoneError means that a request with this key has finished. A duplicate gets
+// the complete Result.
 type DoneError struct {
 	Result Result
 }
@@ -31,11 +33,12 @@
 	return fmt.Sprintf("claim: finished as request %s", e.Result.RequestID)
 }
 
-// InFlightError reports that the key is claimed and that its owner may still
-// be running the request, or that the owner's outcome can't be read just now.
-// The repeat isn't sent and may come back later.
+// InFlightError means that the key is claimed and its owner may still be running
+// the request, or that the outcome can't be read at present. The duplicate isn't
+// sent and may be retried later.
 type InFlightError struct {
-	// Host and RequestID are the owner's; empty if the row couldn't be read.
+	// Host and RequestID identify the owner. They are empty if the row couldn't
+	// be read.
 	Host      string
 	RequestID string
 }
@@ -45,14 +48,14 @@
 	return fmt.Sprintf("claim: in flight on host %q as request %q", e.Host, e.RequestID)
 }
 
-// MayHaveRunError reports that an earlier request with this key may have run
-// and that its answer isn't to be had. It is never run again.
+// MayHaveRunError means that an earlier request with this key may have run and
+// that its result isn't available. The request is never run again.
 type MayHaveRunError struct {
 	Host      string
 	RequestID string
-	// AnswerGone says that the request did finish, or could have, and that the
-	// answer is no longer or was never kept: it expired or was too large.
-	AnswerGone bool
+	// ResultGone is true if the request finished, or may have, and its result
+	// isn't stored: it expired or was too large.
+	ResultGone bool
 }
 
 // Error implements error.
--- a/claim/example_test.go
+++ b/claim/example_test.go
@@ -32,9 +32,9 @@
 	_, err = store.Acquire(ctx, key, digest, "req-2")
 	var done *claim.DoneError
 	if errors.As(err, &done) {
-		fmt.Printf("repeat gets %q of %s\n", done.Result.Body, done.Result.RequestID)
+		fmt.Printf("duplicate gets %q of %s\n", done.Result.Body, done.Result.RequestID)
 	}
 	// Output:
 	// recorded: true
-	// repeat gets "confirmed" of req-1
+	// duplicate gets "confirmed" of req-1
 }
--- a/claim/history_test.go
+++ b/claim/history_test.go
@@ -28,89 +28,90 @@
 	historyRepeats = 5
 )
 
-// tally sums up what a set of histories went through.
-type tally struct {
+// historyTotals is the sum of the events of a set of histories.
+type historyTotals struct {
 	histories, runs, killed int
-	told                    map[string]int
+	acquireResults          map[string]int
 }
 
-// TestHistories repeats a few keys at several hosts while the table fails and
-// hosts are paused and killed, and checks each key's history. Once with a
-// group committer on each host, once without.
+// TestHistories sends requests with few keys to several hosts, with table faults
+// and paused and killed hosts, and checks the history of each key against the
+// model. It runs with and without a group committer on each host.
 func TestHistories(t *testing.T) {
 	const seeds = 100
 	for _, grouped := range []bool{false, true} {
 		t.Run(fmt.Sprintf("grouped=%v", grouped), func(t *testing.T) {
-			total := &tally{told: make(map[string]int)}
+			total := &historyTotals{acquireResults: make(map[string]int)}
 			for seed := range uint64(seeds) {
 				synctest.Test(t, func(t *testing.T) {
-					newBench(seed, grouped).run(t, total)
+					newSimulation(seed, grouped).run(t, total)
 				})
 			}
-			for _, told := range []string{"claimed", "done", "in flight", "may have run", "unavailable"} {
-				is.New(t).True(total.told[told] > 0) // each answer was met
+			for _, result := range []string{"claimed", "done", "in flight", "may have run", "unavailable"} {
+				is.New(t).True(total.acquireResults[result] > 0) // each result occurred
 			}
 			t.Logf("%+v", *total)
 		})
 	}
 }
 
-// bench is the set of hosts of one history.
-type bench struct {
+// simulation runs the hosts, clients and faults of one seed.
+type simulation struct {
 	seed    uint64
 	table   *faulty.Table
 	hosts   []*host
-	gone    *goneHosts
+	dead    *deadHosts
 	keys    []*recorder
 	running sync.WaitGroup
 }
 
-// host is one process with its store.
+// host is one process and its store.
 type host struct {
 	process   *pause.Process
 	store     *claim.Store
 	committer *groupcommit.Committer
 }
 
-// goneHosts is a Liveness that learns of deaths at any time after them.
-type goneHosts struct {
+// deadHosts is a Liveness whose dead hosts are set by the test.
+type deadHosts struct {
 	mu    sync.Mutex
 	hosts map[string]bool
 }
 
-func newGoneHosts() *goneHosts { return &goneHosts{hosts: make(map[string]bool)} }
+func newDeadHosts() *deadHosts { return &deadHosts{hosts: make(map[string]bool)} }
 
-func (g *goneHosts) Alive(host string) bool {
+func (g *deadHosts) Alive(host string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return !g.hosts[host]
 }
 
-// set may also be called with a host that is only paused.
-func (g *goneHosts) set(host string, isGone bool) {
+// set marks a host as dead or alive. A host that is only paused may be marked as
+// dead.
+func (g *deadHosts) set(host string, dead bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.hosts[host] = isGone
+	g.hosts[host] = dead
 }
 
-func newBench(seed uint64, grouped bool) *bench {
-	b := &bench{
+func newSimulation(seed uint64, grouped bool) *simulation {
+	s := &simulation{
 		seed:  seed,
 		table: faulty.New(memory.New()),
-		gone:  newGoneHosts(),
+		dead:  newDeadHosts(),
 	}
 	for i := range historyHosts {
-		b.hosts = append(b.hosts, b.newHost(i, grouped))
+		s.hosts = append(s.hosts, s.newHost(i, grouped))
 	}
 	for range historyKeys {
-		b.keys = append(b.keys, newRecorder())
+		s.keys = append(s.keys, newRecorder())
 	}
-	return b
+	return s
 }
 
-func (b *bench) newHost(i int, grouped bool) *host {
+func (s *simulation) newHost(i int, grouped bool) *host {
 	h := &host{process: pause.New()}
-	table := h.process.Table(b.table)
+	table := h.process.Table(s.table)
 	if grouped {
 		h.committer = groupcommit.New(table, groupcommit.Options{})
 		table = h.process.Table(h.committer)
@@ -119,7 +120,7 @@
 		Table:       table,
 		Objects:     memory.NewObjects(),
 		Host:        hostName(i),
-		Alive:       b.gone,
+		Alive:       s.dead,
 		InlineBytes: math.MaxInt32,
 	})
 	return h
@@ -127,30 +128,30 @@
 
 func hostName(i int) string { return fmt.Sprintf("host-%d", i) }
 
-func (b *bench) run(t *testing.T, total *tally) {
+func (s *simulation) run(t *testing.T, total *historyTotals) {
 	ctx, cancel := context.WithCancel(t.Context())
-	for _, h := range b.hosts {
-		b.running.Go(func() { _ = h.store.Run(ctx) })
+	for _, h := range s.hosts {
+		s.running.Go(func() { _ = h.store.Run(ctx) })
 	}
 	var clients sync.WaitGroup
 	for i := range historyClients {
-		clients.Go(func() { b.client(i) })
+		clients.Go(func() { s.client(i) })
 	}
 	finished := make(chan struct{})
 	go func() { clients.Wait(); close(finished) }()
-	b.injectFaults(finished, total)
-	b.settle(t)
+	s.injectFaults(finished, total)
+	s.flushAndVerify(t)
 	cancel()
-	b.running.Wait()
-	b.check(t, total)
+	s.running.Wait()
+	s.check(t, total)
 }
 
-// injectFaults goes on until the clients have finished.
-func (b *bench) injectFaults(finished chan struct{}, total *tally) {
-	random := rand.New(rand.NewPCG(b.seed, 1000))
+// injectFaults injects faults until the clients have finished.
+func (s *simulation) injectFaults(finished chan struct{}, total *historyTotals) {
+	random := rand.New(rand.NewPCG(s.seed, 1000))
 	for {
 		i := random.IntN(historyHosts)
-		b.injectFault(i, random, total)
+		s.injectFault(i, random, total)
 		select {
 		case <-finished:
 			return
@@ -159,84 +160,84 @@
 	}
 }
 
-func (b *bench) injectFault(i int, random *rand.Rand, total *tally) {
-	process := b.hosts[i].process
+func (s *simulation) injectFault(i int, random *rand.Rand, total *historyTotals) {
+	process := s.hosts[i].process
 	switch random.IntN(12) {
 	case 0:
 		process.Pause()
-		b.gone.set(hostName(i), random.IntN(2) == 0) // taken for dead, perhaps
+		s.dead.set(hostName(i), random.IntN(2) == 0) // a paused host may be considered dead
 	case 1, 2:
 		process.Resume()
-		b.gone.set(hostName(i), process.Killed())
+		s.dead.set(hostName(i), process.Killed())
 	case 3:
-		if i == 0 && !process.Killed() { // host 0 only, so that most survive
+		if i == 0 && !process.Killed() { // only host 0, so that most hosts survive
 			process.Kill()
-			b.gone.set(hostName(i), true)
+			s.dead.set(hostName(i), true)
 			total.killed++
 		}
 	default:
-		b.table.SetRandom(random, faulty.Bounds{Commits: 5, Delay: 1500 * time.Millisecond, Late: 3 * time.Second})
+		s.table.SetRandom(random, faulty.Bounds{Commits: 5, Delay: 1500 * time.Millisecond, Late: 3 * time.Second})
 	}
 }
 
-// settle lets the living hosts record their outcomes and asks once more for
-// each key.
-func (b *bench) settle(t *testing.T) {
-	b.table.Heal()
-	for i, h := range b.hosts {
+// flushAndVerify flushes the outcomes of the hosts that weren't killed, and sends
+// one more request per key.
+func (s *simulation) flushAndVerify(t *testing.T) {
+	s.table.Heal()
+	for i, h := range s.hosts {
 		h.process.Resume()
 		if h.process.Killed() {
 			continue
 		}
-		b.gone.set(hostName(i), false)
+		s.dead.set(hostName(i), false)
 		if err := h.store.Flush(t.Context()); err != nil {
 			t.Errorf("flush: %v", err)
 		}
-		b.noteFlush(i)
+		s.recordFlush(i)
 	}
-	time.Sleep(10 * time.Second) // late commits arrive
-	for key := range b.keys {
-		b.request(historyHosts-1, key, "last", historyClients, nil)
+	time.Sleep(10 * time.Second) // late commits are applied
+	for key := range s.keys {
+		s.request(historyHosts-1, key, "last", historyClients, nil)
 	}
-	for _, h := range b.hosts {
+	for _, h := range s.hosts {
 		if h.committer != nil {
 			_ = h.committer.Close()
 		}
 	}
 }
 
-// noteFlush records that the outcomes of a host's requests are in the table.
-func (b *bench) noteFlush(i int) {
-	for _, rec := range b.keys {
-		for request, at := range rec.hosts {
-			if at == i {
+// recordFlush records that the outcomes of a host's requests are in the table.
+func (s *simulation) recordFlush(i int) {
+	for _, rec := range s.keys {
+		for request, arrivalHost := range rec.hosts {
+			if arrivalHost == i {
 				rec.end(historyClients, rec.Tick(), operation{action: actFlush, request: request})
 			}
 		}
 	}
 }
 
-func (b *bench) check(t *testing.T, total *tally) {
-	total.histories += len(b.keys)
-	for key, rec := range b.keys {
+func (s *simulation) check(t *testing.T, total *historyTotals) {
+	total.histories += len(s.keys)
+	for key, rec := range s.keys {
 		history := rec.history()
-		storagetest.CheckModel(t, fmt.Sprintf("seed %d, key %d", b.seed, key), model, history)
+		storagetest.CheckModel(t, fmt.Sprintf("seed %d, key %d", s.seed, key), model, history)
 		if rec.runs > 1 {
-			t.Errorf("seed %d, key %d: ran %d times", b.seed, key, rec.runs)
+			t.Errorf("seed %d, key %d: ran %d times", s.seed, key, rec.runs)
 		}
 		total.runs += rec.runs
 		for _, op := range history {
-			if told := op.Input.(operation).told; told != "" {
-				total.told[told]++
+			if result := op.Input.(operation).result; result != "" {
+				total.acquireResults[result]++
 			}
 		}
 	}
 }
 
-// client sends keyed requests to random hosts. A request that dies with its
-// host takes only its own goroutine along.
-func (b *bench) client(id int) {
-	random := rand.New(rand.NewPCG(b.seed, uint64(id)))
+// client sends requests with random keys to random hosts. Each request has its own
+// goroutine, which exits if the host is killed.
+func (s *simulation) client(id int) {
+	random := rand.New(rand.NewPCG(s.seed, uint64(id)))
 	for n := range historyRepeats {
 		time.Sleep(time.Duration(random.IntN(1500)) * time.Millisecond)
 		host, key := random.IntN(historyHosts), random.IntN(historyKeys)
@@ -244,49 +245,50 @@
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			b.request(host, key, request, id*historyRepeats+n, random)
+			s.request(host, key, request, id*historyRepeats+n, random)
 		}()
 		<-ended
 	}
 }
 
-// request is one request at a host: claim, run, record the outcome.
-func (b *bench) request(host, key int, request string, client int, random *rand.Rand) {
-	rec, h := b.keys[key], b.hosts[host]
-	rec.arrive(request, host)
-	h.process.Step()
+// request handles one request on a host: it claims the key, runs the request and
+// records the outcome.
+func (s *simulation) request(host, key int, request string, client int, random *rand.Rand) {
+	rec, h := s.keys[key], s.hosts[host]
+	rec.registerRequest(request, host)
+	h.process.Checkpoint()
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	call := rec.Tick()
 	c, err := h.store.Acquire(ctx, claim.Key{Account: "a", RequestKey: fmt.Sprint(key)}, testDigest, request)
-	h.process.Step()
+	h.process.Checkpoint()
 	if err == nil {
-		rec.setGhost(request, false)
+		rec.setStaleRow(request, false)
 	}
 	rec.end(client, call, acquireOperation(request, err))
 	if c != nil && random != nil {
-		b.work(ctx, c, work{rec: rec, process: h.process, request: request, client: client, random: random})
+		s.runClaimed(ctx, c, claimedRequest{rec: rec, process: h.process, request: request, client: client, random: random})
 	}
 }
 
 func acquireOperation(request string, err error) operation {
-	op := operation{action: actAcquire, request: request, told: describe(err)}
+	op := operation{action: actAcquire, request: request, result: describeAcquire(err)}
 	var done *claim.DoneError
 	var inFlight *claim.InFlightError
 	var mayHaveRun *claim.MayHaveRunError
 	switch {
 	case errors.As(err, &done):
-		op.about, op.body = done.Result.RequestID, done.Result.Body
+		op.subject, op.body = done.Result.RequestID, done.Result.Body
 	case errors.As(err, &inFlight):
-		op.about = inFlight.RequestID
+		op.subject = inFlight.RequestID
 	case errors.As(err, &mayHaveRun):
-		op.about = mayHaveRun.RequestID
+		op.subject = mayHaveRun.RequestID
 	}
 	return op
 }
 
-// work is a request that got its claim.
-type work struct {
+// claimedRequest is a request whose claim was acquired.
+type claimedRequest struct {
 	rec     *recorder
 	process *pause.Process
 	request string
@@ -294,35 +296,36 @@
 	random  *rand.Rand
 }
 
-func (b *bench) work(ctx context.Context, c *claim.Claim, w work) {
+func (s *simulation) runClaimed(ctx context.Context, c *claim.Claim, w claimedRequest) {
 	if w.random.IntN(4) == 0 {
-		w.end(ctx, operation{action: actRelease}, c.Release)
+		w.recordOutcome(ctx, operation{action: actRelease}, c.Release)
 		return
 	}
 	time.Sleep(time.Duration(w.random.IntN(500)) * time.Millisecond)
-	w.process.Step()
+	w.process.Checkpoint()
 	w.rec.end(w.client, w.rec.Tick(), operation{action: actRun, request: w.request})
 	time.Sleep(time.Duration(w.random.IntN(500)) * time.Millisecond)
-	w.process.Step()
+	w.process.Checkpoint()
 	if w.random.IntN(3) == 0 {
-		w.end(ctx, operation{action: actMayHaveRun}, c.MayHaveRun)
+		w.recordOutcome(ctx, operation{action: actMayHaveRun}, c.MayHaveRun)
 		return
 	}
-	body := []byte("answer to " + w.request)
-	w.end(ctx, operation{action: actFinish, body: body}, func(ctx context.Context) error {
+	body := []byte("response to " + w.request)
+	w.recordOutcome(ctx, operation{action: actFinish, body: body}, func(ctx context.Context) error {
 		return c.Finish(ctx, claim.Result{RequestID: w.request, Body: body})
 	})
 }
 
-// end records an outcome. If the host dies meanwhile, the outcome may be in
-// the table or not, and the operation stays open.
-func (w work) end(ctx context.Context, op operation, do func(context.Context) error) {
+// recordOutcome sets the outcome of a claim with do and adds op to the history. If
+// the host is killed meanwhile, the outcome may or may not be in the table, and
+// the operation has no end.
+func (w claimedRequest) recordOutcome(ctx context.Context, op operation, do func(context.Context) error) {
 	op.request = w.request
 	op.pending = true
 	call, back := w.rec.Tick(), int64(math.MaxInt64)
 	defer func() {
 		if op.pending && op.action == actRelease {
-			w.rec.setGhost(w.request, true)
+			w.rec.setStaleRow(w.request, true)
 		}
 		w.rec.add(w.client, call, back, op)
 		if !op.pending && op.action != actRelease {
@@ -330,7 +333,7 @@
 		}
 	}()
 	err := do(ctx)
-	w.process.Step()
+	w.process.Checkpoint()
 	op.pending = err != nil
 	back = w.rec.Tick()
 }
--- a/claim/machine_test.go
+++ b/claim/machine_test.go
@@ -13,28 +13,29 @@
 	"github.com/quetzalweir/quetzalweir/storage/storagetest"
 )
 
-// expectation is what the state machine knows of a key.
+// expectation is the expected state of a key.
 type expectation struct {
 	owner *claim.Claim
 	host  int
 	runs  int
-	// body is the answer once Finish was called.
+	// body is the response body; nil until Finish was called.
 	body []byte
-	// lost says that MayHaveRun was called.
-	lost bool
+	// outcomeUnknown is true after a call of MayHaveRun.
+	outcomeUnknown bool
 }
 
-// machine drives two hosts, one call at a time, through faults of the table.
+// machine is a state machine test of two hosts with table faults. Calls aren't
+// concurrent.
 type machine struct {
-	world  *world
-	stores []*claim.Store
-	keys   map[claim.Key]*expectation
-	broken bool
+	platform     *testPlatform
+	stores       []*claim.Store
+	keys         map[claim.Key]*expectation
+	faultsActive bool
 }
 
 func newMachine() *machine {
-	w := newWorld(claim.Options{})
-	m := &machine{world: w, stores: []*claim.Store{w.a, w.b}, keys: make(map[claim.Key]*expectation)}
+	p := newTestPlatform(claim.Options{})
+	m := &machine{platform: p, stores: []*claim.Store{p.a, p.b}, keys: make(map[claim.Key]*expectation)}
 	for i := range 3 {
 		m.keys[claim.Key{Account: "a", RequestKey: fmt.Sprint(i)}] = &expectation{}
 	}
@@ -45,7 +46,7 @@
 	return claim.Key{Account: "a", RequestKey: fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "key"))}
 }
 
-// acquire claims a key at a host, runs it if it may, and checks the answer.
+// acquire claims a key on a host and checks the result.
 func (m *machine) acquire(t *rapid.T) {
 	key, host := drawKey(t), rapid.IntRange(0, 1).Draw(t, "host")
 	want := m.keys[key]
@@ -59,19 +60,20 @@
 		want.owner, want.host = c, host
 	case errors.As(err, &done):
 		if want.body == nil || string(done.Result.Body) != string(want.body) {
-			t.Fatalf("%v got %q, not %q", key, done.Result.Body, want.body)
+			t.Fatalf("%v: got body %q, want %q", key, done.Result.Body, want.body)
 		}
 	case errors.Is(err, claim.ErrReused):
 		t.Fatalf("%v: %v", key, err)
 	}
-	if m.broken {
+	if m.faultsActive {
 		return
 	}
-	m.checkSettled(t, want, err)
+	m.checkResult(t, want, err)
 }
 
-// checkSettled checks an answer while the table is well and nothing pends.
-func (m *machine) checkSettled(t *rapid.T, want *expectation, err error) {
+// checkResult checks the exact result of Acquire, if no writes are pending. It is
+// called only without faults.
+func (m *machine) checkResult(t *rapid.T, want *expectation, err error) {
 	if m.stores[0].Pending()+m.stores[1].Pending() > 0 {
 		return
 	}
@@ -81,31 +83,31 @@
 		return
 	case want.body != nil:
 		expected = "done"
-	case want.lost:
+	case want.outcomeUnknown:
 		expected = "may have run"
 	case want.owner == nil:
-		t.Fatalf("free key refused: %v", err)
+		t.Fatalf("unclaimed key rejected: %v", err)
 	}
-	if describe(err) != expected {
-		t.Fatalf("told %q instead of %q", describe(err), expected)
+	if describeAcquire(err) != expected {
+		t.Fatalf("got %q, want %q", describeAcquire(err), expected)
 	}
 }
 
-// settle ends the claim of a key that has an owner.
-func (m *machine) settle(t *rapid.T) {
+// setOutcome sets the outcome of a claimed key.
+func (m *machine) setOutcome(t *rapid.T) {
 	want := m.keys[drawKey(t)]
-	if want.owner == nil || want.body != nil || want.lost {
+	if want.owner == nil || want.body != nil || want.outcomeUnknown {
 		t.Skip("no open claim")
 	}
 	ctx := context.Background()
 	switch rapid.SampledFrom([]string{"finish", "lose", "release"}).Draw(t, "outcome") {
 	case "finish":
 		want.runs++
-		want.body = []byte(fmt.Sprintf("answer %p", want))
+		want.body = []byte(fmt.Sprintf("response %p", want))
 		_ = want.owner.Finish(ctx, claim.Result{Body: want.body})
 	case "lose":
 		want.runs++
-		want.lost = true
+		want.outcomeUnknown = true
 		_ = want.owner.MayHaveRun(ctx)
 	default:
 		_ = want.owner.Release(ctx)
@@ -113,22 +115,23 @@
 	}
 }
 
-// faults are the table's, after which an answer may be less than the best.
+// faults returns the actions that inject table faults. They set faultsActive,
+// since results may then be less specific.
 func (m *machine) faults() map[string]func(*rapid.T) {
-	actions := storagetest.FaultActions(m.world.table)
+	actions := storagetest.FaultActions(m.platform.table)
 	for name, set := range actions {
 		actions[name] = func(t *rapid.T) {
-			m.broken = true
+			m.faultsActive = true
 			set(t)
 		}
 	}
 	return actions
 }
 
-// heal ends the faults and lets both hosts record their outcomes.
+// heal ends the faults and flushes the pending writes of both hosts.
 func (m *machine) heal(t *rapid.T) {
-	m.world.table.Heal()
-	m.broken = false
+	m.platform.table.Heal()
+	m.faultsActive = false
 	for _, s := range m.stores {
 		if err := s.Flush(context.Background()); err != nil {
 			t.Fatal(err)
@@ -141,7 +144,7 @@
 		m := newMachine()
 		actions := m.faults()
 		actions["acquire"] = m.acquire
-		actions["settle"] = m.settle
+		actions["settle"] = m.setOutcome
 		actions["heal"] = m.heal
 		t.Repeat(actions)
 	})
--- a/claim/model_test.go
+++ b/claim/model_test.go
@@ -12,50 +12,50 @@
 	"github.com/quetzalweir/quetzalweir/storage/storagetest"
 )
 
-// action is what an operation of a history does.
+// action is the kind of an operation in a history.
 type action int
 
 const (
 	// actAcquire is a call of Acquire.
 	actAcquire action = iota
-	// actRun is the fake upstream carrying the request out.
+	// actRun is the execution of the request by the simulated upstream.
 	actRun
-	// actFinish, actMayHaveRun and actRelease are calls of the Claim's methods.
+	// actFinish, actMayHaveRun and actRelease are calls of methods of Claim.
 	actFinish
 	actMayHaveRun
 	actRelease
-	// actFlush is a successful Flush of the owner's host.
+	// actFlush is a successful Flush on the owner's host.
 	actFlush
-	// actRecord is the outcome's arrival in the table, within a call of Finish
-	// or MayHaveRun that returned no error. It comes apart from the outcome
-	// itself, which the owner's host tells repeats as soon as it has it.
+	// actRecord is the write of the outcome to the table, within a successful
+	// call of Finish or MayHaveRun. It is separate from the outcome itself,
+	// which the owner's host returns to duplicates as soon as it is set.
 	actRecord
 )
 
 // operation is one operation of a history on one key.
 type operation struct {
 	action action
-	// request is the request that acts.
+	// request is the ID of the request that performs the operation.
 	request string
-	// told is what Acquire said: see describe.
-	told string
-	// about is the request that the answer is about.
-	about string
-	// body is the answer given to Finish or got from Acquire.
+	// result is the result of Acquire, as named by describeAcquire.
+	result string
+	// subject is the ID of the request that the result refers to.
+	subject string
+	// body is the response body passed to Finish or returned by Acquire.
 	body []byte
-	// pending says that a method of Claim returned ErrPending.
+	// pending is true if a method of Claim returned an error or didn't return.
 	pending bool
-	// ghost says that about never ran and its row may linger: its Acquire
-	// gave no claim, or its Release is pending.
-	ghost bool
-	// fromOwner says that Acquire was asked on the host of about.
-	fromOwner bool
-	// lagging says that the host of about may call it in flight although it
-	// isn't: it is asking for its claim, or its release isn't recorded yet.
-	lagging bool
+	// staleRow is true if subject never ran but its row may still exist: its
+	// Acquire returned no claim, or its Release is pending.
+	staleRow bool
+	// onOwnerHost is true if Acquire was called on the host of subject.
+	onOwnerHost bool
+	// mayLag is true if the host of subject may report it as in flight although
+	// it isn't: its Acquire or Release is running or not yet in the table.
+	mayLag bool
 }
 
-// phase is where the model's key stands.
+// phase is the state of a key in the model.
 type phase int
 
 const (
@@ -63,21 +63,22 @@
 	claimed
 	ran
 	done
-	mayHave
+	mayHaveRun
 )
 
-// keyState is the model's state of one key.
+// keyState is the state of the model for one key.
 type keyState struct {
 	phase phase
 	owner string
 	body  string
-	// durable says that the outcome is known to be in the table, so that no
-	// host may answer less.
+	// durable is true once the outcome is known to be in the table. All hosts
+	// must then report it.
 	durable bool
 }
 
-// model is the specification of a key: one owner at a time, one run, the whole
-// answer of that run, and no answer that claims less than what is recorded.
+// model specifies a key: it has at most one owner at a time and at most one run,
+// duplicates get the complete response of that run, and no result contradicts a
+// recorded outcome.
 var model = porcupine.Model{
 	Init:  func() any { return keyState{} },
 	Equal: func(a, b any) bool { return a == b },
@@ -88,81 +89,81 @@
 }
 
 func step(s keyState, op operation) (bool, keyState) {
-	mine := s.owner == op.request
+	isOwner := s.owner == op.request
 	switch op.action {
 	case actAcquire:
 		return stepAcquire(s, op)
 	case actRun:
 		s, was := s, s.phase
 		s.phase = ran
-		return mine && was == claimed, s
+		return isOwner && was == claimed, s
 	case actFinish:
 		next := keyState{phase: done, owner: op.request, body: string(op.body)}
-		return mine && s.phase == ran, next
+		return isOwner && s.phase == ran, next
 	case actMayHaveRun:
-		next := keyState{phase: mayHave, owner: op.request}
-		return mine && (s.phase == ran || s.phase == claimed), next
+		next := keyState{phase: mayHaveRun, owner: op.request}
+		return isOwner && (s.phase == ran || s.phase == claimed), next
 	case actRelease:
-		return mine && s.phase == claimed, keyState{}
+		return isOwner && s.phase == claimed, keyState{}
 	case actRecord:
 		s.durable = true
-		return mine && (s.phase == done || s.phase == mayHave), s
+		return isOwner && (s.phase == done || s.phase == mayHaveRun), s
 	default:
-		s.durable = s.durable || mine
+		s.durable = s.durable || isOwner
 		return true, s
 	}
 }
 
 func stepAcquire(s keyState, op operation) (bool, keyState) {
-	about := s.owner == op.about
-	switch op.told {
+	subjectIsOwner := s.owner == op.subject
+	switch op.result {
 	case "claimed":
 		return s.phase == free, keyState{phase: claimed, owner: op.request}
 	case "done":
-		// The owner's host answers from memory; from elsewhere the answer
-		// shows that the table has it.
-		same := s.phase == done && about && s.body == string(op.body)
-		s.durable = s.durable || !op.fromOwner
+		// The owner's host may return the result from memory. From another host,
+		// the result shows that it is in the table.
+		same := s.phase == done && subjectIsOwner && s.body == string(op.body)
+		s.durable = s.durable || !op.onOwnerHost
 		return same, s
 	case "in flight":
-		if op.about == "" || op.lagging {
+		if op.subject == "" || op.mayLag {
 			return true, s
 		}
-		return stepOpen(s, op, about), s
+		return outcomeMayBeUnknown(s, op, subjectIsOwner), s
 	case "may have run":
-		return s.phase == mayHave && about || stepOpen(s, op, about), s
+		return s.phase == mayHaveRun && subjectIsOwner || outcomeMayBeUnknown(s, op, subjectIsOwner), s
 	default:
-		return op.told == "unavailable", s
+		return op.result == "unavailable", s
 	}
 }
 
-// stepOpen reports whether the outcome of the request that op is about may be
-// unknown to the host that answers.
-func stepOpen(s keyState, op operation, about bool) bool {
+// outcomeMayBeUnknown reports whether the host that returned op may not have the
+// outcome of its subject.
+func outcomeMayBeUnknown(s keyState, op operation, subjectIsOwner bool) bool {
 	if s.phase == free {
-		return op.ghost
+		return op.staleRow
 	}
-	return about && !s.durable
+	return subjectIsOwner && !s.durable
 }
 
-// recorder collects the history of one key and counts its runs.
+// recorder records the history of one key and counts its runs.
 type recorder struct {
 	storagetest.History
 	mu   sync.Mutex
 	runs int
-	// hosts are the hosts that the requests arrived at.
+	// hosts maps each request to the host that it arrived at.
 	hosts map[string]int
-	// ghosts are the requests that never ran and whose rows may linger.
-	ghosts map[string]bool
-	// changes are each request's calls of Acquire and Release.
+	// staleRows has the requests that never ran and whose rows may still exist.
+	staleRows map[string]bool
+	// changes has the calls of Acquire and Release of each request.
 	changes map[string][]porcupine.Operation
 }
 
 func newRecorder() *recorder {
-	return &recorder{hosts: make(map[string]int), ghosts: make(map[string]bool), changes: make(map[string][]porcupine.Operation)}
+	return &recorder{hosts: make(map[string]int), staleRows: make(map[string]bool), changes: make(map[string][]porcupine.Operation)}
 }
 
-// end records an operation that has returned.
+// end adds an operation that returns now.
 func (r *recorder) end(client int, start int64, op operation) {
 	r.add(client, start, r.Tick(), op)
 }
@@ -179,37 +180,38 @@
 	}
 }
 
-func (r *recorder) arrive(request string, host int) {
+func (r *recorder) registerRequest(request string, host int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.hosts[request] = host
-	r.ghosts[request] = true // until it gets a claim
+	r.staleRows[request] = true // until its claim is acquired
 }
 
-func (r *recorder) setGhost(request string, ghost bool) {
+func (r *recorder) setStaleRow(request string, stale bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ghosts[request] = ghost
+	r.staleRows[request] = stale
 }
 
-// history returns the operations with what is only known at the end.
+// history returns the operations, with the fields set that are known only at the
+// end.
 func (r *recorder) history() []porcupine.Operation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	ops := r.Operations()
 	for i := range ops {
 		op := ops[i].Input.(operation)
-		op.ghost = r.ghosts[op.about]
-		op.fromOwner = r.hosts[op.about] == r.hosts[op.request]
-		op.lagging = op.fromOwner && (op.ghost || r.isChanging(op.about, ops[i]))
+		op.staleRow = r.staleRows[op.subject]
+		op.onOwnerHost = r.hosts[op.subject] == r.hosts[op.request]
+		op.mayLag = op.onOwnerHost && (op.staleRow || r.overlapsChange(op.subject, ops[i]))
 		ops[i].Input = op
 	}
 	return ops
 }
 
-// isChanging reports whether during's time overlaps the request's Acquire or
-// Release.
-func (r *recorder) isChanging(request string, during porcupine.Operation) bool {
+// overlapsChange reports whether during overlaps a call of Acquire or Release of
+// the request.
+func (r *recorder) overlapsChange(request string, during porcupine.Operation) bool {
 	for _, change := range r.changes[request] {
 		if change.Call <= during.Return && during.Call <= change.Return {
 			return true
@@ -219,40 +221,40 @@
 }
 
 func TestModelRejectsBadHistories(t *testing.T) {
-	acquire := func(request, told, about string) operation {
-		return operation{action: actAcquire, request: request, told: told, about: about}
+	acquire := func(request, result, subject string) operation {
+		return operation{action: actAcquire, request: request, result: result, subject: subject}
 	}
 	run := func(request string) operation { return operation{action: actRun, request: request} }
 	finish := func(request, body string) operation {
 		return operation{action: actFinish, request: request, body: []byte(body)}
 	}
-	repeat := func(request, about, body string) operation {
-		op := acquire(request, "done", about)
+	duplicate := func(request, subject, body string) operation {
+		op := acquire(request, "done", subject)
 		op.body = bytes.Clone([]byte(body))
 		return op
 	}
 	record := operation{action: actRecord, request: "1"}
-	lost := operation{action: actMayHaveRun, request: "1"}
+	mayHaveRunCall := operation{action: actMayHaveRun, request: "1"}
 	release := operation{action: actRelease, request: "1"}
 	tests := []struct {
 		desc string
 		ops  []operation
 		want bool
 	}{
-		{"run, finish, repeat", []operation{acquire("1", "claimed", ""), run("1"), finish("1", "a"), repeat("2", "1", "a")}, true},
+		{"run, finish, duplicate", []operation{acquire("1", "claimed", ""), run("1"), finish("1", "a"), duplicate("2", "1", "a")}, true},
 		{"released and claimed again", []operation{acquire("1", "claimed", ""), release, acquire("2", "claimed", ""), run("2")}, true},
 		{"in flight while the outcome is pending", []operation{acquire("1", "claimed", ""), run("1"), finish("1", "a"), acquire("2", "in flight", "1")}, true},
 		{"claimed twice", []operation{acquire("1", "claimed", ""), acquire("2", "claimed", "")}, false},
-		{"run twice by one", []operation{acquire("1", "claimed", ""), run("1"), run("1")}, false},
+		{"run twice by one owner", []operation{acquire("1", "claimed", ""), run("1"), run("1")}, false},
 		{"run without a claim", []operation{acquire("1", "unavailable", ""), run("1")}, false},
-		{"claimed again after a run", []operation{acquire("1", "claimed", ""), run("1"), lost, acquire("2", "claimed", "")}, false},
-		{"part of the answer", []operation{acquire("1", "claimed", ""), run("1"), finish("1", "ab"), repeat("2", "1", "a")}, false},
-		{"another's answer", []operation{acquire("1", "claimed", ""), run("1"), finish("1", "a"), repeat("2", "3", "a")}, false},
-		{"in flight after the answer was recorded", []operation{acquire("1", "claimed", ""), run("1"), finish("1", "a"), record, acquire("2", "in flight", "1")}, false},
-		{"in flight after another host had the answer", []operation{acquire("1", "claimed", ""), run("1"), finish("1", "a"), repeat("2", "1", "a"), acquire("3", "in flight", "1")}, false},
+		{"claimed again after a run", []operation{acquire("1", "claimed", ""), run("1"), mayHaveRunCall, acquire("2", "claimed", "")}, false},
+		{"truncated response", []operation{acquire("1", "claimed", ""), run("1"), finish("1", "ab"), duplicate("2", "1", "a")}, false},
+		{"response of another request", []operation{acquire("1", "claimed", ""), run("1"), finish("1", "a"), duplicate("2", "3", "a")}, false},
+		{"in flight after the outcome was recorded", []operation{acquire("1", "claimed", ""), run("1"), finish("1", "a"), record, acquire("2", "in flight", "1")}, false},
+		{"in flight after another host returned the result", []operation{acquire("1", "claimed", ""), run("1"), finish("1", "a"), duplicate("2", "1", "a"), acquire("3", "in flight", "1")}, false},
 		{"in flight after its release", []operation{acquire("1", "claimed", ""), release, acquire("2", "in flight", "1")}, false},
-		{"done after its outcome was given up", []operation{acquire("1", "claimed", ""), run("1"), lost, repeat("2", "1", "a")}, false},
-		{"in flight though nobody has it", []operation{acquire("2", "in flight", "1")}, false},
+		{"done after MayHaveRun", []operation{acquire("1", "claimed", ""), run("1"), mayHaveRunCall, duplicate("2", "1", "a")}, false},
+		{"in flight without an owner", []operation{acquire("2", "in flight", "1")}, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
--- a/claim/options.go
+++ b/claim/options.go
@@ -19,44 +19,47 @@
 	DefaultRetryInterval      = 200 * time.Millisecond
 )
 
-// Liveness tells whether a host's process may still be running.
+// Liveness reports whether the process of a host may still be running.
 type Liveness interface {
-	// Alive reports false only if the host is known to be gone. A wrong answer
-	// changes what a repeat is told, never what is run.
+	// Alive returns false only if the host is known to have terminated. A wrong
+	// value changes the error that a duplicate gets, never which requests run.
 	Alive(host string) bool
 }
 
-// Options sets up a Store. Zero values of the numbers take the defaults.
+// Options configures a Store. Numbers that are zero take their defaults.
 type Options struct {
-	// Table holds the claims; a groupcommit.Committer keeps its commits few.
+	// Table stores the claims. A groupcommit.Committer reduces the number of
+	// commits.
 	Table storage.Table
-	// Objects holds answers over InlineBytes.
+	// Objects stores results that are larger than InlineBytes.
 	Objects storage.Objects
-	// Host names this host in the rows and to Liveness.
+	// Host is the name of this host in rows and for Liveness.
 	Host string
-	// Alive tells which owners are gone; nil takes every host for alive.
+	// Alive reports which owners may still run; nil means that all hosts may.
 	Alive Liveness
-	// Clock gives the wall time of expiries; default time.Now.
+	// Clock returns the wall time, used for expiry; default time.Now.
 	Clock storage.Clock
-	// Retention is how long answers are kept; default 24 h.
+	// Retention is how long results are kept; default 24 h.
 	Retention time.Duration
-	// TombstoneRetention is how long after the claim a repeat is still
-	// recognised and refused; default 30 days.
+	// TombstoneRetention is how long after the claim duplicates are still
+	// recognised and rejected; default 30 days.
 	TombstoneRetention time.Duration
-	// InlineBytes bounds the header and body kept in the row itself, in bytes;
-	// default 8 KiB.
+	// InlineBytes is the maximum size of header and body stored in the row, in
+	// bytes; default 8 KiB.
 	InlineBytes int
-	// MaxResultBytes bounds the header and body kept at all, in bytes; default
-	// 8 MiB. Of a larger answer only the fact that it was given is kept.
+	// MaxResultBytes is the maximum size of header and body that is stored, in
+	// bytes; default 8 MiB. Of a larger result, only the fact that the request
+	// finished is stored.
 	MaxResultBytes int
-	// MaxPending bounds the outcomes awaiting the table; default 4096.
+	// MaxPending is the maximum number of pending writes; default 4096.
 	MaxPending int
-	// MaxPendingBytes bounds their headers and bodies, in bytes; default 8 MiB.
+	// MaxPendingBytes is the maximum total size of the headers and bodies of
+	// pending writes, in bytes; default 8 MiB.
 	MaxPendingBytes int
-	// ReadTimeout bounds a read that settles a commit with an unknown outcome;
-	// default 1 s.
+	// ReadTimeout is the timeout of the read that determines the outcome of a
+	// failed or unknown commit; default 1 s.
 	ReadTimeout time.Duration
-	// RetryInterval is the time between two retries by Run; default 200 ms.
+	// RetryInterval is the interval between retries by Run; default 200 ms.
 	RetryInterval time.Duration
 }
 
@@ -75,7 +78,7 @@
 	return o
 }
 
-// alive reports whether the process behind owner may still be running.
+// alive reports whether the process of the host may still be running.
 func (o Options) alive(host string) bool {
 	return o.Alive == nil || o.Alive.Alive(host)
 }
--- a/claim/record.go
+++ b/claim/record.go
@@ -9,65 +9,70 @@
 	"time"
 )
 
-// rowPrefix is the prefix of all claim rows.
+// rowPrefix is the key prefix of all claim rows.
 const rowPrefix = "claim/"
 
-// Key identifies a request that runs at most once.
+// Key identifies a request that must run at most once.
 type Key struct {
 	// Account is the client account's name.
 	Account string `json:"account"`
-	// RequestKey is the caller's own key, unique within its account.
+	// RequestKey is the key set by the caller, unique within its account.
 	RequestKey string `json:"request_key"`
 }
 
-// row returns the table's key. The hash bounds its length and spreads rows
-// evenly, so that hosts can sweep separate ranges; the length in front keeps
-// two keys from having the same input.
-func (k Key) row() string {
+// rowKey returns the key of the row in the table. The hash limits its length and
+// distributes rows evenly, so that hosts can sweep separate ranges. The length
+// prefix ensures that different Keys have different hash inputs.
+func (k Key) rowKey() string {
 	input := strconv.Itoa(len(k.Account)) + ":" + k.Account + k.RequestKey
 	sum := sha256.Sum256([]byte(input))
 	return rowPrefix + hex.EncodeToString(sum[:])
 }
 
-// Result is a whole finished answer and where it came from.
+// Result is a complete response and its origin.
 type Result struct {
 	// Code is the numbered result code.
 	Code int `json:"code"`
 	// Status is the HTTP status.
 	Status int `json:"status"`
-	// Header is the answer's header as the caller got it, in the encoding of
-	// the package that made it.
+	// Header is the response header as sent to the caller, in the encoding of
+	// the package that created the Result.
 	Header []byte `json:"header,omitempty"`
-	// Body is the answer's whole body.
+	// Body is the complete response body.
 	Body []byte `json:"body,omitempty"`
-	// Model and Version are what the request ran on; empty for plain services.
+	// Model and Version are those that the request ran on; empty for plain
+	// services.
 	Model   string `json:"model,omitempty"`
 	Version string `json:"version,omitempty"`
-	// Upstream is the ID of the upstream that answered.
+	// Upstream is the ID of the upstream that responded.
 	Upstream string `json:"upstream"`
-	// Epoch is the number of the manifest in force at the run.
+	// Epoch is the epoch of the manifest in force when the request ran.
 	Epoch uint64 `json:"epoch"`
 	// RequestID is the ID of the request that ran.
 	RequestID string `json:"request_id"`
 }
 
-// size is the length of the parts without a bound of their own.
+// size returns the total length of the header and body, the only parts without a
+// limit of their own.
 func (r Result) size() int { return len(r.Header) + len(r.Body) }
 
-// state is where a claim stands.
+// state is the state of a claim.
 type state string
 
 const (
-	// inFlight is claimed; its owner may be running it.
+	// inFlight means that the key is claimed and its owner may be running the
+	// request.
 	inFlight state = "in-flight"
-	// released was never sent and may be claimed again.
+	// released means that the request wasn't sent and the key may be claimed
+	// again.
 	released state = "released"
-	// mayHaveRun was sent and has no answer.
+	// mayHaveRun means that the request was sent and has no complete response.
 	mayHaveRun state = "may-have-run"
-	// finished has its whole answer.
+	// finished means that the complete result is stored.
 	finished state = "finished"
-	// answerGone may have run and its answer isn't kept.
-	answerGone state = "answer-gone"
+	// resultGone means that the request may have run and its result isn't
+	// stored.
+	resultGone state = "answer-gone"
 )
 
 // record is the value of a claim's row.
@@ -76,20 +81,20 @@
 	State state `json:"state"`
 	// Token identifies the attempt that owns the claim.
 	Token string `json:"token"`
-	// Host and Process are the owner; Process differs at each start.
+	// Host and Process identify the owner. Process is new at each start.
 	Host    string `json:"host"`
 	Process string `json:"process"`
-	// Digest is the hex digest of the request.
+	// Digest is the digest of the request, in hex.
 	Digest    string    `json:"digest"`
 	RequestID string    `json:"request_id"`
 	ClaimedAt time.Time `json:"claimed_at"`
-	// Result is set when finished, without header and body if those are in
-	// the object named by Object.
+	// Result is set if the state is finished. Its header and body are empty if
+	// they are stored in the object named by Object.
 	Result *Result `json:"result,omitempty"`
 	Object string  `json:"object,omitempty"`
 }
 
-// with returns the record in a new state, without an answer.
+// with returns a copy of the record in a new state, without a result.
 func (r record) with(s state) record {
 	r.State = s
 	r.Result = nil
--- /dev/null
+++ b/claim/resultstore.go
@@ -0,0 +1,65 @@
+package claim
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+
+	"github.com/quetzalweir/quetzalweir/storage"
+)
+
+// objectPrefix is the name prefix of the objects that hold results. Object names
+// contain the date, so that lifecycle rules of the object store can delete old
+// objects.
+const objectPrefix = "claims/"
+
+// resultStore stores large results in the object store.
+type resultStore struct {
+	objects storage.Objects
+	// inlineBytes is the maximum size of a result stored in the row.
+	inlineBytes int
+}
+
+// storedResult is the content of an object.
+type storedResult struct {
+	Header []byte `json:"header,omitempty"`
+	Body   []byte `json:"body,omitempty"`
+}
+
+// store returns the record to write. It first moves a large result into an
+// object. Storing the same result again writes the same object.
+func (a resultStore) store(ctx context.Context, rec record) (record, error) {
+	if rec.Result == nil || rec.Result.size() <= a.inlineBytes {
+		return rec, nil
+	}
+	data, err := json.Marshal(storedResult{Header: rec.Result.Header, Body: rec.Result.Body})
+	if err != nil {
+		return record{}, fmt.Errorf("claim: encode result: %w", err)
+	}
+	rec.Object = objectPrefix + rec.ClaimedAt.Format("2006-01-02") + "/" + rec.Token
+	if err := a.objects.Write(ctx, rec.Object, data); err != nil {
+		return record{}, fmt.Errorf("claim: write result: %w", err)
+	}
+	small := *rec.Result
+	small.Header, small.Body = nil, nil
+	rec.Result = &small
+	return rec, nil
+}
+
+// load returns the complete result of a finished record.
+func (a resultStore) load(ctx context.Context, rec record) (Result, error) {
+	if rec.Object == "" {
+		return *rec.Result, nil
+	}
+	data, err := a.objects.Read(ctx, rec.Object)
+	if err != nil {
+		return Result{}, fmt.Errorf("claim: read result: %w", err)
+	}
+	var stored storedResult
+	if err := json.Unmarshal(data, &stored); err != nil {
+		return Result{}, fmt.Errorf("claim: decode result: %w", err)
+	}
+	result := *rec.Result
+	result.Header, result.Body = stored.Header, stored.Body
+	return result, nil
+}
--- a/claim/store.go
+++ b/claim/store.go
@@ -13,45 +13,45 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// Store claims keys in the table on behalf of one process. It is safe for
+// Store claims request keys in the table for one process. It is safe for
 // concurrent use.
 type Store struct {
 	options Options
-	rows    rows
-	answers answers
-	// process tells this process's claims from those of an earlier process
-	// that had the same host name.
+	rows    rowStore
+	results resultStore
+	// process is a unique ID. It distinguishes the claims of this process from
+	// those of an earlier process with the same host name.
 	process string
-	active  *active
+	active  *activeClaims
 	backlog *backlog
 
 	dropped atomic.Uint64
 
 	sweepMu sync.Mutex
-	// sweepAfter is the last row key that Sweep saw.
+	// sweepAfter is the last row key that Sweep read.
 	sweepAfter string
 }
 
-// New returns a Store. Run must run beside it.
+// New returns a Store. The caller must run Run in a goroutine.
 func New(options Options) *Store {
 	options = options.withDefaults()
 	return &Store{
 		options:    options,
-		rows:       rows{table: options.Table},
-		answers:    answers{objects: options.Objects, inlineBytes: options.InlineBytes},
+		rows:       rowStore{table: options.Table},
+		results:    resultStore{objects: options.Objects, inlineBytes: options.InlineBytes},
 		process:    uuid.NewString(),
-		active:     newActive(),
+		active:     newActiveClaims(),
 		backlog:    newBacklog(options.MaxPending, options.MaxPendingBytes),
 		sweepAfter: sweepStart(options.Host),
 	}
 }
 
-// Acquire claims key for the request with the digest. With a Claim the caller
-// may send the request once and must then call exactly one of the Claim's
-// methods. The errors are *DoneError, *InFlightError, *MayHaveRunError,
-// ErrReused and ErrUnavailable; with each of them nothing may be sent.
+// Acquire claims key for the request with the digest. If it returns a Claim, the
+// caller may send the request once and must then call exactly one method of the
+// Claim. The errors are *DoneError, *InFlightError, *MayHaveRunError, ErrReused
+// and ErrUnavailable; after any of them the request must not be sent.
 func (s *Store) Acquire(ctx context.Context, key Key, digest [32]byte, requestID string) (*Claim, error) {
-	e := &entry{record: record{
+	e := &activeClaim{record: record{
 		Key:       key,
 		State:     inFlight,
 		Token:     uuid.NewString(),
@@ -62,7 +62,7 @@
 		ClaimedAt: s.options.Clock().UTC(),
 	}}
 	if other, added := s.active.add(e); !added {
-		return nil, answerLocally(other, e.record.Digest)
+		return nil, activeClaimError(other, e.record.Digest)
 	}
 	version, err := s.newAttempt(e).run(ctx)
 	if err != nil {
@@ -72,8 +72,9 @@
 	return &Claim{store: s, entry: e, version: version}, nil
 }
 
-// answerLocally answers a repeat of a claim that is active on this host.
-func answerLocally(e entry, digest string) error {
+// activeClaimError returns the error for a duplicate of a claim that is active on
+// this host.
+func activeClaimError(e activeClaim, digest string) error {
 	if e.record.Digest != digest {
 		return ErrReused
 	}
@@ -83,21 +84,21 @@
 	switch e.outcome.State {
 	case finished:
 		return &DoneError{Result: *e.outcome.Result}
-	case mayHaveRun, answerGone:
+	case mayHaveRun, resultGone:
 		return mayHaveRunError(*e.outcome)
 	default:
 		return &InFlightError{Host: e.record.Host, RequestID: e.record.RequestID}
 	}
 }
 
-// answer tells a repeat what the row of its key says.
-func (s *Store) answer(ctx context.Context, found row, digest string) error {
+// duplicateError returns the error for a duplicate, from the row of its key.
+func (s *Store) duplicateError(ctx context.Context, found row, digest string) error {
 	if found.Digest != digest {
 		return ErrReused
 	}
 	switch found.State {
 	case finished:
-		return s.answerFinished(ctx, found.record)
+		return s.finishedError(ctx, found.record)
 	case inFlight:
 		if s.mayBeRunning(found.record) {
 			return &InFlightError{Host: found.Host, RequestID: found.RequestID}
@@ -106,20 +107,22 @@
 	return mayHaveRunError(found.record)
 }
 
-// answerFinished reads the answer. If the object store doesn't give it now,
-// the repeat has to come back: saying "not run" would be false.
-func (s *Store) answerFinished(ctx context.Context, rec record) error {
-	result, err := s.answers.load(ctx, rec)
+// finishedError loads the result and returns it in a DoneError. If the object
+// store is unavailable, it returns InFlightError, so that the caller retries: to
+// report that the request has not run would be wrong.
+func (s *Store) finishedError(ctx context.Context, rec record) error {
+	result, err := s.results.load(ctx, rec)
 	if err == nil {
 		return &DoneError{Result: result}
 	}
 	if errors.Is(err, storage.ErrNotFound) {
-		return mayHaveRunError(rec.with(answerGone))
+		return mayHaveRunError(rec.with(resultGone))
 	}
 	return &InFlightError{Host: rec.Host, RequestID: rec.RequestID}
 }
 
-// mayBeRunning reports whether the owner of a claim in flight may be at work.
+// mayBeRunning reports whether the owner of an in-flight claim may still be
+// running.
 func (s *Store) mayBeRunning(rec record) bool {
 	if rec.Host == s.options.Host {
 		return rec.Process == s.process
@@ -131,7 +134,7 @@
 	return &MayHaveRunError{
 		Host:       rec.Host,
 		RequestID:  rec.RequestID,
-		AnswerGone: rec.State == answerGone,
+		ResultGone: rec.State == resultGone,
 	}
 }
 
--- a/claim/sweep.go
+++ b/claim/sweep.go
@@ -13,32 +13,34 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// Swept counts what one Sweep did.
-type Swept struct {
-	// Read is the number of rows looked at.
+// SweepResult holds the counts of one Sweep call.
+type SweepResult struct {
+	// Read is the number of rows read.
 	Read int
-	// Expired is the number of answers that gave way to a tombstone.
+	// Expired is the number of rows replaced by tombstones.
 	Expired int
-	// Deleted is the number of rows removed.
+	// Deleted is the number of rows deleted.
 	Deleted int
 }
 
-// sweepStart spreads the hosts' first sweeps over the rows.
+// sweepStart returns the row key after which the first sweep of a host starts. It
+// is derived from the host name, to distribute the hosts over the rows.
 func sweepStart(host string) string {
 	sum := sha256.Sum256([]byte(host))
 	return rowPrefix + hex.EncodeToString(sum[:])
 }
 
-// Sweep looks at up to limit rows, from where the last call stopped, and goes
-// round at the end. Answers past their retention are replaced by tombstones;
-// tombstones and released rows past theirs are deleted. Rows that change
-// meanwhile are left for the next round.
-func (s *Store) Sweep(ctx context.Context, limit int) (Swept, error) {
+// Sweep reads up to limit rows, starting where the last call stopped, and wraps
+// around at the end. Rows older than Retention are replaced by tombstones, unless
+// the owner may still be running the request, and released rows of that age are
+// deleted. Tombstones older than TombstoneRetention are deleted. Rows that change
+// concurrently are left for the next pass.
+func (s *Store) Sweep(ctx context.Context, limit int) (SweepResult, error) {
 	s.sweepMu.Lock()
 	defer s.sweepMu.Unlock()
 	found, err := s.options.Table.List(ctx, rowPrefix, s.sweepAfter, limit)
 	if err != nil {
-		return Swept{}, err
+		return SweepResult{}, err
 	}
 	s.sweepAfter = ""
 	if len(found) == limit {
@@ -47,7 +49,7 @@
 	return s.sweepRows(ctx, found)
 }
 
-func (s *Store) sweepRows(ctx context.Context, found []storage.Row) (Swept, error) {
+func (s *Store) sweepRows(ctx context.Context, found []storage.Row) (SweepResult, error) {
 	var expired, deleted atomic.Int64
 	var group errgroup.Group
 	group.SetLimit(retryConcurrency)
@@ -69,21 +71,22 @@
 		})
 	}
 	err := group.Wait()
-	return Swept{Read: len(found), Expired: int(expired.Load()), Deleted: int(deleted.Load())}, err
+	return SweepResult{Read: len(found), Expired: int(expired.Load()), Deleted: int(deleted.Load())}, err
 }
 
-// sweepRow returns what is to be done with a row; nil is nothing.
+// sweepRow returns the transaction that sweeps a row, or nil if the row stays as
+// it is.
 func (s *Store) sweepRow(r storage.Row) (txn *storage.Txn, isDelete bool, err error) {
 	rec, err := decodeRecord(r.Value)
 	if err != nil {
 		return nil, false, err
 	}
 	onVersion := []storage.Condition{{Key: r.Key, Version: r.Version}}
-	switch s.fate(rec, s.options.Clock().Sub(rec.ClaimedAt)) {
-	case fateDelete:
+	switch s.sweepActionFor(rec, s.options.Clock().Sub(rec.ClaimedAt)) {
+	case sweepDelete:
 		return &storage.Txn{Conditions: onVersion, Deletes: []string{r.Key}}, true, nil
-	case fateTombstone:
-		value, err := rec.with(answerGone).encode()
+	case sweepTombstone:
+		value, err := rec.with(resultGone).encode()
 		puts := []storage.Put{{Key: r.Key, Value: value}}
 		return &storage.Txn{Conditions: onVersion, Puts: puts}, false, err
 	default:
@@ -91,35 +94,36 @@
 	}
 }
 
-// fate is what Sweep does with a row.
-type fate int
+// sweepAction is what Sweep does with a row.
+type sweepAction int
 
 const (
-	fateKeep fate = iota
-	fateTombstone
-	fateDelete
+	sweepKeep sweepAction = iota
+	sweepTombstone
+	sweepDelete
 )
 
-// fate decides by a row's state and its age since it was claimed.
-func (s *Store) fate(rec record, age time.Duration) fate {
+// sweepActionFor returns the action for a row, by its state and the time since it
+// was claimed.
+func (s *Store) sweepActionFor(rec record, age time.Duration) sweepAction {
 	if age < s.options.Retention {
-		return fateKeep
+		return sweepKeep
 	}
 	switch rec.State {
 	case released:
-		return fateDelete
+		return sweepDelete
 	case inFlight:
 		if s.mayBeRunning(rec) {
-			return fateKeep
+			return sweepKeep
 		}
-		return fateTombstone
-	case answerGone:
+		return sweepTombstone
+	case resultGone:
 		if age < s.options.TombstoneRetention {
-			return fateKeep
+			return sweepKeep
 		}
-		return fateDelete
+		return sweepDelete
 	default:
-		return fateTombstone
+		return sweepTombstone
 	}
 }
 
--- a/claim/sweep_test.go
+++ b/claim/sweep_test.go
@@ -14,48 +14,49 @@
 
 const day = 24 * time.Hour
 
-// TestSweep checks what a repeat is told at each age of its claim.
+// TestSweep checks the result of a duplicate by the age of its claim.
 func TestSweep(t *testing.T) {
-	finish := func(t *testing.T, c *claim.Claim) error { return c.Finish(t.Context(), answerOf(10)) }
-	unknown := func(t *testing.T, c *claim.Claim) error { return c.MayHaveRun(t.Context()) }
+	finish := func(t *testing.T, c *claim.Claim) error { return c.Finish(t.Context(), resultOfSize(10)) }
+	setMayHaveRun := func(t *testing.T, c *claim.Claim) error { return c.MayHaveRun(t.Context()) }
 	release := func(t *testing.T, c *claim.Claim) error { return c.Release(t.Context()) }
 	inFlight := func(*testing.T, *claim.Claim) error { return nil }
 	tests := []struct {
-		desc   string
-		settle func(*testing.T, *claim.Claim) error
-		age    time.Duration
-		gone   bool
-		want   claim.Swept
-		told   string
+		desc          string
+		setOutcome    func(*testing.T, *claim.Claim) error
+		age           time.Duration
+		ownerDead     bool
+		want          claim.SweepResult
+		wantDuplicate string
 	}{
-		{"finished, kept", finish, day - 1, false, claim.Swept{Read: 1}, "done"},
-		{"finished, expired", finish, day, false, claim.Swept{Read: 1, Expired: 1}, "answer gone"},
-		{"may have run, expired", unknown, day, false, claim.Swept{Read: 1, Expired: 1}, "answer gone"},
-		{"released, kept", release, day - 1, false, claim.Swept{Read: 1}, "claimed"},
-		{"released, expired", release, day, false, claim.Swept{Read: 1, Deleted: 1}, "claimed"},
-		{"in flight, owner alive", inFlight, 40 * day, false, claim.Swept{Read: 1}, "in flight"},
-		{"in flight, owner gone, kept", inFlight, day - 1, true, claim.Swept{Read: 1}, "may have run"},
-		{"in flight, owner gone, expired", inFlight, day, true, claim.Swept{Read: 1, Expired: 1}, "answer gone"},
+		{"finished, kept", finish, day - 1, false, claim.SweepResult{Read: 1}, "done"},
+		{"finished, expired", finish, day, false, claim.SweepResult{Read: 1, Expired: 1}, "result gone"},
+		{"may have run, expired", setMayHaveRun, day, false, claim.SweepResult{Read: 1, Expired: 1}, "result gone"},
+		{"released, kept", release, day - 1, false, claim.SweepResult{Read: 1}, "claimed"},
+		{"released, expired", release, day, false, claim.SweepResult{Read: 1, Deleted: 1}, "claimed"},
+		{"in flight, owner alive", inFlight, 40 * day, false, claim.SweepResult{Read: 1}, "in flight"},
+		{"in flight, owner dead, kept", inFlight, day - 1, true, claim.SweepResult{Read: 1}, "may have run"},
+		{"in flight, owner dead, expired", inFlight, day, true, claim.SweepResult{Read: 1, Expired: 1}, "result gone"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
-			inWorld(t, func(t *testing.T, is *is.I, w *world) {
-				c := mustAcquire(t, w.a)
-				is.NoErr(tt.settle(t, c))
-				w.gone.set("host-a", tt.gone)
+			withTestPlatform(t, func(t *testing.T, is *is.I, p *testPlatform) {
+				c := mustAcquire(t, p.a)
+				is.NoErr(tt.setOutcome(t, c))
+				p.dead.set("host-a", tt.ownerDead)
 				time.Sleep(tt.age)
-				swept, err := sweepAll(t, w.b)
+				swept, err := sweepAll(t, p.b)
 				is.NoErr(err)
 				is.Equal(swept, tt.want)
-				is.Equal(outcomeOf(w.b), tt.told)
+				is.Equal(acquireResult(p.b), tt.wantDuplicate)
 			})
 		})
 	}
 }
 
-// sweepAll sweeps one round, from wherever the store stands to the same place.
-func sweepAll(t *testing.T, s *claim.Store) (claim.Swept, error) {
-	var sum claim.Swept
+// sweepAll makes one full pass over the rows, from the current position of the
+// store back to it.
+func sweepAll(t *testing.T, s *claim.Store) (claim.SweepResult, error) {
+	var sum claim.SweepResult
 	for range 2 {
 		swept, err := s.Sweep(t.Context(), 100)
 		if err != nil {
@@ -73,44 +74,44 @@
 
 func TestTombstoneOutlivesTheAnswer(t *testing.T) {
 	tests := []struct {
-		desc string
-		age  time.Duration
-		told string
+		desc          string
+		age           time.Duration
+		wantDuplicate string
 	}{
-		{"before its end", 30*day - 1, "answer gone"},
-		{"after its end the key is new", 30 * day, "claimed"},
+		{"before the tombstone expires", 30*day - 1, "result gone"},
+		{"after the tombstone expired, the key can be claimed", 30 * day, "claimed"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
-			inWorld(t, func(t *testing.T, is *is.I, w *world) {
-				c := mustAcquire(t, w.a)
-				is.NoErr(c.Finish(t.Context(), answerOf(10)))
+			withTestPlatform(t, func(t *testing.T, is *is.I, p *testPlatform) {
+				c := mustAcquire(t, p.a)
+				is.NoErr(c.Finish(t.Context(), resultOfSize(10)))
 				time.Sleep(2 * day)
-				_, err := sweepAll(t, w.b)
+				_, err := sweepAll(t, p.b)
 				is.NoErr(err)
 				time.Sleep(tt.age - 2*day)
-				_, err = sweepAll(t, w.b)
+				_, err = sweepAll(t, p.b)
 				is.NoErr(err)
-				is.Equal(outcomeOf(w.a), tt.told)
+				is.Equal(acquireResult(p.a), tt.wantDuplicate)
 			})
 		})
 	}
 }
 
-// TestSweepReachesEveryRow sweeps in small steps on two hosts.
+// TestSweepReachesEveryRow checks that small sweeps on two hosts cover all rows.
 func TestSweepReachesEveryRow(t *testing.T) {
-	inWorld(t, func(t *testing.T, is *is.I, w *world) {
+	withTestPlatform(t, func(t *testing.T, is *is.I, p *testPlatform) {
 		const keys, step = 50, 7
 		for i := range keys {
 			key := claim.Key{Account: "dealer", RequestKey: fmt.Sprint(i)}
-			c, err := w.a.Acquire(t.Context(), key, testDigest, "req")
+			c, err := p.a.Acquire(t.Context(), key, testDigest, "req")
 			is.NoErr(err)
-			is.NoErr(c.Finish(t.Context(), answerOf(10)))
+			is.NoErr(c.Finish(t.Context(), resultOfSize(10)))
 		}
 		time.Sleep(2 * day)
 		expired := 0
 		for range keys/step + 2 {
-			for _, s := range []*claim.Store{w.a, w.b} {
+			for _, s := range []*claim.Store{p.a, p.b} {
 				swept, err := s.Sweep(t.Context(), step)
 				is.NoErr(err)
 				expired += swept.Expired
@@ -120,82 +121,84 @@
 	})
 }
 
-// TestOwnerPausedUntilItsClaimExpired lets the owner finish after its claim
-// gave way to a tombstone.
+// TestOwnerPausedUntilItsClaimExpired checks that Finish fails after the claim was
+// replaced by a tombstone.
 func TestOwnerPausedUntilItsClaimExpired(t *testing.T) {
-	inWorld(t, func(t *testing.T, is *is.I, w *world) {
-		c := mustAcquire(t, w.a)
-		w.gone.set("host-a", true)
+	withTestPlatform(t, func(t *testing.T, is *is.I, p *testPlatform) {
+		c := mustAcquire(t, p.a)
+		p.dead.set("host-a", true)
 		time.Sleep(2 * day)
-		_, err := sweepAll(t, w.b)
+		_, err := sweepAll(t, p.b)
 		is.NoErr(err)
-		is.True(errors.Is(c.Finish(t.Context(), answerOf(10)), claim.ErrLost))
-		is.Equal(outcomeOf(w.a), "answer gone")
+		is.True(errors.Is(c.Finish(t.Context(), resultOfSize(10)), claim.ErrRowExpired))
+		is.Equal(acquireResult(p.a), "result gone")
 	})
 }
 
-// TestBacklogBounds checks what is given up when the table is down for long.
+// TestBacklogBounds checks what is dropped if the backlog overflows while the
+// table is down.
 func TestBacklogBounds(t *testing.T) {
 	tests := []struct {
 		desc    string
 		options claim.Options
 		dropped uint64
-		// told is what the owner's host says of the last of three requests.
-		told string
+		// wantDuplicate is the result for a duplicate of the last of three
+		// requests, on the owner's host.
+		wantDuplicate string
 	}{
 		{"room for all", claim.Options{}, 0, "done"},
-		{"too many bytes", claim.Options{MaxPendingBytes: 2500}, 1, "answer gone"},
-		{"too many outcomes", claim.Options{MaxPending: 2}, 1, "answer gone"},
+		{"too many bytes", claim.Options{MaxPendingBytes: 2500}, 1, "result gone"},
+		{"too many outcomes", claim.Options{MaxPending: 2}, 1, "result gone"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(tt.options)
+			p := newTestPlatform(tt.options)
 			var claims []*claim.Claim
 			keys := []claim.Key{{RequestKey: "1"}, {RequestKey: "2"}, {RequestKey: "3"}}
 			for _, key := range keys {
-				c, err := w.a.Acquire(t.Context(), key, testDigest, "req")
+				c, err := p.a.Acquire(t.Context(), key, testDigest, "req")
 				is.NoErr(err)
 				claims = append(claims, c)
 			}
-			w.table.SetDown(true)
+			p.table.SetDown(true)
 			for _, c := range claims {
-				is.True(errors.Is(c.Finish(t.Context(), answerOf(1000)), claim.ErrPending))
+				is.True(errors.Is(c.Finish(t.Context(), resultOfSize(1000)), claim.ErrPending))
 			}
-			is.Equal(w.a.Dropped(), tt.dropped)
-			_, err := w.a.Acquire(t.Context(), keys[0], testDigest, "again")
-			is.Equal(describe(err), "done")
-			_, err = w.a.Acquire(t.Context(), keys[2], testDigest, "again")
-			is.Equal(describe(err), tt.told)
+			is.Equal(p.a.Dropped(), tt.dropped)
+			_, err := p.a.Acquire(t.Context(), keys[0], testDigest, "again")
+			is.Equal(describeAcquire(err), "done")
+			_, err = p.a.Acquire(t.Context(), keys[2], testDigest, "again")
+			is.Equal(describeAcquire(err), tt.wantDuplicate)
 		})
 	}
 }
 
-func TestClaimIsSettledOnce(t *testing.T) {
+func TestOutcomeIsSetOnce(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(claim.Options{})
-	c := mustAcquire(t, w.a)
+	p := newTestPlatform(claim.Options{})
+	c := mustAcquire(t, p.a)
 	is.NoErr(c.Release(t.Context()))
-	is.Equal(c.Finish(t.Context(), answerOf(1)), claim.ErrSettled)
-	is.Equal(outcomeOf(w.b), "claimed")
+	is.Equal(c.Finish(t.Context(), resultOfSize(1)), claim.ErrOutcomeSet)
+	is.Equal(acquireResult(p.b), "claimed")
 }
 
 func TestRestartedHostDoesNotOwnItsPredecessorsClaims(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(claim.Options{})
-	mustAcquire(t, w.a)
-	restarted := w.store(claim.Options{}, "host-a")
-	is.Equal(outcomeOf(restarted), "may have run")
+	p := newTestPlatform(claim.Options{})
+	mustAcquire(t, p.a)
+	restarted := p.store(claim.Options{}, "host-a")
+	is.Equal(acquireResult(restarted), "may have run")
 }
 
 func TestKeysDoNotCollide(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(claim.Options{})
+	p := newTestPlatform(claim.Options{})
 	for _, key := range []claim.Key{{"ab", "c"}, {"a", "bc"}, {"", "abc"}, {"a", "b/c"}, {"a/b", "c"}} {
-		_, err := w.a.Acquire(t.Context(), key, sha256.Sum256(nil), "req")
+		_, err := p.a.Acquire(t.Context(), key, sha256.Sum256(nil), "req")
 		is.NoErr(err)
 	}
-	rows, err := w.table.List(t.Context(), "claim/", "", 100)
+	rows, err := p.table.List(t.Context(), "claim/", "", 100)
 	is.NoErr(err)
 	is.Equal(len(rows), 5)
 }
--- a/internal/pause/gate.go
+++ b/internal/pause/gate.go
@@ -10,9 +10,9 @@
 
 var errKilled = errors.New("the process was killed")
 
-// Pass waits while the process is paused, whatever the context of its caller
-// says, and fails with storage.ErrUnavailable in a killed one. It is Step for
-// goroutines that the test has to wait for.
+// Pass blocks while the process is paused, even if the caller's context ends, and
+// returns storage.ErrUnavailable after Kill. Unlike Checkpoint, it doesn't end
+// the goroutine, so that tests can wait for it.
 func (p *Process) Pass() error {
 	p.mu.Lock()
 	running := p.running
@@ -24,8 +24,9 @@
 	return nil
 }
 
-// GatedTable returns the table as the process sees it if its goroutines live
-// on after Kill: their calls fail then, without effect.
+// GatedTable wraps a table for a process whose goroutines continue after Kill.
+// Calls block while the process is paused. After Kill, they fail and have no
+// effect.
 func (p *Process) GatedTable(inner storage.Table) storage.Table {
 	return gatedTable{inner: inner, process: p}
 }
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,8 +1,8 @@
-// Package pause lets a test pause, resume and kill one of several processes
-// that it runs as goroutines.
+// Package pause simulates processes in tests. Each process is a group of
+// goroutines that a test can pause, resume and kill.
 //
-// Tests of leases, claims and the ledger use it. A pause takes hold at the next
-// step only, so code without steps goes on.
+// Tests of leases, claims and the ledger use it. A pause takes effect only at the
+// next checkpoint, so code without checkpoints continues.
 package pause
 
 import (
@@ -13,11 +13,11 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// Process stands for one process. Its goroutines call Step wherever a pause
-// may fall. It is safe for concurrent use.
+// Process is a simulated process. Its goroutines call Checkpoint wherever a pause
+// may occur. It is safe for concurrent use.
 type Process struct {
 	mu sync.Mutex
-	// running is closed while the process isn't paused.
+	// running is a channel that is closed while the process isn't paused.
 	running chan struct{}
 	paused  bool
 	killed  bool
@@ -30,7 +30,8 @@
 	return p
 }
 
-// Pause holds the process at its next steps, as SIGSTOP does.
+// Pause blocks each goroutine of the process at its next checkpoint, like
+// SIGSTOP.
 func (p *Process) Pause() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -48,8 +49,8 @@
 	p.resume()
 }
 
-// Kill ends the process: each of its goroutines exits at its next step, with
-// its deferred calls.
+// Kill ends the process. Each of its goroutines exits at its next checkpoint and
+// runs its deferred calls.
 func (p *Process) Kill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,8 +80,9 @@
 	return p.paused
 }
 
-// Step waits while the process is paused and doesn't return in a killed one.
-func (p *Process) Step() {
+// Checkpoint blocks while the process is paused. After Kill, it ends the calling
+// goroutine.
+func (p *Process) Checkpoint() {
 	p.mu.Lock()
 	running := p.running
 	p.mu.Unlock()
@@ -90,8 +92,8 @@
 	}
 }
 
-// Table returns the table as the process sees it: a pause or death can fall
-// before each call, and between its effect and its answer.
+// Table wraps a table so that the process can be paused or killed before each
+// call, and between its effect and its return.
 func (p *Process) Table(inner storage.Table) storage.Table {
 	return table{inner: inner, process: p}
 }
@@ -102,19 +104,19 @@
 }
 
 func (t table) Get(ctx context.Context, key string) (storage.Row, error) {
-	t.process.Step()
-	defer t.process.Step()
+	t.process.Checkpoint()
+	defer t.process.Checkpoint()
 	return t.inner.Get(ctx, key)
 }
 
 func (t table) List(ctx context.Context, prefix, after string, limit int) ([]storage.Row, error) {
-	t.process.Step()
-	defer t.process.Step()
+	t.process.Checkpoint()
+	defer t.process.Checkpoint()
 	return t.inner.List(ctx, prefix, after, limit)
 }
 
 func (t table) Commit(ctx context.Context, txn storage.Txn) (uint64, error) {
-	t.process.Step()
-	defer t.process.Step()
+	t.process.Checkpoint()
+	defer t.process.Checkpoint()
 	return t.inner.Commit(ctx, txn)
 }
--- a/lease/history_test.go
+++ b/lease/history_test.go
@@ -20,54 +20,54 @@
 	"github.com/quetzalweir/quetzalweir/storage/storagetest"
 )
 
-// kind is what an operation of a history does.
+// kind is the kind of an operation in a history.
 type kind int
 
 const (
-	// acquired is a successful Acquire.
+	// acquired is a successful call of Acquire.
 	acquired kind = iota
 	// valid is a call of Valid that returned true.
 	valid
-	// released is a call of Release, whatever it returned.
+	// released is a call of Release, with any result.
 	released
 )
 
-// operation is one operation with its lease's fencing number.
+// operation is one operation with the fencing number of its lease.
 type operation struct {
 	kind    kind
 	fencing uint64
 }
 
-// holder is the model's state: the fencing number of the holder, and whether
-// it has released.
-type holder struct {
+// holderState is the state of the model: the fencing number of the last holder,
+// and whether it has released the lease.
+type holderState struct {
 	fencing  uint64
 	released bool
 }
 
-// model says that each acquisition has a higher fencing number than those
-// before it, and that a lease isn't valid after a later acquisition.
+// model requires that each acquisition has a higher fencing number than all
+// earlier ones, and that a lease isn't valid after a later acquisition.
 var model = porcupine.Model{
-	Init: func() any { return holder{} },
+	Init: func() any { return holderState{} },
 	Step: func(state, input, _ any) (bool, any) {
-		now, op := state.(holder), input.(operation)
+		current, op := state.(holderState), input.(operation)
 		switch op.kind {
 		case acquired:
-			return op.fencing > now.fencing, holder{fencing: op.fencing}
+			return op.fencing > current.fencing, holderState{fencing: op.fencing}
 		case valid:
-			return op.fencing == now.fencing && !now.released, now
+			return op.fencing == current.fencing && !current.released, current
 		default:
-			if op.fencing == now.fencing {
-				now.released = true
+			if op.fencing == current.fencing {
+				current.released = true
 			}
-			return true, now
+			return true, current
 		}
 	},
 }
 
-// record calls do as an operation of the history. It is kept if do reports
+// recordOperation calls do and adds its operation to the history if do returns
 // true.
-func record(h *storagetest.History, client int, do func() (operation, bool)) {
+func recordOperation(h *storagetest.History, client int, do func() (operation, bool)) {
 	start := h.Tick()
 	if op, ok := do(); ok {
 		h.End(client, start, op, nil)
@@ -92,7 +92,7 @@
 		{"same fencing number twice", []porcupine.Operation{
 			at(0, acquired, 1, 1, 2), at(1, acquired, 1, 3, 4),
 		}, false},
-		{"fencing number falls", []porcupine.Operation{
+		{"fencing number decreases", []porcupine.Operation{
 			at(0, acquired, 2, 1, 2), at(1, acquired, 1, 3, 4),
 		}, false},
 		{"valid after release", []porcupine.Operation{
@@ -106,8 +106,8 @@
 	}
 }
 
-// TestHistories lets four hosts contend while the table fails and hosts are
-// paused, and checks the history of each seed.
+// TestHistories runs four contending hosts with table faults and paused hosts,
+// and checks the history of each seed against the model.
 func TestHistories(t *testing.T) {
 	const seeds = 100
 	var acquisitions, checks int
@@ -125,7 +125,7 @@
 			}
 		})
 	}
-	is.New(t).True(acquisitions > seeds) // the lease changed hands
+	is.New(t).True(acquisitions > seeds) // the lease was taken over
 	t.Logf("%d histories, %d acquisitions, %d times valid", seeds, acquisitions, checks)
 }
 
@@ -167,7 +167,7 @@
 	}
 }
 
-// contender is a host that wants the lease again and again.
+// contender is a host that acquires the lease repeatedly.
 type contender struct {
 	history *storagetest.History
 	id      int
@@ -190,7 +190,7 @@
 	ctx, cancel := context.WithTimeout(ctx, 4*time.Second)
 	defer cancel()
 	var l *lease.Lease
-	record(c.history, c.id, func() (operation, bool) {
+	recordOperation(c.history, c.id, func() (operation, bool) {
 		got, err := c.manager.Acquire(ctx, name, "host", ttl)
 		if err != nil {
 			return operation{}, false
@@ -201,8 +201,8 @@
 	return l
 }
 
-// hold keeps the lease until it lapses or, in one of three cases, releases it
-// after a while.
+// hold keeps the lease until it lapses. After each check it releases the lease
+// with a probability of 1 in 15.
 func (c *contender) hold(ctx context.Context, l *lease.Lease) {
 	keep, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -216,12 +216,12 @@
 	}
 }
 
-// check records a use of the lease: its time lies within the call of Valid, so
-// a pause between the check and what follows isn't part of it.
+// check records a use of the lease. The operation spans only the call of Valid, so
+// it doesn't include a pause between the check and what follows.
 func (c *contender) check(l *lease.Lease) bool {
-	c.process.Step()
+	c.process.Checkpoint()
 	ok := false
-	record(c.history, c.id, func() (operation, bool) {
+	recordOperation(c.history, c.id, func() (operation, bool) {
 		ok = l.Valid()
 		return operation{valid, l.Fencing()}, ok
 	})
@@ -229,13 +229,13 @@
 }
 
 func (c *contender) release(ctx context.Context, l *lease.Lease) {
-	record(c.history, c.id, func() (operation, bool) {
+	recordOperation(c.history, c.id, func() (operation, bool) {
 		err := l.Release(ctx)
 		return operation{released, l.Fencing()}, !errors.Is(err, lease.ErrLost)
 	})
 }
 
-func (c *contender) sleep(most int) {
-	time.Sleep(time.Duration(1+c.random.IntN(most)) * time.Millisecond)
-	c.process.Step()
+func (c *contender) sleep(maxMillis int) {
+	time.Sleep(time.Duration(1+c.random.IntN(maxMillis)) * time.Millisecond)
+	c.process.Checkpoint()
 }
