--- a/claim/history_test.go
+++ b/claim/history_test.go
@@ -22,10 +22,10 @@
 )
 
 const (
-	historyHosts   = 4
-	historyKeys    = 3
-	historyClients = 6
-	historyRepeats = 5
+	historyHosts             = 4
+	historyKeys              = 3
+	historyClients           = 6
+	historyRequestsPerClient = 5
 )
 
 // historyTotals is the sum of the events of a set of histories.
@@ -238,14 +238,14 @@
 // goroutine, which exits if the host is killed.
 func (s *simulation) client(id int) {
 	random := rand.New(rand.NewPCG(s.seed, uint64(id)))
-	for n := range historyRepeats {
+	for n := range historyRequestsPerClient {
 		time.Sleep(time.Duration(random.IntN(1500)) * time.Millisecond)
 		host, key := random.IntN(historyHosts), random.IntN(historyKeys)
 		request := fmt.Sprintf("%d-%d", id, n)
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			s.request(host, key, request, id*historyRepeats+n, random)
+			s.request(host, key, request, id*historyRequestsPerClient+n, random)
 		}()
 		<-ended
 	}
--- a/claim/model_test.go
+++ b/claim/model_test.go
@@ -137,7 +137,7 @@
 	}
 }
 
-// outcomeMayBeUnknown reports whether the host that returned op may not have the
+// outcomeMayBeUnknown reports whether the host that returned op may lack the
 // outcome of its subject.
 func outcomeMayBeUnknown(s keyState, op operation, subjectIsOwner bool) bool {
 	if s.phase == free {
--- a/claim/resultstore.go
+++ b/claim/resultstore.go
@@ -28,8 +28,8 @@
 
 // store returns the record to write. It first moves a large result into an
 // object. Storing the same result again writes the same object.
-func (a resultStore) store(ctx context.Context, rec record) (record, error) {
-	if rec.Result == nil || rec.Result.size() <= a.inlineBytes {
+func (r resultStore) store(ctx context.Context, rec record) (record, error) {
+	if rec.Result == nil || rec.Result.size() <= r.inlineBytes {
 		return rec, nil
 	}
 	data, err := json.Marshal(storedResult{Header: rec.Result.Header, Body: rec.Result.Body})
@@ -37,21 +37,21 @@
 		return record{}, fmt.Errorf("claim: encode result: %w", err)
 	}
 	rec.Object = objectPrefix + rec.ClaimedAt.Format("2006-01-02") + "/" + rec.Token
-	if err := a.objects.Write(ctx, rec.Object, data); err != nil {
+	if err := r.objects.Write(ctx, rec.Object, data); err != nil {
 		return record{}, fmt.Errorf("claim: write result: %w", err)
 	}
-	small := *rec.Result
-	small.Header, small.Body = nil, nil
-	rec.Result = &small
+	withoutBody := *rec.Result
+	withoutBody.Header, withoutBody.Body = nil, nil
+	rec.Result = &withoutBody
 	return rec, nil
 }
 
 // load returns the complete result of a finished record.
-func (a resultStore) load(ctx context.Context, rec record) (Result, error) {
+func (r resultStore) load(ctx context.Context, rec record) (Result, error) {
 	if rec.Object == "" {
 		return *rec.Result, nil
 	}
-	data, err := a.objects.Read(ctx, rec.Object)
+	data, err := r.objects.Read(ctx, rec.Object)
 	if err != nil {
 		return Result{}, fmt.Errorf("claim: read result: %w", err)
 	}
--- a/lease/history_test.go
+++ b/lease/history_test.go
@@ -206,7 +206,7 @@
 func (c *contender) hold(ctx context.Context, l *lease.Lease) {
 	keep, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go func() { _ = l.Keep(keep) }()
+	go func() { _ = l.KeepRenewing(keep) }()
 	for ctx.Err() == nil && c.check(l) {
 		c.sleep(1500)
 		if c.random.IntN(15) == 0 {
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -9,12 +9,12 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// renewalsPerTTL is the number of renewals by Keep within the usable part of a
-// TTL.
+// renewalsPerTTL is the number of renewals by KeepRenewing within the usable
+// part of a TTL.
 const renewalsPerTTL = 3
 
-// retriesPerInterval is the number of retries by Keep of a failed renewal within
-// one renewal interval.
+// retriesPerInterval is the number of retries by KeepRenewing of a failed
+// renewal within one renewal interval.
 const retriesPerInterval = 4
 
 // Lease is the exclusive right to a name for a limited time. It is safe for
@@ -205,9 +205,9 @@
 	return l.record, l.version
 }
 
-// Keep renews the lease periodically until ctx or the lease ends. It returns the
-// error of whichever ended.
-func (l *Lease) Keep(ctx context.Context) error {
+// KeepRenewing renews the lease periodically until ctx or the lease ends. It
+// returns the error of whichever ended.
+func (l *Lease) KeepRenewing(ctx context.Context) error {
 	interval := l.renewalInterval()
 	timer := time.NewTimer(interval)
 	defer timer.Stop()
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -165,7 +165,7 @@
 	})
 }
 
-func TestKeep(t *testing.T) {
+func TestKeepRenewing(t *testing.T) {
 	tests := []struct {
 		desc string
 		// outage is how long the table is down, starting after 10 s.
@@ -181,7 +181,7 @@
 			withManagerPair(t, func(t *testing.T, is *is.I, p managerPair) {
 				l := p.acquireA(t)
 				ended := make(chan error, 1)
-				go func() { ended <- l.Keep(t.Context()) }()
+				go func() { ended <- l.KeepRenewing(t.Context()) }()
 				time.Sleep(10 * time.Second)
 				p.table.SetDown(true)
 				time.Sleep(tt.outage)
--- a/lease/orders_test.go
+++ b/lease/orders_test.go
@@ -108,7 +108,7 @@
 	for {
 		l, err := p.b.Acquire(t.Context(), name, "host-b", ttl)
 		if err == nil {
-			go func() { _ = l.Keep(t.Context()) }()
+			go func() { _ = l.KeepRenewing(t.Context()) }()
 			return l
 		}
 		var held *lease.HeldError
--- a/resultcode/resultcode_test.go
+++ b/resultcode/resultcode_test.go
@@ -20,15 +20,15 @@
 func TestCodesAreUniqueAndComplete(t *testing.T) {
 	is := is.New(t)
 	names := map[string]bool{}
-	last := Code(-1)
+	previous := Code(-1)
 	for _, s := range All() {
-		is.True(s.Code > last)      // ascending, so unique
+		is.True(s.Code > previous)  // ascending, so unique
 		is.True(!names[s.Name])     // names are unique
 		is.True(s.Status >= 200)    // an HTTP status
 		is.True(len(s.States) > 0)  // some state is possible
 		is.True(len(s.Meaning) > 0) // documented
 		names[s.Name] = true
-		last = s.Code
+		previous = s.Code
 	}
 }
 
--- a/session/registry_test.go
+++ b/session/registry_test.go
@@ -91,7 +91,7 @@
 		table.SetDown(true)
 		v, durable := mustBind(t, hostA, "v1")
 		is.Equal(v, "v1")
-		is.True(!durable) // the table was unreachable
+		is.True(!durable) // reported as not durable, since the table is unreachable
 		v, durable = mustBind(t, hostA, "v2")
 		is.Equal(v, "v1") // the host keeps its local binding
 		is.True(!durable)
