--- a/claim/claim.go
+++ b/claim/claim.go
@@ -18,7 +18,7 @@
 	outcomeSet atomic.Bool
 }
 
-// Finish records the complete result. The response may be sent to the client
+// Finish records the complete result. The response may be sent to the caller
 // whatever Finish returns. ErrPending means that the outcome is kept in memory
 // and that Run retries the write.
 func (c *Claim) Finish(ctx context.Context, result Result) error {
