--- a/upstream/bench_test.go
+++ b/upstream/bench_test.go
@@ -13,11 +13,11 @@
 	"github.com/quetzalweir/quetzalweir/runstate"
 )
 
-// benchFrames is the number of frames of each benchmarked answer.
+// benchFrames is the number of frames in each benchmarked response.
 const benchFrames = 10_000
 
-// recordedAnswer is an answer of benchFrames frames, ready to be sent.
-func recordedAnswer() []byte {
+// recordedResponse returns the body of a response with benchFrames frames.
+func recordedResponse() []byte {
 	var b bytes.Buffer
 	for n := 1; n <= benchFrames; n++ {
 		fmt.Fprintf(&b, "id: r1:%d\ndata: {\"id\":\"r1\",\"object\":\"chat.completion.chunk\",\"model\":\"m@v\",\"choices\":[{\"index\":0,\"delta\":{\"content\":\"token \"}}]}\n\n", n)
@@ -26,27 +26,27 @@
 	return b.Bytes()
 }
 
-// BenchmarkStreamDecode reads an answer from memory: the cost of the client's
-// own work for each frame.
+// BenchmarkStreamDecode reads a response from memory to measure the client's own
+// cost per frame.
 func BenchmarkStreamDecode(b *testing.B) {
-	answer := recordedAnswer()
+	response := recordedResponse()
 	e := NewEngine(EngineOptions{})
 	defer e.Close()
 	b.ReportAllocs()
 	for b.Loop() {
-		resp := &http.Response{Body: io.NopCloser(bytes.NewReader(answer))}
+		resp := &http.Response{Body: io.NopCloser(bytes.NewReader(response))}
 		s := newStream(b.Context(), func(error) {}, e, Target{}, testCall())
-		s.attach(newAnswerConn(b.Context(), s.patience), resp)
+		s.attach(newResponseConn(b.Context(), s.readTimeout), resp)
 		readFrames(b, s)
 	}
 	reportFrames(b)
 }
 
-// BenchmarkStreamLoopback reads an answer over TCP, sent at once or frame by
-// frame. The CPU time is that of the whole process, server included; the
-// server only copies recorded bytes.
+// BenchmarkStreamLoopback reads a response over TCP, sent at once or frame by
+// frame. The CPU time covers the whole process including the server, which only
+// copies recorded bytes.
 func BenchmarkStreamLoopback(b *testing.B) {
-	whole := [][]byte{recordedAnswer()}
+	whole := [][]byte{recordedResponse()}
 	single := bytes.SplitAfter(whole[0], []byte("\n\n"))
 	for _, bench := range []struct {
 		desc   string
@@ -81,7 +81,7 @@
 	reportFrames(b)
 }
 
-// BenchmarkRequestBody sets the model in a request with a prompt of 64 KiB.
+// BenchmarkRequestBody rewrites a request with a prompt of 64 KiB.
 func BenchmarkRequestBody(b *testing.B) {
 	prompt := strings.Repeat("stock sheet ", 64<<10/12)
 	body := fmt.Appendf(nil, `{"model":"m","messages":[{"role":"user","content":%q}]}`, prompt)
--- a/upstream/body.go
+++ b/upstream/body.go
@@ -9,23 +9,24 @@
 	"github.com/buger/jsonparser"
 )
 
-// Fields of a chat-completions request that the client sets itself.
+// Fields of a chat-completions request that the client overrides.
 const (
 	fieldModel         = "model"
 	fieldStream        = "stream"
 	fieldStreamOptions = "stream_options"
 )
 
-// streamFields switches streaming on, with the usage in the last chunk.
+// streamFields enables streaming and requests token usage in the last chunk.
 const streamFields = `,"stream":true,"stream_options":{"include_usage":true}`
 
-// jsonSpace is the white space of JSON (RFC 8259, section 2).
+// jsonSpace lists the whitespace characters of JSON (RFC 8259, section 2).
 const jsonSpace = " \t\r\n"
 
-// requestBody returns body with the model "model@version" and streaming on.
-// All other fields are copied as raw bytes, in their order. Names are compared
-// without case and in each place where they stand, so that an engine with a
-// lenient decoder can't be led to another model than the one decided on.
+// requestBody returns body with the model set to "model@version" and streaming
+// enabled. All other fields are copied as raw bytes in their original order.
+// Overridden fields are matched case-insensitively and every occurrence is
+// removed: an engine with a lenient JSON decoder could otherwise run a model
+// other than the selected one.
 func requestBody(body []byte, model, version string) ([]byte, error) {
 	body = bytes.Trim(body, jsonSpace)
 	if len(body) == 0 || body[0] != '{' || !json.Valid(body) {
@@ -50,8 +51,8 @@
 	return out.Bytes(), nil
 }
 
-// copyField writes a field unless the client sets it itself. The key comes
-// decoded, the value as it stood, but a string without its quotes.
+// copyField writes a field to out unless the client overrides it. The key is
+// decoded; the value is raw, and a string value lacks its quotes.
 func copyField(out *bytes.Buffer, key, value []byte, kind jsonparser.ValueType) error {
 	if overridden(string(key)) {
 		return nil
@@ -73,7 +74,8 @@
 	return nil
 }
 
-// VersionedModel returns the name "model@version" that engines use.
+// VersionedModel returns the model name in the form "model@version", which
+// engines expect.
 func VersionedModel(model, version string) string {
 	return model + "@" + version
 }
--- a/upstream/body_test.go
+++ b/upstream/body_test.go
@@ -39,7 +39,8 @@
 	}
 }
 
-// FuzzRequestBody compares the copy with what encoding/json reads.
+// FuzzRequestBody decodes the rewritten body with encoding/json and checks that
+// only the overridden fields differ from the original.
 func FuzzRequestBody(f *testing.F) {
 	f.Add([]byte(`{"model":"x","messages":[{"content":"a\"}\\"}],"n":1e3,"s":"\\"}`))
 	f.Add([]byte(` {"\ud800":1, "a" : {"b":[{},null,true]} , "":""} `))
--- a/upstream/cancelled_test.go
+++ b/upstream/cancelled_test.go
@@ -16,38 +16,37 @@
 	"github.com/quetzalweir/quetzalweir/runstate"
 )
 
-// seenIDs collects the request ids that reached a server, read from the raw
-// bytes, so that a request cut within its head counts too.
-type seenIDs struct {
+// receivedIDs records the request ids that reached a server.
+type receivedIDs struct {
 	mu  sync.Mutex
 	raw strings.Builder
 }
 
-func (s *seenIDs) Write(p []byte) (int, error) {
+func (s *receivedIDs) Write(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.raw.Write(p)
 }
 
-func (s *seenIDs) has(id string) bool {
+func (s *receivedIDs) contains(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return strings.Contains(s.raw.String(), id+"\r\n")
 }
 
-// TestCancelledCallsAreTruthful cancels calls around the moment of their
-// first write and compares what they say with what arrived.
-func TestCancelledCallsAreTruthful(t *testing.T) {
+// TestCancelledCallReportsTrueRunState cancels calls around their first write. It
+// guards against a call that reports NotRun although the server received it.
+func TestCancelledCallReportsTrueRunState(t *testing.T) {
 	is := is.New(t)
 	const calls = 1000
-	seen := new(seenIDs)
+	received := new(receivedIDs)
 	target := serve(t, func(w http.ResponseWriter, r *http.Request) {
-		_, _ = seen.Write([]byte(r.Header.Get(HeaderRequestID) + "\r\n"))
+		_, _ = received.Write([]byte(r.Header.Get(HeaderRequestID) + "\r\n"))
 	})
 	c := NewService(ServiceOptions{})
 	defer c.Close()
 	random := rand.New(rand.NewPCG(1, 1))
-	var denied []string
+	var notRunIDs []string
 	for i := range calls {
 		ctx, cancel := context.WithCancel(t.Context())
 		wait := time.Duration(random.IntN(150)) * time.Microsecond
@@ -57,13 +56,13 @@
 		_, err := c.Do(ctx, target, ServiceCall{RequestID: id, Method: http.MethodPost, Path: "/", Body: []byte("bid")}, &state)
 		if err != nil && state.State() == runstate.NotRun {
 			is.True(errors.Is(err, ErrConnect))
-			denied = append(denied, id)
+			notRunIDs = append(notRunIDs, id)
 		}
 		timer.Stop()
 		cancel()
 	}
-	t.Logf("%d of %d calls said that they were not run", len(denied), calls)
-	for _, id := range denied {
-		is.True(!seen.has(id)) // said "not run", but it arrived
+	t.Logf("%d of %d calls reported that they were not run", len(notRunIDs), calls)
+	for _, id := range notRunIDs {
+		is.True(!received.contains(id)) // reported NotRun, but the server received it
 	}
 }
--- a/upstream/chunk.go
+++ b/upstream/chunk.go
@@ -8,8 +8,8 @@
 
 var usageKey = []byte(`"usage"`)
 
-// chunkText returns the content of the first choice's delta; empty if the
-// chunk has none.
+// chunkText returns the delta content of the first choice, or "" if the chunk
+// has none.
 func chunkText(data []byte) string {
 	text, err := jsonparser.GetString(data, "choices", "[0]", "delta", "content")
 	if err != nil {
@@ -18,7 +18,8 @@
 	return text
 }
 
-// chunkUsage returns the usage in a chunk; ok is false if it has none.
+// chunkUsage returns the token usage in a chunk; ok is false if the chunk has
+// none.
 func chunkUsage(data []byte) (usage Usage, ok bool) {
 	if !bytes.Contains(data, usageKey) {
 		return Usage{}, false
@@ -33,7 +34,7 @@
 	return usage, true
 }
 
-// tokens returns a count of tokens; zero if it is missing or negative.
+// tokens returns the token count at path, or 0 if it is missing or negative.
 func tokens(object []byte, path ...string) int {
 	n, err := jsonparser.GetInt(object, path...)
 	if err != nil || n < 0 {
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -7,59 +7,62 @@
 	"time"
 )
 
-// frameClock bounds the wait for one frame. It starts with the first read for
-// the frame, so a slow caller isn't taken for a slow engine.
-type frameClock struct {
-	// frame bounds the whole wait, stall the wait on one connection, gap that
-	// on a connection which already gave later frames.
-	frame, stall, gap time.Duration
-	// deadline is the end of the whole wait; zero before the first read.
+// frameWait limits the wait for one frame. The time starts with the first read
+// for the frame, so that a slow caller doesn't count as a slow engine.
+type frameWait struct {
+	// frameTimeout limits the whole wait, stallTimeout the wait on one
+	// connection, gapTimeout the wait on one connection that has already
+	// delivered later frames.
+	frameTimeout, stallTimeout, gapTimeout time.Duration
+	// deadline is when the whole wait expires; zero before the first read.
 	deadline time.Time
 }
 
-// start begins the wait for the next frame.
-func (c *frameClock) start() { c.deadline = time.Time{} }
+// reset clears the deadline for the next frame.
+func (c *frameWait) reset() { c.deadline = time.Time{} }
 
-// remaining is the time left for the frame.
-func (c *frameClock) remaining() time.Duration {
+// remaining returns the time until the deadline, which the first call after
+// reset sets.
+func (c *frameWait) remaining() time.Duration {
 	if c.deadline.IsZero() {
-		c.deadline = time.Now().Add(c.frame)
-		return c.frame
+		c.deadline = time.Now().Add(c.frameTimeout)
+		return c.frameTimeout
 	}
 	return time.Until(c.deadline)
 }
 
-// patience is the time left for the frame on one connection.
-func (c *frameClock) patience(gap bool) time.Duration {
-	if gap {
-		return min(c.remaining(), c.gap)
+// readTimeout returns how long to wait for the frame on the current connection.
+// hasGap reports whether later frames have already arrived.
+func (c *frameWait) readTimeout(hasGap bool) time.Duration {
+	if hasGap {
+		return min(c.remaining(), c.gapTimeout)
 	}
-	return min(c.remaining(), c.stall)
+	return min(c.remaining(), c.stallTimeout)
 }
 
-// answerConn is one connection's answer. A read that takes longer than
-// patience ends the connection, not the stream.
-type answerConn struct {
-	ctx      context.Context
-	cancel   context.CancelCauseFunc
-	timer    *time.Timer
-	patience func() time.Duration
-	body     io.ReadCloser
+// responseConn reads the response on one connection. A read that takes longer
+// than readTimeout closes the connection but leaves the stream open.
+type responseConn struct {
+	ctx         context.Context
+	cancel      context.CancelCauseFunc
+	timer       *time.Timer
+	readTimeout func() time.Duration
+	body        io.ReadCloser
 }
 
-func newAnswerConn(ctx context.Context, patience func() time.Duration) *answerConn {
+func newResponseConn(ctx context.Context, readTimeout func() time.Duration) *responseConn {
 	ctx, cancel := context.WithCancelCause(ctx)
-	timer := time.AfterFunc(never, func() { cancel(errStalled) })
+	timer := time.AfterFunc(noTimeout, func() { cancel(errStalled) })
 	timer.Stop()
-	return &answerConn{ctx: ctx, cancel: cancel, timer: timer, patience: patience}
+	return &responseConn{ctx: ctx, cancel: cancel, timer: timer, readTimeout: readTimeout}
 }
 
-// never is beyond the life of any connection.
-const never = 1 << 62
+// noTimeout is longer than any connection stays open.
+const noTimeout = 1 << 62
 
 // Read implements io.Reader.
-func (c *answerConn) Read(p []byte) (int, error) {
-	c.timer.Reset(c.patience())
+func (c *responseConn) Read(p []byte) (int, error) {
+	c.timer.Reset(c.readTimeout())
 	n, err := c.body.Read(p)
 	c.timer.Stop()
 	if err != nil && err != io.EOF && errors.Is(context.Cause(c.ctx), errStalled) {
@@ -68,8 +71,8 @@
 	return n, err
 }
 
-// close ends the connection.
-func (c *answerConn) close(cause error) {
+// close closes the response body and cancels the request with cause.
+func (c *responseConn) close(cause error) {
 	c.timer.Stop()
 	if c.body != nil {
 		c.body.Close()
--- a/upstream/cut_test.go
+++ b/upstream/cut_test.go
@@ -16,80 +16,82 @@
 	"github.com/quetzalweir/quetzalweir/upstream"
 )
 
-// arrived is what a stand-in really got of one call.
-type arrived struct {
+// received counts what a stand-in received of one call: request headers and
+// executions.
+type received struct {
 	heads, runs int
 }
 
-// checkTruth says whether a run state is true of what arrived, and that the
-// call came at most once.
-func checkTruth(state runstate.State, got arrived) error {
+// checkRunState returns an error if the run state contradicts what the stand-in
+// received, or if the call was received or run more than once.
+func checkRunState(state runstate.State, got received) error {
 	if got.heads > 1 || got.runs > 1 {
-		return fmt.Errorf("the call came %d times and ran %d times", got.heads, got.runs)
+		return fmt.Errorf("the call was received %d times and ran %d times", got.heads, got.runs)
 	}
 	if state == runstate.NotRun && got.heads > 0 {
-		return fmt.Errorf("%v, but it arrived", state)
+		return fmt.Errorf("state is %v, but the call was received", state)
 	}
 	if state == runstate.Ran && got.runs == 0 {
-		return fmt.Errorf("%v, but it never began", state)
+		return fmt.Errorf("state is %v, but the call never started", state)
 	}
 	return nil
 }
 
-func TestCheckTruthRejects(t *testing.T) {
+func TestCheckRunStateRejects(t *testing.T) {
 	tests := []struct {
 		desc  string
 		state runstate.State
-		got   arrived
+		got   received
 	}{
-		{"sent twice", runstate.MayHaveRun, arrived{heads: 2, runs: 1}},
-		{"ran twice", runstate.Ran, arrived{heads: 1, runs: 2}},
-		{"denied an arrival", runstate.NotRun, arrived{heads: 1}},
-		{"claimed a run", runstate.Ran, arrived{heads: 1}},
+		{"sent twice", runstate.MayHaveRun, received{heads: 2, runs: 1}},
+		{"ran twice", runstate.Ran, received{heads: 1, runs: 2}},
+		{"denied an arrival", runstate.NotRun, received{heads: 1}},
+		{"claimed a run", runstate.Ran, received{heads: 1}},
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
-			is.New(t).True(checkTruth(test.state, test.got) != nil)
+			is.New(t).True(checkRunState(test.state, test.got) != nil)
 		})
 	}
 }
 
-// cutTests say what each cut leaves behind.
+// cutTests lists the run state and the received parts expected when the
+// connection is cut at each point.
 var cutTests = []struct {
 	at    cut.Boundary
 	state runstate.State
-	got   arrived
+	got   received
 }{
-	{cut.BeforeHead, runstate.MayHaveRun, arrived{}},
-	{cut.AfterHead, runstate.MayHaveRun, arrived{heads: 1}},
-	{cut.MidBody, runstate.MayHaveRun, arrived{heads: 1}},
-	{cut.BeforeAnswer, runstate.MayHaveRun, arrived{heads: 1, runs: 1}},
-	{cut.MidAnswer, runstate.Ran, arrived{heads: 1, runs: 1}},
+	{cut.BeforeHead, runstate.MayHaveRun, received{}},
+	{cut.AfterHead, runstate.MayHaveRun, received{heads: 1}},
+	{cut.MidBody, runstate.MayHaveRun, received{heads: 1}},
+	{cut.BeforeAnswer, runstate.MayHaveRun, received{heads: 1, runs: 1}},
+	{cut.MidAnswer, runstate.Ran, received{heads: 1, runs: 1}},
 }
 
-// pools are the two kinds of connections that a call can get.
-var pools = []struct {
+// connKinds lists the two kinds of connections that a call can use.
+var connKinds = []struct {
 	desc string
 	warm bool
 }{{"new connection", false}, {"pooled connection", true}}
 
 func TestEngineCuts(t *testing.T) {
 	for _, test := range cutTests {
-		for _, pool := range pools {
-			t.Run(string(test.at)+" on "+pool.desc, func(t *testing.T) {
+		for _, kind := range connKinds {
+			t.Run(string(test.at)+" on "+kind.desc, func(t *testing.T) {
 				is := is.New(t)
 				standin, target := startEngine(t, engine.Options{})
 				c := newEngineClient(t, upstream.EngineOptions{})
-				if pool.warm {
-					_, err := ask(t.Context(), c, target, engineCall("warm"), new(runstate.Tracker))
+				if kind.warm {
+					_, err := openAndRead(t.Context(), c, target, engineCall("warm"), new(runstate.Tracker))
 					is.NoErr(err)
 				}
 				standin.SetFaults(engine.Faults{Cut: cut.Plan{At: test.at, Times: 1, Frames: 7}})
 				var state runstate.Tracker
-				text, err := ask(t.Context(), c, target, engineCall("r1"), &state)
+				text, err := openAndRead(t.Context(), c, target, engineCall("r1"), &state)
 				a := standin.Arrival("r1")
-				got := arrived{heads: a.Heads, runs: a.Began}
-				is.NoErr(checkTruth(state.State(), got))
+				got := received{heads: a.Heads, runs: a.Began}
+				is.NoErr(checkRunState(state.State(), got))
 				is.Equal(state.State(), test.state)
 				is.Equal(got, test.got)
 				if test.state == runstate.Ran {
@@ -103,8 +105,8 @@
 	}
 }
 
-// repeatTempters are calls that net/http would send again by itself.
-var repeatTempters = []struct {
+// retriableCalls includes calls that net/http would resend by itself.
+var retriableCalls = []struct {
 	method string
 	body   string
 	key    string
@@ -119,17 +121,17 @@
 
 func TestServiceCutsNeverRepeat(t *testing.T) {
 	for _, test := range cutTests {
-		for _, call := range repeatTempters {
+		for _, call := range retriableCalls {
 			if test.at == cut.MidBody && call.body == "" {
 				continue
 			}
-			for _, pool := range pools {
-				desc := fmt.Sprintf("%s of %s, %d bytes, key %q, %s", test.at, call.method, len(call.body), call.key, pool.desc)
+			for _, kind := range connKinds {
+				desc := fmt.Sprintf("%s of %s, %d bytes, key %q, %s", test.at, call.method, len(call.body), call.key, kind.desc)
 				t.Run(desc, func(t *testing.T) {
 					is := is.New(t)
 					standin, target := startService(t)
 					c := newServiceClient(t)
-					if pool.warm {
+					if kind.warm {
 						_, err := c.Do(t.Context(), target, serviceCall("warm", "POST", "x", ""), new(runstate.Tracker))
 						is.NoErr(err)
 					}
@@ -137,11 +139,11 @@
 					var state runstate.Tracker
 					_, err := c.Do(t.Context(), target, serviceCall("r1", call.method, call.body, call.key), &state)
 					a := standin.Arrival("r1")
-					got := arrived{heads: a.Heads, runs: a.Runs}
-					is.NoErr(checkTruth(state.State(), got))
+					got := received{heads: a.Heads, runs: a.Runs}
+					is.NoErr(checkRunState(state.State(), got))
 					is.Equal(state.State(), test.state)
 					is.Equal(got, test.got)
-					is.True(errors.Is(err, upstream.ErrBroken)) // no cut body is an answer
+					is.True(errors.Is(err, upstream.ErrBroken)) // a truncated body is never returned as a response
 				})
 			}
 		}
--- a/upstream/engine.go
+++ b/upstream/engine.go
@@ -18,7 +18,7 @@
 	"github.com/quetzalweir/quetzalweir/runstate"
 )
 
-// Paths of the engines' API.
+// Paths of the engine API.
 const (
 	pathCompletions = "/v1/chat/completions"
 	pathStreams     = "/v1/streams/"
@@ -39,39 +39,41 @@
 	DefaultMaxCancels    = 64
 )
 
-// EngineOptions are the settings of NewEngine. Zero values mean the defaults.
+// EngineOptions configures NewEngine. Zero values select the defaults.
 type EngineOptions struct {
-	// DialTimeout bounds the making of a connection. Default: 2 s.
+	// DialTimeout limits the time to establish a connection. Default: 2 s.
 	DialTimeout time.Duration
-	// IdleConnTimeout is how long an unused connection is kept. Default: 20 s.
+	// IdleConnTimeout is how long an idle connection is kept open. Default: 20 s.
 	IdleConnTimeout time.Duration
-	// MaxIdleConnsPerHost bounds the unused connections to one upstream.
+	// MaxIdleConnsPerHost limits the idle connections to one upstream.
 	// Default: 128.
 	MaxIdleConnsPerHost int
-	// FrameTimeout bounds the wait for the next frame, with all attempts to
-	// resume in it. The head of an answer is bounded by the context alone,
-	// because a request may queue. Default: 30 s.
+	// FrameTimeout limits the wait for the next frame, including all attempts
+	// to resume. The wait for the response header is limited by the context
+	// only, because a request may queue. Default: 30 s.
 	FrameTimeout time.Duration
-	// StallTimeout bounds the wait for the next frame on one connection; then
-	// the stream is resumed on another. Default: 10 s.
+	// StallTimeout limits the wait for the next frame on one connection; after
+	// that the stream is resumed on another. Default: 10 s.
 	StallTimeout time.Duration
-	// GapTimeout takes its place when later frames are there already, so that
-	// a lost frame doesn't hold them back for long. Default: 250 ms.
+	// GapTimeout applies instead of StallTimeout when later frames have already
+	// arrived, so that a lost frame delays them only briefly. Default: 250 ms.
 	GapTimeout time.Duration
-	// MaxFrame bounds one frame, in bytes. Default: 1 MiB.
+	// MaxFrame limits the size of one frame, in bytes. Default: 1 MiB.
 	MaxFrame int
-	// ReorderWindow is how many frames ahead an early frame is kept; together
-	// they are at most MaxFrame bytes. Default: 64.
+	// ReorderWindow is how far ahead of the next frame an out-of-order frame is
+	// buffered, in frames. All buffered frames together are limited to MaxFrame
+	// bytes. Default: 64.
 	ReorderWindow int
-	// ResumeTries bounds the attempts to resume without a new frame between
-	// them. Default: 5.
+	// ResumeTries limits the consecutive attempts to resume that deliver no new
+	// frame. Default: 5.
 	ResumeTries int
-	// ResumeDelay is the mean wait before the second attempt to resume; it
-	// doubles with each further one. Default: 20 ms.
+	// ResumeDelay is the mean delay before the second attempt to resume; it
+	// doubles with each further attempt. Default: 20 ms.
 	ResumeDelay time.Duration
-	// CancelTimeout bounds the cancelling of a stream upstream. Default: 2 s.
+	// CancelTimeout limits the request that cancels a stream on the engine.
+	// Default: 2 s.
 	CancelTimeout time.Duration
-	// MaxCancels bounds the cancellations in flight; more are not sent.
+	// MaxCancels limits the cancellations in flight; further ones are not sent.
 	// Default: 64.
 	MaxCancels int
 }
@@ -92,40 +94,39 @@
 	return o
 }
 
-// EngineClient is the Engine over HTTP/1.1 with pooled connections.
+// EngineClient implements Engine over HTTP/1.1 with pooled connections.
 type EngineClient struct {
 	opts      EngineOptions
 	transport *http.Transport
 	counters  engineCounters
-	// cancels holds a token for each cancellation in flight.
-	cancels    chan struct{}
-	cancelling sync.WaitGroup
+	// cancelSlots is a semaphore that holds one element for each cancellation in
+	// flight.
+	cancelSlots    chan struct{}
+	pendingCancels sync.WaitGroup
 }
 
 var _ Engine = (*EngineClient)(nil)
 
-// NewEngine returns a client of model engines.
+// NewEngine returns a client for model engines.
 func NewEngine(opts EngineOptions) *EngineClient {
 	opts = opts.withDefaults()
 	return &EngineClient{
-		opts:      opts,
-		transport: newTransport(opts.DialTimeout, opts.IdleConnTimeout, opts.MaxIdleConnsPerHost),
-		cancels:   make(chan struct{}, opts.MaxCancels),
+		opts:        opts,
+		transport:   newTransport(opts.DialTimeout, opts.IdleConnTimeout, opts.MaxIdleConnsPerHost),
+		cancelSlots: make(chan struct{}, opts.MaxCancels),
 	}
 }
 
-// Close waits for the cancellations in flight, each of which is bounded by
-// CancelTimeout, and closes the unused connections. It is called after the
-// last stream was closed.
+// Close waits for the cancellations in flight, each limited by CancelTimeout,
+// and closes the idle connections. Call it after the last stream is closed.
 func (e *EngineClient) Close() error {
-	e.cancelling.Wait()
+	e.pendingCancels.Wait()
 	e.transport.CloseIdleConnections()
 	return nil
 }
 
-// Open implements Engine. The call's request id must not be used again
-// towards the same target, because a late cancellation could end the new
-// call.
+// Open implements Engine. The call's request id must not be reused for the same
+// target, because a late cancellation could cancel the new call.
 func (e *EngineClient) Open(ctx context.Context, target Target, call Call, state *runstate.Tracker) (Stream, error) {
 	body, err := requestBody(call.Body, call.Model, call.Version)
 	if err != nil {
@@ -133,13 +134,13 @@
 	}
 	streamCtx, cancel := context.WithCancelCause(ctx)
 	s := newStream(streamCtx, cancel, e, target, call)
-	conn := newAnswerConn(streamCtx, s.patience)
+	conn := newResponseConn(streamCtx, s.readTimeout)
 	resp, err := e.send(conn.ctx, target, call, body, state)
 	if err != nil {
 		cancel(err)
 		return nil, err
 	}
-	if err := checkHead(resp.Header, call); err != nil {
+	if err := checkResponseHeader(resp.Header, call); err != nil {
 		resp.Body.Close()
 		cancel(err)
 		e.cancelStream(target, call.RequestID)
@@ -151,10 +152,10 @@
 	return s, nil
 }
 
-// send posts the call and returns a successful answer.
+// send posts the call and returns the response if its status is a success.
 func (e *EngineClient) send(ctx context.Context, target Target, call Call, body []byte, state *runstate.Tracker) (*http.Response, error) {
-	try := newAttempt(state)
-	req, err := newRequest(try.Trace(ctx), http.MethodPost, target, pathCompletions, body)
+	attempt := newAttempt(state)
+	req, err := newRequest(attempt.Trace(ctx), http.MethodPost, target, pathCompletions, body)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrConnect, err)
 	}
@@ -163,13 +164,13 @@
 	}
 	resp, err := e.transport.RoundTrip(req)
 	if err != nil {
-		err = classify(ctx, try, err)
+		err = classifyError(ctx, attempt, err)
 		if errors.Is(err, ErrBroken) {
 			e.cancelStream(target, call.RequestID)
 		}
 		return nil, err
 	}
-	if !success(resp.StatusCode) {
+	if !isSuccess(resp.StatusCode) {
 		return nil, statusError(resp)
 	}
 	return resp, nil
@@ -178,7 +179,7 @@
 // Load implements Engine.
 func (e *EngineClient) Load(ctx context.Context, target Target) (Load, error) {
 	var load Load
-	data, err := e.exchange(ctx, http.MethodGet, target, pathLoad, nil)
+	data, err := e.doRequest(ctx, http.MethodGet, target, pathLoad, nil)
 	if err != nil {
 		return load, err
 	}
@@ -188,8 +189,8 @@
 	return load, nil
 }
 
-// order is an order to an engine.
-type order struct {
+// engineCommand is the JSON body of a control request to an engine.
+type engineCommand struct {
 	Fencing uint64 `json:"fencing"`
 	Action  string `json:"action"`
 	Model   string `json:"model"`
@@ -200,47 +201,48 @@
 
 // Unload implements Engine.
 func (e *EngineClient) Unload(ctx context.Context, target Target, model, version string, fencing uint64) error {
-	body, err := json.Marshal(order{Fencing: fencing, Action: actionUnload, Model: model, Version: version})
+	body, err := json.Marshal(engineCommand{Fencing: fencing, Action: actionUnload, Model: model, Version: version})
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrBody, err)
 	}
-	_, err = e.exchange(ctx, http.MethodPost, target, pathOrders, body)
+	_, err = e.doRequest(ctx, http.MethodPost, target, pathOrders, body)
 	return err
 }
 
-// exchange sends a small request of the client's own and reads the answer.
-func (e *EngineClient) exchange(ctx context.Context, method string, target Target, path string, body []byte) ([]byte, error) {
-	try := new(sealedconn.Call)
-	req, err := newRequest(try.Trace(ctx), method, target, path, body)
+// doRequest sends a small request that isn't a call, such as a cancellation, and
+// returns the response body.
+func (e *EngineClient) doRequest(ctx context.Context, method string, target Target, path string, body []byte) ([]byte, error) {
+	attempt := new(sealedconn.Call)
+	req, err := newRequest(attempt.Trace(ctx), method, target, path, body)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrConnect, err)
 	}
 	resp, err := e.transport.RoundTrip(req)
 	if err != nil {
-		return nil, classify(ctx, try, err)
+		return nil, classifyError(ctx, attempt, err)
 	}
-	if !success(resp.StatusCode) {
+	if !isSuccess(resp.StatusCode) {
 		return nil, statusError(resp)
 	}
 	defer resp.Body.Close()
-	return readWhole(ctx, resp, e.opts.MaxFrame)
+	return readBody(ctx, resp, e.opts.MaxFrame)
 }
 
-// cancelStream tells the engine in the background that nobody reads the
-// answer. It is best effort: an engine that doesn't hear of it finishes.
+// cancelStream cancels the request on the engine in the background. It is best
+// effort: an engine that doesn't receive the cancellation completes the request.
 func (e *EngineClient) cancelStream(target Target, requestID string) {
 	select {
-	case e.cancels <- struct{}{}:
+	case e.cancelSlots <- struct{}{}:
 	default:
 		e.counters.cancelsSkipped.Add(1)
 		return
 	}
-	e.cancelling.Go(func() {
-		defer func() { <-e.cancels }()
+	e.pendingCancels.Go(func() {
+		defer func() { <-e.cancelSlots }()
 		ctx, stop := context.WithTimeout(context.Background(), e.opts.CancelTimeout)
 		defer stop()
 		e.counters.cancels.Add(1)
-		_, _ = e.exchange(ctx, http.MethodDelete, target, streamPath(requestID), nil)
+		_, _ = e.doRequest(ctx, http.MethodDelete, target, streamPath(requestID), nil)
 	})
 }
 
@@ -248,8 +250,8 @@
 	return pathStreams + url.PathEscape(requestID)
 }
 
-// newRequest builds a request without GetBody: with it the transport sends a
-// request again by itself when a pooled connection breaks.
+// newRequest returns a request without GetBody. With GetBody set, the transport
+// would resend the request by itself when a pooled connection breaks.
 func newRequest(ctx context.Context, method string, target Target, path string, body []byte) (*http.Request, error) {
 	u, err := url.ParseRequestURI(path)
 	if err != nil {
@@ -270,8 +272,8 @@
 	return req, nil
 }
 
-// setCallHeaders sets the headers of a call; it fails once the deadline has
-// passed.
+// setCallHeaders sets the request headers of a call. It returns
+// context.DeadlineExceeded if the call's deadline has passed.
 func setCallHeaders(h http.Header, call Call) error {
 	h.Set("Content-Type", "application/json")
 	h.Set("Accept", "text/event-stream")
@@ -288,9 +290,10 @@
 	return nil
 }
 
-// checkHead checks that the answer is this call's. An answer that doesn't
-// state its version is refused: it can't be shown to be permitted.
-func checkHead(h http.Header, call Call) error {
+// checkResponseHeader checks that the response belongs to this call. A response
+// without a model version is rejected, because it can't be verified to come from
+// a permitted version.
+func checkResponseHeader(h http.Header, call Call) error {
 	want := VersionedModel(call.Model, call.Version)
 	if got := h.Get(HeaderModelVersion); got != want {
 		return fmt.Errorf("%w: version %q instead of %q", ErrMismatch, got, want)
@@ -306,12 +309,12 @@
 	return nil
 }
 
-// classify turns a failure before the head of an answer into ErrConnect, when
-// nothing was sent and nothing will be, or ErrBroken. The cause of a
-// cancelled context is kept in the chain.
-func classify(ctx context.Context, try *sealedconn.Call, err error) error {
+// classifyError wraps a failure before the response header as ErrConnect if
+// nothing was sent and nothing can be sent any more, and as ErrBroken otherwise.
+// If ctx was cancelled, the error chain includes the context's error.
+func classifyError(ctx context.Context, attempt *sealedconn.Call, err error) error {
 	kind := ErrConnect
-	if try.Seal() != sealedconn.Untouched {
+	if attempt.Seal() != sealedconn.Untouched {
 		kind = ErrBroken
 	}
 	if cause := ctx.Err(); cause != nil && !errors.Is(err, cause) {
--- a/upstream/engine_test.go
+++ b/upstream/engine_test.go
@@ -12,7 +12,7 @@
 	"github.com/quetzalweir/quetzalweir/runstate"
 )
 
-// testCall is the call that the engine tests send.
+// testCall returns the call that the engine tests send.
 func testCall() Call {
 	return Call{RequestID: "r1", Model: "m", Version: "v", Body: []byte(`{"model":"x","messages":[]}`)}
 }
@@ -34,7 +34,7 @@
 	fmt.Fprintf(w, "id: %s:%d\ndata: [DONE]\n\n", requestID, seq+1)
 }
 
-// readAll reads the stream to its end.
+// readAll reads the stream to its end and returns its text.
 func readAll(s Stream) (text string, err error) {
 	for {
 		frame, err := s.Next()
--- a/upstream/events.go
+++ b/upstream/events.go
@@ -7,33 +7,35 @@
 	"io"
 )
 
-// event is one server-sent event. Its slices are valid until the next read.
+// event is one server-sent event. Its slices are valid until the next call of
+// eventReader.next.
 type event struct {
 	id   []byte
 	data []byte
 }
 
-// eventReader reads server-sent events (WHATWG HTML, section 9.2) of bounded
-// size. It keeps its buffers from event to event.
+// eventReader reads server-sent events (WHATWG HTML, section 9.2) of limited
+// size. It reuses its buffers for each event.
 type eventReader struct {
 	reader *bufio.Reader
-	// limit bounds the bytes of one event, line ends and comments included.
-	limit int
-	size  int
-	line  []byte
-	id    []byte
-	data  []byte
+	// maxSize limits the size of one event, in bytes, including line ends and
+	// comments.
+	maxSize int
+	size    int
+	line    []byte
+	id      []byte
+	data    []byte
 }
 
-const eventBuffer = 8 << 10
+const eventBufferSize = 8 << 10
 
-func newEventReader(r io.Reader, limit int) *eventReader {
-	return &eventReader{reader: bufio.NewReaderSize(r, eventBuffer), limit: limit}
+func newEventReader(r io.Reader, maxSize int) *eventReader {
+	return &eventReader{reader: bufio.NewReaderSize(r, eventBufferSize), maxSize: maxSize}
 }
 
-// next returns the next event with data. An event that the stream's end cuts
-// is not returned: io.EOF stands for a clean end between events,
-// io.ErrUnexpectedEOF for one inside an event.
+// next returns the next event that has data. A truncated event is not returned:
+// the error is io.EOF if the stream ends between events and
+// io.ErrUnexpectedEOF if it ends inside one.
 func (r *eventReader) next() (event, error) {
 	r.reset()
 	hasData := false
@@ -43,7 +45,7 @@
 			return event{}, err
 		}
 		if len(line) > 0 {
-			hasData = r.field(line, hasData) || hasData
+			hasData = r.parseField(line, hasData) || hasData
 			continue
 		}
 		if hasData {
@@ -59,8 +61,9 @@
 	r.data = r.data[:0]
 }
 
-// field takes one line into the event and says whether it held data.
-func (r *eventReader) field(line []byte, hasData bool) bool {
+// parseField adds one line to the event and reports whether it is a data field.
+// hasData reports whether the event already has one.
+func (r *eventReader) parseField(line []byte, hasData bool) bool {
 	name, value, _ := bytes.Cut(line, []byte{':'})
 	value = bytes.TrimPrefix(value, []byte{' '})
 	switch string(name) {
@@ -76,14 +79,14 @@
 	return false
 }
 
-// readLine returns the next line without its end, which is LF or CRLF.
+// readLine returns the next line without its line terminator, LF or CRLF.
 func (r *eventReader) readLine() ([]byte, error) {
 	r.line = r.line[:0]
 	for {
 		part, err := r.reader.ReadSlice('\n')
 		r.size += len(part)
-		if r.size > r.limit {
-			return nil, fmt.Errorf("%w: event over %d bytes", ErrTooLarge, r.limit)
+		if r.size > r.maxSize {
+			return nil, fmt.Errorf("%w: event exceeds %d bytes", ErrTooLarge, r.maxSize)
 		}
 		if err == nil && len(r.line) == 0 {
 			return trimLineEnd(part), nil
--- a/upstream/events_test.go
+++ b/upstream/events_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// FuzzEvents reads any bytes as events: bounded, and the same however the
-// network cuts them into pieces.
+// FuzzEvents checks that arbitrary input yields events of limited size, and the
+// same events when it is read one byte at a time.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("id: r:1\ndata: {\"choices\":[{\"delta\":{\"content\":\"a\\u00e9\"}}]}\n\n"))
 	f.Add([]byte("id: r:2\r\ndata: {\"usage\":{\"prompt_tokens\":-1,\"prompt_tokens_details\":{\"cached_tokens\":1e9}}}\r\n\r\n"))
@@ -109,16 +109,16 @@
 	}
 }
 
-// TestSequence delivers frames in random order, with repeats: each comes out
-// once, in order, and no more bytes are held than the budget.
+// TestSequence inserts frames in random order with duplicates. Each frame must be
+// delivered once and in order, and the buffered bytes must stay within the limit.
 func TestSequence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const budget = 40
+		const maxBytes = 40
 		n := uint64(rapid.IntRange(0, 30).Draw(t, "frames"))
-		s := newSequence(rapid.IntRange(1, 40).Draw(t, "window"), budget)
+		s := newReorderBuffer(rapid.IntRange(1, 40).Draw(t, "window"), maxBytes)
 		var out []uint64
 		arrive := func(seq uint64) {
-			if s.place(seq, []byte(fmt.Sprint(seq))) == arrivedInOrder {
+			if s.insert(seq, []byte(fmt.Sprint(seq))) == frameInOrder {
 				out = append(out, seq)
 			}
 			for {
@@ -131,23 +131,23 @@
 				}
 				out = append(out, got)
 			}
-			if s.held < 0 || s.held > budget {
-				t.Fatalf("%d bytes held", s.held)
+			if s.bufferedBytes < 0 || s.bufferedBytes > maxBytes {
+				t.Fatalf("%d bytes are buffered", s.bufferedBytes)
 			}
 		}
-		s.setEnd(n + 1)
+		s.setEndSeq(n + 1)
 		for _, seq := range rapid.SliceOf(rapid.Uint64Range(1, n+3)).Draw(t, "arrivals") {
 			arrive(seq)
 		}
-		for seq := s.next; seq <= n; seq++ { // a resumed stream
+		for seq := s.nextSeq; seq <= n; seq++ { // a resumed stream
 			arrive(seq)
 		}
 		if !s.complete() || uint64(len(out)) != n {
-			t.Fatalf("%d of %d frames came out", len(out), n)
+			t.Fatalf("%d of %d frames were delivered", len(out), n)
 		}
 		for i, seq := range out {
 			if seq != uint64(i+1) {
-				t.Fatalf("frame %d came out as number %d", seq, i+1)
+				t.Fatalf("frame %d was delivered as number %d", seq, i+1)
 			}
 		}
 	})
--- a/upstream/example_test.go
+++ b/upstream/example_test.go
@@ -10,8 +10,8 @@
 	"github.com/quetzalweir/quetzalweir/upstream"
 )
 
-// serveExample serves a stand-in until stop is called.
-func serveExample(standin runner) (target upstream.Target, stop func()) {
+// serveExample runs a stand-in until stop is called.
+func serveExample(standin standinServer) (target upstream.Target, stop func()) {
 	if err := standin.Bind(); err != nil {
 		panic(err)
 	}
--- a/upstream/header.go
+++ b/upstream/header.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Headers of the protocol towards upstreams.
+// Headers of the protocol between this client and upstreams.
 const (
 	HeaderRequestID    = "X-Request-Id"
 	HeaderPriority     = "X-Priority"
@@ -21,14 +21,14 @@
 	headerTrue = "1"
 )
 
-// hopByHop are the headers that concern one connection only (RFC 9110,
-// section 7.6.1), and Expect, which the client answers itself.
+// hopByHop lists the headers that apply to a single connection (RFC 9110,
+// section 7.6.1), and Expect, which the client handles itself.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// endToEnd returns a copy of h without hop-by-hop headers.
+// endToEnd returns a copy of h without the hop-by-hop headers.
 func endToEnd(h http.Header) http.Header {
 	out := h.Clone()
 	if out == nil {
@@ -45,7 +45,8 @@
 	return out
 }
 
-// parseLoad reads the load report on an answer's head.
+// parseLoad returns the load report in the response headers; ok is false if it
+// is missing or malformed. Leaving is set in either case.
 func parseLoad(h http.Header) (load Load, ok bool) {
 	load.Leaving = h.Get(HeaderLeaving) == headerTrue
 	parts := strings.Split(h.Get(HeaderLoad), "/")
@@ -62,8 +63,8 @@
 	return load, true
 }
 
-// parseRetryAfter reads Retry-After in its form of whole seconds; zero means
-// that there is none.
+// parseRetryAfter returns the value of Retry-After if it is given in seconds,
+// and 0 otherwise.
 func parseRetryAfter(h http.Header) time.Duration {
 	n, err := strconv.Atoi(h.Get("Retry-After"))
 	if err != nil || n < 0 {
--- a/upstream/main_test.go
+++ b/upstream/main_test.go
@@ -16,15 +16,15 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// runner is what both stand-ins have in common.
-type runner interface {
+// standinServer is implemented by the engine and service stand-ins.
+type standinServer interface {
 	Bind() error
 	Run(ctx context.Context) error
 	Address() string
 }
 
-// run serves a stand-in until the test ends.
-func run(t testing.TB, standin runner) upstream.Target {
+// startStandin runs a stand-in until the test ends.
+func startStandin(t testing.TB, standin standinServer) upstream.Target {
 	t.Helper()
 	if err := standin.Bind(); err != nil {
 		t.Fatal(err)
@@ -45,13 +45,13 @@
 	t.Helper()
 	opts.Versions = []string{"m@1"}
 	e := engine.New(opts)
-	return e, run(t, e)
+	return e, startStandin(t, e)
 }
 
 func startService(t testing.TB) (*service.Service, upstream.Target) {
 	t.Helper()
 	s := service.New(service.Options{})
-	return s, run(t, s)
+	return s, startStandin(t, s)
 }
 
 func newEngineClient(t testing.TB, opts upstream.EngineOptions) *upstream.EngineClient {
@@ -68,7 +68,7 @@
 	return c
 }
 
-// prompt gives an answer of 50 frames.
+// prompt makes the engine stand-in respond with 50 frames.
 const prompt = "read lot 17 tokens=50"
 
 func engineCall(id string) upstream.Call { return engineCallWith(id, prompt) }
@@ -78,8 +78,8 @@
 	return upstream.Call{RequestID: id, Model: "m", Version: "1", Body: []byte(body)}
 }
 
-// ask sends a call and reads its answer to the end.
-func ask(ctx context.Context, c upstream.Engine, target upstream.Target, call upstream.Call, state *runstate.Tracker) (string, error) {
+// openAndRead sends a call and reads its response to the end.
+func openAndRead(ctx context.Context, c upstream.Engine, target upstream.Target, call upstream.Call, state *runstate.Tracker) (string, error) {
 	stream, err := c.Open(ctx, target, call, state)
 	if err != nil {
 		return "", err
@@ -88,7 +88,7 @@
 	return readText(stream)
 }
 
-// readText reads a stream to its end and checks the numbers of its frames.
+// readText reads a stream to its end and checks the sequence numbers.
 func readText(stream upstream.Stream) (text string, err error) {
 	for seq := uint64(1); ; seq++ {
 		frame, err := stream.Next()
@@ -99,7 +99,7 @@
 			return text, err
 		}
 		if frame.Seq != seq {
-			return text, fmt.Errorf("frame %d in place of %d", frame.Seq, seq)
+			return text, fmt.Errorf("received frame %d, expected %d", frame.Seq, seq)
 		}
 		text += frame.Text
 	}
--- a/upstream/resume.go
+++ b/upstream/resume.go
@@ -12,40 +12,40 @@
 	"strconv"
 )
 
-// resume takes the stream up again after cause. It returns nil when a new
-// answer is attached, else the final error. Every attempt goes to the same
-// target, lies within the time limit of the frame that is waited for, and
-// must be answered by the same version.
+// resume reconnects the stream after cause. It returns nil once a new response
+// is attached, and the stream's final error otherwise. Every attempt goes to the
+// same target, must finish within FrameTimeout of the awaited frame, and accepts
+// only a response of the same model version.
 func (s *engineStream) resume(cause error) error {
 	if errors.Is(cause, ErrTooLarge) {
 		return cause
 	}
 	if cause == io.EOF {
-		cause = errNoEndMark
+		cause = errNoEndMarker
 	}
 	s.conn.close(cause)
-	for s.tries < s.client.opts.ResumeTries {
-		s.tries++
+	for s.resumeAttempts < s.client.opts.ResumeTries {
+		s.resumeAttempts++
 		if err := s.backoff(); err != nil {
-			return incomplete(err, cause)
+			return incompleteError(err, cause)
 		}
 		err := s.reopen()
 		if err == nil {
 			return nil
 		}
 		cause = err
-		if final(err) {
+		if isPermanent(err) {
 			break
 		}
 	}
-	return incomplete(context.Cause(s.ctx), cause)
+	return incompleteError(context.Cause(s.ctx), cause)
 }
 
-// reopen asks for the rest of the answer and attaches it.
+// reopen requests the rest of the response and attaches it.
 func (s *engineStream) reopen() error {
 	s.client.counters.resumes.Add(1)
-	conn := newAnswerConn(s.ctx, s.patience)
-	resp, err := s.requestRest(conn)
+	conn := newResponseConn(s.ctx, s.readTimeout)
+	resp, err := s.requestResume(conn)
 	if err != nil {
 		conn.close(err)
 		return err
@@ -54,44 +54,45 @@
 	return nil
 }
 
-func (s *engineStream) requestRest(conn *answerConn) (*http.Response, error) {
-	try := &sealedconn.Call{Repeatable: true}
-	req, err := newRequest(try.Trace(conn.ctx), http.MethodGet, s.target, streamPath(s.call.RequestID), nil)
+func (s *engineStream) requestResume(conn *responseConn) (*http.Response, error) {
+	attempt := &sealedconn.Call{Repeatable: true}
+	req, err := newRequest(attempt.Trace(conn.ctx), http.MethodGet, s.target, streamPath(s.call.RequestID), nil)
 	if err != nil {
 		return nil, err
 	}
-	last := s.call.RequestID + ":" + strconv.FormatUint(s.order.next-1, 10)
+	lastEventID := s.call.RequestID + ":" + strconv.FormatUint(s.reorder.nextSeq-1, 10)
 	req.Header.Set("Accept", "text/event-stream")
 	req.Header.Set(HeaderRequestID, s.call.RequestID)
-	req.Header.Set(HeaderLastEventID, last)
-	conn.timer.Reset(s.clock.patience(false))
+	req.Header.Set(HeaderLastEventID, lastEventID)
+	conn.timer.Reset(s.frameWait.readTimeout(false))
 	resp, err := s.client.transport.RoundTrip(req)
 	conn.timer.Stop()
 	if err != nil {
 		return nil, err
 	}
-	if !success(resp.StatusCode) {
+	if !isSuccess(resp.StatusCode) {
 		return nil, statusError(resp)
 	}
-	if err := checkHead(resp.Header, s.call); err != nil {
+	if err := checkResponseHeader(resp.Header, s.call); err != nil {
 		resp.Body.Close()
 		return nil, err
 	}
 	return resp, nil
 }
 
-// backoff waits before an attempt: not at all before the first, since most
-// cuts are over at once, then for a random time around a doubling mean.
+// backoff waits before an attempt. The first attempt has no delay, since most
+// interruptions are already over; the delay of later ones is random with a mean
+// that doubles each time.
 func (s *engineStream) backoff() error {
-	if s.clock.remaining() <= 0 {
+	if s.frameWait.remaining() <= 0 {
 		return errFrameTimeout
 	}
-	if s.tries <= 1 {
+	if s.resumeAttempts <= 1 {
 		return context.Cause(s.ctx)
 	}
-	mean := s.client.opts.ResumeDelay << min(s.tries-2, maxBackoffShift)
+	mean := s.client.opts.ResumeDelay << min(s.resumeAttempts-2, maxBackoffShift)
 	delay := mean/2 + rand.N(mean)
-	if delay >= s.clock.remaining() {
+	if delay >= s.frameWait.remaining() {
 		return errFrameTimeout
 	}
 	if wait.For(s.ctx, delay) != nil {
@@ -100,11 +101,11 @@
 	return nil
 }
 
-// maxBackoffShift keeps the doubling within a duration.
+// maxBackoffShift limits the doubling so that the delay doesn't overflow.
 const maxBackoffShift = 10
 
-// final says that another attempt would end the same.
-func final(err error) bool {
+// isPermanent reports whether further attempts would fail with the same error.
+func isPermanent(err error) bool {
 	if errors.Is(err, ErrMismatch) {
 		return true
 	}
@@ -115,8 +116,8 @@
 	return status.Status < http.StatusInternalServerError && status.Status != http.StatusTooManyRequests
 }
 
-// incomplete wraps the reason that a stream ended early; both causes may be
-// nil.
-func incomplete(causes ...error) error {
+// incompleteError returns ErrIncomplete wrapped with the causes, each of which
+// may be nil.
+func incompleteError(causes ...error) error {
 	return fmt.Errorf("%w: %w", ErrIncomplete, errors.Join(causes...))
 }
--- a/upstream/sequence.go
+++ b/upstream/sequence.go
@@ -2,97 +2,100 @@
 
 import "bytes"
 
-// arrival says what became of a frame that arrived.
-type arrival int
+// frameStatus is how the reorder buffer handled a received frame.
+type frameStatus int
 
 const (
-	// arrivedInOrder is the next frame; the caller delivers it.
-	arrivedInOrder arrival = iota
-	// arrivedEarly is kept until the frames before it are there.
-	arrivedEarly
-	// arrivedAgain was delivered or kept before, or lies behind the end mark.
-	arrivedAgain
-	// arrivedBeyond is too far ahead to be kept.
-	arrivedBeyond
+	// frameInOrder is the next frame; the caller delivers it.
+	frameInOrder frameStatus = iota
+	// frameBuffered is out of order and kept until the frames before it arrive.
+	frameBuffered
+	// frameDuplicate was already delivered or buffered, or its number isn't below
+	// that of the end marker.
+	frameDuplicate
+	// frameBeyondWindow exceeds the window or the byte limit and isn't kept.
+	frameBeyondWindow
 )
 
-// sequence puts the frames of one answer in order.
-type sequence struct {
-	// next is the number of the next frame to deliver.
-	next uint64
-	// window bounds how far ahead a frame is kept, in frames.
+// reorderBuffer puts the frames of one response in order.
+type reorderBuffer struct {
+	// nextSeq is the number of the next frame to deliver.
+	nextSeq uint64
+	// window limits how far ahead of nextSeq a frame is buffered, in frames.
 	window uint64
-	// budget bounds the bytes of the frames that are kept.
-	budget int
-	held   int
-	early  map[uint64][]byte
-	// end is the number of the end mark; zero until it arrived.
-	end uint64
+	// maxBytes limits the total size of the buffered frames.
+	maxBytes      int
+	bufferedBytes int
+	buffered      map[uint64][]byte
+	// endSeq is the number of the end marker; zero until it is received.
+	endSeq uint64
 }
 
-func newSequence(window, budget int) *sequence {
-	return &sequence{next: 1, window: uint64(window), budget: budget}
+func newReorderBuffer(window, maxBytes int) *reorderBuffer {
+	return &reorderBuffer{nextSeq: 1, window: uint64(window), maxBytes: maxBytes}
 }
 
-// place judges the frame with number n and keeps a copy of an early one.
-func (s *sequence) place(n uint64, data []byte) arrival {
-	if n < s.next || s.early[n] != nil || s.pastEnd(n) {
-		return arrivedAgain
+// insert classifies the frame with number n and buffers a copy of it if it is
+// out of order.
+func (s *reorderBuffer) insert(n uint64, data []byte) frameStatus {
+	if n < s.nextSeq || s.buffered[n] != nil || s.pastEnd(n) {
+		return frameDuplicate
 	}
-	if n == s.next {
-		s.next++
-		return arrivedInOrder
+	if n == s.nextSeq {
+		s.nextSeq++
+		return frameInOrder
 	}
-	if n-s.next > s.window || s.held+len(data) > s.budget {
-		return arrivedBeyond
+	if n-s.nextSeq > s.window || s.bufferedBytes+len(data) > s.maxBytes {
+		return frameBeyondWindow
 	}
-	if s.early == nil {
-		s.early = make(map[uint64][]byte)
+	if s.buffered == nil {
+		s.buffered = make(map[uint64][]byte)
 	}
-	s.early[n] = append([]byte{}, data...)
-	s.held += len(data)
-	return arrivedEarly
+	s.buffered[n] = append([]byte{}, data...)
+	s.bufferedBytes += len(data)
+	return frameBuffered
 }
 
-// pastEnd says that n isn't below the end mark's number.
-func (s *sequence) pastEnd(n uint64) bool {
-	return s.end != 0 && n >= s.end
+// pastEnd reports whether n is at or above the number of the end marker.
+func (s *reorderBuffer) pastEnd(n uint64) bool {
+	return s.endSeq != 0 && n >= s.endSeq
 }
 
-// pop returns the next frame if it arrived early.
-func (s *sequence) pop() (n uint64, data []byte, ok bool) {
-	data, ok = s.early[s.next]
-	if !ok || s.pastEnd(s.next) {
+// pop removes and returns the next frame if it is buffered.
+func (s *reorderBuffer) pop() (n uint64, data []byte, ok bool) {
+	data, ok = s.buffered[s.nextSeq]
+	if !ok || s.pastEnd(s.nextSeq) {
 		return 0, nil, false
 	}
-	n = s.next
-	delete(s.early, n)
-	s.held -= len(data)
-	s.next++
+	n = s.nextSeq
+	delete(s.buffered, n)
+	s.bufferedBytes -= len(data)
+	s.nextSeq++
 	return n, data, true
 }
 
-// waiting says that later frames are kept while the next one is missing.
-func (s *sequence) waiting() bool {
-	return len(s.early) > 0 || s.end > s.next
+// hasGap reports whether later frames or the end marker were received while the
+// next frame is missing.
+func (s *reorderBuffer) hasGap() bool {
+	return len(s.buffered) > 0 || s.endSeq > s.nextSeq
 }
 
-// complete says whether every frame before the end mark was delivered.
-func (s *sequence) complete() bool {
-	return s.end != 0 && s.next == s.end
+// complete reports whether every frame before the end marker was delivered.
+func (s *reorderBuffer) complete() bool {
+	return s.endSeq != 0 && s.nextSeq == s.endSeq
 }
 
-// parseEventID returns the sequence number in an event id if the id belongs
-// to requestID.
+// parseEventID returns the sequence number in an event id; ok is false if the id
+// is malformed or belongs to a request other than requestID.
 func parseEventID(id []byte, requestID string) (seq uint64, ok bool) {
-	at := bytes.LastIndexByte(id, ':')
-	if at < 0 || string(id[:at]) != requestID {
+	sep := bytes.LastIndexByte(id, ':')
+	if sep < 0 || string(id[:sep]) != requestID {
 		return 0, false
 	}
-	return parseSeq(id[at+1:])
+	return parseSeq(id[sep+1:])
 }
 
-// maxSeqDigits keeps sequence numbers far below overflow.
+// maxSeqDigits limits sequence numbers to values that fit in a uint64.
 const maxSeqDigits = 18
 
 func parseSeq(digits []byte) (uint64, bool) {
@@ -109,12 +112,12 @@
 	return n, n > 0
 }
 
-// setEnd notes the number of the end mark. It is false for a mark that comes
-// again or lies before a frame that was delivered.
-func (s *sequence) setEnd(n uint64) bool {
-	if s.end != 0 || n < s.next {
+// setEndSeq records the number of the end marker. It returns false if one is
+// already recorded or if n is the number of a delivered frame.
+func (s *reorderBuffer) setEndSeq(n uint64) bool {
+	if s.endSeq != 0 || n < s.nextSeq {
 		return false
 	}
-	s.end = n
+	s.endSeq = n
 	return true
 }
--- a/upstream/service.go
+++ b/upstream/service.go
@@ -18,20 +18,19 @@
 	DefaultMaxAnswer      = 8 << 20
 )
 
-// ServiceOptions are the settings of NewService. Zero values mean the
-// defaults.
+// ServiceOptions configures NewService. Zero values select the defaults.
 type ServiceOptions struct {
-	// DialTimeout bounds the making of a connection. Default: 2 s.
+	// DialTimeout limits the time to establish a connection. Default: 2 s.
 	DialTimeout time.Duration
-	// IdleConnTimeout is how long an unused connection is kept. Default: 20 s.
+	// IdleConnTimeout is how long an idle connection is kept open. Default: 20 s.
 	IdleConnTimeout time.Duration
-	// MaxIdleConnsPerHost bounds the unused connections to one upstream.
+	// MaxIdleConnsPerHost limits the idle connections to one upstream.
 	// Default: 128.
 	MaxIdleConnsPerHost int
-	// Timeout bounds a call from its start to the end of its answer, beside
-	// the context. Default: 60 s.
+	// Timeout limits a call from its start to the end of the response body, in
+	// addition to the context. Default: 60 s.
 	Timeout time.Duration
-	// MaxAnswer bounds the body of an answer, in bytes. Default: 8 MiB.
+	// MaxAnswer limits the size of a response body, in bytes. Default: 8 MiB.
 	MaxAnswer int
 }
 
@@ -44,7 +43,7 @@
 	return o
 }
 
-// ServiceClient is the Service over HTTP/1.1 with pooled connections.
+// ServiceClient implements Service over HTTP/1.1 with pooled connections.
 type ServiceClient struct {
 	opts      ServiceOptions
 	transport *http.Transport
@@ -52,7 +51,7 @@
 
 var _ Service = (*ServiceClient)(nil)
 
-// NewService returns a client of plain services.
+// NewService returns a client for plain services.
 func NewService(opts ServiceOptions) *ServiceClient {
 	opts = opts.withDefaults()
 	return &ServiceClient{
@@ -61,7 +60,7 @@
 	}
 }
 
-// Close closes the unused connections.
+// Close closes the idle connections.
 func (s *ServiceClient) Close() error {
 	s.transport.CloseIdleConnections()
 	return nil
@@ -71,20 +70,20 @@
 func (s *ServiceClient) Do(ctx context.Context, target Target, call ServiceCall, state *runstate.Tracker) (ServiceAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.opts.Timeout)
 	defer cancel()
-	try := newAttempt(state)
-	try.Repeatable = call.Idempotent
-	req, err := newRequest(try.Trace(ctx), call.Method, target, call.Path, call.Body)
+	attempt := newAttempt(state)
+	attempt.Repeatable = call.Idempotent
+	req, err := newRequest(attempt.Trace(ctx), call.Method, target, call.Path, call.Body)
 	if err != nil {
 		return ServiceAnswer{}, fmt.Errorf("%w: %w", ErrConnect, err)
 	}
 	req.Header = endToEnd(call.Header)
 	req.Header.Set(HeaderRequestID, call.RequestID)
 	if call.Idempotent {
-		permitRepeat(req, call.Body)
+		allowTransportRetry(req, call.Body)
 	}
 	resp, err := s.transport.RoundTrip(req)
 	if err != nil {
-		return ServiceAnswer{}, classify(ctx, try, err)
+		return ServiceAnswer{}, classifyError(ctx, attempt, err)
 	}
 	defer resp.Body.Close()
 	if err := checkRequestID(resp.Header, call.RequestID); err != nil {
@@ -93,20 +92,21 @@
 	if !refused(resp) {
 		state.Raise(runstate.Ran)
 	}
-	body, err := readWhole(ctx, resp, s.opts.MaxAnswer)
+	body, err := readBody(ctx, resp, s.opts.MaxAnswer)
 	if err != nil {
 		return ServiceAnswer{}, err
 	}
 	return ServiceAnswer{Status: resp.StatusCode, Header: endToEnd(resp.Header), Body: body}, nil
 }
 
-// headerRepeat makes the transport send a request again when a pooled
-// connection turns out to be closed. With an empty value it isn't sent.
-const headerRepeat = "X-Idempotency-Key"
+// headerIdempotencyKey makes the transport resend a request when a pooled
+// connection turns out to be closed. The transport doesn't send the header if its
+// value is empty.
+const headerIdempotencyKey = "X-Idempotency-Key"
 
-func permitRepeat(req *http.Request, body []byte) {
-	if _, ok := req.Header[headerRepeat]; !ok {
-		req.Header[headerRepeat] = nil
+func allowTransportRetry(req *http.Request, body []byte) {
+	if _, ok := req.Header[headerIdempotencyKey]; !ok {
+		req.Header[headerIdempotencyKey] = nil
 	}
 	if len(body) == 0 {
 		return
@@ -116,8 +116,8 @@
 	}
 }
 
-// refused says that the service doesn't take the call now or states that it
-// didn't begin it; whether it ran stays open.
+// refused reports whether the service rejected the call for now or states that
+// it didn't start it. Neither shows whether the call ran.
 func refused(resp *http.Response) bool {
 	if resp.Header.Get(HeaderNotRun) == headerTrue {
 		return true
--- a/upstream/service_test.go
+++ b/upstream/service_test.go
@@ -17,7 +17,7 @@
 	"github.com/quetzalweir/quetzalweir/upstream"
 )
 
-func TestServiceAnswers(t *testing.T) {
+func TestServiceResponses(t *testing.T) {
 	tests := []struct {
 		desc   string
 		faults service.Faults
@@ -36,12 +36,12 @@
 			standin, target := startService(t)
 			standin.SetFaults(test.faults)
 			var state runstate.Tracker
-			answer, err := newServiceClient(t).Do(t.Context(), target, serviceCall("r1", "POST", "bid 1", ""), &state)
+			response, err := newServiceClient(t).Do(t.Context(), target, serviceCall("r1", "POST", "bid 1", ""), &state)
 			is.True(errors.Is(err, test.err))
-			is.Equal(answer.Status, test.status)
+			is.Equal(response.Status, test.status)
 			is.Equal(state.State(), test.state)
 			if state.State() == runstate.Ran {
-				is.Equal(answer.Body, service.ExpectedAnswer("POST", "/bids?lot=17", []byte("bid 1")))
+				is.Equal(response.Body, service.ExpectedAnswer("POST", "/bids?lot=17", []byte("bid 1")))
 			}
 		})
 	}
@@ -65,15 +65,15 @@
 	}
 	call.Header.Set("Connection", "upgrade, x-private")
 	target := upstream.Target{Address: srv.Listener.Addr().String()}
-	answer, err := newServiceClient(t).Do(t.Context(), target, call, new(runstate.Tracker))
+	response, err := newServiceClient(t).Do(t.Context(), target, call, new(runstate.Tracker))
 	is.NoErr(err)
-	is.Equal(answer.Header.Get("X-Kept"), "2")
-	is.Equal(answer.Header.Get("X-Private"), "")
-	is.Equal(call.Header.Get("X-Private"), "1") // the caller's headers stay
+	is.Equal(response.Header.Get("X-Kept"), "2")
+	is.Equal(response.Header.Get("X-Private"), "")
+	is.Equal(call.Header.Get("X-Private"), "1") // the caller's headers are unchanged
 }
 
-// answerOnce serves one connection with raw bytes and closes it.
-func answerOnce(t *testing.T, raw string) upstream.Target {
+// serveRawResponse accepts one connection, writes raw to it and closes it.
+func serveRawResponse(t *testing.T, raw string) upstream.Target {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -123,10 +123,10 @@
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
 			is := is.New(t)
-			target := answerOnce(t, test.raw)
-			answer, err := newServiceClient(t).Do(t.Context(), target, serviceCall("r1", test.method, "", ""), new(runstate.Tracker))
+			target := serveRawResponse(t, test.raw)
+			response, err := newServiceClient(t).Do(t.Context(), target, serviceCall("r1", test.method, "", ""), new(runstate.Tracker))
 			is.True(errors.Is(err, test.err))
-			is.Equal(string(answer.Body), test.body)
+			is.Equal(string(response.Body), test.body)
 		})
 	}
 }
--- a/upstream/stats.go
+++ b/upstream/stats.go
@@ -2,38 +2,38 @@
 
 import "sync/atomic"
 
-// EngineStats counts what an EngineClient met since it was made.
+// EngineStats holds the counters of an EngineClient since its creation.
 type EngineStats struct {
-	// Duplicates are frames that arrived again; they were dropped.
+	// Duplicates counts frames received more than once; the copies are dropped.
 	Duplicates uint64
-	// Reordered are frames that arrived early and were put in order.
+	// Reordered counts frames received out of order and buffered.
 	Reordered uint64
-	// Crossed are frames of another request, or without a readable id; they
-	// were dropped.
-	Crossed uint64
-	// Resumes are attempts to resume a stream.
+	// Foreign counts frames of another request or with an unreadable id; they
+	// are dropped.
+	Foreign uint64
+	// Resumes counts attempts to resume a stream.
 	Resumes uint64
-	// Incomplete are streams that ended without their end mark.
+	// Incomplete counts streams that ended without an end marker.
 	Incomplete uint64
-	// Cancels are the cancellations that were sent, CancelsSkipped those that
-	// were over MaxCancels.
+	// Cancels counts cancellations sent, CancelsSkipped those not sent because
+	// MaxCancels were already in flight.
 	Cancels        uint64
 	CancelsSkipped uint64
 }
 
 type engineCounters struct {
-	duplicates, reordered, crossed atomic.Uint64
+	duplicates, reordered, foreign atomic.Uint64
 	resumes, incomplete            atomic.Uint64
 	cancels, cancelsSkipped        atomic.Uint64
 }
 
-// Stats returns the counters.
+// Stats returns the current values of the counters.
 func (e *EngineClient) Stats() EngineStats {
 	c := &e.counters
 	return EngineStats{
 		Duplicates:     c.duplicates.Load(),
 		Reordered:      c.reordered.Load(),
-		Crossed:        c.crossed.Load(),
+		Foreign:        c.foreign.Load(),
 		Resumes:        c.resumes.Load(),
 		Incomplete:     c.incomplete.Load(),
 		Cancels:        c.cancels.Load(),
--- a/upstream/status.go
+++ b/upstream/status.go
@@ -6,22 +6,23 @@
 	"strings"
 )
 
-// maxMessage bounds the part of an error's body that is kept, in bytes.
-const maxMessage = 512
+// maxErrorMessage limits how much of the body of an error response is kept, in
+// bytes.
+const maxErrorMessage = 512
 
-// statusError reads the answer's start and closes it.
+// statusError returns the response as a StatusError and closes its body.
 func statusError(resp *http.Response) *StatusError {
 	defer resp.Body.Close()
-	start, _ := io.ReadAll(io.LimitReader(resp.Body, maxMessage))
+	message, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorMessage))
 	return &StatusError{
 		Status:     resp.StatusCode,
 		Leaving:    resp.Header.Get(HeaderLeaving) == headerTrue,
 		NotRun:     resp.Header.Get(HeaderNotRun) == headerTrue,
 		RetryAfter: parseRetryAfter(resp.Header),
-		Message:    strings.TrimSpace(string(start)),
+		Message:    strings.TrimSpace(string(message)),
 	}
 }
 
-func success(status int) bool {
+func isSuccess(status int) bool {
 	return status >= 200 && status < 300
 }
--- a/upstream/stream.go
+++ b/upstream/stream.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// endMark is the data of the event that ends an answer.
-const endMark = "[DONE]"
+// endMarker is the data of the event that ends a response.
+const endMarker = "[DONE]"
 
 var (
-	errFrameTimeout = errors.New("no frame within the time limit")
-	errStalled      = errors.New("connection stalled")
-	errClosed       = errors.New("stream closed")
-	errGap          = errors.New("frames are missing")
-	errNoEndMark    = errors.New("no end mark")
+	errFrameTimeout  = errors.New("no frame within FrameTimeout")
+	errStalled       = errors.New("connection stalled")
+	errClosed        = errors.New("stream closed")
+	errMissingFrames = errors.New("gap in the frame sequence exceeds the reorder window")
+	errNoEndMarker   = errors.New("stream ended without an end marker")
 )
 
-// engineStream is the Stream of an EngineClient.
+// engineStream implements Stream for EngineClient.
 type engineStream struct {
 	client *EngineClient
 	ctx    context.Context
@@ -28,44 +28,44 @@
 	target Target
 	call   Call
 
-	conn   *answerConn
-	events *eventReader
-	clock  frameClock
-	order  *sequence
-	// tries counts the attempts to resume since the last new frame.
-	tries int
+	conn      *responseConn
+	events    *eventReader
+	frameWait frameWait
+	reorder   *reorderBuffer
+	// resumeAttempts counts the attempts to resume since the last delivered frame.
+	resumeAttempts int
 
 	usage   Usage
 	load    Load
 	hasLoad bool
-	// err is the final result of Next; nil while the stream goes on.
+	// err is the final error of Next; nil while the stream is open.
 	err error
 }
 
 func newStream(ctx context.Context, cancel context.CancelCauseFunc, e *EngineClient, target Target, call Call) *engineStream {
 	s := &engineStream{
-		client: e,
-		ctx:    ctx,
-		cancel: cancel,
-		target: target,
-		call:   call,
-		clock:  frameClock{frame: e.opts.FrameTimeout, stall: e.opts.StallTimeout, gap: e.opts.GapTimeout},
-		order:  newSequence(e.opts.ReorderWindow, e.opts.MaxFrame),
+		client:    e,
+		ctx:       ctx,
+		cancel:    cancel,
+		target:    target,
+		call:      call,
+		frameWait: frameWait{frameTimeout: e.opts.FrameTimeout, stallTimeout: e.opts.StallTimeout, gapTimeout: e.opts.GapTimeout},
+		reorder:   newReorderBuffer(e.opts.ReorderWindow, e.opts.MaxFrame),
 	}
 	s.call.Body = nil
 	return s
 }
 
-// attach reads on from the answer on conn.
-func (s *engineStream) attach(conn *answerConn, resp *http.Response) {
+// attach makes the response on conn the source of further events.
+func (s *engineStream) attach(conn *responseConn, resp *http.Response) {
 	conn.body = resp.Body
 	s.conn = conn
 	s.events = newEventReader(conn, s.client.opts.MaxFrame)
 }
 
-// patience is how long the stream still waits on a connection.
-func (s *engineStream) patience() time.Duration {
-	return s.clock.patience(s.order.waiting())
+// readTimeout returns how long the next read may take on the current connection.
+func (s *engineStream) readTimeout() time.Duration {
+	return s.frameWait.readTimeout(s.reorder.hasGap())
 }
 
 // Next implements Stream.
@@ -73,15 +73,15 @@
 	if s.err != nil {
 		return Frame{}, s.err
 	}
-	s.clock.start()
+	s.frameWait.reset()
 	for {
-		if n, data, ok := s.order.pop(); ok {
+		if n, data, ok := s.reorder.pop(); ok {
 			return s.deliver(n, data), nil
 		}
-		if s.order.complete() {
+		if s.reorder.complete() {
 			return Frame{}, s.finish()
 		}
-		frame, ok, err := s.read()
+		frame, ok, err := s.readEvent()
 		if ok {
 			return frame, nil
 		}
@@ -94,53 +94,54 @@
 	}
 }
 
-// read takes one event. It returns a frame if the event is the next one, and
-// an error if nothing more can come from this connection.
-func (s *engineStream) read() (frame Frame, ok bool, err error) {
+// readEvent reads one event. It returns a frame if the event is the next one in
+// order, and an error if the connection can deliver no further frames.
+func (s *engineStream) readEvent() (frame Frame, ok bool, err error) {
 	ev, err := s.events.next()
 	if err != nil {
 		return Frame{}, false, err
 	}
 	n, ok := parseEventID(ev.id, s.call.RequestID)
 	if !ok {
-		s.client.counters.crossed.Add(1)
+		s.client.counters.foreign.Add(1)
 		return Frame{}, false, nil
 	}
-	if string(ev.data) == endMark {
-		s.markEnd(n)
+	if string(ev.data) == endMarker {
+		s.recordEnd(n)
 		return Frame{}, false, nil
 	}
-	switch s.order.place(n, ev.data) {
-	case arrivedInOrder:
+	switch s.reorder.insert(n, ev.data) {
+	case frameInOrder:
 		return s.deliver(n, ev.data), true, nil
-	case arrivedAgain:
+	case frameDuplicate:
 		s.client.counters.duplicates.Add(1)
-	case arrivedEarly:
+	case frameBuffered:
 		s.client.counters.reordered.Add(1)
-	case arrivedBeyond:
-		return Frame{}, false, errGap
+	case frameBeyondWindow:
+		return Frame{}, false, errMissingFrames
 	}
 	return Frame{}, false, nil
 }
 
-// markEnd notes the end mark. Frames that are missing before it may still be
-// late; if the connection ends without them, they are asked for.
-func (s *engineStream) markEnd(n uint64) {
-	if !s.order.setEnd(n) {
+// recordEnd records the number of the end marker. Missing frames before it may
+// still arrive; if the connection ends without them, the stream is resumed to
+// request them.
+func (s *engineStream) recordEnd(n uint64) {
+	if !s.reorder.setEndSeq(n) {
 		s.client.counters.duplicates.Add(1)
 	}
 }
 
 func (s *engineStream) deliver(n uint64, data []byte) Frame {
-	s.tries = 0
+	s.resumeAttempts = 0
 	if usage, ok := chunkUsage(data); ok {
 		s.usage = usage
 	}
 	return Frame{Seq: n, Data: data, Text: chunkText(data)}
 }
 
-// finish ends a complete stream. The body's end is read so that the
-// connection can be used again.
+// finish ends a complete stream. It reads the rest of the body so that the
+// connection can be reused.
 func (s *engineStream) finish() error {
 	s.err = io.EOF
 	s.drain()
@@ -148,14 +149,14 @@
 	return s.err
 }
 
-// Bounds of what is read behind the end mark, in bytes and time.
+// Limits on reading the body after the end marker.
 const (
 	drainLimit   = 4 << 10
 	drainTimeout = 50 * time.Millisecond
 )
 
 func (s *engineStream) drain() {
-	s.clock.deadline = time.Now().Add(drainTimeout)
+	s.frameWait.deadline = time.Now().Add(drainTimeout)
 	_, _ = io.CopyN(io.Discard, s.events.reader, drainLimit)
 }
 
@@ -178,7 +179,7 @@
 // Load implements Stream.
 func (s *engineStream) Load() (Load, bool) { return s.load, s.hasLoad }
 
-// Close implements Stream. It doesn't wait for the engine.
+// Close implements Stream. It doesn't wait for the engine to cancel the request.
 func (s *engineStream) Close() error {
 	if s.err != nil {
 		return nil
--- a/upstream/stream_test.go
+++ b/upstream/stream_test.go
@@ -24,71 +24,71 @@
 	tests := []struct {
 		desc   string
 		faults engine.Faults
-		// counted says whether the right counters moved.
-		counted func(upstream.EngineStats) bool
+		// checkStats reports whether the counters match the fault.
+		checkStats func(upstream.EngineStats) bool
 	}{
-		{"no fault", engine.Faults{}, untouched},
-		{"duplicates", engine.Faults{DuplicateEvery: 3}, duplicates},
-		{"reordered", engine.Faults{ReorderEvery: 4}, reordered},
-		{"late within the window", engine.Faults{LateEvery: 7, LateBy: 5}, reordered},
-		{"late beyond the window", engine.Faults{LateEvery: 10, LateBy: 20}, resumes},
-		{"last frame after the end mark", engine.Faults{LateEvery: 51, LateBy: 1}, untouched},
-		{"crossed", engine.Faults{CrossEvery: 2}, crossed},
-		{"lost", engine.Faults{LoseEvery: 13}, resumes},
-		{"lost right before the end mark", engine.Faults{LoseEvery: 51}, resumes},
-		{"cut before the first frame", engine.Faults{Cut: cut.Plan{At: cut.MidAnswer, Times: 1}}, resumes},
-		{"cut three times", engine.Faults{Cut: cut.Plan{At: cut.MidAnswer, Times: 3, Frames: 9}}, resumes},
-		{"cut before the end mark", engine.Faults{Cut: cut.Plan{At: cut.MidAnswer, Times: 1, Frames: 51}}, resumes},
+		{"no fault", engine.Faults{}, allZero},
+		{"duplicates", engine.Faults{DuplicateEvery: 3}, onlyDuplicates},
+		{"reordered", engine.Faults{ReorderEvery: 4}, onlyReordered},
+		{"late within the window", engine.Faults{LateEvery: 7, LateBy: 5}, onlyReordered},
+		{"late beyond the window", engine.Faults{LateEvery: 10, LateBy: 20}, anyResumes},
+		{"last frame after the end mark", engine.Faults{LateEvery: 51, LateBy: 1}, allZero},
+		{"crossed", engine.Faults{CrossEvery: 2}, onlyForeign},
+		{"lost", engine.Faults{LoseEvery: 13}, anyResumes},
+		{"lost right before the end mark", engine.Faults{LoseEvery: 51}, anyResumes},
+		{"cut before the first frame", engine.Faults{Cut: cut.Plan{At: cut.MidAnswer, Times: 1}}, anyResumes},
+		{"cut three times", engine.Faults{Cut: cut.Plan{At: cut.MidAnswer, Times: 3, Frames: 9}}, anyResumes},
+		{"cut before the end mark", engine.Faults{Cut: cut.Plan{At: cut.MidAnswer, Times: 1, Frames: 51}}, anyResumes},
 		{"all at once", engine.Faults{
 			DuplicateEvery: 3, ReorderEvery: 4, CrossEvery: 2, LoseEvery: 13,
 			Cut: cut.Plan{At: cut.MidAnswer, Times: 2, Frames: 11},
-		}, resumes},
+		}, anyResumes},
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
 			is := is.New(t)
 			standin, target := startEngine(t, engine.Options{})
 			c := newEngineClient(t, upstream.EngineOptions{ReorderWindow: 8, GapTimeout: time.Minute})
-			_, err := ask(t.Context(), c, target, engineCallWith("another", "bid on lot 18 tokens=50"), new(runstate.Tracker))
+			_, err := openAndRead(t.Context(), c, target, engineCallWith("another", "bid on lot 18 tokens=50"), new(runstate.Tracker))
 			is.NoErr(err)
 			standin.SetFaults(test.faults)
-			text, err := ask(t.Context(), c, target, engineCall("r1"), new(runstate.Tracker))
+			text, err := openAndRead(t.Context(), c, target, engineCall("r1"), new(runstate.Tracker))
 			is.NoErr(err)
 			is.Equal(text, engine.ExpectedAnswer("m", "1", prompt))
-			is.True(test.counted(c.Stats()))
+			is.True(test.checkStats(c.Stats()))
 			is.Equal(standin.Arrival("r1").Began, 1)
 		})
 	}
 }
 
-func duplicates(s upstream.EngineStats) bool { return s.Duplicates > 0 && s.Resumes == 0 }
-func reordered(s upstream.EngineStats) bool  { return s.Reordered > 0 && s.Resumes == 0 }
-func crossed(s upstream.EngineStats) bool    { return s.Crossed > 0 && s.Resumes == 0 }
-func resumes(s upstream.EngineStats) bool    { return s.Resumes > 0 }
-func untouched(s upstream.EngineStats) bool  { return s == upstream.EngineStats{} }
+func onlyDuplicates(s upstream.EngineStats) bool { return s.Duplicates > 0 && s.Resumes == 0 }
+func onlyReordered(s upstream.EngineStats) bool  { return s.Reordered > 0 && s.Resumes == 0 }
+func onlyForeign(s upstream.EngineStats) bool    { return s.Foreign > 0 && s.Resumes == 0 }
+func anyResumes(s upstream.EngineStats) bool     { return s.Resumes > 0 }
+func allZero(s upstream.EngineStats) bool        { return s == upstream.EngineStats{} }
 
-// script is an engine that answers each request with the next of its parts
-// and then breaks the connection.
-type script struct {
-	version string
-	parts   []string
-	// resumed holds the Last-Event-ID of each resume.
+// scriptedEngine responds to each request with the next of its responses and then
+// breaks the connection.
+type scriptedEngine struct {
+	version   string
+	responses []string
+	// resumed holds the Last-Event-ID of each resume request.
 	resumed []string
 }
 
-func (s *script) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *scriptedEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodDelete {
 		return
 	}
 	if r.Method == http.MethodGet {
 		s.resumed = append(s.resumed, r.Header.Get(upstream.HeaderLastEventID))
 	}
-	if len(s.parts) == 0 {
+	if len(s.responses) == 0 {
 		http.Error(w, "gone", http.StatusNotFound)
 		return
 	}
-	part := s.parts[0]
-	s.parts = s.parts[1:]
+	part := s.responses[0]
+	s.responses = s.responses[1:]
 	version, part, ok := strings.Cut(part, "|")
 	if !ok {
 		version, part = s.version, version
@@ -96,44 +96,44 @@
 	w.Header().Set(upstream.HeaderModelVersion, version)
 	fmt.Fprint(w, part)
 	_ = http.NewResponseController(w).Flush()
-	if strings.HasSuffix(part, hang) {
+	if strings.HasSuffix(part, hangMarker) {
 		<-r.Context().Done()
 	}
 	cut.Now()
 }
 
-// TestStreamNeverLies sends random events over connections that break at
-// random: whatever comes, the frames are the right ones in order, and io.EOF
-// means that all of them were delivered.
-func TestStreamNeverLies(t *testing.T) {
+// TestStreamDeliversCorrectPrefix sends random events over connections that break
+// at random points. The delivered frames must be the first ones of the response in
+// order, and io.EOF must mean that all of them were delivered.
+func TestStreamDeliversCorrectPrefix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 6).Draw(t, "frames")
 		event := rapid.Custom(func(t *rapid.T) string { return drawEvent(t, n) })
 		parts := rapid.SliceOfN(rapid.SliceOfN(event, 0, 12), 1, 8).Draw(t, "connections")
-		s := &script{version: "m@1"}
+		s := &scriptedEngine{version: "m@1"}
 		for _, events := range parts {
-			s.parts = append(s.parts, strings.Join(events, ""))
+			s.responses = append(s.responses, strings.Join(events, ""))
 		}
 		srv := httptest.NewServer(s)
 		defer srv.Close()
 		c := upstream.NewEngine(upstream.EngineOptions{ReorderWindow: 3, ResumeTries: 3, ResumeDelay: time.Microsecond})
 		defer c.Close()
 		target := upstream.Target{Address: srv.Listener.Addr().String()}
-		text, err := ask(t.Context(), c, target, engineCall("r1"), new(runstate.Tracker))
-		whole := text == words(n)
+		text, err := openAndRead(t.Context(), c, target, engineCall("r1"), new(runstate.Tracker))
+		whole := text == expectedText(n)
 		if err == nil && !whole {
-			t.Fatalf("%q was said to be the whole answer of %d frames", text, n)
+			t.Fatalf("stream ended with io.EOF after %q, expected %d frames", text, n)
 		}
 		if err != nil && !errors.Is(err, upstream.ErrIncomplete) {
 			t.Fatal(err)
 		}
-		if !strings.HasPrefix(words(n), text) {
-			t.Fatalf("%q isn't how the answer begins", text)
+		if !strings.HasPrefix(expectedText(n), text) {
+			t.Fatalf("%q is not a prefix of the response", text)
 		}
 	})
 }
 
-// drawEvent draws an event of an answer of n frames, mostly a right one.
+// drawEvent draws an event for a response of n frames; most are valid.
 func drawEvent(t *rapid.T, n int) string {
 	number := rapid.IntRange(1, n+1).Draw(t, "number")
 	switch rapid.IntRange(0, 9).Draw(t, "kind") {
@@ -147,13 +147,13 @@
 		return ": ping\n\nid: r1:x\ndata: {}\n\n"
 	}
 	if number > n {
-		return end(number)
+		return formatEnd(number)
 	}
-	return frames(number, number)
+	return formatFrames(number, number)
 }
 
-// words is the text of the frames from 1 to n.
-func words(n int) string {
+// expectedText returns the text of frames 1 to n.
+func expectedText(n int) string {
 	text := ""
 	for i := 1; i <= n; i++ {
 		text += fmt.Sprintf("%d ", i)
@@ -161,10 +161,11 @@
 	return text
 }
 
-// hang ends a part after which the connection stays open and silent.
-const hang = ": hang\n"
+// hangMarker ends a response after which the connection stays open without
+// sending more.
+const hangMarker = ": hang\n"
 
-func frames(from, to int) string {
+func formatFrames(from, to int) string {
 	var b strings.Builder
 	for n := from; n <= to; n++ {
 		fmt.Fprintf(&b, "id: r1:%d\ndata: {\"choices\":[{\"delta\":{\"content\":\"%d \"}}]}\n\n", n, n)
@@ -172,7 +173,7 @@
 	return b.String()
 }
 
-func end(n int) string { return fmt.Sprintf("id: r1:%d\ndata: [DONE]\n\n", n) }
+func formatEnd(n int) string { return fmt.Sprintf("id: r1:%d\ndata: [DONE]\n\n", n) }
 
 func TestResume(t *testing.T) {
 	tests := []struct {
@@ -182,26 +183,26 @@
 		want    error
 		resumed []string
 	}{
-		{"at the offset", []string{frames(1, 2), frames(3, 3) + end(4)}, "1 2 3 ", nil, []string{"r1:2"}},
-		{"a frame cut in two comes again", []string{frames(1, 1) + "id: r1:2\ndata: {\"cho", frames(2, 3) + end(4)}, "1 2 3 ", nil, []string{"r1:1"}},
-		{"resent frames are dropped", []string{frames(1, 3), frames(1, 4) + end(5)}, "1 2 3 4 ", nil, []string{"r1:3"}},
-		{"end mark behind a gap", []string{frames(1, 1) + end(4), frames(2, 3) + end(4)}, "1 2 3 ", nil, []string{"r1:1"}},
-		{"end mark without a number", []string{frames(1, 1) + "data: [DONE]\n\n", end(2)}, "1 ", nil, []string{"r1:1"}},
-		{"end mark of another request", []string{frames(1, 1) + "id: r2:2\ndata: [DONE]\n\n", frames(2, 2) + end(3)}, "1 2 ", nil, []string{"r1:1"}},
-		{"silent connection", []string{frames(1, 2) + hang, frames(3, 3) + end(4)}, "1 2 3 ", nil, []string{"r1:2"}},
-		{"silent behind a gap", []string{frames(1, 1) + frames(3, 4) + hang, frames(2, 4) + end(5)}, "1 2 3 4 ", nil, []string{"r1:1"}},
-		{"silent behind the end mark and a gap", []string{frames(1, 1) + end(3) + hang, frames(2, 2) + end(3)}, "1 2 ", nil, []string{"r1:1"}},
-		{"silent behind the end mark", []string{frames(1, 1) + end(2) + hang}, "1 ", nil, nil},
-		{"stream forgotten", []string{frames(1, 2)}, "1 2 ", upstream.ErrIncomplete, []string{"r1:2"}},
-		{"another version", []string{frames(1, 2), "m@2|" + frames(3, 3) + end(4)}, "1 2 ", upstream.ErrIncomplete, []string{"r1:2"}},
-		{"tries spent", []string{frames(1, 1), "", "", ""}, "1 ", upstream.ErrIncomplete, []string{"r1:1", "r1:1", "r1:1"}},
-		{"progress renews the tries", []string{"", "", frames(1, 1), "", "", frames(2, 2) + end(3)}, "1 2 ", nil, []string{"r1:0", "r1:0", "r1:1", "r1:1", "r1:1"}},
-		{"frame too large", []string{frames(1, 1) + "data: " + strings.Repeat("x", 2000)}, "1 ", upstream.ErrTooLarge, nil},
+		{"at the offset", []string{formatFrames(1, 2), formatFrames(3, 3) + formatEnd(4)}, "1 2 3 ", nil, []string{"r1:2"}},
+		{"a frame cut in two comes again", []string{formatFrames(1, 1) + "id: r1:2\ndata: {\"cho", formatFrames(2, 3) + formatEnd(4)}, "1 2 3 ", nil, []string{"r1:1"}},
+		{"resent frames are dropped", []string{formatFrames(1, 3), formatFrames(1, 4) + formatEnd(5)}, "1 2 3 4 ", nil, []string{"r1:3"}},
+		{"end mark behind a gap", []string{formatFrames(1, 1) + formatEnd(4), formatFrames(2, 3) + formatEnd(4)}, "1 2 3 ", nil, []string{"r1:1"}},
+		{"end mark without a number", []string{formatFrames(1, 1) + "data: [DONE]\n\n", formatEnd(2)}, "1 ", nil, []string{"r1:1"}},
+		{"end mark of another request", []string{formatFrames(1, 1) + "id: r2:2\ndata: [DONE]\n\n", formatFrames(2, 2) + formatEnd(3)}, "1 2 ", nil, []string{"r1:1"}},
+		{"silent connection", []string{formatFrames(1, 2) + hangMarker, formatFrames(3, 3) + formatEnd(4)}, "1 2 3 ", nil, []string{"r1:2"}},
+		{"silent behind a gap", []string{formatFrames(1, 1) + formatFrames(3, 4) + hangMarker, formatFrames(2, 4) + formatEnd(5)}, "1 2 3 4 ", nil, []string{"r1:1"}},
+		{"silent behind the end mark and a gap", []string{formatFrames(1, 1) + formatEnd(3) + hangMarker, formatFrames(2, 2) + formatEnd(3)}, "1 2 ", nil, []string{"r1:1"}},
+		{"silent behind the end mark", []string{formatFrames(1, 1) + formatEnd(2) + hangMarker}, "1 ", nil, nil},
+		{"stream forgotten", []string{formatFrames(1, 2)}, "1 2 ", upstream.ErrIncomplete, []string{"r1:2"}},
+		{"another version", []string{formatFrames(1, 2), "m@2|" + formatFrames(3, 3) + formatEnd(4)}, "1 2 ", upstream.ErrIncomplete, []string{"r1:2"}},
+		{"tries spent", []string{formatFrames(1, 1), "", "", ""}, "1 ", upstream.ErrIncomplete, []string{"r1:1", "r1:1", "r1:1"}},
+		{"progress renews the tries", []string{"", "", formatFrames(1, 1), "", "", formatFrames(2, 2) + formatEnd(3)}, "1 2 ", nil, []string{"r1:0", "r1:0", "r1:1", "r1:1", "r1:1"}},
+		{"frame too large", []string{formatFrames(1, 1) + "data: " + strings.Repeat("x", 2000)}, "1 ", upstream.ErrTooLarge, nil},
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
 			is := is.New(t)
-			s := &script{version: "m@1", parts: test.parts}
+			s := &scriptedEngine{version: "m@1", responses: test.parts}
 			srv := httptest.NewServer(s)
 			defer srv.Close()
 			c := upstream.NewEngine(upstream.EngineOptions{
@@ -213,7 +214,7 @@
 			})
 			target := upstream.Target{Address: srv.Listener.Addr().String()}
 			var state runstate.Tracker
-			text, err := ask(t.Context(), c, target, engineCall("r1"), &state)
+			text, err := openAndRead(t.Context(), c, target, engineCall("r1"), &state)
 			is.NoErr(c.Close())
 			is.True(errors.Is(err, test.want))
 			is.Equal(text, test.text)
@@ -239,7 +240,7 @@
 			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				w.Header().Set(upstream.HeaderModelVersion, test.version)
 				w.Header().Set(upstream.HeaderRequestID, test.id)
-				fmt.Fprint(w, frames(1, 2)+end(3))
+				fmt.Fprint(w, formatFrames(1, 2)+formatEnd(3))
 			}))
 			defer srv.Close()
 			c := newEngineClient(t, upstream.EngineOptions{})
@@ -264,7 +265,7 @@
 	_, err = readRest(stream)
 	is.True(errors.Is(err, upstream.ErrIncomplete))
 	_, again := stream.Next()
-	is.Equal(again, err) // the end is final
+	is.Equal(again, err) // the error is permanent
 	is.Equal(c.Stats().Incomplete, uint64(1))
 }
 
@@ -287,7 +288,7 @@
 	_, err = stream.Next()
 	is.True(err != nil && err != io.EOF)
 	is.NoErr(c.Close())
-	is.NoErr(c.Close()) // closing again does no harm
+	is.NoErr(c.Close()) // a second Close is a no-op
 	a := standin.Arrival("r1")
 	is.Equal(a.Cancelled, 1)
 	is.Equal(a.Finished, 0)
--- a/upstream/transport.go
+++ b/upstream/transport.go
@@ -8,19 +8,19 @@
 	"github.com/quetzalweir/quetzalweir/runstate"
 )
 
-// Defaults of the options of both clients.
+// Defaults of the options that both clients share.
 const (
 	DefaultDialTimeout = 2 * time.Second
-	// DefaultIdleConnTimeout is below the usual keep-alive time of servers, so
-	// that this side closes a pooled connection first.
+	// DefaultIdleConnTimeout is shorter than the usual keep-alive timeout of
+	// servers, so that the client closes an idle connection first.
 	DefaultIdleConnTimeout     = 20 * time.Second
 	DefaultMaxIdleConnsPerHost = 128
 	maxIdleConns               = 8192
 	maxHeaderBytes             = 64 << 10
 )
 
-// newTransport returns an HTTP/1.1 transport that tells sealedconn's calls
-// what it writes.
+// newTransport returns an HTTP/1.1 transport whose writes a sealedconn.Call
+// tracks.
 func newTransport(dialTimeout, idleConnTimeout time.Duration, idlePerHost int) *http.Transport {
 	transport := sealedconn.NewTransport(dialTimeout)
 	transport.MaxIdleConns = maxIdleConns
@@ -30,7 +30,8 @@
 	return transport
 }
 
-// newAttempt returns a call that raises the run state before its bytes go out.
+// newAttempt returns a call that raises state to MayHaveRun before the first
+// byte is written.
 func newAttempt(state *runstate.Tracker) *sealedconn.Call {
 	return &sealedconn.Call{OnWrite: func() { state.Raise(runstate.MayHaveRun) }}
 }
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,14 +1,14 @@
-// Package upstream is the client of model engines and plain services.
+// Package upstream provides the clients for model engines and plain services.
 //
-// Engines are met through the chat-completions HTTP API with server-sent
-// events. Each event's id is "<request id>:<sequence number>", sequence
-// numbers start at 1, and the data "[DONE]" is the end mark. A broken stream
-// is taken up again with GET /v1/streams/<request id> and Last-Event-ID, and
-// cancelled with DELETE on the same path.
+// Engines offer the chat-completions HTTP API with server-sent events. Each
+// event's id is "<request id>:<sequence number>", sequence numbers start at 1,
+// and an event with the data "[DONE]" is the end marker. An interrupted stream is
+// resumed with GET /v1/streams/<request id> and Last-Event-ID, and cancelled with
+// DELETE on the same path.
 //
-// The entry host sends with it. The package chooses no upstream and repeats no
-// call, but for resuming a stream and for service calls that are marked
-// idempotent. ErrBroken says nothing on whether a call ran.
+// The entry host uses this package to send requests. The package doesn't select
+// upstreams, and it resends nothing except to resume a stream or to retry a
+// service call marked idempotent. ErrBroken doesn't indicate whether a call ran.
 package upstream
 
 import (
@@ -20,34 +20,35 @@
 	"github.com/quetzalweir/quetzalweir/runstate"
 )
 
-// Errors that a call can end with; each is wrapped with its cause.
+// Errors returned by calls, each wrapped with its cause.
 var (
-	// ErrConnect means that no connection was made; nothing was sent.
-	ErrConnect = errors.New("upstream: no connection")
-	// ErrBroken means that the connection broke after bytes were sent.
+	// ErrConnect means that no byte of the request was sent, for example because
+	// no connection could be established.
+	ErrConnect = errors.New("upstream: request not sent")
+	// ErrBroken means that the call failed after bytes of it may have been sent.
 	ErrBroken = errors.New("upstream: connection broken")
-	// ErrIncomplete means that a stream ended without its end mark and could
+	// ErrIncomplete means that a stream ended without its end marker and could
 	// not be resumed.
-	ErrIncomplete = errors.New("upstream: answer incomplete")
-	// ErrMismatch means that the answer belongs to another request.
-	ErrMismatch = errors.New("upstream: answer of another request")
-	// ErrTooLarge means that an answer or frame is over its size limit.
-	ErrTooLarge = errors.New("upstream: answer too large")
-	// ErrBody means that the request's body isn't a JSON object; nothing was
-	// sent.
+	ErrIncomplete = errors.New("upstream: incomplete response")
+	// ErrMismatch means that the response belongs to another request or model
+	// version.
+	ErrMismatch = errors.New("upstream: response belongs to another request")
+	// ErrTooLarge means that a response or frame exceeds its size limit.
+	ErrTooLarge = errors.New("upstream: response too large")
+	// ErrBody means that the request body isn't a JSON object; nothing was sent.
 	ErrBody = errors.New("upstream: request body is not a JSON object")
 )
 
-// StatusError is an answer with an HTTP status other than success.
+// StatusError is a response with an HTTP status outside 2xx.
 type StatusError struct {
 	Status int
-	// Leaving says that the upstream takes no new work.
+	// Leaving reports that the upstream is draining and accepts no new work.
 	Leaving bool
-	// NotRun says that the upstream states that it did not begin the request.
+	// NotRun reports that the upstream states that it didn't start the request.
 	NotRun bool
-	// RetryAfter is the upstream's advice; zero if it gave none.
+	// RetryAfter is the value of the Retry-After header; zero if there is none.
 	RetryAfter time.Duration
-	// Message is the start of the answer's body.
+	// Message is the start of the response body.
 	Message string
 }
 
@@ -56,7 +57,7 @@
 	return "upstream: status " + http.StatusText(e.Status) + ": " + e.Message
 }
 
-// Target is the upstream that a call goes to.
+// Target is the upstream that receives a call.
 type Target struct {
 	ID      string
 	Address string
@@ -64,75 +65,76 @@
 
 // Call is one attempt of a model request.
 type Call struct {
-	// RequestID is echoed in each frame.
+	// RequestID is part of each event id of the response.
 	RequestID string
 	Model     string
 	Version   string
-	// Body is the caller's chat-completions request, sent with the model and
-	// version set and with streaming on.
+	// Body is the caller's chat-completions request. It is sent with the model
+	// and version set and streaming enabled.
 	Body []byte
-	// Priority is the engine's priority; lower goes first.
+	// Priority orders requests on the engine; lower values run first.
 	Priority int
 	Deadline time.Time
-	// Idempotent says that the call may be sent again.
+	// Idempotent reports that the call may be sent more than once.
 	Idempotent bool
 }
 
-// Frame is one piece of an answer.
+// Frame is one chunk of a streamed response.
 type Frame struct {
-	// Seq starts at 1 and rises by 1.
+	// Seq is the sequence number: 1 for the first frame, then rising by 1.
 	Seq uint64
 	// Data is the event's JSON as the engine sent it. It is valid until the
 	// next call of Next.
 	Data []byte
-	// Text is the delta's content.
+	// Text is the delta content of the first choice.
 	Text string
 }
 
-// Usage is what an answer consumed, in tokens, as the engine counted it.
+// Usage is the token usage of a response as reported by the engine.
 type Usage struct {
 	PromptTokens     int
 	CompletionTokens int
-	// CachedTokens is the part of the prompt that came from the prefix cache.
+	// CachedTokens is the number of prompt tokens read from the prefix cache.
 	CachedTokens int
 }
 
-// Load is an upstream's own report.
+// Load is the load report of an upstream.
 type Load struct {
 	Running  int `json:"running"`
 	Queued   int `json:"queued"`
 	Capacity int `json:"capacity"`
-	// Versions lists the loaded versions as "model@version"; nil says nothing
-	// of them.
+	// Versions lists the loaded versions as "model@version"; nil if the upstream
+	// didn't report them.
 	Versions []string `json:"versions"`
 	Leaving  bool     `json:"leaving"`
 	// AgeMs is how old the report was when it was sent, in milliseconds.
 	AgeMs int64 `json:"age_ms"`
 }
 
-// Stream is an answer being read. It is used by one goroutine.
+// Stream reads a streamed response. It isn't safe for concurrent use.
 type Stream interface {
-	// Next returns the next frame in order. io.EOF comes only after the end
-	// mark; every other end is an error.
+	// Next returns the next frame in order. It returns io.EOF only after all
+	// frames up to the end marker, and another error if the stream ends early.
 	Next() (Frame, error)
-	// Usage is known after io.EOF.
+	// Usage returns the token usage, which is final once Next returns io.EOF.
 	Usage() Usage
-	// Load is the report carried on the answer; ok is false without one.
+	// Load returns the load report in the response headers; ok is false if there
+	// is none.
 	Load() (load Load, ok bool)
-	// Close ends the stream and cancels it upstream if it isn't complete.
+	// Close closes the stream and cancels it on the engine unless it has ended.
 	Close() error
 }
 
 // Engine sends calls to model engines.
 type Engine interface {
-	// Open sends the call and returns at the head of the answer. It raises
-	// state to MayHaveRun at the first byte written and to Ran at the head of
-	// a successful answer. It never sends the call a second time.
+	// Open sends the call and returns when the response header is received. It
+	// raises state to MayHaveRun before the first byte is written and to Ran on a
+	// successful response header. It never sends the call a second time.
 	Open(ctx context.Context, target Target, call Call, state *runstate.Tracker) (Stream, error)
-	// Load asks the engine for its report.
+	// Load requests the engine's load report.
 	Load(ctx context.Context, target Target) (Load, error)
-	// Unload orders the engine to drop a version. Engines that check fencing
-	// numbers refuse a lower one than they have seen.
+	// Unload tells the engine to unload a version. Engines that check fencing
+	// tokens reject one lower than the highest they have received.
 	Unload(ctx context.Context, target Target, model, version string, fencing uint64) error
 }
 
@@ -140,17 +142,17 @@
 type ServiceCall struct {
 	RequestID string
 	Method    string
-	// Path starts with a slash and holds the query.
+	// Path starts with a slash and includes the query string.
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Idempotent says that the call may reach the service more than once: a
-	// pooled connection that turns out to be closed is then replaced and the
-	// call sent again. Default: false, the call is sent at most once.
+	// Idempotent allows the call to reach the service more than once: if a pooled
+	// connection turns out to be closed, the call is resent on another. Default:
+	// false, the call is sent at most once.
 	Idempotent bool
 }
 
-// ServiceAnswer is a whole answer of a plain service.
+// ServiceAnswer is the complete response of a plain service.
 type ServiceAnswer struct {
 	Status int
 	Header http.Header
@@ -159,9 +161,9 @@
 
 // Service sends calls to plain services.
 type Service interface {
-	// Do sends the call and reads the whole answer; only an idempotent call is
-	// ever sent again. It raises state as Engine.Open does, where each answer
-	// counts as a success unless it says that the call was not run. Statuses
-	// are returned as answers, not as errors.
+	// Do sends the call and reads the complete response; only an idempotent call
+	// is ever resent. It raises state to MayHaveRun before the first byte is
+	// written, and to Ran on any response except 429, 503 or one stating that the
+	// call was not run. Error statuses are returned as responses, not as errors.
 	Do(ctx context.Context, target Target, call ServiceCall, state *runstate.Tracker) (ServiceAnswer, error)
 }
--- a/upstream/whole.go
+++ b/upstream/whole.go
@@ -8,12 +8,13 @@
 	"net/http"
 )
 
-var errNoLength = errors.New("answer has neither length nor chunks")
+var errNoLength = errors.New("response has neither Content-Length nor chunked encoding")
 
-// readWhole reads a body of at most limit bytes whose end can be verified: by
-// Content-Length or by the last chunk. A body that ends with its connection
-// can't be told from one that was cut, so it counts as broken.
-func readWhole(ctx context.Context, resp *http.Response, limit int) ([]byte, error) {
+// readBody reads a response body of at most limit bytes whose end can be
+// verified by Content-Length or the last chunk. A body that is delimited by the
+// close of the connection can't be distinguished from a truncated one, so it
+// returns ErrBroken.
+func readBody(ctx context.Context, resp *http.Response, limit int) ([]byte, error) {
 	if resp.Body == http.NoBody {
 		return nil, nil
 	}
@@ -21,21 +22,21 @@
 		return nil, fmt.Errorf("%w: %w", ErrBroken, errNoLength)
 	}
 	if resp.ContentLength > int64(limit) {
-		return nil, fmt.Errorf("%w: %d bytes", ErrTooLarge, resp.ContentLength)
+		return nil, fmt.Errorf("%w: Content-Length is %d bytes", ErrTooLarge, resp.ContentLength)
 	}
 	data, err := io.ReadAll(io.LimitReader(resp.Body, int64(limit)+1))
 	if err != nil {
-		return nil, brokenBy(ctx, err)
+		return nil, brokenError(ctx, err)
 	}
 	if len(data) > limit {
-		return nil, fmt.Errorf("%w: over %d bytes", ErrTooLarge, limit)
+		return nil, fmt.Errorf("%w: body exceeds %d bytes", ErrTooLarge, limit)
 	}
 	return data, nil
 }
 
-// brokenBy wraps a read error as ErrBroken, with the cause of a cancelled
-// context in the chain.
-func brokenBy(ctx context.Context, err error) error {
+// brokenError wraps a read error as ErrBroken. If ctx was cancelled, the error
+// chain includes its cause.
+func brokenError(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil && !errors.Is(err, cause) {
 		return fmt.Errorf("%w: %w: %w", ErrBroken, cause, err)
 	}
