--- a/config/bench_test.go
+++ b/config/bench_test.go
@@ -11,11 +11,11 @@
 	"github.com/quetzalweir/quetzalweir/config/configtest"
 )
 
-// BenchmarkCheck is what each request pays for the freshness rule.
+// BenchmarkCheck measures the cost of the freshness check, which each request pays.
 func BenchmarkCheck(b *testing.B) {
-	bench := newBench()
-	bench.submit(b, config.Head{}, "1")
-	w := config.NewWatcher(config.WatcherOptions{Store: bench.store, Bound: time.Hour})
+	f := newFixture()
+	f.submit(b, config.Head{}, "1")
+	w := config.NewWatcher(config.WatcherOptions{Store: f.store, Bound: time.Hour})
 	configtest.Run(b, w)
 	for errors.Is(w.Check(), config.ErrNoManifest) {
 		time.Sleep(time.Millisecond)
@@ -30,41 +30,41 @@
 	})
 }
 
-// BenchmarkSubmit reports the table calls of one accepted manifest.
+// BenchmarkSubmit reports the table reads and commits per accepted manifest.
 func BenchmarkSubmit(b *testing.B) {
-	bench := newBench()
+	f := newFixture()
 	head := config.Head{}
 	n := 0
 	for b.Loop() {
 		n++
-		head = bench.submit(b, head, fmt.Sprint(n))
+		head = f.submit(b, head, fmt.Sprint(n))
 	}
-	counts := bench.table.Counts()
+	counts := f.table.Counts()
 	b.ReportMetric(float64(counts.Gets)/float64(n), "reads/op")
 	b.ReportMetric(float64(counts.Commits)/float64(n), "commits/op")
 }
 
-// BenchmarkReport reads the confirmations of as many hosts.
+// BenchmarkReport measures Report for different numbers of hosts.
 func BenchmarkReport(b *testing.B) {
 	for _, hosts := range []int{7, 440} {
 		b.Run(fmt.Sprintf("hosts=%d", hosts), func(b *testing.B) {
-			bench := newBench()
-			head := bench.submit(b, config.Head{}, "1")
+			f := newFixture()
+			head := f.submit(b, config.Head{}, "1")
 			var names []string
 			for i := range hosts {
 				names = append(names, fmt.Sprintf("host-%03d", i))
-				if err := bench.store.Confirm(context.Background(), names[i], head); err != nil {
+				if err := f.store.Confirm(context.Background(), names[i], head); err != nil {
 					b.Fatal(err)
 				}
 			}
-			before := bench.table.Counts().Lists
+			before := f.table.Counts().Lists
 			for b.Loop() {
-				report, err := bench.store.Report(context.Background(), head, names)
+				report, err := f.store.Report(context.Background(), head, names)
 				if err != nil || len(report.Confirmed) != hosts {
 					b.Fatal(report, err)
 				}
 			}
-			b.ReportMetric(float64(bench.table.Counts().Lists-before)/float64(b.N), "lists/op")
+			b.ReportMetric(float64(f.table.Counts().Lists-before)/float64(b.N), "lists/op")
 		})
 	}
 }
--- a/config/body.go
+++ b/config/body.go
@@ -7,26 +7,27 @@
 	"github.com/quetzalweir/quetzalweir/manifest"
 )
 
-// Load reads, verifies and compiles the manifest that head names.
+// Load reads, verifies and compiles the manifest with head's digest.
 func (s *Store) Load(ctx context.Context, head Head) (*manifest.Policy, error) {
 	body, err := s.objects.Read(ctx, bodyName(head.Digest))
 	if err != nil {
 		return nil, fmt.Errorf("config: read body of epoch %d: %w", head.Epoch, err)
 	}
-	return compile(body, head)
+	return verifyAndCompile(body, head)
 }
 
-// LoadEpoch is Load for the manifest that was accepted under epoch.
+// LoadEpoch loads the manifest that was accepted as epoch, as Load does.
 func (s *Store) LoadEpoch(ctx context.Context, epoch uint64) (*manifest.Policy, error) {
-	head, err := s.acceptedAt(ctx, epoch)
+	head, err := s.readEpoch(ctx, epoch)
 	if err != nil {
 		return nil, err
 	}
 	return s.Load(ctx, head)
 }
 
-// LoadFrom is Load for a host that has current in force. Where that is the
-// parent, it reads the delta only, a few hundred bytes in place of the body.
+// LoadFrom loads the manifest with head's digest, as Load does, for a host that has
+// current in force. If current is the manifest's parent, it reads only the delta, a
+// few hundred bytes instead of the whole body.
 func (s *Store) LoadFrom(ctx context.Context, head Head, current *manifest.Policy) (*manifest.Policy, error) {
 	if current == nil || current.Digest != head.Parent {
 		return s.Load(ctx, head)
@@ -35,7 +36,7 @@
 	if err == nil {
 		return policy, nil
 	}
-	return s.Load(ctx, head) // the delta is a help, no more
+	return s.Load(ctx, head) // the delta is only an optimization
 }
 
 func (s *Store) loadDelta(ctx context.Context, head Head, current *manifest.Policy) (*manifest.Policy, error) {
@@ -47,11 +48,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return compile(body, head)
+	return verifyAndCompile(body, head)
 }
 
-// writeDelta stores what leads from the parent's body to the proposal's. It
-// only saves traffic, so a failure is no failure of the submission.
+// writeDelta stores the delta from the parent's body to the proposal's. The delta
+// only saves traffic, so the submission goes on if it can't be written.
 func (s *Store) writeDelta(ctx context.Context, p *proposal) {
 	if p.head.Parent == "" {
 		return
@@ -66,9 +67,9 @@
 	}
 }
 
-// compile verifies a body against its digest, so that it doesn't matter from
-// where it came, and compiles it.
-func compile(body []byte, head Head) (*manifest.Policy, error) {
+// verifyAndCompile compiles a body after checking its digest, so that the body may
+// come from an untrusted source.
+func verifyAndCompile(body []byte, head Head) (*manifest.Policy, error) {
 	if digest := manifest.DigestCanonical(body); digest != head.Digest {
 		return nil, fmt.Errorf("%w: body of epoch %d has digest %s, not %s", ErrDamaged, head.Epoch, digest, head.Digest)
 	}
--- a/config/body_test.go
+++ b/config/body_test.go
@@ -14,7 +14,7 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// countedObjects counts the bytes read, and can damage or hide deltas.
+// countedObjects counts the bytes read, and can corrupt or hide deltas.
 type countedObjects struct {
 	storage.Objects
 	read   atomic.Int64
@@ -30,8 +30,8 @@
 	return data, err
 }
 
-// A host that has the parent reads one change, not the whole manifest; with
-// a delta that can't be used it reads the body.
+// A host that has the parent in force must read only the delta. If the delta can't be
+// used, it must read the body.
 func TestHostReadsDeltas(t *testing.T) {
 	const accounts = 500
 	for _, tc := range []struct {
@@ -41,11 +41,11 @@
 	}{
 		{"delta", nil, false},
 		{"no delta", func([]byte) ([]byte, error) { return nil, storage.ErrNotFound }, true},
-		{"damaged delta", func(data []byte) ([]byte, error) { return data[:len(data)-2], nil }, true},
-		{"delta of something else", func([]byte) ([]byte, error) { return []byte(`{"steps":[{"to":1}]}`), nil }, true},
+		{"corrupt delta", func(data []byte) ([]byte, error) { return data[:len(data)-2], nil }, true},
+		{"delta to another document", func([]byte) ([]byte, error) { return []byte(`{"steps":[{"to":1}]}`), nil }, true},
 	} {
 		t.Run(tc.desc, func(t *testing.T) {
-			inBench(t, func(t *testing.T, is *is.I, b *bench) {
+			runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
 				doc, err := manifest.Parse(document("", "1"))
 				is.NoErr(err)
 				for i := range accounts {
@@ -68,7 +68,7 @@
 				is.Equal(w.Current().Digest, second.Head.Digest)
 				change := objects.read.Load()
 				is.Equal(change >= whole, tc.whole)
-				t.Logf("whole manifest: %d bytes, one change: %d bytes", whole, change)
+				t.Logf("whole manifest: %d bytes, one delta: %d bytes", whole, change)
 			})
 		})
 	}
--- a/config/configtest/doc.go
+++ b/config/configtest/doc.go
@@ -1,7 +1,7 @@
-// Package configtest runs the watchers of several hosts in one process, joined
-// by a network that can be cut.
+// Package configtest runs the watchers of several hosts in one process, connected
+// by a simulated network that can be partitioned.
 //
-// Tests of package config use it, and tests of what embeds a config.Watcher can.
-// Answers of peers take no time and aren't lost on the way; for a slow or failing
-// table see package storage/faulty.
+// It serves the tests of package config and of packages that embed a config.Watcher.
+// Responses of peers arrive at once and are never lost; for a slow or failing table
+// see package storage/faulty.
 package configtest
--- a/config/configtest/example_test.go
+++ b/config/configtest/example_test.go
@@ -26,7 +26,7 @@
 	})
 }
 
-// Hosts that have begun to watch and learnt of nothing take no work.
+// Hosts without a manifest accept no requests.
 func Example() {
 	network := configtest.NewNetwork()
 	store := config.NewStore(memory.New(), memory.NewObjects())
@@ -37,7 +37,8 @@
 	// Output: map[a:none stopped b:none stopped]
 }
 
-// A host that is cut off asks no other.
+// A host that is isolated during an outage of the table can't query the others, so
+// its evidence expires.
 func TestIsolate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/config/configtest/network.go
+++ b/config/configtest/network.go
@@ -9,14 +9,15 @@
 	"github.com/quetzalweir/quetzalweir/config"
 )
 
-var errNoPeer = errors.New("configtest: no peer has it")
+var errNoPeer = errors.New("configtest: no reachable peer has the body")
 
-// Network joins watchers that ask each other in memory. It is safe for
+// Network connects watchers that query each other in memory. It is safe for
 // concurrent use.
 type Network struct {
 	mu       sync.Mutex
 	watchers map[string]*config.Watcher
-	// isolated hosts reach only each other; the others reach only the others.
+	// isolated holds one side of the partition; hosts reach only hosts on their own
+	// side.
 	isolated map[string]bool
 }
 
@@ -25,10 +26,10 @@
 	return &Network{watchers: make(map[string]*config.Watcher), isolated: make(map[string]bool)}
 }
 
-// NewWatcher returns a watcher for the host that asks the others on the network
-// and is asked by them.
+// NewWatcher adds a host to the network and returns its watcher, which queries the
+// other hosts and responds to their queries.
 func (n *Network) NewWatcher(options config.WatcherOptions, host string) *config.Watcher {
-	peers := peersOf{n, host}
+	peers := hostPeers{n, host}
 	options.Host, options.Peers, options.Bodies = host, peers, peers
 	w := config.NewWatcher(options)
 	n.mu.Lock()
@@ -37,8 +38,8 @@
 	return w
 }
 
-// Isolate cuts the hosts from all others, in place of the cut before. Without
-// hosts it heals the network.
+// Isolate separates the hosts from all others; it replaces the previous partition.
+// Without hosts it ends the partition.
 func (n *Network) Isolate(hosts ...string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -48,8 +49,8 @@
 	}
 }
 
-// States describes each host by the epoch in force, or "none", with the word
-// "stopped" if the host takes no work.
+// States returns a description of each host's state: the epoch in force or "none",
+// followed by "stopped" if the host accepts no requests.
 func (n *Network) States() map[string]string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -71,7 +72,7 @@
 	return text
 }
 
-// reachable returns the other hosts that host can ask.
+// reachable returns the watchers of the other hosts that host can reach.
 func (n *Network) reachable(host string) map[string]*config.Watcher {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -84,21 +85,21 @@
 	return others
 }
 
-// peersOf is the network as one host sees it.
-type peersOf struct {
+// hostPeers implements config.Peers and config.Bodies for one host.
+type hostPeers struct {
 	network *Network
 	host    string
 }
 
 // Known implements config.Peers.
-func (p peersOf) Known() int {
+func (p hostPeers) Known() int {
 	p.network.mu.Lock()
 	defer p.network.mu.Unlock()
 	return len(p.network.watchers)
 }
 
 // Ask implements config.Peers.
-func (p peersOf) Ask(context.Context) []config.PeerView {
+func (p hostPeers) Ask(context.Context) []config.PeerView {
 	var views []config.PeerView
 	for host, w := range p.network.reachable(p.host) {
 		views = append(views, w.View(host))
@@ -107,7 +108,7 @@
 }
 
 // FetchBody implements config.Bodies.
-func (p peersOf) FetchBody(_ context.Context, digest string) ([]byte, error) {
+func (p hostPeers) FetchBody(_ context.Context, digest string) ([]byte, error) {
 	for _, w := range p.network.reachable(p.host) {
 		if body, ok := w.Body(digest); ok {
 			return body, nil
--- a/config/confirm.go
+++ b/config/confirm.go
@@ -12,29 +12,29 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// confirmation is the row in which a host states what it has in force.
+// confirmation is the value of the row in which a host records its manifest in force.
 type confirmation struct {
 	Epoch  uint64    `json:"epoch"`
 	Digest string    `json:"digest"`
 	At     time.Time `json:"at"`
 }
 
-// InForce says which hosts confirmed a head.
+// InForce lists which hosts have confirmed a head.
 type InForce struct {
-	// Confirmed hosts had the head or a later one in force when they wrote
-	// their row, and never go back.
+	// Confirmed hosts had the head or a later one in force when they wrote their
+	// row. A host never returns to an earlier head.
 	Confirmed []string
-	// Unconfirmed hosts have not said so; they may have it in force already.
+	// Unconfirmed hosts have written no such row; they may still have the head in force.
 	Unconfirmed []string
 }
 
 const (
 	confirmAttempts = 3
-	reportPage      = 500
+	confirmPageSize = 500
 )
 
-// Confirm records that host has put head in force. The row only rises: a late
-// write of an older head is void.
+// Confirm records that host has put head in force. The row's epoch never decreases:
+// a late write of an older head has no effect.
 func (s *Store) Confirm(ctx context.Context, host string, head Head) error {
 	var err error
 	for attempt := range confirmAttempts {
@@ -42,7 +42,7 @@
 		if done, err = s.confirm(ctx, host, head); done {
 			return nil
 		}
-		if pause(ctx, attempt) != nil {
+		if backOff(ctx, attempt) != nil {
 			break
 		}
 	}
@@ -58,7 +58,7 @@
 	if old.Epoch > head.Epoch {
 		return true, nil
 	}
-	row := encodeRow(confirmation{Epoch: head.Epoch, Digest: head.Digest, At: now()})
+	row := encodeRow(confirmation{Epoch: head.Epoch, Digest: head.Digest, At: wallTime()})
 	_, err = s.table.Commit(ctx, storage.Txn{
 		Conditions: []storage.Condition{{Key: key, Version: version}},
 		Puts:       []storage.Put{{Key: key, Value: row}},
@@ -86,11 +86,11 @@
 	return c, nil
 }
 
-// Report says which of the hosts confirmed head or a later one, in the order
-// of their names.
+// Report returns which of the hosts have confirmed head or a later one, sorted by
+// name.
 func (s *Store) Report(ctx context.Context, head Head, hosts []string) (InForce, error) {
 	epochs := map[string]uint64{}
-	err := s.eachConfirmation(ctx, func(row storage.Row, c confirmation) error {
+	err := s.forEachConfirmation(ctx, func(row storage.Row, c confirmation) error {
 		epochs[strings.TrimPrefix(row.Key, confirmPrefix)] = c.Epoch
 		return nil
 	})
@@ -108,10 +108,10 @@
 	return report, nil
 }
 
-func (s *Store) eachConfirmation(ctx context.Context, visit func(storage.Row, confirmation) error) error {
+func (s *Store) forEachConfirmation(ctx context.Context, visit func(storage.Row, confirmation) error) error {
 	after := ""
 	for {
-		rows, err := s.table.List(ctx, confirmPrefix, after, reportPage)
+		rows, err := s.table.List(ctx, confirmPrefix, after, confirmPageSize)
 		if err != nil {
 			return fmt.Errorf("config: list confirmations: %w", err)
 		}
@@ -124,17 +124,18 @@
 				return err
 			}
 		}
-		if len(rows) < reportPage {
+		if len(rows) < confirmPageSize {
 			return nil
 		}
 		after = rows[len(rows)-1].Key
 	}
 }
 
-// PruneConfirmations removes the rows of hosts that wrote none since before.
-// Live hosts write theirs anew each hour, so a day is a safe age.
+// PruneConfirmations deletes the rows that were last written earlier than before.
+// Running hosts rewrite their row every hour, so rows older than a day can safely
+// be deleted.
 func (s *Store) PruneConfirmations(ctx context.Context, before time.Time) error {
-	return s.eachConfirmation(ctx, func(row storage.Row, c confirmation) error {
+	return s.forEachConfirmation(ctx, func(row storage.Row, c confirmation) error {
 		if !c.At.Before(before) {
 			return nil
 		}
@@ -143,7 +144,7 @@
 			Deletes:    []string{row.Key},
 		})
 		if errors.Is(err, storage.ErrConflict) {
-			return nil // it was written anew
+			return nil // the host has rewritten the row
 		}
 		return err
 	})
--- a/config/doc.go
+++ b/config/doc.go
@@ -1,10 +1,10 @@
-// Package config decides which manifest is in force. A Store accepts
-// documents one after the other into the platform's table; a Watcher on each
-// host puts the newest in force, never an older one again, and says whether
-// the host may still take new work. docs/design/0004-config-head.md gives the
-// reasons.
+// Package config decides which manifest is in force. A Store records accepted
+// manifests as a sequence of epochs in the platform's table. A Watcher on each
+// host puts the newest manifest in force, never goes back to an older one, and
+// reports whether the host may accept new requests. The design and its reasons are
+// in docs/design/0004-config-head.md.
 //
-// The entry host embeds both. While a part of the hosts hears neither from the
-// table nor from a host that does, a majority among them can go on with the
-// manifest before; Store.Report says which hosts confirmed the newest.
+// The entry host embeds both. Hosts that can reach neither the table nor any host
+// that reads it can continue with the previous manifest if they are a majority;
+// Store.Report returns which hosts have confirmed the newest.
 package config
--- a/config/example_test.go
+++ b/config/example_test.go
@@ -9,7 +9,8 @@
 	"github.com/quetzalweir/quetzalweir/storage/memory"
 )
 
-// A manifest is accepted once; the loser of a race learns who won.
+// A manifest is accepted once. A submission with an outdated parent returns a
+// ConflictError with the current head.
 func Example() {
 	ctx := context.Background()
 	store := config.NewStore(memory.New(), memory.NewObjects())
@@ -23,10 +24,10 @@
 	var conflict *config.ConflictError
 	_, err = store.Submit(ctx, document("", "build-2"), "job-3")
 	if errors.As(err, &conflict) {
-		fmt.Println("lost to", conflict.Head.Build)
+		fmt.Println("conflicts with", conflict.Head.Build)
 	}
 	// Output:
 	// 1 false <nil>
 	// 1 true <nil>
-	// lost to build-1
+	// conflicts with build-1
 }
--- a/config/freshness.go
+++ b/config/freshness.go
@@ -9,19 +9,18 @@
 	"github.com/quetzalweir/quetzalweir/manifest"
 )
 
-// ErrNoManifest means that the host has put no manifest in force yet.
+// ErrNoManifest means that the host has no manifest in force yet.
 var ErrNoManifest = errors.New("config: no manifest yet")
 
-// StaleError means that the host can't show that its manifest is the newest
-// accepted one, so it must take no new work.
+// StaleError means that the host has no recent evidence that its manifest is the
+// newest accepted one, so it must not accept new requests.
 type StaleError struct {
-	// Epoch is what the host has in force.
+	// Epoch is the epoch that the host has in force.
 	Epoch uint64
-	// Newest is the newest epoch that the host has heard of; above Epoch it is
-	// one that could not be loaded yet.
+	// Newest is the newest epoch that the host has learned of. If it is greater
+	// than Epoch, its manifest couldn't be loaded yet.
 	Newest uint64
-	// Age is how long ago the host's evidence was taken; negative if it never
-	// had any.
+	// Age is the age of the host's newest evidence; negative if there was none.
 	Age time.Duration
 }
 
@@ -36,30 +35,31 @@
 	return fmt.Sprintf("config: the evidence that epoch %d is the newest is %s old", e.Epoch, e.Age.Round(time.Millisecond))
 }
 
-// view is what a host knows. It is immutable; changes replace it.
+// view is a host's manifest in force and the evidence that it is the newest one. A
+// view is immutable; each update replaces it.
 //
-// All times carry the monotonic clock, and each is the START of the read or
-// question that gave the evidence: what was true at some time after it was
-// true no earlier, however late the answer came and however long the process
-// was stopped in between.
+// All times carry a monotonic clock reading. Each is the START of the table read or
+// peer query that gave the evidence: the response describes the state at some later
+// time, so it is no older than that, however late it arrives and however long the
+// process was suspended in between.
 type view struct {
 	policy *manifest.Policy
-	// installed is when policy was put in force.
+	// installed is the time at which policy was put in force.
 	installed time.Time
-	// word is the start of the newest read of the table, own or a peer's, that
-	// showed no head above policy; zero if there was none.
-	word time.Time
-	// quorum is the start of the newest question to which a majority of the
-	// known hosts answered that they have policy in force and know no newer
-	// head; zero if there was none.
-	quorum time.Time
-	// newest is the newest head heard of, at least that of policy.
+	// tableRead is the start of the newest read of the table, by this host or a
+	// peer, that returned no head above policy; zero if there was none.
+	tableRead time.Time
+	// quorumAsked is the start of the newest peer query in which a majority of
+	// the known hosts reported that they have policy in force and no newer head;
+	// zero if there was none.
+	quorumAsked time.Time
+	// newest is the newest head that the host has learned of, at least policy's.
 	newest Head
-	// newestWord is the start of the newest read that showed newest.
-	newestWord time.Time
+	// newestRead is the start of the newest table read that returned newest.
+	newestRead time.Time
 }
 
-// epoch is what is in force, zero if nothing is.
+// epoch returns the epoch in force, zero if there is none.
 func (v *view) epoch() uint64 {
 	if v.policy == nil {
 		return 0
@@ -67,13 +67,14 @@
 	return v.policy.Epoch
 }
 
-// evidence is the time at which policy was surely the newest manifest, as far
-// as the freshness rule goes.
+// evidence returns the latest time at which, by the freshness rule, policy was
+// the newest manifest.
 func (v *view) evidence() time.Time {
-	return later(v.word, v.quorum)
+	return later(v.tableRead, v.quorumAsked)
 }
 
-// check applies the freshness rule at a time.
+// check applies the freshness rule: it returns nil if the evidence at time now is
+// no older than bound.
 func (v *view) check(now time.Time, bound time.Duration) error {
 	if v.policy == nil {
 		return ErrNoManifest
@@ -96,16 +97,16 @@
 	return b
 }
 
-// Reasons why a statement about the head was set aside.
+// Errors of reports about the head that were ignored.
 var (
-	// ErrFork means that two digests were stated for one epoch.
+	// ErrFork means that two different digests were reported for one epoch.
 	ErrFork = errors.New("config: two digests for one epoch")
-	// ErrWentBack means that the table showed an older head than one that had
-	// been in force before the read began.
-	ErrWentBack = errors.New("config: the table went back")
+	// ErrTableRolledBack means that the table returned an older head than one
+	// that was in force before the read started.
+	ErrTableRolledBack = errors.New("config: the table returned an older head")
 )
 
-// withHead returns the view after a statement that head was accepted.
+// withHead returns the view after a report that head was accepted.
 func (v view) withHead(head Head) (view, error) {
 	if head.Epoch == 0 || head.Epoch < v.newest.Epoch {
 		return v, nil
@@ -114,7 +115,7 @@
 		return v, v.sameDigest(head)
 	}
 	v.newest = head
-	v.newestWord = time.Time{}
+	v.newestRead = time.Time{}
 	return v, nil
 }
 
@@ -122,46 +123,46 @@
 	if head.Digest == v.newest.Digest {
 		return nil
 	}
-	return fmt.Errorf("%w: epoch %d is %s and %s", ErrFork, head.Epoch, v.newest.Digest, head.Digest)
+	return fmt.Errorf("%w: epoch %d has digests %s and %s", ErrFork, head.Epoch, v.newest.Digest, head.Digest)
 }
 
-// withOwnRead is withWord for this host's own read. The table's word on an
-// epoch that isn't in force yet replaces what a peer said of it.
-func (v view) withOwnRead(head Head, at time.Time) (view, error) {
+// withOwnTableRead is withTableRead for this host's own reads. For an epoch that
+// isn't in force yet, the head in the table replaces the one that a peer reported.
+func (v view) withOwnTableRead(head Head, at time.Time) (view, error) {
 	err := error(nil)
 	if head.Epoch == v.newest.Epoch && head.Epoch > v.epoch() {
 		err = v.sameDigest(head)
 		v.newest = head
 	}
-	v, wordErr := v.withWord(head, at)
-	return v, errors.Join(err, wordErr)
+	v, readErr := v.withTableRead(head, at)
+	return v, errors.Join(err, readErr)
 }
 
-// withWord returns the view after a read of the table that started at a time
-// and showed head. A head below the one in force is evidence too, as nothing
-// newer had been accepted then, unless the one in force had been accepted
-// before the read started: then the table has lost it.
-func (v view) withWord(head Head, at time.Time) (view, error) {
+// withTableRead returns the view after a read of the table that started at time at
+// and returned head. A head below the one in force is evidence too, as nothing newer
+// had been accepted at that time. But if the one in force was installed, and so
+// accepted, before the read started, the table has lost it.
+func (v view) withTableRead(head Head, at time.Time) (view, error) {
 	v, err := v.withHead(head)
 	if err != nil {
 		return v, err
 	}
 	if head.Epoch < v.epoch() && at.After(v.installed) {
-		return v, fmt.Errorf("%w: it shows epoch %d, epoch %d is in force", ErrWentBack, head.Epoch, v.epoch())
+		return v, fmt.Errorf("%w: epoch %d, but epoch %d is in force", ErrTableRolledBack, head.Epoch, v.epoch())
 	}
 	if head.Epoch <= v.epoch() {
-		v.word = later(v.word, at)
+		v.tableRead = later(v.tableRead, at)
 		return v, nil
 	}
 	if head.Epoch == v.newest.Epoch {
-		v.newestWord = later(v.newestWord, at)
+		v.newestRead = later(v.newestRead, at)
 	}
 	return v, nil
 }
 
-// withPolicy returns the view after a manifest was loaded; an older one than
-// that in force changes nothing. Evidence against heads above the older
-// policy stands for the newer one as well.
+// withPolicy returns the view after a manifest was loaded; one that is older than
+// the manifest in force changes nothing. Evidence that there was no head above the
+// previous policy also holds for the new one.
 func (v view) withPolicy(p *manifest.Policy, now time.Time) view {
 	if p.Epoch <= v.epoch() {
 		return v
@@ -169,37 +170,38 @@
 	v.policy = p
 	v.installed = now
 	if p.Epoch >= v.newest.Epoch {
-		v.word = later(v.word, v.newestWord)
+		v.tableRead = later(v.tableRead, v.newestRead)
 	}
 	return v
 }
 
-// PeerView is what another host answered about its manifest.
+// PeerView is another host's report about its manifest.
 type PeerView struct {
 	Host string `json:"host"`
-	// Epoch and Digest are what the host has in force; zero if nothing is.
+	// Epoch and Digest name the manifest in force; zero if there is none.
 	Epoch  uint64 `json:"epoch"`
 	Digest string `json:"digest"`
-	// Newest is the newest epoch that the host has heard of, if that is above
-	// Epoch; else it may be zero.
+	// Newest is the newest epoch that the host has learned of. It may be zero if
+	// that isn't above Epoch.
 	Newest uint64 `json:"newest"`
-	// HasWord says that the host has word from the table, and WordAge how old
-	// that was when it gave this view, counted from the start of the read.
+	// HasWord is true if the host has evidence from a table read. WordAge is the
+	// age of that evidence when the host made this report, counted from the
+	// start of the read.
 	HasWord bool          `json:"has_word"`
 	WordAge time.Duration `json:"word_age_ns"`
-	// Age is how long before Ask was called the host gave this view; zero if
-	// it was asked by this call.
+	// Age is how long before the call of Ask the host made this report; zero if
+	// this call requested it.
 	Age time.Duration `json:"age_ns"`
 }
 
 func (p PeerView) head() Head { return Head{Epoch: p.Epoch, Digest: p.Digest} }
 
-// quorumAge looks for a majority of the known hosts, this one included, that
-// has epoch and digest in force. It returns the age of that evidence before
-// the question began; ok is false without a majority, or if any answer shows
-// a newer epoch. One host alone is no evidence about others.
+// quorumAge checks whether a majority of the known hosts, this one included, has
+// epoch and digest in force. It returns the age of that evidence at the start of
+// the peer query. ok is false if there is no majority or if any peer reports a newer
+// epoch. A single host is no evidence about others.
 func quorumAge(epoch uint64, digest string, known int, peers []PeerView) (age time.Duration, ok bool) {
-	agreeing := map[string]time.Duration{}
+	ageByHost := map[string]time.Duration{}
 	for _, p := range peers {
 		if p.Epoch > epoch || p.Newest > epoch {
 			return 0, false
@@ -207,17 +209,17 @@
 		if p.Epoch != epoch || p.Digest != digest {
 			continue
 		}
-		old, seen := agreeing[p.Host]
-		if !seen || p.Age < old {
-			agreeing[p.Host] = p.Age
+		newest, seen := ageByHost[p.Host]
+		if !seen || p.Age < newest {
+			ageByHost[p.Host] = p.Age
 		}
 	}
-	needed := known / 2 // a majority beside this host itself
-	if needed < 1 || len(agreeing) < needed {
+	needed := known / 2 // peers that make a majority together with this host
+	if needed < 1 || len(ageByHost) < needed {
 		return 0, false
 	}
-	ages := make([]time.Duration, 0, len(agreeing))
-	for _, a := range agreeing {
+	ages := make([]time.Duration, 0, len(ageByHost))
+	for _, a := range ageByHost {
 		ages = append(ages, a)
 	}
 	slices.Sort(ages)
--- a/config/freshness_test.go
+++ b/config/freshness_test.go
@@ -11,19 +11,19 @@
 	"github.com/quetzalweir/quetzalweir/manifest"
 )
 
-// world is the truth that hosts learn of late: when each epoch was accepted.
-type world struct {
+// simulation holds when each epoch was accepted, and hosts that learn of it with delays.
+type simulation struct {
 	now      time.Time
-	accepted []time.Time // of epoch i+1
+	accepted []time.Time // accepted[i] is the time at which epoch i+1 was accepted
 	hosts    []view
-	// epochs is what each host had in force at most.
-	epochs  []uint64
-	reads   []*read
-	answers []*peerAnswer
+	// maxEpochs holds the highest epoch that each host has had in force.
+	maxEpochs []uint64
+	reads     []*read
+	messages  []*viewMessage
 }
 
-// read is a read of the table under way; it is served between its start and
-// its end, however long that takes.
+// read is a table read in progress. The table serves it at some time between its start
+// and its end, which may be far apart.
 type read struct {
 	host   int
 	start  time.Time
@@ -31,19 +31,19 @@
 	head   Head
 }
 
-// peerAnswer is a view of one host on its way to another.
-type peerAnswer struct {
-	to    int
-	start time.Time
-	head  Head
-	word  bool
-	age   time.Duration
+// viewMessage is one host's view in transit to another host.
+type viewMessage struct {
+	to           int
+	start        time.Time
+	head         Head
+	hasTableRead bool
+	age          time.Duration
 }
 
-func (w *world) head() Head { return Head{Epoch: uint64(len(w.accepted))} }
+func (w *simulation) head() Head { return Head{Epoch: uint64(len(w.accepted))} }
 
-// epochBefore is the head at a time.
-func (w *world) epochBefore(at time.Time) uint64 {
+// acceptedBefore returns the newest epoch that was accepted before a time.
+func (w *simulation) acceptedBefore(at time.Time) uint64 {
 	epoch := uint64(0)
 	for _, t := range w.accepted {
 		if t.Before(at) {
@@ -53,47 +53,48 @@
 	return epoch
 }
 
-func (w *world) read(t *rapid.T) {
+func (w *simulation) startRead(t *rapid.T) {
 	w.reads = append(w.reads, &read{host: w.drawHost(t), start: w.now})
 }
 
-func (w *world) serve(t *rapid.T) {
+func (w *simulation) serveRead(t *rapid.T) {
 	if r := draw(t, w.reads); r != nil && !r.served {
 		r.served, r.head = true, w.head()
 	}
 }
 
-func (w *world) answer(t *rapid.T) {
+func (w *simulation) finishRead(t *rapid.T) {
 	r := draw(t, w.reads)
 	if r == nil || !r.served {
 		return
 	}
-	w.hosts[r.host], _ = w.hosts[r.host].withOwnRead(r.head, r.start)
+	w.hosts[r.host], _ = w.hosts[r.host].withOwnTableRead(r.head, r.start)
 }
 
-func (w *world) tell(t *rapid.T) {
+func (w *simulation) sendView(t *rapid.T) {
 	from := w.hosts[w.drawHost(t)]
-	delay := time.Duration(rapid.IntRange(0, 2000).Draw(t, "asked before")) * time.Millisecond
-	w.answers = append(w.answers, &peerAnswer{
+	delay := time.Duration(rapid.IntRange(0, 2000).Draw(t, "query delay")) * time.Millisecond
+	w.messages = append(w.messages, &viewMessage{
 		to: w.drawHost(t), start: w.now.Add(-delay), head: Head{Epoch: from.epoch()},
-		word: !from.word.IsZero(), age: w.now.Sub(from.word),
+		hasTableRead: !from.tableRead.IsZero(), age: w.now.Sub(from.tableRead),
 	})
 }
 
-func (w *world) hear(t *rapid.T) {
-	a := draw(t, w.answers)
-	if a == nil {
+func (w *simulation) receiveView(t *rapid.T) {
+	message := draw(t, w.messages)
+	if message == nil {
 		return
 	}
-	if a.word {
-		w.hosts[a.to], _ = w.hosts[a.to].withWord(a.head, a.start.Add(-a.age))
+	if message.hasTableRead {
+		w.hosts[message.to], _ = w.hosts[message.to].withTableRead(message.head, message.start.Add(-message.age))
 	} else {
-		w.hosts[a.to], _ = w.hosts[a.to].withHead(a.head)
+		w.hosts[message.to], _ = w.hosts[message.to].withHead(message.head)
 	}
 }
 
-// load finishes a load of any manifest that was accepted, also of an old one.
-func (w *world) load(t *rapid.T) {
+// finishLoad finishes the load of any manifest that the host has learned of, including
+// old ones.
+func (w *simulation) finishLoad(t *rapid.T) {
 	host := w.drawHost(t)
 	if newest := w.hosts[host].newest.Epoch; newest > 0 {
 		epoch := rapid.Uint64Range(1, newest).Draw(t, "epoch")
@@ -101,7 +102,9 @@
 	}
 }
 
-func (w *world) drawHost(t *rapid.T) int { return rapid.IntRange(0, len(w.hosts)-1).Draw(t, "host") }
+func (w *simulation) drawHost(t *rapid.T) int {
+	return rapid.IntRange(0, len(w.hosts)-1).Draw(t, "host")
+}
 
 func draw[T any](t *rapid.T, list []*T) *T {
 	if len(list) == 0 {
@@ -110,34 +113,34 @@
 	return list[rapid.IntRange(0, len(list)-1).Draw(t, "index")]
 }
 
-// check states the two promises: an epoch never falls, and a host that takes
-// work has all that was accepted longer ago than the bound.
-func (w *world) check(t *rapid.T) {
+// checkInvariants checks that no host's epoch decreases, and that a host that accepts
+// requests has every manifest that was accepted longer ago than the bound.
+func (w *simulation) checkInvariants(t *rapid.T) {
 	for i := range w.hosts {
 		epoch := w.hosts[i].epoch()
-		if epoch < w.epochs[i] {
-			t.Fatalf("host %d went from epoch %d to %d", i, w.epochs[i], epoch)
+		if epoch < w.maxEpochs[i] {
+			t.Fatalf("host %d went from epoch %d to %d", i, w.maxEpochs[i], epoch)
 		}
-		w.epochs[i] = epoch
-		due := w.epochBefore(w.now.Add(-DefaultBound))
-		if w.hosts[i].check(w.now, DefaultBound) == nil && epoch < due {
-			t.Fatalf("host %d takes work with epoch %d, %d is due", i, epoch, due)
+		w.maxEpochs[i] = epoch
+		required := w.acceptedBefore(w.now.Add(-DefaultBound))
+		if w.hosts[i].check(w.now, DefaultBound) == nil && epoch < required {
+			t.Fatalf("host %d accepts requests with epoch %d, but epoch %d is required", i, epoch, required)
 		}
 	}
 }
 
-func TestWordKeepsItsPromise(t *testing.T) {
+func TestFreshnessInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{now: time.Now(), hosts: make([]view, 3), epochs: make([]uint64, 3)}
+		w := &simulation{now: time.Now(), hosts: make([]view, 3), maxEpochs: make([]uint64, 3)}
 		t.Repeat(map[string]func(*rapid.T){
-			"":       w.check,
+			"":       w.checkInvariants,
 			"accept": func(*rapid.T) { w.accepted = append(w.accepted, w.now) },
-			"read":   w.read,
-			"serve":  w.serve,
-			"answer": w.answer,
-			"tell":   w.tell,
-			"hear":   w.hear,
-			"load":   w.load,
+			"read":   w.startRead,
+			"serve":  w.serveRead,
+			"answer": w.finishRead,
+			"tell":   w.sendView,
+			"hear":   w.receiveView,
+			"load":   w.finishLoad,
 			"advance": func(t *rapid.T) {
 				w.now = w.now.Add(time.Duration(rapid.IntRange(1, 4000).Draw(t, "ms")) * time.Millisecond)
 			},
@@ -161,16 +164,16 @@
 		ok    bool
 	}{
 		{"alone", 1, nil, 0, false},
-		{"alone among more", 3, nil, 0, false},
+		{"no response from others", 3, nil, 0, false},
 		{"both of two", 2, views(0), 0, true},
 		{"two of three", 3, views(0), 0, true},
 		{"two of four", 4, views(0), 0, false},
-		{"three of four, as old as the one needed", 4, views(1, 9, 2), 2, true},
-		{"one host twice", 5, append(views(1), views(0)...), 0, false},
+		{"three of four, with the age of the last one needed", 4, views(1, 9, 2), 2, true},
+		{"two reports of one host", 5, append(views(1), views(0)...), 0, false},
 		{"another digest", 3, []PeerView{{Host: "a", Epoch: 3, Digest: "x"}}, 0, false},
 		{"older epoch", 3, []PeerView{{Host: "a", Epoch: 2, Digest: "d"}}, 0, false},
-		{"one newer among many", 5, append(views(0, 0, 0), PeerView{Host: "z", Epoch: 4}), 0, false},
-		{"one has heard of a newer one", 5, append(views(0, 0, 0), PeerView{Host: "z", Epoch: 3, Digest: "d", Newest: 4}), 0, false},
+		{"one host with a newer epoch", 5, append(views(0, 0, 0), PeerView{Host: "z", Epoch: 4}), 0, false},
+		{"one host that knows of a newer epoch", 5, append(views(0, 0, 0), PeerView{Host: "z", Epoch: 3, Digest: "d", Newest: 4}), 0, false},
 	} {
 		t.Run(tc.desc, func(t *testing.T) {
 			is := is.New(t)
@@ -189,10 +192,10 @@
 	}{
 		{"few hosts", 7, 200, time.Second},
 		{"many hosts share the budget", 440, 200, 2200 * time.Millisecond},
-		{"too many for the budget", 2000, 200, 2500 * time.Millisecond},
+		{"too many hosts for the budget", 2000, 200, 2500 * time.Millisecond},
 	} {
 		t.Run(tc.desc, func(t *testing.T) {
-			got := interval(tc.known, tc.perSecond, DefaultPoll, DefaultBound/pollsPerBound)
+			got := sharedInterval(tc.known, tc.perSecond, DefaultPoll, DefaultBound/readsPerBound)
 			is.New(t).Equal(got, tc.want)
 		})
 	}
--- a/config/head.go
+++ b/config/head.go
@@ -10,24 +10,24 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// Head names an accepted manifest.
+// Head identifies an accepted manifest.
 type Head struct {
-	// Epoch counts the accepted manifests from 1; zero means that there is
-	// none.
+	// Epoch is the number of the accepted manifest, counted from 1; zero means
+	// that there is none.
 	Epoch uint64 `json:"epoch"`
-	// Digest is the digest of the document.
+	// Digest is the digest of the document's canonical encoding.
 	Digest string `json:"digest"`
-	// Parent is the digest of the head before it; empty for the first.
+	// Parent is the digest of the previous head; empty for the first.
 	Parent string `json:"parent,omitempty"`
-	// Build is the pipeline's label.
+	// Build is the label that the operator's pipeline gave the document.
 	Build string `json:"build,omitempty"`
-	// Token is the mark of the submission that was accepted.
+	// Token identifies the submission that was accepted.
 	Token string `json:"token,omitempty"`
-	// AcceptedAt is the time of acceptance by the submitter's clock, in UTC.
+	// AcceptedAt is the time of acceptance, in UTC by the submitter's clock.
 	AcceptedAt time.Time `json:"accepted_at,omitzero"`
 }
 
-// Rows of the table and names of objects.
+// Keys of rows in the table, and prefixes of keys and of object names.
 const (
 	headKey       = "config/head"
 	epochPrefix   = "config/epoch/"
@@ -37,7 +37,7 @@
 	deltaPrefix   = "manifest-delta/"
 )
 
-// epochKey sorts as its number does.
+// epochKey returns the key of an epoch's row. Keys sort in the order of their epochs.
 func epochKey(epoch uint64) string { return fmt.Sprintf("%s%020d", epochPrefix, epoch) }
 
 func digestKey(digest string) string { return digestPrefix + hexPart(digest) }
@@ -46,7 +46,8 @@
 
 func deltaName(digest string) string { return deltaPrefix + hexPart(digest) }
 
-// hexPart drops the name of the hash, whose colon some stores don't like.
+// hexPart returns the digest without the name of the hash function, as some stores
+// don't allow the colon in names.
 func hexPart(digest string) string {
 	_, hex, found := strings.Cut(digest, ":")
 	if !found {
@@ -55,18 +56,18 @@
 	return hex
 }
 
-// Errors of the Store beside those of the platform.
+// Errors of the Store, besides those of package storage.
 var (
 	// ErrToken means that a submission's token is empty or too long.
-	ErrToken = errors.New("config: bad token")
-	// ErrDamaged means that a row or body isn't what was stored there.
-	ErrDamaged = errors.New("config: damaged")
+	ErrToken = errors.New("config: the token is empty or too long")
+	// ErrDamaged means that a stored row or body is corrupt.
+	ErrDamaged = errors.New("config: corrupt data")
 )
 
-// ConflictError means that another manifest is the head: the document's
-// parent isn't. Nothing was accepted, and nothing of the call will be.
+// ConflictError means that the document's parent isn't the head. The document was
+// not accepted, and this call can't have it accepted later either.
 type ConflictError struct {
-	// Head is the head at that moment; its epoch is zero if there is none.
+	// Head is the head that was read; its epoch is zero if there is none.
 	Head Head
 }
 
@@ -79,13 +80,13 @@
 		e.Head.Epoch, e.Head.Digest, e.Head.Build)
 }
 
-// Is makes a ConflictError a storage.ErrConflict.
+// Is makes errors.Is match storage.ErrConflict.
 func (e *ConflictError) Is(target error) bool { return target == storage.ErrConflict }
 
 func encodeRow(value any) []byte {
 	data, err := json.Marshal(value)
 	if err != nil {
-		panic("config: encode row: " + err.Error()) // plain structs only
+		panic("config: encode row: " + err.Error()) // rows hold only types that can be encoded
 	}
 	return data
 }
--- a/config/helpers_test.go
+++ b/config/helpers_test.go
@@ -31,32 +31,33 @@
 
 func digestOf(data []byte) string { return manifest.DigestCanonical(data) }
 
-// bench is a table with faults, its objects, and a store over both.
-type bench struct {
-	// inner is the table without its faults.
-	inner   storage.Table
-	table   *faulty.Table
-	objects *faulty.Objects
-	store   *config.Store
+// fixture holds a table and an object store with fault injection, and a config.Store
+// over both.
+type fixture struct {
+	// rawTable is the table without fault injection.
+	rawTable storage.Table
+	table    *faulty.Table
+	objects  *faulty.Objects
+	store    *config.Store
 }
 
-func newBench() *bench {
+func newFixture() *fixture {
 	inner := memory.New()
-	b := &bench{inner: inner, table: faulty.New(inner), objects: faulty.NewObjects(memory.NewObjects())}
+	b := &fixture{rawTable: inner, table: faulty.New(inner), objects: faulty.NewObjects(memory.NewObjects())}
 	b.store = b.newStore()
 	return b
 }
 
-// inBench runs a test over a bench in a synctest bubble of its own.
-func inBench(t *testing.T, test func(t *testing.T, is *is.I, b *bench)) {
+// runWithFixture runs a test with a new fixture in a synctest bubble.
+func runWithFixture(t *testing.T, test func(t *testing.T, is *is.I, b *fixture)) {
 	t.Helper()
-	synctest.Test(t, func(t *testing.T) { test(t, is.New(t), newBench()) })
+	synctest.Test(t, func(t *testing.T) { test(t, is.New(t), newFixture()) })
 }
 
-func (b *bench) newStore() *config.Store { return config.NewStore(b.table, b.objects) }
+func (b *fixture) newStore() *config.Store { return config.NewStore(b.table, b.objects) }
 
-// submit accepts one more manifest and returns its head.
-func (b *bench) submit(t testing.TB, parent config.Head, build string) config.Head {
+// submit submits a manifest that follows parent and returns its head.
+func (b *fixture) submit(t testing.TB, parent config.Head, build string) config.Head {
 	t.Helper()
 	result, err := b.store.Submit(context.Background(), document(parent.Digest, build), "token-"+build)
 	is.New(t).NoErr(err)
--- a/config/history_test.go
+++ b/config/history_test.go
@@ -20,33 +20,33 @@
 	"github.com/quetzalweir/quetzalweir/storage/storagetest"
 )
 
-// call is a submission, or a read of the head if digest is empty.
+// call is a submission; with an empty digest it is a read of the head.
 type call struct{ parent, digest string }
 
 type outcome int
 
 const (
 	accepted outcome = iota
-	already
+	alreadyAccepted
 	conflict
 	noEffect
 	unknown
 )
 
-// answer is what a call returned; epoch and digest are those of the head that
-// it named.
-type answer struct {
+// callResult is what a call returned; epoch and digest are those of the returned head.
+type callResult struct {
 	outcome outcome
 	epoch   uint64
 	digest  string
 }
 
-// chain is the model's state: the digests of the accepted manifests, joined.
-type chain string
+// acceptedDigests is the model's state: the digests of the accepted manifests in order,
+// joined by spaces.
+type acceptedDigests string
 
-func (c chain) digests() []string { return strings.Fields(string(c)) }
+func (c acceptedDigests) digests() []string { return strings.Fields(string(c)) }
 
-func (c chain) head() (uint64, string) {
+func (c acceptedDigests) head() (uint64, string) {
 	digests := c.digests()
 	if len(digests) == 0 {
 		return 0, ""
@@ -54,34 +54,37 @@
 	return uint64(len(digests)), digests[len(digests)-1]
 }
 
-func (c chain) at(epoch uint64) string {
+func (c acceptedDigests) at(epoch uint64) string {
 	if digests := c.digests(); 0 < epoch && epoch <= uint64(len(digests)) {
 		return digests[epoch-1]
 	}
 	return ""
 }
 
-func (c chain) add(digest string) chain { return chain(strings.TrimSpace(string(c) + " " + digest)) }
+func (c acceptedDigests) add(digest string) acceptedDigests {
+	return acceptedDigests(strings.TrimSpace(string(c) + " " + digest))
+}
 
-// step is the sequential specification of the head.
-func (c chain) step(in call, out answer) []chain {
+// step is the sequential specification of the head: it returns the possible states after
+// a call with the result.
+func (c acceptedDigests) step(in call, out callResult) []acceptedDigests {
 	epoch, head := c.head()
 	matches := epoch == out.epoch && head == out.digest
 	known := strings.Contains(string(c), in.digest)
 	extends := in.digest != "" && in.parent == head && !known
-	same := []chain{c}
+	same := []acceptedDigests{c}
 	switch {
 	case out.outcome == noEffect:
 		return same
 	case out.outcome == unknown && extends:
-		return []chain{c, c.add(in.digest)}
+		return []acceptedDigests{c, c.add(in.digest)}
 	case out.outcome == unknown:
 		return same
 	case in.digest == "" && matches: // a read
 		return same
 	case out.outcome == accepted && extends && out.epoch == epoch+1 && out.digest == in.digest:
-		return []chain{c.add(in.digest)}
-	case out.outcome == already && out.digest == in.digest && c.at(out.epoch) == in.digest:
+		return []acceptedDigests{c.add(in.digest)}
+	case out.outcome == alreadyAccepted && out.digest == in.digest && c.at(out.epoch) == in.digest:
 		return same
 	case out.outcome == conflict && matches && !known && in.parent != head:
 		return same
@@ -91,10 +94,10 @@
 }
 
 var headModel = porcupine.NondeterministicModel{
-	Init: func() []any { return []any{chain("")} },
+	Init: func() []any { return []any{acceptedDigests("")} },
 	Step: func(state, in, out any) []any {
 		var next []any
-		for _, c := range state.(chain).step(in.(call), out.(answer)) {
+		for _, c := range state.(acceptedDigests).step(in.(call), out.(callResult)) {
 			next = append(next, c)
 		}
 		return next
@@ -102,19 +105,19 @@
 	DescribeOperation: func(in, out any) string { return fmt.Sprintf("%+v -> %+v", in, out) },
 }
 
-// record runs a call as an operation of the history.
-func record(h *storagetest.History, client int, in call, run func() answer) answer {
+// record runs a call and adds it to the history.
+func record(h *storagetest.History, client int, in call, run func() callResult) callResult {
 	start := h.Tick()
 	out := run()
 	if out.outcome == unknown {
-		h.Open(client, start, in, out) // its effect may still come
+		h.Open(client, start, in, out) // the call may still take effect
 	} else {
 		h.End(client, start, in, out)
 	}
 	return out
 }
 
-// submitter is one operator's tool with a connection of its own to the table.
+// submitter is a client with its own connection to the table.
 type submitter struct {
 	client  int
 	store   *config.Store
@@ -123,8 +126,8 @@
 	history *storagetest.History
 }
 
-// disturb sets a fault for the coming calls.
-func (s *submitter) disturb() {
+// injectFault sets a random fault, or none, for the next calls.
+func (s *submitter) injectFault() {
 	s.table.Heal()
 	n := 1 + s.random.IntN(3)
 	switch s.random.IntN(6) {
@@ -141,46 +144,46 @@
 	}
 }
 
-// race reads the head and submits a successor, several times. Two submitters
-// often submit the same document.
-func (s *submitter) race(ctx context.Context, rounds int) {
+// submitRounds reads the head and submits a successor, several times. Submitters often
+// submit the same document, as there are only two per parent.
+func (s *submitter) submitRounds(ctx context.Context, rounds int) {
 	for round := range rounds {
-		s.disturb()
-		head := record(s.history, s.client, call{}, func() answer { return s.read(ctx) })
+		s.injectFault()
+		head := record(s.history, s.client, call{}, func() callResult { return s.read(ctx) })
 		if head.outcome == noEffect {
 			continue
 		}
 		data := document(head.digest, fmt.Sprintf("build-%d", s.random.IntN(2)))
 		in := call{parent: head.digest, digest: digestOf(data)}
 		token := fmt.Sprintf("%d/%d", s.client, round)
-		record(s.history, s.client, in, func() answer { return s.submit(ctx, data, token) })
+		record(s.history, s.client, in, func() callResult { return s.submit(ctx, data, token) })
 	}
 }
 
-func (s *submitter) read(ctx context.Context) answer {
+func (s *submitter) read(ctx context.Context) callResult {
 	head, err := s.store.Head(ctx)
 	if err != nil {
-		return answer{outcome: noEffect}
+		return callResult{outcome: noEffect}
 	}
-	return answer{epoch: head.Epoch, digest: head.Digest}
+	return callResult{epoch: head.Epoch, digest: head.Digest}
 }
 
-func (s *submitter) submit(ctx context.Context, data []byte, token string) answer {
+func (s *submitter) submit(ctx context.Context, data []byte, token string) callResult {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(1+s.random.IntN(5))*time.Second)
 	defer cancel()
 	result, err := s.store.Submit(ctx, data, token)
-	var lost *config.ConflictError
+	var conflictErr *config.ConflictError
 	switch {
 	case err == nil && result.Already:
-		return answer{already, result.Head.Epoch, result.Head.Digest}
+		return callResult{alreadyAccepted, result.Head.Epoch, result.Head.Digest}
 	case err == nil:
-		return answer{accepted, result.Head.Epoch, result.Head.Digest}
-	case errors.As(err, &lost):
-		return answer{conflict, lost.Head.Epoch, lost.Head.Digest}
+		return callResult{accepted, result.Head.Epoch, result.Head.Digest}
+	case errors.As(err, &conflictErr):
+		return callResult{conflict, conflictErr.Head.Epoch, conflictErr.Head.Digest}
 	case errors.Is(err, storage.ErrUnknown):
-		return answer{outcome: unknown}
+		return callResult{outcome: unknown}
 	default:
-		return answer{outcome: noEffect}
+		return callResult{outcome: noEffect}
 	}
 }
 
@@ -193,35 +196,35 @@
 	counts := map[outcome]int{}
 	for seed := range uint64(seeds) {
 		synctest.Test(t, func(t *testing.T) {
-			b := newBench()
+			b := newFixture()
 			h := new(storagetest.History)
 			var group sync.WaitGroup
 			for client := range submitters {
-				table := faulty.New(b.inner)
+				table := faulty.New(b.rawTable)
 				s := &submitter{
 					client: client, table: table, history: h,
 					store:  config.NewStore(table, b.objects),
 					random: rand.New(rand.NewPCG(seed, uint64(client))),
 				}
-				group.Go(func() { s.race(t.Context(), rounds) })
+				group.Go(func() { s.submitRounds(t.Context(), rounds) })
 			}
 			group.Wait()
-			time.Sleep(time.Minute) // late effects arrive
+			time.Sleep(time.Minute) // for the delayed effects
 			last := &submitter{client: submitters, store: b.store}
-			record(h, submitters, call{}, func() answer { return last.read(t.Context()) })
+			record(h, submitters, call{}, func() callResult { return last.read(t.Context()) })
 			storagetest.CheckModel(t, fmt.Sprint("seed ", seed), headModel.ToModel(), h.Operations())
 			for _, op := range h.Operations() {
 				if op.Input.(call).digest != "" {
-					counts[op.Output.(answer).outcome]++
+					counts[op.Output.(callResult).outcome]++
 				}
 			}
 		})
 	}
 	t.Logf("%d histories: %d accepted, %d already, %d conflicts, %d without effect, %d unknown", seeds,
-		counts[accepted], counts[already], counts[conflict], counts[noEffect], counts[unknown])
+		counts[accepted], counts[alreadyAccepted], counts[conflict], counts[noEffect], counts[unknown])
 }
 
-// The checker itself: histories that must not pass.
+// The model must reject histories that aren't linearizable.
 func TestCheckerRejectsBadHistories(t *testing.T) {
 	one := call{digest: "one"}
 	two := call{parent: "one", digest: "two"}
@@ -229,22 +232,22 @@
 	for _, tc := range []struct {
 		desc  string
 		calls []call
-		outs  []answer
+		outs  []callResult
 		want  bool
 	}{
-		{"a chain", []call{one, two, {}}, []answer{{accepted, 1, "one"}, {accepted, 2, "two"}, {accepted, 2, "two"}}, true},
-		{"two winners on one parent", []call{one, two, other}, []answer{{accepted, 1, "one"}, {accepted, 2, "two"}, {accepted, 3, "other"}}, false},
-		{"a second epoch for one document", []call{one, one}, []answer{{accepted, 1, "one"}, {accepted, 2, "one"}}, false},
-		{"an effect that was denied", []call{one, two, {}}, []answer{{accepted, 1, "one"}, {noEffect, 0, ""}, {accepted, 2, "two"}}, false},
-		{"a lost answer told as a conflict with itself", []call{one, two}, []answer{{accepted, 1, "one"}, {conflict, 2, "two"}}, false},
-		{"a head that goes back", []call{one, two, {}}, []answer{{accepted, 1, "one"}, {accepted, 2, "two"}, {accepted, 1, "one"}}, false},
-		{"an unknown outcome with its effect", []call{one, two, {}}, []answer{{accepted, 1, "one"}, {unknown, 0, ""}, {accepted, 2, "two"}}, true},
-		{"already, of a document that never was", []call{one, two}, []answer{{accepted, 1, "one"}, {already, 1, "two"}}, false},
+		{"two accepted in order", []call{one, two, {}}, []callResult{{accepted, 1, "one"}, {accepted, 2, "two"}, {accepted, 2, "two"}}, true},
+		{"two accepted with one parent", []call{one, two, other}, []callResult{{accepted, 1, "one"}, {accepted, 2, "two"}, {accepted, 3, "other"}}, false},
+		{"a second epoch for one document", []call{one, one}, []callResult{{accepted, 1, "one"}, {accepted, 2, "one"}}, false},
+		{"an effect of a call that reported none", []call{one, two, {}}, []callResult{{accepted, 1, "one"}, {noEffect, 0, ""}, {accepted, 2, "two"}}, false},
+		{"a lost response reported as a conflict with itself", []call{one, two}, []callResult{{accepted, 1, "one"}, {conflict, 2, "two"}}, false},
+		{"a head that returns to an earlier epoch", []call{one, two, {}}, []callResult{{accepted, 1, "one"}, {accepted, 2, "two"}, {accepted, 1, "one"}}, false},
+		{"an unknown outcome with its effect", []call{one, two, {}}, []callResult{{accepted, 1, "one"}, {unknown, 0, ""}, {accepted, 2, "two"}}, true},
+		{"already accepted, of a document that never was", []call{one, two}, []callResult{{accepted, 1, "one"}, {alreadyAccepted, 1, "two"}}, false},
 	} {
 		t.Run(tc.desc, func(t *testing.T) {
 			h := new(storagetest.History)
 			for i, in := range tc.calls {
-				record(h, 0, in, func() answer { return tc.outs[i] })
+				record(h, 0, in, func() callResult { return tc.outs[i] })
 			}
 			is.New(t).Equal(storagetest.IsLinearizable(headModel.ToModel(), h.Operations()), tc.want)
 		})
--- a/config/peers_test.go
+++ b/config/peers_test.go
@@ -12,8 +12,8 @@
 	"github.com/quetzalweir/quetzalweir/config/configtest"
 )
 
-func TestMajorityGoesOnWithoutTheTable(t *testing.T) {
-	inBench(t, func(t *testing.T, is *is.I, b *bench) {
+func TestMajorityContinuesWithoutTable(t *testing.T) {
+	runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
 		b.submit(t, config.Head{}, "1")
 		n := configtest.NewNetwork()
 		n.Start(t, config.WatcherOptions{Store: b.store}, "a", "b", "c", "d", "e")
@@ -23,10 +23,10 @@
 		is.Equal(n.States(), map[string]string{"a": "1", "b": "1", "c": "1", "d": "1", "e": "1"})
 		n.Isolate("d", "e")
 		is.Equal(n.States(), map[string]string{"a": "1", "b": "1", "c": "1", "d": "1", "e": "1"})
-		time.Sleep(pastBound)
+		time.Sleep(beyondBound)
 		is.Equal(n.States(), map[string]string{"a": "1", "b": "1", "c": "1", "d": "1 stopped", "e": "1 stopped"})
 		n.Isolate("c", "d", "e")
-		time.Sleep(pastBound)
+		time.Sleep(beyondBound)
 		is.Equal(n.States(), map[string]string{"a": "1 stopped", "b": "1 stopped", "c": "1", "d": "1", "e": "1"})
 		n.Isolate()
 		b.table.SetDown(false)
@@ -35,25 +35,25 @@
 	})
 }
 
-// The known weak spot of the majority rule: where only a minority reaches the
-// table, the majority doesn't hear of a new manifest. The report says so, and
-// one answer of the minority puts the new one in force.
+// A known limitation of the majority rule: if only a minority of the hosts can reach the
+// table, the majority doesn't learn of a new manifest. Report must list these hosts as
+// unconfirmed, and once they can query the minority they must put the new one in force.
 func TestMinorityWithTheTable(t *testing.T) {
-	inBench(t, func(t *testing.T, is *is.I, b *bench) {
+	runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
 		first := b.submit(t, config.Head{}, "1")
-		withTable := config.WatcherOptions{Store: b.newStore()}
-		without := newBench()
-		_, err := without.store.Submit(t.Context(), document("", "1"), "token")
+		minority := config.WatcherOptions{Store: b.newStore()}
+		majority := newFixture()
+		_, err := majority.store.Submit(t.Context(), document("", "1"), "token")
 		is.NoErr(err)
 		n := configtest.NewNetwork()
-		n.Start(t, withTable, "a", "b")
-		n.Start(t, config.WatcherOptions{Store: without.store}, "c", "d", "e")
+		n.Start(t, minority, "a", "b")
+		n.Start(t, config.WatcherOptions{Store: majority.store}, "c", "d", "e")
 		settle()
-		without.table.SetDown(true)
-		without.objects.SetDown(true)
+		majority.table.SetDown(true)
+		majority.objects.SetDown(true)
 		n.Isolate("a", "b")
 		second := b.submit(t, first, "2")
-		time.Sleep(pastBound)
+		time.Sleep(beyondBound)
 		is.Equal(n.States(), map[string]string{"a": "2", "b": "2", "c": "1", "d": "1", "e": "1"})
 		report, err := b.store.Report(t.Context(), second, slices.Collect(maps.Keys(n.States())))
 		is.NoErr(err)
@@ -64,8 +64,8 @@
 	})
 }
 
-func TestFreshHostDuringAnOutage(t *testing.T) {
-	inBench(t, func(t *testing.T, is *is.I, b *bench) {
+func TestNewHostDuringOutage(t *testing.T) {
+	runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
 		b.submit(t, config.Head{}, "1")
 		n := configtest.NewNetwork()
 		n.Start(t, config.WatcherOptions{Store: b.store}, "a", "b", "c")
@@ -73,7 +73,7 @@
 		b.table.SetDown(true)
 		b.objects.SetDown(true)
 		n.Start(t, config.WatcherOptions{Store: b.store}, "new")
-		time.Sleep(pastBound)
+		time.Sleep(beyondBound)
 		is.Equal(n.States()["new"], "1")
 		alone := run(t, config.WatcherOptions{Store: b.store, Peers: &scriptedPeers{known: 4}})
 		settle()
@@ -81,29 +81,29 @@
 	})
 }
 
-// The epoch in force only rises, whoever tells what.
-func TestOldNewsNeverReverts(t *testing.T) {
+// The epoch in force must never decrease, whatever the peers report.
+func TestEpochNeverDecreases(t *testing.T) {
 	for _, tc := range []struct {
 		desc string
-		// peers answer this while the table is down.
+		// peer is the report of a peer while the table is down.
 		peer config.PeerView
-		// want is reported by OnError, if anything.
+		// want is the error that OnError must get; nil for none.
 		want  error
-		stops bool
+		stale bool
 	}{
-		{"lagging peer without word", config.PeerView{Epoch: 1}, nil, true},
-		{"lagging peer with old word", config.PeerView{Epoch: 1, HasWord: true, WordAge: time.Hour}, nil, true},
-		{"peer whose new word is of an old head", config.PeerView{Epoch: 1, HasWord: true}, config.ErrWentBack, true},
+		{"lagging peer without table read", config.PeerView{Epoch: 1}, nil, true},
+		{"lagging peer with old table read", config.PeerView{Epoch: 1, HasWord: true, WordAge: time.Hour}, nil, true},
+		{"peer whose new table read returned an old head", config.PeerView{Epoch: 1, HasWord: true}, config.ErrTableRolledBack, true},
 		{"peer with another digest", config.PeerView{Epoch: 2, Digest: "sha256:0", HasWord: true}, config.ErrFork, true},
 		{"peer that knows of a newer head", config.PeerView{Epoch: 2, Newest: 3}, nil, true},
 		{"peer that agrees", config.PeerView{Epoch: 2}, nil, false},
 		{"peer that agreed long ago", config.PeerView{Epoch: 2, Age: time.Hour}, nil, true},
 		{"the host itself", config.PeerView{Host: "self", Epoch: 2}, nil, true},
-		{"peer that agreed long ago, with word of the future", config.PeerView{Epoch: 2, Age: time.Hour, HasWord: true, WordAge: -2 * time.Hour}, nil, true},
-		{"peer with word", config.PeerView{Epoch: 2, HasWord: true, WordAge: time.Second}, nil, false},
+		{"peer that agreed long ago, with table read in the future", config.PeerView{Epoch: 2, Age: time.Hour, HasWord: true, WordAge: -2 * time.Hour}, nil, true},
+		{"peer with table read", config.PeerView{Epoch: 2, HasWord: true, WordAge: time.Second}, nil, false},
 	} {
 		t.Run(tc.desc, func(t *testing.T) {
-			inBench(t, func(t *testing.T, is *is.I, b *bench) {
+			runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
 				first := b.submit(t, config.Head{}, "1")
 				second := b.submit(t, first, "2")
 				peer := tc.peer
@@ -117,21 +117,22 @@
 				var log errorLog
 				w := run(t, config.WatcherOptions{Store: b.store, Host: "self", Peers: peers, OnError: log.add})
 				settle()
-				peers.answer(peer)
+				peers.setViews(peer)
 				b.table.SetDown(true)
 				w.Offer(first)
-				time.Sleep(pastBound)
+				time.Sleep(beyondBound)
 				is.Equal(w.Current().Epoch, uint64(2))
-				is.Equal(isStale(w.Check()), tc.stops)
-				is.True(log.is(tc.want))
+				is.Equal(isStale(w.Check()), tc.stale)
+				is.True(log.contains(tc.want))
 			})
 		})
 	}
 }
 
-// What a peer says of an epoch gives way to what the table says.
+// If a peer and the table report different digests for an epoch, the host must use the
+// table's.
 func TestTableOverrulesAPeer(t *testing.T) {
-	inBench(t, func(t *testing.T, is *is.I, b *bench) {
+	runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
 		b.submit(t, config.Head{}, "1")
 		b.table.SetDown(true)
 		var log errorLog
@@ -142,6 +143,6 @@
 		b.table.SetDown(false)
 		settle()
 		is.NoErr(w.Check())
-		is.True(log.is(config.ErrFork))
+		is.True(log.contains(config.ErrFork))
 	})
 }
--- a/config/store.go
+++ b/config/store.go
@@ -9,9 +9,9 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// Store is the list of accepted manifests in the platform's table, with the
-// bodies in its object store. It keeps nothing itself and is safe for
-// concurrent use; any number of them may work on one table.
+// Store records the accepted manifests in the platform's table and their bodies in
+// its object store. It has no state of its own and is safe for concurrent use; any
+// number of Stores may use one table.
 type Store struct {
 	table   storage.Table
 	objects storage.Objects
@@ -22,13 +22,13 @@
 	return &Store{table: table, objects: objects}
 }
 
-// Head returns the head, with epoch zero if nothing was accepted yet.
+// Head returns the newest accepted manifest, with epoch zero if there is none.
 func (s *Store) Head(ctx context.Context) (Head, error) {
 	head, _, err := s.readHead(ctx)
 	return head, err
 }
 
-// readHead returns the head and the version of its row, zero without one.
+// readHead returns the head and the version of its row, zero if there is no row.
 func (s *Store) readHead(ctx context.Context) (Head, uint64, error) {
 	row, err := s.table.Get(ctx, headKey)
 	if errors.Is(err, storage.ErrNotFound) {
@@ -41,7 +41,7 @@
 	return head, row.Version, err
 }
 
-func (s *Store) acceptedAt(ctx context.Context, epoch uint64) (Head, error) {
+func (s *Store) readEpoch(ctx context.Context, epoch uint64) (Head, error) {
 	row, err := s.table.Get(ctx, epochKey(epoch))
 	if err != nil {
 		return Head{}, fmt.Errorf("config: read epoch %d: %w", epoch, err)
@@ -65,5 +65,5 @@
 	return heads, nil
 }
 
-// now is the time of acceptance, without its monotonic part.
-func now() time.Time { return time.Now().UTC().Round(0) }
+// wallTime returns the current time in UTC, without a monotonic clock reading.
+func wallTime() time.Time { return time.Now().UTC().Round(0) }
--- a/config/submit.go
+++ b/config/submit.go
@@ -14,52 +14,53 @@
 )
 
 const (
-	// maxToken is the length of a token in bytes.
-	maxToken = 128
-	// submitAttempts bounds the table transactions and body writes of one
-	// call.
+	// maxTokenBytes is the maximum length of a token.
+	maxTokenBytes = 128
+	// submitAttempts is the maximum number of table transactions, and of body
+	// writes, in one call.
 	submitAttempts = 8
-	// firstBackoff and lastBackoff bound the wait between two attempts.
-	firstBackoff = 20 * time.Millisecond
-	lastBackoff  = time.Second
+	// minBackoff and maxBackoff bound the wait between two attempts.
+	minBackoff = 20 * time.Millisecond
+	maxBackoff = time.Second
 )
 
 // Submission is the result of a successful Submit.
 type Submission struct {
-	// Head is the accepted manifest. It need not be the newest any more.
+	// Head is the accepted manifest. It may have been replaced by a newer one.
 	Head Head
-	// Already says that the document had been accepted before this call, or
-	// by another one.
+	// Already is true if the document was accepted before this call or by another
+	// call.
 	Already bool
 }
 
-// proposal is a document on its way to acceptance.
+// proposal is a document that a call submits, with the state of its attempts.
 type proposal struct {
 	head Head
 	body []byte
-	// sent says that a transaction was handed to the table, so that a row
+	// txnSent is true once a transaction was sent to the table, so that a row
 	// with the proposal's token may be this call's own.
-	sent bool
-	// open says that the outcome of a transaction is unknown.
-	open bool
+	txnSent bool
+	// outcomeUnknown is true if the outcome of a transaction is unknown.
+	outcomeUnknown bool
 }
 
-// Submit has a document accepted as the next epoch. Its parent must be the
-// digest of the head; where it isn't, the error is a *ConflictError that names
-// the head. A document that Parse refuses gives manifest.Errors.
+// Submit adds a document to the accepted manifests as the next epoch. The
+// document's parent must be the digest of the head, otherwise Submit returns a
+// *ConflictError with the head. If the document is invalid, it returns
+// manifest.Errors.
 //
 // The digest covers the parent, so an equal digest means the same document at
-// the same place in the history: submitting it again is a success with
-// Already set, however much later, and never a second epoch. Going back to an
-// older content takes a document with the present head as its parent, which
-// is a new epoch.
+// the same position in the history. Submitting it again, at any later time,
+// succeeds with Already set and never creates a second epoch. To return to an older
+// content, submit a document with that content and the current head as its parent;
+// it becomes a new epoch.
 //
-// token marks the submission, at most 128 bytes and of the caller's making.
-// An error that is storage.ErrUnknown leaves open whether the document was
-// or will be accepted; submitting it again settles it. Any other error means
+// token identifies the submission; the caller chooses it, with at most 128 bytes.
+// If the error is storage.ErrUnknown, the document may have been accepted or may
+// still be; submitting it again determines the outcome. Any other error means
 // that nothing was accepted.
 func (s *Store) Submit(ctx context.Context, data []byte, token string) (Submission, error) {
-	if token == "" || len(token) > maxToken {
+	if token == "" || len(token) > maxTokenBytes {
 		return Submission{}, ErrToken
 	}
 	doc, err := manifest.Parse(data)
@@ -87,8 +88,8 @@
 	}
 }
 
-// writeBody stores the body before any row names it. Writing it again is
-// harmless, as its name is its digest.
+// writeBody stores the body before any row refers to it. It can be repeated, as the
+// object's name is the body's digest.
 func (s *Store) writeBody(ctx context.Context, p *proposal) error {
 	var err error
 	for attempt := range submitAttempts {
@@ -98,18 +99,18 @@
 		if errors.Is(err, storage.ErrConflict) {
 			return fmt.Errorf("%w: another body is stored under %s", ErrDamaged, p.head.Digest)
 		}
-		if pause(ctx, attempt) != nil {
+		if backOff(ctx, attempt) != nil {
 			break
 		}
 	}
 	return fmt.Errorf("config: nothing was submitted, the body could not be written: %w: %v", storage.ErrUnavailable, err)
 }
 
-// propose repeats attempts until one settles the outcome.
+// propose repeats attempts until the outcome is known.
 func (s *Store) propose(ctx context.Context, p *proposal) (Submission, error) {
 	var last error
 	for attempt := range submitAttempts {
-		result, err := s.attempt(ctx, p)
+		result, err := s.tryCommit(ctx, p)
 		if err == nil {
 			return result, nil
 		}
@@ -119,13 +120,13 @@
 		}
 		last = err
 		if errors.Is(err, ErrDamaged) {
-			break // waiting doesn't mend it
+			break // a retry can't succeed
 		}
-		if pause(ctx, attempt) != nil {
+		if backOff(ctx, attempt) != nil {
 			break
 		}
 	}
-	if p.open {
+	if p.outcomeUnknown {
 		return Submission{}, fmt.Errorf("config: submit the document again to learn its outcome: %w: %v", storage.ErrUnknown, last)
 	}
 	if errors.Is(last, ErrDamaged) {
@@ -134,11 +135,11 @@
 	return Submission{}, fmt.Errorf("config: nothing was submitted: %w: %v", storage.ErrUnavailable, last)
 }
 
-// attempt looks where the history stands and sends one transaction if the
-// document's turn is now. The head is read before the digest's row: a digest
-// that is absent after another head was seen can't arrive late either, as
-// every transaction that would add it requires the head's old version.
-func (s *Store) attempt(ctx context.Context, p *proposal) (Submission, error) {
+// tryCommit reads the state of the history and sends one transaction if the
+// document's parent is the head. The head is read before the digest's row: if the
+// head isn't the parent and the digest is absent afterwards, a delayed transaction
+// can't add it any more, as each one requires the old version of the head's row.
+func (s *Store) tryCommit(ctx context.Context, p *proposal) (Submission, error) {
 	head, version, err := s.readHead(ctx)
 	if err != nil {
 		return Submission{}, err
@@ -148,8 +149,8 @@
 		return Submission{}, err
 	}
 	if found {
-		own := p.sent && accepted.Token == p.head.Token
-		return Submission{Head: accepted, Already: !own}, nil
+		ours := p.txnSent && accepted.Token == p.head.Token
+		return Submission{Head: accepted, Already: !ours}, nil
 	}
 	if head.Digest != p.head.Parent {
 		return Submission{}, &ConflictError{Head: head}
@@ -169,16 +170,16 @@
 	if err != nil {
 		return Head{}, false, fmt.Errorf("%w: row %s: %w", ErrDamaged, row.Key, err)
 	}
-	head, err := s.acceptedAt(ctx, epoch)
+	head, err := s.readEpoch(ctx, epoch)
 	return head, err == nil, err
 }
 
 func (s *Store) commit(ctx context.Context, p *proposal, epoch, version uint64) (Submission, error) {
 	next := p.head
 	next.Epoch = epoch
-	next.AcceptedAt = now()
+	next.AcceptedAt = wallTime()
 	row := encodeRow(next)
-	p.sent = true
+	p.txnSent = true
 	_, err := s.table.Commit(ctx, storage.Txn{
 		Conditions: []storage.Condition{
 			{Key: headKey, Version: version},
@@ -194,16 +195,16 @@
 	if err == nil {
 		return Submission{Head: next}, nil
 	}
-	// Only a conflict and an outage are certain to have had no effect.
+	// Only ErrConflict and ErrUnavailable guarantee that the transaction had no effect.
 	if !errors.Is(err, storage.ErrConflict) && !errors.Is(err, storage.ErrUnavailable) {
-		p.open = true
+		p.outcomeUnknown = true
 	}
 	return Submission{}, fmt.Errorf("config: commit epoch %d: %w", epoch, err)
 }
 
-// pause waits between two attempts, longer each time, with jitter so that
-// racing submitters part.
-func pause(ctx context.Context, attempt int) error {
-	half := min(firstBackoff<<attempt, lastBackoff) / 2
+// backOff waits between two attempts with exponential backoff, and with jitter so
+// that concurrent submitters don't retry at the same time.
+func backOff(ctx context.Context, attempt int) error {
+	half := min(minBackoff<<attempt, maxBackoff) / 2
 	return wait.For(ctx, half+rand.N(half+1))
 }
--- a/config/submit_test.go
+++ b/config/submit_test.go
@@ -14,8 +14,8 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-func TestSubmitMakesAChain(t *testing.T) {
-	inBench(t, func(t *testing.T, is *is.I, b *bench) {
+func TestSubmitBuildsHistory(t *testing.T) {
+	runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
 		ctx := t.Context()
 		empty, err := b.store.Head(ctx)
 		is.NoErr(err)
@@ -41,37 +41,37 @@
 }
 
 func TestSubmitOutcomes(t *testing.T) {
-	const late = 90 * time.Millisecond // arrives between two attempts
+	const late = 90 * time.Millisecond // takes effect between two attempts
 	for _, tc := range []struct {
 		desc    string
-		prepare func(t *testing.T, b *bench)
-		// body and token are of the submission; the head is then "1".
+		prepare func(t *testing.T, b *fixture)
+		// body and token are those of the submission, whose parent is manifest "1".
 		body, token string
 		want        error
 		already     bool
-		// epoch is the head's afterwards.
+		// epoch is the head's epoch afterwards.
 		epoch uint64
 	}{
 		{desc: "accepted", body: "2", epoch: 2},
-		{desc: "answer lost", prepare: func(_ *testing.T, b *bench) { b.table.LoseNext(1) }, body: "2", epoch: 2},
-		{desc: "transaction lost", prepare: func(_ *testing.T, b *bench) { b.table.DropNext(1) }, body: "2", epoch: 2},
-		{desc: "effect late", prepare: func(_ *testing.T, b *bench) { b.table.DelayNext(1, late) }, body: "2", epoch: 2},
-		{desc: "effect much later", prepare: func(_ *testing.T, b *bench) { b.table.DelayNext(1, time.Minute) }, body: "2", epoch: 2},
-		{desc: "all effects late", prepare: func(_ *testing.T, b *bench) { b.table.DelayNext(100, time.Minute) }, body: "2", want: storage.ErrUnknown, epoch: 2},
-		{desc: "all transactions lost", prepare: func(_ *testing.T, b *bench) { b.table.DropNext(100) }, body: "2", want: storage.ErrUnknown, epoch: 1},
-		{desc: "table down", prepare: func(_ *testing.T, b *bench) { b.table.SetDown(true) }, body: "2", want: storage.ErrUnavailable, epoch: 1},
-		{desc: "object store down", prepare: func(_ *testing.T, b *bench) { b.objects.SetDown(true) }, body: "2", want: storage.ErrUnavailable, epoch: 1},
+		{desc: "response lost", prepare: func(_ *testing.T, b *fixture) { b.table.LoseNext(1) }, body: "2", epoch: 2},
+		{desc: "transaction lost", prepare: func(_ *testing.T, b *fixture) { b.table.DropNext(1) }, body: "2", epoch: 2},
+		{desc: "delayed effect", prepare: func(_ *testing.T, b *fixture) { b.table.DelayNext(1, late) }, body: "2", epoch: 2},
+		{desc: "effect delayed by a minute", prepare: func(_ *testing.T, b *fixture) { b.table.DelayNext(1, time.Minute) }, body: "2", epoch: 2},
+		{desc: "all effects delayed", prepare: func(_ *testing.T, b *fixture) { b.table.DelayNext(100, time.Minute) }, body: "2", want: storage.ErrUnknown, epoch: 2},
+		{desc: "all transactions lost", prepare: func(_ *testing.T, b *fixture) { b.table.DropNext(100) }, body: "2", want: storage.ErrUnknown, epoch: 1},
+		{desc: "table down", prepare: func(_ *testing.T, b *fixture) { b.table.SetDown(true) }, body: "2", want: storage.ErrUnavailable, epoch: 1},
+		{desc: "object store down", prepare: func(_ *testing.T, b *fixture) { b.objects.SetDown(true) }, body: "2", want: storage.ErrUnavailable, epoch: 1},
 		{desc: "accepted by another caller", prepare: accept("2", "other"), body: "2", already: true, epoch: 2},
 		{desc: "accepted with the same token before", prepare: accept("2", "mine"), body: "2", already: true, epoch: 2},
-		{desc: "another manifest won", prepare: accept("3", "other"), body: "2", want: storage.ErrConflict, epoch: 2},
-		{desc: "another won and the answer was lost", prepare: func(t *testing.T, b *bench) {
+		{desc: "another manifest accepted first", prepare: accept("3", "other"), body: "2", want: storage.ErrConflict, epoch: 2},
+		{desc: "another accepted first and the response lost", prepare: func(t *testing.T, b *fixture) {
 			accept("3", "other")(t, b)
 			b.table.LoseNext(1)
 		}, body: "2", want: storage.ErrConflict, epoch: 2},
 		{desc: "no token", body: "2", token: "-", want: config.ErrToken, epoch: 1},
 	} {
 		t.Run(tc.desc, func(t *testing.T) {
-			inBench(t, func(t *testing.T, is *is.I, b *bench) {
+			runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
 				first := b.submit(t, config.Head{}, "1")
 				if tc.prepare != nil {
 					tc.prepare(t, b)
@@ -83,7 +83,7 @@
 				result, err := b.store.Submit(t.Context(), document(first.Digest, tc.body), token)
 				is.True(errors.Is(err, tc.want)) // class of the outcome
 				is.Equal(result.Already, tc.already)
-				time.Sleep(2 * time.Minute) // late effects arrive
+				time.Sleep(2 * time.Minute) // for the delayed effects
 				b.table.Heal()
 				head, headErr := b.store.Head(t.Context())
 				is.NoErr(headErr)
@@ -96,9 +96,9 @@
 	}
 }
 
-// accept has a manifest accepted after "1" by another call.
-func accept(build, token string) func(*testing.T, *bench) {
-	return func(t *testing.T, b *bench) {
+// accept returns a function that submits a manifest on the current head.
+func accept(build, token string) func(*testing.T, *fixture) {
+	return func(t *testing.T, b *fixture) {
 		head, err := b.store.Head(t.Context())
 		is.New(t).NoErr(err)
 		_, err = b.store.Submit(t.Context(), document(head.Digest, build), token)
@@ -107,7 +107,7 @@
 }
 
 func TestSubmitAgainAfterItWasReplaced(t *testing.T) {
-	inBench(t, func(t *testing.T, is *is.I, b *bench) {
+	runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
 		first := b.submit(t, config.Head{}, "1")
 		b.submit(t, first, "2")
 		result, err := b.store.Submit(t.Context(), document("", "1"), "another")
@@ -117,7 +117,7 @@
 }
 
 func TestConflictNamesTheWinner(t *testing.T) {
-	inBench(t, func(t *testing.T, is *is.I, b *bench) {
+	runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
 		first := b.submit(t, config.Head{}, "1")
 		winner := b.submit(t, first, "2")
 		_, err := b.store.Submit(t.Context(), document(first.Digest, "3"), "loser")
@@ -129,32 +129,33 @@
 
 func TestSubmitRefusesABadDocument(t *testing.T) {
 	is := is.New(t)
-	b := newBench()
+	b := newFixture()
 	_, err := b.store.Submit(context.Background(), []byte(`{"format":1}`), "token")
 	var problems manifest.Errors
 	is.True(errors.As(err, &problems))
 	is.Equal(b.table.Counts().Commits, 0)
 }
 
-// A row that can't be read doesn't turn an unknown outcome into a denial.
+// If the outcome of a transaction is unknown, Submit must return storage.ErrUnknown even if
+// the head's row can't be decoded afterwards.
 func TestSubmitOverADamagedHead(t *testing.T) {
 	for _, tc := range []struct {
 		desc string
-		// after is when the head's row is damaged.
+		// after is the delay after which the head's row is corrupted.
 		after time.Duration
 		want  error
 	}{
 		{"before the transaction", 0, config.ErrDamaged},
-		{"after a transaction without answer", 5 * time.Millisecond, storage.ErrUnknown},
+		{"after a transaction without response", 5 * time.Millisecond, storage.ErrUnknown},
 	} {
 		t.Run(tc.desc, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench()
+				b := newFixture()
 				first := b.submit(t, config.Head{}, "1")
 				b.table.DropNext(1)
 				time.AfterFunc(tc.after, func() {
 					txn := storage.Txn{Puts: []storage.Put{{Key: "config/head", Value: []byte("{")}}}
-					_, _ = b.inner.Commit(context.Background(), txn)
+					_, _ = b.rawTable.Commit(context.Background(), txn)
 				})
 				synctest.Wait()
 				_, err := b.store.Submit(t.Context(), document(first.Digest, "2"), "token")
@@ -165,12 +166,12 @@
 }
 
 func TestReport(t *testing.T) {
-	inBench(t, func(t *testing.T, is *is.I, b *bench) {
+	runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
 		ctx := t.Context()
 		first := b.submit(t, config.Head{}, "1")
 		second := b.submit(t, first, "2")
 		is.NoErr(b.store.Confirm(ctx, "a", second))
-		is.NoErr(b.store.Confirm(ctx, "a", first)) // late news changes nothing
+		is.NoErr(b.store.Confirm(ctx, "a", first)) // an older head has no effect
 		is.NoErr(b.store.Confirm(ctx, "b", first))
 		b.table.LoseNext(1)
 		is.NoErr(b.store.Confirm(ctx, "d", second))
--- a/config/watcher.go
+++ b/config/watcher.go
@@ -13,46 +13,45 @@
 	"github.com/quetzalweir/quetzalweir/manifest"
 )
 
-// Defaults of WatcherOptions and what follows from them.
+// Defaults of WatcherOptions, and constants of the Watcher's intervals and timeouts.
 const (
 	DefaultPoll              = time.Second
 	DefaultBound             = 5 * time.Second
 	DefaultReadsPerSecond    = 200
 	DefaultConfirmsPerSecond = 40
 
-	// pollsPerBound is how many reads start within the bound at least, so
-	// that one lost answer doesn't stop the host.
-	pollsPerBound = 2
-	// asksPerBound is how many questions to the peers fit within the bound at
-	// least.
-	asksPerBound = 3
-	// viewsPerSecond is the budget of answers of peers that one host asks for.
-	viewsPerSecond = 20
-	// loadsPerBound is how many sources of a body are tried within the bound, while
-	// its size is unknown.
-	loadsPerBound = 4
-	// maxLoadBounds is the most that a source is given, in bounds: 50 s with the
-	// default, in which a link of 2 Mbit/s carries 12 MB.
-	maxLoadBounds = 10
-	// confirmRefresh is when a host writes its confirmation again though
-	// nothing changed.
-	confirmRefresh = time.Hour
-	// jitter is the part by which an interval varies to either side.
+	// readsPerBound is the minimum number of table reads that start within the
+	// bound, so that the host keeps accepting requests if one response is lost.
+	readsPerBound = 2
+	// peerPollsPerBound is the minimum number of peer queries within the bound.
+	peerPollsPerBound = 3
+	// peerViewsPerSecond is the budget of peer reports that one host requests.
+	peerViewsPerSecond = 20
+	// firstLoadsPerBound is how many sources of a body can be tried within the bound
+	// while no load has been timed yet.
+	firstLoadsPerBound = 4
+	// maxLoadInBounds is the maximum timeout of a load from one source, as a multiple
+	// of the bound: 50 s by default, in which a link of 2 Mbit/s transfers 12 MB.
+	maxLoadInBounds = 10
+	// confirmInterval is the interval at which a host rewrites an unchanged
+	// confirmation.
+	confirmInterval = time.Hour
+	// jitter is the fraction by which an interval varies in either direction.
 	jitter = 0.2
 )
 
-// Peers asks the other hosts what they have in force.
+// Peers queries the other hosts for their manifests in force.
 type Peers interface {
-	// Known is the number of hosts that take part, this one included. Hosts
-	// that can't be reached count; only those that have left for good don't.
+	// Known returns the number of member hosts, this one included. Unreachable
+	// hosts count; only hosts that have left permanently don't.
 	Known() int
-	// Ask returns the answers of the hosts that could be reached before the
-	// context's end.
+	// Ask returns the reports of the hosts that responded before the context
+	// ended.
 	Ask(ctx context.Context) []PeerView
 }
 
-// Bodies fetches the canonical body of a manifest from another host. What it
-// returns is verified against the digest.
+// Bodies fetches the canonical body of a manifest from another host. The Watcher
+// verifies it against the digest.
 type Bodies interface {
 	FetchBody(ctx context.Context, digest string) ([]byte, error)
 }
@@ -61,28 +60,32 @@
 type WatcherOptions struct {
 	// Store is required.
 	Store *Store
-	// Host is the name under which the host confirms; it writes no
-	// confirmations without one.
+	// Host is the host's name in its confirmations; if it is empty, the Watcher
+	// writes none.
 	Host string
-	// Peers are the other hosts; without them only the table gives evidence.
+	// Peers queries the other hosts. If it is nil, evidence comes only from the
+	// table.
 	Peers Peers
-	// Bodies is a second source of bodies; it may be nil.
+	// Bodies is the source of bodies if the object store fails; it may be nil.
 	Bodies Bodies
 	// Poll is the interval between reads of the head; default 1 s. It is
-	// lengthened where ReadsPerSecond asks for it.
+	// lengthened to keep within ReadsPerSecond.
 	Poll time.Duration
-	// Bound is how old the evidence for the manifest may be; default 5 s.
+	// Bound is the maximum age of the evidence that the manifest is the newest;
+	// default 5 s.
 	Bound time.Duration
-	// ReadsPerSecond is the budget of reads of the head over all hosts,
-	// default 200. At least two reads fall within Bound all the same.
+	// ReadsPerSecond is the budget of reads of the head for all hosts together;
+	// default 200. At least two reads per host start within Bound even if that
+	// exceeds the budget.
 	ReadsPerSecond int
-	// ConfirmsPerSecond is the budget of confirmations over all hosts,
-	// default 40. A host that changes more often skips epochs.
+	// ConfirmsPerSecond is the budget of confirmations for all hosts together;
+	// default 40. A host whose manifest changes more often skips epochs.
 	ConfirmsPerSecond int
-	// OnChange is called after each change of the manifest in force, in order.
+	// OnChange is called after each change of the manifest in force, in order of
+	// the epochs.
 	OnChange func(*manifest.Policy)
-	// OnError is called with errors that a later attempt may mend, from several
-	// goroutines at once.
+	// OnError is called with errors after which the Watcher retries. Calls may be
+	// concurrent.
 	OnError func(error)
 }
 
@@ -105,73 +108,73 @@
 type Watcher struct {
 	options WatcherOptions
 
-	// mu orders the changes of view; readers take none.
+	// mu serializes updates of view; reads need no lock.
 	mu   sync.Mutex
 	view atomic.Pointer[view]
 
-	// wake tells the loader of a newer head.
-	wake chan struct{}
-	// reads bounds the reads of the table under way.
-	reads chan struct{}
+	// newHead notifies the loader of a newer head.
+	newHead chan struct{}
+	// readSlots limits the number of concurrent reads of the table.
+	readSlots chan struct{}
 }
 
-// NewWatcher returns a Watcher that has nothing in force; Run starts it.
+// NewWatcher returns a Watcher that has no manifest in force; Run starts it.
 func NewWatcher(options WatcherOptions) *Watcher {
 	o := options.withDefaults()
 	w := &Watcher{
-		options: o,
-		wake:    make(chan struct{}, 1),
-		reads:   make(chan struct{}, int(o.Bound/o.Poll)+1),
+		options:   o,
+		newHead:   make(chan struct{}, 1),
+		readSlots: make(chan struct{}, int(o.Bound/o.Poll)+1),
 	}
 	w.view.Store(&view{})
 	return w
 }
 
-// Run watches until the context's end and returns its error.
+// Run runs the Watcher until the context ends, and returns the context's error.
 func (w *Watcher) Run(ctx context.Context) error {
 	var loops sync.WaitGroup
 	loops.Go(func() { w.pollTable(ctx) })
 	loops.Go(func() { w.pollPeers(ctx) })
-	loops.Go(func() { w.loadNewest(ctx) })
-	loops.Go(func() { w.confirm(ctx) })
+	loops.Go(func() { w.runLoader(ctx) })
+	loops.Go(func() { w.runConfirmer(ctx) })
 	loops.Wait()
 	return ctx.Err()
 }
 
-// Current returns the manifest in force, nil before the first. Its epoch only
-// rises.
+// Current returns the manifest in force, or nil if there is none yet. Its epoch
+// never decreases.
 func (w *Watcher) Current() *manifest.Policy { return w.view.Load().policy }
 
-// Check returns nil while the host may take new work. Else it returns
-// ErrNoManifest or a *StaleError. It is meant to be called for each request,
-// as late as can be before the request is sent.
+// Check returns nil while the host may accept new requests, and otherwise
+// ErrNoManifest or a *StaleError. Call it for each request, as late as possible
+// before the request is sent.
 func (w *Watcher) Check() error {
 	return w.view.Load().check(boottime.Now(), w.options.Bound)
 }
 
-// Offer tells of an accepted head that was heard of from another host. Old
-// news is ignored.
+// Offer passes on an accepted head that another host has reported. A head that isn't
+// newer than the newest known one is ignored.
 func (w *Watcher) Offer(head Head) {
-	w.change(func(v view) (view, error) { return v.withHead(head) })
+	w.update(func(v view) (view, error) { return v.withHead(head) })
 }
 
-// View is what this host answers to others.
+// View returns the report that this host sends to other hosts.
 func (w *Watcher) View(host string) PeerView {
 	v := w.view.Load()
-	answer := PeerView{Host: host, Newest: v.newest.Epoch}
+	report := PeerView{Host: host, Newest: v.newest.Epoch}
 	if v.policy != nil {
-		answer.Epoch = v.policy.Epoch
-		answer.Digest = v.policy.Digest
+		report.Epoch = v.policy.Epoch
+		report.Digest = v.policy.Digest
 	}
-	if !v.word.IsZero() {
-		answer.HasWord = true
-		answer.WordAge = boottime.Since(v.word)
+	if !v.tableRead.IsZero() {
+		report.HasWord = true
+		report.WordAge = boottime.Since(v.tableRead)
 	}
-	return answer
+	return report
 }
 
-// Body returns the canonical body of the manifest in force if it has the
-// digest, for hosts that can't reach the object store.
+// Body returns the canonical body of the manifest in force if that has the
+// digest. Hosts that can't reach the object store fetch it.
 func (w *Watcher) Body(digest string) ([]byte, bool) {
 	p := w.Current()
 	if p == nil || p.Digest != digest {
@@ -180,10 +183,10 @@
 	return manifest.Encode(p.Document), true
 }
 
-// change replaces the view and wakes the loader if there is a newer head. An
-// error of f is told; the view that came with it counts.
-func (w *Watcher) change(f func(view) (view, error)) {
-	err := w.replace(f)
+// update replaces the view by f's result and notifies the loader if there is a newer
+// head. It passes an error of f to OnError; the returned view is used even then.
+func (w *Watcher) update(f func(view) (view, error)) {
+	err := w.swapView(f)
 	if err != nil {
 		w.options.OnError(err)
 	}
@@ -192,12 +195,12 @@
 		return
 	}
 	select {
-	case w.wake <- struct{}{}:
+	case w.newHead <- struct{}{}:
 	default:
 	}
 }
 
-func (w *Watcher) replace(f func(view) (view, error)) error {
+func (w *Watcher) swapView(f func(view) (view, error)) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	next, err := f(*w.view.Load())
@@ -205,22 +208,23 @@
 	return err
 }
 
-// interval is the time between two events of a host where all known hosts
-// together have a budget of events per second.
-func interval(known, perSecond int, low, high time.Duration) time.Duration {
-	shared := time.Duration(known) * time.Second / time.Duration(perSecond)
-	return min(max(shared, low), high)
+// sharedInterval returns the interval between the events of one host, so that all
+// known hosts together keep within budget events per second. It lies between minimum
+// and maximum.
+func sharedInterval(known, budget int, minimum, maximum time.Duration) time.Duration {
+	shared := time.Duration(known) * time.Second / time.Duration(budget)
+	return min(max(shared, minimum), maximum)
 }
 
-func (w *Watcher) known() int {
+func (w *Watcher) knownHosts() int {
 	if w.options.Peers == nil {
 		return 1
 	}
 	return max(1, w.options.Peers.Known())
 }
 
-// sleep waits for about d; it returns false at the context's end.
-func sleep(ctx context.Context, d time.Duration) bool {
-	spread := 1 - jitter + 2*jitter*rand.Float64()
-	return wait.For(ctx, time.Duration(float64(d)*spread)) == nil
+// sleepJittered waits for d with jitter. It returns false if the context ends.
+func sleepJittered(ctx context.Context, d time.Duration) bool {
+	factor := 1 - jitter + 2*jitter*rand.Float64()
+	return wait.For(ctx, time.Duration(float64(d)*factor)) == nil
 }
--- a/config/watcher_loops.go
+++ b/config/watcher_loops.go
@@ -11,23 +11,23 @@
 	"github.com/quetzalweir/quetzalweir/manifest"
 )
 
-// pollTable starts reads of the head at intervals. Reads overlap where the
-// table is slow: an answer that takes most of the bound is still of use, and
-// the next should not start only after it.
+// pollTable starts reads of the head at intervals. Reads overlap if the table is
+// slow: a response that takes most of the bound is still useful, and the next read
+// shouldn't wait for it.
 func (w *Watcher) pollTable(ctx context.Context) {
 	var reads sync.WaitGroup
 	defer reads.Wait()
 	for {
 		select {
-		case w.reads <- struct{}{}:
+		case w.readSlots <- struct{}{}:
 			reads.Go(func() {
-				defer func() { <-w.reads }()
+				defer func() { <-w.readSlots }()
 				w.readHead(ctx)
 			})
-		default: // all reads under way are slow
+		default: // all slots are in use by slow reads
 		}
 		o := w.options
-		if !sleep(ctx, interval(w.known(), o.ReadsPerSecond, o.Poll, o.Bound/pollsPerBound)) {
+		if !sleepJittered(ctx, sharedInterval(w.knownHosts(), o.ReadsPerSecond, o.Poll, o.Bound/readsPerBound)) {
 			return
 		}
 	}
@@ -42,46 +42,47 @@
 		w.options.OnError(err)
 		return
 	}
-	w.change(func(v view) (view, error) { return v.withOwnRead(head, start) })
+	w.update(func(v view) (view, error) { return v.withOwnTableRead(head, start) })
 }
 
-// pollPeers asks the other hosts while the word from the table runs out or a
-// newer manifest is missing.
+// pollPeers queries the other hosts at intervals, as long as the newest table read is
+// older than half the bound or there is no manifest in force. While a newer manifest
+// isn't loaded, reads of its head don't count, so that it queries them then, too.
 func (w *Watcher) pollPeers(ctx context.Context) {
 	if w.options.Peers == nil {
 		return
 	}
 	for {
-		if w.needsPeers() {
+		if w.shouldAskPeers() {
 			w.askPeers(ctx)
 		}
 		o := w.options
-		if !sleep(ctx, interval(w.known(), viewsPerSecond, o.Poll, o.Bound/asksPerBound)) {
+		if !sleepJittered(ctx, sharedInterval(w.knownHosts(), peerViewsPerSecond, o.Poll, o.Bound/peerPollsPerBound)) {
 			return
 		}
 	}
 }
 
-func (w *Watcher) needsPeers() bool {
+func (w *Watcher) shouldAskPeers() bool {
 	v := w.view.Load()
-	return v.policy == nil || boottime.Since(v.word) > w.options.Bound/2
+	return v.policy == nil || boottime.Since(v.tableRead) > w.options.Bound/2
 }
 
 func (w *Watcher) askPeers(ctx context.Context) {
 	start := boottime.Now()
 	ctx, cancel := context.WithTimeout(ctx, w.options.Poll)
 	defer cancel()
-	peers := w.others(w.options.Peers.Ask(ctx))
+	peers := w.withoutSelf(w.options.Peers.Ask(ctx))
 	for _, p := range peers {
-		w.hearPeer(p, start)
+		w.applyPeerView(p, start)
 	}
 	known := w.options.Peers.Known()
-	w.change(func(v view) (view, error) { return v.withQuorum(known, peers, start), nil })
+	w.update(func(v view) (view, error) { return v.withQuorum(known, peers, start), nil })
 }
 
-// others leaves out this host's own view, which is no evidence, and takes
-// negative ages as zero, so that no evidence is younger than the question.
-func (w *Watcher) others(views []PeerView) []PeerView {
+// withoutSelf returns the views of other hosts: this host's own view is no evidence.
+// Negative ages become zero, so that no evidence is newer than the query.
+func (w *Watcher) withoutSelf(views []PeerView) []PeerView {
 	var others []PeerView
 	for _, p := range views {
 		if p.Host == "" || p.Host == w.options.Host {
@@ -94,42 +95,44 @@
 	return others
 }
 
-// hearPeer takes a peer's word with its age: it was given after the start of
-// the question, less the age of the view.
-func (w *Watcher) hearPeer(p PeerView, start time.Time) {
+// applyPeerView updates the view with a peer's report of the query that began at
+// start. The start of the peer's table read is start less the ages of the report and
+// of the read.
+func (w *Watcher) applyPeerView(p PeerView, start time.Time) {
 	if !p.HasWord {
 		w.Offer(p.head())
 		return
 	}
 	at := start.Add(-p.Age).Add(-p.WordAge)
-	w.change(func(v view) (view, error) { return v.withWord(p.head(), at) })
+	w.update(func(v view) (view, error) { return v.withTableRead(p.head(), at) })
 }
 
-// withQuorum returns the view after the answers to a question.
+// withQuorum returns the view after the responses to a peer query that began at start.
 func (v view) withQuorum(known int, peers []PeerView, start time.Time) view {
 	if v.policy == nil || v.newest.Epoch > v.policy.Epoch {
 		return v
 	}
 	age, ok := quorumAge(v.policy.Epoch, v.policy.Digest, known, peers)
 	if ok {
-		v.quorum = later(v.quorum, start.Add(-age))
+		v.quorumAsked = later(v.quorumAsked, start.Add(-age))
 	}
 	return v
 }
 
-// loadNewest puts newer manifests in force as they are heard of.
-func (w *Watcher) loadNewest(ctx context.Context) {
+// runLoader loads the newest known manifest and puts it in force, until the context
+// ends.
+func (w *Watcher) runLoader(ctx context.Context) {
 	retry := time.NewTimer(w.options.Poll)
 	defer retry.Stop()
-	limit := loadLimit{bound: w.options.Bound}
+	timeout := loadTimeout{bound: w.options.Bound}
 	for {
 		v := w.view.Load()
 		if v.newest.Epoch > v.epoch() {
-			w.load(ctx, v.newest, &limit)
+			w.load(ctx, v.newest, &timeout)
 		}
 		retry.Reset(w.options.Poll)
 		select {
-		case <-w.wake:
+		case <-w.newHead:
 		case <-retry.C:
 		case <-ctx.Done():
 			return
@@ -137,25 +140,26 @@
 	}
 }
 
-// loadLimit is how long each source of a body is given. A body that needs longer than
-// that to arrive would be cut at the same byte at each try, and the host would take no
-// work for good; so a load that runs out of time doubles it. It goes by the last body's
-// time, not by its digest: manifests may change faster than one of them arrives.
-type loadLimit struct {
+// loadTimeout is the timeout of a load from one source of a body. With a fixed timeout, a
+// body that takes longer to transfer would be cut off at the same byte in each attempt, and
+// the host would never accept requests again; so a load that times out doubles the timeout.
+// It depends on the duration of the last load and not on the digest, as manifests may
+// change faster than one of them arrives.
+type loadTimeout struct {
 	bound time.Duration
-	// current is 0 before the first load.
+	// current is the timeout that the last load set; 0 before the first.
 	current time.Duration
 }
 
-// next is the limit of the next try.
-func (l *loadLimit) next() time.Duration { return max(l.current, l.bound/loadsPerBound) }
+// next returns the timeout of the next attempt.
+func (l *loadTimeout) next() time.Duration { return max(l.current, l.bound/firstLoadsPerBound) }
 
-// set sets the limit, up to maxLoadBounds.
-func (l *loadLimit) set(limit time.Duration) { l.current = min(limit, maxLoadBounds*l.bound) }
+// set sets the timeout, limited to maxLoadInBounds times the bound.
+func (l *loadTimeout) set(timeout time.Duration) { l.current = min(timeout, maxLoadInBounds*l.bound) }
 
-// try loads from one source within the limit. A body that came leaves twice its own
-// time to the next, whatever another source took before.
-func (l *loadLimit) try(ctx context.Context, load func(context.Context) (*manifest.Policy, error)) (*manifest.Policy, error) {
+// try loads from one source with the timeout. A successful load sets the timeout to twice
+// its own duration, even if another source took longer before.
+func (l *loadTimeout) try(ctx context.Context, load func(context.Context) (*manifest.Policy, error)) (*manifest.Policy, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.next())
 	defer cancel()
 	start := boottime.Now()
@@ -166,32 +170,32 @@
 	return policy, err
 }
 
-func (w *Watcher) load(ctx context.Context, head Head, limit *loadLimit) {
-	policy, err := w.fetch(ctx, head, limit)
+func (w *Watcher) load(ctx context.Context, head Head, timeout *loadTimeout) {
+	policy, err := w.fetch(ctx, head, timeout)
 	if errors.Is(err, context.DeadlineExceeded) {
-		limit.set(2 * limit.next())
+		timeout.set(2 * timeout.next())
 	}
 	if err != nil {
 		w.options.OnError(err)
 		return
 	}
 	before := w.Current()
-	w.change(func(v view) (view, error) { return v.withPolicy(policy, boottime.Now()), nil })
+	w.update(func(v view) (view, error) { return v.withPolicy(policy, boottime.Now()), nil })
 	if w.Current() != before {
 		w.options.OnChange(policy)
 	}
 }
 
-// fetch takes the body from the object store, or else from a peer, each within the
-// limit.
-func (w *Watcher) fetch(ctx context.Context, head Head, limit *loadLimit) (*manifest.Policy, error) {
-	policy, err := limit.try(ctx, func(ctx context.Context) (*manifest.Policy, error) {
+// fetch loads the manifest from the object store or, if that fails, from a peer, each
+// with the timeout.
+func (w *Watcher) fetch(ctx context.Context, head Head, timeout *loadTimeout) (*manifest.Policy, error) {
+	policy, err := timeout.try(ctx, func(ctx context.Context) (*manifest.Policy, error) {
 		return w.options.Store.LoadFrom(ctx, head, w.Current())
 	})
 	if err == nil || w.options.Bodies == nil {
 		return policy, err
 	}
-	policy, peerErr := limit.try(ctx, func(ctx context.Context) (*manifest.Policy, error) {
+	policy, peerErr := timeout.try(ctx, func(ctx context.Context) (*manifest.Policy, error) {
 		return w.fetchFromPeer(ctx, head)
 	})
 	if peerErr != nil {
@@ -205,12 +209,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("config: fetch body of epoch %d from a peer: %w", head.Epoch, err)
 	}
-	return compile(body, head)
+	return verifyAndCompile(body, head)
 }
 
-// confirm writes what is in force, at most as often as the budget allows. An
-// epoch that was replaced meanwhile is skipped: the later one confirms it too.
-func (w *Watcher) confirm(ctx context.Context) {
+// runConfirmer writes this host's confirmation when the manifest in force changes, as
+// often as the budget allows, and at least every confirmInterval. An epoch that was
+// replaced in the meantime is skipped: confirming the later one confirms it too.
+func (w *Watcher) runConfirmer(ctx context.Context) {
 	if w.options.Host == "" {
 		return
 	}
@@ -218,7 +223,7 @@
 	var writtenAt time.Time
 	for {
 		p := w.Current()
-		if p != nil && (p.Epoch > written || boottime.Since(writtenAt) > confirmRefresh) {
+		if p != nil && (p.Epoch > written || boottime.Since(writtenAt) > confirmInterval) {
 			err := w.options.Store.Confirm(ctx, w.options.Host, Head{Epoch: p.Epoch, Digest: p.Digest})
 			if err == nil {
 				written, writtenAt = p.Epoch, boottime.Now()
@@ -227,7 +232,7 @@
 			}
 		}
 		o := w.options
-		if !sleep(ctx, interval(w.known(), o.ConfirmsPerSecond, o.Poll/pollsPerBound, confirmRefresh)) {
+		if !sleepJittered(ctx, sharedInterval(w.knownHosts(), o.ConfirmsPerSecond, o.Poll/readsPerBound, confirmInterval)) {
 			return
 		}
 	}
--- a/config/watcher_test.go
+++ b/config/watcher_test.go
@@ -17,7 +17,7 @@
 	"github.com/quetzalweir/quetzalweir/storage/faulty"
 )
 
-// run starts a watcher that ends with the test's bubble.
+// run starts a watcher that runs until the test ends.
 func run(t *testing.T, options config.WatcherOptions) *config.Watcher {
 	t.Helper()
 	w := config.NewWatcher(options)
@@ -31,7 +31,7 @@
 }
 
 func TestWatcherFollowsTheHead(t *testing.T) {
-	inBench(t, func(t *testing.T, is *is.I, b *bench) {
+	runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
 		var epochs []uint64
 		w := run(t, config.WatcherOptions{
 			Store:    b.store,
@@ -54,51 +54,52 @@
 	})
 }
 
-// A host without peers stops when the table's word is too old, and goes on
-// when the table is back.
+// A host without peers must stop accepting requests when its last table read is older than
+// the bound, and must accept them again when the table has recovered.
 func TestWatcherUnderTableFaults(t *testing.T) {
 	for _, tc := range []struct {
 		desc  string
-		fault func(*bench)
-		// stops says that the host takes no work during the fault.
-		stops bool
+		fault func(*fixture)
+		// stale is true if the host must not accept requests during the fault.
+		stale bool
 	}{
-		{"table down", func(b *bench) { b.table.SetDown(true) }, true},
-		{"slow within the bound", func(b *bench) { b.table.SetDelay(3 * time.Second) }, false},
-		{"slower than the bound", func(b *bench) { b.table.SetDelay(6 * time.Second) }, true},
-		{"object store down", func(b *bench) { b.objects.SetDown(true) }, false},
+		{"table down", func(b *fixture) { b.table.SetDown(true) }, true},
+		{"slow within the bound", func(b *fixture) { b.table.SetDelay(3 * time.Second) }, false},
+		{"slower than the bound", func(b *fixture) { b.table.SetDelay(6 * time.Second) }, true},
+		{"object store down", func(b *fixture) { b.objects.SetDown(true) }, false},
 	} {
 		t.Run(tc.desc, func(t *testing.T) {
-			inBench(t, func(t *testing.T, is *is.I, b *bench) {
+			runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
 				b.submit(t, config.Head{}, "1")
 				w := run(t, config.WatcherOptions{Store: b.store})
 				settle()
 				tc.fault(b)
-				is.NoErr(w.Check()) // the word is still new
-				time.Sleep(pastBound)
+				is.NoErr(w.Check()) // the last read is within the bound
+				time.Sleep(beyondBound)
 				for range 20 {
 					time.Sleep(500 * time.Millisecond)
-					is.Equal(isStale(w.Check()), tc.stops)
+					is.Equal(isStale(w.Check()), tc.stale)
 				}
 				is.Equal(w.Current().Epoch, uint64(1))
 				b.table.Heal()
 				b.objects.SetDown(false)
-				time.Sleep(pastBound)
+				time.Sleep(beyondBound)
 				is.NoErr(w.Check())
 			})
 		})
 	}
 }
 
-// A head that is known and can't be loaded stops the host after the bound.
+// A host that knows of a newer head but can't load it must stop accepting requests after
+// the bound.
 func TestWatcherStopsOnAHeadThatItCannotLoad(t *testing.T) {
-	inBench(t, func(t *testing.T, is *is.I, b *bench) {
+	runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
 		first := b.submit(t, config.Head{}, "1")
 		w := run(t, config.WatcherOptions{Store: b.store})
 		settle()
 		b.submit(t, first, "2")
 		b.objects.SetDown(true)
-		time.Sleep(pastBound)
+		time.Sleep(beyondBound)
 		var stale *config.StaleError
 		is.True(errors.As(w.Check(), &stale))
 		is.Equal(stale.Newest, uint64(2))
@@ -110,52 +111,53 @@
 	})
 }
 
-// A manifest that takes longer to arrive than one source is given at first must come
-// into force all the same. With one limit for every try the host cut each reading at the
-// same byte and took no work for good: StaleError with Newest 2, Current 1.
+// A manifest that takes longer to load than the first timeout must still be put in force.
+// With a fixed timeout the host cut off each load at the same byte and never accepted
+// requests again: Check returned a StaleError with Newest 2 while epoch 1 was in force.
 func TestManifestThatArrivesSlowlyComesIntoForce(t *testing.T) {
-	inBench(t, func(t *testing.T, is *is.I, b *bench) {
-		const arriving = 2 * config.DefaultBound
+	runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
+		const readDelay = 2 * config.DefaultBound
 		first := b.submit(t, config.Head{}, "1")
 		w := run(t, config.WatcherOptions{Store: b.store})
 		settle()
-		b.objects.SetReadDelay(arriving)
+		b.objects.SetReadDelay(readDelay)
 		second := b.submit(t, first, "2")
-		time.Sleep(4 * arriving)
+		time.Sleep(4 * readDelay)
 		synctest.Wait()
 		is.Equal(w.Current().Epoch, uint64(2))
 		is.NoErr(w.Check())
 
-		// The next one has the time from its first try on.
+		// The next load has a sufficient timeout at its first attempt.
 		b.submit(t, second, "3")
-		time.Sleep(arriving + pastBound)
+		time.Sleep(readDelay + beyondBound)
 		synctest.Wait()
 		is.Equal(w.Current().Epoch, uint64(3))
 		is.NoErr(w.Check())
 	})
 }
 
-// Manifests that replace each other before one of them has arrived don't keep the
-// host from any: the time that it gives one is what the one before lacked.
+// If each manifest is replaced before it is loaded, the host must still put some of them
+// in force: the timeout must grow with each load that times out, also of different
+// manifests.
 func TestManifestsThatChangeFasterThanTheyArrive(t *testing.T) {
-	inBench(t, func(t *testing.T, is *is.I, b *bench) {
-		const arriving = config.DefaultBound
+	runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
+		const readDelay = config.DefaultBound
 		head := b.submit(t, config.Head{}, "1")
 		w := run(t, config.WatcherOptions{Store: b.store})
 		settle()
-		b.objects.SetReadDelay(arriving)
+		b.objects.SetReadDelay(readDelay)
 		for i := range 12 {
-			b.objects.SetReadDelay(0) // the submitter's own link is large
+			b.objects.SetReadDelay(0) // the submitter has a fast link
 			head = b.submit(t, head, fmt.Sprint(i+2))
-			b.objects.SetReadDelay(arriving)
-			time.Sleep(arriving * 3 / 4)
+			b.objects.SetReadDelay(readDelay)
+			time.Sleep(readDelay * 3 / 4)
 		}
 		synctest.Wait()
 		is.True(w.Current().Epoch > 1)
 	})
 }
 
-// peerBodies answers at once with the bodies that it has.
+// peerBodies implements config.Bodies without delay; it maps digests to bodies.
 type peerBodies map[string][]byte
 
 func (p peerBodies) FetchBody(_ context.Context, digest string) ([]byte, error) {
@@ -166,10 +168,11 @@
 	return body, nil
 }
 
-// While the object store hangs, a manifest comes from a peer within the first limit,
-// the eighth as the first: a peer's quick answer leaves no longer limit to the store.
-func TestHangingObjectsDelayNoManifestMore(t *testing.T) {
-	inBench(t, func(t *testing.T, is *is.I, b *bench) {
+// While the object store hangs, each manifest must be loaded from a peer within the bound,
+// the eighth as well as the first: a fast load from a peer must reset the timeout of the
+// object store.
+func TestPeerFetchKeepsObjectStoreTimeout(t *testing.T) {
+	runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
 		bodies := peerBodies{}
 		head := b.submit(t, config.Head{}, "1")
 		w := run(t, config.WatcherOptions{Store: b.store, Bodies: bodies})
@@ -178,7 +181,7 @@
 			build := fmt.Sprint(i + 2)
 			body := document(head.Digest, build)
 			bodies[digestOf(body)] = body
-			b.objects.SetReadDelay(0) // the submitter's way is sound
+			b.objects.SetReadDelay(0) // no delay for the submitter
 			head = b.submit(t, head, build)
 			b.objects.SetReadDelay(time.Hour)
 			time.Sleep(config.DefaultBound)
@@ -187,36 +190,36 @@
 	})
 }
 
-// holdAnswers keeps the answers of reads that were served already, as if the
-// reading process had been stopped in between.
-func holdAnswers(table *faulty.Table) (release func()) {
-	held := make(chan struct{})
-	table.SetHooks(nil, func() { <-held })
+// holdResponses holds back the responses of reads that the table has already served, as
+// if the reading process were suspended.
+func holdResponses(table *faulty.Table) (release func()) {
+	released := make(chan struct{})
+	table.SetHooks(nil, func() { <-released })
 	return func() {
 		table.SetHooks(nil, nil)
-		close(held)
+		close(released)
 	}
 }
 
-// A host that was frozen with an answer on its way takes no work after it
-// thaws, until it has new word: the answer is as old as its question.
-func TestFrozenHostDoesNotServeOldConfiguration(t *testing.T) {
-	inBench(t, func(t *testing.T, is *is.I, b *bench) {
+// A host that was suspended during a table read must not accept requests when it resumes,
+// until it has read the table again: the response is as old as the start of its read.
+func TestSuspendedHostRejectsStaleReads(t *testing.T) {
+	runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
 		first := b.submit(t, config.Head{}, "1")
 		table := faulty.New(b.table)
 		w := run(t, config.WatcherOptions{Store: config.NewStore(table, b.objects)})
 		settle()
 		is.NoErr(w.Check())
 
-		thaw := holdAnswers(table)
-		settle() // reads are under way and served
+		resume := holdResponses(table)
+		settle() // reads are served, their responses held back
 		b.submit(t, first, "2")
 		time.Sleep(time.Minute)
-		is.True(isStale(w.Check())) // at once, by the clock alone
-		b.table.SetDown(true)       // no new word after the thaw
-		thaw()
+		is.True(isStale(w.Check())) // at once, by the age of the evidence alone
+		b.table.SetDown(true)       // no new table read after the resumption
+		resume()
 		synctest.Wait()
-		is.True(isStale(w.Check())) // the old answers are no evidence
+		is.True(isStale(w.Check())) // the old responses are no evidence
 		b.table.SetDown(false)
 		settle()
 		is.NoErr(w.Check())
@@ -224,11 +227,12 @@
 	})
 }
 
-// Confirmations are merged under the budget and written anew now and then.
+// A host must keep its confirmations within the budget by skipping epochs, and must
+// rewrite an unchanged one every hour.
 func TestConfirmationsAreMerged(t *testing.T) {
-	inBench(t, func(t *testing.T, is *is.I, b *bench) {
+	runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
 		head := b.submit(t, config.Head{}, "0")
-		table := faulty.New(b.inner)
+		table := faulty.New(b.rawTable)
 		run(t, config.WatcherOptions{
 			Store: config.NewStore(table, b.objects), Host: "a",
 			Poll: 100 * time.Millisecond, ConfirmsPerSecond: 1,
@@ -242,25 +246,26 @@
 		is.NoErr(err)
 		is.Equal(report.Confirmed, []string{"a"})
 		commits := table.Counts().Commits
-		is.True(commits <= 17) // 13 s at one a second, less jitter
+		is.True(commits <= 17) // one per second for 13 s, with intervals shortened by jitter
 		time.Sleep(2 * time.Hour)
 		is.True(table.Counts().Commits > commits)
 		is.True(table.Counts().Commits <= commits+2)
 	})
 }
 
-// A table that was set back to an older state doesn't set the hosts back.
-func TestTableThatWentBack(t *testing.T) {
-	inBench(t, func(t *testing.T, is *is.I, b *bench) {
+// If the table is rolled back to an older state, a host must keep its epoch and stop
+// accepting requests.
+func TestRolledBackTable(t *testing.T) {
+	runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
 		first := b.submit(t, config.Head{}, "1")
-		old, err := b.inner.Get(t.Context(), "config/head")
+		old, err := b.rawTable.Get(t.Context(), "config/head")
 		is.NoErr(err)
 		b.submit(t, first, "2")
 		w := run(t, config.WatcherOptions{Store: b.store})
 		settle()
-		_, err = b.inner.Commit(t.Context(), storage.Txn{Puts: []storage.Put{{Key: old.Key, Value: old.Value}}})
+		_, err = b.rawTable.Commit(t.Context(), storage.Txn{Puts: []storage.Put{{Key: old.Key, Value: old.Value}}})
 		is.NoErr(err)
-		time.Sleep(pastBound)
+		time.Sleep(beyondBound)
 		is.Equal(w.Current().Epoch, uint64(2))
 		is.True(isStale(w.Check()))
 	})
--- a/config/watching_test.go
+++ b/config/watching_test.go
@@ -12,13 +12,13 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// scriptedPeers answer what the test sets.
+// scriptedPeers implements config.Peers with the views that the test sets.
 type scriptedPeers struct {
 	known int
 	views atomic.Pointer[[]config.PeerView]
 }
 
-func (p *scriptedPeers) answer(views ...config.PeerView) { p.views.Store(&views) }
+func (p *scriptedPeers) setViews(views ...config.PeerView) { p.views.Store(&views) }
 
 func (p *scriptedPeers) Known() int { return p.known }
 
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// errorLog collects what a watcher reports, outages left out.
+// errorLog collects the errors of a watcher, except storage.ErrUnavailable.
 type errorLog struct {
 	mu  sync.Mutex
 	err error
@@ -43,19 +43,19 @@
 	}
 }
 
-// is says whether the log holds want and nothing if that is nil.
-func (l *errorLog) is(want error) bool {
+// contains reports whether want was logged; for nil, whether nothing was.
+func (l *errorLog) contains(want error) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return errors.Is(l.err, want)
 }
 
-// settle lets the watchers of a test's bubble run for a while. The test may then
-// read what their goroutines wrote.
+// settle lets the watchers in the synctest bubble run for 3 s and waits until their
+// goroutines are blocked, so that the test can read what they wrote.
 func settle() {
 	time.Sleep(3 * time.Second)
 	synctest.Wait()
 }
 
-// pastBound is a while after which evidence is too old.
-const pastBound = config.DefaultBound + 2*time.Second
+// beyondBound is a duration after which evidence is older than the bound.
+const beyondBound = config.DefaultBound + 2*time.Second
