--- a/config/peers_test.go
+++ b/config/peers_test.go
@@ -131,7 +131,7 @@
 
 // If a peer and the table report different digests for an epoch, the host must use the
 // table's.
-func TestTableOverrulesAPeer(t *testing.T) {
+func TestTableOverridesPeer(t *testing.T) {
 	runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
 		b.submit(t, config.Head{}, "1")
 		b.table.SetDown(true)
