--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -43,8 +43,7 @@
 // Host is one entry host. All entry hosts have the same role.
 type Host struct {
 	settings Settings
-	// incarnation identifies this process. A restarted host keeps its ID, so
-	// that the ID alone doesn't.
+	// incarnation identifies this process: a restarted host keeps its ID.
 	incarnation string
 	platform    Platform
 	log         zerolog.Logger
@@ -245,14 +244,14 @@
 // membership.
 func (h *Host) Run(ctx context.Context) error {
 	// The background tasks run until the planned stop is complete, beyond ctx.
-	background, endParts := context.WithCancel(context.WithoutCancel(ctx))
-	defer endParts()
-	parts, background := errgroup.WithContext(background)
-	h.startTasks(parts, background)
+	background, cancelTasks := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancelTasks()
+	tasks, background := errgroup.WithContext(background)
+	h.startTasks(tasks, background)
 	callers := h.newServer(h.callerHandler())
 	operators := h.newServer(h.operatorHandler())
-	parts.Go(func() error { return serveHTTP(callers, h.callerListener) })
-	parts.Go(func() error { return serveHTTP(operators, h.operatorListener) })
+	tasks.Go(func() error { return serveHTTP(callers, h.callerListener) })
+	tasks.Go(func() error { return serveHTTP(operators, h.operatorListener) })
 	h.log.Info().Str("event", "start").Str("callers", h.CallerAddr()).Str("operators", h.OperatorAddr()).
 		Str("peers", h.PeerAddr()).Str("zone", h.settings.Zone).Msg("")
 
@@ -261,8 +260,8 @@
 	case <-background.Done():
 	}
 	stopErr := h.stop(callers, operators)
-	endParts()
-	err := parts.Wait()
+	cancelTasks()
+	err := tasks.Wait()
 	if errors.Is(err, context.Canceled) {
 		err = nil
 	}
@@ -271,9 +270,9 @@
 
 // startTasks starts the background tasks.
 func (h *Host) startTasks(group *errgroup.Group, ctx context.Context) {
-	run := func(name string, part func(context.Context) error) {
+	run := func(name string, task func(context.Context) error) {
 		group.Go(func() error {
-			if err := part(ctx); err != nil && ctx.Err() == nil {
+			if err := task(ctx); err != nil && ctx.Err() == nil {
 				return fmt.Errorf("%s: %w", name, err)
 			}
 			return nil
--- a/internal/entry/maintenance.go
+++ b/internal/entry/maintenance.go
@@ -76,9 +76,9 @@
 	m.logError("ledger", ledger.Compact(ctx, m.host.platform.Table, m.host.platform.Objects, now.Add(-minSegmentAge)))
 }
 
-func (m *maintenance) logError(what string, err error) {
+func (m *maintenance) logError(step string, err error) {
 	if err != nil {
-		m.host.log.Warn().Str("event", "maintenance").Str("what", what).Err(err).Msg("")
+		m.host.log.Warn().Str("event", "maintenance").Str("what", step).Err(err).Msg("")
 	}
 }
 
