--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -81,7 +81,7 @@
 		return "result gone"
 	case errors.As(err, &mayHaveRun):
 		return "may have run"
-	case errors.Is(err, claim.ErrReused):
+	case errors.Is(err, claim.ErrKeyReused):
 		return "reused"
 	case errors.Is(err, claim.ErrUnavailable):
 		return "unavailable"
@@ -157,7 +157,7 @@
 			is.Equal(acquireResult(p.b), tt.onOther)
 			if tt.onOther != "in flight" {
 				_, err := p.b.Acquire(t.Context(), testKey, sha256.Sum256([]byte("other")), "req-2")
-				is.True(errors.Is(err, claim.ErrReused))
+				is.True(errors.Is(err, claim.ErrKeyReused))
 			}
 		})
 	}
--- a/claim/errors.go
+++ b/claim/errors.go
@@ -6,8 +6,8 @@
 )
 
 var (
-	// ErrReused means that the key was already used with a different request.
-	ErrReused = errors.New("claim: request key already used for a different request")
+	// ErrKeyReused means that the key was already used with a different request.
+	ErrKeyReused = errors.New("claim: request key already used for a different request")
 	// ErrUnavailable means that the claim couldn't be recorded. The request must
 	// not be sent. The error also wraps that of the table.
 	ErrUnavailable = errors.New("claim: not recorded")
--- a/claim/machine_test.go
+++ b/claim/machine_test.go
@@ -62,7 +62,7 @@
 		if want.body == nil || string(done.Result.Body) != string(want.body) {
 			t.Fatalf("%v: got body %q, want %q", key, done.Result.Body, want.body)
 		}
-	case errors.Is(err, claim.ErrReused):
+	case errors.Is(err, claim.ErrKeyReused):
 		t.Fatalf("%v: %v", key, err)
 	}
 	if m.faultsActive {
--- a/claim/store.go
+++ b/claim/store.go
@@ -48,7 +48,7 @@
 
 // Acquire claims key for the request with the digest. If it returns a Claim, the
 // caller may send the request once and must then call exactly one method of the
-// Claim. The errors are *DoneError, *InFlightError, *MayHaveRunError, ErrReused
+// Claim. The errors are *DoneError, *InFlightError, *MayHaveRunError, ErrKeyReused
 // and ErrUnavailable; after any of them the request must not be sent.
 func (s *Store) Acquire(ctx context.Context, key Key, digest [32]byte, requestID string) (*Claim, error) {
 	e := &activeClaim{record: record{
@@ -76,7 +76,7 @@
 // this host.
 func activeClaimError(e activeClaim, digest string) error {
 	if e.record.Digest != digest {
-		return ErrReused
+		return ErrKeyReused
 	}
 	if e.outcome == nil {
 		return &InFlightError{Host: e.record.Host, RequestID: e.record.RequestID}
@@ -94,7 +94,7 @@
 // duplicateError returns the error for a duplicate, from the row of its key.
 func (s *Store) duplicateError(ctx context.Context, found row, digest string) error {
 	if found.Digest != digest {
-		return ErrReused
+		return ErrKeyReused
 	}
 	switch found.State {
 	case finished:
--- a/config/configtest/network.go
+++ b/config/configtest/network.go
@@ -91,15 +91,15 @@
 	host    string
 }
 
-// Known implements config.Peers.
-func (p hostPeers) Known() int {
+// HostCount implements config.Peers.
+func (p hostPeers) HostCount() int {
 	p.network.mu.Lock()
 	defer p.network.mu.Unlock()
 	return len(p.network.watchers)
 }
 
-// Ask implements config.Peers.
-func (p hostPeers) Ask(context.Context) []config.PeerView {
+// QueryViews implements config.Peers.
+func (p hostPeers) QueryViews(context.Context) []config.PeerView {
 	var views []config.PeerView
 	for host, w := range p.network.reachable(p.host) {
 		views = append(views, w.View(host))
--- a/config/example_test.go
+++ b/config/example_test.go
@@ -16,10 +16,10 @@
 	store := config.NewStore(memory.New(), memory.NewObjects())
 
 	first, err := store.Submit(ctx, document("", "build-1"), "job-1")
-	fmt.Println(first.Head.Epoch, first.Already, err)
+	fmt.Println(first.Head.Epoch, first.AlreadyAccepted, err)
 
 	again, err := store.Submit(ctx, document("", "build-1"), "job-2")
-	fmt.Println(again.Head.Epoch, again.Already, err)
+	fmt.Println(again.Head.Epoch, again.AlreadyAccepted, err)
 
 	var conflict *config.ConflictError
 	_, err = store.Submit(ctx, document("", "build-2"), "job-3")
--- a/config/freshness.go
+++ b/config/freshness.go
@@ -184,12 +184,12 @@
 	// Newest is the newest epoch that the host has learned of. It may be zero if
 	// that isn't above Epoch.
 	Newest uint64 `json:"newest"`
-	// HasWord is true if the host has evidence from a table read. WordAge is the
+	// HasTableRead is true if the host has evidence from a table read. TableReadAge is the
 	// age of that evidence when the host made this report, counted from the
 	// start of the read.
-	HasWord bool          `json:"has_word"`
-	WordAge time.Duration `json:"word_age_ns"`
-	// Age is how long before the call of Ask the host made this report; zero if
+	HasTableRead bool          `json:"has_word"`
+	TableReadAge time.Duration `json:"word_age_ns"`
+	// Age is how long before the call of QueryViews the host made this report; zero if
 	// this call requested it.
 	Age time.Duration `json:"age_ns"`
 }
--- a/config/history_test.go
+++ b/config/history_test.go
@@ -174,7 +174,7 @@
 	result, err := s.store.Submit(ctx, data, token)
 	var conflictErr *config.ConflictError
 	switch {
-	case err == nil && result.Already:
+	case err == nil && result.AlreadyAccepted:
 		return callResult{alreadyAccepted, result.Head.Epoch, result.Head.Digest}
 	case err == nil:
 		return callResult{accepted, result.Head.Epoch, result.Head.Digest}
--- a/config/peers_test.go
+++ b/config/peers_test.go
@@ -92,15 +92,15 @@
 		stale bool
 	}{
 		{"lagging peer without table read", config.PeerView{Epoch: 1}, nil, true},
-		{"lagging peer with old table read", config.PeerView{Epoch: 1, HasWord: true, WordAge: time.Hour}, nil, true},
-		{"peer whose new table read returned an old head", config.PeerView{Epoch: 1, HasWord: true}, config.ErrTableRolledBack, true},
-		{"peer with another digest", config.PeerView{Epoch: 2, Digest: "sha256:0", HasWord: true}, config.ErrFork, true},
+		{"lagging peer with old table read", config.PeerView{Epoch: 1, HasTableRead: true, TableReadAge: time.Hour}, nil, true},
+		{"peer whose new table read returned an old head", config.PeerView{Epoch: 1, HasTableRead: true}, config.ErrTableRolledBack, true},
+		{"peer with another digest", config.PeerView{Epoch: 2, Digest: "sha256:0", HasTableRead: true}, config.ErrFork, true},
 		{"peer that knows of a newer head", config.PeerView{Epoch: 2, Newest: 3}, nil, true},
 		{"peer that agrees", config.PeerView{Epoch: 2}, nil, false},
 		{"peer that agreed long ago", config.PeerView{Epoch: 2, Age: time.Hour}, nil, true},
 		{"the host itself", config.PeerView{Host: "self", Epoch: 2}, nil, true},
-		{"peer that agreed long ago, with table read in the future", config.PeerView{Epoch: 2, Age: time.Hour, HasWord: true, WordAge: -2 * time.Hour}, nil, true},
-		{"peer with table read", config.PeerView{Epoch: 2, HasWord: true, WordAge: time.Second}, nil, false},
+		{"peer that agreed long ago, with table read in the future", config.PeerView{Epoch: 2, Age: time.Hour, HasTableRead: true, TableReadAge: -2 * time.Hour}, nil, true},
+		{"peer with table read", config.PeerView{Epoch: 2, HasTableRead: true, TableReadAge: time.Second}, nil, false},
 	} {
 		t.Run(tc.desc, func(t *testing.T) {
 			runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
@@ -119,7 +119,7 @@
 				settle()
 				peers.setViews(peer)
 				b.table.SetDown(true)
-				w.Offer(first)
+				w.ObserveHead(first)
 				time.Sleep(beyondBound)
 				is.Equal(w.Current().Epoch, uint64(2))
 				is.Equal(isStale(w.Check()), tc.stale)
@@ -137,7 +137,7 @@
 		b.table.SetDown(true)
 		var log errorLog
 		w := run(t, config.WatcherOptions{Store: b.store, OnError: log.add})
-		w.Offer(config.Head{Epoch: 1, Digest: "sha256:0"})
+		w.ObserveHead(config.Head{Epoch: 1, Digest: "sha256:0"})
 		settle()
 		is.Equal(w.Check(), config.ErrNoManifest)
 		b.table.SetDown(false)
--- a/config/submit.go
+++ b/config/submit.go
@@ -28,9 +28,9 @@
 type Submission struct {
 	// Head is the accepted manifest. It may have been replaced by a newer one.
 	Head Head
-	// Already is true if the document was accepted before this call or by another
+	// AlreadyAccepted is true if the document was accepted before this call or by another
 	// call.
-	Already bool
+	AlreadyAccepted bool
 }
 
 // proposal is a document that a call submits, with the state of its attempts.
@@ -51,7 +51,7 @@
 //
 // The digest covers the parent, so an equal digest means the same document at
 // the same position in the history. Submitting it again, at any later time,
-// succeeds with Already set and never creates a second epoch. To return to an older
+// succeeds with AlreadyAccepted set and never creates a second epoch. To return to an older
 // content, submit a document with that content and the current head as its parent;
 // it becomes a new epoch.
 //
@@ -150,7 +150,7 @@
 	}
 	if found {
 		ours := p.txnSent && accepted.Token == p.head.Token
-		return Submission{Head: accepted, Already: !ours}, nil
+		return Submission{Head: accepted, AlreadyAccepted: !ours}, nil
 	}
 	if head.Digest != p.head.Parent {
 		return Submission{}, &ConflictError{Head: head}
--- a/config/submit_test.go
+++ b/config/submit_test.go
@@ -82,7 +82,7 @@
 				}
 				result, err := b.store.Submit(t.Context(), document(first.Digest, tc.body), token)
 				is.True(errors.Is(err, tc.want)) // class of the outcome
-				is.Equal(result.Already, tc.already)
+				is.Equal(result.AlreadyAccepted, tc.already)
 				time.Sleep(2 * time.Minute) // for the delayed effects
 				b.table.Heal()
 				head, headErr := b.store.Head(t.Context())
@@ -112,7 +112,7 @@
 		b.submit(t, first, "2")
 		result, err := b.store.Submit(t.Context(), document("", "1"), "another")
 		is.NoErr(err)
-		is.Equal(result, config.Submission{Head: first, Already: true})
+		is.Equal(result, config.Submission{Head: first, AlreadyAccepted: true})
 	})
 }
 
--- a/config/watcher.go
+++ b/config/watcher.go
@@ -42,12 +42,12 @@
 
 // Peers queries the other hosts for their manifests in force.
 type Peers interface {
-	// Known returns the number of member hosts, this one included. Unreachable
+	// HostCount returns the number of member hosts, this one included. Unreachable
 	// hosts count; only hosts that have left permanently don't.
-	Known() int
-	// Ask returns the reports of the hosts that responded before the context
+	HostCount() int
+	// QueryViews returns the reports of the hosts that responded before the context
 	// ended.
-	Ask(ctx context.Context) []PeerView
+	QueryViews(ctx context.Context) []PeerView
 }
 
 // Bodies fetches the canonical body of a manifest from another host. The Watcher
@@ -152,9 +152,9 @@
 	return w.view.Load().check(boottime.Now(), w.options.Bound)
 }
 
-// Offer passes on an accepted head that another host has reported. A head that isn't
+// ObserveHead passes on an accepted head that another host has reported. A head that isn't
 // newer than the newest known one is ignored.
-func (w *Watcher) Offer(head Head) {
+func (w *Watcher) ObserveHead(head Head) {
 	w.update(func(v view) (view, error) { return v.withHead(head) })
 }
 
@@ -167,8 +167,8 @@
 		report.Digest = v.policy.Digest
 	}
 	if !v.tableRead.IsZero() {
-		report.HasWord = true
-		report.WordAge = boottime.Since(v.tableRead)
+		report.HasTableRead = true
+		report.TableReadAge = boottime.Since(v.tableRead)
 	}
 	return report
 }
@@ -220,7 +220,7 @@
 	if w.options.Peers == nil {
 		return 1
 	}
-	return max(1, w.options.Peers.Known())
+	return max(1, w.options.Peers.HostCount())
 }
 
 // sleepJittered waits for d with jitter. It returns false if the context ends.
--- a/config/watcher_loops.go
+++ b/config/watcher_loops.go
@@ -72,11 +72,11 @@
 	start := boottime.Now()
 	ctx, cancel := context.WithTimeout(ctx, w.options.Poll)
 	defer cancel()
-	peers := w.withoutSelf(w.options.Peers.Ask(ctx))
+	peers := w.withoutSelf(w.options.Peers.QueryViews(ctx))
 	for _, p := range peers {
 		w.applyPeerView(p, start)
 	}
-	known := w.options.Peers.Known()
+	known := w.options.Peers.HostCount()
 	w.update(func(v view) (view, error) { return v.withQuorum(known, peers, start), nil })
 }
 
@@ -89,7 +89,7 @@
 			continue
 		}
 		p.Age = max(0, p.Age)
-		p.WordAge = max(0, p.WordAge)
+		p.TableReadAge = max(0, p.TableReadAge)
 		others = append(others, p)
 	}
 	return others
@@ -99,11 +99,11 @@
 // start. The start of the peer's table read is start less the ages of the report and
 // of the read.
 func (w *Watcher) applyPeerView(p PeerView, start time.Time) {
-	if !p.HasWord {
-		w.Offer(p.head())
+	if !p.HasTableRead {
+		w.ObserveHead(p.head())
 		return
 	}
-	at := start.Add(-p.Age).Add(-p.WordAge)
+	at := start.Add(-p.Age).Add(-p.TableReadAge)
 	w.update(func(v view) (view, error) { return v.withTableRead(p.head(), at) })
 }
 
--- a/config/watching_test.go
+++ b/config/watching_test.go
@@ -20,9 +20,9 @@
 
 func (p *scriptedPeers) setViews(views ...config.PeerView) { p.views.Store(&views) }
 
-func (p *scriptedPeers) Known() int { return p.known }
+func (p *scriptedPeers) HostCount() int { return p.known }
 
-func (p *scriptedPeers) Ask(context.Context) []config.PeerView {
+func (p *scriptedPeers) QueryViews(context.Context) []config.PeerView {
 	if views := p.views.Load(); views != nil {
 		return *views
 	}
--- a/internal/cli/inspect.go
+++ b/internal/cli/inspect.go
@@ -51,7 +51,7 @@
 
 // Run implements the command.
 func (c *hostsCmd) Run(ctx context.Context, s *streams) error {
-	var answer entry.HostsAnswer
+	var answer entry.HostsResponse
 	if err := c.client().get(ctx, entry.PathHosts, &answer); err != nil {
 		return err
 	}
--- a/internal/cli/manifest.go
+++ b/internal/cli/manifest.go
@@ -114,8 +114,8 @@
 
 // submit tries again while the outcome is unknown; the token makes the
 // retries one submission.
-func (c *manifestSubmitCmd) submit(ctx context.Context, data []byte) (entry.SubmitAnswer, error) {
-	var answer entry.SubmitAnswer
+func (c *manifestSubmitCmd) submit(ctx context.Context, data []byte) (entry.SubmitResponse, error) {
+	var answer entry.SubmitResponse
 	var err error
 	for range submitTries {
 		var body []byte
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -82,7 +82,7 @@
 	defer stop()
 	<-second.Done()
 	if ran.Err() == nil {
-		host.Cut()
+		host.ForceStop()
 	}
 }
 
--- a/internal/e2e/bidder_test.go
+++ b/internal/e2e/bidder_test.go
@@ -31,7 +31,7 @@
 
 // definite says that the caller's library has nothing more to ask.
 func (a attempt) definite() bool {
-	return a.whole && (a.code == resultcode.OK || a.code == resultcode.EarlierOutcomeOpen)
+	return a.whole && (a.code == resultcode.OK || a.code == resultcode.EarlierOutcomeUnknown)
 }
 
 // attempts collects what happened; it is safe for concurrent use.
--- a/internal/e2e/coldzone_test.go
+++ b/internal/e2e/coldzone_test.go
@@ -95,13 +95,13 @@
 	cold := s.addColdUpstream("pool", "v1", zone(0), coldStart)
 	began := time.Now()
 	time.Sleep(coldStart)
-	whileCold := slices.DeleteFunc(cold.Began(), func(r platformtest.Run) bool { return r.At.Sub(began) >= coldStart })
+	whileCold := slices.DeleteFunc(cold.StartedRuns(), func(r platformtest.Run) bool { return r.At.Sub(began) >= coldStart })
 	warm := time.Now()
 	cold.ColdFor, cold.Sequence = 0, 2
 	s.store.Put("servers", cold.ID, cold.Entry("available"))
 	time.Sleep(3 * time.Second)
 	answers := stop()
-	later := slices.DeleteFunc(cold.Began(), func(r platformtest.Run) bool { return r.At.Before(warm.Add(time.Second)) })
+	later := slices.DeleteFunc(cold.StartedRuns(), func(r platformtest.Run) bool { return r.At.Before(warm.Add(time.Second)) })
 	t.Logf("%d runs while cold, %d in a second at most; %d in two seconds when warm; %d of %d requests served",
 		len(whileCold), most(whileCold), len(later), served(answers), len(answers))
 	is.True(most(whileCold) <= coldPermitted)
@@ -119,7 +119,7 @@
 	inZone := func(after time.Time) int {
 		n := 0
 		for _, u := range s.upstreams {
-			for _, r := range u.Began() {
+			for _, r := range u.StartedRuns() {
 				if u.Zone == zone(1) && r.At.After(after) {
 					n++
 				}
@@ -149,7 +149,7 @@
 func TestStoreThatComesBackFromACopy(t *testing.T) {
 	is := is.New(t)
 	s := newFleetSystem(t, 9, 1)
-	copied := s.store.Copy()
+	copied := s.store.Backup()
 	// Written after the copy: a withdrawn key, an upstream, and more revisions than are
 	// given out again at first.
 	s.document["tenants"] = []any{map[string]any{"name": "acme", "api_keys": []string{"key-a"}}}
@@ -182,14 +182,14 @@
 	t.Logf("the first document of the new era was in force everywhere after %v", time.Since(heard))
 	is.True(time.Since(heard) < gatewayDrain)
 	time.Sleep(gatewayDrain)
-	before := len(leaving.Began())
+	before := len(leaving.StartedRuns())
 	for _, h := range s.gateways {
 		s.mustServe(h)
 	}
-	is.Equal(len(leaving.Began()), before)
+	is.Equal(len(leaving.StartedRuns()), before)
 	// A roll-out that was completed after the second copy stays so, though its order comes
 	// again under a revision of its own.
-	again := s.store.Copy()
+	again := s.store.Backup()
 	s.rollOut(t)
 	s.store.Restore(again)
 	time.Sleep(time.Second)
--- a/internal/e2e/config_test.go
+++ b/internal/e2e/config_test.go
@@ -37,7 +37,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode/100 == 2 {
-		var answer entry.SubmitAnswer
+		var answer entry.SubmitResponse
 		err := decode(resp.Body, &answer)
 		return answer.Head, err
 	}
--- a/internal/e2e/gateway_test.go
+++ b/internal/e2e/gateway_test.go
@@ -167,7 +167,7 @@
 	s.made++
 	u := &platformtest.Upstream{
 		ID: fmt.Sprintf("u-%d", s.made), Service: service, Version: version, Zone: zone,
-		Events: streamEvents, Pause: 10 * time.Millisecond, Weak: "weak", Confidence: 80, ColdFor: coldFor,
+		Events: streamEvents, Pause: 10 * time.Millisecond, LowConfidenceModel: "weak", Confidence: 80, ColdFor: coldFor,
 	}
 	if err := u.Start(loopback); err != nil {
 		s.t.Fatal(err)
@@ -265,11 +265,11 @@
 // whole is the complete answer of a request.
 func (a *fleetAnswer) whole() string {
 	if a.kind != "stream" {
-		return platformtest.TextOf(a.id)
+		return platformtest.ExpectedText(a.id)
 	}
 	var b strings.Builder
 	for i := 1; i <= streamEvents; i++ {
-		b.WriteString(platformtest.EventOf(a.id, i))
+		b.WriteString(platformtest.ExpectedEvent(a.id, i))
 	}
 	return b.String()
 }
@@ -316,11 +316,11 @@
 	leaving := s.upstreams[0]
 	s.store.Put("servers", leaving.ID, leaving.Entry("draining"))
 	time.Sleep(time.Second)
-	before := len(leaving.Began())
+	before := len(leaving.StartedRuns())
 	for _, h := range s.gateways {
 		s.mustServe(h)
 	}
-	is.Equal(len(leaving.Began()), before)
+	is.Equal(len(leaving.StartedRuns()), before)
 
 	s.rollOut(t)
 
@@ -357,7 +357,7 @@
 	})
 	runs := 0
 	for _, u := range moved {
-		runs += len(u.Began())
+		runs += len(u.StartedRuns())
 	}
 	is.New(t).True(runs > 0)
 }
@@ -367,13 +367,13 @@
 	is := is.New(t)
 	s := newFleetSystem(t, 1, 3)
 	h := s.gateways[0]
-	for _, fault := range []platformtest.Fault{platformtest.Busy, platformtest.Silent, platformtest.Lost} {
+	for _, fault := range []platformtest.Fault{platformtest.Busy, platformtest.Unresponsive, platformtest.ResponseLost} {
 		s.store.SetFault(fault)
 		s.mustServe(h)
 		s.document["tenants"] = []any{map[string]any{"name": "acme", "api_keys": []string{"key-a", fmt.Sprint("key-", fault)}}}
 		s.publish(10 + int(fault))
 		time.Sleep(200 * time.Millisecond)
-		s.store.Forget()
+		s.store.DropHistory()
 		is.True(s.isReady(h))
 		s.store.SetFault(platformtest.Healthy)
 		eventually(t, "the new key is known", func() bool { return s.send(h, "once", fmt.Sprint("key-", fault)).status == http.StatusOK })
--- a/internal/e2e/gatewaysoak_test.go
+++ b/internal/e2e/gatewaysoak_test.go
@@ -206,7 +206,7 @@
 	from := time.Now()
 	time.Sleep(limitWindow)
 	n := 0
-	for _, r := range u.Began() {
+	for _, r := range u.StartedRuns() {
 		if r.At.After(from) {
 			n++
 		}
@@ -222,7 +222,7 @@
 // a second.
 func (s *soak) drill(stop chan struct{}) {
 	for range 1 + s.drills.IntN(2) {
-		copied := s.store.Copy()
+		copied := s.store.Backup()
 		select {
 		case <-stop:
 			return
@@ -233,17 +233,17 @@
 		s.disturb(4 * time.Second)
 		s.store.SetFault(platformtest.Busy)
 		time.Sleep(time.Duration(100+s.drills.IntN(700)) * time.Millisecond)
-		before := s.store.Copy()
+		before := s.store.Backup()
 		s.store.Restore(copied)
 		s.store.SetFault(platformtest.Healthy)
 		time.Sleep(time.Duration(s.drills.IntN(1000)) * time.Millisecond)
-		s.store.WriteAgain(before, "op", "servers")
+		s.store.Rewrite(before, "op", "servers")
 	}
 }
 
 // makeFragile has the request that ends upstreams end this one.
 func (s *soak) makeFragile(u *platformtest.Upstream) {
-	u.SetFatal(fatalBody, 30*time.Millisecond, func() {
+	u.SetCrashRequest(fatalBody, 30*time.Millisecond, func() {
 		s.ends.Add(1)
 		s.harm(time.Second)
 		s.ended <- u
@@ -364,7 +364,7 @@
 		time.AfterFunc(lasts, func() { s.store.SetFault(platformtest.Healthy) })
 	case 5:
 		s.note("the store forgets its history")
-		s.store.Forget()
+		s.store.DropHistory()
 	case 6:
 		s.replaceUpstream(s.rnd.IntN(2) == 0)
 	case 7, 8, 9, 10:
@@ -451,7 +451,7 @@
 	if _, gone := s.left[old.ID]; gone {
 		return
 	}
-	if added := s.addUpstream(old.Service, old.Version, old.Zone); old.IsFragile() {
+	if added := s.addUpstream(old.Service, old.Version, old.Zone); old.HasCrashRequest() {
 		s.makeFragile(added)
 	}
 	s.left[old.ID] = time.Now()
@@ -548,7 +548,7 @@
 		if !ok || left.Before(disturbed.Add(time.Second)) {
 			continue
 		}
-		for _, run := range u.Began() {
+		for _, run := range u.StartedRuns() {
 			if run.At.After(left.Add(gatewayDrain)) {
 				s.t.Errorf("%s ran at %s, %v after it said that it leaves", run.ID, u.ID, run.At.Sub(left))
 			}
--- a/internal/e2e/harness_test.go
+++ b/internal/e2e/harness_test.go
@@ -297,7 +297,7 @@
 
 func (s *system) submitTo(h *entryHost, data []byte) config.Head {
 	s.t.Helper()
-	var answer entry.SubmitAnswer
+	var answer entry.SubmitResponse
 	eventually(s.t, "submit", func() bool {
 		req, err := http.NewRequest(http.MethodPost, "http://"+h.operators+entry.PathManifest, bytes.NewReader(data))
 		if err != nil {
--- a/internal/e2e/mixed_test.go
+++ b/internal/e2e/mixed_test.go
@@ -151,7 +151,7 @@
 	m.line.add(history.Event{Kind: history.ManifestSubmitted, Digest: id})
 	for try := range bidTries {
 		hosts := m.hosts.list()
-		var got entry.SubmitAnswer
+		var got entry.SubmitResponse
 		if err = m.submit(hosts[try%len(hosts)], data, &got); err == nil {
 			m.line.add(history.Accepted(got.Head.Epoch, id, *doc))
 			m.last.Store(&acceptance{got.Head.Epoch, time.Now()})
@@ -163,7 +163,7 @@
 	m.s.t.Errorf("manifest wasn't accepted: %v", err)
 }
 
-func (m *mixed) submit(h *entryHost, data []byte, into *entry.SubmitAnswer) error {
+func (m *mixed) submit(h *entryHost, data []byte, into *entry.SubmitResponse) error {
 	ctx, cancel := context.WithTimeout(context.Background(), watchTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+h.operators+entry.PathManifest, bytes.NewReader(data))
@@ -327,7 +327,7 @@
 		}
 		sent := history.Event{Account: "dev", Key: key, Host: h.id, Digest: digest(want)}
 		m.seen.request(at, sent, answered, "")
-		if o.err == nil && (o.code == resultcode.OK || o.code == resultcode.EarlierOutcomeOpen) {
+		if o.err == nil && (o.code == resultcode.OK || o.code == resultcode.EarlierOutcomeUnknown) {
 			return
 		}
 		time.Sleep(bidPause)
--- a/internal/e2e/namedlimit_test.go
+++ b/internal/e2e/namedlimit_test.go
@@ -82,7 +82,7 @@
 	limited.SetLimit("")
 	time.Sleep(10 * time.Second)
 	answers := stop()
-	runs := limited.Began()
+	runs := limited.StartedRuns()
 	during := slices.DeleteFunc(slices.Clone(runs), func(r platformtest.Run) bool { return r.At.Before(named) || r.At.After(until) })
 	at := sentByTold(during, answers)
 	later := slices.DeleteFunc(slices.Clone(runs), func(r platformtest.Run) bool { return r.At.Before(until.Add(8 * time.Second)) })
--- a/internal/e2e/quarantine_test.go
+++ b/internal/e2e/quarantine_test.go
@@ -50,9 +50,9 @@
 	p.made++
 	u := &platformtest.Upstream{
 		ID: fmt.Sprintf("u-%d", p.made), Service: "pool", Version: "v1", Zone: zone,
-		Events: streamEvents, Pause: 30 * time.Millisecond, Weak: "weak", Confidence: 20,
+		Events: streamEvents, Pause: 30 * time.Millisecond, LowConfidenceModel: "weak", Confidence: 20,
 	}
-	u.SetFatal(fatalBody, 40*time.Millisecond, func() {
+	u.SetCrashRequest(fatalBody, 40*time.Millisecond, func() {
 		p.mu.Lock()
 		p.ends = append(p.ends, time.Now())
 		p.mu.Unlock()
@@ -87,7 +87,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, u := range p.pool {
-		sends = append(sends, u.Fatals()...)
+		sends = append(sends, u.CrashRequestTimes()...)
 	}
 	slices.SortFunc(sends, time.Time.Compare)
 	return sends, slices.Clone(p.ends)
--- a/internal/e2e/refusal_test.go
+++ b/internal/e2e/refusal_test.go
@@ -347,7 +347,7 @@
 		if o.runState == "not-run" {
 			s.t.Errorf("the repeat is told %d not-run", o.code)
 		}
-		return o.code == resultcode.EarlierOutcomeOpen || o.code == resultcode.OK
+		return o.code == resultcode.EarlierOutcomeUnknown || o.code == resultcode.OK
 	})
 	if s.runsOfKey("gone") != 1 {
 		s.t.Errorf("the bid ran %d times", s.runsOfKey("gone"))
--- a/internal/entry/bindsession.go
+++ b/internal/entry/bindsession.go
@@ -64,7 +64,7 @@
 	}
 	for _, token := range tokens {
 		token = strings.TrimPrefix(strings.TrimSpace(token), tokenPrefix)
-		b, err := f.codec.Open(token, r.Account.Name)
+		b, err := f.codec.Verify(token, r.Account.Name)
 		if err != nil {
 			return resultcode.Wrap(resultcode.BadSessionToken, err, "the session token isn't valid")
 		}
--- a/internal/entry/chooseversion.go
+++ b/internal/entry/chooseversion.go
@@ -140,7 +140,7 @@
 
 // chooseByShare picks one of the versions that accept new sessions, by their shares.
 func (f *chooseVersion) chooseByShare(r *Request, eligible []manifest.Version, seed string) (manifest.Version, error) {
-	point := session.Point(r.Account.Name, seed, r.Model)
+	point := session.SessionHash(r.Account.Name, seed, r.Model)
 	remaining := eligible
 	for {
 		v, ok := session.Choose(remaining, point)
--- a/internal/entry/claimonce.go
+++ b/internal/entry/claimonce.go
@@ -68,8 +68,8 @@
 		return resultcode.Wrap(resultcode.DuplicateInFlight, err, "request %s with this key is being run", inFlight.RequestID)
 	case errors.As(err, &mayHaveRun):
 		r.state.Raise(runstate.MayHaveRun)
-		return resultcode.Wrap(resultcode.EarlierOutcomeOpen, err, "request %s with this key may have run", mayHaveRun.RequestID)
-	case errors.Is(err, claim.ErrReused):
+		return resultcode.Wrap(resultcode.EarlierOutcomeUnknown, err, "request %s with this key may have run", mayHaveRun.RequestID)
+	case errors.Is(err, claim.ErrKeyReused):
 		r.keyUnresolved = false
 		return resultcode.Wrap(resultcode.KeyReused, err, "the request key was used with another request")
 	default:
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -56,7 +56,7 @@
 	h.members.Watch(factHead, func(f membership.Fact) {
 		var head config.Head
 		if json.Unmarshal(f.Value, &head) == nil {
-			h.watcher.Offer(head)
+			h.watcher.ObserveHead(head)
 		}
 	})
 	h.members.Watch(factLeaving, h.applyLeaving)
@@ -65,7 +65,7 @@
 
 // announceHead publishes the head of an accepted manifest to the other hosts.
 func (h *Host) announceHead(head config.Head) {
-	h.watcher.Offer(head)
+	h.watcher.ObserveHead(head)
 	value, err := json.Marshal(head)
 	if err != nil {
 		return
--- a/internal/entry/operatorapi.go
+++ b/internal/entry/operatorapi.go
@@ -24,8 +24,8 @@
 	HeaderSubmitToken = "Quetzalweir-Submit-Token"
 )
 
-// SubmitAnswer is the response to a submitted manifest.
-type SubmitAnswer struct {
+// SubmitResponse is the response to a submitted manifest.
+type SubmitResponse struct {
 	Head config.Head `json:"head"`
 	// Already is set if the same manifest was accepted before.
 	Already bool `json:"already"`
@@ -50,8 +50,8 @@
 	OutcomeUnknown = "unknown"
 )
 
-// HostsAnswer lists the entry hosts and upstreams known to one host.
-type HostsAnswer struct {
+// HostsResponse lists the entry hosts and upstreams known to one host.
+type HostsResponse struct {
 	Self      string              `json:"self"`
 	Epoch     uint64              `json:"epoch"`
 	Members   []membership.Member `json:"members"`
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -96,9 +96,9 @@
 		return
 	}
 	h.log.Info().Str("event", "manifest-accepted").Uint64("epoch", submission.Head.Epoch).
-		Str("digest", submission.Head.Digest).Bool("already", submission.Already).Msg("")
+		Str("digest", submission.Head.Digest).Bool("already", submission.AlreadyAccepted).Msg("")
 	h.announceHead(submission.Head)
-	writeJSON(w, SubmitAnswer{Head: submission.Head, Already: submission.Already})
+	writeJSON(w, SubmitResponse{Head: submission.Head, Already: submission.AlreadyAccepted})
 }
 
 func (h *Host) writeSubmitError(w http.ResponseWriter, err error) {
@@ -162,7 +162,7 @@
 }
 
 func (h *Host) showHosts(w http.ResponseWriter, _ *http.Request) {
-	answer := HostsAnswer{Self: h.settings.ID, Members: h.members.Members()}
+	answer := HostsResponse{Self: h.settings.ID, Members: h.members.Members()}
 	if policy := h.watcher.Current(); policy != nil {
 		answer.Epoch = policy.Epoch
 	}
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -121,14 +121,14 @@
 	host *Host
 }
 
-// Known implements config.Peers. Hosts that are down count unless they left by a
+// HostCount implements config.Peers. Hosts that are down count unless they left by a
 // planned stop, so that an isolated host doesn't regard itself as the majority.
-func (p *peerViews) Known() int {
+func (p *peerViews) HostCount() int {
 	return max(1, p.host.plannedDepartures.countRemaining(p.host.members.Members()))
 }
 
-// Ask implements config.Peers.
-func (p *peerViews) Ask(ctx context.Context) []config.PeerView {
+// QueryViews implements config.Peers.
+func (p *peerViews) QueryViews(ctx context.Context) []config.PeerView {
 	var mu sync.Mutex
 	var views []config.PeerView
 	var wait sync.WaitGroup
@@ -140,8 +140,8 @@
 				return
 			}
 			// The view may have been created at any time since the call began.
-			if view.HasWord {
-				view.WordAge += boottime.Since(calledAt)
+			if view.HasTableRead {
+				view.TableReadAge += boottime.Since(calledAt)
 			}
 			mu.Lock()
 			defer mu.Unlock()
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -41,7 +41,7 @@
 // suspects and verdicts.
 type sightingsParams struct {
 	Sightings exchange.Sightings        `json:"sightings,omitzero"`
-	Standing  exchange.QuarantineStatus `json:"standing,omitzero"`
+	Status    exchange.QuarantineStatus `json:"standing,omitzero"`
 }
 
 // quarantineExchange sends this host's observations of ended upstreams to the other
@@ -68,7 +68,7 @@
 	})
 	peer.Handle(h.peerSrv, methodSightings, func(_ context.Context, _ string, p sightingsParams) (empty, error) {
 		e.guard.AddSightings(p.Sightings)
-		e.guard.ApplyStatus(p.Standing)
+		e.guard.ApplyStatus(p.Status)
 		return empty{}, nil
 	})
 	return e
@@ -87,8 +87,8 @@
 
 // send sends new observations, suspects and verdicts to all other hosts.
 func (e *quarantineExchange) send(ctx context.Context) {
-	params := sightingsParams{Sightings: e.guard.Sightings(), Standing: e.unsent()}
-	if params.Sightings.IsZero() && params.Standing.IsZero() {
+	params := sightingsParams{Sightings: e.guard.Sightings(), Status: e.unsent()}
+	if params.Sightings.IsZero() && params.Status.IsZero() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -93,7 +93,7 @@
 
 // countUndecoded counts a request that was refused before the pipeline.
 func (h *Host) countUndecoded(r *Request, err error) {
-	code := resultcode.From(err).Code
+	code := resultcode.FromError(err).Code
 	h.ledger.Refuse(r.AccountName(), r.Epoch(), int(code))
 	h.metrics.record(r, code)
 }
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -21,9 +21,9 @@
 	abortPollInterval = 10 * time.Millisecond
 )
 
-// Cut ends a planned stop early: requests that still run are aborted, and pending
+// ForceStop ends a planned stop early: requests that still run are aborted, and pending
 // bills and claims are written at once.
-func (h *Host) Cut() { h.forceStop() }
+func (h *Host) ForceStop() { h.forceStop() }
 
 // stop makes a planned stop. Readiness ends first. The host accepts requests while
 // the balancer may still send them, and then finishes those in flight.
@@ -31,7 +31,7 @@
 	h.notReady.Store(true)
 	h.log.Info().Str("event", "stopping").Dur("balancer_lag_ms", h.settings.BalancerLag).Msg("")
 	leaveErr := h.announceLeaving()
-	// Cut ends this wait as well.
+	// ForceStop ends this wait as well.
 	_ = wait.For(h.forceStopCtx, h.settings.BalancerLag)
 	finishErr := h.finishRequests(callers)
 	h.stopping.Store(true)
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -50,7 +50,7 @@
 func (g *Gateway) finish(r *Request, err error) {
 	code := resultcode.OK
 	if err != nil {
-		code = resultcode.From(err).Code
+		code = resultcode.FromError(err).Code
 	}
 	route, service := "", r.Service
 	version := uint64(0)
@@ -72,7 +72,7 @@
 		Uint64("document", version).Int("events", r.answer.events).Int64("pause_ms", r.answer.longestPause.Milliseconds()).
 		Int64("took_ms", elapsed.Milliseconds()).Bool("stopping", r.answer.closing).Msg("")
 	if err != nil {
-		g.refuse(r, resultcode.From(err))
+		g.refuse(r, resultcode.FromError(err))
 	}
 }
 
--- a/internal/pause/example_test.go
+++ b/internal/pause/example_test.go
@@ -13,7 +13,7 @@
 func Example() {
 	ctx := context.Background()
 	process := pause.New()
-	table := process.GatedTable(memory.New())
+	table := process.TableFailingAfterKill(memory.New())
 
 	process.Pause()
 	done := make(chan error)
--- a/internal/pause/gate.go
+++ b/internal/pause/gate.go
@@ -10,10 +10,10 @@
 
 var errKilled = errors.New("the process was killed")
 
-// Pass blocks while the process is paused, even if the caller's context ends, and
+// WaitWhilePaused blocks while the process is paused, even if the caller's context ends, and
 // returns storage.ErrUnavailable after Kill. Unlike Checkpoint, it doesn't end
 // the goroutine, so that tests can wait for it.
-func (p *Process) Pass() error {
+func (p *Process) WaitWhilePaused() error {
 	p.mu.Lock()
 	running := p.running
 	p.mu.Unlock()
@@ -24,10 +24,10 @@
 	return nil
 }
 
-// GatedTable wraps a table for a process whose goroutines continue after Kill.
+// TableFailingAfterKill wraps a table for a process whose goroutines continue after Kill.
 // Calls block while the process is paused. After Kill, they fail and have no
 // effect.
-func (p *Process) GatedTable(inner storage.Table) storage.Table {
+func (p *Process) TableFailingAfterKill(inner storage.Table) storage.Table {
 	return gatedTable{inner: inner, process: p}
 }
 
@@ -37,21 +37,21 @@
 }
 
 func (t gatedTable) Get(ctx context.Context, key string) (storage.Row, error) {
-	if err := t.process.Pass(); err != nil {
+	if err := t.process.WaitWhilePaused(); err != nil {
 		return storage.Row{}, err
 	}
 	return t.inner.Get(ctx, key)
 }
 
 func (t gatedTable) List(ctx context.Context, prefix, after string, limit int) ([]storage.Row, error) {
-	if err := t.process.Pass(); err != nil {
+	if err := t.process.WaitWhilePaused(); err != nil {
 		return nil, err
 	}
 	return t.inner.List(ctx, prefix, after, limit)
 }
 
 func (t gatedTable) Commit(ctx context.Context, txn storage.Txn) (uint64, error) {
-	if err := t.process.Pass(); err != nil {
+	if err := t.process.WaitWhilePaused(); err != nil {
 		return 0, err
 	}
 	return t.inner.Commit(ctx, txn)
--- a/ledger/helper_test.go
+++ b/ledger/helper_test.go
@@ -43,7 +43,7 @@
 }
 
 func (p *peers) Hold(ctx context.Context, owner string, seq uint64, bills []Bill) (string, error) {
-	if err := p.cluster.hosts[p.self].Pass(); err != nil {
+	if err := p.cluster.hosts[p.self].WaitWhilePaused(); err != nil {
 		return "", err
 	}
 	for i := range len(p.cluster.hosts) - 1 {
@@ -80,7 +80,7 @@
 	for i := range n {
 		h := &testHost{Process: pause.New(), name: fmt.Sprintf("h%d", i), done: make(chan struct{})}
 		o := opts
-		o.Table, o.Objects, o.Host = h.GatedTable(c.table), c.objects, h.name
+		o.Table, o.Objects, o.Host = h.TableFailingAfterKill(c.table), c.objects, h.name
 		if n > 1 {
 			o.Holders = &peers{cluster: c, self: i}
 		}
--- a/resultcode/resultcode.go
+++ b/resultcode/resultcode.go
@@ -62,13 +62,13 @@
 	RequestQuarantined  Code = 4007
 
 	// 5xxx: the platform's table and this host.
-	StoreUnavailable   Code = 5001
-	DuplicateInFlight  Code = 5002
-	EarlierOutcomeOpen Code = 5003
-	ConfigStale        Code = 5004
-	NoManifest         Code = 5005
-	HostStopping       Code = 5006
-	Internal           Code = 5007
+	StoreUnavailable      Code = 5001
+	DuplicateInFlight     Code = 5002
+	EarlierOutcomeUnknown Code = 5003
+	ConfigStale           Code = 5004
+	NoManifest            Code = 5005
+	HostStopping          Code = 5006
+	Internal              Code = 5007
 )
 
 // Spec describes one code.
@@ -129,7 +129,7 @@
 	{RequestQuarantined, "request-quarantined", 500, anyState, 0, "Upstreams ended each time that they ran a request with this route, account and body; it is sent to none. Earlier requests with it did run, and coming back doesn't help before the upstreams are mended."},
 	{StoreUnavailable, "store-unavailable", 503, notRun, 2 * time.Second, "The platform's table couldn't record the claim, so nothing was sent."},
 	{DuplicateInFlight, "duplicate-in-flight", 409, mayHaveRun, time.Second, "A request with this key is being run; the repeat was not sent."},
-	{EarlierOutcomeOpen, "earlier-outcome-unknown", 409, mayHaveRun, 0, "An earlier request with this key may have run; it is never run again."},
+	{EarlierOutcomeUnknown, "earlier-outcome-unknown", 409, mayHaveRun, 0, "An earlier request with this key may have run; it is never run again."},
 	{ConfigStale, "config-stale", 503, notRun, 2 * time.Second, "This host can't show that its manifest is the one in force."},
 	{NoManifest, "no-manifest", 503, notRun, 2 * time.Second, "This host has no manifest yet."},
 	{HostStopping, "host-stopping", 503, notRun, time.Second, "This host is stopping and takes no new work."},
@@ -204,8 +204,8 @@
 	return Lookup(e.Code).Retry
 }
 
-// From returns the Error that err wraps, or a new one with code Internal.
-func From(err error) *Error {
+// FromError returns the Error that err wraps, or a new one with code Internal.
+func FromError(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
 		return e
--- a/resultcode/resultcode_test.go
+++ b/resultcode/resultcode_test.go
@@ -59,7 +59,7 @@
 	is := is.New(t)
 	cause := errors.New("cause")
 	wrapped := Wrap(QueueFull, cause, "full")
-	is.Equal(From(wrapped).Code, QueueFull)
-	is.Equal(From(cause).Code, Internal)
+	is.Equal(FromError(wrapped).Code, QueueFull)
+	is.Equal(FromError(cause).Code, Internal)
 	is.True(errors.Is(wrapped, cause))
 }
--- a/session/choose.go
+++ b/session/choose.go
@@ -13,9 +13,9 @@
 // significand.
 const hashBits = 53
 
-// Point returns a hash of the session and model in [0,1). It is the same on all
+// SessionHash returns a hash of the session and model in [0,1). It is the same on all
 // hosts.
-func Point(account, sessionID, model string) float64 {
+func SessionHash(account, sessionID, model string) float64 {
 	var d xxhash.Digest
 	d.Reset()
 	writeField(&d, account)
--- a/session/choose_test.go
+++ b/session/choose_test.go
@@ -38,7 +38,7 @@
 func movedFraction(choose chooser, before, after []manifest.Version) float64 {
 	moved := 0
 	for i := range sampledSessions {
-		point := Point("acme", fmt.Sprint(i), "small")
+		point := SessionHash("acme", fmt.Sprint(i), "small")
 		a, _ := choose(before, point)
 		b, _ := choose(after, point)
 		if a.Name != b.Name {
@@ -88,7 +88,7 @@
 	vs := versions(60, 30, 9, 1)
 	count := map[string]int{}
 	for i := range sampledSessions {
-		v, _ := Choose(vs, Point("acme", fmt.Sprint(i), "small"))
+		v, _ := Choose(vs, SessionHash("acme", fmt.Sprint(i), "small"))
 		count[v.Name]++
 	}
 	for _, v := range vs {
@@ -103,6 +103,6 @@
 
 func TestPointKeepsFieldsApart(t *testing.T) {
 	is := is.New(t)
-	is.True(Point("a", "bc", "m") != Point("ab", "c", "m"))
-	is.True(Point("a", "b", "m") != Point("a", "b", "n"))
+	is.True(SessionHash("a", "bc", "m") != SessionHash("ab", "c", "m"))
+	is.True(SessionHash("a", "b", "m") != SessionHash("a", "b", "n"))
 }
--- a/session/codec.go
+++ b/session/codec.go
@@ -95,9 +95,9 @@
 	return tokenEncoding.EncodeToString(raw)
 }
 
-// Open verifies a token and returns its binding. The error is exactly one of
+// Verify verifies a token and returns its binding. The error is exactly one of
 // ErrMalformed, ErrUnknownKey, ErrOtherAccount and ErrExpired.
-func (c *Codec) Open(token, account string) (Binding, error) {
+func (c *Codec) Verify(token, account string) (Binding, error) {
 	if len(token) > maxTokenChars {
 		return Binding{}, ErrMalformed
 	}
--- a/session/example_test.go
+++ b/session/example_test.go
@@ -22,7 +22,7 @@
 		{Name: "v1", State: manifest.Serving, Share: 90},
 		{Name: "v2", State: manifest.RollingIn, Share: 10},
 	}
-	version, _ := session.Choose(versions, session.Point("acme", "call-17", "small"))
+	version, _ := session.Choose(versions, session.SessionHash("acme", "call-17", "small"))
 	token := codec.Mint(session.Binding{
 		Account:   "acme",
 		SessionID: "call-17",
@@ -30,9 +30,9 @@
 		Version:   version.Name,
 		Epoch:     3,
 	})
-	binding, err := codec.Open(token, "acme")
+	binding, err := codec.Verify(token, "acme")
 	fmt.Println(binding.Version == version.Name, err)
-	_, err = codec.Open(token, "other")
+	_, err = codec.Verify(token, "other")
 	fmt.Println(err)
 	// Output:
 	// true <nil>
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -58,7 +58,7 @@
 			is := is.New(t)
 			clock := &testClock{now: testTime.Add(tc.after)}
 			codec := NewCodec([]Key{keyA, keyB}, time.Hour, clock.Now)
-			b, err := codec.Open(tc.token, tc.account)
+			b, err := codec.Verify(tc.token, tc.account)
 			is.True(errors.Is(err, tc.want)) // the expected error
 			is.True(len(tc.token) <= maxTokenChars || tc.want != nil)
 			if tc.want != nil {
@@ -77,7 +77,7 @@
 	for i := range len(raw) * 8 {
 		changed := append([]byte(nil), raw...)
 		changed[i/8] ^= 1 << (i % 8)
-		_, err := codec.Open(tokenEncoding.EncodeToString(changed), testBinding.Account)
+		_, err := codec.Verify(tokenEncoding.EncodeToString(changed), testBinding.Account)
 		is.True(err != nil) // a flipped bit is rejected
 	}
 }
@@ -88,15 +88,15 @@
 	codec := NewCodec([]Key{keyA}, time.Hour, clock.Now)
 	old := codec.Mint(testBinding)
 	is.NoErr(codec.Rotate([]Key{keyB, keyA}))
-	got, err := codec.Open(old, testBinding.Account)
+	got, err := codec.Verify(old, testBinding.Account)
 	is.NoErr(err)
 	is.Equal(got, testBinding)
 	is.True(codec.Mint(testBinding) != old) // the new key signs
 	is.True(codec.Rotate(nil) != nil)
-	_, err = codec.Open(old, testBinding.Account)
+	_, err = codec.Verify(old, testBinding.Account)
 	is.NoErr(err) // after invalid keys, the old ones stay in use
 	is.NoErr(codec.Rotate([]Key{keyB}))
-	_, err = codec.Open(old, testBinding.Account)
+	_, err = codec.Verify(old, testBinding.Account)
 	is.True(errors.Is(err, ErrUnknownKey))
 }
 
@@ -154,7 +154,7 @@
 	f.Add("")
 	f.Add("AQFhBGFjbWU")
 	f.Fuzz(func(t *testing.T, token string) {
-		b, err := codec.Open(token, testBinding.Account)
+		b, err := codec.Verify(token, testBinding.Account)
 		if err != nil {
 			return
 		}
@@ -179,7 +179,7 @@
 	vs[2].State = manifest.RollingOut
 	vs[3].State = manifest.RollingIn
 	for i := range 1000 {
-		v, ok := Choose(vs, Point("acme", fmt.Sprint(i), "small"))
+		v, ok := Choose(vs, SessionHash("acme", fmt.Sprint(i), "small"))
 		is.True(ok)
 		is.True(v.Name == "v1" || v.Name == "v4")
 	}
@@ -202,7 +202,7 @@
 	b.ReportMetric(float64(len(token)), "chars")
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := codec.Open(token, "acme"); err != nil {
+		if _, err := codec.Verify(token, "acme"); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -212,6 +212,6 @@
 	vs := versions(60, 30, 10)
 	b.ReportAllocs()
 	for b.Loop() {
-		Choose(vs, Point("acme", "s-1", "small"))
+		Choose(vs, SessionHash("acme", "s-1", "small"))
 	}
 }
