--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -18,45 +18,46 @@
 
 // ClientOptions configures a Client.
 type ClientOptions struct {
-	// Self is this host's id, told to the hosts that it calls.
+	// Self is the id of this host, which is sent to the hosts that it calls.
 	Self string
-	// Keys are the keys to authenticate with, the preferred one first.
+	// Keys lists the keys to authenticate with, in order of preference.
 	Keys []Key
-	// Limits bounds each connection.
+	// Limits applies to each connection.
 	Limits Limits
-	// LocalIP is the address that connections are made from; nil lets the
-	// system choose. On a host with several addresses it lets others, and what
-	// stands between, see one address a host.
+	// LocalIP is the source address of connections; nil lets the system choose.
+	// On a host with several addresses it makes peers and middleboxes see a
+	// single source address for the host.
 	LocalIP net.IP
-	// DialTimeout bounds the TCP connect; default 1 s.
+	// DialTimeout limits the time to establish the TCP connection; default 1 s.
 	DialTimeout time.Duration
-	// StallTimeout is how long a connection may leave calls unanswered
-	// without a byte read before it is cut; default 3 s.
+	// StallTimeout is how long a connection with open calls may go without a
+	// complete frame being received before it counts as stalled and is closed;
+	// default 3 s.
 	StallTimeout time.Duration
-	// MinBackoff and MaxBackoff bound the wait after a failed dial, doubled
-	// each time and jittered; defaults 100 ms and 2 s. Calls within the wait
-	// fail at once.
+	// MinBackoff and MaxBackoff limit the delay after a failed dial, which
+	// doubles each time and has random jitter; defaults 100 ms and 2 s. Calls
+	// during the delay fail immediately.
 	MinBackoff, MaxBackoff time.Duration
 }
 
-// Client calls other hosts, over one connection for each address.
+// Client calls other hosts over one connection per address.
 type Client struct {
 	options ClientOptions
 	traffic *traffic
 
-	// closing ends dials in progress.
-	closing context.Context
-	cancel  context.CancelFunc
-	work    sync.WaitGroup
+	// closing is cancelled by Close and aborts dials in progress.
+	closing    context.Context
+	cancel     context.CancelFunc
+	background sync.WaitGroup
 
 	mu     sync.Mutex
 	closed bool
 	links  map[string]*link
 }
 
-// NewClient returns a client without connections.
+// NewClient returns a client with no open connections.
 func NewClient(options ClientOptions) (*Client, error) {
-	if err := checkIdentity(options.Self, options.Keys); err != nil {
+	if err := validateIdentity(options.Self, options.Keys); err != nil {
 		return nil, err
 	}
 	options.Limits = options.Limits.withDefaults()
@@ -74,10 +75,10 @@
 	}, nil
 }
 
-// Call sends a call to the host at addr and stores its answer in result, a
-// pointer or nil. It never sends a call twice. ErrUnreachable, ErrOverloaded
-// and ErrTooLarge mean that it wasn't sent; ErrBroken and the context's error
-// that it may have been; a CallError is the other host's answer.
+// Call calls method on the host at addr and stores the result in result, a
+// pointer or nil. It never sends a call twice. ErrUnreachable, ErrOverloaded and
+// ErrTooLarge mean that the call was not sent; ErrBroken and the context's error
+// mean that it may have been sent; a CallError is the other host's error response.
 func (c *Client) Call(ctx context.Context, addr, method string, params, result any) error {
 	l, err := c.link(addr)
 	if err != nil {
@@ -100,10 +101,10 @@
 	return nil
 }
 
-// Stats returns the traffic by method.
+// Stats returns the traffic per method.
 func (c *Client) Stats() Stats { return c.traffic.snapshot() }
 
-// Close cuts all connections; open calls fail with ErrBroken.
+// Close closes all connections; open calls fail with ErrBroken.
 func (c *Client) Close() error {
 	c.mu.Lock()
 	c.closed = true
@@ -114,7 +115,7 @@
 	for _, l := range links {
 		l.close()
 	}
-	c.work.Wait()
+	c.background.Wait()
 	return nil
 }
 
@@ -132,19 +133,20 @@
 	return l, nil
 }
 
-// spawn runs f in the background; it reports false after Close.
+// spawn runs f in a goroutine that Close waits for. It returns false without
+// running f once the client is closed.
 func (c *Client) spawn(f func()) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return false
 	}
-	c.work.Go(f)
+	c.background.Go(f)
 	return true
 }
 
-// Forget closes the connection to addr and drops its state, for a host that
-// is gone.
+// Forget closes the connection to addr and discards its state. It is meant for a
+// host that has left.
 func (c *Client) Forget(addr string) {
 	c.mu.Lock()
 	l := c.links[addr]
@@ -155,7 +157,8 @@
 	}
 }
 
-// backoff returns the jittered wait after a number of failed dials in a row.
+// backoff returns the delay with jitter after a number of consecutive failed
+// dials.
 func (o ClientOptions) backoff(failures int) time.Duration {
 	wait := o.MinBackoff
 	for i := 1; i < failures && wait < o.MaxBackoff; i++ {
@@ -167,36 +170,37 @@
 
 // clientConn is one authenticated connection.
 type clientConn struct {
-	rpc    *jsonrpc2.Conn
-	stream *stream
-	stall  time.Duration
-	// slots holds one token for each open call, abandoned ones included.
+	rpc          *jsonrpc2.Conn
+	stream       *stream
+	stallTimeout time.Duration
+	// slots is a semaphore that holds one element for each open call, including
+	// calls whose caller no longer waits.
 	slots chan struct{}
-	// spawn runs a function that the client's Close waits for.
+	// spawn is Client.spawn.
 	spawn func(func()) bool
 }
 
-// answer is the outcome of one call.
-type answer struct {
+// callResult is the result or error of one call.
+type callResult struct {
 	raw json.RawMessage
 	err error
 }
 
-// call sends one call and waits for its answer or the end of ctx. The call
-// goes on without its caller, because a write can't be taken back.
+// call sends one call and waits for its response or the end of ctx. The call
+// continues after ctx ends, because a write can't be undone.
 func (c *clientConn) call(ctx context.Context, method string, params any) (json.RawMessage, error) {
 	select {
 	case c.slots <- struct{}{}:
 	default:
-		c.cutIfStalled()
+		c.closeIfStalled()
 		return nil, ErrOverloaded
 	}
-	done := make(chan answer, 1)
+	done := make(chan callResult, 1)
 	spawned := c.spawn(func() {
 		defer func() { <-c.slots }()
 		var raw json.RawMessage
 		err := c.rpc.Call(context.WithoutCancel(ctx), method, params, &raw)
-		done <- answer{raw, c.classify(method, err)}
+		done <- callResult{raw, c.classifyError(method, err)}
 	})
 	if !spawned {
 		return nil, fmt.Errorf("%w: %w", ErrUnreachable, ErrClosed)
@@ -205,22 +209,23 @@
 	case a := <-done:
 		return a.raw, a.err
 	case <-ctx.Done():
-		c.cutIfStalled()
+		c.closeIfStalled()
 		return nil, context.Cause(ctx)
 	}
 }
 
-// cutIfStalled closes a connection on which nothing was read for too long
-// while calls were open, for example because the other host is frozen.
-func (c *clientConn) cutIfStalled() {
+// closeIfStalled closes the connection if no frame was received for
+// stallTimeout, for example because the process on the other host is suspended.
+// It is called while calls are open.
+func (c *clientConn) closeIfStalled() {
 	last := time.Duration(c.stream.lastRead.Load())
-	if boottime.Elapsed()-last >= c.stall {
+	if boottime.Elapsed()-last >= c.stallTimeout {
 		c.rpc.Close()
 	}
 }
 
-// classify gives an error of jsonrpc2 its meaning.
-func (c *clientConn) classify(method string, err error) error {
+// classifyError converts an error of jsonrpc2 to an error of this package.
+func (c *clientConn) classifyError(method string, err error) error {
 	var remote *jsonrpc2.Error
 	switch {
 	case err == nil:
@@ -230,12 +235,13 @@
 	case errors.Is(err, ErrTooLarge):
 		return err
 	default:
-		return c.broken(err)
+		return c.brokenError(err)
 	}
 }
 
-// broken adds what ended the stream, where that is known.
-func (c *clientConn) broken(err error) error {
+// brokenError returns ErrBroken wrapped with the error that ended the stream, or
+// with err if there is none.
+func (c *clientConn) brokenError(err error) error {
 	if cause := c.stream.err(); cause != nil {
 		return fmt.Errorf("%w: %w", ErrBroken, cause)
 	}
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// headerBytes is the size of the length that starts each frame.
+	// headerBytes is the size of the length field at the start of each frame.
 	headerBytes = 4
-	// tagBytes is the part of the HMAC-SHA256 that a frame carries.
+	// tagBytes is the size of the truncated HMAC-SHA256 in a frame.
 	tagBytes = 16
 )
 
@@ -30,38 +30,40 @@
 //	tag, 16 bytes: HMAC-SHA256 over sequence number and payload, truncated
 //	payload: one JSON-RPC message
 //
-// The sequence number is implicit, so a frame that is repeated, left out or
-// moved gives a wrong tag.
+// The sequence number isn't transmitted, so the tag of a repeated, omitted or
+// reordered frame doesn't verify.
 type stream struct {
 	conn   net.Conn
 	limits Limits
 
-	writing sync.Mutex
-	send    frameMAC
+	writeMu sync.Mutex
+	sendMAC frameMAC
 
-	receive frameMAC
-	// received is the size of the last frame read, of the reading goroutine.
-	received int
-	// lastRead is when the last frame was complete, as boottime.Elapsed in nanoseconds: a
-	// jump of the time of day is no silence, and the time of a suspension is one.
+	receiveMAC frameMAC
+	// lastFrameBytes is the size of the last frame read. Only the reading
+	// goroutine accesses it.
+	lastFrameBytes int
+	// lastRead is when the last frame was completely read, as boottime.Elapsed in
+	// nanoseconds. That clock ignores changes of the wall clock and includes the time
+	// that the system is suspended.
 	lastRead atomic.Int64
 
-	failure atomic.Pointer[error]
-	onWrite func(size int)
+	firstErr atomic.Pointer[error]
+	onWrite  func(size int)
 }
 
 func newStream(conn net.Conn, s session, limits Limits) *stream {
 	st := &stream{
-		conn:    conn,
-		limits:  limits,
-		send:    newFrameMAC(s.sendKey),
-		receive: newFrameMAC(s.receiveKey),
+		conn:       conn,
+		limits:     limits,
+		sendMAC:    newFrameMAC(s.sendKey),
+		receiveMAC: newFrameMAC(s.receiveKey),
 	}
 	st.lastRead.Store(int64(boottime.Elapsed()))
 	return st
 }
 
-// frameMAC computes the tags of one direction. It is used by one goroutine.
+// frameMAC computes the tags of one direction. It isn't safe for concurrent use.
 type frameMAC struct {
 	mac hash.Hash
 	seq uint64
@@ -71,7 +73,7 @@
 	return frameMAC{mac: hmac.New(sha256.New, key)}
 }
 
-func (m *frameMAC) next(payload []byte) []byte {
+func (m *frameMAC) nextTag(payload []byte) []byte {
 	var seq [8]byte
 	binary.BigEndian.PutUint64(seq[:], m.seq)
 	m.seq++
@@ -82,7 +84,7 @@
 }
 
 // WriteObject implements jsonrpc2.ObjectStream. A message over the limit is
-// refused before a byte is written, so the connection stays usable.
+// rejected before any byte is written, so the connection stays usable.
 func (s *stream) WriteObject(object any) error {
 	data, err := marshal(object)
 	if err != nil {
@@ -91,13 +93,13 @@
 	if len(data) > s.limits.MaxMessageBytes {
 		return fmt.Errorf("%w: %d bytes", ErrTooLarge, len(data))
 	}
-	s.writing.Lock()
-	defer s.writing.Unlock()
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
 	if err := s.conn.SetWriteDeadline(time.Now().Add(s.limits.WriteTimeout)); err != nil {
-		return s.fail(err)
+		return s.closeWithError(err)
 	}
-	if err := writeAll(s.conn, header(len(data)), s.send.next(data), data); err != nil {
-		return s.fail(err)
+	if err := writeAll(s.conn, encodeLength(len(data)), s.sendMAC.nextTag(data), data); err != nil {
+		return s.closeWithError(err)
 	}
 	if s.onWrite != nil {
 		s.onWrite(headerBytes + tagBytes + len(data))
@@ -105,16 +107,17 @@
 	return nil
 }
 
-// fail closes the connection: after a partial frame it is of no use.
-func (s *stream) fail(err error) error {
-	s.failure.CompareAndSwap(nil, &err)
+// closeWithError records the first error and closes the connection, which can't be
+// used after a partial frame.
+func (s *stream) closeWithError(err error) error {
+	s.firstErr.CompareAndSwap(nil, &err)
 	s.conn.Close()
 	return err
 }
 
-// err returns what ended the stream, or nil.
+// err returns the error that ended the stream, or nil.
 func (s *stream) err() error {
-	if p := s.failure.Load(); p != nil {
+	if p := s.firstErr.Load(); p != nil {
 		return *p
 	}
 	return nil
@@ -123,7 +126,7 @@
 // ReadObject implements jsonrpc2.ObjectStream.
 func (s *stream) ReadObject(v any) error {
 	if err := s.readObject(v); err != nil {
-		return s.fail(err)
+		return s.closeWithError(err)
 	}
 	return nil
 }
@@ -139,8 +142,8 @@
 	return nil
 }
 
-// readFrame waits up to the idle timeout for a frame's first byte and up to
-// the frame timeout for the rest.
+// readFrame reads one frame and returns its payload. It waits up to IdleTimeout
+// for the first byte and up to FrameTimeout for the rest.
 func (s *stream) readFrame() ([]byte, error) {
 	if err := s.conn.SetReadDeadline(time.Now().Add(s.limits.IdleTimeout)); err != nil {
 		return nil, err
@@ -153,20 +156,20 @@
 		return nil, err
 	}
 	if _, err := io.ReadFull(s.conn, head[1:]); err != nil {
-		return nil, truncated(err)
+		return nil, truncatedError(err)
 	}
-	size, err := checkSize(head[:headerBytes], s.limits.MaxMessageBytes)
+	size, err := decodeLength(head[:headerBytes], s.limits.MaxMessageBytes)
 	if err != nil {
 		return nil, err
 	}
 	payload := make([]byte, size)
 	if _, err := io.ReadFull(s.conn, payload); err != nil {
-		return nil, truncated(err)
+		return nil, truncatedError(err)
 	}
-	if !hmac.Equal(s.receive.next(payload), head[headerBytes:]) {
+	if !hmac.Equal(s.receiveMAC.nextTag(payload), head[headerBytes:]) {
 		return nil, fmt.Errorf("%w: wrong frame tag", ErrAuthentication)
 	}
-	s.received = len(head) + size
+	s.lastFrameBytes = len(head) + size
 	s.lastRead.Store(int64(boottime.Elapsed()))
 	return payload, nil
 }
@@ -174,8 +177,9 @@
 // Close implements jsonrpc2.ObjectStream.
 func (s *stream) Close() error { return s.conn.Close() }
 
-// marshal encodes a message. The messages of jsonrpc2 encode themselves, and
-// encoding/json would go over the result once more.
+// marshal encodes a message. The message types of jsonrpc2 implement
+// json.Marshaler and are called directly, because encoding/json would validate and
+// compact the result again.
 func marshal(object any) ([]byte, error) {
 	if m, ok := object.(json.Marshaler); ok {
 		return m.MarshalJSON()
@@ -183,8 +187,9 @@
 	return json.Marshal(object)
 }
 
-// unmarshal decodes a message. One that decodes itself may take the text for
-// valid, so that is checked first; encoding/json would then go over it again.
+// unmarshal decodes a message. A json.Unmarshaler may assume valid JSON, so data is
+// validated first. It is then called directly, because encoding/json would
+// validate the data again.
 func unmarshal(data []byte, v any) error {
 	u, ok := v.(json.Unmarshaler)
 	if !ok || !json.Valid(data) {
@@ -193,11 +198,11 @@
 	return u.UnmarshalJSON(data)
 }
 
-func header(size int) []byte {
+func encodeLength(size int) []byte {
 	return binary.BigEndian.AppendUint32(nil, uint32(size))
 }
 
-// writeAll writes the parts in one call, so that they share a segment.
+// writeAll writes the parts in one call, so that they share a TCP segment.
 func writeAll(w io.Writer, parts ...[]byte) error {
 	var buffer []byte
 	for _, part := range parts {
@@ -207,24 +212,24 @@
 	return err
 }
 
-// readSized reads a length and as many bytes.
-func readSized(r io.Reader, limit int) ([]byte, error) {
+// readLengthPrefixed reads a length field and returns the bytes that follow it.
+func readLengthPrefixed(r io.Reader, limit int) ([]byte, error) {
 	var head [headerBytes]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
-		return nil, truncated(err)
+		return nil, truncatedError(err)
 	}
-	size, err := checkSize(head[:], limit)
+	size, err := decodeLength(head[:], limit)
 	if err != nil {
 		return nil, err
 	}
 	data := make([]byte, size)
 	if _, err := io.ReadFull(r, data); err != nil {
-		return nil, truncated(err)
+		return nil, truncatedError(err)
 	}
 	return data, nil
 }
 
-func checkSize(head []byte, limit int) (int, error) {
+func decodeLength(head []byte, limit int) (int, error) {
 	size := binary.BigEndian.Uint32(head)
 	if size == 0 {
 		return 0, fmt.Errorf("%w: empty frame", ErrMalformed)
@@ -235,10 +240,10 @@
 	return int(size), nil
 }
 
-// truncated marks an end within a frame as malformed.
-func truncated(err error) error {
+// truncatedError converts an end of file within a frame to ErrMalformed.
+func truncatedError(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-		return fmt.Errorf("%w: frame cut short: %w", ErrMalformed, io.ErrUnexpectedEOF)
+		return fmt.Errorf("%w: truncated frame: %w", ErrMalformed, io.ErrUnexpectedEOF)
 	}
 	return err
 }
--- a/internal/peer/frame_test.go
+++ b/internal/peer/frame_test.go
@@ -28,8 +28,8 @@
 
 func testLimits() Limits { return Limits{MaxMessageBytes: 4096}.withDefaults() }
 
-// frames returns the wire form of messages, each as one frame.
-func frames(messages ...string) [][]byte {
+// encodeFrames returns the encoded frame of each message.
+func encodeFrames(messages ...string) [][]byte {
 	var all [][]byte
 	conn := &byteConn{}
 	s := newStream(conn, testSession, testLimits())
@@ -41,7 +41,7 @@
 	return all
 }
 
-// readAll reads messages until the stream's end.
+// readAll reads messages until the stream ends.
 func readAll(data []byte) (messages []string, err error) {
 	s := newStream(&byteConn{in: bytes.NewReader(data)}, testSession, testLimits())
 	for {
@@ -53,8 +53,8 @@
 	}
 }
 
-func TestAlteredFramesAreRefused(t *testing.T) {
-	f := frames(`{"a":1}`, `{"b":2}`, `{"c":3}`)
+func TestAlteredFramesAreRejected(t *testing.T) {
+	f := encodeFrames(`{"a":1}`, `{"b":2}`, `{"c":3}`)
 	altered := bytes.Clone(f[1])
 	altered[len(altered)-2] = '9'
 	tests := []struct {
@@ -80,21 +80,22 @@
 	}
 }
 
-// FuzzFrames checks that arbitrary bytes never give a message that wasn't
-// sent, never lose one that came before them, and end in a typed error.
+// FuzzFrames checks that arbitrary bytes after a valid frame never yield a message
+// that wasn't sent, don't affect the message before them, and end in an error of
+// this package or io.EOF.
 func FuzzFrames(f *testing.F) {
 	f.Add([]byte{}, false)
 	f.Add([]byte{0, 0, 0, 1, 2, 3}, true)
-	f.Add(bytes.Join(frames(`{"a":1}`), nil), true)
+	f.Add(bytes.Join(encodeFrames(`{"a":1}`), nil), true)
 	f.Fuzz(func(t *testing.T, data []byte, signed bool) {
-		sent := frames(`{"a":1}`)
+		sent := encodeFrames(`{"a":1}`)
 		input := append(bytes.Clone(sent[0]), data...)
 		want := 1
 		if signed && len(data) > 0 && len(data) <= 4096 {
 			// The peer holds the key and sends the bytes as a message.
 			s := newStream(&byteConn{}, testSession, testLimits())
-			s.send.next([]byte(`{"a":1}`))
-			input = bytes.Join([][]byte{sent[0], header(len(data)), s.send.next(data), data}, nil)
+			s.sendMAC.nextTag([]byte(`{"a":1}`))
+			input = bytes.Join([][]byte{sent[0], encodeLength(len(data)), s.sendMAC.nextTag(data), data}, nil)
 			if json.Valid(data) {
 				want = 2
 			}
@@ -110,10 +111,10 @@
 	})
 }
 
-// FuzzHandshake checks that a client's bytes never pass without a proof.
+// FuzzHandshake checks that the handshake fails for a client without a valid proof.
 func FuzzHandshake(f *testing.F) {
 	offer, _ := json.Marshal(hello{Protocol: protocol, Self: "x", KeyIDs: []string{"k1"}, Nonce: make([]byte, nonceBytes)})
-	f.Add(append(header(len(offer)), offer...))
+	f.Add(append(encodeLength(len(offer)), offer...))
 	f.Add([]byte{0, 0, 0, 2, '{', '}'})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		conn := &byteConn{in: bytes.NewReader(data)}
--- a/internal/peer/handshake.go
+++ b/internal/peer/handshake.go
@@ -12,17 +12,18 @@
 )
 
 const (
-	// protocol names the handshake's version; a host of another is refused.
+	// protocol is the name and version of the handshake. Hosts with another
+	// version are rejected.
 	protocol = "quetzalweir-peer/1"
 	// nonceBytes is the size of each side's random challenge.
 	nonceBytes = 32
-	// maxHandshakeBytes bounds a handshake message: it comes from a peer that
-	// hasn't proved anything yet.
+	// maxHandshakeBytes limits the size of a handshake message, because its sender
+	// isn't authenticated yet.
 	maxHandshakeBytes = 2048
 )
 
-// Labels separate the uses of a key, so that a proof of one kind is never
-// valid as another.
+// Labels for domain separation: a MAC computed for one purpose is never valid for
+// another.
 const (
 	labelServerProof = "server proof"
 	labelClientProof = "client proof"
@@ -38,7 +39,7 @@
 	Nonce    []byte   `json:"nonce"`
 }
 
-// challenge is the server's answer: its own nonce and its proof.
+// challenge is the server's reply with its nonce and proof.
 type challenge struct {
 	Self  string `json:"self"`
 	KeyID string `json:"key_id"`
@@ -51,17 +52,19 @@
 	Proof []byte `json:"proof"`
 }
 
-// session is what both sides know after the handshake.
+// session is the result of a handshake on one side.
 type session struct {
-	// peer is the other side's host id, as proved by a shared key.
+	// peer is the host id that the other side sent, authenticated by a shared key.
 	peer string
 	// sendKey and receiveKey authenticate the frames of each direction.
 	sendKey, receiveKey []byte
-	// bytesIn and bytesOut count the handshake's own traffic.
+	// bytesIn and bytesOut are the sizes of the handshake messages received and
+	// sent.
 	bytesIn, bytesOut int
 }
 
-// transcript is everything that the proofs and frame keys depend on.
+// transcript holds the handshake fields that the proofs and frame keys are computed
+// from.
 type transcript struct {
 	Hello       hello  `json:"hello"`
 	ServerSelf  string `json:"server_self"`
@@ -69,8 +72,8 @@
 	ServerNonce []byte `json:"server_nonce"`
 }
 
-// derive returns HMAC-SHA256 over the label and the transcript.
-func (t transcript) derive(key Key, label string) ([]byte, error) {
+// deriveMAC returns the HMAC-SHA256 of the label and the transcript.
+func (t transcript) deriveMAC(key Key, label string) ([]byte, error) {
 	data, err := json.Marshal(t)
 	if err != nil {
 		return nil, fmt.Errorf("peer: encode transcript: %w", err)
@@ -82,9 +85,9 @@
 	return mac.Sum(nil), nil
 }
 
-// verify reports whether got is the proof with the label.
+// verify returns ErrAuthentication unless got is the proof for label.
 func (t transcript) verify(key Key, label string, got []byte) error {
-	want, err := t.derive(key, label)
+	want, err := t.deriveMAC(key, label)
 	if err != nil {
 		return err
 	}
@@ -97,7 +100,7 @@
 // handshakeConn reads and writes handshake messages and counts their bytes.
 type handshakeConn struct {
 	net.Conn
-	in, out int
+	bytesIn, bytesOut int
 }
 
 func (c *handshakeConn) send(message any) error {
@@ -105,23 +108,23 @@
 	if err != nil {
 		return fmt.Errorf("peer: encode handshake: %w", err)
 	}
-	c.out += headerBytes + len(data)
-	return writeAll(c.Conn, header(len(data)), data)
+	c.bytesOut += headerBytes + len(data)
+	return writeAll(c.Conn, encodeLength(len(data)), data)
 }
 
 func (c *handshakeConn) receive(message any) error {
-	data, err := readSized(c.Conn, maxHandshakeBytes)
+	data, err := readLengthPrefixed(c.Conn, maxHandshakeBytes)
 	if err != nil {
 		return err
 	}
-	c.in += headerBytes + len(data)
+	c.bytesIn += headerBytes + len(data)
 	if err := json.Unmarshal(data, message); err != nil {
 		return fmt.Errorf("%w: handshake: %w", ErrMalformed, err)
 	}
 	return nil
 }
 
-// clientHandshake authenticates both sides from the dialling side.
+// clientHandshake performs the mutual authentication on the dialling side.
 func clientHandshake(conn net.Conn, self string, keys []Key, timeout time.Duration) (session, error) {
 	if err := conn.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return session{}, fmt.Errorf("peer: set deadline: %w", err)
@@ -131,29 +134,29 @@
 	if err := c.send(offer); err != nil {
 		return session{}, err
 	}
-	var answer challenge
-	if err := c.receive(&answer); err != nil {
+	var reply challenge
+	if err := c.receive(&reply); err != nil {
 		return session{}, err
 	}
-	key, ok := findKey(keys, []string{answer.KeyID})
-	if !ok || checkName(answer.Self) != nil || len(answer.Nonce) != nonceBytes {
+	key, ok := findKey(keys, []string{reply.KeyID})
+	if !ok || validateName(reply.Self) != nil || len(reply.Nonce) != nonceBytes {
 		return session{}, fmt.Errorf("%w: invalid challenge", ErrAuthentication)
 	}
-	t := transcript{Hello: offer, ServerSelf: answer.Self, KeyID: key.ID, ServerNonce: answer.Nonce}
-	if err := t.verify(key, labelServerProof, answer.Proof); err != nil {
+	t := transcript{Hello: offer, ServerSelf: reply.Self, KeyID: key.ID, ServerNonce: reply.Nonce}
+	if err := t.verify(key, labelServerProof, reply.Proof); err != nil {
 		return session{}, err
 	}
-	own, err := t.derive(key, labelClientProof)
+	clientProof, err := t.deriveMAC(key, labelClientProof)
 	if err != nil {
 		return session{}, err
 	}
-	if err := c.send(proof{Proof: own}); err != nil {
+	if err := c.send(proof{Proof: clientProof}); err != nil {
 		return session{}, err
 	}
-	return t.session(key, answer.Self, labelClientKey, labelServerKey, c)
+	return t.session(key, reply.Self, labelClientKey, labelServerKey, c)
 }
 
-// serverHandshake authenticates both sides from the accepting side.
+// serverHandshake performs the mutual authentication on the accepting side.
 func serverHandshake(conn net.Conn, self string, keys []Key, timeout time.Duration) (session, error) {
 	if err := conn.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return session{}, fmt.Errorf("peer: set deadline: %w", err)
@@ -163,7 +166,7 @@
 	if err := c.receive(&offer); err != nil {
 		return session{}, err
 	}
-	if err := offer.check(); err != nil {
+	if err := offer.validate(); err != nil {
 		return session{}, err
 	}
 	key, ok := findKey(keys, offer.KeyIDs)
@@ -171,49 +174,49 @@
 		return session{}, fmt.Errorf("%w: no key in common", ErrAuthentication)
 	}
 	t := transcript{Hello: offer, ServerSelf: self, KeyID: key.ID, ServerNonce: newNonce()}
-	own, err := t.derive(key, labelServerProof)
+	serverProof, err := t.deriveMAC(key, labelServerProof)
 	if err != nil {
 		return session{}, err
 	}
-	if err := c.send(challenge{Self: self, KeyID: key.ID, Nonce: t.ServerNonce, Proof: own}); err != nil {
+	if err := c.send(challenge{Self: self, KeyID: key.ID, Nonce: t.ServerNonce, Proof: serverProof}); err != nil {
 		return session{}, err
 	}
-	var answer proof
-	if err := c.receive(&answer); err != nil {
+	var reply proof
+	if err := c.receive(&reply); err != nil {
 		return session{}, err
 	}
-	if err := t.verify(key, labelClientProof, answer.Proof); err != nil {
+	if err := t.verify(key, labelClientProof, reply.Proof); err != nil {
 		return session{}, err
 	}
 	return t.session(key, offer.Self, labelServerKey, labelClientKey, c)
 }
 
-// check refuses a hello that no client of this version sends.
-func (h hello) check() error {
+// validate returns an error if the hello is invalid for this protocol version.
+func (h hello) validate() error {
 	if h.Protocol != protocol {
 		return fmt.Errorf("%w: unknown protocol", ErrMalformed)
 	}
 	if len(h.Nonce) != nonceBytes || len(h.KeyIDs) > MaxKeys {
 		return fmt.Errorf("%w: invalid hello", ErrMalformed)
 	}
-	return checkName(h.Self)
+	return validateName(h.Self)
 }
 
-// session derives the frame keys. Both nonces are in them, so frames of an
-// earlier connection aren't valid on a later one.
+// session derives the frame keys and returns the session. The keys depend on both
+// nonces, so frames of one connection aren't valid on another.
 func (t transcript) session(key Key, peer, send, receive string, c *handshakeConn) (session, error) {
-	sendKey, err := t.derive(key, send)
+	sendKey, err := t.deriveMAC(key, send)
 	if err != nil {
 		return session{}, err
 	}
-	receiveKey, err := t.derive(key, receive)
+	receiveKey, err := t.deriveMAC(key, receive)
 	if err != nil {
 		return session{}, err
 	}
 	if err := c.SetDeadline(time.Time{}); err != nil {
 		return session{}, fmt.Errorf("peer: clear deadline: %w", err)
 	}
-	return session{peer: peer, sendKey: sendKey, receiveKey: receiveKey, bytesIn: c.in, bytesOut: c.out}, nil
+	return session{peer: peer, sendKey: sendKey, receiveKey: receiveKey, bytesIn: c.bytesIn, bytesOut: c.bytesOut}, nil
 }
 
 func keyIDs(keys []Key) []string {
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -12,7 +12,7 @@
 	"github.com/quetzalweir/quetzalweir/internal/boottime"
 )
 
-// link keeps the one connection to an address.
+// link manages the single connection to an address.
 type link struct {
 	client *Client
 	addr   string
@@ -20,16 +20,17 @@
 	mu     sync.Mutex
 	closed bool
 	conn   *clientConn
-	// dialing is closed when the dial in progress ends; nil without one.
+	// dialing is closed when the dial in progress ends; nil if there is none.
 	dialing <-chan struct{}
-	// failures counts failed dials in a row; retry is when to dial again.
+	// failures counts consecutive failed dials; retryAt is the earliest time of
+	// the next one.
 	failures int
-	retry    time.Time
+	retryAt  time.Time
 	lastErr  error
 }
 
-// connect returns the connection, after a dial if there is none. Concurrent
-// callers share a dial. Within the backoff it fails at once.
+// connect returns the connection and dials if there is none. Concurrent callers
+// share one dial. During the backoff it fails immediately.
 func (l *link) connect(ctx context.Context) (*clientConn, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -38,7 +39,7 @@
 	}
 	dialing := l.dialing
 	if dialing == nil {
-		if err := l.refused(); err != nil {
+		if err := l.dialError(); err != nil {
 			return nil, err
 		}
 		dialing = l.startDial()
@@ -47,30 +48,31 @@
 		return nil, err
 	}
 	if l.conn == nil {
-		return nil, l.unreachable()
+		return nil, l.unreachableError()
 	}
 	return l.conn, nil
 }
 
-// refused says why no dial may start now, or nil.
-func (l *link) refused() error {
+// dialError returns an error if no dial may start now, and nil otherwise.
+func (l *link) dialError() error {
 	if l.closed {
 		return fmt.Errorf("%w: %w", ErrUnreachable, ErrClosed)
 	}
-	if boottime.Now().Before(l.retry) {
-		return l.unreachable()
+	if boottime.Now().Before(l.retryAt) {
+		return l.unreachableError()
 	}
 	return nil
 }
 
-func (l *link) unreachable() error {
+func (l *link) unreachableError() error {
 	if l.lastErr == nil {
 		return fmt.Errorf("%w: %s", ErrUnreachable, l.addr)
 	}
 	return fmt.Errorf("%w: %s: %w", ErrUnreachable, l.addr, l.lastErr)
 }
 
-// awaitDial waits without the lock, which the caller holds.
+// awaitDial waits for the dial or the end of ctx. The caller holds l.mu, which is
+// released during the wait.
 func (l *link) awaitDial(ctx context.Context, dialing <-chan struct{}) error {
 	l.mu.Unlock()
 	defer l.mu.Lock()
@@ -82,8 +84,9 @@
 	}
 }
 
-// startDial dials in the background, so that the caller who happens to be
-// first doesn't bound the dial for the others.
+// startDial dials in the background, so that the context of the first caller
+// doesn't limit the dial for the others. The returned channel is closed when the
+// dial ends.
 func (l *link) startDial() <-chan struct{} {
 	done := make(chan struct{})
 	spawned := l.client.spawn(func() {
@@ -107,7 +110,7 @@
 	l.lastErr = err
 	if err != nil {
 		l.failures++
-		l.retry = boottime.Now().Add(l.client.options.backoff(l.failures))
+		l.retryAt = boottime.Now().Add(l.client.options.backoff(l.failures))
 		return
 	}
 	l.failures = 0
@@ -119,7 +122,7 @@
 	go l.watch(conn)
 }
 
-// watch forgets the connection when it ends.
+// watch clears l.conn when the connection ends.
 func (l *link) watch(conn *clientConn) {
 	<-conn.rpc.DisconnectNotify()
 	l.mu.Lock()
@@ -148,7 +151,7 @@
 		conn.Close()
 		return nil, err
 	}
-	l.client.traffic.handshake(s)
+	l.client.traffic.addHandshake(s)
 	return l.newConn(conn, s), nil
 }
 
@@ -157,14 +160,14 @@
 	limits := o.Limits
 	limits.IdleTimeout /= 2
 	stream := newStream(conn, s, limits)
-	meter := newMeter(l.client.traffic, stream, func(string) bool { return true })
-	rpc := jsonrpc2.NewConn(context.Background(), stream, refuseCalls{}, append(meter.options(), silent())...)
+	meter := newTrafficMeter(l.client.traffic, stream, func(string) bool { return true })
+	rpc := jsonrpc2.NewConn(context.Background(), stream, rejectCalls{}, append(meter.options(), discardLogs())...)
 	return &clientConn{
-		rpc:    rpc,
-		stream: stream,
-		stall:  o.StallTimeout,
-		slots:  make(chan struct{}, o.Limits.MaxConcurrent),
-		spawn:  l.client.spawn,
+		rpc:          rpc,
+		stream:       stream,
+		stallTimeout: o.StallTimeout,
+		slots:        make(chan struct{}, o.Limits.MaxConcurrent),
+		spawn:        l.client.spawn,
 	}
 }
 
@@ -177,10 +180,10 @@
 	}
 }
 
-// refuseCalls closes a connection whose server tries to call its client.
-type refuseCalls struct{}
+// rejectCalls closes a connection on which the server calls the client.
+type rejectCalls struct{}
 
 // Handle implements jsonrpc2.Handler.
-func (refuseCalls) Handle(_ context.Context, conn *jsonrpc2.Conn, _ *jsonrpc2.Request) {
+func (rejectCalls) Handle(_ context.Context, conn *jsonrpc2.Conn, _ *jsonrpc2.Request) {
 	conn.Close()
 }
--- a/internal/peer/membership_transport.go
+++ b/internal/peer/membership_transport.go
@@ -8,39 +8,40 @@
 	"github.com/quetzalweir/quetzalweir/membership"
 )
 
-// MethodMembershipExchange is the method of membership's messages.
+// MethodMembershipExchange is the RPC method for membership messages.
 const MethodMembershipExchange = "membership.exchange"
 
-// ErrSender means that a message names another sender than its connection.
-var ErrSender = errors.New("peer: message of another sender")
+// ErrSenderMismatch means that the sender named in a message isn't the authenticated peer
+// of its connection.
+var ErrSenderMismatch = errors.New("peer: message of another sender")
 
-// MembershipTransport carries membership's exchanges.
+// MembershipTransport implements membership.Transport over a Client.
 type MembershipTransport struct {
 	client *Client
 }
 
-// NewMembershipTransport returns a transport over a client, which is shared
-// with other uses and stays the caller's to close.
+// NewMembershipTransport returns a transport that uses client. The client may be
+// shared, and the caller closes it.
 func NewMembershipTransport(client *Client) *MembershipTransport {
 	return &MembershipTransport{client: client}
 }
 
 // Exchange implements membership.Transport.
 func (t *MembershipTransport) Exchange(ctx context.Context, to membership.Member, message membership.Message) (membership.Message, error) {
-	var answer membership.Message
-	err := t.client.Call(ctx, to.PeerAddr, MethodMembershipExchange, message, &answer)
+	var reply membership.Message
+	err := t.client.Call(ctx, to.PeerAddr, MethodMembershipExchange, message, &reply)
 	if err != nil && to.State == membership.Down {
-		// It may never come back at this address.
+		// The host may never return at this address.
 		t.client.Forget(to.PeerAddr)
 	}
-	return answer, err
+	return reply, err
 }
 
-// HandleMembership makes a server answer the exchanges for m.
+// HandleMembership registers a handler on s that passes membership messages to m.
 func HandleMembership(s *Server, m *membership.Membership) {
 	Handle(s, MethodMembershipExchange, func(ctx context.Context, from string, message membership.Message) (membership.Message, error) {
 		if message.From != from {
-			return membership.Message{}, fmt.Errorf("%w: %q on a connection of %q", ErrSender, message.From, from)
+			return membership.Message{}, fmt.Errorf("%w: %q on a connection of %q", ErrSenderMismatch, message.From, from)
 		}
 		return m.HandleExchange(ctx, message)
 	})
--- a/internal/peer/membership_transport_test.go
+++ b/internal/peer/membership_transport_test.go
@@ -10,8 +10,9 @@
 	"github.com/quetzalweir/quetzalweir/membership"
 )
 
-// TestMembershipOverConnections runs three members over loopback: they find
-// each other through one seed, share a fact, and miss the one that stops.
+// TestMembershipOverConnections runs three members over loopback. They must
+// discover each other through one seed, replicate a fact, and detect the member
+// that stops.
 func TestMembershipOverConnections(t *testing.T) {
 	is := is.New(t)
 	keys := []Key{testKey("k1")}
@@ -67,7 +68,7 @@
 	stops[0]()
 }
 
-func TestMessageOfAnotherSenderIsRefused(t *testing.T) {
+func TestMessageOfAnotherSenderIsRejected(t *testing.T) {
 	is := is.New(t)
 	keys := []Key{testKey("k1")}
 	s, _ := startServer(t, ServerOptions{Keys: keys})
@@ -76,6 +77,6 @@
 	is.NoErr(err)
 	HandleMembership(s, m)
 	_, err = NewMembershipTransport(c).Exchange(t.Context(), membership.Member{PeerAddr: s.Addr()}, membership.Message{From: "forged"})
-	var refused *CallError
-	is.True(errors.As(err, &refused))
+	var rejected *CallError
+	is.True(errors.As(err, &rejected))
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,14 +1,15 @@
-// Package peer carries calls between entry hosts: JSON-RPC 2.0 over TCP, with
-// mutual authentication by shared keys before the first message and a message
-// authentication code with a sequence number on each frame after it.
+// Package peer provides remote procedure calls between entry hosts: JSON-RPC 2.0
+// over TCP, with mutual authentication by shared keys before the first message and
+// a message authentication code over a sequence number and the payload in each
+// frame.
 //
-// A connection is used in one direction: the host that dialled it calls, the
-// host that accepted it answers. A call is sent at most once; the error says
-// whether it can have reached the other host.
+// A connection is used in one direction: the host that dialled it sends calls, the
+// host that accepted it responds. A call is sent at most once; the error indicates
+// whether it may have reached the other host.
 //
-// The entry hosts' membership, evidence, bills and loans of quota go over it.
-// Frames are authenticated and not encrypted, and calls of different
-// connections have no order.
+// The entry hosts use it for membership, evidence, bills and loans of quota.
+// Frames are authenticated but not encrypted, and calls on different connections
+// aren't ordered.
 package peer
 
 import (
@@ -19,21 +20,22 @@
 	"github.com/quetzalweir/quetzalweir/internal/defaults"
 )
 
-// Errors of calls and connections; each is wrapped with its cause.
+// Errors of calls and connections, each wrapped with its cause.
 var (
-	// ErrUnreachable means that the call was not sent: there is no connection.
+	// ErrUnreachable means that the call was not sent because there is no
+	// connection.
 	ErrUnreachable = errors.New("peer: unreachable")
-	// ErrBroken means that the call was sent, at least in part, and no answer
-	// came back.
+	// ErrBroken means that the connection ended before a response was received; the
+	// call may have been sent.
 	ErrBroken = errors.New("peer: connection broken")
 	// ErrOverloaded means that too many calls are open; the call was not sent.
 	ErrOverloaded = errors.New("peer: too many calls")
-	// ErrTooLarge means that a message is over the size limit.
+	// ErrTooLarge means that a message exceeds the size limit.
 	ErrTooLarge = errors.New("peer: message too large")
-	// ErrMalformed means that the bytes received are no valid frame or message.
+	// ErrMalformed means that the received bytes aren't a valid frame or message.
 	ErrMalformed = errors.New("peer: malformed message")
-	// ErrAuthentication means that the other side didn't prove that it holds a
-	// key, or that a frame was altered, repeated or left out.
+	// ErrAuthentication means that the other side didn't prove possession of a
+	// shared key, or that a frame was altered, repeated or omitted.
 	ErrAuthentication = errors.New("peer: authentication failed")
 	// ErrClosed means that the client or server was closed.
 	ErrClosed = errors.New("peer: closed")
@@ -41,19 +43,19 @@
 	ErrOptions = errors.New("peer: invalid options")
 )
 
-// Codes of the JSON-RPC errors that a server answers with.
+// Codes of the JSON-RPC errors that a server returns.
 const (
 	// CodeMethodNotFound is defined by JSON-RPC 2.0.
 	CodeMethodNotFound = -32601
 	// CodeInvalidParams is defined by JSON-RPC 2.0.
 	CodeInvalidParams = -32602
-	// CodeHandler says that the handler returned an error.
+	// CodeHandler means that the handler returned an error.
 	CodeHandler = 1
-	// CodeStopping says that the host is stopping and didn't begin the call.
+	// CodeStopping means that the host is stopping and didn't start the call.
 	CodeStopping = 2
 )
 
-// CallError is an error that the other host answered with.
+// CallError is an error response from the other host.
 type CallError struct {
 	Method  string
 	Code    int64
@@ -81,23 +83,23 @@
 	DefaultMaxBackoff       = 2 * time.Second
 )
 
-// Limits bounds what one connection may use. Zero values take the defaults.
+// Limits limits the resources of one connection. Zero values select the defaults.
 type Limits struct {
-	// MaxMessageBytes is the largest message; default 1 MiB.
+	// MaxMessageBytes is the maximum size of a message; default 1 MiB.
 	MaxMessageBytes int
-	// MaxConcurrent is the number of open calls per connection; default 64.
+	// MaxConcurrent is the maximum number of open calls per connection; default 64.
 	MaxConcurrent int
-	// HandshakeTimeout bounds the authentication; default 2 s.
+	// HandshakeTimeout limits the time for authentication; default 2 s.
 	HandshakeTimeout time.Duration
-	// WriteTimeout bounds the writing of one frame; default 2 s. A peer that
-	// takes longer is disconnected.
+	// WriteTimeout limits the time to write one frame; default 2 s. The connection
+	// is closed if the write takes longer.
 	WriteTimeout time.Duration
-	// FrameTimeout bounds the reading of a frame from its first byte; default
+	// FrameTimeout limits the time to read a frame after its first byte; default
 	// 5 s.
 	FrameTimeout time.Duration
-	// IdleTimeout is how long a server waits for a frame; default 2 min. The
-	// client waits half as long, so that it doesn't call into a connection
-	// that the server is about to close. No call may take longer.
+	// IdleTimeout is how long a server waits for a frame; default 2 min. The client
+	// waits half as long, so that it doesn't send a call on a connection that the
+	// server is about to close. A call that takes longer fails.
 	IdleTimeout time.Duration
 }
 
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -37,7 +37,7 @@
 	return echoResult{Text: p.Text, From: from}, nil
 }
 
-// startServer serves until the test's end or until stop is called.
+// startServer runs a server until the test ends or stop is called.
 func startServer(t testing.TB, o ServerOptions) (s *Server, stop func()) {
 	t.Helper()
 	if o.Listen == "" {
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestKeysRotateWithoutCut(t *testing.T) {
+func TestKeyRotation(t *testing.T) {
 	old, fresh := testKey("old"), testKey("new")
 	tests := []struct {
 		desc           string
@@ -133,7 +133,7 @@
 	}
 }
 
-func TestErrorsSayWhatHappened(t *testing.T) {
+func TestCallErrors(t *testing.T) {
 	is := is.New(t)
 	keys := []Key{testKey("k1")}
 	limits := Limits{MaxMessageBytes: 4096}
@@ -154,7 +154,7 @@
 	is.Equal(e.Message, "no luck")
 	is.True(errors.As(c.Call(ctx, s.Addr(), "echo", []int{1}, nil), &e))
 	is.Equal(e.Code, int64(CodeInvalidParams))
-	is.True(errors.As(c.Call(ctx, s.Addr(), "large", echoParams{}, nil), &e)) // an answer over the limit
+	is.True(errors.As(c.Call(ctx, s.Addr(), "large", echoParams{}, nil), &e)) // the response exceeds the limit
 
 	_, err := callEcho(c, s.Addr(), strings.Repeat("x", 8192))
 	is.True(errors.Is(err, ErrTooLarge))
@@ -163,7 +163,7 @@
 	is.Equal(r.Text, "still works")
 }
 
-func TestDownFailsFastThenReconnects(t *testing.T) {
+func TestUnreachableHostFailsFastThenReconnects(t *testing.T) {
 	is := is.New(t)
 	keys := []Key{testKey("k1")}
 	s, stop := startServer(t, ServerOptions{Keys: keys})
@@ -171,7 +171,7 @@
 	_, err := callEcho(c, s.Addr(), "x")
 	is.NoErr(err)
 	stop()
-	for err == nil || errors.Is(err, ErrBroken) { // until the client has seen the end
+	for err == nil || errors.Is(err, ErrBroken) { // until the client detects the end of the connection
 		_, err = callEcho(c, s.Addr(), "x")
 	}
 	is.True(errors.Is(err, ErrUnreachable))
@@ -202,20 +202,20 @@
 		stop()
 		close(stopped)
 	}()
-	for s.begin() { // until the drain has begun
-		s.handling.Done()
+	for s.beginCall() { // until the drain has started
+		s.activeCalls.Done()
 	}
-	var refused *CallError
+	var rejected *CallError
 	_, err := callEcho(c, s.Addr(), "late")
-	is.True(errors.As(err, &refused))
-	is.Equal(refused.Code, int64(CodeStopping))
+	is.True(errors.As(err, &rejected))
+	is.Equal(rejected.Code, int64(CodeStopping))
 	close(release)
 	is.NoErr(<-done)
 	is.Equal(r.Text, "whole")
 	<-stopped
 }
 
-func TestSilentPeerIsCut(t *testing.T) {
+func TestStalledConnectionIsClosed(t *testing.T) {
 	is := is.New(t)
 	keys := []Key{testKey("k1")}
 	s, _ := startServer(t, ServerOptions{Keys: keys})
@@ -231,10 +231,10 @@
 	open := make(chan error, 1)
 	go func() { open <- c.Call(context.Background(), s.Addr(), "block", nil, nil) }()
 	is.True(errors.Is(c.Call(ctx, s.Addr(), "block", nil, nil), context.DeadlineExceeded))
-	is.True(errors.Is(<-open, ErrBroken)) // the cut frees the other callers
+	is.True(errors.Is(<-open, ErrBroken)) // closing the connection unblocks the other callers
 }
 
-func TestTooManyCallsAreRefusedUnsent(t *testing.T) {
+func TestTooManyCallsAreRejectedUnsent(t *testing.T) {
 	is := is.New(t)
 	keys := []Key{testKey("k1")}
 	s, _ := startServer(t, ServerOptions{Keys: keys})
@@ -264,10 +264,10 @@
 	}{
 		{"no length", []byte{0, 0}, ErrMalformed},
 		{"huge length", []byte{0xff, 0xff, 0xff, 0xff}, ErrTooLarge},
-		{"not JSON", append(header(3), "abc"...), ErrMalformed},
-		{"other protocol", append(header(2), "{}"...), ErrMalformed},
-		{"hello and a wrong proof", append(append(header(len(valid)), valid...), append(header(2), "{}"...)...), ErrAuthentication},
-		{"hello and a call", append(append(header(len(valid)), valid...), append(header(4), `"ab"`...)...), ErrMalformed},
+		{"not JSON", append(encodeLength(3), "abc"...), ErrMalformed},
+		{"other protocol", append(encodeLength(2), "{}"...), ErrMalformed},
+		{"hello and a wrong proof", append(append(encodeLength(len(valid)), valid...), append(encodeLength(2), "{}"...)...), ErrAuthentication},
+		{"hello and a call", append(append(encodeLength(len(valid)), valid...), append(encodeLength(4), `"ab"`...)...), ErrMalformed},
 	}
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
@@ -299,7 +299,7 @@
 	}
 }
 
-// BenchmarkCall measures one call with its answer, over one connection.
+// BenchmarkCall measures one call and its response over one connection.
 func BenchmarkCall(b *testing.B) {
 	keys := []Key{testKey("k1")}
 	s, _ := startServer(b, ServerOptions{Keys: keys})
@@ -313,9 +313,9 @@
 	}
 }
 
-// TestFrozenHostHoldsUpNobody calls a host whose kernel accepts connections
-// and whose process doesn't run.
-func TestFrozenHostHoldsUpNobody(t *testing.T) {
+// TestUnresponsiveHostDoesNotBlockCallers calls a host whose kernel accepts
+// connections while its process doesn't respond. The call must end with its context.
+func TestUnresponsiveHostDoesNotBlockCallers(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", loopback)
 	is.NoErr(err)
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -16,13 +16,13 @@
 	"github.com/quetzalweir/quetzalweir/internal/defaults"
 )
 
-// Handler answers the calls of one method. It runs concurrently with others.
-// Its context ends when the caller's connection does.
+// Handler handles the calls of one method. Calls are handled concurrently. The
+// context is cancelled when the caller's connection ends.
 type Handler interface {
 	Handle(ctx context.Context, from string, params json.RawMessage) (any, error)
 }
 
-// HandlerFunc is a function that is a Handler.
+// HandlerFunc adapts a function to a Handler.
 type HandlerFunc func(ctx context.Context, from string, params json.RawMessage) (any, error)
 
 // Handle implements Handler.
@@ -30,7 +30,7 @@
 	return f(ctx, from, params)
 }
 
-// Handle registers a function with typed parameters and result.
+// Handle registers a handler function with typed parameters and result.
 func Handle[P, R any](s *Server, method string, f func(ctx context.Context, from string, params P) (R, error)) {
 	s.Handle(method, HandlerFunc(func(ctx context.Context, from string, raw json.RawMessage) (any, error) {
 		var params P
@@ -43,26 +43,26 @@
 
 // ServerOptions configures a Server.
 type ServerOptions struct {
-	// Listen is the IP address and port to listen on; port 0 picks one.
+	// Listen is the IP address and port to listen on; port 0 selects a free port.
 	Listen string
-	// Self is this host's id, told to callers.
+	// Self is the id of this host, which is sent to callers.
 	Self string
-	// Keys are the keys that callers may authenticate with.
+	// Keys lists the keys that callers may authenticate with.
 	Keys []Key
-	// Limits bounds each connection.
+	// Limits applies to each connection.
 	Limits Limits
-	// MaxConns is the number of open connections; default 1024. More are
-	// closed at once.
+	// MaxConns is the maximum number of open connections; default 1024. Further
+	// connections are closed immediately.
 	MaxConns int
-	// DrainTimeout bounds the wait for running handlers at the end of Serve;
-	// default 2 s.
+	// DrainTimeout limits how long Serve waits for running handlers before it
+	// returns; default 2 s.
 	DrainTimeout time.Duration
-	// OnDisconnect, if set, is told of each connection that ended and why;
-	// from is empty where the peer wasn't authenticated.
+	// OnDisconnect, if set, is called for each connection that ends, with the error
+	// that ended it; from is empty if the peer wasn't authenticated.
 	OnDisconnect func(from string, err error)
 }
 
-// Server accepts the connections of other hosts and answers their calls.
+// Server accepts connections from other hosts and handles their calls.
 type Server struct {
 	options  ServerOptions
 	listener net.Listener
@@ -74,15 +74,16 @@
 
 	conns sync.WaitGroup
 
-	// calls guards stopping, so that no call begins after the drain has.
-	calls    sync.Mutex
-	stopping bool
-	handling sync.WaitGroup
+	// callsMu guards stopping, so that no call starts after the drain has started.
+	callsMu     sync.Mutex
+	stopping    bool
+	activeCalls sync.WaitGroup
 }
 
-// NewServer starts to listen; connections wait until Serve is called.
+// NewServer returns a server that listens; connections are accepted once Serve is
+// called.
 func NewServer(options ServerOptions) (*Server, error) {
-	if err := checkIdentity(options.Self, options.Keys); err != nil {
+	if err := validateIdentity(options.Self, options.Keys); err != nil {
 		return nil, err
 	}
 	options.Limits = options.Limits.withDefaults()
@@ -101,7 +102,7 @@
 	}, nil
 }
 
-// Handle registers the handler of a method, in place of an earlier one.
+// Handle registers the handler for a method and replaces an earlier one.
 func (s *Server) Handle(method string, handler Handler) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,21 +112,21 @@
 // Addr returns the IP address and port that the server listens on.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Stats returns the traffic by method.
+// Stats returns the traffic per method.
 func (s *Server) Stats() Stats { return s.traffic.snapshot() }
 
-// Close stops listening. It is needed only where Serve isn't called.
+// Close stops listening. It is needed only if Serve isn't called.
 func (s *Server) Close() error { return s.listener.Close() }
 
-// Serve answers calls until ctx ends. Then it takes no more connections, lets
-// running handlers finish within the drain timeout, and closes the rest. It
-// returns nil after the end of ctx. It is called once.
+// Serve handles calls until ctx ends. It then stops accepting connections, waits up
+// to DrainTimeout for running handlers, and closes the remaining connections. It
+// returns nil if ctx ended. It must be called at most once.
 func (s *Server) Serve(ctx context.Context) error {
-	serving, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	serveCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() { s.listener.Close() })
 	defer stop()
-	err := s.accept(ctx, serving)
+	err := s.accept(ctx, serveCtx)
 	s.listener.Close()
 	if ctx.Err() != nil {
 		s.drain()
@@ -136,11 +137,11 @@
 	return err
 }
 
-func (s *Server) accept(ctx, serving context.Context) error {
+func (s *Server) accept(ctx, serveCtx context.Context) error {
 	for {
 		conn, err := s.listener.Accept()
 		if err != nil {
-			if ctx.Err() == nil && isTemporary(err) {
+			if ctx.Err() == nil && isRetryableAccept(err) {
 				time.Sleep(DefaultMinBackoff)
 				continue
 			}
@@ -154,37 +155,37 @@
 		}
 		s.conns.Go(func() {
 			defer func() { <-s.slots }()
-			s.serveConn(serving, conn)
+			s.serveConn(serveCtx, conn)
 		})
 	}
 }
 
-// isTemporary says that accepting can be tried again, for example when the
-// process is out of file descriptors.
-func isTemporary(err error) bool {
+// isRetryableAccept reports whether Accept can be retried after err, for example
+// when the process has run out of file descriptors.
+func isRetryableAccept(err error) bool {
 	return !errors.Is(err, net.ErrClosed)
 }
 
-// serveConn answers the calls of one connection until it ends.
-func (s *Server) serveConn(serving context.Context, conn net.Conn) {
-	stop := context.AfterFunc(serving, func() { conn.Close() })
+// serveConn handles the calls of one connection until it ends.
+func (s *Server) serveConn(serveCtx context.Context, conn net.Conn) {
+	stop := context.AfterFunc(serveCtx, func() { conn.Close() })
 	defer stop()
 	defer conn.Close()
 	session, err := serverHandshake(conn, s.options.Self, s.options.Keys, s.options.Limits.HandshakeTimeout)
 	if err != nil {
-		s.disconnected("", err)
+		s.notifyDisconnect("", err)
 		return
 	}
-	s.traffic.handshake(session)
+	s.traffic.addHandshake(session)
 	stream := newStream(conn, session, s.options.Limits)
-	meter := newMeter(s.traffic, stream, s.knows)
+	meter := newTrafficMeter(s.traffic, stream, s.hasHandler)
 	c := &serverConn{server: s, from: session.peer, slots: make(chan struct{}, s.options.Limits.MaxConcurrent)}
-	rpc := jsonrpc2.NewConn(serving, stream, c, append(meter.options(), silent())...)
+	rpc := jsonrpc2.NewConn(serveCtx, stream, c, append(meter.options(), discardLogs())...)
 	<-rpc.DisconnectNotify()
-	s.disconnected(session.peer, stream.err())
+	s.notifyDisconnect(session.peer, stream.err())
 }
 
-func (s *Server) disconnected(from string, err error) {
+func (s *Server) notifyDisconnect(from string, err error) {
 	if s.options.OnDisconnect != nil {
 		s.options.OnDisconnect(from, err)
 	}
@@ -197,30 +198,30 @@
 	return h, ok
 }
 
-func (s *Server) knows(method string) bool {
+func (s *Server) hasHandler(method string) bool {
 	_, ok := s.handler(method)
 	return ok
 }
 
-// begin counts a call as running; it reports false once the drain has begun.
-func (s *Server) begin() bool {
-	s.calls.Lock()
-	defer s.calls.Unlock()
+// beginCall counts a call as running. It returns false once the drain has started.
+func (s *Server) beginCall() bool {
+	s.callsMu.Lock()
+	defer s.callsMu.Unlock()
 	if s.stopping {
 		return false
 	}
-	s.handling.Add(1)
+	s.activeCalls.Add(1)
 	return true
 }
 
-// drain waits for running handlers, up to the drain timeout.
+// drain rejects new calls and waits for running handlers, up to DrainTimeout.
 func (s *Server) drain() {
-	s.calls.Lock()
+	s.callsMu.Lock()
 	s.stopping = true
-	s.calls.Unlock()
+	s.callsMu.Unlock()
 	done := make(chan struct{})
 	go func() {
-		s.handling.Wait()
+		s.activeCalls.Wait()
 		close(done)
 	}()
 	select {
@@ -229,8 +230,8 @@
 	}
 }
 
-// silent keeps jsonrpc2 from writing to standard error: what ended a
+// discardLogs disables jsonrpc2's logging to standard error. The error that ends a
 // connection is reported by OnDisconnect and by the errors of calls.
-func silent() jsonrpc2.ConnOpt {
+func discardLogs() jsonrpc2.ConnOpt {
 	return jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
 }
--- a/internal/peer/serverconn.go
+++ b/internal/peer/serverconn.go
@@ -8,35 +8,35 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// serverConn is the jsonrpc2.Handler of one connection.
+// serverConn implements jsonrpc2.Handler for one connection.
 type serverConn struct {
 	server *Server
 	from   string
 	slots  chan struct{}
 }
 
-// Handle implements jsonrpc2.Handler. While all slots are taken it blocks the
-// connection's reading, so that the caller feels it by TCP's flow control.
+// Handle implements jsonrpc2.Handler. While all slots are in use it blocks reading
+// from the connection, so that TCP flow control slows the caller down.
 func (c *serverConn) Handle(ctx context.Context, conn *jsonrpc2.Conn, request *jsonrpc2.Request) {
 	select {
 	case c.slots <- struct{}{}:
 	case <-ctx.Done():
 		return
 	}
-	if !c.server.begin() {
+	if !c.server.beginCall() {
 		<-c.slots
 		conn.ReplyWithError(ctx, request.ID, wireError(&CallError{Code: CodeStopping, Message: "host is stopping"}))
 		return
 	}
 	go func() {
-		defer c.server.handling.Done()
+		defer c.server.activeCalls.Done()
 		defer func() { <-c.slots }()
-		c.answer(ctx, conn, request)
+		c.handleAndReply(ctx, conn, request)
 	}()
 }
 
-func (c *serverConn) answer(ctx context.Context, conn *jsonrpc2.Conn, request *jsonrpc2.Request) {
-	result, err := c.call(ctx, request)
+func (c *serverConn) handleAndReply(ctx context.Context, conn *jsonrpc2.Conn, request *jsonrpc2.Request) {
+	result, err := c.invokeHandler(ctx, request)
 	if request.Notif {
 		return
 	}
@@ -54,7 +54,7 @@
 	}
 }
 
-func (c *serverConn) call(ctx context.Context, request *jsonrpc2.Request) (any, error) {
+func (c *serverConn) invokeHandler(ctx context.Context, request *jsonrpc2.Request) (any, error) {
 	handler, ok := c.server.handler(request.Method)
 	if !ok {
 		return nil, &CallError{Code: CodeMethodNotFound, Message: "method not found"}
--- a/internal/peer/traffic.go
+++ b/internal/peer/traffic.go
@@ -9,28 +9,29 @@
 )
 
 const (
-	// handshakeMethod and unknownMethod count traffic outside known methods.
+	// handshakeMethod and unknownMethod are the names under which handshakes and
+	// unregistered methods are counted.
 	handshakeMethod = "(handshake)"
 	unknownMethod   = "(unknown)"
 )
 
-// MethodTraffic is what one method has sent and received, in bytes of frames;
-// the headers of TCP and IP aren't in it.
+// MethodTraffic counts the frames and bytes of one method. The bytes include the
+// frame headers but not those of TCP and IP.
 type MethodTraffic struct {
 	Method   string
 	BytesIn  uint64
 	BytesOut uint64
-	// FramesIn and FramesOut count requests and answers alike.
+	// FramesIn and FramesOut count requests and responses.
 	FramesIn  uint64
 	FramesOut uint64
 }
 
-// Stats is a snapshot of the traffic by method, in the methods' order.
+// Stats is a snapshot of the traffic per method, sorted by method.
 type Stats struct {
 	Methods []MethodTraffic
 }
 
-// traffic counts bytes by method.
+// traffic counts frames and bytes per method.
 type traffic struct {
 	mu      sync.Mutex
 	methods map[string]*MethodTraffic
@@ -49,7 +50,7 @@
 	return e
 }
 
-func (t *traffic) in(method string, size int) {
+func (t *traffic) addIn(method string, size int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entry(method)
@@ -57,7 +58,7 @@
 	e.FramesIn++
 }
 
-func (t *traffic) out(method string, size int) {
+func (t *traffic) addOut(method string, size int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entry(method)
@@ -65,9 +66,9 @@
 	e.FramesOut++
 }
 
-func (t *traffic) handshake(s session) {
-	t.in(handshakeMethod, s.bytesIn)
-	t.out(handshakeMethod, s.bytesOut)
+func (t *traffic) addHandshake(s session) {
+	t.addIn(handshakeMethod, s.bytesIn)
+	t.addOut(handshakeMethod, s.bytesOut)
 }
 
 func (t *traffic) snapshot() Stats {
@@ -81,59 +82,60 @@
 	return s
 }
 
-// meter assigns the frames of one connection to methods. An answer's method
-// is known by its request's id.
-type meter struct {
+// trafficMeter counts the frames of one connection by method. It finds the method
+// of a response by the request id.
+type trafficMeter struct {
 	traffic *traffic
 	stream  *stream
-	// known bounds the method names that a peer can make up.
-	known func(method string) bool
+	// isKnown reports whether a method is registered. Other names are counted
+	// together, so that a peer can't add arbitrary ones to the statistics.
+	isKnown func(method string) bool
 
-	mu   sync.Mutex
-	open map[jsonrpc2.ID]string
-	// sending is the method of the message being written; jsonrpc2 writes one
+	mu             sync.Mutex
+	pendingMethods map[jsonrpc2.ID]string
+	// sendingMethod is the method of the message being written; jsonrpc2 writes one
 	// message at a time.
-	sending string
+	sendingMethod string
 }
 
-func newMeter(t *traffic, s *stream, known func(string) bool) *meter {
-	m := &meter{traffic: t, stream: s, known: known, open: make(map[jsonrpc2.ID]string)}
-	s.onWrite = m.written
+func newTrafficMeter(t *traffic, s *stream, isKnown func(string) bool) *trafficMeter {
+	m := &trafficMeter{traffic: t, stream: s, isKnown: isKnown, pendingMethods: make(map[jsonrpc2.ID]string)}
+	s.onWrite = m.onWritten
 	return m
 }
 
-// options are the hooks to install on the connection.
-func (m *meter) options() []jsonrpc2.ConnOpt {
+// options returns the hooks to install on the connection.
+func (m *trafficMeter) options() []jsonrpc2.ConnOpt {
 	return []jsonrpc2.ConnOpt{jsonrpc2.OnRecv(m.onReceive), jsonrpc2.OnSend(m.onSend)}
 }
 
-func (m *meter) onReceive(request *jsonrpc2.Request, response *jsonrpc2.Response) {
+func (m *trafficMeter) onReceive(request *jsonrpc2.Request, response *jsonrpc2.Response) {
 	method := unknownMethod
-	if request != nil && m.known(request.Method) {
+	if request != nil && m.isKnown(request.Method) {
 		method = request.Method
 	}
 	if response == nil && request != nil && !request.Notif {
 		m.mu.Lock()
-		m.open[request.ID] = method
+		m.pendingMethods[request.ID] = method
 		m.mu.Unlock()
 	}
-	m.traffic.in(method, m.stream.received)
+	m.traffic.addIn(method, m.stream.lastFrameBytes)
 }
 
-func (m *meter) onSend(request *jsonrpc2.Request, response *jsonrpc2.Response) {
+func (m *trafficMeter) onSend(request *jsonrpc2.Request, response *jsonrpc2.Response) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if request != nil {
-		m.sending = request.Method
+		m.sendingMethod = request.Method
 		return
 	}
-	m.sending = m.open[response.ID]
-	delete(m.open, response.ID)
+	m.sendingMethod = m.pendingMethods[response.ID]
+	delete(m.pendingMethods, response.ID)
 }
 
-func (m *meter) written(size int) {
+func (m *trafficMeter) onWritten(size int) {
 	m.mu.Lock()
-	method := m.sending
+	method := m.sendingMethod
 	m.mu.Unlock()
-	m.traffic.out(method, size)
+	m.traffic.addOut(method, size)
 }
