--- a/internal/sealedconn/call.go
+++ b/internal/sealedconn/call.go
@@ -9,131 +9,132 @@
 )
 
 var (
-	// errSealed is the error of a write for a call that has ended.
-	errSealed = errors.New("sealedconn: the call has ended")
-	// errRepeated is the error of a write for a call that another connection
-	// was already written to for.
-	errRepeated = errors.New("sealedconn: the call was already sent on another connection")
+	// errCallEnded is returned by a write for a call that is sealed.
+	errCallEnded = errors.New("sealedconn: the call has ended")
+	// errAlreadySent is returned by a write for a call that was already written to
+	// another connection and isn't repeatable.
+	errAlreadySent = errors.New("sealedconn: the call was already sent on another connection")
 )
 
-// Progress says how far the sending of a call came.
+// Progress is how far the transmission of a call got.
 type Progress int
 
 const (
-	// Untouched means that no write of the call began.
+	// Untouched means that no write of the call started.
 	Untouched Progress = iota
-	// Begun means that all writes of the call failed without a byte.
+	// Begun means that all writes of the call failed and wrote no byte.
 	Begun
 	// Written means that a byte of the call may have been written.
 	Written
 )
 
-// Call follows one call to the connections that the transport gives it. The
-// zero value is a call that mustn't be sent twice. It is safe for concurrent
-// use.
+// Call tracks the writes of one HTTP call on the connections that the transport
+// selects for it. The zero value is a call that must not be sent twice. It is safe
+// for concurrent use.
 type Call struct {
-	// Repeatable lets the transport send the call again on a second
+	// Repeatable allows the transport to resend the call on a second
 	// connection. Default: false.
 	Repeatable bool
-	// OnWrite is called before each write of the call, under its lock. Default:
-	// none.
+	// OnWrite, if set, is called before each write of the call while the call's
+	// mutex is held.
 	OnWrite func()
 
 	mu     sync.Mutex
 	sealed bool
-	// conn is the connection that the call got last; nil before the first.
-	conn *followedConn
-	// writer is the connection that got the first write; nil before that.
-	writer *followedConn
-	// pending counts the writes that have not returned yet.
-	pending int
-	// written says that a write handed over a byte, or that the call got a
-	// connection which can't be followed.
-	written bool
+	// lastConn is the connection last selected for the call; nil before the first.
+	lastConn *trackedConn
+	// writtenConn is the connection of the latest write; nil before the first.
+	writtenConn *trackedConn
+	// pendingWrites counts the writes that have not returned yet.
+	pendingWrites int
+	// maybeWritten is true if a write may have written a byte, or if the selected
+	// connection isn't a trackedConn.
+	maybeWritten bool
 }
 
-// Trace returns a context under which the transport attaches the call to each
-// connection that it picks, before the first byte is written.
+// Trace returns a context for the request. With it, the call is attached to each
+// connection that the transport selects, before the first byte is written.
 func (c *Call) Trace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: c.gotConn})
 }
 
-// gotConn is the httptrace hook. The transport calls it in the goroutine of
-// RoundTrip before it passes the request on to the connection.
+// gotConn implements httptrace.ClientTrace.GotConn. The transport calls it in the
+// goroutine of RoundTrip before it passes the request to the connection.
 func (c *Call) gotConn(info httptrace.GotConnInfo) {
 	conn := info.Conn
 	if secure, ok := conn.(*tls.Conn); ok {
 		conn = secure.NetConn()
 	}
-	if followed, ok := conn.(*followedConn); ok {
-		c.attach(followed)
+	if tracked, ok := conn.(*trackedConn); ok {
+		c.attach(tracked)
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.written = true
+	c.maybeWritten = true
 }
 
-// attach gives the connection to the call. The transport does so only when the
-// call before has been answered, though that call may not have noticed yet.
-func (c *Call) attach(conn *followedConn) {
+// attach assigns the connection to the call. The transport reuses a connection only
+// after the response to its previous call, but that call's goroutine may not have
+// processed the response yet.
+func (c *Call) attach(conn *trackedConn) {
 	c.mu.Lock()
-	c.conn = conn
+	c.lastConn = conn
 	c.mu.Unlock()
 	conn.setCall(c)
 }
 
-// Seal forbids further writes of the call and says how far it came.
+// Seal makes all further writes of the call fail and returns its progress.
 func (c *Call) Seal() Progress {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sealed = true
 	switch {
-	case c.written || c.pending > 0:
+	case c.maybeWritten || c.pendingWrites > 0:
 		return Written
-	case c.writer != nil:
+	case c.writtenConn != nil:
 		return Begun
 	default:
 		return Untouched
 	}
 }
 
-// Abandon seals the call and closes its connection, unless another call has
-// the connection by now.
+// Abandon seals the call and closes its connection, unless the connection is
+// attached to another call by then. It returns the call's progress.
 func (c *Call) Abandon() Progress {
 	progress := c.Seal()
 	c.mu.Lock()
-	conn := c.conn
+	conn := c.lastConn
 	c.mu.Unlock()
 	if conn != nil {
-		conn.closeFor(c)
+		conn.closeIfAttached(c)
 	}
 	return progress
 }
 
-// startWrite notes a write before its first byte, because the receiver can act
-// on the bytes before Write returns.
-func (c *Call) startWrite(conn *followedConn) error {
+// startWrite records a write before its first byte, because the receiver can process
+// the bytes before Write returns. It returns an error if the write isn't allowed.
+func (c *Call) startWrite(conn *trackedConn) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.sealed {
-		return errSealed
+		return errCallEnded
 	}
-	if c.writer != nil && c.writer != conn && !c.Repeatable {
-		return errRepeated
+	if c.writtenConn != nil && c.writtenConn != conn && !c.Repeatable {
+		return errAlreadySent
 	}
-	c.writer = conn
-	c.pending++
+	c.writtenConn = conn
+	c.pendingWrites++
 	if c.OnWrite != nil {
 		c.OnWrite()
 	}
 	return nil
 }
 
-// endWrite notes whether the write may have handed over a byte.
+// endWrite records the end of a write and whether it may have written a byte.
 func (c *Call) endWrite(written bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pending--
-	c.written = c.written || written
+	c.pendingWrites--
+	c.maybeWritten = c.maybeWritten || written
 }
--- a/internal/sealedconn/call_test.go
+++ b/internal/sealedconn/call_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// gatedConn lets a write through when the test says so.
-type gatedConn struct {
+// blockingConn blocks each write until the test supplies its result.
+type blockingConn struct {
 	net.Conn
 	started chan struct{}
 	finish  chan writeResult
@@ -22,33 +22,34 @@
 	err error
 }
 
-func (c gatedConn) Write([]byte) (int, error) {
+func (c blockingConn) Write([]byte) (int, error) {
 	c.started <- struct{}{}
 	result := <-c.finish
 	return result.n, result.err
 }
 
-func (c gatedConn) Close() error {
+func (c blockingConn) Close() error {
 	*c.closed = true
 	return nil
 }
 
-func newGatedConn() (*followedConn, gatedConn) {
-	inner := gatedConn{started: make(chan struct{}, 1), finish: make(chan writeResult), closed: new(bool)}
-	return &followedConn{Conn: inner}, inner
+func newBlockingConn() (*trackedConn, blockingConn) {
+	inner := blockingConn{started: make(chan struct{}, 1), finish: make(chan writeResult), closed: new(bool)}
+	return &trackedConn{Conn: inner}, inner
 }
 
-// refuse has the connection refuse a write; the inner connection would take it.
-func refuse(t *testing.T, conn *followedConn, inner gatedConn, want error) {
+// expectWriteError checks that a write returns the error want and doesn't reach the
+// inner connection, which would accept it.
+func expectWriteError(t *testing.T, conn *trackedConn, inner blockingConn, want error) {
 	t.Helper()
 	close(inner.finish)
 	_, err := conn.Write([]byte("request"))
 	is.New(t).True(errors.Is(err, want))
-	is.New(t).Equal(len(inner.started), 0) // the inner connection saw nothing
+	is.New(t).Equal(len(inner.started), 0) // the inner connection received no write
 }
 
-// write has a write of the connection end with the result.
-func write(conn *followedConn, inner gatedConn, result writeResult) error {
+// writeWithResult writes to conn while the inner connection returns result.
+func writeWithResult(conn *trackedConn, inner blockingConn, result writeResult) error {
 	go func() {
 		<-inner.started
 		inner.finish <- result
@@ -59,21 +60,21 @@
 
 func TestSealBeforeWrite(t *testing.T) {
 	is := is.New(t)
-	conn, inner := newGatedConn()
-	noted := 0
-	call := &Call{OnWrite: func() { noted++ }}
+	conn, inner := newBlockingConn()
+	onWriteCalls := 0
+	call := &Call{OnWrite: func() { onWriteCalls++ }}
 	call.attach(conn)
 	is.Equal(call.Abandon(), Untouched)
 	is.True(*inner.closed)
-	refuse(t, conn, inner, errSealed)
-	is.Equal(noted, 0)
+	expectWriteError(t, conn, inner, errCallEnded)
+	is.Equal(onWriteCalls, 0)
 }
 
 func TestSealDuringWrite(t *testing.T) {
 	is := is.New(t)
-	conn, inner := newGatedConn()
-	noted := make(chan struct{}, 1)
-	call := &Call{OnWrite: func() { noted <- struct{}{} }}
+	conn, inner := newBlockingConn()
+	onWriteCalls := make(chan struct{}, 1)
+	call := &Call{OnWrite: func() { onWriteCalls <- struct{}{} }}
 	call.attach(conn)
 	done := make(chan struct{})
 	go func() {
@@ -81,7 +82,7 @@
 		_, _ = conn.Write([]byte("request"))
 	}()
 	<-inner.started
-	is.Equal(len(noted), 1) // before the first byte
+	is.Equal(len(onWriteCalls), 1) // before the first byte
 	is.Equal(call.Seal(), Written)
 	inner.finish <- writeResult{}
 	<-done
@@ -102,29 +103,30 @@
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
-			conn, inner := newGatedConn()
+			conn, inner := newBlockingConn()
 			call := new(Call)
 			call.attach(conn)
 			for _, result := range test.writes {
-				is.New(t).Equal(write(conn, inner, result), result.err)
+				is.New(t).Equal(writeWithResult(conn, inner, result), result.err)
 			}
 			is.New(t).Equal(call.Abandon(), test.want)
 		})
 	}
 }
 
-// The transport may pass a connection on before the call that was answered
-// notices. Its late end must neither speak for the next call nor cut it.
-func TestAbandonAfterNextCallBegan(t *testing.T) {
+// The transport may assign a connection to the next call before the previous one
+// has processed its response. Abandoning the previous call must neither report the
+// progress of the next one nor close its connection.
+func TestAbandonAfterNextCallStarted(t *testing.T) {
 	is := is.New(t)
-	conn, inner := newGatedConn()
+	conn, inner := newBlockingConn()
 	first, second := new(Call), new(Call)
 	first.attach(conn)
-	is.NoErr(write(conn, inner, writeResult{n: 7}))
+	is.NoErr(writeWithResult(conn, inner, writeResult{n: 7}))
 	second.attach(conn)
 	is.Equal(first.Abandon(), Written)
 	is.True(!*inner.closed)
-	is.NoErr(write(conn, inner, writeResult{n: 7}))
+	is.NoErr(writeWithResult(conn, inner, writeResult{n: 7}))
 	is.Equal(second.Abandon(), Written)
 	is.True(*inner.closed)
 }
@@ -135,29 +137,29 @@
 		repeatable bool
 		want       error
 	}{
-		{"not repeatable", false, errRepeated},
+		{"not repeatable", false, errAlreadySent},
 		{"repeatable", true, nil},
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
 			is := is.New(t)
 			call := &Call{Repeatable: test.repeatable}
-			first, firstInner := newGatedConn()
-			second, secondInner := newGatedConn()
+			first, firstInner := newBlockingConn()
+			second, secondInner := newBlockingConn()
 			call.attach(first)
 			call.attach(second)
-			is.NoErr(write(first, firstInner, writeResult{n: 7}))
+			is.NoErr(writeWithResult(first, firstInner, writeResult{n: 7}))
 			if test.want != nil {
-				refuse(t, second, secondInner, test.want)
+				expectWriteError(t, second, secondInner, test.want)
 			} else {
-				is.NoErr(write(second, secondInner, writeResult{n: 7}))
+				is.NoErr(writeWithResult(second, secondInner, writeResult{n: 7}))
 			}
 			is.Equal(call.Seal(), Written)
 		})
 	}
 }
 
-func TestConnectionThatIsNotFollowed(t *testing.T) {
+func TestUntrackedConnection(t *testing.T) {
 	call := new(Call)
 	call.gotConn(httptrace.GotConnInfo{Conn: new(net.TCPConn)})
 	is.New(t).Equal(call.Abandon(), Written)
--- a/internal/sealedconn/conn.go
+++ b/internal/sealedconn/conn.go
@@ -5,26 +5,26 @@
 	"sync"
 )
 
-// followedConn reports its writes to the call that has it.
-// httptrace.WroteHeaders is no substitute: it fires after a write into a
-// buffer, which can be long before or after the bytes are sent.
-type followedConn struct {
+// trackedConn reports its writes to the call attached to it.
+// httptrace.WroteHeaders is no substitute: it is called after a write to a buffer,
+// which can be long before or after the bytes are sent.
+type trackedConn struct {
 	net.Conn
 
 	mu sync.Mutex
-	// call has the connection; nil before the first, while TLS writes its
-	// handshake.
+	// call is the call attached to the connection; nil before the first one, for
+	// example during the TLS handshake.
 	call *Call
 }
 
-func (c *followedConn) setCall(call *Call) {
+func (c *trackedConn) setCall(call *Call) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.call = call
 }
 
 // Write implements net.Conn.
-func (c *followedConn) Write(p []byte) (int, error) {
+func (c *trackedConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	call := c.call
 	c.mu.Unlock()
@@ -39,8 +39,8 @@
 	return n, err
 }
 
-// closeFor closes the connection if the call still has it.
-func (c *followedConn) closeFor(call *Call) {
+// closeIfAttached closes the connection if call is still attached to it.
+func (c *trackedConn) closeIfAttached(call *Call) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.call == call {
--- a/internal/sealedconn/doc.go
+++ b/internal/sealedconn/doc.go
@@ -1,12 +1,12 @@
-// Package sealedconn ties the bytes written to HTTP/1.1 connections to the
-// calls that they belong to. The clients of upstreams and of the platform use
-// it to say truthfully whether a failed call was sent.
+// Package sealedconn tracks which HTTP/1.1 call each write to a connection belongs
+// to. The clients of upstreams and of the platform use it to report correctly
+// whether a failed call was sent.
 //
-// A call can end while the transport's goroutine is about to write its
-// request. Sealing settles that race: what Seal says of a call stays true,
-// since no byte of it can be written any more.
+// A call can end while the transport's goroutine is about to write its request.
+// Sealing the call resolves that race: once Seal has returned Untouched or Begun,
+// no byte of the call can be written any more.
 //
-// The package doesn't know whether written bytes arrived, and follows only
-// connections that its transport dialled. Only HTTP/1.1 will do, where one
-// call at a time has a connection.
+// The package can't tell whether written bytes were received, and tracks only
+// connections that its transport dialled. It requires HTTP/1.1, where a connection
+// serves one call at a time.
 package sealedconn
--- a/internal/sealedconn/example_test.go
+++ b/internal/sealedconn/example_test.go
@@ -11,7 +11,7 @@
 	"github.com/quetzalweir/quetzalweir/internal/sealedconn"
 )
 
-// A call that found no connection was not sent; one that was answered was.
+// A call that could not connect was not sent; a call that received a response was.
 func Example() {
 	server := httptest.NewServer(http.NotFoundHandler())
 	defer server.Close()
--- a/internal/sealedconn/liveness.go
+++ b/internal/sealedconn/liveness.go
@@ -7,32 +7,34 @@
 )
 
 const (
-	// probeIdle, probeInterval and probeCount are when the kernel probes an unused
-	// connection, and after how many unanswered probes it ends it: after 3 s. A
-	// connection can go silent for good without a reset, for example when a device on
-	// its way forgets it; a request that is sent on it would wait for its deadline.
+	// probeIdle, probeInterval and probeCount configure TCP keep-alive: the kernel
+	// closes an idle connection whose peer hasn't responded for 3 s. A connection can
+	// fail without a reset, for example when a middlebox drops its state; a request
+	// sent on it would wait until its deadline.
 	probeIdle     = time.Second
 	probeInterval = time.Second
 	probeCount    = 2
-	// unackedTimeout ends a connection whose peer's kernel doesn't acknowledge what
-	// was sent. Round trips take some milliseconds; a lost packet is sent again within
-	// half a second.
+	// unackedTimeout is how long sent data may remain unacknowledged before the kernel
+	// closes the connection. Round trips take a few milliseconds, and a lost packet is
+	// retransmitted within half a second.
 	unackedTimeout = 2 * time.Second
-	// tcpUserTimeout is TCP_USER_TIMEOUT of tcp(7), which package syscall lacks.
+	// tcpUserTimeout is the socket option TCP_USER_TIMEOUT of tcp(7), which package
+	// syscall doesn't define.
 	tcpUserTimeout = 0x12
 )
 
-// newDialer returns a dialer of connections whose silence is noticed.
+// newDialer returns a dialer whose connections are closed when the peer stops
+// responding.
 func newDialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout:         timeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount},
-		Control:         limitUnacked,
+		Control:         setUserTimeout,
 	}
 }
 
-// limitUnacked sets the time after which unacknowledged data ends a connection.
-func limitUnacked(_, _ string, conn syscall.RawConn) error {
+// setUserTimeout sets TCP_USER_TIMEOUT of a socket to unackedTimeout.
+func setUserTimeout(_, _ string, conn syscall.RawConn) error {
 	var err error
 	controlErr := conn.Control(func(fd uintptr) {
 		err = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedTimeout.Milliseconds()))
--- a/internal/sealedconn/liveness_test.go
+++ b/internal/sealedconn/liveness_test.go
@@ -9,9 +9,9 @@
 	"github.com/matryer/is"
 )
 
-// The kernel's own checks can't be brought about on loopback, so what they are set to
-// is checked.
-func TestSilentConnectionsAreNoticed(t *testing.T) {
+// A peer that stops responding can't be simulated on loopback, so the test checks the
+// socket options that make the kernel detect it.
+func TestDialedConnectionKeepAliveOptions(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -20,7 +20,7 @@
 	conn, err := transport.DialContext(t.Context(), "tcp", listener.Addr().String())
 	is.NoErr(err)
 	defer conn.Close()
-	raw, err := conn.(*followedConn).Conn.(*net.TCPConn).SyscallConn()
+	raw, err := conn.(*trackedConn).Conn.(*net.TCPConn).SyscallConn()
 	is.NoErr(err)
 	option := func(level, name int) int {
 		var value int
--- a/internal/sealedconn/transport.go
+++ b/internal/sealedconn/transport.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// NewTransport returns an HTTP/1.1 transport whose writes a Call can follow. It
-// uses no proxy from the environment and no compression of its own; pool and
-// header limits are the caller's to set.
+// NewTransport returns an HTTP/1.1 transport whose writes a Call can track. It
+// ignores proxy settings of the environment and doesn't request compression. The
+// caller sets the limits of the connection pool and headers.
 func NewTransport(dialTimeout time.Duration) *http.Transport {
 	dialer := newDialer(dialTimeout)
 	protocols := new(http.Protocols)
@@ -20,7 +20,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return &followedConn{Conn: conn}, nil
+			return &trackedConn{Conn: conn}, nil
 		},
 		Protocols:          protocols,
 		DisableCompression: true,
