--- a/upstream/main_test.go
+++ b/upstream/main_test.go
@@ -63,7 +63,7 @@
 
 func newServiceClient(t testing.TB) *upstream.ServiceClient {
 	t.Helper()
-	c := upstream.NewService(upstream.ServiceOptions{MaxAnswer: 1 << 10})
+	c := upstream.NewService(upstream.ServiceOptions{MaxResponseBytes: 1 << 10})
 	t.Cleanup(func() { c.Close() })
 	return c
 }
--- a/upstream/service.go
+++ b/upstream/service.go
@@ -14,8 +14,8 @@
 
 // Defaults of ServiceOptions.
 const (
-	DefaultServiceTimeout = 60 * time.Second
-	DefaultMaxAnswer      = 8 << 20
+	DefaultServiceTimeout   = 60 * time.Second
+	DefaultMaxResponseBytes = 8 << 20
 )
 
 // ServiceOptions configures NewService. Zero values select the defaults.
@@ -30,8 +30,8 @@
 	// Timeout limits a call from its start to the end of the response body, in
 	// addition to the context. Default: 60 s.
 	Timeout time.Duration
-	// MaxAnswer limits the size of a response body, in bytes. Default: 8 MiB.
-	MaxAnswer int
+	// MaxResponseBytes limits the size of a response body, in bytes. Default: 8 MiB.
+	MaxResponseBytes int
 }
 
 func (o ServiceOptions) withDefaults() ServiceOptions {
@@ -39,7 +39,7 @@
 	o.IdleConnTimeout = cmp.Or(o.IdleConnTimeout, DefaultIdleConnTimeout)
 	o.MaxIdleConnsPerHost = cmp.Or(o.MaxIdleConnsPerHost, DefaultMaxIdleConnsPerHost)
 	o.Timeout = cmp.Or(o.Timeout, DefaultServiceTimeout)
-	o.MaxAnswer = cmp.Or(o.MaxAnswer, DefaultMaxAnswer)
+	o.MaxResponseBytes = cmp.Or(o.MaxResponseBytes, DefaultMaxResponseBytes)
 	return o
 }
 
@@ -92,7 +92,7 @@
 	if !refused(resp) {
 		state.Raise(runstate.Ran)
 	}
-	body, err := readBody(ctx, resp, s.opts.MaxAnswer)
+	body, err := readBody(ctx, resp, s.opts.MaxResponseBytes)
 	if err != nil {
 		return ServiceAnswer{}, err
 	}
