--- a/internal/entry/attempterror.go
+++ b/internal/entry/attempterror.go
@@ -54,7 +54,7 @@
 func countsAgainstVersion(ctx context.Context, err error) bool {
 	var status *upstream.StatusError
 	switch {
-	case err == nil, ctx.Err() != nil, errors.Is(err, upstream.ErrConnect):
+	case err == nil, ctx.Err() != nil, errors.Is(err, upstream.ErrNotSent):
 		return false
 	case errors.As(err, &status):
 		return !isRefusal(status)
--- a/internal/entry/chat.go
+++ b/internal/entry/chat.go
@@ -107,7 +107,7 @@
 
 // jsonAnswer returns a complete model answer in the form that is stored for
 // repeats of the request.
-func jsonAnswer(body []byte) upstream.ServiceAnswer {
+func jsonAnswer(body []byte) upstream.ServiceResponse {
 	header := http.Header{"Content-Type": {"application/json"}}
-	return upstream.ServiceAnswer{Status: http.StatusOK, Header: header, Body: body}
+	return upstream.ServiceResponse{Status: http.StatusOK, Header: header, Body: body}
 }
--- a/internal/entry/chatsink.go
+++ b/internal/entry/chatsink.go
@@ -74,7 +74,7 @@
 }
 
 // Service implements Sink. It does nothing: chat requests don't call services.
-func (s *chatSink) Service(*Request, upstream.ServiceAnswer) {}
+func (s *chatSink) Service(*Request, upstream.ServiceResponse) {}
 
 // Started implements Sink.
 func (s *chatSink) Started() bool { return s.started }
@@ -86,13 +86,13 @@
 func (s *chatSink) Text() string { return s.text.String() }
 
 // Answer implements Sink.
-func (s *chatSink) Answer(r *Request) upstream.ServiceAnswer {
+func (s *chatSink) Answer(r *Request) upstream.ServiceResponse {
 	s.buildCompletion(r)
 	return jsonAnswer(s.completion)
 }
 
 // Replay implements Sink.
-func (s *chatSink) Replay(_ *Request, answer upstream.ServiceAnswer) {
+func (s *chatSink) Replay(_ *Request, answer upstream.ServiceResponse) {
 	s.completion = answer.Body
 }
 
--- a/internal/entry/claimonce.go
+++ b/internal/entry/claimonce.go
@@ -139,6 +139,6 @@
 	r.Model = res.Model
 	r.Version.Name = res.Version
 	r.Target.ID = res.Upstream
-	r.Sink.Replay(r, upstream.ServiceAnswer{Status: res.Status, Header: header, Body: res.Body})
+	r.Sink.Replay(r, upstream.ServiceResponse{Status: res.Status, Header: header, Body: res.Body})
 	return nil
 }
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -195,7 +195,7 @@
 // notRunError returns the error for an answer in which a service states that it
 // didn't start the call. Such an answer isn't the result of the request, so that it
 // must not be billed or stored in the claim.
-func notRunError(answer upstream.ServiceAnswer) error {
+func notRunError(answer upstream.ServiceResponse) error {
 	return &upstream.StatusError{
 		Status:  answer.Status,
 		Leaving: answer.Header.Get(upstream.HeaderLeaving) == headerTrue,
@@ -279,7 +279,7 @@
 		return false
 	case r.state.State() != runstate.NotRun && !r.Repeatable:
 		return false
-	case errors.Is(err, upstream.ErrConnect), errors.Is(err, errUpstreamLeft):
+	case errors.Is(err, upstream.ErrNotSent), errors.Is(err, errUpstreamLeft):
 		return true
 	default:
 		return f.retries.Withdraw()
--- a/internal/entry/dispatch_test.go
+++ b/internal/entry/dispatch_test.go
@@ -17,7 +17,7 @@
 // With an empty retry budget, a request is still retried on another upstream if the
 // last one couldn't be reached, up to maxAttempts in all.
 func TestRetryWithoutBudget(t *testing.T) {
-	unreachable := fmt.Errorf("dial: %w", upstream.ErrConnect)
+	unreachable := fmt.Errorf("dial: %w", upstream.ErrNotSent)
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	tests := []struct {
--- a/internal/entry/heldanswer.go
+++ b/internal/entry/heldanswer.go
@@ -81,7 +81,7 @@
 }
 
 // Service implements Sink. It does nothing: cascades don't call services.
-func (s *bufferSink) Service(*Request, upstream.ServiceAnswer) {}
+func (s *bufferSink) Service(*Request, upstream.ServiceResponse) {}
 
 // Started implements Sink.
 func (s *bufferSink) Started() bool { return false }
@@ -94,7 +94,7 @@
 
 // Answer implements Sink. It returns the zero value: claims store the answer of the
 // caller's sink.
-func (s *bufferSink) Answer(*Request) upstream.ServiceAnswer { return upstream.ServiceAnswer{} }
+func (s *bufferSink) Answer(*Request) upstream.ServiceResponse { return upstream.ServiceResponse{} }
 
 // Replay implements Sink. It does nothing: replays go to the caller's sink.
-func (s *bufferSink) Replay(*Request, upstream.ServiceAnswer) {}
+func (s *bufferSink) Replay(*Request, upstream.ServiceResponse) {}
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -183,9 +183,9 @@
 			return guard.NotRun
 		}
 		return guard.Answered
-	case errors.Is(err, upstream.ErrConnect) && errors.Is(err, syscall.ECONNREFUSED):
+	case errors.Is(err, upstream.ErrNotSent) && errors.Is(err, syscall.ECONNREFUSED):
 		return guard.Unreachable
-	case errors.Is(err, upstream.ErrConnect), errors.Is(err, errUpstreamLeft):
+	case errors.Is(err, upstream.ErrNotSent), errors.Is(err, errUpstreamLeft):
 		return guard.NotRun
 	case ctx.Err() != nil:
 		return guard.Abandoned
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -155,7 +155,7 @@
 	// call only.
 	Frame(r *Request, f upstream.Frame) error
 	// Service receives the complete answer of a service.
-	Service(r *Request, answer upstream.ServiceAnswer)
+	Service(r *Request, answer upstream.ServiceResponse)
 	// Started reports whether any byte of the answer was sent to the caller.
 	Started() bool
 	// Reset discards what was received, before another attempt. It is called only
@@ -164,9 +164,9 @@
 	// Text returns the text of the answer so far.
 	Text() string
 	// Answer returns the complete answer, as a repeat of the request receives it.
-	Answer(r *Request) upstream.ServiceAnswer
+	Answer(r *Request) upstream.ServiceResponse
 	// Replay receives the complete answer of an earlier request with the same key.
-	Replay(r *Request, answer upstream.ServiceAnswer)
+	Replay(r *Request, answer upstream.ServiceResponse)
 }
 
 // Frontend implements a protocol for callers.
--- a/internal/entry/servicefront.go
+++ b/internal/entry/servicefront.go
@@ -83,26 +83,26 @@
 
 // serviceSink stores the complete answer of a service.
 type serviceSink struct {
-	answer upstream.ServiceAnswer
+	answer upstream.ServiceResponse
 }
 
 // Frame implements Sink. It does nothing: services send no frames.
 func (s *serviceSink) Frame(*Request, upstream.Frame) error { return nil }
 
 // Service implements Sink.
-func (s *serviceSink) Service(_ *Request, answer upstream.ServiceAnswer) { s.answer = answer }
+func (s *serviceSink) Service(_ *Request, answer upstream.ServiceResponse) { s.answer = answer }
 
 // Started implements Sink.
 func (s *serviceSink) Started() bool { return false }
 
 // Reset implements Sink.
-func (s *serviceSink) Reset() { s.answer = upstream.ServiceAnswer{} }
+func (s *serviceSink) Reset() { s.answer = upstream.ServiceResponse{} }
 
 // Text implements Sink.
 func (s *serviceSink) Text() string { return string(s.answer.Body) }
 
 // Answer implements Sink.
-func (s *serviceSink) Answer(*Request) upstream.ServiceAnswer { return s.answer }
+func (s *serviceSink) Answer(*Request) upstream.ServiceResponse { return s.answer }
 
 // Replay implements Sink.
-func (s *serviceSink) Replay(_ *Request, answer upstream.ServiceAnswer) { s.answer = answer }
+func (s *serviceSink) Replay(_ *Request, answer upstream.ServiceResponse) { s.answer = answer }
--- a/internal/exchange/network.go
+++ b/internal/exchange/network.go
@@ -25,7 +25,7 @@
 	return reply, err
 }
 
-func (n peerNetwork) forget(address string) { n.client.Forget(address) }
+func (n peerNetwork) forget(address string) { n.client.Disconnect(address) }
 
 // callWithTimeout makes one call that is bounded by callTimeout.
 func callWithTimeout(ctx context.Context, net network, address string, report Report) (Reply, error) {
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -145,9 +145,9 @@
 	return true
 }
 
-// Forget closes the connection to addr and discards its state. It is meant for a
+// Disconnect closes the connection to addr and discards its state. It is meant for a
 // host that has left.
-func (c *Client) Forget(addr string) {
+func (c *Client) Disconnect(addr string) {
 	c.mu.Lock()
 	l := c.links[addr]
 	delete(c.links, addr)
--- a/internal/peer/membership_transport.go
+++ b/internal/peer/membership_transport.go
@@ -32,7 +32,7 @@
 	err := t.client.Call(ctx, to.PeerAddr, MethodMembershipExchange, message, &reply)
 	if err != nil && to.State == membership.Down {
 		// The host may never return at this address.
-		t.client.Forget(to.PeerAddr)
+		t.client.Disconnect(to.PeerAddr)
 	}
 	return reply, err
 }
--- a/internal/sealedconn/call.go
+++ b/internal/sealedconn/call.go
@@ -20,10 +20,10 @@
 type Progress int
 
 const (
-	// Untouched means that no write of the call started.
-	Untouched Progress = iota
-	// Begun means that all writes of the call failed and wrote no byte.
-	Begun
+	// NotStarted means that no write of the call started.
+	NotStarted Progress = iota
+	// NothingWritten means that all writes of the call failed and wrote no byte.
+	NothingWritten
 	// Written means that a byte of the call may have been written.
 	Written
 )
@@ -93,9 +93,9 @@
 	case c.maybeWritten || c.pendingWrites > 0:
 		return Written
 	case c.writtenConn != nil:
-		return Begun
+		return NothingWritten
 	default:
-		return Untouched
+		return NotStarted
 	}
 }
 
--- a/internal/sealedconn/call_test.go
+++ b/internal/sealedconn/call_test.go
@@ -64,7 +64,7 @@
 	onWriteCalls := 0
 	call := &Call{OnWrite: func() { onWriteCalls++ }}
 	call.attach(conn)
-	is.Equal(call.Abandon(), Untouched)
+	is.Equal(call.Abandon(), NotStarted)
 	is.True(*inner.closed)
 	expectWriteError(t, conn, inner, errCallEnded)
 	is.Equal(onWriteCalls, 0)
@@ -95,10 +95,10 @@
 		writes []writeResult
 		want   Progress
 	}{
-		{"none", nil, Untouched},
+		{"none", nil, NotStarted},
 		{"whole", []writeResult{{n: 7}}, Written},
 		{"part", []writeResult{{n: 1, err: broken}}, Written},
-		{"nothing", []writeResult{{n: 0, err: broken}}, Begun},
+		{"nothing", []writeResult{{n: 0, err: broken}}, NothingWritten},
 		{"part, then nothing", []writeResult{{n: 7}, {n: 0, err: broken}}, Written},
 	}
 	for _, test := range tests {
--- a/internal/sealedconn/example_test.go
+++ b/internal/sealedconn/example_test.go
@@ -31,7 +31,7 @@
 		if err == nil {
 			_ = response.Body.Close()
 		}
-		fmt.Println(err == nil, call.Abandon() == sealedconn.Untouched)
+		fmt.Println(err == nil, call.Abandon() == sealedconn.NotStarted)
 	}
 	// Output:
 	// false true
--- a/upstream/cancelled_test.go
+++ b/upstream/cancelled_test.go
@@ -55,7 +55,7 @@
 		var state runstate.Tracker
 		_, err := c.Do(ctx, target, ServiceCall{RequestID: id, Method: http.MethodPost, Path: "/", Body: []byte("bid")}, &state)
 		if err != nil && state.State() == runstate.NotRun {
-			is.True(errors.Is(err, ErrConnect))
+			is.True(errors.Is(err, ErrNotSent))
 			notRunIDs = append(notRunIDs, id)
 		}
 		timer.Stop()
--- a/upstream/cut_test.go
+++ b/upstream/cut_test.go
@@ -180,8 +180,8 @@
 	listener.Close()
 	var state runstate.Tracker
 	_, err = newEngineClient(t, upstream.EngineOptions{}).Open(t.Context(), target, engineCall("r1"), &state)
-	is.True(errors.Is(err, upstream.ErrConnect))
+	is.True(errors.Is(err, upstream.ErrNotSent))
 	_, err = newServiceClient(t).Do(t.Context(), target, serviceCall("r1", "POST", "x", ""), &state)
-	is.True(errors.Is(err, upstream.ErrConnect))
+	is.True(errors.Is(err, upstream.ErrNotSent))
 	is.Equal(state.State(), runstate.NotRun)
 }
--- a/upstream/engine.go
+++ b/upstream/engine.go
@@ -157,10 +157,10 @@
 	attempt := newAttempt(state)
 	req, err := newRequest(attempt.Trace(ctx), http.MethodPost, target, pathCompletions, body)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrConnect, err)
+		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	if err := setCallHeaders(req.Header, call); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrConnect, err)
+		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	resp, err := e.transport.RoundTrip(req)
 	if err != nil {
@@ -215,7 +215,7 @@
 	attempt := new(sealedconn.Call)
 	req, err := newRequest(attempt.Trace(ctx), method, target, path, body)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrConnect, err)
+		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	resp, err := e.transport.RoundTrip(req)
 	if err != nil {
@@ -309,12 +309,12 @@
 	return nil
 }
 
-// classifyError wraps a failure before the response header as ErrConnect if
+// classifyError wraps a failure before the response header as ErrNotSent if
 // nothing was sent and nothing can be sent any more, and as ErrBroken otherwise.
 // If ctx was cancelled, the error chain includes the context's error.
 func classifyError(ctx context.Context, attempt *sealedconn.Call, err error) error {
-	kind := ErrConnect
-	if attempt.Seal() != sealedconn.Untouched {
+	kind := ErrNotSent
+	if attempt.Seal() != sealedconn.NotStarted {
 		kind = ErrBroken
 	}
 	if cause := ctx.Err(); cause != nil && !errors.Is(err, cause) {
--- a/upstream/service.go
+++ b/upstream/service.go
@@ -67,14 +67,14 @@
 }
 
 // Do implements Service.
-func (s *ServiceClient) Do(ctx context.Context, target Target, call ServiceCall, state *runstate.Tracker) (ServiceAnswer, error) {
+func (s *ServiceClient) Do(ctx context.Context, target Target, call ServiceCall, state *runstate.Tracker) (ServiceResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.opts.Timeout)
 	defer cancel()
 	attempt := newAttempt(state)
 	attempt.Repeatable = call.Idempotent
 	req, err := newRequest(attempt.Trace(ctx), call.Method, target, call.Path, call.Body)
 	if err != nil {
-		return ServiceAnswer{}, fmt.Errorf("%w: %w", ErrConnect, err)
+		return ServiceResponse{}, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	req.Header = endToEnd(call.Header)
 	req.Header.Set(HeaderRequestID, call.RequestID)
@@ -83,20 +83,20 @@
 	}
 	resp, err := s.transport.RoundTrip(req)
 	if err != nil {
-		return ServiceAnswer{}, classifyError(ctx, attempt, err)
+		return ServiceResponse{}, classifyError(ctx, attempt, err)
 	}
 	defer resp.Body.Close()
 	if err := checkRequestID(resp.Header, call.RequestID); err != nil {
-		return ServiceAnswer{}, err
+		return ServiceResponse{}, err
 	}
 	if !refused(resp) {
 		state.Raise(runstate.Ran)
 	}
 	body, err := readBody(ctx, resp, s.opts.MaxResponseBytes)
 	if err != nil {
-		return ServiceAnswer{}, err
+		return ServiceResponse{}, err
 	}
-	return ServiceAnswer{Status: resp.StatusCode, Header: endToEnd(resp.Header), Body: body}, nil
+	return ServiceResponse{Status: resp.StatusCode, Header: endToEnd(resp.Header), Body: body}, nil
 }
 
 // headerIdempotencyKey makes the transport resend a request when a pooled
--- a/upstream/stream_test.go
+++ b/upstream/stream_test.go
@@ -315,7 +315,7 @@
 	call.Deadline = time.Now().Add(-time.Second)
 	var state runstate.Tracker
 	_, err := c.Open(t.Context(), target, call, &state)
-	is.True(errors.Is(err, upstream.ErrConnect))
+	is.True(errors.Is(err, upstream.ErrNotSent))
 	is.True(errors.Is(err, context.DeadlineExceeded))
 	is.Equal(state.State(), runstate.NotRun)
 	is.Equal(standin.Arrival("r1").Heads, 0)
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -22,9 +22,9 @@
 
 // Errors returned by calls, each wrapped with its cause.
 var (
-	// ErrConnect means that no byte of the request was sent, for example because
+	// ErrNotSent means that no byte of the request was sent, for example because
 	// no connection could be established.
-	ErrConnect = errors.New("upstream: request not sent")
+	ErrNotSent = errors.New("upstream: request not sent")
 	// ErrBroken means that the call failed after bytes of it may have been sent.
 	ErrBroken = errors.New("upstream: connection broken")
 	// ErrIncomplete means that a stream ended without its end marker and could
@@ -152,8 +152,8 @@
 	Idempotent bool
 }
 
-// ServiceAnswer is the complete response of a plain service.
-type ServiceAnswer struct {
+// ServiceResponse is the complete response of a plain service.
+type ServiceResponse struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -165,5 +165,5 @@
 	// is ever resent. It raises state to MayHaveRun before the first byte is
 	// written, and to Ran on any response except 429, 503 or one stating that the
 	// call was not run. Error statuses are returned as responses, not as errors.
-	Do(ctx context.Context, target Target, call ServiceCall, state *runstate.Tracker) (ServiceAnswer, error)
+	Do(ctx context.Context, target Target, call ServiceCall, state *runstate.Tracker) (ServiceResponse, error)
 }
