--- a/resultcode/resultcode_test.go
+++ b/resultcode/resultcode_test.go
@@ -20,27 +20,27 @@
 func TestCodesAreUniqueAndComplete(t *testing.T) {
 	is := is.New(t)
 	names := map[string]bool{}
-	last := Code(-1)
+	previous := Code(-1)
 	for _, s := range All() {
-		is.True(s.Code > last)      // ascending, so unique
-		is.True(!names[s.Name])     // a name stands once
+		is.True(s.Code > previous)  // ascending, so unique
+		is.True(!names[s.Name])     // names are unique
 		is.True(s.Status >= 200)    // an HTTP status
 		is.True(len(s.States) > 0)  // some state is possible
 		is.True(len(s.Meaning) > 0) // documented
 		names[s.Name] = true
-		last = s.Code
+		previous = s.Code
 	}
 }
 
-// No code may claim "not run" for a request that was sent, whatever the layer
-// that made the error believed.
+// TestForStateNeverUnderstates checks that no request that was sent is reported as
+// not run, whichever code its error has.
 func TestForStateNeverUnderstates(t *testing.T) {
 	states := []runstate.State{runstate.NotRun, runstate.MayHaveRun, runstate.Ran}
 	for _, s := range All() {
 		for _, state := range states {
 			got := ForState(New(s.Code, "x"), state)
 			if !allows(Lookup(got.Code), state) {
-				t.Errorf("%s in state %s became %s, which can't be true", s.Name, state, got.Code)
+				t.Errorf("%s in state %s became %s, which doesn't allow that state", s.Name, state, got.Code)
 			}
 		}
 	}
@@ -59,7 +59,7 @@
 	is := is.New(t)
 	cause := errors.New("cause")
 	wrapped := Wrap(QueueFull, cause, "full")
-	is.Equal(From(wrapped).Code, QueueFull)
-	is.Equal(From(cause).Code, Internal)
+	is.Equal(FromError(wrapped).Code, QueueFull)
+	is.Equal(FromError(cause).Code, Internal)
 	is.True(errors.Is(wrapped, cause))
 }
