--- a/internal/gateway/helpers_test.go
+++ b/internal/gateway/helpers_test.go
@@ -6,7 +6,6 @@
 	"encoding/json"
 	"errors"
 	"io"
-	"net"
 	"net/http"
 	"net/http/httptest"
 	"strconv"
@@ -18,6 +17,7 @@
 	"github.com/rs/zerolog"
 
 	"github.com/quetzalweir/quetzalweir/internal/feed"
+	"github.com/quetzalweir/quetzalweir/internal/standin/freeport"
 	"github.com/quetzalweir/quetzalweir/routing"
 	"github.com/quetzalweir/quetzalweir/storage"
 )
@@ -173,12 +173,11 @@
 
 // listUnreachable adds an upstream at an address where nothing listens.
 func (w *testGateway) listUnreachable(id string) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	address, release, err := freeport.Refused("127.0.0.1")
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	address := listener.Addr().String()
-	listener.Close()
+	w.t.Cleanup(func() { _ = release() })
 	w.gateway.fleet.Set(Upstream{ID: id, Service: "svc", Address: address, Zone: "z1", Version: "v1", Slots: 8}, 1)
 }
 
--- /dev/null
+++ b/internal/standin/freeport/refused_test.go
@@ -0,0 +1,37 @@
+package freeport
+
+import (
+	"errors"
+	"net"
+	"syscall"
+	"testing"
+
+	"github.com/matryer/is"
+)
+
+// No other listener gets the port while it is reserved, neither by its number nor by chance.
+func TestRefused(t *testing.T) {
+	is := is.New(t)
+	address, release, err := Refused("127.0.0.1")
+	is.NoErr(err)
+	for range 1000 {
+		other, err := net.Listen("tcp", "127.0.0.1:0")
+		is.NoErr(err)
+		is.True(other.Addr().String() != address)
+		is.NoErr(other.Close())
+	}
+	_, err = net.Listen("tcp", address)
+	is.True(errors.Is(err, syscall.EADDRINUSE))
+	_, err = net.Dial("tcp", address)
+	is.True(errors.Is(err, syscall.ECONNREFUSED))
+	is.NoErr(release())
+	listener, err := net.Listen("tcp", address)
+	is.NoErr(err)
+	is.NoErr(listener.Close())
+}
+
+func TestRefusedNeedsIPv4(t *testing.T) {
+	is := is.New(t)
+	_, _, err := Refused("::1")
+	is.True(errors.Is(err, ErrNotIPv4))
+}
--- a/storage/client/outcome_test.go
+++ b/storage/client/outcome_test.go
@@ -6,7 +6,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -16,6 +15,7 @@
 
 	"github.com/matryer/is"
 
+	"github.com/quetzalweir/quetzalweir/internal/standin/freeport"
 	"github.com/quetzalweir/quetzalweir/internal/standin/platformd"
 	"github.com/quetzalweir/quetzalweir/internal/standin/slowlink"
 	"github.com/quetzalweir/quetzalweir/storage"
@@ -104,12 +104,11 @@
 }
 
 func TestUnsentCommitIsUnavailable(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	refused, release, err := freeport.Refused("127.0.0.1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	refusing := "http://" + listener.Addr().String()
-	_ = listener.Close()
+	defer func() { _ = release() }()
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, url := startStandin(t, unlimitedOptions())
@@ -119,7 +118,7 @@
 		ctx  context.Context
 		txn  storage.Txn
 	}{
-		{"connection refused", refusing, t.Context(), storagetest.Put(key, "value")},
+		{"connection refused", "http://" + refused, t.Context(), storagetest.Put(key, "value")},
 		{"bad URL", "http://127.0.0.1:bad", t.Context(), storagetest.Put(key, "value")},
 		{"context ended", url, ended, storagetest.Put(key, "value")},
 		{"key isn't UTF-8", url, t.Context(), storagetest.Put("\xff", "value")},
--- a/upstream/cut_test.go
+++ b/upstream/cut_test.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"fmt"
-	"net"
 	"net/http"
 	"testing"
 
@@ -11,6 +10,7 @@
 
 	"github.com/quetzalweir/quetzalweir/internal/standin/cut"
 	"github.com/quetzalweir/quetzalweir/internal/standin/engine"
+	"github.com/quetzalweir/quetzalweir/internal/standin/freeport"
 	"github.com/quetzalweir/quetzalweir/internal/standin/service"
 	"github.com/quetzalweir/quetzalweir/runstate"
 	"github.com/quetzalweir/quetzalweir/upstream"
@@ -174,10 +174,10 @@
 
 func TestNoConnectionIsNotRun(t *testing.T) {
 	is := is.New(t)
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	address, release, err := freeport.Refused("127.0.0.1")
 	is.NoErr(err)
-	target := upstream.Target{Address: listener.Addr().String()}
-	listener.Close()
+	defer func() { _ = release() }()
+	target := upstream.Target{Address: address}
 	var state runstate.Tracker
 	_, err = newEngineClient(t, upstream.EngineOptions{}).Open(t.Context(), target, engineCall("r1"), &state)
 	is.True(errors.Is(err, upstream.ErrNotSent))
