--- a/internal/rapidseed/rapidseed.go
+++ b/internal/rapidseed/rapidseed.go
@@ -1,9 +1,9 @@
-// Package rapidseed gives the property tests of a package one seed, so that each
-// run has the same verdict. Tests import it for that effect alone:
+// Package rapidseed sets a fixed seed for the property tests of a package, so that
+// every run has the same result. Tests import it for this side effect only:
 //
 //	import _ "github.com/quetzalweir/quetzalweir/internal/rapidseed"
 //
-// The flag -rapid.seed on the command line goes before it; 0 draws a new seed.
+// The flag -rapid.seed on the command line overrides it; 0 selects a random seed.
 package rapidseed
 
 import (
@@ -12,7 +12,7 @@
 	_ "pgregory.net/rapid" // registers the flag
 )
 
-// seed has no meaning beyond being the same each time.
+// seed is arbitrary, but must be the same in each run.
 const seed = "20261202"
 
 func init() {
--- a/internal/standin/freeport/freeport.go
+++ b/internal/standin/freeport/freeport.go
@@ -1,5 +1,5 @@
-// Package freeport finds addresses for processes that tests start: they have to be
-// known before anything listens there.
+// Package freeport finds free addresses for processes that tests start, whose
+// addresses must be known before they listen.
 package freeport
 
 import (
@@ -10,38 +10,38 @@
 	"sync/atomic"
 )
 
-// Ports below those that systems give to outgoing connections: one of those could
-// take a free address before the process that it is meant for listens there.
+// The range of ports lies below the ephemeral ports: an outgoing connection of any
+// process could otherwise take a free port before the intended process listens on it.
 const (
 	firstPort = 15000
 	lastPort  = 32000
 )
 
-// ErrNone means that all ports are in use.
-var ErrNone = errors.New("freeport: no free port")
+// ErrNoFreePort means that all ports of the range are in use.
+var ErrNoFreePort = errors.New("freeport: no free port")
 
-// next begins at a place of the process's own, so that two processes that look for
-// ports seldom meet.
-var next = func() *atomic.Int64 {
+// nextOffset is the offset of the next port in the range. It starts at random, so that
+// processes that search at the same time seldom try the same ports.
+var nextOffset = func() *atomic.Int64 {
 	var n atomic.Int64
 	n.Store(rand.Int64N(lastPort - firstPort))
 	return &n
 }()
 
-// Address returns an address on the IP that nothing listens on now, and that no
-// other call of this process returns soon.
+// Address returns an address on the IP that nothing listens on at present. Later calls
+// in this process return it again only after they have gone through the whole range.
 func Address(ip string) (string, error) {
 	for range lastPort - firstPort {
-		port := firstPort + int(next.Add(1))%(lastPort-firstPort)
+		port := firstPort + int(nextOffset.Add(1))%(lastPort-firstPort)
 		address := net.JoinHostPort(ip, strconv.Itoa(port))
 		listener, err := net.Listen("tcp", address)
 		if err != nil {
-			continue // in use by another program
+			continue // the port is in use
 		}
 		if err := listener.Close(); err != nil {
 			return "", err
 		}
 		return address, nil
 	}
-	return "", ErrNone
+	return "", ErrNoFreePort
 }
--- a/internal/standin/freeport/refused.go
+++ b/internal/standin/freeport/refused.go
@@ -8,12 +8,12 @@
 	"syscall"
 )
 
-// ErrNotIPv4 means that an address was asked for on something else than an IPv4 address.
+// ErrNotIPv4 means that the given IP isn't an IPv4 address.
 var ErrNotIPv4 = errors.New("freeport: not an IPv4 address")
 
 // Refused returns an address on the IPv4 address ip that refuses connections until release is
-// called. A socket is bound to the port and doesn't listen: a port that is only closed may be
-// given to the next listener, which would answer.
+// called. A socket stays bound to the port without listening: the system may assign a port that
+// was only closed to the next listener, which would accept the connections.
 func Refused(ip string) (address string, release func() error, err error) {
 	v4 := net.ParseIP(ip).To4()
 	if v4 == nil {
@@ -32,7 +32,7 @@
 	return net.JoinHostPort(ip, strconv.Itoa(port)), release, nil
 }
 
-// bindPort binds the socket to a port that the system chooses and returns the port.
+// bindPort binds the socket to a free port that the system chooses and returns the port.
 func bindPort(socket int, ip [4]byte) (int, error) {
 	if err := syscall.Bind(socket, &syscall.SockaddrInet4{Addr: ip}); err != nil {
 		return 0, fmt.Errorf("freeport: bind: %w", err)
--- a/internal/standin/freeport/refused_test.go
+++ b/internal/standin/freeport/refused_test.go
@@ -9,7 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// No other listener gets the port while it is reserved, neither by its number nor by chance.
+// While the port is reserved, no other listener gets it, neither on request nor as the free
+// port that the system chooses.
 func TestRefused(t *testing.T) {
 	is := is.New(t)
 	address, release, err := Refused("127.0.0.1")
--- a/internal/standin/httpjson/httpjson.go
+++ b/internal/standin/httpjson/httpjson.go
@@ -7,11 +7,12 @@
 	"net/http"
 )
 
-// bodyLimit bounds a request's body, in bytes.
+// bodyLimit is the maximum size of a request body, in bytes; what follows is
+// ignored.
 const bodyLimit = 64 << 10
 
-// Read decodes the request's body strictly. If it can't, it answers with
-// status 400 and returns false.
+// Read decodes the JSON body of the request into out; unknown fields are
+// errors. On an error it sends status 400 and returns false.
 func Read(w http.ResponseWriter, r *http.Request, out any) bool {
 	decoder := json.NewDecoder(io.LimitReader(r.Body, bodyLimit))
 	decoder.DisallowUnknownFields()
@@ -22,7 +23,7 @@
 	return true
 }
 
-// Write answers with the value.
+// Write sends the value as a JSON response.
 func Write(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(value)
--- a/internal/standin/slowlink/slowlink.go
+++ b/internal/standin/slowlink/slowlink.go
@@ -1,4 +1,5 @@
-// Package slowlink makes a server's answers as slow as a small network link would.
+// Package slowlink limits the rate at which a server sends, as a network link
+// of low bandwidth does.
 package slowlink
 
 import (
@@ -6,10 +7,11 @@
 	"time"
 )
 
-// interval is the time between the parts in which a connection sends.
-const interval = 20 * time.Millisecond
+// writeInterval is the pause after each chunk that a connection sends; a chunk
+// has as many bytes as the rate allows in that time.
+const writeInterval = 20 * time.Millisecond
 
-// Listener accepts connections that send at Rate bytes a second each.
+// Listener accepts connections that each send at most Rate bytes per second.
 type Listener struct {
 	net.Listener
 	Rate int
@@ -31,15 +33,15 @@
 
 // Write implements net.Conn.
 func (c conn) Write(p []byte) (int, error) {
-	part := max(1, int(float64(c.rate)*interval.Seconds()))
+	chunk := max(1, int(float64(c.rate)*writeInterval.Seconds()))
 	sent := 0
 	for sent < len(p) {
-		n, err := c.Conn.Write(p[sent:min(len(p), sent+part)])
+		n, err := c.Conn.Write(p[sent:min(len(p), sent+chunk)])
 		sent += n
 		if err != nil {
 			return sent, err
 		}
-		time.Sleep(interval)
+		time.Sleep(writeInterval)
 	}
 	return sent, nil
 }
--- a/internal/standin/slowlink/slowlink_test.go
+++ b/internal/standin/slowlink/slowlink_test.go
@@ -18,14 +18,14 @@
 	is.NoErr(err)
 	defer inner.Close()
 	sent := bytes.Repeat([]byte("0123456789"), 2000)
-	failed := make(chan error, 1)
+	writeErr := make(chan error, 1)
 	go func() {
 		conn, err := slowlink.Listener{Listener: inner, Rate: 200_000}.Accept()
 		if err == nil {
 			_, err = conn.Write(sent)
 			conn.Close()
 		}
-		failed <- err
+		writeErr <- err
 	}()
 	start := time.Now()
 	conn, err := net.Dial("tcp", inner.Addr().String())
@@ -33,7 +33,7 @@
 	defer conn.Close()
 	got, err := io.ReadAll(conn)
 	is.NoErr(err)
-	is.NoErr(<-failed)
+	is.NoErr(<-writeErr)
 	is.Equal(got, sent)
 	is.True(time.Since(start) >= 90*time.Millisecond) // 20 kB; never faster
 }
