--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -1,9 +1,9 @@
-// Package relay passes TCP connections on to a target and cuts them on demand. It
-// stands in for the network between two processes.
+// Package relay is a TCP proxy with network faults: cut connections, delays and
+// limited bandwidth. It stands in for the network between two processes.
 //
-// The end-to-end tests put one before each link of an entry host. A cut looks to
-// both ends like a closed connection; a silenced direction holds its bytes back
-// until it is healed, as a partition does.
+// The end-to-end tests put one on each connection of an entry host. Both ends see a
+// cut as a closed connection. A silenced direction holds its bytes back until Heal, as a
+// network partition does.
 package relay
 
 import (
@@ -13,7 +13,8 @@
 	"time"
 )
 
-// Relay listens on one address. It is safe for concurrent use.
+// Relay listens on one address and forwards each connection to its target. It is safe for
+// concurrent use.
 type Relay struct {
 	listener net.Listener
 	// serving counts the goroutines that Close waits for.
@@ -21,42 +22,43 @@
 
 	mu     sync.Mutex
 	target string
-	cut    func(from string) bool
-	// conns are the accepted connections with their source IPs.
+	isCut  func(sourceIP string) bool
+	// conns maps the open accepted connections to their source IPs.
 	conns map[net.Conn]string
-	// flow holds back and delays bytes, for each direction.
-	flow [2]flow
-	// rate is in bytes a second of each connection and direction; 0 without a limit.
+	// directions holds the faults of each Direction.
+	directions [2]directionState
+	// rate limits each connection and direction, in bytes per second; 0 means no limit.
 	rate int
 }
 
-// Direction is one of the two ways through a relay.
+// Direction is one of the two directions of a connection.
 type Direction int
 
 const (
-	// ToTarget is from the side that dialled.
+	// ToTarget is the direction from the client to the target.
 	ToTarget Direction = iota
-	// FromTarget is back to it.
+	// FromTarget is the direction from the target to the client.
 	FromTarget
 )
 
-// flow is the state of one direction.
-type flow struct {
-	// open is closed while bytes pass.
-	open  chan struct{}
-	delay time.Duration
+// directionState holds the faults of one direction; delay is added before each chunk.
+type directionState struct {
+	// unblocked is closed unless the direction is silenced.
+	unblocked chan struct{}
+	delay     time.Duration
 }
 
-// Listen starts a relay on a free port of the IP. The target may be set later.
+// Listen starts a relay on a free port of the IP. The target can be set later by
+// SetTarget.
 func Listen(ip, target string) (*Relay, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
 	if err != nil {
 		return nil, fmt.Errorf("relay: %w", err)
 	}
 	r := &Relay{listener: listener, target: target, conns: make(map[net.Conn]string)}
-	for i := range r.flow {
-		r.flow[i].open = make(chan struct{})
-		close(r.flow[i].open)
+	for i := range r.directions {
+		r.directions[i].unblocked = make(chan struct{})
+		close(r.directions[i].unblocked)
 	}
 	r.serving.Go(r.accept)
 	return r, nil
@@ -65,67 +67,68 @@
 // Address returns the address that the relay listens on.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// SetTarget names the target of connections that come from now on.
+// SetTarget sets the target address of connections that are accepted from now on.
 func (r *Relay) SetTarget(address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.target = address
 }
 
-// SetRate makes the relay a small link, of so many bytes a second for each connection
-// and direction; 0 sets no limit. It is no fault that Heal ends.
+// SetRate limits each connection and direction to a rate in bytes per second; 0 means no
+// limit. Heal doesn't change it.
 func (r *Relay) SetRate(bytesPerSecond int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.rate = bytesPerSecond
 }
 
-// CutFrom breaks the connections from source IPs that match, and refuses new
-// ones, until it is called again. Nil heals.
+// CutFrom closes the connections whose source IP matches, and closes new ones on
+// accept, until the next call. A nil match ends the cut.
 func (r *Relay) CutFrom(match func(ip string) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cut = match
+	r.isCut = match
 	if match == nil {
 		return
 	}
-	for conn, from := range r.conns {
-		if match(from) {
+	for conn, sourceIP := range r.conns {
+		if match(sourceIP) {
 			conn.Close()
 		}
 	}
 }
 
-// Silence holds the bytes of one direction back until Heal.
+// Silence holds back all bytes of one direction until Heal; connections stay open.
 func (r *Relay) Silence(d Direction) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	select {
-	case <-r.flow[d].open:
-		r.flow[d].open = make(chan struct{})
+	case <-r.directions[d].unblocked:
+		r.directions[d].unblocked = make(chan struct{})
 	default:
 	}
 }
 
-// Delay makes the bytes of one direction late until Heal.
+// Delay delays each chunk of one direction until Heal.
 func (r *Relay) Delay(d Direction, by time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.flow[d].delay = by
+	r.directions[d].delay = by
 }
 
-// pass copies one direction, chunk by chunk.
-func (r *Relay) pass(to, from net.Conn, d Direction) {
+// forward copies one direction of a connection in chunks of up to 32 KiB, subject to the
+// faults of the direction and the rate.
+func (r *Relay) forward(dst, src net.Conn, d Direction) {
 	buffer := make([]byte, 32<<10)
 	for {
-		n, err := from.Read(buffer)
+		n, err := src.Read(buffer)
 		if n > 0 {
 			r.mu.Lock()
-			f, rate := r.flow[d], r.rate
+			state, rate := r.directions[d], r.rate
 			r.mu.Unlock()
-			time.Sleep(f.delay + transferTime(n, rate))
-			<-f.open
-			if _, err := to.Write(buffer[:n]); err != nil {
+			time.Sleep(state.delay + transferTime(n, rate))
+			<-state.unblocked
+			if _, err := dst.Write(buffer[:n]); err != nil {
 				return
 			}
 		}
@@ -135,7 +138,8 @@
 	}
 }
 
-// transferTime is how long so many bytes take at a rate in bytes a second.
+// transferTime returns how long the bytes take at a rate in bytes per second; a rate of 0
+// means no limit.
 func transferTime(bytes, rate int) time.Duration {
 	if rate == 0 {
 		return 0
@@ -143,25 +147,25 @@
 	return time.Duration(bytes) * time.Second / time.Duration(rate)
 }
 
-// CutAll breaks all connections and refuses new ones until Heal.
+// CutAll closes all connections, and new ones on accept, until Heal.
 func (r *Relay) CutAll() { r.CutFrom(func(string) bool { return true }) }
 
-// Heal ends cuts, silence and delays.
+// Heal ends all cuts, silenced directions and delays.
 func (r *Relay) Heal() {
 	r.CutFrom(nil)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for i := range r.flow {
-		r.flow[i].delay = 0
+	for i := range r.directions {
+		r.directions[i].delay = 0
 		select {
-		case <-r.flow[i].open:
+		case <-r.directions[i].unblocked:
 		default:
-			close(r.flow[i].open)
+			close(r.directions[i].unblocked)
 		}
 	}
 }
 
-// Close cuts all connections and waits for their end.
+// Close stops listening, closes all connections and waits for their goroutines.
 func (r *Relay) Close() error {
 	err := r.listener.Close()
 	r.Heal()
@@ -182,12 +186,12 @@
 
 func (r *Relay) serve(conn net.Conn) {
 	defer conn.Close()
-	from, _, _ := net.SplitHostPort(conn.RemoteAddr().String())
-	address, ok := r.add(conn, from)
+	sourceIP, _, _ := net.SplitHostPort(conn.RemoteAddr().String())
+	address, ok := r.register(conn, sourceIP)
 	if !ok {
 		return
 	}
-	defer r.remove(conn)
+	defer r.unregister(conn)
 	target, err := net.Dial("tcp", address)
 	if err != nil {
 		return
@@ -195,26 +199,27 @@
 	defer target.Close()
 	var wait sync.WaitGroup
 	wait.Go(func() {
-		r.pass(target, conn, ToTarget)
+		r.forward(target, conn, ToTarget)
 		target.Close()
 	})
-	r.pass(conn, target, FromTarget)
+	r.forward(conn, target, FromTarget)
 	conn.Close()
 	wait.Wait()
 }
 
-// add registers a connection and returns the target, unless it is cut.
-func (r *Relay) add(conn net.Conn, from string) (target string, ok bool) {
+// register adds the connection to conns and returns the target address. It returns false if
+// connections from the source IP are cut.
+func (r *Relay) register(conn net.Conn, sourceIP string) (target string, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.cut != nil && r.cut(from) {
+	if r.isCut != nil && r.isCut(sourceIP) {
 		return "", false
 	}
-	r.conns[conn] = from
+	r.conns[conn] = sourceIP
 	return r.target, true
 }
 
-func (r *Relay) remove(conn net.Conn) {
+func (r *Relay) unregister(conn net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.conns, conn)
--- a/internal/standin/relay/relay_test.go
+++ b/internal/standin/relay/relay_test.go
@@ -16,15 +16,15 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// A cut ends the connections that are open, refuses others, and ends with Heal.
+// A cut closes the open connections and prevents new ones until Heal.
 func TestCut(t *testing.T) {
 	const other = "127.0.0.9"
 	tests := []struct {
 		desc string
 		cut  func(*relay.Relay)
-		// open says that new connections pass, broken that the one from before
-		// the cut doesn't.
-		open, broken bool
+		// accepts is whether new connections work; broken is whether the one
+		// opened before the cut no longer does.
+		accepts, broken bool
 	}{
 		{"none", func(*relay.Relay) {}, true, false},
 		{"all", (*relay.Relay).CutAll, false, true},
@@ -43,14 +43,14 @@
 			is.NoErr(err)
 			defer r.Close()
 			r.SetTarget(echo.Addr().String())
-			is.True(echoes(r.Address()))
-			open, err := net.Dial("tcp", r.Address())
+			is.True(canEcho(r.Address()))
+			existing, err := net.Dial("tcp", r.Address())
 			is.NoErr(err)
-			defer open.Close()
-			is.True(echoesOn(open))
+			defer existing.Close()
+			is.True(canEchoOn(existing))
 			tt.cut(r)
-			is.Equal(echoes(r.Address()), tt.open)
-			is.Equal(echoesOn(open), !tt.broken)
+			is.Equal(canEcho(r.Address()), tt.accepts)
+			is.Equal(canEchoOn(existing), !tt.broken)
 		})
 	}
 }
@@ -68,16 +68,16 @@
 	}
 }
 
-func echoes(address string) bool {
+func canEcho(address string) bool {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return false
 	}
 	defer conn.Close()
-	return echoesOn(conn)
+	return canEchoOn(conn)
 }
 
-func echoesOn(conn net.Conn) bool {
+func canEchoOn(conn net.Conn) bool {
 	got := make([]byte, 1)
 	if _, err := conn.Write([]byte("x")); err != nil {
 		return false
