--- a/internal/standin/platformd/calls.go
+++ b/internal/standin/platformd/calls.go
@@ -12,120 +12,122 @@
 	"github.com/quetzalweir/quetzalweir/storage/protocol"
 )
 
-// cursorSeparator stands between the parts of a cursor of the host list.
+// cursorSeparator separates the instance ID and the revision in a cursor of the
+// host list.
 const cursorSeparator = "/"
 
-func (s *Server) getRow(r *http.Request) (reply, error) {
+func (s *Server) getRow(r *http.Request) (response, error) {
 	row, err := s.table.Get(r.Context(), r.URL.Query().Get(protocol.QueryKey))
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
-	return reply{json: row}, nil
+	return response{json: row}, nil
 }
 
-func (s *Server) listRows(r *http.Request) (reply, error) {
+func (s *Server) listRows(r *http.Request) (response, error) {
 	query := r.URL.Query()
 	limit, err := strconv.Atoi(query.Get(protocol.QueryLimit))
 	if err != nil {
-		return reply{}, fmt.Errorf("%w: limit: %w", errBadRequest, err)
+		return response{}, fmt.Errorf("%w: limit: %w", errBadRequest, err)
 	}
 	prefix := query.Get(protocol.QueryPrefix)
 	after := query.Get(protocol.QueryAfter)
 	rows, err := s.table.List(r.Context(), prefix, after, limit)
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
-	return reply{json: protocol.Rows{Rows: rows}}, nil
+	return response{json: protocol.Rows{Rows: rows}}, nil
 }
 
-// commit takes effect even if its caller has gone: a real table doesn't undo
-// what it received.
-func (s *Server) commit(r *http.Request) (reply, error) {
+// commit ignores the cancellation of the request: a real table doesn't undo a
+// commit that it has received.
+func (s *Server) commit(r *http.Request) (response, error) {
 	var txn storage.Txn
 	if err := readJSON(r, &txn); err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	revision, err := s.table.Commit(context.WithoutCancel(r.Context()), txn)
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
-	return reply{json: protocol.Committed{Revision: revision}}, nil
+	return response{json: protocol.Committed{Revision: revision}}, nil
 }
 
-func (s *Server) writeObject(r *http.Request) (reply, error) {
+func (s *Server) writeObject(r *http.Request) (response, error) {
 	data, err := io.ReadAll(r.Body)
 	if err != nil {
-		return reply{}, fmt.Errorf("%w: %w", errBadRequest, err)
+		return response{}, fmt.Errorf("%w: %w", errBadRequest, err)
 	}
 	name := r.URL.Query().Get(protocol.QueryName)
-	return reply{}, s.objects.Write(context.WithoutCancel(r.Context()), name, data)
+	return response{}, s.objects.Write(context.WithoutCancel(r.Context()), name, data)
 }
 
-func (s *Server) readObject(r *http.Request) (reply, error) {
+func (s *Server) readObject(r *http.Request) (response, error) {
 	data, err := s.objects.Read(r.Context(), r.URL.Query().Get(protocol.QueryName))
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
-	// An empty object has a body too, if one of no bytes.
-	return reply{data: append([]byte{}, data...)}, nil
+	// The body of an empty object must not be nil: writeResponse would send
+	// status 204.
+	return response{raw: append([]byte{}, data...)}, nil
 }
 
-func (s *Server) listHosts(r *http.Request) (reply, error) {
-	since := s.revisionOf(r.URL.Query().Get(protocol.QuerySince))
+func (s *Server) listHosts(r *http.Request) (response, error) {
+	since := s.parseCursor(r.URL.Query().Get(protocol.QuerySince))
 	changes, err := s.hosts.Changes(r.Context(), since)
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
-	return reply{json: protocol.Hosts{
-		Cursor:  s.cursorOf(changes.Revision),
+	return response{json: protocol.Hosts{
+		Cursor:  s.formatCursor(changes.Revision),
 		Full:    changes.Full,
 		Hosts:   changes.Hosts,
 		Removed: changes.Removed,
 	}}, nil
 }
 
-// cursorOf returns the cursor of a revision. It names this server too: after a
-// restart, revisions begin anew.
-func (s *Server) cursorOf(revision uint64) string {
-	return s.instance + cursorSeparator + strconv.FormatUint(revision, 10)
+// formatCursor returns the cursor of a revision. It includes the instance ID,
+// because revisions start again at zero after a restart.
+func (s *Server) formatCursor(revision uint64) string {
+	return s.instanceID + cursorSeparator + strconv.FormatUint(revision, 10)
 }
 
-// revisionOf returns the revision of a cursor, or zero, for the whole list, if
-// the cursor isn't this server's.
-func (s *Server) revisionOf(cursor string) uint64 {
-	instance, number, _ := strings.Cut(cursor, cursorSeparator)
+// parseCursor returns the revision of a cursor, or zero, which selects the whole
+// list, if the cursor is invalid or was issued by another instance.
+func (s *Server) parseCursor(cursor string) uint64 {
+	instanceID, number, _ := strings.Cut(cursor, cursorSeparator)
 	revision, err := strconv.ParseUint(number, 10, 64)
-	if err != nil || instance != s.instance {
+	if err != nil || instanceID != s.instanceID {
 		return 0
 	}
 	return revision
 }
 
-func (s *Server) rate(r *http.Request) (reply, error) {
+func (s *Server) rate(r *http.Request) (response, error) {
 	var request protocol.RatingRequest
 	if err := readJSON(r, &request); err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	rating, err := s.rater.Rate(r.Context(), request.Model, request.Version, request.Prompt, request.Answer)
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
-	return reply{json: rating}, nil
+	return response{json: rating}, nil
 }
 
-func (s *Server) setHost(r *http.Request) (reply, error) {
+func (s *Server) setHost(r *http.Request) (response, error) {
 	var host storage.Host
 	if err := readJSON(r, &host); err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	if host.ID == "" {
-		return reply{}, fmt.Errorf("%w: host without an ID", errBadRequest)
+		return response{}, fmt.Errorf("%w: host without an ID", errBadRequest)
 	}
 	s.hosts.Set(host)
-	return reply{}, nil
+	return response{}, nil
 }
 
-func (s *Server) removeHost(r *http.Request) (reply, error) {
+func (s *Server) removeHost(r *http.Request) (response, error) {
 	s.hosts.Remove(r.PathValue("id"))
-	return reply{}, nil
+	return response{}, nil
 }
--- a/internal/standin/platformd/faults.go
+++ b/internal/standin/platformd/faults.go
@@ -5,45 +5,46 @@
 	"time"
 )
 
-// Faults is the body of POST /faults. A field that is missing changes nothing.
-// Times are in milliseconds.
+// Faults is the body of POST /faults. Missing fields leave their fault as it
+// is. Times are in milliseconds.
 type Faults struct {
-	// Down is an outage of the table.
+	// Down starts or ends an outage of the table.
 	Down *bool `json:"down,omitempty"`
-	// DelayMS is how long each call to the table takes.
+	// DelayMS is the duration of each call to the table.
 	DelayMS *int64 `json:"delay_ms,omitempty"`
-	// LoseNext counts commits that take effect without an answer.
+	// LoseNext is how many of the next commits take effect but get no response.
 	LoseNext *int `json:"lose_next,omitempty"`
-	// DropNext counts commits without effect and without an answer.
+	// DropNext is how many of the next commits have no effect and get no
+	// response.
 	DropNext *int `json:"drop_next,omitempty"`
-	// DelayNext counts commits without an answer that take effect after
-	// DelayNextMS.
+	// DelayNext is how many of the next commits get no response and take
+	// effect after DelayNextMS.
 	DelayNext   *int  `json:"delay_next,omitempty"`
 	DelayNextMS int64 `json:"delay_next_ms,omitempty"`
-	// ObjectsDown is an outage of the object store.
+	// ObjectsDown starts or ends an outage of the object store.
 	ObjectsDown *bool `json:"objects_down,omitempty"`
 	// LagMS is the lag of the host list.
 	LagMS *int64 `json:"lag_ms,omitempty"`
-	// RaterDown is an outage of the rater.
+	// RaterDown starts or ends an outage of the rater.
 	RaterDown *bool `json:"rater_down,omitempty"`
-	// RaterDelayMS is how long each rating takes.
+	// RaterDelayMS is the duration of each rating.
 	RaterDelayMS *int64 `json:"rater_delay_ms,omitempty"`
 }
 
-// SetFaults changes the faults.
+// SetFaults sets the faults whose fields in f aren't nil.
 func (s *Server) SetFaults(f Faults) {
-	set(f.Down, s.table.SetDown)
-	setTime(f.DelayMS, s.table.SetDelay)
-	set(f.LoseNext, s.table.LoseNext)
-	set(f.DropNext, s.table.DropNext)
-	set(f.DelayNext, func(n int) { s.table.DelayNext(n, milliseconds(f.DelayNextMS)) })
-	set(f.ObjectsDown, s.objects.SetDown)
-	setTime(f.LagMS, s.hosts.SetLag)
-	set(f.RaterDown, s.rater.SetDown)
-	setTime(f.RaterDelayMS, s.rater.SetDelay)
+	applyIfSet(f.Down, s.table.SetDown)
+	applyMilliseconds(f.DelayMS, s.table.SetDelay)
+	applyIfSet(f.LoseNext, s.table.LoseNext)
+	applyIfSet(f.DropNext, s.table.DropNext)
+	applyIfSet(f.DelayNext, func(n int) { s.table.DelayNext(n, milliseconds(f.DelayNextMS)) })
+	applyIfSet(f.ObjectsDown, s.objects.SetDown)
+	applyMilliseconds(f.LagMS, s.hosts.SetLag)
+	applyIfSet(f.RaterDown, s.rater.SetDown)
+	applyMilliseconds(f.RaterDelayMS, s.rater.SetDelay)
 }
 
-// Heal ends all faults and gives the host list its lag of Options.
+// Heal ends all faults and resets the lag of the host list to Options.HostLag.
 func (s *Server) Heal() {
 	s.table.Heal()
 	s.objects.SetDown(false)
@@ -52,27 +53,27 @@
 	s.rater.SetDelay(0)
 }
 
-func (s *Server) setFaults(r *http.Request) (reply, error) {
+func (s *Server) setFaults(r *http.Request) (response, error) {
 	var faults Faults
 	if err := readJSON(r, &faults); err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	s.SetFaults(faults)
-	return reply{}, nil
+	return response{}, nil
 }
 
-func (s *Server) heal(*http.Request) (reply, error) {
+func (s *Server) heal(*http.Request) (response, error) {
 	s.Heal()
-	return reply{}, nil
+	return response{}, nil
 }
 
-func set[T any](value *T, apply func(T)) {
+func applyIfSet[T any](value *T, apply func(T)) {
 	if value != nil {
 		apply(*value)
 	}
 }
 
-func setTime(value *int64, apply func(time.Duration)) {
+func applyMilliseconds(value *int64, apply func(time.Duration)) {
 	if value != nil {
 		apply(milliseconds(*value))
 	}
--- a/internal/standin/platformd/options.go
+++ b/internal/standin/platformd/options.go
@@ -1,7 +1,7 @@
-// Package platformd is a stand-in of the platform's services: the table, the
-// object store, the host list and the rater, in memory, over the protocol of
-// package protocol. It keeps the platform's rate limits, and has faults that
-// are switched on by call. It is for tests and development.
+// Package platformd is a stand-in for the platform's services: the table, the
+// object store, the host list and the rater. It keeps all data in memory and
+// serves the protocol of package protocol. It enforces the platform's rate
+// limits and injects faults on request. It is for tests and development.
 package platformd
 
 import (
@@ -19,24 +19,26 @@
 	DefaultMaxBody          = 8 << 20
 )
 
-// Options set up a Server. Zero fields take their defaults.
+// Options configures New and Run. Zero values select the defaults.
 type Options struct {
-	// Listen is the IP and port that Run listens on; default DefaultListen.
+	// Listen is the IP and port that Run listens on. Default: DefaultListen.
 	Listen string
-	// CommitsPerSecond limits commits and object writes together; default
-	// DefaultCommitsPerSecond.
+	// CommitsPerSecond limits the rate of commits and object writes together.
+	// Default: DefaultCommitsPerSecond.
 	CommitsPerSecond float64
-	// ReadsPerSecond limits row reads, lists and object reads together; default
-	// DefaultReadsPerSecond.
+	// ReadsPerSecond limits the rate of row reads, row lists and object reads
+	// together. Default: DefaultReadsPerSecond.
 	ReadsPerSecond float64
-	// HostLag is the lag of the host list; default 0.
+	// HostLag is how late changes appear in the host list. Default: 0.
 	HostLag time.Duration
-	// Rater sets how answers are rated.
+	// Rater configures the ratings of answers.
 	Rater memory.RaterOptions
-	// MaxBody bounds the body of a request, in bytes; default DefaultMaxBody.
+	// MaxBody limits the size of a request body, in bytes. Default:
+	// DefaultMaxBody.
 	MaxBody int64
-	// Ready is called by Run with the address that it listens on; default none.
-	Ready func(address string)
+	// OnReady is called by Run with the address that it listens on. Default:
+	// none.
+	OnReady func(address string)
 }
 
 func (o Options) withDefaults() Options {
--- a/internal/standin/platformd/platformd_test.go
+++ b/internal/standin/platformd/platformd_test.go
@@ -18,40 +18,42 @@
 	"github.com/quetzalweir/quetzalweir/storage/memory"
 )
 
-// Timeouts of calls: impatient ends before any injected delay, patient never.
+// Call timeouts: shortTimeout ends before any injected delay does; longTimeout
+// isn't reached.
 const (
-	impatient = 100 * time.Millisecond
-	patient   = time.Minute
+	shortTimeout = 100 * time.Millisecond
+	longTimeout  = time.Minute
 )
 
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m)
 }
 
-// run starts a stand-in and returns its URL. It is stopped with the test.
-func run(t *testing.T, options platformd.Options) string {
+// startServer starts a stand-in and returns its URL. It is stopped at the end of
+// the test.
+func startServer(t *testing.T, options platformd.Options) string {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	ready := make(chan string, 1)
-	stopped := make(chan error, 1)
-	options.Ready = func(address string) { ready <- address }
-	go func() { stopped <- platformd.Run(ctx, options) }()
+	runErr := make(chan error, 1)
+	options.OnReady = func(address string) { ready <- address }
+	go func() { runErr <- platformd.Run(ctx, options) }()
 	t.Cleanup(func() {
 		cancel()
-		if err := <-stopped; err != nil {
+		if err := <-runErr; err != nil {
 			t.Error(err)
 		}
 	})
 	select {
 	case address := <-ready:
 		return "http://" + address
-	case err := <-stopped:
+	case err := <-runErr:
 		t.Fatal(err)
 		return ""
 	}
 }
 
-// send makes one call and returns its status.
+// send sends one request and returns the status of the response.
 func send(t *testing.T, method, url, body string) int {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
@@ -87,23 +89,23 @@
 		faults string
 		call   func(context.Context, *client.Platform) error
 		want   error
-		// timeout is that of the call under the fault.
+		// timeout limits the call that is made under the fault.
 		timeout time.Duration
 	}{
-		{`{"down": true}`, commit, storage.ErrUnavailable, patient},
-		{`{"delay_ms": 60000}`, read, storage.ErrUnavailable, impatient},
-		{`{"lose_next": 1}`, commit, storage.ErrUnknown, patient},
-		{`{"drop_next": 1}`, commit, storage.ErrUnknown, patient},
-		{`{"delay_next": 1, "delay_next_ms": 1}`, commit, storage.ErrUnknown, patient},
-		{`{"objects_down": true}`, write, storage.ErrUnavailable, patient},
-		{`{"rater_down": true}`, rate, storage.ErrUnavailable, patient},
-		{`{"rater_delay_ms": 60000}`, rate, storage.ErrUnavailable, impatient},
+		{`{"down": true}`, commit, storage.ErrUnavailable, longTimeout},
+		{`{"delay_ms": 60000}`, read, storage.ErrUnavailable, shortTimeout},
+		{`{"lose_next": 1}`, commit, storage.ErrUnknown, longTimeout},
+		{`{"drop_next": 1}`, commit, storage.ErrUnknown, longTimeout},
+		{`{"delay_next": 1, "delay_next_ms": 1}`, commit, storage.ErrUnknown, longTimeout},
+		{`{"objects_down": true}`, write, storage.ErrUnavailable, longTimeout},
+		{`{"rater_down": true}`, rate, storage.ErrUnavailable, longTimeout},
+		{`{"rater_delay_ms": 60000}`, rate, storage.ErrUnavailable, shortTimeout},
 	}
 	for _, test := range tests {
 		t.Run(test.faults, func(t *testing.T) {
 			is := is.New(t)
-			url := run(t, platformd.Options{})
-			p := client.New(url, client.Options{Timeout: patient})
+			url := startServer(t, platformd.Options{})
+			p := client.New(url, client.Options{Timeout: longTimeout})
 			t.Cleanup(p.Close)
 			is.Equal(send(t, http.MethodPost, url+"/faults", test.faults), http.StatusNoContent)
 			ctx, cancel := context.WithTimeout(t.Context(), test.timeout)
@@ -117,7 +119,7 @@
 
 func TestHosts(t *testing.T) {
 	is := is.New(t)
-	url := run(t, platformd.Options{})
+	url := startServer(t, platformd.Options{})
 	p := client.New(url, client.Options{})
 	t.Cleanup(p.Close)
 	count := func() int {
@@ -136,7 +138,7 @@
 }
 
 func TestBadRequests(t *testing.T) {
-	url := run(t, platformd.Options{MaxBody: 100})
+	url := startServer(t, platformd.Options{MaxBody: 100})
 	tests := []struct {
 		desc, path, body string
 	}{
@@ -154,12 +156,13 @@
 	}
 }
 
-// The stand-in serves on an address that it chose, until its context ends.
+// Run chooses a free port, passes its address to OnReady and serves until the
+// context ends.
 func ExampleRun() {
 	ctx, cancel := context.WithCancel(context.Background())
 	err := platformd.Run(ctx, platformd.Options{
 		Rater: memory.RaterOptions{Quality: map[string]float64{"m@2": 0.9}},
-		Ready: func(address string) {
+		OnReady: func(address string) {
 			p := client.New("http://"+address, client.Options{})
 			fmt.Println(p.Rater() != nil)
 			cancel()
--- a/internal/standin/platformd/response.go
+++ b/internal/standin/platformd/response.go
@@ -15,58 +15,61 @@
 	"github.com/quetzalweir/quetzalweir/storage/protocol"
 )
 
-// retryAfterSeconds is the advice to a caller over the rate limit.
+// retryAfterSeconds is the value of the Retry-After header that is sent to
+// callers over the rate limit.
 const retryAfterSeconds = "1"
 
-// errBadRequest means that a request can't be read.
+// errBadRequest means that a request can't be parsed.
 var errBadRequest = errors.New("bad request")
 
-// reply is a successful answer. Its zero value is one without a body.
-type reply struct {
-	// json is the body to encode; nil for none.
+// response is the content of a successful response. The zero value has no body.
+type response struct {
+	// json is the value to encode as the body; nil for none.
 	json any
-	// data is the body as it is, where json is nil; nil for none.
-	data []byte
+	// raw is the body as bytes; it is ignored unless json is nil. Nil means no
+	// body.
+	raw []byte
 }
 
-// handler does one call.
-type handler func(r *http.Request) (reply, error)
+// handler executes one call and returns its response.
+type handler func(r *http.Request) (response, error)
 
-// limit refuses calls over the limiter's rate.
-func (s *Server) limit(limiter *rate.Limiter, h handler) http.Handler {
-	next := s.call(h)
+// limitRate wraps handle: calls over the limiter's rate get status 429.
+func (s *Server) limitRate(limiter *rate.Limiter, h handler) http.Handler {
+	next := s.handle(h)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if limiter.Allow() {
 			next.ServeHTTP(w, r)
 			return
 		}
-		repeatCall(w, r)
+		echoCallNumber(w, r)
 		w.Header().Set("Retry-After", retryAfterSeconds)
 		writeProblem(w, http.StatusTooManyRequests, errors.New("over the rate limit"))
 	})
 }
 
-// call runs the handler and writes its answer. Where the outcome is to stay
-// unknown, it cuts the connection without an answer.
-func (s *Server) call(h handler) http.Handler {
+// handle runs the handler and sends its response. If an error leaves open
+// whether the call took effect, it closes the connection without a response.
+func (s *Server) handle(h handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		repeatCall(w, r)
+		echoCallNumber(w, r)
 		r.Body = http.MaxBytesReader(w, r.Body, s.options.MaxBody)
 		result, err := h(r)
 		if err == nil {
-			writeReply(w, result)
+			writeResponse(w, result)
 			return
 		}
-		status, known := statusOf(err)
-		if !known {
+		status, noEffect := statusOf(err)
+		if !noEffect {
 			panic(http.ErrAbortHandler)
 		}
 		writeProblem(w, status, err)
 	})
 }
 
-// statusOf returns the status of an error that says that there was no effect.
-func statusOf(err error) (status int, known bool) {
+// statusOf returns the HTTP status of an error, and whether the error
+// guarantees that the call had no effect.
+func statusOf(err error) (status int, noEffect bool) {
 	switch {
 	case errors.Is(err, storage.ErrConflict):
 		return http.StatusConflict, true
@@ -81,25 +84,26 @@
 	}
 }
 
-// repeatCall copies the number of the call to the answer.
-func repeatCall(w http.ResponseWriter, r *http.Request) {
+// echoCallNumber copies the call number from the request to the response.
+func echoCallNumber(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(protocol.HeaderCall, r.Header.Get(protocol.HeaderCall))
 }
 
-func writeReply(w http.ResponseWriter, result reply) {
+func writeResponse(w http.ResponseWriter, result response) {
 	if result.json != nil {
 		writeJSON(w, http.StatusOK, result.json)
 		return
 	}
-	if result.data == nil {
+	if result.raw == nil {
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
-	writeBody(w, http.StatusOK, result.data)
+	writeBody(w, http.StatusOK, result.raw)
 }
 
-// writeProblem writes a refusal, which always states that there was no effect.
+// writeProblem sends an error response, which always states that the call had
+// no effect.
 func writeProblem(w http.ResponseWriter, status int, err error) {
 	w.Header().Set(protocol.HeaderEffect, protocol.EffectNone)
 	writeJSON(w, status, protocol.Problem{Error: err.Error()})
@@ -108,7 +112,8 @@
 func writeJSON(w http.ResponseWriter, status int, message any) {
 	body, err := json.Marshal(message)
 	if err != nil {
-		// The call may have had its effect, so no status would be true.
+		// The call may have taken effect, so neither a success nor an error
+		// status would be correct.
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -118,11 +123,13 @@
 func writeBody(w http.ResponseWriter, status int, body []byte) {
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
-	// A caller that is gone learns nothing more; there is nobody to tell.
+	// An error means that the caller has closed the connection; nothing can be
+	// reported to it.
 	_, _ = w.Write(body)
 }
 
-// readJSON decodes the whole body of a request into message.
+// readJSON decodes the whole body of a request into message; unknown fields
+// and trailing data are errors.
 func readJSON(r *http.Request, message any) error {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
--- a/internal/standin/platformd/server.go
+++ b/internal/standin/platformd/server.go
@@ -17,15 +17,17 @@
 )
 
 const (
-	// burstFraction of a second's calls may come at once.
+	// burstFraction is the burst of a rate limit, as a fraction of the calls
+	// allowed in one second.
 	burstFraction = 0.1
-	// shutdownTimeout bounds how long Run waits for the calls under way.
+	// shutdownTimeout limits the wait for calls in progress at shutdown.
 	shutdownTimeout = 5 * time.Second
-	// headerTimeout bounds the reading of a request's headers.
+	// headerTimeout limits the time to read a request header.
 	headerTimeout = 5 * time.Second
 )
 
-// Server is the stand-in. It is safe for concurrent use.
+// Server implements the platform's services in memory. It is safe for
+// concurrent use.
 type Server struct {
 	options Options
 	table   *faulty.Table
@@ -35,8 +37,9 @@
 	commits *rate.Limiter
 	reads   *rate.Limiter
 	mux     *http.ServeMux
-	// instance tells this server's cursors from those of another.
-	instance string
+	// instanceID distinguishes cursors of this server from those of other
+	// instances.
+	instanceID string
 }
 
 // New returns a server with an empty table, no objects and no hosts.
@@ -52,9 +55,9 @@
 		reads:   newLimiter(options.ReadsPerSecond),
 		mux:     http.NewServeMux(),
 
-		instance: uuid.NewString(),
+		instanceID: uuid.NewString(),
 	}
-	s.route()
+	s.registerRoutes()
 	return s
 }
 
@@ -63,10 +66,11 @@
 	return rate.NewLimiter(rate.Limit(perSecond), burst)
 }
 
-// Handler returns the HTTP handler of all calls.
+// Handler returns the handler of the whole HTTP API.
 func (s *Server) Handler() http.Handler { return s.mux }
 
-// Table returns the table with its faults; calls to it pass by the rate limits.
+// Table returns the table with its faults. Direct calls to it bypass the rate
+// limits.
 func (s *Server) Table() *faulty.Table { return s.table }
 
 // Objects returns the object store with its faults.
@@ -78,51 +82,51 @@
 // Rater returns the rater with its faults.
 func (s *Server) Rater() *faulty.Rater { return s.rater }
 
-func (s *Server) route() {
-	s.mux.Handle("GET "+protocol.PathRow, s.limit(s.reads, s.getRow))
-	s.mux.Handle("GET "+protocol.PathRows, s.limit(s.reads, s.listRows))
-	s.mux.Handle("POST "+protocol.PathCommit, s.limit(s.commits, s.commit))
-	s.mux.Handle("PUT "+protocol.PathObject, s.limit(s.commits, s.writeObject))
-	s.mux.Handle("GET "+protocol.PathObject, s.limit(s.reads, s.readObject))
-	s.mux.Handle("GET "+protocol.PathHosts, s.call(s.listHosts))
-	s.mux.Handle("POST "+protocol.PathRating, s.call(s.rate))
-	s.mux.Handle("POST /faults", s.call(s.setFaults))
-	s.mux.Handle("DELETE /faults", s.call(s.heal))
-	s.mux.Handle("POST /hosts", s.call(s.setHost))
-	s.mux.Handle("DELETE /hosts/{id}", s.call(s.removeHost))
+func (s *Server) registerRoutes() {
+	s.mux.Handle("GET "+protocol.PathRow, s.limitRate(s.reads, s.getRow))
+	s.mux.Handle("GET "+protocol.PathRows, s.limitRate(s.reads, s.listRows))
+	s.mux.Handle("POST "+protocol.PathCommit, s.limitRate(s.commits, s.commit))
+	s.mux.Handle("PUT "+protocol.PathObject, s.limitRate(s.commits, s.writeObject))
+	s.mux.Handle("GET "+protocol.PathObject, s.limitRate(s.reads, s.readObject))
+	s.mux.Handle("GET "+protocol.PathHosts, s.handle(s.listHosts))
+	s.mux.Handle("POST "+protocol.PathRating, s.handle(s.rate))
+	s.mux.Handle("POST /faults", s.handle(s.setFaults))
+	s.mux.Handle("DELETE /faults", s.handle(s.heal))
+	s.mux.Handle("POST /hosts", s.handle(s.setHost))
+	s.mux.Handle("DELETE /hosts/{id}", s.handle(s.removeHost))
 }
 
-// Run serves until ctx ends, and then waits for the calls under way.
+// Run creates a server, listens on Options.Listen and calls Serve.
 func Run(ctx context.Context, options Options) error {
 	s := New(options)
 	listener, err := net.Listen("tcp", s.options.Listen)
 	if err != nil {
 		return fmt.Errorf("platformd: %w", err)
 	}
-	if options.Ready != nil {
-		options.Ready(listener.Addr().String())
+	if options.OnReady != nil {
+		options.OnReady(listener.Addr().String())
 	}
 	return s.Serve(ctx, listener)
 }
 
-// Serve serves on listener until ctx ends, and then waits for the calls under
-// way for at most shutdownTimeout. It closes the listener.
+// Serve serves on listener until ctx ends, then waits at most shutdownTimeout
+// for the calls in progress. It closes the listener.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	server := &http.Server{Handler: s.mux, ReadHeaderTimeout: headerTimeout}
-	served := make(chan error, 1)
-	go func() { served <- server.Serve(listener) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- server.Serve(listener) }()
 	select {
-	case err := <-served:
+	case err := <-serveErr:
 		return fmt.Errorf("platformd: %w", err)
 	case <-ctx.Done():
 	}
 	grace, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 	defer cancel()
 	if err := server.Shutdown(grace); err != nil {
-		// Calls that an injected delay still holds are cut.
+		// Injected delays can outlast the timeout; their connections are closed.
 		_ = server.Close()
 	}
-	if err := <-served; !errors.Is(err, http.ErrServerClosed) {
+	if err := <-serveErr; !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("platformd: %w", err)
 	}
 	return nil
