--- a/internal/standin/cut/cut.go
+++ b/internal/standin/cut/cut.go
@@ -1,8 +1,8 @@
-// Package cut breaks connections at chosen points of an exchange. The
-// stand-ins of engines and services share it.
+// Package cut closes connections at chosen points of an HTTP exchange. The
+// stand-ins for engines and services share it.
 //
-// A cut loses no byte that was passed on before it; whether the other side read
-// it is open.
+// Bytes written before the cut are still sent; whether the peer reads them is
+// not guaranteed.
 package cut
 
 import (
@@ -11,40 +11,43 @@
 	"sync"
 )
 
-// Boundary is a point of an exchange at which the connection is cut.
+// Boundary is a point of an HTTP exchange at which the connection is closed.
 type Boundary string
 
 const (
-	// BeforeHead cuts before the request's head is read.
+	// BeforeHead cuts before the handler receives the request: its first
+	// bytes are discarded.
 	BeforeHead Boundary = "before-head"
-	// AfterHead cuts when the head was read and nothing of the body.
+	// AfterHead cuts after the request header and before the body is read.
 	AfterHead Boundary = "after-head"
-	// MidBody cuts when half of the body was read.
+	// MidBody cuts after half of the request body is read.
 	MidBody Boundary = "mid-body"
-	// BeforeAnswer cuts when the request began to run, before its answer.
+	// BeforeAnswer cuts after the request has started to run and before any
+	// byte of the response is sent.
 	BeforeAnswer Boundary = "before-answer"
-	// MidAnswer cuts within the answer.
+	// MidAnswer cuts after a part of the response is sent.
 	MidAnswer Boundary = "mid-answer"
 )
 
-// Boundaries are all boundaries in the order of an exchange.
+// Boundaries returns all boundaries in the order in which an exchange reaches
+// them.
 func Boundaries() []Boundary {
 	return []Boundary{BeforeHead, AfterHead, MidBody, BeforeAnswer, MidAnswer}
 }
 
-// Plan says where to cut and how often.
+// Plan configures where to cut and how often.
 type Plan struct {
 	// At is the boundary; empty means no cut.
 	At Boundary `json:"at,omitempty"`
-	// Times is how many exchanges are cut; 0 means none.
+	// Times is how many of the next exchanges are cut; 0 means none.
 	Times int `json:"times,omitempty"`
-	// Frames is how much of an answer goes out before a cut at MidAnswer, in
-	// frames.
+	// Frames is the number of frames of a streamed answer that are sent before
+	// a cut at MidAnswer.
 	Frames int `json:"frames,omitempty"`
 }
 
-// Cutter carries out a plan. The zero value cuts nothing. It is safe for
-// concurrent use.
+// Cutter counts down the cuts of a plan. The zero value cuts nothing. It is
+// safe for concurrent use.
 type Cutter struct {
 	mu   sync.Mutex
 	plan Plan
@@ -57,8 +60,8 @@
 	c.mu.Unlock()
 }
 
-// Take says whether to cut this exchange at the boundary, and uses up one of
-// the plan's times if so.
+// Take reports whether the caller must cut this exchange at the boundary; if
+// so, it decrements the number of remaining cuts.
 func (c *Cutter) Take(at Boundary) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,19 +72,20 @@
 	return true
 }
 
-// Frames returns how many frames go out before a cut at MidAnswer.
+// Frames returns the number of frames to send before a cut at MidAnswer.
 func (c *Cutter) Frames() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.plan.Frames
 }
 
-// Now cuts the connection of the handler that calls it.
+// Now aborts the HTTP handler that calls it, which closes its connection.
 func Now() {
 	panic(http.ErrAbortHandler)
 }
 
-// ReadBody reads the whole body, unless the plan cuts before its end.
+// ReadBody reads the whole request body, or cuts the connection if the plan
+// has a cut at AfterHead or MidBody.
 func (c *Cutter) ReadBody(r *http.Request) ([]byte, error) {
 	if c.Take(AfterHead) {
 		Now()
--- a/internal/standin/cut/cut_test.go
+++ b/internal/standin/cut/cut_test.go
@@ -25,12 +25,12 @@
 			is := is.New(t)
 			cutter := new(Cutter)
 			cutter.Set(Plan{At: BeforeHead, Times: 1})
-			ours, theirs := net.Pipe()
-			conn := &cutConn{Conn: theirs, listener: &headListener{Cutter: cutter, Spared: [][]byte{[]byte("POST /faults")}}}
+			clientConn, serverConn := net.Pipe()
+			conn := &headConn{Conn: serverConn, listener: &headListener{Cutter: cutter, UncutPrefixes: [][]byte{[]byte("POST /faults")}}}
 			go func() {
-				defer ours.Close()
+				defer clientConn.Close()
 				for _, part := range test.parts {
-					_, _ = io.WriteString(ours, part)
+					_, _ = io.WriteString(clientConn, part)
 				}
 			}()
 			got, err := io.ReadAll(conn)
@@ -49,27 +49,27 @@
 
 func TestLimits(t *testing.T) {
 	is := is.New(t)
-	ours, theirs := net.Pipe()
+	clientConn, serverConn := net.Pipe()
 	listener := new(LimitListener)
-	conn := &limitConn{Conn: theirs, listener: listener, left: Limits{Request: 3, Answer: 2}}
+	conn := &limitConn{Conn: serverConn, listener: listener, remaining: Limits{Request: 3, Answer: 2}}
 	go func() {
-		_, _ = io.WriteString(ours, "abcd")
+		_, _ = io.WriteString(clientConn, "abcd")
 	}()
 	got, err := io.ReadAll(conn)
 	is.NoErr(err)
 	is.Equal(string(got), "abc")
 
-	ours, theirs = net.Pipe()
-	conn = &limitConn{Conn: theirs, listener: listener, left: Limits{Request: Unlimited, Answer: 2}}
+	clientConn, serverConn = net.Pipe()
+	conn = &limitConn{Conn: serverConn, listener: listener, remaining: Limits{Request: Unlimited, Answer: 2}}
 	go func() {
 		n, err := conn.Write([]byte("xyz"))
 		is.Equal(n, 2)
 		is.Equal(err, net.ErrClosed)
 	}()
-	got, err = io.ReadAll(ours)
+	got, err = io.ReadAll(clientConn)
 	is.NoErr(err)
 	is.Equal(string(got), "xy")
-	requests, answers := listener.Passed()
-	is.Equal(requests, int64(3))
-	is.Equal(answers, int64(2))
+	requestBytes, answerBytes := listener.Passed()
+	is.Equal(requestBytes, int64(3))
+	is.Equal(answerBytes, int64(2))
 }
--- a/internal/standin/cut/limit.go
+++ b/internal/standin/cut/limit.go
@@ -6,24 +6,27 @@
 	"sync/atomic"
 )
 
-// Unlimited is more bytes than any connection carries.
+// Unlimited is a limit that no connection reaches, in bytes.
 const Unlimited = 1 << 40
 
-// Limits says after how many bytes a connection is cut in each direction.
+// Limits holds the number of bytes after which a connection is closed, for
+// each direction.
 type Limits struct{ Request, Answer int64 }
 
-// LimitListener cuts each connection of an inner listener at a byte.
+// LimitListener closes each connection that it accepts after a given number of
+// bytes.
 type LimitListener struct {
 	net.Listener
-	// Plan gives the limits of the next connection.
+	// Plan returns the limits of the next connection.
 	Plan func() Limits
 
-	requests, answers atomic.Int64
+	requestBytes, answerBytes atomic.Int64
 }
 
-// Passed returns the bytes that all connections passed on so far.
-func (l *LimitListener) Passed() (requests, answers int64) {
-	return l.requests.Load(), l.answers.Load()
+// Passed returns the total number of bytes read from (requests) and written to
+// (answers) all connections.
+func (l *LimitListener) Passed() (requestBytes, answerBytes int64) {
+	return l.requestBytes.Load(), l.answerBytes.Load()
 }
 
 // Accept implements net.Listener.
@@ -32,33 +35,33 @@
 	if err != nil {
 		return nil, err
 	}
-	return &limitConn{Conn: conn, listener: l, left: l.Plan()}, nil
+	return &limitConn{Conn: conn, listener: l, remaining: l.Plan()}, nil
 }
 
-// limitConn is the server's side of a connection.
+// limitConn is the server side of a connection.
 type limitConn struct {
 	net.Conn
-	listener *LimitListener
-	left     Limits
+	listener  *LimitListener
+	remaining Limits
 }
 
 // Read implements net.Conn.
 func (c *limitConn) Read(p []byte) (int, error) {
-	if c.left.Request == 0 {
+	if c.remaining.Request == 0 {
 		_ = c.Close()
 		return 0, io.EOF
 	}
-	n, err := c.Conn.Read(p[:min(int64(len(p)), c.left.Request)])
-	c.left.Request -= int64(n)
-	c.listener.requests.Add(int64(n))
+	n, err := c.Conn.Read(p[:min(int64(len(p)), c.remaining.Request)])
+	c.remaining.Request -= int64(n)
+	c.listener.requestBytes.Add(int64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
 func (c *limitConn) Write(p []byte) (int, error) {
-	n, err := c.Conn.Write(p[:min(int64(len(p)), c.left.Answer)])
-	c.left.Answer -= int64(n)
-	c.listener.answers.Add(int64(n))
+	n, err := c.Conn.Write(p[:min(int64(len(p)), c.remaining.Answer)])
+	c.remaining.Answer -= int64(n)
+	c.listener.answerBytes.Add(int64(n))
 	if n < len(p) {
 		_ = c.Close()
 		return n, net.ErrClosed
--- a/internal/standin/cut/listener.go
+++ b/internal/standin/cut/listener.go
@@ -6,13 +6,13 @@
 	"net"
 )
 
-// headListener cuts connections of an inner listener at BeforeHead.
+// headListener cuts the connections that it accepts at BeforeHead.
 type headListener struct {
 	net.Listener
 	Cutter *Cutter
-	// Spared are the starts of requests that are never cut, for example
-	// "POST /faults".
-	Spared [][]byte
+	// UncutPrefixes are prefixes of request lines, for example "POST /faults".
+	// Requests that begin with one of them are never cut.
+	UncutPrefixes [][]byte
 }
 
 // Accept implements net.Listener.
@@ -21,41 +21,41 @@
 	if err != nil {
 		return nil, err
 	}
-	return &cutConn{Conn: conn, listener: l}, nil
+	return &headConn{Conn: conn, listener: l}, nil
 }
 
-type cutConn struct {
+type headConn struct {
 	net.Conn
 	listener *headListener
-	// first is a lone first byte of a request: the server reads it apart when
-	// it watches a connection for its end.
-	first []byte
+	// firstByte is the first byte of a request if it was read alone: net/http
+	// reads a single byte when it watches a connection for its end.
+	firstByte []byte
 }
 
-// Read implements net.Conn. It swallows the start of a request and closes the
-// connection if the plan says so.
-func (c *cutConn) Read(p []byte) (int, error) {
+// Read implements net.Conn. If the plan has a cut at BeforeHead, it discards
+// the start of the request and closes the connection.
+func (c *headConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n == 0 {
 		return n, err
 	}
-	start := append(c.first, p[:n]...)
-	c.first = nil
+	start := append(c.firstByte, p[:n]...)
+	c.firstByte = nil
 	if len(start) == 1 {
-		c.first = start
+		c.firstByte = start
 		return n, err
 	}
-	if c.listener.affects(start) && c.listener.Cutter.Take(BeforeHead) {
+	if c.listener.mayCut(start) && c.listener.Cutter.Take(BeforeHead) {
 		c.Conn.Close()
 		return 0, io.EOF
 	}
 	return n, err
 }
 
-// affects says whether data is the start of a request that may be cut.
-func (l *headListener) affects(data []byte) bool {
-	for _, start := range l.Spared {
-		if bytes.HasPrefix(data, start) {
+// mayCut reports whether data is the start of a request that may be cut.
+func (l *headListener) mayCut(data []byte) bool {
+	for _, prefix := range l.UncutPrefixes {
+		if bytes.HasPrefix(data, prefix) {
 			return false
 		}
 	}
--- a/internal/standin/cut/server.go
+++ b/internal/standin/cut/server.go
@@ -10,18 +10,20 @@
 	"time"
 )
 
-// Server serves a stand-in over TCP.
+// Server serves a stand-in's HTTP API on a TCP address and cuts its
+// connections at BeforeHead.
 type Server struct {
-	// Listen is the address to listen on. Default: 127.0.0.1 with a free port.
+	// Listen is the address to listen on. Default: a free port of 127.0.0.1.
 	Listen  string
 	Handler http.Handler
 	Cutter  *Cutter
-	// Spared are the starts of requests that are never cut before their head.
-	Spared [][]byte
+	// UncutPrefixes are prefixes of request lines; requests that begin with one
+	// of them are never cut at BeforeHead.
+	UncutPrefixes [][]byte
 
-	mu       sync.Mutex
-	listener net.Listener
-	serving  *http.Server
+	mu         sync.Mutex
+	listener   net.Listener
+	httpServer *http.Server
 }
 
 const (
@@ -29,7 +31,7 @@
 	stopTimeout   = 5 * time.Second
 )
 
-// Bind takes the address, so that Address is known before Run.
+// Bind starts to listen, so that Address is known before Run.
 func (s *Server) Bind() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,11 +46,11 @@
 	if err != nil {
 		return fmt.Errorf("cut: listen: %w", err)
 	}
-	s.listener = &headListener{Listener: inner, Cutter: s.Cutter, Spared: s.Spared}
+	s.listener = &headListener{Listener: inner, Cutter: s.Cutter, UncutPrefixes: s.UncutPrefixes}
 	return nil
 }
 
-// Address returns the bound address; empty before Bind.
+// Address returns the address that the server listens on; empty before Bind.
 func (s *Server) Address() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,14 +61,14 @@
 }
 
 // Run serves until ctx ends. It then waits up to 5 s for the requests in
-// progress and cuts what is left.
+// progress and closes the remaining connections.
 func (s *Server) Run(ctx context.Context) error {
 	if err := s.Bind(); err != nil {
 		return err
 	}
 	srv := &http.Server{Handler: s.Handler, ReadHeaderTimeout: stopTimeout}
 	s.mu.Lock()
-	s.serving = srv
+	s.httpServer = srv
 	s.mu.Unlock()
 	stopped := make(chan struct{})
 	go func() {
@@ -86,12 +88,12 @@
 	return nil
 }
 
-// Kill closes the listener and all connections at once, as the end of the
-// process would. Run still returns only when its context ends. Before Run it
+// Kill closes the listener and all connections at once, as if the process had
+// been killed. Run still returns only when its context ends. Before Run, Kill
 // does nothing.
 func (s *Server) Kill() {
 	s.mu.Lock()
-	srv := s.serving
+	srv := s.httpServer
 	s.mu.Unlock()
 	if srv != nil {
 		srv.Close()
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -44,10 +44,10 @@
 	e.versions.loaded = slices.Clone(opts.Versions)
 	e.faults.random = rand.New(rand.NewPCG(opts.Seed, opts.Seed))
 	e.server = &cut.Server{
-		Listen:  opts.Listen,
-		Handler: e.Handler(),
-		Cutter:  &e.cutter,
-		Spared:  spared(),
+		Listen:        opts.Listen,
+		Handler:       e.Handler(),
+		Cutter:        &e.cutter,
+		UncutPrefixes: spared(),
 	}
 	e.recordLoad()
 	return e
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -86,10 +86,10 @@
 	}
 	s := &Service{opts: opts}
 	s.server = &cut.Server{
-		Listen:  opts.Listen,
-		Handler: s.Handler(),
-		Cutter:  &s.cutter,
-		Spared:  [][]byte{[]byte("GET /load"), []byte("GET /arrivals"), []byte("POST /faults")},
+		Listen:        opts.Listen,
+		Handler:       s.Handler(),
+		Cutter:        &s.cutter,
+		UncutPrefixes: [][]byte{[]byte("GET /load"), []byte("GET /arrivals"), []byte("POST /faults")},
 	}
 	return s
 }
