--- a/internal/standin/service/arrivals.go
+++ b/internal/standin/service/arrivals.go
@@ -6,31 +6,32 @@
 	"sync"
 )
 
-// Arrival is what the service really got and did for one request id and
-// request key.
+// Arrival counts what the service received and did for one pair of request ID
+// and request key.
 type Arrival struct {
 	RequestID string `json:"request_id"`
-	// RequestKey is empty if the caller gave none.
+	// RequestKey is empty if the request has none.
 	RequestKey string `json:"request_key,omitempty"`
-	// Heads counts the requests whose head was read, Bodies those whose body
-	// was read whole.
+	// Heads counts the requests whose header was read, Bodies those whose body
+	// was read to its end.
 	Heads  int `json:"heads"`
 	Bodies int `json:"bodies"`
-	// Runs counts the runs.
+	// Runs counts the runs that started.
 	Runs int `json:"runs"`
-	// Refused counts the refusals that said "not run".
+	// Refused counts the error responses that state that the request wasn't
+	// run.
 	Refused int `json:"refused"`
 }
 
-// Arrivals is the answer of GET /arrivals.
+// Arrivals is the response body of GET /arrivals.
 type Arrivals struct {
 	Arrivals []Arrival `json:"arrivals"`
-	// RunsByKey sums the runs over the request ids of each request key.
+	// RunsByKey is the number of runs of each request key, over all request IDs.
 	RunsByKey map[string]int `json:"runs_by_key"`
 }
 
 type arrivalKey struct {
-	id, key string
+	requestID, requestKey string
 }
 
 type arrivalLog struct {
@@ -38,13 +39,13 @@
 	byKey map[arrivalKey]*Arrival
 }
 
-func (l *arrivalLog) note(id, key string, change func(*Arrival)) {
+func (l *arrivalLog) record(id, key string, change func(*Arrival)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.byKey == nil {
 		l.byKey = make(map[arrivalKey]*Arrival)
 	}
-	k := arrivalKey{id: id, key: key}
+	k := arrivalKey{requestID: id, requestKey: key}
 	a := l.byKey[k]
 	if a == nil {
 		a = &Arrival{RequestID: id, RequestKey: key}
@@ -69,11 +70,12 @@
 	return out
 }
 
-// Arrivals returns what came and ran so far.
+// Arrivals returns the counts of all requests so far, sorted by request ID and
+// request key.
 func (s *Service) Arrivals() Arrivals { return s.arrivals.list() }
 
-// Arrival returns the sums over all request keys that came with the request
-// id.
+// Arrival returns the counts of the request ID, summed over its request keys.
+// RequestKey is the last of them in sort order.
 func (s *Service) Arrival(requestID string) Arrival {
 	sum := Arrival{RequestID: requestID}
 	for _, a := range s.arrivals.list().Arrivals {
--- a/internal/standin/service/faults.go
+++ b/internal/standin/service/faults.go
@@ -7,27 +7,27 @@
 	"github.com/quetzalweir/quetzalweir/internal/standin/cut"
 )
 
-// Faults are the faults in force; POST /faults replaces them all. The zero
-// value is a healthy service.
+// Faults configures the injected faults; POST /faults replaces them all. The
+// zero value is a service without faults.
 type Faults struct {
-	// StallMs stops all work for this long from now on, SlowMs lengthens each
-	// run; both in milliseconds.
+	// StallMs pauses all runs for this long from now on, SlowMs is added to the
+	// duration of each run; both are in milliseconds.
 	StallMs int64 `json:"stall_ms,omitempty"`
 	SlowMs  int64 `json:"slow_ms,omitempty"`
-	// Cut breaks connections of calls; its Frames don't count here.
+	// Cut closes connections of requests. Its field Frames is ignored.
 	Cut cut.Plan `json:"cut"`
-	// Crossed is how many answers carry another request's id.
+	// Crossed is how many of the next responses have the ID of another request.
 	Crossed int `json:"crossed,omitempty"`
-	// Status replaces the status of answers; 0 is 200.
+	// Status is the HTTP status of responses; 0 means 200.
 	Status int `json:"status,omitempty"`
-	// Leaving refuses new work and says so in the load report.
+	// Leaving refuses new requests and sets Leaving in the load report.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
 type faultState struct {
-	mu      sync.Mutex
-	faults  Faults
-	stalled time.Time
+	mu           sync.Mutex
+	faults       Faults
+	stalledUntil time.Time
 }
 
 func (s *faultState) get() Faults {
@@ -36,16 +36,16 @@
 	return s.faults
 }
 
-// wait takes the time of a run, with a slow or stalled service.
-func (s *faultState) wait(run time.Duration) {
+// simulateRun sleeps for the duration of a run, the rest of a stall and SlowMs.
+func (s *faultState) simulateRun(run time.Duration) {
 	s.mu.Lock()
 	slow := time.Duration(s.faults.SlowMs) * time.Millisecond
-	stall := max(time.Until(s.stalled), 0)
+	stall := max(time.Until(s.stalledUntil), 0)
 	s.mu.Unlock()
 	time.Sleep(stall + run + slow)
 }
 
-func (s *faultState) takeCrossed() bool {
+func (s *faultState) consumeCrossed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.Crossed <= 0 {
@@ -55,11 +55,11 @@
 	return true
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces all faults.
 func (s *Service) SetFaults(f Faults) {
 	s.cutter.Set(f.Cut)
 	s.faults.mu.Lock()
 	defer s.faults.mu.Unlock()
 	s.faults.faults = f
-	s.faults.stalled = time.Now().Add(time.Duration(f.StallMs) * time.Millisecond)
+	s.faults.stalledUntil = time.Now().Add(time.Duration(f.StallMs) * time.Millisecond)
 }
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,7 +1,8 @@
-// Package service is a small stand-in for a plain service: it counts what
-// really ran and gives deterministic answers, with faults on demand.
+// Package service is a stand-in for a service that isn't a model engine: it
+// counts the runs of each request, returns deterministic answers and injects
+// faults on request.
 //
-// It is for tests and development, and keeps everything that arrived in memory.
+// It is for tests and development. Its counts stay in memory without limit.
 package service
 
 import (
@@ -22,8 +23,8 @@
 	"github.com/quetzalweir/quetzalweir/upstream"
 )
 
-// Headers that can hold the caller's request key; the first that is set
-// counts.
+// Headers that can hold the caller's request key; the first one that is set is
+// used.
 const (
 	headerRequestKey     = "Quetzalweir-Request-Key"
 	HeaderIdempotencyKey = "Idempotency-Key"
@@ -32,33 +33,35 @@
 // DefaultCapacity is the default of Options.Capacity.
 const DefaultCapacity = 64
 
-// Options are the settings of New. Zero values mean the defaults.
+// Options configures New. Zero values select the defaults.
 type Options struct {
-	// Listen is the address to listen on. Default: 127.0.0.1, a free port.
+	// Listen is the address to listen on. Default: a free port of 127.0.0.1.
 	Listen string
-	// Name is the service's name, ID the host's, Zone its availability zone.
+	// Name is the name of the service, ID that of the host and Zone the host's
+	// availability zone.
 	Name string
 	ID   string
 	Zone string
-	// Capacity is reported as load; it isn't enforced. Default: 64.
+	// Capacity is the capacity in the load report; it isn't enforced. Default:
+	// 64.
 	Capacity int
-	// Time is how long each run takes. Default: none.
+	// Time is the duration of each run. Default: 0.
 	Time time.Duration
 }
 
-// Answer is the body of each answer.
+// Answer is the body of the response to each request that was run.
 type Answer struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
 	// Body is the request's body.
 	Body string `json:"body"`
-	// Confirmation is a number made from the rest, so that each right answer
-	// to a request is the same.
+	// Confirmation is a hash of the other fields, so that the correct answer to
+	// a request is always the same.
 	Confirmation string `json:"confirmation"`
 }
 
-// ExpectedAnswer returns the body that every service gives for the request.
-// The path holds the query.
+// ExpectedAnswer returns the response body of every service to the request. The
+// path includes the query.
 func ExpectedAnswer(method, path string, body []byte) []byte {
 	sum := xxhash.Sum64String(method + " " + path + "\n" + string(body))
 	answer := Answer{Method: method, Path: path, Body: string(body), Confirmation: fmt.Sprintf("C%016X", sum)}
@@ -69,7 +72,7 @@
 	return data
 }
 
-// Service is the stand-in.
+// Service is a stand-in for a service. Its methods are safe for concurrent use.
 type Service struct {
 	opts     Options
 	server   *cut.Server
@@ -79,7 +82,7 @@
 	cutter   cut.Cutter
 }
 
-// New returns a service that is not yet served.
+// New returns a service that doesn't listen yet.
 func New(opts Options) *Service {
 	if opts.Capacity == 0 {
 		opts.Capacity = DefaultCapacity
@@ -94,9 +97,9 @@
 	return s
 }
 
-// Handler returns the service's HTTP API: /load, /arrivals and /faults as
-// told, and an answer on every other path. A cut before the head of a request
-// works only under Run.
+// Handler returns the handler of the service's HTTP API: /load, /arrivals and
+// /faults, and an Answer on every other path. Cuts at BeforeHead work only
+// under Run.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/", s.serveCall)
@@ -109,43 +112,43 @@
 func (s *Service) serveCall(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(upstream.HeaderRequestID)
 	key := cmp.Or(r.Header.Get(headerRequestKey), r.Header.Get(HeaderIdempotencyKey))
-	s.arrivals.note(id, key, func(a *Arrival) { a.Heads++ })
+	s.arrivals.record(id, key, func(a *Arrival) { a.Heads++ })
 	body, err := s.cutter.ReadBody(r)
 	if err != nil {
 		return
 	}
-	s.arrivals.note(id, key, func(a *Arrival) { a.Bodies++ })
+	s.arrivals.record(id, key, func(a *Arrival) { a.Bodies++ })
 	if s.faults.get().Leaving {
 		s.refuse(w, id, key)
 		return
 	}
-	s.arrivals.note(id, key, func(a *Arrival) { a.Runs++ })
+	s.arrivals.record(id, key, func(a *Arrival) { a.Runs++ })
 	s.running.Add(1)
 	defer s.running.Add(-1)
-	s.faults.wait(s.opts.Time)
+	s.faults.simulateRun(s.opts.Time)
 	if s.cutter.Take(cut.BeforeAnswer) {
 		cut.Now()
 	}
 	s.answer(w, r, id, body)
 }
 
-// refuse answers a call that was not run.
+// refuse sends an error response that states that the request wasn't run.
 func (s *Service) refuse(w http.ResponseWriter, id, key string) {
-	s.arrivals.note(id, key, func(a *Arrival) { a.Refused++ })
+	s.arrivals.record(id, key, func(a *Arrival) { a.Refused++ })
 	w.Header().Set(upstream.HeaderNotRun, "1")
 	w.Header().Set("Retry-After", "1")
-	s.setLoad(w.Header())
+	s.setLoadHeaders(w.Header())
 	http.Error(w, "leaving", http.StatusServiceUnavailable)
 }
 
 func (s *Service) answer(w http.ResponseWriter, r *http.Request, id string, body []byte) {
 	data := ExpectedAnswer(r.Method, r.URL.RequestURI(), body)
-	if s.faults.takeCrossed() {
+	if s.faults.consumeCrossed() {
 		id = "another-" + id
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set(upstream.HeaderRequestID, id)
-	s.setLoad(w.Header())
+	s.setLoadHeaders(w.Header())
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
 	if status := s.faults.get().Status; status != 0 {
 		w.WriteHeader(status)
@@ -166,7 +169,7 @@
 	}
 }
 
-func (s *Service) setLoad(h http.Header) {
+func (s *Service) setLoadHeaders(h http.Header) {
 	load := s.load()
 	h.Set(upstream.HeaderLoad, fmt.Sprintf("%d/%d/%d", load.Running, load.Queued, load.Capacity))
 	if load.Leaving {
@@ -174,16 +177,16 @@
 	}
 }
 
-// Bind takes the address, so that Address is known before Run.
+// Bind starts to listen, so that Address is known before Run.
 func (s *Service) Bind() error { return s.server.Bind() }
 
-// Address returns the bound address; empty before Bind.
+// Address returns the address that the service listens on; empty before Bind.
 func (s *Service) Address() string { return s.server.Address() }
 
 // Run serves until ctx ends.
 func (s *Service) Run(ctx context.Context) error { return s.server.Run(ctx) }
 
-// Host returns the service's entry in a host list.
+// Host returns the service's entry for a host list.
 func (s *Service) Host() storage.Host {
 	state := storage.HostLive
 	if s.faults.get().Leaving {
