--- a/internal/standin/engine/answer.go
+++ b/internal/standin/engine/answer.go
@@ -10,26 +10,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// BadMark begins each answer of a version that a fault makes bad, so that a
-// stand-in of the rater can give it a low score.
+// BadMark is the prefix of every answer of a version with the fault Bad, so
+// that the rater's stand-in can give the answer a low score.
 const BadMark = "[bad]"
 
-// lengthPrefix begins the word of a prompt that sets the answer's length, for
-// example "tokens=200".
+// lengthPrefix is the prefix of a word in a prompt that sets the length of the
+// answer, for example "tokens=200".
 const lengthPrefix = "tokens="
 
 const (
-	minTokens = 8
-	maxTokens = 40
-	tokenCap  = 100_000
+	minTokens          = 8
+	maxTokens          = 40
+	maxRequestedTokens = 100_000
 )
 
 var vocabulary = strings.Fields(`lane lot bid hammer report paint tyre frame
 seller buyer stock part relay socket buffer note sheet order price day`)
 
-var errRequest = errors.New("engine: unreadable request")
+var errMalformedRequest = errors.New("engine: unreadable request")
 
-// chatRequest is the part of a chat-completions request that counts here.
+// chatRequest holds the fields of a chat-completions request that the engine
+// uses.
 type chatRequest struct {
 	Model    string `json:"model"`
 	Stream   bool   `json:"stream"`
@@ -41,7 +42,7 @@
 func parseRequest(body []byte) (chatRequest, error) {
 	var req chatRequest
 	if err := json.Unmarshal(body, &req); err != nil {
-		return req, errors.Join(errRequest, err)
+		return req, errors.Join(errMalformedRequest, err)
 	}
 	return req, nil
 }
@@ -54,24 +55,25 @@
 	return strings.Join(parts, "\n")
 }
 
-// ExpectedAnswer returns the text that every engine gives for the prompt. It
-// has 8 to 40 tokens, or N if the prompt has the word "tokens=N".
+// ExpectedAnswer returns the answer of every engine to the prompt. It has 8 to
+// 40 tokens, or N if the prompt contains the word "tokens=N".
 func ExpectedAnswer(model, version, prompt string) string {
 	return strings.Join(answerTokens(model+"@"+version, prompt), "")
 }
 
-// ExpectedBadAnswer returns the text that a version made bad gives.
+// ExpectedBadAnswer returns the answer of a version with the fault Bad.
 func ExpectedBadAnswer(model, version, prompt string) string {
 	return BadMark + " " + ExpectedAnswer(model, version, prompt)
 }
 
-// answerTokens returns the answer's tokens, each a word with its space.
-func answerTokens(versioned, prompt string) []string {
-	seed := xxhash.Sum64String(versioned + "\n" + prompt)
+// answerTokens returns the tokens of the answer: words with a trailing space,
+// the last with a full stop.
+func answerTokens(modelVersion, prompt string) []string {
+	seed := xxhash.Sum64String(modelVersion + "\n" + prompt)
 	random := rand.New(rand.NewPCG(seed, seed))
 	n := minTokens + random.IntN(maxTokens-minTokens+1)
-	if fixed := fixedLength(prompt); fixed > 0 {
-		n = fixed
+	if requested := requestedLength(prompt); requested > 0 {
+		n = requested
 	}
 	out := make([]string, n)
 	for i := range out {
@@ -81,7 +83,7 @@
 	return out
 }
 
-func fixedLength(prompt string) int {
+func requestedLength(prompt string) int {
 	for _, word := range strings.Fields(prompt) {
 		digits, ok := strings.CutPrefix(word, lengthPrefix)
 		if !ok {
@@ -89,7 +91,7 @@
 		}
 		n, err := strconv.Atoi(digits)
 		if err == nil && n > 0 {
-			return min(n, tokenCap)
+			return min(n, maxRequestedTokens)
 		}
 	}
 	return 0
--- a/internal/standin/engine/arrivals.go
+++ b/internal/standin/engine/arrivals.go
@@ -6,27 +6,29 @@
 	"sync"
 )
 
-// Arrival is what the engine really got and did for one request id.
+// Arrival counts what the engine received and did for one request ID.
 type Arrival struct {
 	RequestID string `json:"request_id"`
-	// Model is "model@version" as the last body said.
+	// Model is "model@version" from the last request body.
 	Model    string `json:"model,omitempty"`
 	Priority string `json:"priority,omitempty"`
-	// Heads counts the requests whose head was read, Bodies those whose body
-	// was read whole.
+	// Heads counts the requests whose header was read, Bodies those whose body
+	// was read to its end.
 	Heads  int `json:"heads"`
 	Bodies int `json:"bodies"`
-	// Began and Finished count the runs.
+	// Began counts the requests that started to run, Finished the runs that
+	// completed.
 	Began    int `json:"began"`
 	Finished int `json:"finished"`
-	// Refused counts the refusals that said "not run".
+	// Refused counts the error responses that state that the request wasn't
+	// run.
 	Refused int `json:"refused"`
 	Resumed int `json:"resumed"`
-	// Cancelled counts the cancellations that came.
+	// Cancelled counts the cancellations of a running or resumable request.
 	Cancelled int `json:"cancelled"`
 }
 
-// Arrivals is the answer of GET /arrivals.
+// Arrivals is the response body of GET /arrivals.
 type Arrivals struct {
 	Arrivals []Arrival `json:"arrivals"`
 }
@@ -36,7 +38,7 @@
 	byID map[string]*Arrival
 }
 
-func (l *arrivalLog) note(requestID string, change func(*Arrival)) {
+func (l *arrivalLog) record(requestID string, change func(*Arrival)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.byID == nil {
@@ -63,7 +65,8 @@
 	return out
 }
 
-// Arrival returns what came with the request id; zero counts if nothing did.
+// Arrival returns the counts of the request ID; they are zero if it was never
+// received.
 func (e *Engine) Arrival(requestID string) Arrival {
 	e.arrivals.mu.Lock()
 	defer e.arrivals.mu.Unlock()
@@ -73,5 +76,5 @@
 	return Arrival{RequestID: requestID}
 }
 
-// Arrivals returns what came so far.
+// Arrivals returns the counts of all request IDs, sorted by ID.
 func (e *Engine) Arrivals() Arrivals { return e.arrivals.list() }
--- a/internal/standin/engine/completions.go
+++ b/internal/standin/engine/completions.go
@@ -15,7 +15,7 @@
 func (e *Engine) serveCompletion(w http.ResponseWriter, r *http.Request) {
 	requestID := r.Header.Get(upstream.HeaderRequestID)
 	priority := r.Header.Get(upstream.HeaderPriority)
-	e.arrivals.note(requestID, func(a *Arrival) {
+	e.arrivals.record(requestID, func(a *Arrival) {
 		a.Heads++
 		a.Priority = priority
 	})
@@ -28,52 +28,53 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	e.arrivals.note(requestID, func(a *Arrival) {
+	e.arrivals.record(requestID, func(a *Arrival) {
 		a.Bodies++
 		a.Model = req.Model
 	})
-	e.faults.waitStall()
+	e.faults.waitWhileStalled()
 	level, _ := strconv.Atoi(priority)
 	if err := e.admit(r.Context(), req.Model, level); err != nil {
 		e.refuse(w, requestID, err)
 		return
 	}
-	e.arrivals.note(requestID, func(a *Arrival) { a.Began++ })
-	if e.faults.fails(req.Model) {
+	e.arrivals.record(requestID, func(a *Arrival) { a.Began++ })
+	if e.faults.drawFailure(req.Model) {
 		e.slots.release()
 		http.Error(w, "injected error", http.StatusInternalServerError)
 		return
 	}
-	e.begin(w, r, requestID, req)
+	e.startRun(w, r, requestID, req)
 }
 
-// admit waits for a slot. After an error the request has not begun.
-func (e *Engine) admit(ctx context.Context, versioned string, priority int) error {
+// admit waits until the request may run and takes a slot for it. If it returns
+// an error, the request hasn't started and holds no slot.
+func (e *Engine) admit(ctx context.Context, modelVersion string, priority int) error {
 	if e.faults.get().Leaving {
 		return errLeaving
 	}
-	if !e.versions.has(versioned) {
-		return errUnloaded
+	if !e.versions.has(modelVersion) {
+		return errNotLoaded
 	}
-	if err := e.slots.acquire(ctx, versioned, priority); err != nil {
+	if err := e.slots.acquire(ctx, modelVersion, priority); err != nil {
 		return err
 	}
-	if !e.versions.has(versioned) {
+	if !e.versions.has(modelVersion) {
 		e.slots.release()
-		return errUnloaded
+		return errNotLoaded
 	}
 	return nil
 }
 
-// refuse answers a request that has not begun.
+// refuse sends an error response that states that the request wasn't run.
 func (e *Engine) refuse(w http.ResponseWriter, requestID string, cause error) {
-	e.arrivals.note(requestID, func(a *Arrival) { a.Refused++ })
+	e.arrivals.record(requestID, func(a *Arrival) { a.Refused++ })
 	h := w.Header()
 	h.Set(upstream.HeaderNotRun, "1")
-	e.setLoad(h)
+	e.setLoadHeaders(h)
 	status := http.StatusServiceUnavailable
 	switch {
-	case errors.Is(cause, errUnloaded):
+	case errors.Is(cause, errNotLoaded):
 		status = http.StatusConflict
 	case errors.Is(cause, errQueueFull):
 		status = http.StatusTooManyRequests
@@ -84,9 +85,9 @@
 	http.Error(w, cause.Error(), status)
 }
 
-// begin starts the run, which goes on without the connection, and delivers
-// its answer.
-func (e *Engine) begin(w http.ResponseWriter, r *http.Request, requestID string, req chatRequest) {
+// startRun starts the run and streams its answer. The run continues if the
+// connection is closed.
+func (e *Engine) startRun(w http.ResponseWriter, r *http.Request, requestID string, req chatRequest) {
 	ctx, cancel := context.WithCancel(e.ctx)
 	j := newJob(requestID, req.Model, cancel)
 	e.jobs.put(j)
@@ -102,16 +103,16 @@
 	if e.cutter.Take(cut.BeforeAnswer) {
 		cut.Now()
 	}
-	e.writeHead(w, j)
-	e.deliver(w, r, j, 0, false)
+	e.writeHeaders(w, j)
+	e.sendFrames(w, r, j, 0, false)
 }
 
-func (e *Engine) writeHead(w http.ResponseWriter, j *job) {
+func (e *Engine) writeHeaders(w http.ResponseWriter, j *job) {
 	h := w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set(upstream.HeaderRequestID, j.requestID)
-	h.Set(upstream.HeaderModelVersion, j.versioned)
-	e.setLoad(h)
+	h.Set(upstream.HeaderModelVersion, j.modelVersion)
+	e.setLoadHeaders(h)
 	w.WriteHeader(http.StatusOK)
 }
 
@@ -122,19 +123,19 @@
 		http.Error(w, "no such stream", http.StatusNotFound)
 		return
 	}
-	after, ok := lastNumber(r.Header.Get(upstream.HeaderLastEventID), requestID)
+	after, ok := parseEventID(r.Header.Get(upstream.HeaderLastEventID), requestID)
 	if !ok {
 		http.Error(w, "unreadable Last-Event-ID", http.StatusBadRequest)
 		return
 	}
-	e.arrivals.note(requestID, func(a *Arrival) { a.Resumed++ })
-	e.faults.waitStall()
-	e.writeHead(w, j)
-	e.deliver(w, r, j, after, true)
+	e.arrivals.record(requestID, func(a *Arrival) { a.Resumed++ })
+	e.faults.waitWhileStalled()
+	e.writeHeaders(w, j)
+	e.sendFrames(w, r, j, after, true)
 }
 
-// lastNumber reads the number in "<request id>:<number>".
-func lastNumber(eventID, requestID string) (n int, ok bool) {
+// parseEventID returns the frame number in "<request id>:<number>".
+func parseEventID(eventID, requestID string) (n int, ok bool) {
 	digits, ok := strings.CutPrefix(eventID, requestID+":")
 	if !ok {
 		return 0, false
@@ -150,7 +151,7 @@
 		http.Error(w, "no such stream", http.StatusNotFound)
 		return
 	}
-	e.arrivals.note(requestID, func(a *Arrival) { a.Cancelled++ })
+	e.arrivals.record(requestID, func(a *Arrival) { a.Cancelled++ })
 	j.cancel()
 	e.jobs.remove(j)
 	w.WriteHeader(http.StatusNoContent)
--- a/internal/standin/engine/deliver.go
+++ b/internal/standin/engine/deliver.go
@@ -7,27 +7,31 @@
 	"github.com/quetzalweir/quetzalweir/internal/standin/cut"
 )
 
-// delivery sends a job's frames over one connection, with the frame faults.
+// delivery sends the frames of a job over one connection and applies the frame
+// faults. A frame is one server-sent event.
 type delivery struct {
 	engine *Engine
 	job    *job
 	faults Faults
 	w      http.ResponseWriter
-	// resumed says that this isn't the first connection of the answer.
+	// resumed is whether the connection resumes an answer that began on another
+	// one.
 	resumed bool
-	// sent counts the events on this connection; a cut comes after cutAfter
-	// of them, unless that is negative.
+	// sent counts the frames of the job sent on this connection, which is cut
+	// after cutAfter of them unless that is noCut.
 	sent     int
 	cutAfter int
-	// held are frames that go out later, by the number they follow.
-	held map[int][]int
+	// delayed holds the numbers of frames to send late, by the number of the
+	// frame after which they are sent.
+	delayed map[int][]int
 }
 
 const noCut = -1
 
-// deliver sends the frames above number after until the answer's end.
-func (e *Engine) deliver(w http.ResponseWriter, r *http.Request, j *job, after int, resumed bool) {
-	d := &delivery{engine: e, job: j, faults: e.faults.get(), w: w, resumed: resumed, cutAfter: noCut, held: make(map[int][]int)}
+// sendFrames sends the frames with numbers above after until the end of the
+// answer.
+func (e *Engine) sendFrames(w http.ResponseWriter, r *http.Request, j *job, after int, resumed bool) {
+	d := &delivery{engine: e, job: j, faults: e.faults.get(), w: w, resumed: resumed, cutAfter: noCut, delayed: make(map[int][]int)}
 	if e.cutter.Take(cut.MidAnswer) {
 		d.cutAfter = e.cutter.Frames()
 	}
@@ -35,83 +39,85 @@
 	_ = control.Flush()
 	d.cutIfDue()
 	for {
-		frames, done, grown := j.from(after)
+		frames, done, changed := j.framesAfter(after)
 		for range frames {
-			e.faults.waitStall()
+			e.faults.waitWhileStalled()
 			after++
-			d.frame(after)
+			d.sendFrame(after)
 		}
 		if done {
-			d.flushHeld()
+			d.flushDelayed()
 			return
 		}
 		if control.Flush() != nil {
 			return
 		}
 		select {
-		case <-grown:
+		case <-changed:
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
 
-// frame sends the frame with number n, or holds it back.
-func (d *delivery) frame(n int) {
-	if hits(d.faults.LoseEvery, n) && !d.resumed {
+// sendFrame sends frame n with the faults that apply to it. Frames of a resumed
+// stream are neither dropped nor delayed.
+func (d *delivery) sendFrame(n int) {
+	if isEveryNth(d.faults.LoseEvery, n) && !d.resumed {
 		return
 	}
-	if hits(d.faults.CrossEvery, n) {
-		d.crossed(n)
+	if isEveryNth(d.faults.CrossEvery, n) {
+		d.sendCrossedFrame(n)
 	}
-	if by := d.delay(n); by > 0 && !d.resumed {
-		d.held[n+by] = append(d.held[n+by], n)
+	if by := d.frameDelay(n); by > 0 && !d.resumed {
+		d.delayed[n+by] = append(d.delayed[n+by], n)
 		return
 	}
-	d.event(n)
-	if hits(d.faults.DuplicateEvery, n) {
-		d.event(n)
+	d.writeFrame(n)
+	if isEveryNth(d.faults.DuplicateEvery, n) {
+		d.writeFrame(n)
 	}
-	for _, late := range d.held[n] {
-		d.event(late)
+	for _, late := range d.delayed[n] {
+		d.writeFrame(late)
 	}
-	delete(d.held, n)
+	delete(d.delayed, n)
 }
 
-// delay is by how many frames the frame n comes too late.
-func (d *delivery) delay(n int) int {
-	if hits(d.faults.ReorderEvery, n) {
+// frameDelay returns by how many frames frame n is delayed; 0 means not at all.
+func (d *delivery) frameDelay(n int) int {
+	if isEveryNth(d.faults.ReorderEvery, n) {
 		return 1
 	}
-	if hits(d.faults.LateEvery, n) {
+	if isEveryNth(d.faults.LateEvery, n) {
 		return d.faults.LateBy
 	}
 	return 0
 }
 
-// flushHeld sends the frames that are held back beyond the end mark.
-func (d *delivery) flushHeld() {
-	for _, numbers := range d.held {
+// flushDelayed sends the frames that are still delayed after the last frame.
+func (d *delivery) flushDelayed() {
+	for _, numbers := range d.delayed {
 		for _, n := range numbers {
-			d.event(n)
+			d.writeFrame(n)
 		}
 	}
 }
 
-func (d *delivery) event(n int) {
-	frames, _, _ := d.job.from(n - 1)
+func (d *delivery) writeFrame(n int) {
+	frames, _, _ := d.job.framesAfter(n - 1)
 	writeEvent(d.w, d.job.eventID(n), frames[0])
 	d.sent++
 	d.cutIfDue()
 }
 
-// crossed sends a frame of another job, or an invented one without another.
-func (d *delivery) crossed(n int) {
-	other := d.engine.jobs.stranger(d.job)
+// sendCrossedFrame sends a frame of another job; if there is none, it makes one
+// up.
+func (d *delivery) sendCrossedFrame(n int) {
+	other := d.engine.jobs.otherThan(d.job)
 	if other == nil {
-		other = newJob("another-"+d.job.requestID, d.job.versioned, nil)
+		other = newJob("another-"+d.job.requestID, d.job.modelVersion, nil)
 	}
-	frames, _, _ := other.from(0)
+	frames, _, _ := other.framesAfter(0)
 	data := other.chunk([]choice{{Delta: delta{Content: "crossed "}}}, nil)
 	if len(frames) > 0 {
 		n = min(n, len(frames))
@@ -132,6 +138,6 @@
 	fmt.Fprintf(w, "id: %s\ndata: %s\n\n", id, data)
 }
 
-func hits(every, n int) bool {
+func isEveryNth(every, n int) bool {
 	return every > 0 && n%every == 0
 }
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -17,19 +17,19 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// start serves an engine for the test.
-func start(t *testing.T, opts Options) (*Engine, upstream.Target) {
+// startEngine starts an engine that is stopped at the end of the test.
+func startEngine(t *testing.T, opts Options) (*Engine, upstream.Target) {
 	t.Helper()
 	e := New(opts)
 	if err := e.Bind(); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- e.Run(ctx) }()
+	runErr := make(chan error, 1)
+	go func() { runErr <- e.Run(ctx) }()
 	t.Cleanup(func() {
 		cancel()
-		if err := <-ended; err != nil {
+		if err := <-runErr; err != nil {
 			t.Error(err)
 		}
 	})
@@ -43,13 +43,13 @@
 	return c
 }
 
-func callFor(id, version, prompt string) upstream.Call {
+func newCall(id, version, prompt string) upstream.Call {
 	body := fmt.Sprintf(`{"model":"m","messages":[{"role":"user","content":%q}]}`, prompt)
 	return upstream.Call{RequestID: id, Model: "m", Version: version, Body: []byte(body)}
 }
 
-// ask sends a call and returns the whole answer.
-func ask(t *testing.T, c *upstream.EngineClient, target upstream.Target, call upstream.Call) (string, upstream.Usage, error) {
+// readAnswer sends a call and reads the answer to its end.
+func readAnswer(t *testing.T, c *upstream.EngineClient, target upstream.Target, call upstream.Call) (string, upstream.Usage, error) {
 	t.Helper()
 	var state runstate.Tracker
 	s, err := c.Open(t.Context(), target, call, &state)
@@ -72,27 +72,28 @@
 
 func TestAnswersAndCachesPrefix(t *testing.T) {
 	is := is.New(t)
-	e, target := start(t, Options{ID: "e1", Versions: []string{"m@1"}})
+	e, target := startEngine(t, Options{ID: "e1", Versions: []string{"m@1"}})
 	c := newClient(t)
 	prompt := "a b c d e f g h i j k l m n o p q r"
-	text, usage, err := ask(t, c, target, callFor("r1", "1", prompt))
+	text, usage, err := readAnswer(t, c, target, newCall("r1", "1", prompt))
 	is.NoErr(err)
 	is.Equal(text, ExpectedAnswer("m", "1", prompt))
 	is.Equal(usage.PromptTokens, 18)
 	is.Equal(usage.CachedTokens, 0)
-	_, usage, err = ask(t, c, target, callFor("r2", "1", prompt+" s"))
+	_, usage, err = readAnswer(t, c, target, newCall("r2", "1", prompt+" s"))
 	is.NoErr(err)
 	is.Equal(usage.CachedTokens, blockTokens)
 	is.Equal(e.Arrival("r1"), Arrival{RequestID: "r1", Model: "m@1", Priority: "0", Heads: 1, Bodies: 1, Began: 1, Finished: 1})
 }
 
-// A killed engine breaks the answer in progress and takes no connection.
+// Kill ends the answer in progress with an error, and the engine accepts no
+// further connection.
 func TestKill(t *testing.T) {
 	is := is.New(t)
-	e, target := start(t, Options{ID: "e1", Versions: []string{"m@1"}, TimePerToken: time.Minute})
+	e, target := startEngine(t, Options{ID: "e1", Versions: []string{"m@1"}, TimePerToken: time.Minute})
 	c := newClient(t)
 	var state runstate.Tracker
-	s, err := c.Open(t.Context(), target, callFor("r1", "1", "a"), &state)
+	s, err := c.Open(t.Context(), target, newCall("r1", "1", "a"), &state)
 	is.NoErr(err)
 	defer s.Close()
 	is.Equal(e.Load().Running, 1)
--- a/internal/standin/engine/faults.go
+++ b/internal/standin/engine/faults.go
@@ -8,53 +8,53 @@
 	"github.com/quetzalweir/quetzalweir/internal/standin/cut"
 )
 
-// Faults are the faults in force; POST /faults replaces them all. The zero
-// value is a healthy engine.
+// Faults configures the injected faults; POST /faults replaces them all. The
+// zero value is an engine without faults.
 type Faults struct {
-	// StallMs stops all work for this long from now on, in milliseconds.
+	// StallMs pauses all work for this long from now on, in milliseconds.
 	StallMs int64 `json:"stall_ms,omitempty"`
-	// Cut breaks connections of completions and resumed streams.
+	// Cut closes connections of completions and resumed streams.
 	Cut cut.Plan `json:"cut"`
-	// DuplicateEvery sends each n-th frame twice.
+	// DuplicateEvery sends every n-th frame twice.
 	DuplicateEvery int `json:"duplicate_every,omitempty"`
-	// ReorderEvery sends each n-th frame after its successor.
+	// ReorderEvery sends every n-th frame after its successor.
 	ReorderEvery int `json:"reorder_every,omitempty"`
-	// LateEvery sends each n-th frame LateBy frames later.
+	// LateEvery delays every n-th frame by LateBy frames.
 	LateEvery int `json:"late_every,omitempty"`
 	LateBy    int `json:"late_by,omitempty"`
-	// CrossEvery sends a frame of another request before each n-th frame.
+	// CrossEvery sends a frame of another request before every n-th frame.
 	CrossEvery int `json:"cross_every,omitempty"`
-	// LoseEvery leaves each n-th frame out, but not of a resumed stream.
+	// LoseEvery drops every n-th frame, except in resumed streams.
 	LoseEvery int `json:"lose_every,omitempty"`
-	// Versions are the faults of versions, by "model@version".
+	// Versions holds the faults of single versions, by "model@version".
 	Versions map[string]VersionFault `json:"versions,omitempty"`
-	// Leaving refuses new work and says so in the load report.
+	// Leaving refuses new requests and sets Leaving in the load report.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// VersionFault are the faults of one version.
+// VersionFault configures the faults of one version.
 type VersionFault struct {
-	// ErrorRate is the part of requests, from 0 to 1, that end with status 500
-	// after they began.
+	// ErrorRate is the fraction of requests, from 0 to 1, that fail with status
+	// 500 after they have started.
 	ErrorRate float64 `json:"error_rate,omitempty"`
-	// Slow multiplies the times of prefill and tokens; 0 is 1.
+	// Slow multiplies the times of prefill and of output tokens; 0 means 1.
 	Slow float64 `json:"slow,omitempty"`
-	// Bad marks the answers with BadMark.
+	// Bad puts BadMark in front of each answer.
 	Bad bool `json:"bad,omitempty"`
 }
 
 type faultState struct {
-	mu      sync.Mutex
-	faults  Faults
-	stalled time.Time
-	random  *rand.Rand
+	mu           sync.Mutex
+	faults       Faults
+	stalledUntil time.Time
+	random       *rand.Rand
 }
 
 func (s *faultState) set(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	s.stalled = time.Now().Add(time.Duration(f.StallMs) * time.Millisecond)
+	s.stalledUntil = time.Now().Add(time.Duration(f.StallMs) * time.Millisecond)
 }
 
 func (s *faultState) get() Faults {
@@ -63,38 +63,40 @@
 	return s.faults
 }
 
-// waitStall waits until the engine isn't stalled.
-func (s *faultState) waitStall() {
+// waitWhileStalled waits until the engine is no longer stalled.
+func (s *faultState) waitWhileStalled() {
 	for {
 		s.mu.Lock()
-		left := time.Until(s.stalled)
+		remaining := time.Until(s.stalledUntil)
 		s.mu.Unlock()
-		if left <= 0 {
+		if remaining <= 0 {
 			return
 		}
-		time.Sleep(min(left, stallPoll))
+		time.Sleep(min(remaining, stallPollInterval))
 	}
 }
 
-// stallPoll is how soon the lifting of a stall is seen.
-const stallPoll = 20 * time.Millisecond
+// stallPollInterval is how often waitWhileStalled checks whether SetFaults has
+// ended the stall early.
+const stallPollInterval = 20 * time.Millisecond
 
-// fails draws whether a request of the version ends with an error.
-func (s *faultState) fails(versioned string) bool {
+// drawFailure decides at random, by the version's ErrorRate, whether a request
+// fails.
+func (s *faultState) drawFailure(modelVersion string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	rate := s.faults.Versions[versioned].ErrorRate
+	rate := s.faults.Versions[modelVersion].ErrorRate
 	return rate > 0 && s.random.Float64() < rate
 }
 
-func (s *faultState) slow(versioned string) float64 {
-	if f := s.get().Versions[versioned].Slow; f > 0 {
+func (s *faultState) slowdown(modelVersion string) float64 {
+	if f := s.get().Versions[modelVersion].Slow; f > 0 {
 		return f
 	}
 	return 1
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces all faults.
 func (e *Engine) SetFaults(f Faults) {
 	e.cutter.Set(f.Cut)
 	e.faults.set(f)
--- a/internal/standin/engine/job.go
+++ b/internal/standin/engine/job.go
@@ -7,48 +7,49 @@
 	"sync"
 )
 
-const endMark = "[DONE]"
+const endOfStream = "[DONE]"
 
-// job is one run and its answer, which grows while it is read.
+// job is one run and its answer, which can be read while the run appends to it.
 type job struct {
-	requestID string
-	versioned string
-	cancel    context.CancelFunc
+	requestID    string
+	modelVersion string
+	cancel       context.CancelFunc
 
 	mu sync.Mutex
-	// frames are the data of the events; the one at index i has number i+1.
+	// frames holds the data of the frames generated so far; frames[i] has number
+	// i+1.
 	frames [][]byte
 	done   bool
-	// grown is closed and replaced when the answer grows.
-	grown chan struct{}
+	// changed is closed and replaced when a frame is appended.
+	changed chan struct{}
 }
 
-func newJob(requestID, versioned string, cancel context.CancelFunc) *job {
-	return &job{requestID: requestID, versioned: versioned, cancel: cancel, grown: make(chan struct{})}
+func newJob(requestID, modelVersion string, cancel context.CancelFunc) *job {
+	return &job{requestID: requestID, modelVersion: modelVersion, cancel: cancel, changed: make(chan struct{})}
 }
 
 func (j *job) append(data []byte, last bool) {
 	j.mu.Lock()
 	j.frames = append(j.frames, data)
 	j.done = last
-	close(j.grown)
-	j.grown = make(chan struct{})
+	close(j.changed)
+	j.changed = make(chan struct{})
 	j.mu.Unlock()
 }
 
-// from returns the frames above number n, whether the last of them ends the
-// answer, and a channel that is closed when there are more.
-func (j *job) from(n int) (frames [][]byte, done bool, grown <-chan struct{}) {
+// framesAfter returns the frames with numbers above n, whether the answer is
+// complete, and a channel that is closed when another frame is appended.
+func (j *job) framesAfter(n int) (frames [][]byte, done bool, changed <-chan struct{}) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.frames[min(n, len(j.frames)):], j.done, j.grown
+	return j.frames[min(n, len(j.frames)):], j.done, j.changed
 }
 
 func (j *job) eventID(number int) string {
 	return j.requestID + ":" + strconv.Itoa(number)
 }
 
-// Types of a chunk of an answer.
+// The JSON types of a chat-completions chunk.
 type (
 	chunk struct {
 		ID      string   `json:"id"`
@@ -78,7 +79,7 @@
 	data, err := json.Marshal(chunk{
 		ID:      j.requestID,
 		Object:  "chat.completion.chunk",
-		Model:   j.versioned,
+		Model:   j.modelVersion,
 		Choices: choices,
 		Usage:   u,
 	})
@@ -94,5 +95,5 @@
 
 func (j *job) appendEnd(u usage) {
 	j.append(j.chunk([]choice{}, &u), false)
-	j.append([]byte(endMark), true)
+	j.append([]byte(endOfStream), true)
 }
--- a/internal/standin/engine/jobs.go
+++ b/internal/standin/engine/jobs.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// jobTable holds the answers that can be resumed, by request id.
+// jobTable holds the jobs whose answers can be resumed, by request ID.
 type jobTable struct {
 	mu   sync.Mutex
 	byID map[string]*job
-	// other is an earlier job, whose frames serve as crossed ones.
-	other *job
+	// lastRemoved is the job last passed to remove. The fault CrossEvery uses
+	// its frames when the table has no other job.
+	lastRemoved *job
 }
 
 func (t *jobTable) put(j *job) {
@@ -28,18 +29,19 @@
 	return t.byID[requestID]
 }
 
-// remove drops the job unless a newer one has its id.
+// remove removes the job, unless a newer one has replaced it under its ID.
 func (t *jobTable) remove(j *job) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.byID[j.requestID] == j {
 		delete(t.byID, j.requestID)
 	}
-	t.other = j
+	t.lastRemoved = j
 }
 
-// stranger returns a job other than j, or nil.
-func (t *jobTable) stranger(j *job) *job {
+// otherThan returns a job with a request ID other than that of j if the table
+// has one, or else lastRemoved, which can be nil.
+func (t *jobTable) otherThan(j *job) *job {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, other := range t.byID {
@@ -47,10 +49,10 @@
 			return other
 		}
 	}
-	return t.other
+	return t.lastRemoved
 }
 
-// forgetLater drops the answer when it has been kept long enough.
-func (e *Engine) forgetLater(j *job) {
-	time.AfterFunc(e.opts.KeepAnswers, func() { e.jobs.remove(j) })
+// scheduleRemoval removes the job after AnswerRetention.
+func (e *Engine) scheduleRemoval(j *job) {
+	time.AfterFunc(e.opts.AnswerRetention, func() { e.jobs.remove(j) })
 }
--- a/internal/standin/engine/load.go
+++ b/internal/standin/engine/load.go
@@ -10,7 +10,7 @@
 	"github.com/quetzalweir/quetzalweir/upstream"
 )
 
-// loadHistory lets the load report lag.
+// loadHistory holds the past loads that a load report with LoadLag needs.
 type loadHistory struct {
 	mu      sync.Mutex
 	entries []loadEntry
@@ -21,16 +21,17 @@
 	load upstream.Load
 }
 
-// recordLoad notes the present load for later reports.
+// recordLoad adds the current load to the history and removes the entries that
+// no later load report needs.
 func (e *Engine) recordLoad() {
 	h := &e.history
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
 	h.entries = append(h.entries, loadEntry{at: now, load: e.currentLoad()})
-	cut := now.Add(-e.opts.LoadLag)
+	cutoff := now.Add(-e.opts.LoadLag)
 	keep := 0
-	for keep+1 < len(h.entries) && !h.entries[keep+1].at.After(cut) {
+	for keep+1 < len(h.entries) && !h.entries[keep+1].at.After(cutoff) {
 		keep++
 	}
 	h.entries = slices.Delete(h.entries, 0, keep)
@@ -47,15 +48,15 @@
 	}
 }
 
-// report returns the load as it was LoadLag ago.
-func (e *Engine) report() upstream.Load {
+// laggedLoad returns the load as it was LoadLag ago.
+func (e *Engine) laggedLoad() upstream.Load {
 	h := &e.history
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	cut := time.Now().Add(-e.opts.LoadLag)
+	cutoff := time.Now().Add(-e.opts.LoadLag)
 	load := h.entries[0].load
 	for _, entry := range h.entries {
-		if !entry.at.After(cut) {
+		if !entry.at.After(cutoff) {
 			load = entry.load
 		}
 	}
@@ -63,8 +64,8 @@
 	return load
 }
 
-// setLoad puts the present load on an answer's head.
-func (e *Engine) setLoad(h http.Header) {
+// setLoadHeaders writes the current load to the headers of a response.
+func (e *Engine) setLoadHeaders(h http.Header) {
 	load := e.currentLoad()
 	h.Set(upstream.HeaderLoad, fmt.Sprintf("%d/%d/%d", load.Running, load.Queued, load.Capacity))
 	if load.Leaving {
--- a/internal/standin/engine/model_test.go
+++ b/internal/standin/engine/model_test.go
@@ -16,8 +16,9 @@
 	"github.com/quetzalweir/quetzalweir/upstream"
 )
 
-// do sends a request straight to the handler.
-func do(e *Engine, method, path, body string, headers ...string) *httptest.ResponseRecorder {
+// serve passes a request directly to the handler, with headers as name and value
+// in turn.
+func serve(e *Engine, method, path, body string, headers ...string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	for i := 0; i+1 < len(headers); i += 2 {
 		r.Header.Set(headers[i], headers[i+1])
@@ -27,14 +28,14 @@
 	return w
 }
 
-func complete(e *Engine, id, versioned, prompt string, priority int) *httptest.ResponseRecorder {
-	body := fmt.Sprintf(`{"model":%q,"messages":[{"content":%q}]}`, versioned, prompt)
-	return do(e, "POST", "/v1/chat/completions", body, upstream.HeaderRequestID, id, upstream.HeaderPriority, fmt.Sprint(priority))
+func complete(e *Engine, id, modelVersion, prompt string, priority int) *httptest.ResponseRecorder {
+	body := fmt.Sprintf(`{"model":%q,"messages":[{"content":%q}]}`, modelVersion, prompt)
+	return serve(e, "POST", "/v1/chat/completions", body, upstream.HeaderRequestID, id, upstream.HeaderPriority, fmt.Sprint(priority))
 }
 
 func load(t *testing.T, e *Engine) (load upstream.Load) {
 	t.Helper()
-	if err := json.Unmarshal(do(e, "GET", "/load", "").Body.Bytes(), &load); err != nil {
+	if err := json.Unmarshal(serve(e, "GET", "/load", "").Body.Bytes(), &load); err != nil {
 		t.Fatal(err)
 	}
 	return load
@@ -63,7 +64,7 @@
 		wg.Wait()
 		is.Equal(order, []string{"first", "high", "mid1", "mid2", "low"})
 		e.Close()
-		time.Sleep(DefaultKeepAnswers)
+		time.Sleep(DefaultAnswerRetention)
 	})
 }
 
@@ -93,7 +94,7 @@
 				wg.Wait()
 				is.Equal(time.Since(begin), test.want)
 				e.Close()
-				time.Sleep(DefaultKeepAnswers)
+				time.Sleep(DefaultAnswerRetention)
 			})
 		})
 	}
@@ -109,16 +110,16 @@
 		synctest.Wait()
 		wg.Go(func() { queued = complete(e, "r2", "m@1", "tokens=5", 0) })
 		synctest.Wait()
-		is.Equal(do(e, "POST", "/orders", `{"fencing":1,"action":"unload","model":"m","version":"1"}`).Code, http.StatusNoContent)
+		is.Equal(serve(e, "POST", "/orders", `{"fencing":1,"action":"unload","model":"m","version":"1"}`).Code, http.StatusNoContent)
 		wg.Wait()
-		is.Equal(running.Code, http.StatusOK) // what runs is finished
+		is.Equal(running.Code, http.StatusOK) // the running request completes
 		is.True(strings.HasSuffix(running.Body.String(), "data: [DONE]\n\n"))
 		is.Equal(queued.Code, http.StatusConflict)
 		is.Equal(queued.Header().Get(upstream.HeaderNotRun), "1")
 		is.Equal(e.Arrival("r2"), Arrival{RequestID: "r2", Model: "m@1", Priority: "0", Heads: 1, Bodies: 1, Refused: 1})
 		is.Equal(complete(e, "r3", "m@2", "tokens=5", 0).Code, http.StatusOK)
 		e.Close()
-		time.Sleep(DefaultKeepAnswers)
+		time.Sleep(DefaultAnswerRetention)
 	})
 }
 
@@ -137,8 +138,8 @@
 			is := is.New(t)
 			e := New(Options{Fenced: test.fenced})
 			defer e.Close()
-			is.Equal(do(e, "POST", "/orders", `{"fencing":7,"action":"load","model":"m","version":"1"}`).Code, http.StatusNoContent)
-			is.Equal(do(e, "POST", "/orders", `{"fencing":6,"action":"unload","model":"m","version":"1"}`).Code, test.want)
+			is.Equal(serve(e, "POST", "/orders", `{"fencing":7,"action":"load","model":"m","version":"1"}`).Code, http.StatusNoContent)
+			is.Equal(serve(e, "POST", "/orders", `{"fencing":6,"action":"unload","model":"m","version":"1"}`).Code, test.want)
 			is.Equal(len(e.Orders()), test.orders)
 			is.Equal(e.versions.has("m@1"), test.fenced)
 		})
@@ -149,11 +150,11 @@
 	is := is.New(t)
 	e := New(Options{Versions: []string{"m@1", "m@2"}})
 	defer e.Close()
-	is.Equal(do(e, "POST", "/faults", `{"versions":{"m@1":{"bad":true},"m@2":{"error_rate":1}}}`).Code, http.StatusNoContent)
+	is.Equal(serve(e, "POST", "/faults", `{"versions":{"m@1":{"bad":true},"m@2":{"error_rate":1}}}`).Code, http.StatusNoContent)
 	is.True(strings.Contains(complete(e, "r1", "m@1", "p", 0).Body.String(), BadMark))
 	is.Equal(complete(e, "r2", "m@2", "p", 0).Code, http.StatusInternalServerError)
 	is.Equal(e.Arrival("r2").Began, 1)
-	is.Equal(do(e, "POST", "/faults", `{"unknown":1}`).Code, http.StatusBadRequest)
+	is.Equal(serve(e, "POST", "/faults", `{"unknown":1}`).Code, http.StatusBadRequest)
 }
 
 func TestLoadReportLags(t *testing.T) {
@@ -173,21 +174,21 @@
 func TestCacheEventsComeLateAndWithGaps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c := newPrefixCache(Options{CacheBlocks: 2, CacheEventLag: time.Second, CacheEventLoss: 3})
+		c := newPrefixCache(Options{CacheBlocks: 2, CacheEventLag: time.Second, CacheEventLossEvery: 3})
 		prompt := strings.Repeat("w ", 3*blockTokens)
-		is.Equal(c.use("m@1", prompt), 0)
-		is.Equal(len(c.after(0).Events), 0)
+		is.Equal(c.lookupAndStore("m@1", prompt), 0)
+		is.Equal(len(c.eventsAfter(0).Events), 0)
 		time.Sleep(time.Second)
 		blocks := prefixBlocks("m@1", prompt)
-		got := c.after(1)
+		got := c.eventsAfter(1)
 		for i := range got.Events {
-			got.Events[i].at = time.Time{}
+			got.Events[i].visibleAt = time.Time{}
 		}
-		// Stored 1, stored 2, evicted 1 (lost), stored 3.
+		// The events: stored 1, stored 2, evicted 1 (lost), stored 3.
 		is.Equal(got, cacheEvents{Last: 4, Events: []cacheEvent{
 			{Number: 2, Change: blockStored, Block: blocks[1]},
 			{Number: 4, Change: blockStored, Block: blocks[2]},
 		}})
-		is.Equal(c.use("m@1", prompt), 0) // its first block was evicted
+		is.Equal(c.lookupAndStore("m@1", prompt), 0) // its first block was evicted
 	})
 }
--- a/internal/standin/engine/options.go
+++ b/internal/standin/engine/options.go
@@ -1,6 +1,7 @@
-// Package engine is a small stand-in for a model engine: continuous batching,
-// a prefix cache, resumable streams, load reports and orders, with faults on
-// demand. It is scaffolding for tests, not a model server.
+// Package engine is a stand-in for a model engine: it simulates continuous
+// batching, a prefix cache, resumable streams, load reports and orders to load
+// and unload versions, and injects faults on request. It generates text without
+// a model and is for tests and development.
 package engine
 
 import (
@@ -10,58 +11,62 @@
 
 // Defaults of Options.
 const (
-	DefaultCapacity    = 8
-	DefaultMaxQueue    = 1024
-	DefaultCacheBlocks = 1024
-	DefaultKeepAnswers = 30 * time.Second
+	DefaultCapacity        = 8
+	DefaultMaxQueue        = 1024
+	DefaultCacheBlocks     = 1024
+	DefaultAnswerRetention = 30 * time.Second
 )
 
-// Options are the settings of New. Zero values mean the defaults.
+// Options configures New. Zero values select the defaults.
 type Options struct {
-	// Listen is the address to listen on. Default: 127.0.0.1, a free port.
+	// Listen is the address to listen on. Default: a free port of 127.0.0.1.
 	Listen string
-	// Name is the model pool's name, ID the host's, Zone its availability zone.
+	// Name is the name of the model pool, ID that of the host and Zone the
+	// host's availability zone.
 	Name string
 	ID   string
 	Zone string
-	// Versions are the loaded versions as "model@version".
+	// Versions are the versions loaded at the start, as "model@version".
 	Versions []string
-	// Capacity is how many requests run at once. Default: 8.
+	// Capacity is the maximum number of requests that run at once. Default: 8.
 	Capacity int
-	// MaxQueue is how many requests wait; more are refused. Default: 1,024.
+	// MaxQueue is the maximum number of requests that wait; further ones are
+	// refused. Default: 1,024.
 	MaxQueue int
-	// PrefillPerToken is the time for each prompt token that isn't cached.
-	// Default: none.
+	// PrefillPerToken is the prefill time of each prompt token that isn't
+	// cached. Default: 0.
 	PrefillPerToken time.Duration
-	// TimePerToken is the time for an output token at a batch of one.
-	// Default: none.
+	// TimePerToken is the time of an output token at a batch size of 1.
+	// Default: 0.
 	TimePerToken time.Duration
-	// BatchSlowdown is the part of TimePerToken that each further request in
-	// the batch adds. Default: 0.
+	// BatchSlowdown is the fraction of TimePerToken that each further request
+	// in the batch adds. Default: 0.
 	BatchSlowdown float64
 	// CacheBlocks is the size of the prefix cache, in blocks of blockTokens.
 	// Default: 1,024.
 	CacheBlocks int
-	// CacheEventLag is how late cache events are published. Default: none.
+	// CacheEventLag is how late cache events become visible. Default: 0.
 	CacheEventLag time.Duration
-	// CacheEventLoss drops each n-th cache event; its number stays unused.
-	// Default: 0, none is lost.
-	CacheEventLoss int
-	// LoadLag is how old the load report is. Default: none.
+	// CacheEventLossEvery drops every n-th cache event, which leaves a gap in
+	// the numbers. Default: 0, no event is lost.
+	CacheEventLossEvery int
+	// LoadLag is the age of the load report. Default: 0.
 	LoadLag time.Duration
-	// Fenced makes the engine refuse orders with a lower fencing number than
-	// it has seen. Default: false.
+	// Fenced makes the engine refuse orders whose fencing number is lower than
+	// one that it has accepted. Default: false.
 	Fenced bool
-	// LoadTime is how long the loading of a version takes. Default: none.
+	// LoadTime is how long it takes to load a version. Default: 0.
 	LoadTime time.Duration
-	// Fatal is a text in a prompt that ends the engine FatalAfter it began to run it, by
-	// End. Default: none.
+	// Fatal is a text that makes a request a poison request: End is called
+	// FatalAfter after the start of a run whose prompt contains it. Default:
+	// none.
 	Fatal      string
 	FatalAfter time.Duration
 	End        func()
-	// KeepAnswers is how long a finished answer can be resumed. Default: 30 s.
-	KeepAnswers time.Duration
-	// Seed seeds the random faults. Default: 0.
+	// AnswerRetention is how long a complete answer can be resumed. Default:
+	// 30 s.
+	AnswerRetention time.Duration
+	// Seed is the seed of the random numbers behind ErrorRate. Default: 0.
 	Seed uint64
 }
 
@@ -69,6 +74,6 @@
 	o.Capacity = cmp.Or(o.Capacity, DefaultCapacity)
 	o.MaxQueue = cmp.Or(o.MaxQueue, DefaultMaxQueue)
 	o.CacheBlocks = cmp.Or(o.CacheBlocks, DefaultCacheBlocks)
-	o.KeepAnswers = cmp.Or(o.KeepAnswers, DefaultKeepAnswers)
+	o.AnswerRetention = cmp.Or(o.AnswerRetention, DefaultAnswerRetention)
 	return o
 }
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -9,13 +9,13 @@
 	"github.com/quetzalweir/quetzalweir/internal/standin/httpjson"
 )
 
-// Actions of an order.
+// Values of Order.Action.
 const (
 	actionLoad   = "load"
 	actionUnload = "unload"
 )
 
-// Order is the body of POST /orders.
+// Order is the body of POST /orders, which loads or unloads a version.
 type Order struct {
 	Fencing uint64 `json:"fencing"`
 	Action  string `json:"action"`
@@ -23,7 +23,8 @@
 	Version string `json:"version"`
 }
 
-// versionSet holds the loaded versions and the orders that changed them.
+// versionSet holds the loaded versions, the highest accepted fencing number and
+// the accepted orders.
 type versionSet struct {
 	mu      sync.Mutex
 	loaded  []string
@@ -31,10 +32,10 @@
 	orders  []Order
 }
 
-func (s *versionSet) has(versioned string) bool {
+func (s *versionSet) has(modelVersion string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Contains(s.loaded, versioned)
+	return slices.Contains(s.loaded, modelVersion)
 }
 
 func (s *versionSet) list() []string {
@@ -43,7 +44,8 @@
 	return slices.Clone(s.loaded)
 }
 
-// accept notes an order unless its fencing number is old and that counts.
+// accept records the order and returns true, or returns false if fenced is true
+// and the fencing number is lower than one accepted before.
 func (s *versionSet) accept(o Order, fenced bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,21 +57,21 @@
 	return true
 }
 
-func (s *versionSet) add(versioned string) {
+func (s *versionSet) add(modelVersion string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !slices.Contains(s.loaded, versioned) {
-		s.loaded = append(s.loaded, versioned)
+	if !slices.Contains(s.loaded, modelVersion) {
+		s.loaded = append(s.loaded, modelVersion)
 	}
 }
 
-func (s *versionSet) remove(versioned string) {
+func (s *versionSet) remove(modelVersion string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.loaded = slices.DeleteFunc(s.loaded, func(v string) bool { return v == versioned })
+	s.loaded = slices.DeleteFunc(s.loaded, func(v string) bool { return v == modelVersion })
 }
 
-// Orders returns the accepted orders in their order of arrival.
+// Orders returns the accepted orders in the order in which they arrived.
 func (e *Engine) Orders() []Order {
 	e.versions.mu.Lock()
 	defer e.versions.mu.Unlock()
@@ -89,18 +91,18 @@
 		http.Error(w, "old fencing number", http.StatusConflict)
 		return
 	}
-	e.carryOut(order)
+	e.execute(order)
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (e *Engine) carryOut(order Order) {
-	versioned := order.Model + "@" + order.Version
+func (e *Engine) execute(order Order) {
+	modelVersion := order.Model + "@" + order.Version
 	if order.Action == actionUnload {
-		e.versions.remove(versioned)
-		e.slots.drop(versioned)
+		e.versions.remove(modelVersion)
+		e.slots.rejectWaiting(modelVersion)
 		return
 	}
 	time.Sleep(e.opts.LoadTime)
-	e.versions.add(versioned)
+	e.versions.add(modelVersion)
 	e.recordLoad()
 }
--- a/internal/standin/engine/queue.go
+++ b/internal/standin/engine/queue.go
@@ -9,77 +9,83 @@
 
 var (
 	errQueueFull = errors.New("queue is full")
-	errUnloaded  = errors.New("version isn't loaded")
+	errNotLoaded = errors.New("version isn't loaded")
 	errLeaving   = errors.New("engine is leaving")
 )
 
-// slots admits requests into the batch by priority, then by arrival.
-type slots struct {
+// slotPool limits the running requests to capacity. Up to maxQueue further ones
+// wait; they are admitted by priority, lowest number first, then in order of
+// arrival.
+type slotPool struct {
 	capacity int
 	maxQueue int
-	// changed is called after each change, without the lock.
-	changed func()
+	// onChange is called, without the lock, after a request was admitted or
+	// queued, after a release and after a rejection.
+	onChange func()
 
 	mu      sync.Mutex
 	running int
-	waiting []*ticket
+	waiting []*waiter
 }
 
-type ticket struct {
-	versioned string
-	priority  int
-	// admitted gets nil once the request may run, or why it never will.
+type waiter struct {
+	modelVersion string
+	priority     int
+	// admitted receives nil when the request may run, or the reason why it is
+	// refused. It has a buffer of 1.
 	admitted chan error
 }
 
-// acquire waits for a slot. After an error the request has not begun.
-func (s *slots) acquire(ctx context.Context, versioned string, priority int) error {
-	t := &ticket{versioned: versioned, priority: priority, admitted: make(chan error, 1)}
-	if err := s.enqueue(t); err != nil {
+// acquire waits for a slot, which the caller must release. If it returns an
+// error, the caller holds no slot.
+func (s *slotPool) acquire(ctx context.Context, modelVersion string, priority int) error {
+	w := &waiter{modelVersion: modelVersion, priority: priority, admitted: make(chan error, 1)}
+	if err := s.enqueue(w); err != nil {
 		return err
 	}
-	s.changed()
+	s.onChange()
 	select {
-	case err := <-t.admitted:
+	case err := <-w.admitted:
 		return err
 	case <-ctx.Done():
-		return s.abandon(t, ctx.Err())
+		return s.cancelWait(w, ctx.Err())
 	}
 }
 
-func (s *slots) enqueue(t *ticket) error {
+func (s *slotPool) enqueue(w *waiter) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.running < s.capacity {
 		s.running++
-		t.admitted <- nil
+		w.admitted <- nil
 		return nil
 	}
 	if len(s.waiting) >= s.maxQueue {
 		return errQueueFull
 	}
-	at, _ := slices.BinarySearchFunc(s.waiting, t.priority+1, func(w *ticket, p int) int {
-		return w.priority - p
+	i, _ := slices.BinarySearchFunc(s.waiting, w.priority+1, func(queued *waiter, p int) int {
+		return queued.priority - p
 	})
-	s.waiting = slices.Insert(s.waiting, at, t)
+	s.waiting = slices.Insert(s.waiting, i, w)
 	return nil
 }
 
-// abandon takes the ticket back; a slot that it already has is given on.
-func (s *slots) abandon(t *ticket, cause error) error {
+// cancelWait removes the waiter and returns cause. If the waiter already has a
+// slot, it releases the slot.
+func (s *slotPool) cancelWait(w *waiter, cause error) error {
 	s.mu.Lock()
-	at := slices.Index(s.waiting, t)
-	if at >= 0 {
-		s.waiting = slices.Delete(s.waiting, at, at+1)
+	i := slices.Index(s.waiting, w)
+	if i >= 0 {
+		s.waiting = slices.Delete(s.waiting, i, i+1)
 	}
 	s.mu.Unlock()
-	if at < 0 && <-t.admitted == nil {
+	if i < 0 && <-w.admitted == nil {
 		s.release()
 	}
 	return cause
 }
 
-func (s *slots) release() {
+func (s *slotPool) release() {
 	s.mu.Lock()
 	s.running--
 	if len(s.waiting) > 0 {
@@ -89,24 +95,24 @@
 		next.admitted <- nil
 	}
 	s.mu.Unlock()
-	s.changed()
+	s.onChange()
 }
 
-// drop ends the waiting requests of a version.
-func (s *slots) drop(versioned string) {
+// rejectWaiting refuses the waiting requests of a version.
+func (s *slotPool) rejectWaiting(modelVersion string) {
 	s.mu.Lock()
-	s.waiting = slices.DeleteFunc(s.waiting, func(t *ticket) bool {
-		if t.versioned != versioned {
+	s.waiting = slices.DeleteFunc(s.waiting, func(w *waiter) bool {
+		if w.modelVersion != modelVersion {
 			return false
 		}
-		t.admitted <- errUnloaded
+		w.admitted <- errNotLoaded
 		return true
 	})
 	s.mu.Unlock()
-	s.changed()
+	s.onChange()
 }
 
-func (s *slots) counts() (running, queued int) {
+func (s *slotPool) counts() (running, queued int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.running, len(s.waiting)
--- a/internal/standin/engine/run.go
+++ b/internal/standin/engine/run.go
@@ -8,22 +8,23 @@
 	"github.com/quetzalweir/quetzalweir/internal/wait"
 )
 
-// run makes the job's answer. The caller holds a slot for it.
+// run generates the answer of the job and releases the slot that the caller
+// acquired for it.
 func (e *Engine) run(ctx context.Context, j *job, prompt string) {
 	defer e.slots.release()
-	cached := e.cache.use(j.versioned, prompt)
+	cached := e.cache.lookupAndStore(j.modelVersion, prompt)
 	promptTokens := len(strings.Fields(prompt))
-	slow := e.faults.slow(j.versioned)
-	if wait.For(ctx, scale(e.opts.PrefillPerToken, float64(promptTokens-cached)*slow)) != nil {
+	slowdown := e.faults.slowdown(j.modelVersion)
+	if wait.For(ctx, scale(e.opts.PrefillPerToken, float64(promptTokens-cached)*slowdown)) != nil {
 		return
 	}
-	tokens := answerTokens(j.versioned, prompt)
-	if e.faults.get().Versions[j.versioned].Bad {
+	tokens := answerTokens(j.modelVersion, prompt)
+	if e.faults.get().Versions[j.modelVersion].Bad {
 		tokens = append([]string{BadMark + " "}, tokens...)
 	}
 	for _, token := range tokens {
-		e.faults.waitStall()
-		if wait.For(ctx, e.tokenTime(slow)) != nil {
+		e.faults.waitWhileStalled()
+		if wait.For(ctx, e.tokenTime(slowdown)) != nil {
 			return
 		}
 		j.appendToken(token)
@@ -33,15 +34,15 @@
 		CompletionTokens: len(tokens),
 		Details:          promptDetails{CachedTokens: cached},
 	})
-	e.arrivals.note(j.requestID, func(a *Arrival) { a.Finished++ })
-	e.forgetLater(j)
+	e.arrivals.record(j.requestID, func(a *Arrival) { a.Finished++ })
+	e.scheduleRemoval(j)
 }
 
-// tokenTime is the time for the next token at the present batch size.
-func (e *Engine) tokenTime(slow float64) time.Duration {
+// tokenTime returns the time of the next output token at the current batch size.
+func (e *Engine) tokenTime(slowdown float64) time.Duration {
 	running, _ := e.slots.counts()
 	factor := 1 + e.opts.BatchSlowdown*float64(running-1)
-	return scale(e.opts.TimePerToken, factor*slow)
+	return scale(e.opts.TimePerToken, factor*slowdown)
 }
 
 func scale(d time.Duration, factor float64) time.Duration {
