--- a/manifest/check.go
+++ b/manifest/check.go
@@ -9,24 +9,25 @@
 	"unicode"
 )
 
-// checker holds what the checks of one document share.
+// checker holds the state that the checks of one document share.
 type checker struct {
 	doc    *Document
 	report *report
 	root   *location
-	// models, cascades, services and classes index the document's names.
+	// models, cascades, services and classes are indexed by name.
 	models   map[string]*Model
 	cascades map[string]*Cascade
 	services map[string]bool
 	classes  map[string]bool
 }
 
-// check adds the problems of a decoded document to r. A rule whose values
-// already have a problem is left out, so that each mistake is told once.
-func check(doc *Document, r *report) {
+// collectProblems adds the problems of a decoded document to r. A rule whose
+// values already have a problem isn't checked, so that each mistake is reported
+// once.
+func collectProblems(doc *Document, r *report) {
 	c := &checker{doc: doc, report: r, root: &location{}}
-	c.index()
-	c.header()
+	c.indexNames()
+	c.checkHeader()
 	c.checkModels()
 	c.checkCascades()
 	c.checkServices()
@@ -35,7 +36,7 @@
 	c.checkSessions()
 }
 
-func (c *checker) index() {
+func (c *checker) indexNames() {
 	c.models = make(map[string]*Model, len(c.doc.Models))
 	for i := range c.doc.Models {
 		if m := &c.doc.Models[i]; c.models[m.Name] == nil {
@@ -56,23 +57,23 @@
 	}
 }
 
-func (c *checker) header() {
-	at := c.root.child("format")
-	if c.doc.Format != Format && !c.report.broken(at) {
-		c.report.add(at, strconv.Itoa(c.doc.Format), strconv.Itoa(Format), "unknown format")
+func (c *checker) checkHeader() {
+	loc := c.root.child("format")
+	if c.doc.Format != Format && !c.report.hasProblem(loc) {
+		c.report.add(loc, strconv.Itoa(c.doc.Format), strconv.Itoa(Format), "unknown format")
 	}
 	if c.doc.Parent != "" && !ValidDigest(c.doc.Parent) {
-		c.report.add(c.root.child("parent"), quote(c.doc.Parent), digestForm+", or empty", "bad digest")
+		c.report.add(c.root.child("parent"), quote(c.doc.Parent), digestFormat+", or empty", "bad digest")
 	}
-	at = c.root.child("build")
-	if !validBuild(c.doc.Build) && !c.report.broken(at) {
-		allowed := fmt.Sprintf("1 to %d bytes of printable text", MaxBuild)
-		c.report.add(at, quote(c.doc.Build), allowed, "bad build label")
+	loc = c.root.child("build")
+	if !validBuildLabel(c.doc.Build) && !c.report.hasProblem(loc) {
+		allowed := fmt.Sprintf("1 to %d bytes of printable text", MaxBuildBytes)
+		c.report.add(loc, quote(c.doc.Build), allowed, "bad build label")
 	}
 }
 
-func validBuild(s string) bool {
-	if s == "" || len(s) > MaxBuild {
+func validBuildLabel(s string) bool {
+	if s == "" || len(s) > MaxBuildBytes {
 		return false
 	}
 	for _, r := range s {
@@ -85,11 +86,11 @@
 
 const (
 	digestPrefix = "sha256:"
-	digestForm   = "sha256: and 64 lower-case hex digits"
+	digestFormat = "sha256: and 64 lower-case hex digits"
 	hexDigits    = 64
 )
 
-// ValidDigest says whether s has the form that Digest returns.
+// ValidDigest reports whether s has the format of a result of Digest.
 func ValidDigest(s string) bool {
 	digits, ok := strings.CutPrefix(s, digestPrefix)
 	return ok && validHex(digits)
@@ -103,21 +104,21 @@
 	return err == nil
 }
 
-const nameForm = "letters, digits, '.', '_' and '-', a letter or digit first, at most 64 bytes"
+const nameFormat = "letters, digits, '.', '_' and '-', a letter or digit first, at most 64 bytes"
 
 func validName(s string) bool {
-	if s == "" || len(s) > MaxName {
+	if s == "" || len(s) > MaxNameBytes {
 		return false
 	}
 	for i := range len(s) {
-		if !nameByte(s[i], i == 0) {
+		if !validNameByte(s[i], i == 0) {
 			return false
 		}
 	}
 	return true
 }
 
-func nameByte(b byte, first bool) bool {
+func validNameByte(b byte, first bool) bool {
 	switch {
 	case 'a' <= b && b <= 'z', 'A' <= b && b <= 'Z', '0' <= b && b <= '9':
 		return true
@@ -128,33 +129,33 @@
 	}
 }
 
-func (c *checker) name(at *location, name string) {
-	if validName(name) || c.report.broken(at) {
+func (c *checker) checkName(loc *location, name string) {
+	if validName(name) || c.report.hasProblem(loc) {
 		return
 	}
-	c.report.add(at, quote(name), nameForm, "bad name")
+	c.report.add(loc, quote(name), nameFormat, "bad name")
 }
 
-func (c *checker) count(at *location, n, low, high int) {
-	if low <= n && n <= high || c.report.broken(at) {
+func (c *checker) checkCount(loc *location, n, low, high int) {
+	if low <= n && n <= high || c.report.hasProblem(loc) {
 		return
 	}
-	c.report.add(at, strconv.Itoa(n), fmt.Sprintf("%d to %d", low, high), "wrong number of entries")
+	c.report.add(loc, strconv.Itoa(n), fmt.Sprintf("%d to %d", low, high), "wrong number of entries")
 }
 
-func (c *checker) whole(at *location, n, low, high int64) {
-	if low <= n && n <= high || c.report.broken(at) {
+func (c *checker) checkInteger(loc *location, n, low, high int64) {
+	if low <= n && n <= high || c.report.hasProblem(loc) {
 		return
 	}
-	c.report.add(at, strconv.FormatInt(n, 10), fmt.Sprintf("%d to %d", low, high), "out of range")
+	c.report.add(loc, strconv.FormatInt(n, 10), fmt.Sprintf("%d to %d", low, high), "out of range")
 }
 
-func (c *checker) number(at *location, f, low, high float64) {
-	if low <= f && f <= high || c.report.broken(at) {
+func (c *checker) checkNumber(loc *location, f, low, high float64) {
+	if low <= f && f <= high || c.report.hasProblem(loc) {
 		return
 	}
 	allowed := fmt.Sprintf("%s to %s", formatFloat(low), formatFloat(high))
-	c.report.add(at, formatFloat(f), allowed, "out of range")
+	c.report.add(loc, formatFloat(f), allowed, "out of range")
 }
 
 func formatFloat(f float64) string {
@@ -164,8 +165,9 @@
 	return strconv.FormatFloat(f, 'g', -1, 64)
 }
 
-// oneOf checks an enumerated value.
-func oneOf[T ~string](c *checker, at *location, value T, allowed ...T) bool {
+// checkEnum checks that value is one of the allowed values and returns the
+// result.
+func checkEnum[T ~string](c *checker, loc *location, value T, allowed ...T) bool {
 	names := make([]string, len(allowed))
 	for i, a := range allowed {
 		if a == value {
@@ -173,50 +175,51 @@
 		}
 		names[i] = string(a)
 	}
-	if !c.report.broken(at) {
-		c.report.add(at, quote(string(value)), strings.Join(names, ", "), "unknown value")
+	if !c.report.hasProblem(loc) {
+		c.report.add(loc, quote(string(value)), strings.Join(names, ", "), "unknown value")
 	}
 	return false
 }
 
-// unique reports each place at which a value stands that stands elsewhere
-// too. Empty values are left to the checks of form.
-func (c *checker) unique(n int, what string, at func(i int) *location, value func(i int) string) {
-	first := make(map[string]int, n)
+// checkUnique adds a problem for each occurrence of a value that occurs more
+// than once among n values. Empty values are skipped, as the checks of their
+// format report them.
+func (c *checker) checkUnique(n int, what string, locate func(i int) *location, value func(i int) string) {
+	firstIndex := make(map[string]int, n)
 	reported := map[string]bool{}
 	for i := range n {
 		v := value(i)
 		if v == "" {
 			continue
 		}
-		j, again := first[v]
-		if !again {
-			first[v] = i
+		j, found := firstIndex[v]
+		if !found {
+			firstIndex[v] = i
 			continue
 		}
 		if !reported[v] {
 			reported[v] = true
-			c.report.add(at(j), "", "", "duplicate %s, also at %s", what, at(i))
+			c.report.add(locate(j), "", "", "duplicate %s, also at %s", what, locate(i))
 		}
-		c.report.add(at(i), "", "", "duplicate %s, also at %s", what, at(j))
+		c.report.add(locate(i), "", "", "duplicate %s, also at %s", what, locate(j))
 	}
 }
 
-// uniqueNames reports names that stand more than once among the entries of a
-// list, where each has its name in the given field.
-func uniqueNames[T any](c *checker, list *location, field, what string, entries []T, name func(*T) string) {
-	c.unique(len(entries), what,
-		func(i int) *location { return list.at(i).child(field) },
+// checkUniqueNames adds a problem for each name that occurs more than once in
+// the given field of the list's entries.
+func checkUniqueNames[T any](c *checker, list *location, field, what string, entries []T, name func(*T) string) {
+	c.checkUnique(len(entries), what,
+		func(i int) *location { return list.element(i).child(field) },
 		func(i int) string { return name(&entries[i]) })
 }
 
-// references checks that each entry of a list is known and stands there once.
-func (c *checker) references(list *location, names []string, what string, known func(string) bool) {
+// checkReferences checks that each name of a list exists and occurs once.
+func (c *checker) checkReferences(list *location, names []string, what string, known func(string) bool) {
 	for i, name := range names {
-		at := list.at(i)
-		if !known(name) && !c.report.broken(at) {
-			c.report.add(at, quote(name), "", "unknown %s", what)
+		loc := list.element(i)
+		if !known(name) && !c.report.hasProblem(loc) {
+			c.report.add(loc, quote(name), "", "unknown %s", what)
 		}
 	}
-	c.unique(len(names), what, list.at, func(i int) string { return names[i] })
+	c.checkUnique(len(names), what, list.element, func(i int) string { return names[i] })
 }
--- a/manifest/decode.go
+++ b/manifest/decode.go
@@ -14,10 +14,10 @@
 	"unicode/utf8"
 )
 
-// Parse reads a document strictly: unknown fields, duplicate keys, wrong
-// types, missing fields, nulls and trailing data are refused, and so is
-// everything that breaks a rule of docs/MANIFEST.md. The error is of type
-// Errors and holds all problems of the document.
+// Parse decodes a document strictly: it rejects unknown fields, duplicate keys,
+// wrong types, missing fields, nulls, trailing data, and whatever violates a
+// rule of docs/MANIFEST.md. The error is of type Errors and lists all problems
+// of the document.
 func Parse(data []byte) (*Document, error) {
 	r := &report{}
 	doc := &Document{}
@@ -31,31 +31,32 @@
 		return nil, r.err()
 	}
 	if decodeCanonical(data, doc) {
-		return checked(doc, r)
+		return checkDocument(doc, r)
 	}
 	*doc = Document{}
 	d := newDecoder(data, r)
-	if err := d.document(root, reflect.ValueOf(doc).Elem()); err != nil {
-		r.add(root, "", "", "not readable as JSON near byte %d: %v", d.json.InputOffset(), err)
+	if err := d.decodeDocument(root, reflect.ValueOf(doc).Elem()); err != nil {
+		r.add(root, "", "", "not readable as JSON near byte %d: %v", d.tokens.InputOffset(), err)
 		return nil, r.err()
 	}
-	return checked(doc, r)
+	return checkDocument(doc, r)
 }
 
-func checked(doc *Document, r *report) (*Document, error) {
-	check(doc, r)
+func checkDocument(doc *Document, r *report) (*Document, error) {
+	collectProblems(doc, r)
 	if err := r.err(); err != nil {
 		return nil, err
 	}
 	return doc, nil
 }
 
-// decodeCanonical reads a document that is in canonical form, several times
-// as fast as the decoder below and as strictly: whatever the standard decoder
-// lets pass (unknown fields, duplicate keys, missing fields, nulls, another
-// case, invalid encoding) does not come back out of Encode. A negative zero
-// does, so text that may hold one isn't taken; no valid number is negative.
-// Where the result is false, doc may hold anything.
+// decodeCanonical decodes a document that is in canonical form, several times
+// as fast as decoder and as strictly: it compares the text with the encoding of
+// the result, so whatever the standard decoder tolerates (unknown fields,
+// duplicate keys, missing fields, nulls, field names in another case, invalid
+// encoding) makes a difference. A negative zero would make none, so text that
+// may hold one is rejected first; no valid number is negative. If the result is
+// false, the content of doc is undefined.
 func decodeCanonical(data []byte, doc *Document) bool {
 	if bytes.Contains(data, []byte(":-")) {
 		return false
@@ -69,7 +70,7 @@
 	return bytes.Equal(Encode(doc), data)
 }
 
-// nilIfEmpty gives empty lists the form that the decoder below leaves.
+// nilIfEmpty returns nil for an empty list, as decoder does.
 func nilIfEmpty[T any](list []T) []T {
 	if len(list) == 0 {
 		return nil
@@ -77,12 +78,13 @@
 	return list
 }
 
-var errDepth = fmt.Errorf("nested deeper than %d levels", MaxDepth)
+var errTooDeep = fmt.Errorf("nested deeper than %d levels", MaxDepth)
 
-// decoder fills a typed value from JSON tokens. It goes on after a problem
-// with a value; it returns an error only where the text can't be read on.
+// decoder fills a typed value from JSON tokens. It continues after a problem
+// with a value and returns an error only if the rest of the text can't be
+// parsed.
 type decoder struct {
-	json   *json.Decoder
+	tokens *json.Decoder
 	report *report
 	depth  int
 }
@@ -90,15 +92,15 @@
 func newDecoder(data []byte, r *report) *decoder {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.UseNumber()
-	return &decoder{json: dec, report: r}
+	return &decoder{tokens: dec, report: r}
 }
 
-func (d *decoder) document(root *location, out reflect.Value) error {
-	if err := d.value(root, out); err != nil {
+func (d *decoder) decodeDocument(root *location, out reflect.Value) error {
+	if err := d.decodeValue(root, out); err != nil {
 		return unexpectedEOF(err)
 	}
-	if _, err := d.json.Token(); !errors.Is(err, io.EOF) {
-		d.report.add(root, "", "", "data after the end of the document, at byte %d", d.json.InputOffset())
+	if _, err := d.tokens.Token(); !errors.Is(err, io.EOF) {
+		d.report.add(root, "", "", "data after the end of the document, at byte %d", d.tokens.InputOffset())
 	}
 	return nil
 }
@@ -110,38 +112,38 @@
 	return err
 }
 
-// value reads one value into out; an invalid out means that the value is only
-// checked for duplicate keys and depth.
-func (d *decoder) value(at *location, out reflect.Value) error {
-	token, err := d.json.Token()
+// decodeValue decodes one value into out. If out is the zero reflect.Value, the
+// value is only checked for duplicate keys and depth.
+func (d *decoder) decodeValue(loc *location, out reflect.Value) error {
+	token, err := d.tokens.Token()
 	if err != nil {
 		return err
 	}
 	delim, compound := token.(json.Delim)
 	if !compound {
-		d.scalar(at, token, out)
+		d.decodeScalar(loc, token, out)
 		return nil
 	}
 	d.depth++
 	defer func() { d.depth-- }()
 	if d.depth > MaxDepth {
-		return errDepth
+		return errTooDeep
 	}
 	if delim == '{' {
-		return d.object(at, out)
+		return d.decodeObject(loc, out)
 	}
-	return d.array(at, out)
+	return d.decodeArray(loc, out)
 }
 
-func (d *decoder) object(at *location, out reflect.Value) error {
-	out = d.allocate(out)
+func (d *decoder) decodeObject(loc *location, out reflect.Value) error {
+	out = d.allocatePointer(out)
 	if out.IsValid() && out.Kind() != reflect.Struct {
-		d.wrongType(at, "an object", out.Type())
+		d.reportWrongType(loc, "an object", out.Type())
 		out = reflect.Value{}
 	}
 	seen := map[string]bool{}
-	for d.json.More() {
-		token, err := d.json.Token()
+	for d.tokens.More() {
+		token, err := d.tokens.Token()
 		if err != nil {
 			return err
 		}
@@ -149,66 +151,67 @@
 		if !ok {
 			return fmt.Errorf("object key %v isn't a string", token)
 		}
-		if err := d.member(at.child(key), key, seen, out); err != nil {
+		if err := d.decodeMember(loc.child(key), key, seen, out); err != nil {
 			return err
 		}
 	}
-	if _, err := d.json.Token(); err != nil {
+	if _, err := d.tokens.Token(); err != nil {
 		return err
 	}
-	d.missing(at, seen, out)
+	d.reportMissing(loc, seen, out)
 	return nil
 }
 
-func (d *decoder) member(at *location, key string, seen map[string]bool, out reflect.Value) error {
+func (d *decoder) decodeMember(loc *location, key string, seen map[string]bool, out reflect.Value) error {
 	if seen[key] {
-		d.report.add(at, "", "", "duplicate key")
-		return d.value(at, reflect.Value{})
+		d.report.add(loc, "", "", "duplicate key")
+		return d.decodeValue(loc, reflect.Value{})
 	}
 	seen[key] = true
 	if !out.IsValid() {
-		return d.value(at, reflect.Value{})
+		return d.decodeValue(loc, reflect.Value{})
 	}
 	f, ok := fieldsOf(out.Type()).byName[key]
 	if !ok {
-		d.report.add(at, "", fieldsOf(out.Type()).list, "unknown field")
-		return d.value(at, reflect.Value{})
+		d.report.add(loc, "", fieldsOf(out.Type()).names, "unknown field")
+		return d.decodeValue(loc, reflect.Value{})
 	}
-	return d.value(at, out.Field(f.index))
+	return d.decodeValue(loc, out.Field(f.index))
 }
 
-func (d *decoder) missing(at *location, seen map[string]bool, out reflect.Value) {
+func (d *decoder) reportMissing(loc *location, seen map[string]bool, out reflect.Value) {
 	if !out.IsValid() {
 		return
 	}
 	for _, f := range fieldsOf(out.Type()).ordered {
 		if f.required && !seen[f.name] {
-			d.report.addUnread(at.child(f.name), "", describe(out.Field(f.index).Type()), "missing field")
+			d.report.addUndecoded(loc.child(f.name), "", describeType(out.Field(f.index).Type()), "missing field")
 		}
 	}
 }
 
-func (d *decoder) array(at *location, out reflect.Value) error {
+func (d *decoder) decodeArray(loc *location, out reflect.Value) error {
 	if out.IsValid() && out.Kind() != reflect.Slice {
-		d.wrongType(at, "an array", out.Type())
+		d.reportWrongType(loc, "an array", out.Type())
 		out = reflect.Value{}
 	}
-	for i := 0; d.json.More(); i++ {
+	for i := 0; d.tokens.More(); i++ {
 		element := reflect.Value{}
 		if out.IsValid() {
 			out.Set(reflect.Append(out, reflect.Zero(out.Type().Elem())))
 			element = out.Index(i)
 		}
-		if err := d.value(at.at(i), element); err != nil {
+		if err := d.decodeValue(loc.element(i), element); err != nil {
 			return err
 		}
 	}
-	_, err := d.json.Token()
+	_, err := d.tokens.Token()
 	return err
 }
 
-// allocate follows a pointer to a new value of its type.
-func (d *decoder) allocate(out reflect.Value) reflect.Value {
+// allocatePointer sets out, if it is a pointer, to a new value and returns that
+// value; otherwise it returns out.
+func (d *decoder) allocatePointer(out reflect.Value) reflect.Value {
 	if !out.IsValid() || out.Kind() != reflect.Pointer {
 		return out
 	}
@@ -216,70 +219,70 @@
 	return out.Elem()
 }
 
-func (d *decoder) scalar(at *location, token json.Token, out reflect.Value) {
+func (d *decoder) decodeScalar(loc *location, token json.Token, out reflect.Value) {
 	if !out.IsValid() {
 		return
 	}
 	switch v := token.(type) {
 	case string:
-		d.text(at, v, out)
+		d.decodeString(loc, v, out)
 	case json.Number:
-		d.number(at, v.String(), out)
+		d.decodeNumber(loc, v.String(), out)
 	case bool:
-		d.boolean(at, v, out)
+		d.decodeBool(loc, v, out)
 	default:
-		d.wrongType(at, "null", out.Type())
+		d.reportWrongType(loc, "null", out.Type())
 	}
 }
 
-func (d *decoder) text(at *location, s string, out reflect.Value) {
+func (d *decoder) decodeString(loc *location, s string, out reflect.Value) {
 	if out.Kind() != reflect.String {
-		d.wrongType(at, "a string", out.Type())
+		d.reportWrongType(loc, "a string", out.Type())
 		return
 	}
 	out.SetString(s)
 }
 
-func (d *decoder) boolean(at *location, v bool, out reflect.Value) {
+func (d *decoder) decodeBool(loc *location, v bool, out reflect.Value) {
 	if out.Kind() != reflect.Bool {
-		d.wrongType(at, "a boolean", out.Type())
+		d.reportWrongType(loc, "a boolean", out.Type())
 		return
 	}
 	out.SetBool(v)
 }
 
-func (d *decoder) number(at *location, s string, out reflect.Value) {
+func (d *decoder) decodeNumber(loc *location, s string, out reflect.Value) {
 	switch out.Kind() {
 	case reflect.Int, reflect.Int64:
 		n, err := strconv.ParseInt(s, 10, 64)
 		if err != nil {
-			d.report.addUnread(at, shorten(s), "a whole number of 64 bits", "wrong number")
+			d.report.addUndecoded(loc, truncate(s), "a whole number of 64 bits", "wrong number")
 			return
 		}
 		out.SetInt(n)
 	case reflect.Float64:
 		f, err := strconv.ParseFloat(s, 64)
 		if err != nil || math.IsInf(f, 0) {
-			d.report.addUnread(at, shorten(s), "a number of 64 bits", "wrong number")
+			d.report.addUndecoded(loc, truncate(s), "a number of 64 bits", "wrong number")
 			return
 		}
 		if f == 0 {
-			f = 0 // -0 and 0 have one canonical form
+			f = 0 // -0 and 0 must have the same canonical form
 		}
 		out.SetFloat(f)
 	default:
-		d.wrongType(at, "a number", out.Type())
+		d.reportWrongType(loc, "a number", out.Type())
 	}
 }
 
-func (d *decoder) wrongType(at *location, got string, want reflect.Type) {
-	d.report.addUnread(at, "", describe(want), "wrong type: %s", got)
+func (d *decoder) reportWrongType(loc *location, got string, want reflect.Type) {
+	d.report.addUndecoded(loc, "", describeType(want), "wrong type: %s", got)
 }
 
-func describe(t reflect.Type) string {
+func describeType(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Pointer:
-		return describe(t.Elem())
+		return describeType(t.Elem())
 	case reflect.Struct:
 		return "an object"
 	case reflect.Slice:
@@ -295,7 +298,7 @@
 	}
 }
 
-// field is one field of a struct type, as its json tag names it.
+// field is one field of a struct type, under the name in its json tag.
 type field struct {
 	name     string
 	index    int
@@ -305,14 +308,14 @@
 type fieldSet struct {
 	ordered []field
 	byName  map[string]field
-	// list names all fields, for reports.
-	list string
+	// names lists all field names, separated by commas, for problem messages.
+	names string
 }
 
-var fieldSets sync.Map // of reflect.Type to *fieldSet
+var fieldSets sync.Map // cache by type: reflect.Type to *fieldSet
 
-// fieldsOf returns the fields of t. A field is required unless its tag says
-// omitempty.
+// fieldsOf returns the fields of struct type t. A field is required unless its
+// tag has the option omitempty.
 func fieldsOf(t reflect.Type) *fieldSet {
 	if set, ok := fieldSets.Load(t); ok {
 		return set.(*fieldSet)
@@ -326,7 +329,7 @@
 		set.byName[name] = f
 		names = append(names, name)
 	}
-	set.list = strings.Join(names, ", ")
+	set.names = strings.Join(names, ", ")
 	fieldSets.Store(t, set)
 	return set
 }
--- a/manifest/policy.go
+++ b/manifest/policy.go
@@ -11,24 +11,24 @@
 	"strings"
 )
 
-// Policy is a document prepared for the request path. It never changes; the
-// values and slices that it returns are shared and must not be changed.
+// Policy is a document with indexes for the request path. It is immutable; the
+// values and slices that it returns are shared and must not be modified.
 type Policy struct {
-	// Epoch is the number under which the document was accepted, from 1.
+	// Epoch is the sequence number under which the document was accepted, from 1.
 	Epoch uint64
 	// Digest is the document's digest.
 	Digest string
-	// Document is what the policy was made from.
+	// Document is the document that the policy was compiled from.
 	Document *Document
 
-	// keys finds candidates by the first bytes of a key's digest.
+	// keys maps the first 8 bytes of a key's digest to the keys that share them.
 	keys     map[uint64][]keyEntry
 	models   map[string]*Model
-	versions map[versionName]*Version
+	versions map[versionKey]*Version
 	classes  map[string]int
 	services map[string]*Service
 	cascades map[string]*Cascade
-	accounts map[string]*permissions
+	accounts map[string]*accountPermissions
 }
 
 type keyEntry struct {
@@ -36,22 +36,23 @@
 	account *Account
 }
 
-type versionName struct{ model, version string }
+type versionKey struct{ model, version string }
 
-// permissions are an account's permitted versions, sorted by model name.
-type permissions struct {
+// accountPermissions holds an account and its permitted versions, sorted by
+// model name.
+type accountPermissions struct {
 	account *Account
 	models  []permittedModel
 }
 
 type permittedModel struct {
 	model string
-	// versions are shared between accounts that are permitted the same.
+	// versions is shared between accounts with the same permission.
 	versions []Version
 }
 
-// Compile prepares a document that Parse accepted. The document must not be
-// changed afterwards.
+// Compile builds the policy of a document that Parse accepted. The document must
+// not be modified afterwards.
 func Compile(doc *Document, epoch uint64, digest string) *Policy {
 	p := &Policy{
 		Epoch:    epoch,
@@ -59,23 +60,23 @@
 		Document: doc,
 		keys:     make(map[uint64][]keyEntry, len(doc.Accounts)),
 		models:   make(map[string]*Model, len(doc.Models)),
-		versions: map[versionName]*Version{},
+		versions: map[versionKey]*Version{},
 		classes:  make(map[string]int, len(doc.Classes)),
 		services: make(map[string]*Service, len(doc.Services)),
 		cascades: make(map[string]*Cascade, len(doc.Cascades)),
-		accounts: make(map[string]*permissions, len(doc.Accounts)),
+		accounts: make(map[string]*accountPermissions, len(doc.Accounts)),
 	}
-	p.addNames()
+	p.indexNames()
 	p.addAccounts()
 	return p
 }
 
-func (p *Policy) addNames() {
+func (p *Policy) indexNames() {
 	for i := range p.Document.Models {
 		m := &p.Document.Models[i]
 		p.models[m.Name] = m
 		for j := range m.Versions {
-			p.versions[versionName{m.Name, m.Versions[j].Name}] = &m.Versions[j]
+			p.versions[versionKey{m.Name, m.Versions[j].Name}] = &m.Versions[j]
 		}
 	}
 	for i := range p.Document.Classes {
@@ -96,11 +97,11 @@
 		p.addKeys(a)
 		list := make([]permittedModel, 0, len(a.Models))
 		for _, permission := range a.Models {
-			versions := c.permitted(p.models[permission.Model], permission)
+			versions := c.permittedVersions(p.models[permission.Model], permission)
 			list = append(list, permittedModel{model: permission.Model, versions: versions})
 		}
 		slices.SortFunc(list, func(x, y permittedModel) int { return cmp.Compare(x.model, y.model) })
-		p.accounts[a.Name] = &permissions{account: a, models: list}
+		p.accounts[a.Name] = &accountPermissions{account: a, models: list}
 	}
 }
 
@@ -108,7 +109,7 @@
 	for _, text := range a.KeySHA256 {
 		entry := keyEntry{account: a}
 		if _, err := hex.Decode(entry.digest[:], []byte(text)); err != nil {
-			continue // Parse accepts no such text
+			continue // can't happen: Parse rejects such text
 		}
 		bucket := keyBucket(entry.digest)
 		p.keys[bucket] = append(p.keys[bucket], entry)
@@ -119,11 +120,11 @@
 	return binary.BigEndian.Uint64(digest[:8])
 }
 
-// versionCache holds the lists of permitted versions by model and names, as
-// most accounts are permitted the same few sets.
+// versionCache caches the lists of permitted versions by model and version names,
+// since most accounts share a few permissions.
 type versionCache map[string][]Version
 
-func (c versionCache) permitted(m *Model, permission Permission) []Version {
+func (c versionCache) permittedVersions(m *Model, permission Permission) []Version {
 	if m == nil {
 		return nil
 	}
@@ -134,8 +135,8 @@
 	var list []Version
 	for i := range m.Versions {
 		v := m.Versions[i]
-		named := len(permission.Versions) == 0 || slices.Contains(permission.Versions, v.Name)
-		if named && v.State != Withdrawn {
+		included := len(permission.Versions) == 0 || slices.Contains(permission.Versions, v.Name)
+		if included && v.State != Withdrawn {
 			list = append(list, v)
 		}
 	}
@@ -143,9 +144,9 @@
 	return c[key]
 }
 
-// AccountByKey returns the account that a key belongs to. The key is met only
-// through its SHA-256, and digests are compared in constant time, so the time
-// it takes tells nothing about the keys that exist.
+// AccountByKey returns the account that a key belongs to. It looks the key up by
+// its SHA-256 digest and compares digests in constant time, so that the response
+// time reveals nothing about existing keys.
 func (p *Policy) AccountByKey(key string) (*Account, bool) {
 	digest := sha256.Sum256([]byte(key))
 	for _, candidate := range p.keys[keyBucket(digest)] {
@@ -156,7 +157,7 @@
 	return nil, false
 }
 
-// Account returns the account with a name.
+// Account returns the account with the given name.
 func (p *Policy) Account(name string) (*Account, bool) {
 	entry, ok := p.accounts[name]
 	if !ok {
@@ -165,14 +166,15 @@
 	return entry.account, true
 }
 
-// Model returns the model with a name.
+// Model returns the model with the given name.
 func (p *Policy) Model(name string) (*Model, bool) {
 	m, ok := p.models[name]
 	return m, ok
 }
 
 // Permitted returns the versions of a model that an account may use and that
-// aren't withdrawn, in document order; it is empty where there are none.
+// aren't withdrawn, in document order. The list is empty if there are none or if
+// the account or model doesn't exist.
 func (p *Policy) Permitted(account, model string) []Version {
 	entry, ok := p.accounts[account]
 	if !ok {
@@ -189,14 +191,14 @@
 
 // Version returns a version of a model, withdrawn ones included.
 func (p *Policy) Version(model, version string) (Version, bool) {
-	v, ok := p.versions[versionName{model, version}]
+	v, ok := p.versions[versionKey{model, version}]
 	if !ok {
 		return Version{}, false
 	}
 	return *v, true
 }
 
-// Class returns a class and its priority, 0 being the highest.
+// Class returns the class with the given name and its priority; 0 is the highest.
 func (p *Policy) Class(name string) (class Class, priority int, ok bool) {
 	i, ok := p.classes[name]
 	if !ok {
@@ -205,18 +207,18 @@
 	return p.Document.Classes[i], i, true
 }
 
-// Service returns the plain service with a name.
+// Service returns the plain service with the given name.
 func (p *Policy) Service(name string) (*Service, bool) {
 	s, ok := p.services[name]
 	return s, ok
 }
 
 // Route returns the first route of a service that matches a call. A path with
-// empty or dot segments matches none: an upstream might read it as another
-// path than the one that was matched.
+// empty or dot segments matches none, as an upstream might resolve it to a path
+// other than the one that was matched.
 func (p *Policy) Route(service, method, path string) (Route, bool) {
 	s, ok := p.services[service]
-	if !ok || !cleanPath(path) {
+	if !ok || !hasCleanSegments(path) {
 		return Route{}, false
 	}
 	for _, r := range s.Routes {
@@ -227,7 +229,7 @@
 	return Route{}, false
 }
 
-// Cascade returns the cascade with a name.
+// Cascade returns the cascade with the given name.
 func (p *Policy) Cascade(name string) (*Cascade, bool) {
 	c, ok := p.cascades[name]
 	return c, ok
--- a/manifest/problem.go
+++ b/manifest/problem.go
@@ -6,17 +6,17 @@
 	"unicode/utf8"
 )
 
-// Problem is one reason why a document is refused.
+// Problem is one reason why a document is invalid.
 type Problem struct {
-	// Path names the place, for example "models[2].versions[0].share"; it is
-	// empty for the document as a whole.
+	// Path is the location of the invalid value, for example
+	// "models[2].versions[0].share"; it is empty for the document as a whole.
 	Path string
-	// Value is the offending value as JSON text, shortened; values that may
-	// be secret are left out.
+	// Value is the invalid value as JSON text, truncated; it is empty for values
+	// that may be secret.
 	Value string
-	// Allowed says what would be accepted there; it may be empty.
+	// Allowed describes the values that are valid there; it may be empty.
 	Allowed string
-	// Message says what is wrong.
+	// Message describes the problem.
 	Message string
 }
 
@@ -37,7 +37,8 @@
 	return b.String()
 }
 
-// Errors holds all problems of a document in the order of their discovery.
+// Errors lists the problems of a document in the order of their discovery, at
+// most MaxProblems.
 type Errors []Problem
 
 // Error implements error with one line for each problem.
@@ -49,8 +50,8 @@
 	return "manifest: " + strings.Join(lines, "\n")
 }
 
-// location is a place in the document, built as a linked list so that a
-// document without problems costs no path strings.
+// location is the path to a value in the document. It is a linked list, so that
+// no path string is built for a document without problems.
 type location struct {
 	parent *location
 	field  string
@@ -61,11 +62,11 @@
 	return &location{parent: l, field: field}
 }
 
-func (l *location) at(index int) *location {
+func (l *location) element(index int) *location {
 	return &location{parent: l, index: index}
 }
 
-// String returns the path from the root, which itself has the empty path.
+// String returns the path from the root; the path of the root is empty.
 func (l *location) String() string {
 	if l == nil || l.parent == nil {
 		return ""
@@ -81,58 +82,59 @@
 	}
 }
 
-// report collects problems up to MaxProblems and counts the rest.
+// report collects up to MaxProblems problems and counts the rest.
 type report struct {
 	problems Errors
 	omitted  int
-	// unread holds the paths of values that are missing or of a wrong type.
-	unread map[string]bool
+	// undecoded is the set of paths of values that are missing or of a wrong
+	// type.
+	undecoded map[string]bool
 }
 
-// addUnread adds a problem of a value that could not be read at all.
-func (r *report) addUnread(at *location, value, allowed, format string, args ...any) {
-	if r.unread == nil {
-		r.unread = map[string]bool{}
+// addUndecoded adds a problem of a value that could not be decoded.
+func (r *report) addUndecoded(loc *location, value, allowed, format string, args ...any) {
+	if r.undecoded == nil {
+		r.undecoded = map[string]bool{}
 	}
-	r.unread[at.String()] = true
-	r.add(at, value, allowed, format, args...)
+	r.undecoded[loc.String()] = true
+	r.add(loc, value, allowed, format, args...)
 }
 
-func (r *report) add(at *location, value, allowed, format string, args ...any) {
+func (r *report) add(loc *location, value, allowed, format string, args ...any) {
 	if len(r.problems) >= MaxProblems-1 {
 		r.omitted++
 		return
 	}
 	r.problems = append(r.problems, Problem{
-		Path:    at.String(),
+		Path:    loc.String(),
 		Value:   value,
 		Allowed: allowed,
 		Message: fmt.Sprintf(format, args...),
 	})
 }
 
-// broken says whether the place or anything inside it has a problem, or what
-// it stands in could not be read, so that a check that depends on it would
-// only repeat that problem in other words.
-func (r *report) broken(at *location) bool {
+// hasProblem reports whether loc or anything inside it has a problem, or one of
+// its parents could not be decoded. A check that depends on loc would then only
+// repeat the same problem.
+func (r *report) hasProblem(loc *location) bool {
 	if len(r.problems) == 0 {
 		return false
 	}
-	for l := at; l != nil && len(r.unread) > 0; l = l.parent {
-		if r.unread[l.String()] {
+	for l := loc; l != nil && len(r.undecoded) > 0; l = l.parent {
+		if r.undecoded[l.String()] {
 			return true
 		}
 	}
-	path := at.String()
+	path := loc.String()
 	for _, p := range r.problems {
-		if within(p.Path, path) {
+		if isWithin(p.Path, path) {
 			return true
 		}
 	}
 	return false
 }
 
-func within(path, prefix string) bool {
+func isWithin(path, prefix string) bool {
 	if !strings.HasPrefix(path, prefix) {
 		return false
 	}
@@ -151,21 +153,23 @@
 	return append(r.problems, last)
 }
 
-const maxShown = 64
+// maxValueLength is the largest length of Problem.Value before quoting, in bytes.
+const maxValueLength = 64
 
-// shorten cuts s to a length that fits a report, at a rune's boundary.
-func shorten(s string) string {
-	if len(s) <= maxShown {
+// truncate shortens s to maxValueLength bytes at a rune boundary and appends an
+// ellipsis if it is longer.
+func truncate(s string) string {
+	if len(s) <= maxValueLength {
 		return s
 	}
-	end := maxShown
+	end := maxValueLength
 	for end > 0 && !utf8.RuneStart(s[end]) {
 		end--
 	}
 	return s[:end] + "..."
 }
 
-// quote returns s as a shortened JSON string.
+// quote returns s truncated and quoted.
 func quote(s string) string {
-	return fmt.Sprintf("%q", shorten(s))
+	return fmt.Sprintf("%q", truncate(s))
 }
--- a/manifest/refusal_test.go
+++ b/manifest/refusal_test.go
@@ -11,18 +11,18 @@
 	"github.com/quetzalweir/quetzalweir/manifest"
 )
 
-// keyDigest is the first account's key digest in the example.
+// keyDigest is the key digest of the first account in the example.
 const keyDigest = "2c70e12b7a0646f92279f427c7b38e7334d8e5389cff167a1dc30e73f826b683"
 
-// problems parses and returns the problems.
-func problems(t *testing.T, data []byte) manifest.Errors {
+// parseProblems parses data and returns the problems, or nil if it is valid.
+func parseProblems(t *testing.T, data []byte) manifest.Errors {
 	t.Helper()
 	doc, err := manifest.Parse(data)
 	if err == nil {
 		return nil
 	}
 	var list manifest.Errors
-	is.New(t).True(errors.As(err, &list)) // always typed
+	is.New(t).True(errors.As(err, &list)) // every error is of type Errors
 	is.New(t).Equal(doc, nil)
 	return list
 }
@@ -31,7 +31,7 @@
 	for _, tc := range []struct {
 		// old is replaced by new once in the example's text.
 		desc, old, new string
-		// want is "path: start of the message" of each problem, in order.
+		// want has "path: start of the message" for each problem, in order.
 		want []string
 	}{
 		{"unknown field", `"build"`, `"extra": {"a": [1]}, "build"`, []string{"extra: unknown field"}},
@@ -106,8 +106,8 @@
 		t.Run(tc.desc, func(t *testing.T) {
 			is := is.New(t)
 			example := string(readExample(t))
-			is.True(strings.Contains(example, tc.old)) // the case changes something
-			list := problems(t, []byte(strings.Replace(example, tc.old, tc.new, 1)))
+			is.True(strings.Contains(example, tc.old)) // the replacement applies
+			list := parseProblems(t, []byte(strings.Replace(example, tc.old, tc.new, 1)))
 			var got []string
 			for i, p := range list {
 				line := p.Path + ": " + p.Message
@@ -135,18 +135,18 @@
 	} {
 		t.Run(tc.desc, func(t *testing.T) {
 			is := is.New(t)
-			list := problems(t, []byte(tc.data))
+			list := parseProblems(t, []byte(tc.data))
 			is.Equal(len(list), 1)
 			is.True(strings.HasPrefix(list[0].Path+": "+list[0].Message, tc.want))
 		})
 	}
 }
 
-// A key that was put in place of its digest must not reach a log.
+// A key that was entered instead of its digest must not reach a log by a problem's text.
 func TestReportHoldsNoKeys(t *testing.T) {
 	is := is.New(t)
 	data := strings.Replace(string(readExample(t)), keyDigest, "secret-key", 1)
-	is.True(!strings.Contains(problems(t, []byte(data)).Error(), "secret"))
+	is.True(!strings.Contains(parseProblems(t, []byte(data)).Error(), "secret"))
 }
 
 func TestReportIsBounded(t *testing.T) {
@@ -156,7 +156,7 @@
 		fmt.Fprintf(&unknown, `"x%d": 1, `, i)
 	}
 	data := strings.Replace(string(readExample(t)), `"build"`, unknown.String()+`"build"`, 1)
-	list := problems(t, []byte(data))
+	list := parseProblems(t, []byte(data))
 	is.Equal(len(list), manifest.MaxProblems)
 	is.Equal(list[len(list)-1].Message, "2001 more problems were left out")
 }
