--- a/manifest/delta.go
+++ b/manifest/delta.go
@@ -7,38 +7,38 @@
 	"fmt"
 )
 
-// ErrDelta means that a delta can't be applied to a text.
-var ErrDelta = errors.New("manifest: bad delta")
+// ErrInvalidDelta means that a delta can't be applied to the base text.
+var ErrInvalidDelta = errors.New("manifest: invalid delta")
 
-// delta makes one canonical text out of another, line by line. As each entry
-// of a document's lists has a line of its own, a change of one account costs
-// about that account's line.
+// delta describes how to build one canonical text, the target, from lines of
+// another, the base. As each entry of a document's lists has its own line, the
+// delta of a change to one account is about as long as that account's line.
 type delta struct {
 	Steps []deltaStep `json:"steps"`
 }
 
-// deltaStep copies the lines from From up to, not including, To of the base,
-// and then adds Text.
+// deltaStep copies the lines From up to, but not including, To of the base and
+// then appends Text.
 type deltaStep struct {
 	From int    `json:"from,omitempty"`
 	To   int    `json:"to,omitempty"`
 	Text string `json:"text,omitempty"`
 }
 
-// Delta returns what ApplyDelta needs to make target out of base.
+// Delta returns the encoded delta from which ApplyDelta builds target out of base.
 func Delta(base, target []byte) []byte {
 	lines := splitLines(base)
-	index := make(map[string]int, len(lines))
+	baseIndex := make(map[string]int, len(lines))
 	for i, line := range lines {
-		index[string(line)] = i
+		baseIndex[string(line)] = i
 	}
 	b := deltaBuilder{}
 	for _, line := range splitLines(target) {
-		b.add(lines, index, line)
+		b.addLine(lines, baseIndex, line)
 	}
 	data, err := json.Marshal(b.delta())
 	if err != nil {
-		panic("manifest: encode delta: " + err.Error()) // plain structs only
+		panic("manifest: encode delta: " + err.Error()) // can't happen: integers and strings only
 	}
 	return data
 }
@@ -47,27 +47,28 @@
 	return bytes.SplitAfter(text, []byte{'\n'})
 }
 
-type deltaBuilder struct{ steps []openStep }
+type deltaBuilder struct{ steps []stepBuilder }
 
-// openStep is a deltaStep whose text still grows.
-type openStep struct {
+// stepBuilder is a deltaStep that may still be extended.
+type stepBuilder struct {
 	from, to int
 	text     []byte
 }
 
-// add extends the last step by a line where that is possible.
-func (b *deltaBuilder) add(base [][]byte, index map[string]int, line []byte) {
+// addLine adds a line of the target: it extends the copied range or the text of
+// the last step if possible, and starts a new step otherwise.
+func (b *deltaBuilder) addLine(base [][]byte, baseIndex map[string]int, line []byte) {
 	if len(b.steps) == 0 {
-		b.steps = append(b.steps, openStep{})
+		b.steps = append(b.steps, stepBuilder{})
 	}
 	last := &b.steps[len(b.steps)-1]
-	copies := len(last.text) == 0 && last.to > 0 && last.to < len(base)
-	i, found := index[string(line)]
+	copying := len(last.text) == 0 && last.to > 0 && last.to < len(base)
+	i, found := baseIndex[string(line)]
 	switch {
-	case copies && bytes.Equal(base[last.to], line):
+	case copying && bytes.Equal(base[last.to], line):
 		last.to++
 	case found:
-		b.steps = append(b.steps, openStep{from: i, to: i + 1})
+		b.steps = append(b.steps, stepBuilder{from: i, to: i + 1})
 	default:
 		last.text = append(last.text, line...)
 	}
@@ -81,25 +82,26 @@
 	return d
 }
 
-// ApplyDelta returns the target of a delta that was made from base. It does
-// not say whether base was the right one: the digest of the result does.
+// ApplyDelta returns the target of a delta between base and that target. It
+// doesn't verify that base is the text that the delta was made from; the caller
+// does so by the digest of the result.
 func ApplyDelta(base, data []byte) ([]byte, error) {
 	var d delta
 	if err := json.Unmarshal(data, &d); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrDelta, err)
+		return nil, fmt.Errorf("%w: %w", ErrInvalidDelta, err)
 	}
 	lines := splitLines(base)
 	var out bytes.Buffer
 	for _, step := range d.Steps {
 		if step.From < 0 || step.To < step.From || step.To > len(lines) {
-			return nil, fmt.Errorf("%w: lines %d to %d of %d", ErrDelta, step.From, step.To, len(lines))
+			return nil, fmt.Errorf("%w: lines %d to %d of a base of %d lines", ErrInvalidDelta, step.From, step.To, len(lines))
 		}
 		for _, line := range lines[step.From:step.To] {
 			out.Write(line)
 		}
 		out.WriteString(step.Text)
 		if out.Len() > MaxBytes {
-			return nil, fmt.Errorf("%w: more than %d bytes", ErrDelta, MaxBytes)
+			return nil, fmt.Errorf("%w: the result has more than %d bytes", ErrInvalidDelta, MaxBytes)
 		}
 	}
 	return out.Bytes(), nil
--- a/manifest/delta_test.go
+++ b/manifest/delta_test.go
@@ -11,7 +11,7 @@
 	"github.com/quetzalweir/quetzalweir/manifest"
 )
 
-func TestDeltaMakesTheTarget(t *testing.T) {
+func TestDeltaReproducesTarget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		lines := rapid.SliceOf(rapid.SampledFrom([]string{"", "a\n", "b\n", "c,\n", "\n", "d"}))
@@ -28,7 +28,7 @@
 	})
 }
 
-func TestDeltaRefusesWhatDoesNotFit(t *testing.T) {
+func TestApplyDeltaRejectsInvalidDelta(t *testing.T) {
 	for _, tc := range []struct{ desc, delta string }{
 		{"no JSON", `{`},
 		{"line below zero", `{"steps":[{"from":-1,"to":1}]}`},
@@ -37,12 +37,12 @@
 	} {
 		t.Run(tc.desc, func(t *testing.T) {
 			_, err := manifest.ApplyDelta([]byte("a\nb\n"), []byte(tc.delta))
-			is.New(t).True(errors.Is(err, manifest.ErrDelta))
+			is.New(t).True(errors.Is(err, manifest.ErrInvalidDelta))
 		})
 	}
 }
 
-// BenchmarkDelta is one changed account among many.
+// BenchmarkDelta measures the delta of a change to one of 1,000 accounts.
 func BenchmarkDelta(b *testing.B) {
 	doc := sizedDocument(1000, 16, 4)
 	base := manifest.Encode(doc)
--- a/manifest/diff.go
+++ b/manifest/diff.go
@@ -10,55 +10,56 @@
 
 // Change is one difference between two documents.
 type Change struct {
-	// Path names the place; entries of lists are named by their names, for
-	// example "models[chat].versions[v2].share".
+	// Path is the location of the difference. List entries are identified by
+	// their names, for example "models[chat].versions[v2].share".
 	Path string
-	// Old and New are the values as JSON; empty where there is none.
+	// Old and New are the values as JSON, empty where there is none; if the
+	// order of a list changed, they are the keys of its entries.
 	Old, New string
 }
 
-// Diff returns what has to change in a to become b, in the order of the
-// types' fields. Entries of named lists are matched by their names; a change
-// of their order is a change of the list itself.
+// Diff returns the changes that turn a into b, in the order of the struct
+// fields. List entries are matched by their names; if their order differs, that
+// is a change of the list.
 func Diff(a, b *Document) []Change {
 	d := &differ{}
-	d.value("", reflect.ValueOf(*a), reflect.ValueOf(*b))
+	d.compareValues("", reflect.ValueOf(*a), reflect.ValueOf(*b))
 	return d.changes
 }
 
 type differ struct{ changes []Change }
 
-func (d *differ) value(path string, a, b reflect.Value) {
+func (d *differ) compareValues(path string, a, b reflect.Value) {
 	switch {
 	case a.Kind() == reflect.Struct:
-		d.fields(path, a, b)
+		d.compareFields(path, a, b)
 	case a.Kind() == reflect.Slice && a.Type().Elem().Kind() == reflect.Struct:
 		d.list(path, a, b)
 	case a.Kind() == reflect.Pointer && !a.IsNil() && !b.IsNil():
-		d.value(path, a.Elem(), b.Elem())
+		d.compareValues(path, a.Elem(), b.Elem())
 	default:
-		d.leaf(path, a, b)
+		d.compareEncoded(path, a, b)
 	}
 }
 
-func (d *differ) fields(path string, a, b reflect.Value) {
+func (d *differ) compareFields(path string, a, b reflect.Value) {
 	for _, f := range fieldsOf(a.Type()).ordered {
 		name := f.name
 		if path != "" {
 			name = path + "." + name
 		}
-		d.value(name, a.Field(f.index), b.Field(f.index))
+		d.compareValues(name, a.Field(f.index), b.Field(f.index))
 	}
 }
 
-func (d *differ) leaf(path string, a, b reflect.Value) {
+func (d *differ) compareEncoded(path string, a, b reflect.Value) {
 	before, after := jsonText(a), jsonText(b)
 	if before != after {
 		d.changes = append(d.changes, Change{Path: path, Old: before, New: after})
 	}
 }
 
-// jsonText returns a value as JSON; nil pointers and empty lists give "".
+// jsonText returns a value as JSON, or "" for a nil pointer or an empty list.
 func jsonText(v reflect.Value) string {
 	if v.Kind() == reflect.Pointer && v.IsNil() {
 		return ""
@@ -74,55 +75,55 @@
 }
 
 func (d *differ) list(path string, a, b reflect.Value) {
-	before, after := keysOf(a), keysOf(b)
+	before, after := entryKeys(a), entryKeys(b)
 	for i, key := range before {
-		at := fmt.Sprintf("%s[%s]", path, key)
+		entryPath := fmt.Sprintf("%s[%s]", path, key)
 		j := slices.Index(after, key)
 		if j < 0 {
-			d.changes = append(d.changes, Change{Path: at, Old: jsonText(a.Index(i))})
+			d.changes = append(d.changes, Change{Path: entryPath, Old: jsonText(a.Index(i))})
 			continue
 		}
-		d.value(at, a.Index(i), b.Index(j))
+		d.compareValues(entryPath, a.Index(i), b.Index(j))
 	}
 	for j, key := range after {
 		if !slices.Contains(before, key) {
-			at := fmt.Sprintf("%s[%s]", path, key)
-			d.changes = append(d.changes, Change{Path: at, New: jsonText(b.Index(j))})
+			entryPath := fmt.Sprintf("%s[%s]", path, key)
+			d.changes = append(d.changes, Change{Path: entryPath, New: jsonText(b.Index(j))})
 		}
 	}
-	d.order(path, before, after)
+	d.compareOrder(path, before, after)
 }
 
-func (d *differ) order(path string, before, after []string) {
-	kept := keep(before, after)
-	now := keep(after, before)
-	if !slices.Equal(kept, now) {
-		change := Change{Path: path, Old: strings.Join(kept, ","), New: strings.Join(now, ",")}
+func (d *differ) compareOrder(path string, before, after []string) {
+	oldOrder := commonKeys(before, after)
+	newOrder := commonKeys(after, before)
+	if !slices.Equal(oldOrder, newOrder) {
+		change := Change{Path: path, Old: strings.Join(oldOrder, ","), New: strings.Join(newOrder, ",")}
 		d.changes = append(d.changes, change)
 	}
 }
 
-// keep returns the keys that stand in both lists, in the order of the first.
-func keep(keys, other []string) []string {
-	var kept []string
+// commonKeys returns the keys that are in both lists, in the order of the first.
+func commonKeys(keys, other []string) []string {
+	var common []string
 	for _, key := range keys {
 		if slices.Contains(other, key) {
-			kept = append(kept, key)
+			common = append(common, key)
 		}
 	}
-	return kept
+	return common
 }
 
-// keysOf names the entries of a list of structs.
-func keysOf(list reflect.Value) []string {
+// entryKeys returns the keys by which the entries of a list of structs are matched.
+func entryKeys(list reflect.Value) []string {
 	keys := make([]string, list.Len())
 	for i := range keys {
-		keys[i] = keyOf(list.Index(i).Interface())
+		keys[i] = entryKey(list.Index(i).Interface())
 	}
 	return keys
 }
 
-func keyOf(entry any) string {
+func entryKey(entry any) string {
 	switch v := entry.(type) {
 	case Model:
 		return v.Name
--- a/manifest/encode.go
+++ b/manifest/encode.go
@@ -7,10 +7,10 @@
 	"encoding/json"
 )
 
-// Encode returns the canonical form of a document: its fields in the order of
-// the types, empty optional fields left out, numbers in their shortest form,
-// no spaces, and one line for each entry of a top-level list. A document that
-// Parse accepts reads back equal from its canonical form.
+// Encode returns the canonical form of a document: fields in the order of the
+// struct types, empty optional fields omitted, numbers in their shortest form,
+// no spaces, and one line for each entry of a top-level list. Parsing the
+// canonical form of a document that Parse accepted returns an equal document.
 func Encode(doc *Document) []byte {
 	var b bytes.Buffer
 	b.WriteByte('{')
@@ -49,8 +49,8 @@
 	b.WriteString("],\n")
 }
 
-// writeJSON appends a value whose types can't fail to encode: a document
-// holds no NaN, as it comes from JSON.
+// writeJSON appends a value as JSON. It panics on an encoding error, which can't
+// occur: a document comes from JSON and so contains no NaN.
 func writeJSON(b *bytes.Buffer, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -59,11 +59,10 @@
 	b.Write(data)
 }
 
-// Digest returns "sha256:" and the hex SHA-256 of the canonical form of data,
-// so that spaces, the order of keys and spellings of numbers don't count. The
-// parent is a part of the document and so of its digest: a digest stands for
-// a document and all that came before it. It returns "" where Parse refuses
-// data.
+// Digest returns "sha256:" and the hex SHA-256 of the canonical form of data, so
+// that spaces, the order of keys and the notation of numbers make no difference.
+// As a document contains the digest of its parent, its own digest also identifies
+// all documents before it. Digest returns "" if Parse rejects data.
 func Digest(data []byte) string {
 	doc, err := Parse(data)
 	if err != nil {
@@ -72,7 +71,7 @@
 	return DigestCanonical(Encode(doc))
 }
 
-// DigestCanonical returns the digest of a text that is in canonical form.
+// DigestCanonical returns the digest of text that is already in canonical form.
 func DigestCanonical(canonical []byte) string {
 	sum := sha256.Sum256(canonical)
 	return digestPrefix + hex.EncodeToString(sum[:])
--- a/manifest/schema.go
+++ b/manifest/schema.go
@@ -7,12 +7,12 @@
 	"github.com/invopop/jsonschema"
 )
 
-// schemaID identifies the schema to tools; nothing is fetched from it.
+// schemaID identifies the schema to tools; it isn't an address to fetch from.
 const schemaID = "urn:quetzalweir:manifest:1"
 
-// Schema returns the JSON Schema of the document, made from the types. It
-// covers what a schema can say: fields, types and enumerations. References,
-// sums and duplicates are checked by Parse only.
+// Schema returns the JSON Schema of the document, generated from the Go types. It
+// covers fields, types and enumerations; references, sums and duplicates are
+// checked by Parse only.
 func Schema() []byte {
 	reflector := &jsonschema.Reflector{Mapper: enumSchema, Anonymous: true}
 	schema := reflector.Reflect(&Document{})
@@ -25,21 +25,22 @@
 	return append(data, '\n')
 }
 
-// enumSchema gives the schemas of enumerated types; nil means the default.
+// enumSchema returns the schema of an enumerated type, or nil for any other type,
+// for which the reflector then uses its default.
 func enumSchema(t reflect.Type) *jsonschema.Schema {
 	switch t {
 	case reflect.TypeFor[VersionState]():
-		return enum(Serving, RollingIn, RollingOut, Withdrawn)
+		return stringEnum(Serving, RollingIn, RollingOut, Withdrawn)
 	case reflect.TypeFor[OnWithdrawn]():
-		return enum(Rebind, Refuse)
+		return stringEnum(Rebind, Refuse)
 	case reflect.TypeFor[OnRaterFailure]():
-		return enum(Accept, Escalate)
+		return stringEnum(Accept, Escalate)
 	default:
 		return nil
 	}
 }
 
-func enum[T ~string](values ...T) *jsonschema.Schema {
+func stringEnum[T ~string](values ...T) *jsonschema.Schema {
 	schema := &jsonschema.Schema{Type: "string"}
 	for _, v := range values {
 		schema.Enum = append(schema.Enum, string(v))
