--- a/manifest/bench_test.go
+++ b/manifest/bench_test.go
@@ -17,9 +17,9 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// BenchmarkLoad is what a host pays for a new manifest. Its memory figures
-// give the slopes by accounts and versions: document and policy together, as
-// they stay in memory, and the part of the policy alone.
+// BenchmarkLoad measures the cost of parsing and compiling a new manifest on a
+// host. Its memory metrics show the growth by accounts and versions: kept-B is the
+// memory of document and policy, policy-B that of the policy alone.
 func BenchmarkLoad(b *testing.B) {
 	for _, size := range []struct{ accounts, models, versions int }{
 		{10, 4, 4}, {100, 16, 4}, {1000, 16, 4}, {10000, 16, 4}, {1000, 16, 16}, {1000, 64, 16},
@@ -29,7 +29,7 @@
 			b.ReportAllocs()
 			b.SetBytes(int64(len(data)))
 			for b.Loop() {
-				load(b, data)
+				parseAndCompile(b, data)
 			}
 			before := heapBytes()
 			doc, _ := manifest.Parse(data)
@@ -44,7 +44,7 @@
 	}
 }
 
-func load(b *testing.B, data []byte) *manifest.Policy {
+func parseAndCompile(b *testing.B, data []byte) *manifest.Policy {
 	doc, err := manifest.Parse(data)
 	if err != nil {
 		b.Fatal(err)
--- a/manifest/example_test.go
+++ b/manifest/example_test.go
@@ -6,7 +6,7 @@
 	"github.com/quetzalweir/quetzalweir/manifest"
 )
 
-// A document is refused with all its problems, or compiled for requests.
+// Parse returns all problems of an invalid document as one error.
 func Example() {
 	text := `{
 		"format": 1, "parent": "", "build": "1042",
--- a/manifest/manifest_test.go
+++ b/manifest/manifest_test.go
@@ -32,9 +32,9 @@
 func TestExampleReadsBackEqual(t *testing.T) {
 	is := is.New(t)
 	doc := parseExample(t)
-	again, err := manifest.Parse(manifest.Encode(doc))
+	decoded, err := manifest.Parse(manifest.Encode(doc))
 	is.NoErr(err)
-	is.Equal(doc, again)
+	is.Equal(doc, decoded)
 	is.Equal(manifest.Digest(readExample(t)), manifest.DigestCanonical(manifest.Encode(doc)))
 }
 
--- a/manifest/random_test.go
+++ b/manifest/random_test.go
@@ -13,7 +13,7 @@
 	"github.com/quetzalweir/quetzalweir/manifest"
 )
 
-// drawDocument returns a valid document.
+// drawDocument generates a valid document.
 func drawDocument(t *rapid.T) *manifest.Document {
 	doc := &manifest.Document{
 		Format:   manifest.Format,
@@ -34,20 +34,20 @@
 
 func drawModel(t *rapid.T, name string) manifest.Model {
 	m := manifest.Model{Name: name}
-	left := 100
+	remainingShare := 100
 	states := []manifest.VersionState{manifest.Serving, manifest.RollingIn, manifest.RollingOut, manifest.Withdrawn}
 	for i := range rapid.IntRange(0, 3).Draw(t, "versions") {
 		v := manifest.Version{Name: fmt.Sprintf("v%d", i), State: rapid.SampledFrom(states).Draw(t, "state")}
 		if v.State == manifest.Serving || v.State == manifest.RollingIn {
-			v.Share = rapid.IntRange(0, left).Draw(t, "share")
-			left -= v.Share
+			v.Share = rapid.IntRange(0, remainingShare).Draw(t, "share")
+			remainingShare -= v.Share
 		}
 		if v.State == manifest.RollingIn {
 			v.Exposure = &manifest.Exposure{Round: 1, Answers: 1, MaxErrorRate: rapid.Float64Range(0, 1).Draw(t, "rate")}
 		}
 		m.Versions = append(m.Versions, v)
 	}
-	return manifest.Model{Name: name, Versions: append(m.Versions, manifest.Version{Name: "last", State: manifest.Serving, Share: left})}
+	return manifest.Model{Name: name, Versions: append(m.Versions, manifest.Version{Name: "last", State: manifest.Serving, Share: remainingShare})}
 }
 
 func drawAccount(t *rapid.T, doc *manifest.Document, i int) manifest.Account {
@@ -69,9 +69,8 @@
 	return a
 }
 
-// reorder returns the same JSON value with its keys in another order and with
-// spaces.
-func reorder(t *rapid.T, data []byte) []byte {
+// reorderKeys returns the same JSON value with sorted keys and with spaces.
+func reorderKeys(t *rapid.T, data []byte) []byte {
 	var value any
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.UseNumber()
@@ -90,17 +89,18 @@
 		is := is.New(t)
 		doc := drawDocument(t)
 		canonical := manifest.Encode(doc)
-		again, err := manifest.Parse(canonical)
+		decoded, err := manifest.Parse(canonical)
 		is.NoErr(err)
-		is.Equal(doc, again)
-		is.Equal(manifest.Encode(again), canonical)
-		is.Equal(manifest.Digest(reorder(t, canonical)), manifest.DigestCanonical(canonical))
-		is.Equal(len(manifest.Diff(doc, again)), 0)
-		checkPermitted(t, manifest.Compile(again, 1, ""))
+		is.Equal(doc, decoded)
+		is.Equal(manifest.Encode(decoded), canonical)
+		is.Equal(manifest.Digest(reorderKeys(t, canonical)), manifest.DigestCanonical(canonical))
+		is.Equal(len(manifest.Diff(doc, decoded)), 0)
+		checkPermitted(t, manifest.Compile(decoded, 1, ""))
 	})
 }
 
-// checkPermitted compares the compiled lists with the document's wording.
+// checkPermitted compares the permitted versions of a policy with those computed
+// directly from the document.
 func checkPermitted(t *rapid.T, p *manifest.Policy) {
 	is := is.New(t)
 	for _, a := range p.Document.Accounts {
@@ -108,8 +108,8 @@
 			var want []manifest.Version
 			for _, permission := range a.Models {
 				for _, v := range m.Versions {
-					named := len(permission.Versions) == 0 || permission.Versions[0] == v.Name
-					if permission.Model == m.Name && named && v.State != manifest.Withdrawn {
+					included := len(permission.Versions) == 0 || permission.Versions[0] == v.Name
+					if permission.Model == m.Name && included && v.State != manifest.Withdrawn {
 						want = append(want, v)
 					}
 				}
@@ -119,7 +119,8 @@
 	}
 }
 
-// Whatever Parse accepts has a canonical form that it accepts as equal.
+// FuzzParse checks that the canonical form of every document that Parse accepts
+// parses to an equal document.
 func FuzzParse(f *testing.F) {
 	f.Add(readExample(f))
 	f.Add([]byte(`{"format":1,"a":{"b":[null,1e9,"\ud800"]},"a":2}`))
@@ -131,9 +132,9 @@
 			is.True(len(err.(manifest.Errors)) <= manifest.MaxProblems)
 			return
 		}
-		again, err := manifest.Parse(manifest.Encode(doc))
+		decoded, err := manifest.Parse(manifest.Encode(doc))
 		is.NoErr(err)
-		is.Equal(doc, again)
+		is.Equal(doc, decoded)
 		manifest.Compile(doc, 1, "")
 	})
 }
@@ -167,8 +168,8 @@
 	}
 }
 
-// sizedDocument returns a document of a size; a third of the accounts name
-// the versions that they may use.
+// sizedDocument returns a document with the given numbers of entries; a third of
+// the permissions name one version.
 func sizedDocument(accounts, models, versions int) *manifest.Document {
 	random := rand.New(rand.NewPCG(1, 2))
 	doc := &manifest.Document{Format: manifest.Format, Build: "bench", Sessions: manifest.Sessions{TTLSeconds: 1, OnWithdrawn: manifest.Refuse}}
