--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -26,48 +26,50 @@
 	LogLevel         string `help:"Least level of log lines." enum:"debug,info,warn,error" default:"info"`
 }
 
-// memoryPart is the part of the permitted memory at which the garbage collector
-// works harder, in percent; the rest is for stacks and buffers of the kernel.
-const memoryPart = 70
+// memoryLimitPercent is the soft memory limit, at which the garbage collector
+// works harder, as a percentage of the memory that the process may use. The rest
+// is for stacks and kernel buffers.
+const memoryLimitPercent = 70
 
 // Run implements the command.
 func (c *gatewayCmd) Run(ctx context.Context) error {
 	if c.Settings == "" {
 		return errors.New("--settings is required")
 	}
-	site, err := platform.LoadSettings(c.Settings)
+	fileSettings, err := platform.LoadSettings(c.Settings)
 	if err != nil {
 		return err
 	}
-	if site.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(site.MemoryMB) << 20 / 100 * memoryPart)
+	if fileSettings.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(fileSettings.MemoryMB) << 20 / 100 * memoryLimitPercent)
 	}
 	level, err := zerolog.ParseLevel(c.LogLevel)
 	if err != nil {
-		return fmt.Errorf("log level: %w", err)
+		return fmt.Errorf("--log-level: %w", err)
 	}
 	out := logline.NewBounded(os.Stdout)
 	defer out.Close()
-	log := logline.New(out, level).With().Str("host", site.Host).Logger()
-	stopReloads := c.noteReloads(site, log)
+	log := logline.New(out, level).With().Str("host", fileSettings.Host).Logger()
+	stopReloads := c.logReloads(fileSettings, log)
 	defer stopReloads()
-	return gateway.New(c.settings(site), log).Run(ctx)
+	return gateway.New(c.settings(fileSettings), log).Run(ctx)
 }
 
-// noteReloads takes SIGHUP, which says that the settings file changed and would end
-// the process otherwise. What a process listens on and how it counts can't change
-// under its connections: a change is logged and in force from the next start.
-func (c *gatewayCmd) noteReloads(inForce platform.Settings, log zerolog.Logger) (stop func()) {
+// logReloads handles SIGHUP, which signals that the settings file changed and would
+// otherwise end the process. Listening addresses and the settings that counters depend
+// on can't change while connections are open, so a change is only logged and applies
+// from the next start. The returned function ends the handling.
+func (c *gatewayCmd) logReloads(startSettings platform.Settings, log zerolog.Logger) (stop func()) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	go func() {
 		for range hangups {
-			site, err := platform.LoadSettings(c.Settings)
+			fileSettings, err := platform.LoadSettings(c.Settings)
 			if err != nil {
 				log.Error().Str("event", "reload").Err(err).Msg("")
 				continue
 			}
-			log.Info().Str("event", "reload").Bool("changed", !reflect.DeepEqual(site, inForce)).Msg("")
+			log.Info().Str("event", "reload").Bool("changed", !reflect.DeepEqual(fileSettings, startSettings)).Msg("")
 		}
 	}()
 	return func() {
@@ -76,15 +78,15 @@
 	}
 }
 
-func (c *gatewayCmd) settings(site platform.Settings) gateway.Settings {
-	store := platform.NewStore(site.Store)
+func (c *gatewayCmd) settings(fileSettings platform.Settings) gateway.Settings {
+	store := platform.NewStore(fileSettings.Store)
 	tables := platform.Tables()
 	s := gateway.Settings{
-		Host:          site.Host,
-		Zone:          site.Zone,
-		Regions:       site.Regions,
-		CallerAddress: site.CallerAddress,
-		ReadyAddress:  site.ReadyAddress,
+		Host:          fileSettings.Host,
+		Zone:          fileSettings.Zone,
+		Regions:       fileSettings.Regions,
+		CallerAddress: fileSettings.CallerAddress,
+		ReadyAddress:  fileSettings.ReadyAddress,
 		ReadyPath:     platform.ReadinessPath,
 		Source:        store,
 		Statuses:      store.Table(tables.Status),
@@ -93,23 +95,23 @@
 		Headers:       platform.Headers(),
 		AnyModel:      platform.AnyModel,
 		Peers: gateway.Peers{
-			Listen: site.Peers, Seeds: site.Seeds, FirstStart: site.FirstStart, Cores: site.Cores, LinkMbps: site.LinkMbps,
+			Listen: fileSettings.Peers, Seeds: fileSettings.Seeds, FirstStart: fileSettings.FirstStart, Cores: fileSettings.Cores, LinkMbps: fileSettings.LinkMbps,
 			Keys: store.Table(platform.SharedKeyTable),
 		},
-		StopTimeout:      site.StopTimeout,
-		DrainTime:        site.DrainTime,
-		ApplyTime:        site.ApplyTime,
-		RetryRatio:       site.RetryRatio,
-		RetryWindow:      site.RetryWindow,
-		RetryHeadroom:    site.RetryHeadroom,
-		CanaryShare:      site.CanaryShare,
-		ColdOverrun:      site.ColdOverrun,
-		ColdHeadroom:     site.ColdHeadroom,
+		StopTimeout:      fileSettings.StopTimeout,
+		DrainTime:        fileSettings.DrainTime,
+		ApplyTime:        fileSettings.ApplyTime,
+		RetryRatio:       fileSettings.RetryRatio,
+		RetryWindow:      fileSettings.RetryWindow,
+		RetryHeadroom:    fileSettings.RetryHeadroom,
+		CanaryShare:      fileSettings.CanaryShare,
+		ColdOverrun:      fileSettings.ColdOverrun,
+		ColdHeadroom:     fileSettings.ColdHeadroom,
 		FirstModelIndex:  c.FirstModel,
 		AcceptConfidence: c.AcceptConfidence,
 	}
 	if c.MetricsPort != 0 {
-		s.MetricsAddress = net.JoinHostPort(site.IP, fmt.Sprint(c.MetricsPort))
+		s.MetricsAddress = net.JoinHostPort(fileSettings.IP, fmt.Sprint(c.MetricsPort))
 	}
 	return s
 }
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -57,31 +57,32 @@
 		c.print(s.out, settings)
 		return nil
 	}
-	service := client.New(c.Platform, client.Options{})
-	defer service.Close()
+	platformClient := client.New(c.Platform, client.Options{})
+	defer platformClient.Close()
 	host, err := entry.New(settings, entry.Platform{
-		Table:   service.Table(),
-		Objects: service.Objects(),
-		Hosts:   service.Hosts(),
-		Rater:   service.Rater(),
+		Table:   platformClient.Table(),
+		Objects: platformClient.Objects(),
+		Hosts:   platformClient.Hosts(),
+		Rater:   platformClient.Rater(),
 	}, c.logger(s))
 	if err != nil {
 		return err
 	}
-	ran, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
-	go cutOnSecondSignal(ctx, ran, host)
+	finished, finish := context.WithCancel(context.WithoutCancel(ctx))
+	defer finish()
+	go forceStopOnSecondSignal(ctx, finished, host)
 	return host.Run(ctx)
 }
 
-// cutOnSecondSignal cuts the planned stop short when a second signal comes
-// before it is done.
-func cutOnSecondSignal(ctx, ran context.Context, host *entry.Host) {
+// forceStopOnSecondSignal forces the host to stop if a second signal arrives
+// during the planned stop. ctx ends at the first signal, and finished ends when
+// the host has stopped.
+func forceStopOnSecondSignal(ctx, finished context.Context, host *entry.Host) {
 	<-ctx.Done()
-	second, stop := signal.NotifyContext(ran, os.Interrupt, syscall.SIGTERM)
+	secondSignal, stop := signal.NotifyContext(finished, os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	<-second.Done()
-	if ran.Err() == nil {
+	<-secondSignal.Done()
+	if finished.Err() == nil {
 		host.ForceStop()
 	}
 }
@@ -91,7 +92,8 @@
 	return logline.New(s.err, level).With().Str("host", c.ID).Logger()
 }
 
-// settings checks all flags and returns all their faults.
+// settings returns the settings from the flags, or an error that lists all
+// invalid flags.
 func (c *serveCmd) settings() (entry.Settings, error) {
 	sessionKeys, sessionErr := parseKeys("session-keys", c.SessionKeys)
 	peerKeys, peerErr := parseKeys("peer-keys", c.PeerKeys)
@@ -126,7 +128,7 @@
 
 func parseKeys(flag, text string) ([]session.Key, error) {
 	if text == "" {
-		return nil, nil // Validate says that a key is needed.
+		return nil, nil // Settings.Validate reports the missing key
 	}
 	keys, err := session.ParseKeys(text)
 	if err != nil {
@@ -155,8 +157,8 @@
 	return nil
 }
 
-// masked stands for a key in printed settings.
-const masked = "****"
+// keyMask replaces each key in printed settings.
+const keyMask = "****"
 
 func (c *serveCmd) print(w io.Writer, s entry.Settings) {
 	lines := []struct {
@@ -171,9 +173,9 @@
 		{"advertise-peers", s.AdvertisePeers},
 		{"seeds", strings.Join(s.Seeds, ",")},
 		{"platform", c.Platform},
-		{"session-keys", maskedKeys(s.SessionKeys)},
-		{"peer-keys", maskedKeys(s.PeerKeys)},
-		{"operator-keys", strings.Repeat(masked+" ", len(s.OperatorKeys))},
+		{"session-keys", maskKeys(s.SessionKeys)},
+		{"peer-keys", maskKeys(s.PeerKeys)},
+		{"operator-keys", strings.Repeat(keyMask+" ", len(s.OperatorKeys))},
 		{"max-body", s.MaxBody},
 		{"capacity", s.Capacity},
 		{"max-queue", s.MaxQueue},
@@ -191,11 +193,11 @@
 	}
 }
 
-// maskedKeys prints the ids of keys without their secrets.
-func maskedKeys[K fmt.Stringer](keys []K) string {
+// maskKeys returns the ids of keys with their secrets masked.
+func maskKeys[K fmt.Stringer](keys []K) string {
 	text := make([]string, len(keys))
 	for i, k := range keys {
-		text[i] = k.String() + ":" + masked
+		text[i] = k.String() + ":" + keyMask
 	}
 	return strings.Join(text, ",")
 }
