--- a/internal/cli/inspect.go
+++ b/internal/cli/inspect.go
@@ -51,16 +51,16 @@
 
 // Run implements the command.
 func (c *hostsCmd) Run(ctx context.Context, s *streams) error {
-	var answer entry.HostsResponse
-	if err := c.client().get(ctx, entry.PathHosts, &answer); err != nil {
+	var response entry.HostsResponse
+	if err := c.client().get(ctx, entry.PathHosts, &response); err != nil {
 		return err
 	}
-	fmt.Fprintf(s.out, "seen by %s at epoch %d\n", answer.Self, answer.Epoch)
+	fmt.Fprintf(s.out, "seen by %s at epoch %d\n", response.Self, response.Epoch)
 	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
-	for _, m := range answer.Members {
+	for _, m := range response.Members {
 		fmt.Fprintf(w, "entry\t%s\t%s\t%s\n", m.ID, m.Zone, m.State)
 	}
-	for _, u := range answer.Upstreams {
+	for _, u := range response.Upstreams {
 		fmt.Fprintf(w, "upstream\t%s\t%s\tleaving=%t\tchecks-fencing=%t\tin-flight=%d\t%s\n",
 			u.ID, u.Zone, u.Leaving, u.Fenced, u.InFlight, strings.Join(u.Versions, ","))
 	}
--- a/internal/cli/manifest.go
+++ b/internal/cli/manifest.go
@@ -33,8 +33,8 @@
 	InForce manifestInForceCmd `cmd:"" help:"Tell which hosts have an epoch in force."`
 }
 
-// errFaulty is returned for a manifest with faults, after they were printed.
-var errFaulty = errors.New("the manifest has faults")
+// errInvalidManifest is returned after the problems of a manifest were printed.
+var errInvalidManifest = errors.New("the manifest is invalid")
 
 func readManifest(s *streams, path string) ([]byte, *manifest.Document, error) {
 	data, err := readFile(path)
@@ -45,7 +45,7 @@
 	var problems manifest.Errors
 	if errors.As(err, &problems) {
 		printProblems(s.err, problems)
-		return nil, nil, errFaulty
+		return nil, nil, errInvalidManifest
 	}
 	return data, doc, err
 }
@@ -92,8 +92,9 @@
 	Wait  time.Duration `help:"How long to wait until all hosts have it in force." default:"10s" env:"-"`
 }
 
-// submitTries is how often a submission with an unknown outcome is settled.
-const submitTries = 5
+// maxSubmitAttempts is how often a manifest is submitted while the outcome is
+// unknown.
+const maxSubmitAttempts = 5
 
 // Run implements the command.
 func (c *manifestSubmitCmd) Run(ctx context.Context, s *streams) error {
@@ -104,35 +105,35 @@
 	if c.Token == "" {
 		c.Token = uuid.NewString()
 	}
-	answer, err := c.submit(ctx, data)
+	response, err := c.submit(ctx, data)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(s.out, "accepted: epoch %d, digest %s, already %t\n", answer.Head.Epoch, answer.Head.Digest, answer.Already)
-	return waitInForce(ctx, s, c.client(), answer.Head.Epoch, c.Wait)
+	fmt.Fprintf(s.out, "accepted: epoch %d, digest %s, already %t\n", response.Head.Epoch, response.Head.Digest, response.Already)
+	return waitInForce(ctx, s, c.client(), response.Head.Epoch, c.Wait)
 }
 
-// submit tries again while the outcome is unknown; the token makes the
-// retries one submission.
+// submit submits a manifest and retries while the outcome is unknown. All
+// attempts carry the same token, so the host accepts the manifest once.
 func (c *manifestSubmitCmd) submit(ctx context.Context, data []byte) (entry.SubmitResponse, error) {
-	var answer entry.SubmitResponse
+	var response entry.SubmitResponse
 	var err error
-	for range submitTries {
+	for range maxSubmitAttempts {
 		var body []byte
 		header := http.Header{entry.HeaderSubmitToken: {c.Token}}
 		body, err = c.client().call(ctx, http.MethodPost, entry.PathManifest, data, header)
 		if err == nil {
-			return answer, json.Unmarshal(body, &answer)
+			return response, json.Unmarshal(body, &response)
 		}
-		if !unknownOutcome(err) || !sleep(ctx, time.Second) {
+		if !outcomeUnknown(err) || !sleep(ctx, time.Second) {
 			break
 		}
 	}
-	return answer, fmt.Errorf("submit (token %s): %w", c.Token, err)
+	return response, fmt.Errorf("submit (token %s): %w", c.Token, err)
 }
 
-// unknownOutcome says whether a submission may have taken effect.
-func unknownOutcome(err error) bool {
+// outcomeUnknown reports whether a failed submission may have taken effect.
+func outcomeUnknown(err error) bool {
 	var api *apiError
 	if errors.As(err, &api) {
 		return api.Answer.Outcome == entry.OutcomeUnknown
@@ -140,22 +141,22 @@
 	return true
 }
 
-// errNotConfirmed is returned when hosts haven't confirmed an epoch in time.
+// errNotConfirmed is returned if some hosts don't confirm an epoch in time.
 var errNotConfirmed = errors.New("not all hosts have confirmed the manifest")
 
-const inForcePoll = 200 * time.Millisecond
+const inForcePollInterval = 200 * time.Millisecond
 
 func waitInForce(ctx context.Context, s *streams, client *operatorClient, epoch uint64, wait time.Duration) error {
 	deadline := time.Now().Add(wait)
 	for {
-		var report config.InForce
-		err := client.get(ctx, epochPath(entry.PathInForce, epoch), &report)
-		if err == nil && len(report.Unconfirmed) == 0 {
-			fmt.Fprintf(s.out, "in force on %s\n", strings.Join(report.Confirmed, " "))
+		var status config.InForce
+		err := client.get(ctx, epochPath(entry.PathInForce, epoch), &status)
+		if err == nil && len(status.Unconfirmed) == 0 {
+			fmt.Fprintf(s.out, "in force on %s\n", strings.Join(status.Confirmed, " "))
 			return nil
 		}
-		if time.Now().After(deadline) || !sleep(ctx, inForcePoll) {
-			fmt.Fprintf(s.out, "in force on %s; not confirmed by %s\n", strings.Join(report.Confirmed, " "), strings.Join(report.Unconfirmed, " "))
+		if time.Now().After(deadline) || !sleep(ctx, inForcePollInterval) {
+			fmt.Fprintf(s.out, "in force on %s; not confirmed by %s\n", strings.Join(status.Confirmed, " "), strings.Join(status.Unconfirmed, " "))
 			return errors.Join(errNotConfirmed, err)
 		}
 	}
@@ -165,7 +166,7 @@
 	return strings.Replace(pattern, "{epoch}", fmt.Sprint(epoch), 1)
 }
 
-// sleep waits for d; false means that ctx ended.
+// sleep waits for d and returns true, or false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	return wait.For(ctx, d) == nil
 }
@@ -244,9 +245,9 @@
 
 // Run implements the command.
 func (c *manifestInForceCmd) Run(ctx context.Context, s *streams) error {
-	var report config.InForce
-	if err := c.client().get(ctx, epochPath(entry.PathInForce, c.Epoch), &report); err != nil {
+	var status config.InForce
+	if err := c.client().get(ctx, epochPath(entry.PathInForce, c.Epoch), &status); err != nil {
 		return err
 	}
-	return printJSON(s.out, report)
+	return printJSON(s.out, status)
 }
--- a/internal/cli/operator.go
+++ b/internal/cli/operator.go
@@ -15,28 +15,29 @@
 
 const (
 	operatorTimeout = 30 * time.Second
-	// maxOperatorAnswer bounds what is read of an answer, in bytes.
-	maxOperatorAnswer = 256 << 20
+	// maxOperatorResponseBytes is the largest part of a response body that is read.
+	maxOperatorResponseBytes = 256 << 20
 )
 
-// operatorFlags say how to reach the operators' address of an entry host.
+// operatorFlags holds the operators' address of an entry host and its key.
 type operatorFlags struct {
 	Operator    string `help:"URL of an entry host's operators' address." default:"http://127.0.0.1:8081"`
 	OperatorKey string `help:"Key of the operators' address."`
 }
 
-// operatorClient calls the operators' API.
+// operatorClient calls the operators' API of an entry host.
 type operatorClient struct {
-	base string
-	key  string
-	http *http.Client
+	baseURL    string
+	key        string
+	httpClient *http.Client
 }
 
 func (f operatorFlags) client() *operatorClient {
-	return &operatorClient{base: f.Operator, key: f.OperatorKey, http: &http.Client{Timeout: operatorTimeout}}
+	return &operatorClient{baseURL: f.Operator, key: f.OperatorKey, httpClient: &http.Client{Timeout: operatorTimeout}}
 }
 
-// apiError is a failed call of the operators' API.
+// apiError is the error of a call to which the operators' API responded with an
+// HTTP status other than 2xx. It holds the status and the decoded body.
 type apiError struct {
 	Status int
 	Answer entry.OperatorError
@@ -51,9 +52,10 @@
 	return text
 }
 
-// call makes one call and returns the answer's body.
+// call sends one request and returns the body of the response; a status other
+// than 2xx is an apiError.
 func (c *operatorClient) call(ctx context.Context, method, path string, body []byte, header http.Header) ([]byte, error) {
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
@@ -61,12 +63,12 @@
 		req.Header[name] = values
 	}
 	req.Header.Set("Authorization", "Bearer "+c.key)
-	resp, err := c.http.Do(req)
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
 		return nil, err
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxOperatorAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxOperatorResponseBytes))
 	if err != nil {
 		return nil, err
 	}
@@ -84,12 +86,12 @@
 	return e
 }
 
-func (c *operatorClient) get(ctx context.Context, path string, into any) error {
+func (c *operatorClient) get(ctx context.Context, path string, result any) error {
 	data, err := c.call(ctx, http.MethodGet, path, nil, nil)
 	if err != nil {
 		return err
 	}
-	return json.Unmarshal(data, into)
+	return json.Unmarshal(data, result)
 }
 
 func printProblems(w io.Writer, problems []manifest.Problem) {
