--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the command line of quetzalweir.
+// Package cli implements the command line of quetzalweir.
 package cli
 
 import (
@@ -13,17 +13,17 @@
 	"github.com/alecthomas/kong"
 )
 
-// Exit codes of the command line.
+// Exit codes of the process.
 const (
 	exitOK     = 0
 	exitFailed = 1
 	exitUsage  = 2
 )
 
-// envPrefix stands before each flag's environment variable.
+// envPrefix is the prefix of each flag's environment variable.
 const envPrefix = "QUETZALWEIR"
 
-// commands is the tree of commands.
+// commands declares the commands; kong takes their names from the fields.
 type commands struct {
 	Serve      serveCmd      `cmd:"" help:"Run an entry host."`
 	Gateway    gatewayCmd    `cmd:"" help:"Run a gateway host by a routing document, on a platform of its own."`
@@ -40,7 +40,7 @@
 	Standin    standinCmd    `cmd:"" help:"Run a stand-in of an outside system."`
 }
 
-// streams are where commands write.
+// streams holds the output streams of the commands.
 type streams struct {
 	out io.Writer
 	err io.Writer
@@ -49,22 +49,22 @@
 // Main runs the command line and returns the process's exit code.
 func Main(args []string, out, errOut io.Writer) int {
 	var tree commands
-	exit := -1
+	exitCode := -1
 	parser, err := kong.New(&tree,
 		kong.Name("quetzalweir"),
 		kong.Description("A model-aware router for versions and cascades."),
 		kong.UsageOnError(),
 		kong.Writers(out, errOut),
 		kong.DefaultEnvars(envPrefix),
-		kong.Exit(func(code int) { exit = code }),
+		kong.Exit(func(code int) { exitCode = code }),
 	)
 	if err != nil {
 		fmt.Fprintln(errOut, "quetzalweir:", err)
 		return exitUsage
 	}
 	parsed, err := parser.Parse(args)
-	if exit >= 0 {
-		return exit
+	if exitCode >= 0 {
+		return exitCode
 	}
 	if err != nil {
 		fmt.Fprintln(errOut, "quetzalweir:", err)
@@ -88,5 +88,5 @@
 	return exitFailed
 }
 
-// errUsage marks errors of the settings that the user gave.
-var errUsage = errors.New("wrong settings")
+// errUsage marks errors in the user's settings; the exit code is then exitUsage.
+var errUsage = errors.New("invalid settings")
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -14,7 +14,7 @@
 
 const testKey = "k1:6465762d6465762d6465762d6465762d6465762d6465762d6465762d6465762d"
 
-func run1(args ...string) (code int, out, errOut string) {
+func runCommand(args ...string) (code int, out, errOut string) {
 	var stdout, stderr bytes.Buffer
 	code = Main(args, &stdout, &stderr)
 	return code, stdout.String(), stderr.String()
@@ -26,7 +26,7 @@
 	tests := []struct {
 		desc string
 		args []string
-		want []string // in the message; empty for success
+		want []string // parts of the error message; empty for success
 	}{
 		{desc: "good"},
 		{desc: "address by name", args: []string{"--callers=localhost:80"}, want: []string{"--callers", "QUETZALWEIR_CALLERS", "IP and a port"}},
@@ -39,10 +39,10 @@
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
 			is := is.New(t)
-			code, out, errOut := run1(append(good, tt.args...)...)
+			code, out, errOut := runCommand(append(good, tt.args...)...)
 			is.Equal(code == exitOK, len(tt.want) == 0)
 			for _, want := range tt.want {
-				is.True(strings.Contains(errOut, want)) // the message names it
+				is.True(strings.Contains(errOut, want)) // the message contains it
 			}
 			is.True(!strings.Contains(out+errOut, "6465762d")) // no key is printed
 		})
@@ -51,10 +51,10 @@
 
 func TestServeNeedsKeysAndNames(t *testing.T) {
 	is := is.New(t)
-	code, _, errOut := run1("serve")
+	code, _, errOut := runCommand("serve")
 	is.Equal(code, exitUsage)
 	for _, flag := range []string{"--id", "--zone", "--session-keys", "--peer-keys", "--operator-keys"} {
-		is.True(strings.Contains(errOut, flag)) // all faults in one run
+		is.True(strings.Contains(errOut, flag)) // one run reports all missing settings
 	}
 }
 
@@ -65,10 +65,10 @@
 	for _, name := range []string{"SESSION", "PEER", "OPERATOR"} {
 		t.Setenv("QUETZALWEIR_"+name+"_KEYS", testKey)
 	}
-	code, out, _ := run1("serve", "--print-settings", "--zone=z1")
+	code, out, _ := runCommand("serve", "--print-settings", "--zone=z1")
 	is.Equal(code, exitOK)
 	is.True(strings.Contains(out, "id=from-env\n"))
-	is.True(strings.Contains(out, "zone=z1\n")) // a flag goes before the environment
+	is.True(strings.Contains(out, "zone=z1\n")) // a flag overrides the environment
 }
 
 func TestManifestFiles(t *testing.T) {
@@ -79,13 +79,13 @@
 	is.NoErr(os.WriteFile(good, devenv.Manifest(), 0o600))
 	is.NoErr(os.WriteFile(bad, bytes.Replace(devenv.Manifest(), []byte(`"share": 90`), []byte(`"share": 91`), 1), 0o600))
 
-	code, out, _ := run1("manifest", "check", good)
+	code, out, _ := runCommand("manifest", "check", good)
 	is.Equal(code, exitOK)
 	is.True(strings.HasPrefix(out, "ok: 2 models, 1 accounts, digest sha256:"))
-	code, _, errOut := run1("manifest", "check", bad)
+	code, _, errOut := runCommand("manifest", "check", bad)
 	is.Equal(code, exitFailed)
-	is.True(strings.Contains(errOut, "models[0].versions")) // the path of the fault
-	code, out, _ = run1("manifest", "diff", good, good)
+	is.True(strings.Contains(errOut, "models[0].versions")) // the path of the problem
+	code, out, _ = runCommand("manifest", "diff", good, good)
 	is.Equal(code, exitOK)
 	is.Equal(out, "")
 }
@@ -94,7 +94,7 @@
 	is := is.New(t)
 	for _, kind := range [][]string{{"platform"}, {"engine", "--id=e", "--zone=z", "--versions=m@1"}, {"service", "--id=s", "--zone=z", "--name=s"}} {
 		args := append([]string{"standin"}, kind...)
-		code, _, errOut := run1(append(args, `--faults={"unheard_of":1}`)...)
+		code, _, errOut := runCommand(append(args, `--faults={"unheard_of":1}`)...)
 		is.Equal(code, exitUsage)
 		is.True(strings.Contains(errOut, "unheard_of"))
 	}
@@ -102,14 +102,14 @@
 
 func TestCodesAreListed(t *testing.T) {
 	is := is.New(t)
-	code, out, _ := run1("codes")
+	code, out, _ := runCommand("codes")
 	is.Equal(code, exitOK)
 	is.True(strings.Contains(out, "3003  deadline-unmeetable"))
 }
 
 func TestDevOnce(t *testing.T) {
 	is := is.New(t)
-	code, out, errOut := run1("dev", "--once", "--callers=127.0.0.1:0", "--operator=127.0.0.1:0")
+	code, out, errOut := runCommand("dev", "--once", "--callers=127.0.0.1:0", "--operator=127.0.0.1:0")
 	if code != exitOK {
 		t.Fatalf("exit %d\n%s\n%s", code, out, errOut)
 	}
--- a/internal/cli/dev.go
+++ b/internal/cli/dev.go
@@ -22,7 +22,7 @@
 	LogLevel string `help:"Least level of log lines." enum:"debug,info,warn,error" default:"warn" env:"-"`
 }
 
-// devStartTimeout bounds the start until the first host is ready.
+// devStartTimeout is the longest wait for the first host to become ready.
 const devStartTimeout = 20 * time.Second
 
 // Run implements the command.
@@ -42,7 +42,7 @@
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return env.Run(ctx) })
 	group.Go(func() error {
-		err := c.show(ctx, s.out, env)
+		err := c.showExamples(ctx, s.out, env)
 		if c.Once || err != nil {
 			cancel()
 		}
@@ -55,10 +55,10 @@
 	return err
 }
 
-func (c *devCmd) show(ctx context.Context, out io.Writer, env *devenv.Env) error {
-	ready, cancel := context.WithTimeout(ctx, devStartTimeout)
+func (c *devCmd) showExamples(ctx context.Context, out io.Writer, env *devenv.Env) error {
+	readyCtx, cancel := context.WithTimeout(ctx, devStartTimeout)
 	defer cancel()
-	if err := env.WaitReady(ready); err != nil {
+	if err := env.WaitReady(readyCtx); err != nil {
 		return fmt.Errorf("start: %w", err)
 	}
 	if c.Once {
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -10,9 +10,8 @@
 	"github.com/quetzalweir/quetzalweir/internal/experiment/rollout"
 )
 
-// experimentCmd runs the policies that serve uses against baselines, in seeded
-// models of the systems they serve or on the hosts themselves, and prints
-// tables in Markdown.
+// experimentCmd compares the policies of entry hosts with baselines, in seeded
+// simulations or on the entry hosts themselves, and prints Markdown tables.
 type experimentCmd struct {
 	Admission  admissionCmd  `cmd:"" help:"Classes, accounts and deadlines above capacity."`
 	Balance    balanceCmd    `cmd:"" help:"Choosing an upstream, with slow, lying and failing ones."`
@@ -21,7 +20,7 @@
 	Rollout    rolloutCmd    `cmd:"" help:"Answers from a bad version until it is stopped."`
 }
 
-// seedFlags set the number of runs.
+// seedFlags holds the number of seeds, that is, of runs for each table cell.
 type seedFlags struct {
 	Seeds int `help:"Runs for each cell; 0 is the experiment's default." env:"-"`
 }
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -53,25 +53,26 @@
 	return server.Serve(ctx, listener)
 }
 
-// parseFaults reads a flag with faults, strictly.
-func parseFaults(text string, into any) error {
+// parseFaults decodes the flag --faults and rejects unknown fields.
+func parseFaults(text string, faults any) error {
 	decoder := json.NewDecoder(strings.NewReader(text))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(into); err != nil {
+	if err := decoder.Decode(faults); err != nil {
 		return fmt.Errorf("%w: --faults: %w", errUsage, err)
 	}
 	return nil
 }
 
-// registerFlags say where a stand-in enters itself into the host list.
+// registerFlags holds the platform in whose host list a stand-in registers itself.
 type registerFlags struct {
 	Platform string `help:"URL of the platform, to enter the host list there; empty for none." env:"-"`
 }
 
-// registerTries bounds the attempts to enter the host list.
-const registerTries = 50
+// maxRegisterAttempts is the largest number of attempts to register in the host list.
+const maxRegisterAttempts = 50
 
-// register enters the host list; the platform may start after the stand-in.
+// register adds the host to the platform's host list. It retries, as the platform
+// may start after the stand-in.
 func (f registerFlags) register(ctx context.Context, host storage.Host) error {
 	if f.Platform == "" {
 		return nil
@@ -80,21 +81,21 @@
 	if err != nil {
 		return err
 	}
-	for range registerTries {
+	for range maxRegisterAttempts {
 		if err = post(ctx, f.Platform+"/hosts", body); err == nil {
 			return nil
 		}
-		if !sleep(ctx, registerPause) {
+		if !sleep(ctx, registerRetryDelay) {
 			break
 		}
 	}
-	return fmt.Errorf("enter the host list: %w", err)
+	return fmt.Errorf("register in the platform's host list: %w", err)
 }
 
 const (
-	registerPause = 100 * time.Millisecond
-	// maxErrorBody bounds what is read of a failed call's answer, in bytes.
-	maxErrorBody = 4 << 10
+	registerRetryDelay = 100 * time.Millisecond
+	// maxErrorBodyBytes is the largest part of an error response that is read.
+	maxErrorBodyBytes = 4 << 10
 )
 
 func post(ctx context.Context, url string, body []byte) error {
@@ -109,14 +110,14 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode/100 != 2 {
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBody))
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBodyBytes))
 		return fmt.Errorf("%s: %s", resp.Status, text)
 	}
 	return nil
 }
 
-// fatalAfter is the time from the beginning of a fatal run to the engine's end: some of its
-// first frames are out by then.
+// fatalAfter is the time from the start of a run whose prompt contains the fatal text to the
+// end of the engine process; it has sent some of its first frames by then.
 const fatalAfter = 40 * time.Millisecond
 
 type standinEngineCmd struct {
