--- a/cmd/quetzalweir/main.go
+++ b/cmd/quetzalweir/main.go
@@ -1,4 +1,5 @@
-// Command quetzalweir is the entry host and its tools in one binary.
+// Command quetzalweir runs entry hosts, gateway hosts, stand-ins and the
+// operators' tools.
 package main
 
 import (
--- a/internal/defaults/defaults.go
+++ b/internal/defaults/defaults.go
@@ -1,16 +1,15 @@
-// Package defaults sets the fields of options that a caller left out.
+// Package defaults sets option fields that weren't set to their default values.
 //
-// The packages with options use it. It can't tell a field that was left out from
-// one that was set to zero; where zero means something of its own, it is the
-// wrong package.
+// It can't distinguish a field that wasn't set from one that was set to zero, so
+// it doesn't suit options for which zero has a meaning.
 package defaults
 
-// Number is what durations, sizes, counts and rates are made of.
+// Number is the constraint for durations, sizes, counts and rates.
 type Number interface {
 	~int | ~int64 | ~float64
 }
 
-// Positive sets the field to the fallback unless it is above zero.
+// Positive sets the field to the fallback if it is zero or negative.
 func Positive[T Number](field *T, fallback T) {
 	if *field <= 0 {
 		*field = fallback
