--- a/ledger/bench_test.go
+++ b/ledger/bench_test.go
@@ -35,7 +35,7 @@
 	b.SetParallelism(8)
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			// A bill at risk on a busy machine is measured all the same.
+			// ErrAtRisk, which can occur on a busy machine, is ignored.
 			_ = l.Record(ctx, bill)
 		}
 	})
@@ -44,7 +44,7 @@
 	<-done
 }
 
-// BenchmarkEncode gives the size of messages and segments, in bytes a bill.
+// BenchmarkEncode reports the size of messages and segments, in bytes per bill.
 func BenchmarkEncode(b *testing.B) {
 	for _, n := range []int{1, 32, 320, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -80,8 +80,8 @@
 	}
 }
 
-// BenchmarkFlush gives the cost of a flush of the bills of ten seconds of one
-// host among 440 at 14,000 requests a second.
+// BenchmarkFlush measures a flush of 320 bills: those of ten seconds on one of
+// 440 hosts that together serve 14,000 requests per second.
 func BenchmarkFlush(b *testing.B) {
 	table, objects := memory.New(), memory.NewObjects()
 	l := New(Options{Table: table, Objects: objects, Host: "h0"})
@@ -94,8 +94,8 @@
 	}
 }
 
-// BenchmarkCompact gives the cost of compacting a minute of 256 segments of 320
-// bills, over a table in the same process.
+// BenchmarkCompact measures the compaction of one minute with 256 segments of
+// 320 bills each, on a table in the same process.
 func BenchmarkCompact(b *testing.B) {
 	const segments, size = 256, 320
 	bills := manyBills(size)
@@ -117,7 +117,7 @@
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*segments*size), "ns/bill")
 }
 
-// BenchmarkMemory gives the memory of an unwritten bill, in bytes.
+// BenchmarkMemory reports the memory that an unwritten bill takes, in bytes.
 func BenchmarkMemory(b *testing.B) {
 	const n = 20_000
 	for b.Loop() {
@@ -127,14 +127,15 @@
 			l.add(distinctBill(i))
 		}
 		l.mu.Lock()
-		l.collect()
+		l.drainShards()
 		l.mu.Unlock()
 		b.ReportMetric(float64(heap()-before)/n, "B/bill")
 		runtime.KeepAlive(l)
 	}
 }
 
-// BenchmarkHeldMemory gives the memory of a copy held for a peer, in bytes.
+// BenchmarkHeldMemory reports the memory that a copy held for a peer takes, in
+// bytes.
 func BenchmarkHeldMemory(b *testing.B) {
 	const n = 20_000
 	for b.Loop() {
@@ -165,7 +166,8 @@
 	return bills
 }
 
-// distinctBill has an ID like a UUID, its own tokens and its own strings.
+// distinctBill returns a bill whose ID has the form of a UUID and whose token
+// counts and strings depend on i.
 func distinctBill(i int) Bill {
 	id := fmt.Sprintf("%08x-%04x-4%03x-8%03x-%012x", uint32(i)*2654435761, i*40503&0xffff, i*31&0xfff, i*17&0xfff, uint64(i)*11400714819323198485>>16)
 	b := testBill(id)
--- a/ledger/bill.go
+++ b/ledger/bill.go
@@ -1,13 +1,13 @@
-// Package ledger keeps one bill for each dispatched request.
+// Package ledger stores one bill for each dispatched request.
 //
-// A bill lives in the memory of the host that ran the request, in the custody
-// of a peer in another availability zone, and, after the next flush, in the
+// A bill is kept in the memory of the host that ran the request, in that of a
+// peer in another availability zone, and, after the next flush, in the
 // platform's table. Bills form a set keyed by ID: writing one twice, by its
-// owner and by a peer that thought the owner dead, changes nothing.
+// owner and by a peer that considered the owner down, changes nothing.
 //
-// The entry host embeds it and serves its traces to operators. A bill that
-// Record called at risk (ErrAtRisk) is lost if its host is lost before the
-// table or a peer is reached.
+// The entry host embeds the ledger and serves its traces to operators. A bill
+// for which Record returned ErrAtRisk is lost if its host is lost before the
+// bill reaches the table or a peer.
 package ledger
 
 import (
@@ -20,12 +20,12 @@
 
 // Errors of this package.
 var (
-	// ErrAtRisk means that a bill is kept in this host's memory only: neither a
-	// peer nor the table took it in time. It is still flushed later; it is
-	// lost only if the host is lost before.
+	// ErrAtRisk means that a bill is in this host's memory only: neither a peer
+	// nor the table accepted it in time. It is still copied and flushed later,
+	// and is lost only if the host is lost before that.
 	ErrAtRisk = errors.New("ledger: bill is in memory only")
-	// ErrFull means that the host holds as many unwritten bills as it may, so
-	// no request should be dispatched.
+	// ErrFull means that the host has MaxPending or more unwritten bills, so no
+	// request should be dispatched.
 	ErrFull = errors.New("ledger: too many unwritten bills")
 	// ErrInvalid means that a bill has no ID or no time.
 	ErrInvalid = errors.New("ledger: invalid bill")
@@ -61,7 +61,7 @@
 	Class     string `json:"class,omitempty"`
 	// Epoch is the epoch of the manifest that the request ran under.
 	Epoch uint64 `json:"epoch"`
-	// Code is the number of the result code; 0 is a whole answer.
+	// Code is the number of the result code; 0 is a complete answer.
 	Code int `json:"code"`
 	// RunState is the wire form of the request's run state.
 	RunState string `json:"run_state"`
@@ -88,19 +88,19 @@
 	Origin string `json:"origin,omitempty"`
 }
 
-// Prefer returns the bill that stands when two have the same ID. The rule
-// looks only at the bills, so it gives the same whatever order, segment or
-// object they are read from: a whole answer goes before a failure, then the
-// earlier time, then the lower epoch, then the lower encoding.
+// Prefer returns the bill to keep if two have the same ID. The choice depends
+// only on the bills, not on the order, segment or object that they are read
+// from: the bill of a complete answer takes precedence over that of a failure,
+// then the one with the earlier time, the lower epoch and the lower encoding.
 func Prefer(a, b Bill) Bill {
-	if compare(a, b) <= 0 {
+	if compareBills(a, b) <= 0 {
 		return a
 	}
 	return b
 }
 
-func compare(a, b Bill) int {
-	if c := cmp.Compare(failed(a), failed(b)); c != 0 {
+func compareBills(a, b Bill) int {
+	if c := cmp.Compare(failureRank(a), failureRank(b)); c != 0 {
 		return c
 	}
 	if c := a.At.Compare(b.At); c != 0 {
@@ -112,21 +112,23 @@
 	return bytes.Compare(canonical(a), canonical(b))
 }
 
-func failed(b Bill) int {
+func failureRank(b Bill) int {
 	if b.Code == 0 {
 		return 0
 	}
 	return 1
 }
 
-// canonical is the encoding that breaks ties. A Bill always encodes.
+// canonical returns the encoding that breaks ties in compareBills. Marshal
+// doesn't fail for a Bill.
 func canonical(b Bill) []byte {
 	data, _ := json.Marshal(b)
 	return data
 }
 
-// normal checks a bill and removes what wouldn't survive encoding.
-func normal(b Bill) (Bill, error) {
+// normalize validates a bill and removes what encoding would not preserve: the
+// monotonic clock reading, the location of the time, and an empty list of steps.
+func normalize(b Bill) (Bill, error) {
 	if b.ID == "" || b.At.IsZero() {
 		return Bill{}, ErrInvalid
 	}
--- a/ledger/codec_test.go
+++ b/ledger/codec_test.go
@@ -22,7 +22,7 @@
 			return
 		}
 	}
-	t.Error("a cut object splits without an error")
+	t.Error("split returned no error for a truncated object")
 }
 
 func TestCorruptSegments(t *testing.T) {
@@ -36,8 +36,8 @@
 	}{
 		{"empty", nil},
 		{"other version", append([]byte{9}, good[1:]...)},
-		{"cut short", good[:len(good)-4]},
-		{"not compressed", []byte{codecVersion, 0xff, 0xff, 0xff}},
+		{"truncated data", good[:len(good)-4]},
+		{"not compressed", []byte{compressedVersion, 0xff, 0xff, 0xff}},
 		{"joined", join([][]byte{good})},
 	}
 	for _, tc := range tests {
--- a/ledger/compact.go
+++ b/ledger/compact.go
@@ -15,18 +15,21 @@
 )
 
 const (
-	// compactName is the host part of a compacted row's key. It sorts after
-	// the names of hosts, so that a reader on its way up the keys meets the
-	// compacted row after the rows that it replaces.
-	compactName = "~compact"
-	// dayMark ends the bucket of a folded day. It sorts after the minutes.
-	dayMark = "~"
+	// compactedHost is the host part of a compacted row's key. It sorts after
+	// the names of hosts, so that a reader, which reads keys in ascending order,
+	// reads the compacted row after the rows that it replaces.
+	compactedHost = "~compact"
+	// dayBucketSuffix ends the bucket of a compacted day. It sorts after the
+	// minutes.
+	dayBucketSuffix = "~"
 	// dayLength is the length of the day at the start of a bucket.
 	dayLength = len("20060102")
-	// maxCompactRows is the most rows that one transaction replaces.
+	// maxCompactRows is the maximum number of rows that one transaction
+	// replaces.
 	maxCompactRows = 256
-	// maxCompactBytes is the size, in bytes, of the encoded bills at which a row
-	// is full: it takes no more. It bounds what a compaction keeps in memory.
+	// maxCompactBytes is the maximum encoded size of the bills of one merged
+	// row; a row of that size isn't merged further. It bounds the memory of a
+	// compaction.
 	maxCompactBytes = 4 << 20
 )
 
@@ -35,21 +38,22 @@
 	return bucket[:min(dayLength, len(bucket))]
 }
 
-// dayBucket returns the bucket of a folded day.
+// dayBucket returns the bucket of a compacted day.
 func dayBucket(day string) string {
-	return day + dayMark
+	return day + dayBucketSuffix
 }
 
-// Compact replaces the rows of each minute before a time by few rows that point
+// Compact replaces the rows of each minute before a time by few rows that refer
 // to objects, and the rows of each day that ended before it by one row for the
-// whole day; a day of more than maxCompactRows rows needs two runs. It may run on any host at any time, on several at once, and be
-// broken off anywhere; a row that comes late is taken in by the next run.
+// whole day; a day of more than maxCompactRows rows needs two runs. It may run
+// on any host at any time and on several at once, and may be interrupted at any
+// point. A row that is written late is included in the next run.
 func Compact(ctx context.Context, table storage.Table, objects storage.Objects, before time.Time) error {
 	c := compactor{table: table, objects: objects}
-	if err := c.minutes(ctx, bucket(before)); err != nil {
+	if err := c.mergeMinutes(ctx, bucket(before)); err != nil {
 		return err
 	}
-	return c.days(ctx, dayOf(bucket(before)))
+	return c.mergeDays(ctx, dayOf(bucket(before)))
 }
 
 type compactor struct {
@@ -57,24 +61,24 @@
 	objects storage.Objects
 }
 
-// group is rows that are to become one.
-type group struct {
+// rowGroup is a list of rows that are replaced by one row.
+type rowGroup struct {
 	bucket string
 	rows   []storage.Row
-	// bills is their number, bytes their encoded size.
+	// bills is the number of bills in the rows, bytes their encoded size.
 	bills, bytes int
 }
 
-func (g *group) add(stored storage.Row, r row) {
+func (g *rowGroup) add(stored storage.Row, r row) {
 	g.rows = append(g.rows, stored)
 	g.bills += r.Bills
 	g.bytes += r.Bytes
 }
 
-// minutes merges the rows of each minute below end.
-func (c compactor) minutes(ctx context.Context, end string) error {
-	var g group
-	for stored, err := range rows(ctx, c.table, prefix, "") {
+// mergeMinutes merges the rows of each minute before the bucket end.
+func (c compactor) mergeMinutes(ctx context.Context, end string) error {
+	var g rowGroup
+	for stored, err := range listRows(ctx, c.table, keyPrefix, "") {
 		if err != nil {
 			return err
 		}
@@ -91,20 +95,21 @@
 		}
 		full := len(g.rows) == maxCompactRows || g.bytes+r.Bytes > maxCompactBytes
 		if name != g.bucket || full {
-			if err := c.merge(ctx, g); err != nil {
+			if err := c.mergeRows(ctx, g); err != nil {
 				return err
 			}
-			g = group{bucket: name}
+			g = rowGroup{bucket: name}
 		}
 		g.add(stored, r)
 	}
-	return c.merge(ctx, g)
+	return c.mergeRows(ctx, g)
 }
 
-// merge replaces rows by one with all their batches, as they are: readers
-// remove duplicates anyway, and decoding would cost most of a compaction. A
-// single row stays as it is.
-func (c compactor) merge(ctx context.Context, g group) error {
+// mergeRows replaces rows by one whose object contains all their encoded
+// batches. It doesn't decode them, because readers remove duplicates anyway and
+// decoding would be most of the cost of a compaction. A single row stays as it
+// is.
+func (c compactor) mergeRows(ctx context.Context, g rowGroup) error {
 	if len(g.rows) < 2 {
 		return nil
 	}
@@ -122,17 +127,17 @@
 		}
 	}
 	data := join(batches)
-	name, err := c.store(ctx, g.bucket, data)
+	name, err := c.storeObject(ctx, g.bucket, data)
 	if err != nil {
 		return err
 	}
-	return c.replace(ctx, g, row{Object: name, Bills: g.bills, Bytes: len(data)})
+	return c.replaceRows(ctx, g, row{Object: name, Bills: g.bills, Bytes: len(data)})
 }
 
-// days folds the rows of each day below end.
-func (c compactor) days(ctx context.Context, end string) error {
-	var g group
-	for stored, err := range rows(ctx, c.table, prefix, "") {
+// mergeDays replaces the rows of each day before end by one index row.
+func (c compactor) mergeDays(ctx context.Context, end string) error {
+	var g rowGroup
+	for stored, err := range listRows(ctx, c.table, keyPrefix, "") {
 		if err != nil {
 			return err
 		}
@@ -145,25 +150,25 @@
 			return err
 		}
 		if dayBucket(day) != g.bucket || len(g.rows) == maxCompactRows {
-			if err := c.fold(ctx, g); err != nil {
+			if err := c.indexRows(ctx, g); err != nil {
 				return err
 			}
-			g = group{bucket: dayBucket(day)}
+			g = rowGroup{bucket: dayBucket(day)}
 		}
 		g.add(stored, r)
 	}
-	return c.fold(ctx, g)
+	return c.indexRows(ctx, g)
 }
 
-// fold replaces rows by one that lists their objects. A row that is folded
-// already and alone stays as it is.
-func (c compactor) fold(ctx context.Context, g group) error {
+// indexRows replaces rows by one that refers to a list of their objects. A
+// single row that is already in the bucket of the day stays as it is.
+func (c compactor) indexRows(ctx context.Context, g rowGroup) error {
 	if len(g.rows) == 0 || len(g.rows) == 1 && bucketOf(g.rows[0].Key) == g.bucket {
 		return nil
 	}
 	var names []string
 	for _, stored := range g.rows {
-		list, err := c.names(ctx, g.bucket, stored)
+		list, err := c.rowObjects(ctx, g.bucket, stored)
 		if err != nil {
 			return err
 		}
@@ -174,16 +179,16 @@
 	if err != nil {
 		return fmt.Errorf("ledger: encode index: %w", err)
 	}
-	name, err := c.store(ctx, g.bucket, data)
+	name, err := c.storeObject(ctx, g.bucket, data)
 	if err != nil {
 		return err
 	}
-	return c.replace(ctx, g, row{Index: name, Bills: g.bills, Bytes: g.bytes})
+	return c.replaceRows(ctx, g, row{Index: name, Bills: g.bills, Bytes: g.bytes})
 }
 
-// names returns the objects of a row; one that holds its data itself gets an
-// object.
-func (c compactor) names(ctx context.Context, bucket string, stored storage.Row) ([]string, error) {
+// rowObjects returns the names of a row's objects. If the row contains its data
+// itself, rowObjects stores the data as an object.
+func (c compactor) rowObjects(ctx context.Context, bucket string, stored storage.Row) ([]string, error) {
 	r, err := parseRow(stored)
 	if err != nil {
 		return nil, err
@@ -191,23 +196,24 @@
 	if len(r.Data) == 0 {
 		return objectNames(ctx, c.objects, r)
 	}
-	name, err := c.store(ctx, bucket, r.Data)
+	name, err := c.storeObject(ctx, bucket, r.Data)
 	return []string{name}, err
 }
 
-// store writes an object. Its name holds the content's digest, so a repeat
-// writes the same object.
-func (c compactor) store(ctx context.Context, bucket string, data []byte) (string, error) {
+// storeObject writes an object and returns its name. The name contains the
+// content's digest, so a repeated call writes the same object.
+func (c compactor) storeObject(ctx context.Context, bucket string, data []byte) (string, error) {
 	digest := sha256.Sum256(data)
-	name := prefix + bucket + "/" + hex.EncodeToString(digest[:16])
+	name := keyPrefix + bucket + "/" + hex.EncodeToString(digest[:16])
 	if err := c.objects.Write(ctx, name, data); err != nil {
 		return "", fmt.Errorf("ledger: write object: %w", err)
 	}
 	return name, nil
 }
 
-// replace swaps the rows of a group for one, unless another host was faster.
-func (c compactor) replace(ctx context.Context, g group, r row) error {
+// replaceRows replaces the rows of a group by one in a single transaction. It
+// changes nothing if another host has replaced any of them.
+func (c compactor) replaceRows(ctx context.Context, g rowGroup, r row) error {
 	value, err := json.Marshal(r)
 	if err != nil {
 		return fmt.Errorf("ledger: encode row: %w", err)
@@ -223,8 +229,8 @@
 	}
 	_, err = c.table.Commit(ctx, txn)
 	if errors.Is(err, storage.ErrConflict) || errors.Is(err, storage.ErrUnknown) {
-		// Either way the rows or their replacement are there, and the next run
-		// starts from what it finds.
+		// In both cases the table contains either the rows or a replacement of
+		// them, and the next run starts from there.
 		return nil
 	}
 	if err != nil {
@@ -233,15 +239,15 @@
 	return nil
 }
 
-// key returns a key above those of all rows in the group: it is numbered by
-// their highest version, which is above the number in any of their keys, since
-// each was written after the rows that it was numbered by.
-func (g group) key(r row) string {
+// key returns a key above those of all rows in the group. Its number is their
+// highest version. That is above the number in any of their keys, because each
+// compacted row was written after the rows whose versions its key is made from.
+func (g rowGroup) key(r row) string {
 	number := uint64(0)
 	for _, stored := range g.rows {
 		number = max(number, stored.Version)
 	}
 	object := r.Object + r.Index
 	digest := object[strings.LastIndexByte(object, '/')+1:]
-	return fmt.Sprintf("%s%s/%s/%020d-%s", prefix, g.bucket, compactName, number, digest)
+	return fmt.Sprintf("%s%s/%s/%020d-%s", keyPrefix, g.bucket, compactedHost, number, digest)
 }
--- a/ledger/compaction.go
+++ b/ledger/compaction.go
@@ -12,61 +12,63 @@
 
 // Defaults of CompactionOptions.
 const (
-	// DefaultCompactEvery is the mean time between compactions.
-	DefaultCompactEvery = time.Minute
-	// DefaultCompactAge is the age from which rows are compacted.
-	DefaultCompactAge = 15 * time.Minute
+	// DefaultCompactionInterval is the mean time between compactions.
+	DefaultCompactionInterval = time.Minute
+	// DefaultCompactionMinAge is the age from which rows are compacted.
+	DefaultCompactionMinAge = 15 * time.Minute
 )
 
 // CompactionOptions configure RunCompaction. Table, Objects and Random are
-// needed.
+// required.
 type CompactionOptions struct {
 	Table   storage.Table
 	Objects storage.Objects
-	// Hosts gives the number of hosts that run compactions; nil is one.
+	// Hosts returns the number of hosts that run compactions; nil means one.
 	Hosts func() int
-	// Every is the mean time between the compactions of all hosts together;
-	// default DefaultCompactEvery.
-	Every time.Duration
-	// Age is the age from which rows are compacted; default DefaultCompactAge.
-	Age time.Duration
-	// Random spreads the hosts' turns. It is used by RunCompaction alone.
+	// Interval is the mean time between the compactions of all hosts together;
+	// default DefaultCompactionInterval.
+	Interval time.Duration
+	// MinAge is the age from which rows are compacted; default
+	// DefaultCompactionMinAge.
+	MinAge time.Duration
+	// Random is the source of the random waits between compactions. It must not
+	// be used elsewhere while RunCompaction runs.
 	Random *rand.Rand
-	// Failed is told of a compaction's error; nil ignores it.
-	Failed func(error)
+	// OnError is called with the error of a failed compaction; nil ignores it.
+	OnError func(error)
 }
 
 func (o CompactionOptions) withDefaults() CompactionOptions {
-	defaults.Positive(&o.Every, DefaultCompactEvery)
-	defaults.Positive(&o.Age, DefaultCompactAge)
+	defaults.Positive(&o.Interval, DefaultCompactionInterval)
+	defaults.Positive(&o.MinAge, DefaultCompactionMinAge)
 	if o.Hosts == nil {
 		o.Hosts = func() int { return 1 }
 	}
-	if o.Failed == nil {
-		o.Failed = func(error) {}
+	if o.OnError == nil {
+		o.OnError = func(error) {}
 	}
 	return o
 }
 
 // RunCompaction compacts at random times until ctx ends, and returns its error.
-// Each host waits for a time that grows with the number of hosts, so that they
-// share the work without agreeing on whose turn it is. Two that run at once do
-// no harm.
+// Each host waits for a time proportional to the number of hosts, so that they
+// share the work without coordination. Concurrent compactions are safe.
 func RunCompaction(ctx context.Context, opts CompactionOptions) error {
 	opts = opts.withDefaults()
 	for {
-		_ = wait.For(ctx, opts.wait())
+		_ = wait.For(ctx, opts.nextDelay())
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		if err := Compact(ctx, opts.Table, opts.Objects, time.Now().Add(-opts.Age)); err != nil {
-			opts.Failed(err)
+		if err := Compact(ctx, opts.Table, opts.Objects, time.Now().Add(-opts.MinAge)); err != nil {
+			opts.OnError(err)
 		}
 	}
 }
 
-// wait draws a time with the mean Every for each host.
-func (o CompactionOptions) wait() time.Duration {
-	mean := o.Every * time.Duration(max(1, o.Hosts()))
+// nextDelay returns a random wait whose mean is Interval times the number of
+// hosts.
+func (o CompactionOptions) nextDelay() time.Duration {
+	mean := o.Interval * time.Duration(max(1, o.Hosts()))
 	return time.Duration(o.Random.Int64N(int64(2 * mean)))
 }
--- a/ledger/custody.go
+++ b/ledger/custody.go
@@ -12,57 +12,61 @@
 )
 
 const (
-	// DefaultMaxHeld is the number of bills that a host holds for its peers.
+	// DefaultMaxHeld is the maximum number of bills that a host holds for its
+	// peers.
 	DefaultMaxHeld = 20_000
-	// DefaultMaxAge is how long bills are held without a word from their owner
-	// before they are written.
+	// DefaultMaxAge is the time since the last message of an owner after which
+	// its bills are written.
 	DefaultMaxAge = time.Minute
 )
 
-// ErrCustodyFull means that a peer holds as many bills as it may.
-var ErrCustodyFull = errors.New("ledger: custody is full")
+// ErrCustodyFull means that a host already holds the maximum number of bills
+// for its peers.
+var ErrCustodyFull = errors.New("ledger: too many bills held for other hosts")
 
 // CustodyOptions configure a Custody.
 type CustodyOptions struct {
 	// MaxBills bounds the held bills; default DefaultMaxHeld.
 	MaxBills int
-	// MaxAge is the age at which Sweep writes bills whose owner hasn't been
-	// heard of for as long; default DefaultMaxAge.
+	// MaxAge is the time since the last message of an owner after which Sweep
+	// writes its bills; default DefaultMaxAge.
 	MaxAge time.Duration
 }
 
-// Custody is the peer's side of Holder: it keeps copies of other hosts' bills
-// and writes them when their owner is down. It is safe for concurrent use.
+// Custody is the receiving side of Holder: it stores copies of other hosts'
+// bills and writes them to the table when their owner is down. It is safe for
+// concurrent use.
 type Custody struct {
 	ledger *Ledger
 	opts   CustodyOptions
 
 	mu     sync.Mutex
-	owners map[string]*owned
+	owners map[string]*ownerCopies
 	held   int
 }
 
-// owned are the copies for one owner.
-type owned struct {
-	// dropped is the highest number that the owner has released. A message
-	// that comes after its own release is ignored.
-	dropped uint64
-	// batches are in the order of their arrival; the last loose of them aren't
-	// packed yet.
-	batches []heldBatch
-	loose   int
-	// touched is when the owner was last heard of.
-	touched time.Time
+// ownerCopies holds the copies of one owner's bills.
+type ownerCopies struct {
+	// released is the highest message number that the owner has released. A
+	// message that arrives after its own release is ignored.
+	released uint64
+	// batches are in the order of their arrival. The last of them, as many as
+	// unpacked says, aren't packed yet.
+	batches  []copyBatch
+	unpacked int
+	// lastContact is when the owner's last message arrived.
+	lastContact time.Time
 }
 
 // NewCustody returns a Custody that writes through l.
 func NewCustody(l *Ledger, opts CustodyOptions) *Custody {
 	defaults.Positive(&opts.MaxBills, DefaultMaxHeld)
 	defaults.Positive(&opts.MaxAge, DefaultMaxAge)
-	return &Custody{ledger: l, opts: opts, owners: make(map[string]*owned)}
+	return &Custody{ledger: l, opts: opts, owners: make(map[string]*ownerCopies)}
 }
 
-// Hold keeps bills for owner. It refuses with ErrCustodyFull at its bound.
+// Hold stores copies of the owner's bills in message seq. It returns
+// ErrCustodyFull, and stores none, if they would exceed MaxBills.
 func (c *Custody) Hold(owner string, seq uint64, bills []Bill) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,24 +74,24 @@
 		return ErrCustodyFull
 	}
 	o := c.owner(owner)
-	if seq <= o.dropped {
+	if seq <= o.released {
 		return nil
 	}
-	o.hold(seq, bills)
+	o.add(seq, bills)
 	c.held += len(bills)
 	return nil
 }
 
-// Drop releases the owner's bills up to upTo.
+// Drop deletes the copies of the owner's messages up to number upTo.
 func (c *Custody) Drop(owner string, upTo uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	o := c.owner(owner)
-	o.dropped = max(o.dropped, upTo)
+	o.released = max(o.released, upTo)
 	c.release(o, upTo)
 }
 
-// Held is the number of bills held.
+// Held returns the number of bills held.
 func (c *Custody) Held() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,36 +99,38 @@
 }
 
 // Settle writes the bills held for a host that is down. host is a host's name
-// or the owner of one incarnation. The bills become those of this host's
-// ledger, which holds them elsewhere and retries until they are written; an
-// error says only that they aren't written yet.
+// or the Owner of one of its incarnations. The bills move to this host's ledger,
+// which copies them to another peer and retries until they are written; an
+// error means only that they aren't written yet.
 func (c *Custody) Settle(ctx context.Context, host string) error {
-	return c.adopt(ctx, func(owner string, _ *owned) bool {
+	return c.takeOver(ctx, func(owner string, _ *ownerCopies) bool {
 		return owner == host || strings.HasPrefix(owner, host+"/")
 	})
 }
 
-// Sweep writes the bills of owners that haven't been heard of for MaxAge, such
-// as a process that was restarted, and forgets these owners.
+// Sweep writes the bills of owners that haven't sent a message for MaxAge, such
+// as a process that was restarted, and removes these owners.
 func (c *Custody) Sweep(ctx context.Context) error {
 	oldest := c.ledger.opts.Clock().Add(-c.opts.MaxAge)
-	return c.adopt(ctx, func(_ string, o *owned) bool {
-		return o.touched.Before(oldest)
+	return c.takeOver(ctx, func(_ string, o *ownerCopies) bool {
+		return o.lastContact.Before(oldest)
 	})
 }
 
-// adopt moves the copies of the owners that match to the ledger and flushes
+// takeOver moves the copies of the owners that match to the ledger and flushes
 // it.
-func (c *Custody) adopt(ctx context.Context, match func(name string, o *owned) bool) error {
-	if !c.move(match) {
+func (c *Custody) takeOver(ctx context.Context, match func(name string, o *ownerCopies) bool) error {
+	if !c.moveToLedger(match) {
 		return nil
 	}
 	return c.ledger.Flush(ctx)
 }
 
-// move reports whether there was a bill to move. The bills are in the ledger
-// before they leave the custody.
-func (c *Custody) move(match func(name string, o *owned) bool) bool {
+// moveToLedger adds the bills of the owners that match to the ledger, removes
+// these owners and reports whether there was a bill to move. It adds the bills
+// to the ledger before it releases Custody.mu, so that they are never in
+// neither.
+func (c *Custody) moveToLedger(match func(name string, o *ownerCopies) bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	moved := false
@@ -141,8 +147,9 @@
 	return moved
 }
 
-// release removes the batches up to upTo and returns them. Custody.mu is held.
-func (c *Custody) release(o *owned, upTo uint64) []heldBatch {
+// release removes the batches of messages up to number upTo and returns them.
+// Custody.mu is held.
+func (c *Custody) release(o *ownerCopies, upTo uint64) []copyBatch {
 	released := o.release(upTo)
 	for _, b := range released {
 		c.held -= b.count
@@ -150,14 +157,14 @@
 	return released
 }
 
-// owner returns the record of an owner and notes that it was heard of.
-// Custody.mu is held.
-func (c *Custody) owner(name string) *owned {
+// owner returns the record of an owner, creating it if needed, and updates its
+// lastContact. Custody.mu is held.
+func (c *Custody) owner(name string) *ownerCopies {
 	o := c.owners[name]
 	if o == nil {
-		o = &owned{}
+		o = &ownerCopies{}
 		c.owners[name] = o
 	}
-	o.touched = c.ledger.opts.Clock()
+	o.lastContact = c.ledger.opts.Clock()
 	return o
 }
--- a/ledger/custody_test.go
+++ b/ledger/custody_test.go
@@ -19,19 +19,19 @@
 	is.True(errors.Is(c.Hold("h0/x", 3, one), ErrCustodyFull))
 	c.Drop("h0/x", 4)
 	is.Equal(c.Held(), 0)
-	is.NoErr(c.Hold("h0/x", 4, one)) // comes after its own release
+	is.NoErr(c.Hold("h0/x", 4, one)) // arrives after its own release
 	is.Equal(c.Held(), 0)
 	is.NoErr(c.Hold("h0/y", 1, one))
 	is.NoErr(c.Hold("h00/x", 1, one))
 	is.NoErr(c.Settle(t.Context(), "h0"))
-	is.Equal(c.Held(), 1) // that of the other host
+	is.Equal(c.Held(), 1) // the bill of h00, which isn't an incarnation of h0
 }
 
-// TestCustodyPacks checks that packed and loose copies are released and settled
+// TestCustodyPacks checks that Drop and Settle treat packed and unpacked copies
 // alike.
 func TestCustodyPacks(t *testing.T) {
-	const bills = 3*packAfter + 10
-	for _, dropped := range []int{0, 1, packAfter, packAfter + 1, bills - 1, bills} {
+	const bills = 3*packThreshold + 10
+	for _, dropped := range []int{0, 1, packThreshold, packThreshold + 1, bills - 1, bills} {
 		t.Run(fmt.Sprint(dropped), func(t *testing.T) {
 			is := is.New(t)
 			table, objects := memory.New(), memory.NewObjects()
@@ -42,7 +42,7 @@
 			c.Drop("h0/x", uint64(dropped))
 			is.NoErr(c.Hold("h0/x", bills+1, []Bill{testBill("last")}))
 			kept := c.Held()
-			is.True(kept > bills-dropped && kept <= bills-dropped+packAfter)
+			is.True(kept > bills-dropped && kept <= bills-dropped+packThreshold)
 			is.NoErr(c.Settle(t.Context(), "h0"))
 			is.Equal(c.Held(), 0)
 			written := make(map[string]bool)
--- a/ledger/failure_test.go
+++ b/ledger/failure_test.go
@@ -12,8 +12,8 @@
 	"github.com/matryer/is"
 )
 
-// record records n bills on a host and returns those that were said to be
-// safe.
+// record records n bills on a host and returns those for which Record returned
+// no error.
 func record(t *testing.T, h *testHost, first, n int) map[string]Bill {
 	t.Helper()
 	safe := make(map[string]Bill)
@@ -84,7 +84,7 @@
 			time.Sleep(time.Minute)
 			return want
 		}},
-		{"owner paused, settled, then woken", func(t *testing.T, c *testCluster) map[string]Bill {
+		{"owner paused, its bills settled, then resumed", func(t *testing.T, c *testCluster) map[string]Bill {
 			want := record(t, c.hosts[0], 0, 20)
 			c.hosts[0].Pause()
 			time.Sleep(10 * time.Second)
@@ -93,7 +93,7 @@
 			time.Sleep(10 * time.Second)
 			return want
 		}},
-		{"holder frozen", func(t *testing.T, c *testCluster) map[string]Bill {
+		{"holder paused", func(t *testing.T, c *testCluster) map[string]Bill {
 			c.hosts[1].Pause()
 			want := record(t, c.hosts[0], 0, 20)
 			c.killHost(0)
@@ -101,7 +101,7 @@
 			c.hostDown(0)
 			return want
 		}},
-		{"owner restarted without a word, copies swept", func(t *testing.T, c *testCluster) map[string]Bill {
+		{"owner restarted without notice, copies swept", func(t *testing.T, c *testCluster) map[string]Bill {
 			want := record(t, c.hosts[0], 0, 20)
 			c.killHost(0)
 			time.Sleep(2 * DefaultMaxAge)
@@ -133,24 +133,25 @@
 		t.Run(tc.desc, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				c := newCluster(3, Options{FlushEvery: 2 * time.Second})
+				c := newCluster(3, Options{FlushInterval: 2 * time.Second})
 				defer c.stopAll()
 				want := tc.run(t, c)
-				is.Equal(len(want), 20) // every Record found the bill safe
+				is.Equal(len(want), 20) // every call of Record succeeded
 				time.Sleep(5 * time.Second)
-				is.True(maps.EqualFunc(c.all(t), want, equalBills)) // ledger equals what was recorded
+				is.True(maps.EqualFunc(c.readAll(t), want, equalBills)) // ledger equals what was recorded
 			})
 		})
 	}
 }
 
-// TestOutageOfMinutes checks that an outage makes neither many segments nor
-// copies of copies.
+// TestOutageOfMinutes checks that the bills recorded during a long outage of the
+// table are written in few segments, and that peers don't take over the bills of
+// an owner that is alive, which would make copies of copies.
 func TestOutageOfMinutes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const minutes = 10
-		c := newCluster(3, Options{FlushEvery: 10 * time.Second})
+		c := newCluster(3, Options{FlushInterval: 10 * time.Second})
 		defer c.stopAll()
 		c.table.SetDown(true)
 		for i := range minutes * 6 {
@@ -158,17 +159,17 @@
 			time.Sleep(10 * time.Second)
 		}
 		time.Sleep(5 * time.Minute)              // without new bills
-		is.Equal(c.hosts[1].ledger.Pending(), 0) // the owner lives, so its copies aren't adopted
+		is.Equal(c.hosts[1].ledger.Pending(), 0) // the owner is alive, so its bills aren't taken over
 		is.Equal(c.hosts[1].custody.Held(), minutes*6)
 		before := c.table.Counts().Commits
 		c.table.Heal()
 		time.Sleep(time.Minute)
-		is.Equal(len(c.all(t)), minutes*6)
+		is.Equal(len(c.readAll(t)), minutes*6)
 		is.Equal(c.hosts[1].custody.Held(), 0)
-		is.True(c.table.Counts().Commits-before <= minutes+2) // about one for each minute
+		is.True(c.table.Counts().Commits-before <= minutes+2) // about one segment per minute
 	})
 }
 
 func equalBills(a, b Bill) bool {
-	return compare(a, b) == 0
+	return compareBills(a, b) == 0
 }
--- a/ledger/flush.go
+++ b/ledger/flush.go
@@ -13,27 +13,30 @@
 )
 
 const (
-	// maxFlushBackoff bounds the time between flushes in an outage, in
-	// multiples of FlushEvery.
-	maxFlushBackoff = 8
-	// maxFlushWait bounds it too, unless FlushEvery is longer. It is well below
-	// DefaultMaxAge, since a failed flush shows peers that the owner lives.
-	maxFlushWait = 15 * time.Second
-	// drainRetry is the pause between the flushes of a drain.
-	drainRetry = 50 * time.Millisecond
+	// maxBackoffIntervals bounds the time between flushes while the table is
+	// unavailable, in multiples of FlushInterval.
+	maxBackoffIntervals = 8
+	// maxBackoffWait is a second bound on that time, unless FlushInterval is
+	// longer. It is well below DefaultMaxAge, because a failed flush sends peers
+	// the message that shows them that the owner is alive.
+	maxBackoffWait = 15 * time.Second
+	// drainRetryDelay is the pause between the flushes of Drain.
+	drainRetryDelay = 50 * time.Millisecond
 )
 
-// frozenSegment is a segment with the entries whose bills it holds.
-type frozenSegment struct {
+// pendingSegment is a segment that isn't known to be in the table, with the
+// entries of its bills.
+type pendingSegment struct {
 	segment
 	entries []*entry
 }
 
-// Run keeps bills safe until ctx ends. It returns the context's error.
+// Run copies bills to peers and flushes them to the table until ctx ends. It
+// returns the context's error.
 func (l *Ledger) Run(ctx context.Context) error {
 	var group errgroup.Group
 	group.Go(func() error {
-		l.holdLoop(ctx)
+		l.replicateLoop(ctx)
 		return nil
 	})
 	group.Go(func() error {
@@ -45,41 +48,43 @@
 	return ctx.Err()
 }
 
-// flushLoop flushes once every FlushEvery, earlier where bills wait that no
-// peer holds, and more rarely while the table is down.
+// flushLoop flushes once per FlushInterval, earlier if no peer accepts copies
+// of new bills, and less often while the table is unavailable.
 func (l *Ledger) flushLoop(ctx context.Context) {
-	l.waitForFlush(ctx, l.phase(), l.opts.MinFlushGap)
+	l.waitForFlush(ctx, l.initialDelay(), l.opts.MinFlushInterval)
 	failures := time.Duration(0)
 	for ctx.Err() == nil {
 		if err := l.Flush(ctx); err != nil {
-			failures = min(failures+1, maxFlushBackoff)
+			failures = min(failures+1, maxBackoffIntervals)
 		} else {
 			failures = 0
 		}
-		periods := max(failures, 1)
-		every := l.flushPeriod()
-		wait := min(periods*every, max(every, maxFlushWait))
-		l.waitForFlush(ctx, wait, periods*l.opts.MinFlushGap)
+		intervals := max(failures, 1)
+		interval := l.currentFlushInterval()
+		wait := min(intervals*interval, max(interval, maxBackoffWait))
+		l.waitForFlush(ctx, wait, intervals*l.opts.MinFlushInterval)
 	}
 }
 
-// phase spreads the first flushes of many hosts over one period.
-func (l *Ledger) phase() time.Duration {
-	return time.Duration(xxhash.Sum64String(l.incarnation) % uint64(l.flushPeriod()))
+// initialDelay returns the wait before the first flush. It differs between
+// hosts, which spreads their flushes over one interval.
+func (l *Ledger) initialDelay() time.Duration {
+	return time.Duration(xxhash.Sum64String(l.incarnation) % uint64(l.currentFlushInterval()))
 }
 
-// waitForFlush waits for d, or for least and an urgent bill.
-func (l *Ledger) waitForFlush(ctx context.Context, d, least time.Duration) {
+// waitForFlush waits for d. It returns earlier if an early flush is requested,
+// but not before minWait.
+func (l *Ledger) waitForFlush(ctx context.Context, d, minWait time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
-	gap := time.NewTimer(min(d, least))
-	defer gap.Stop()
-	var urgent chan struct{}
+	minTimer := time.NewTimer(min(d, minWait))
+	defer minTimer.Stop()
+	var early chan struct{}
 	for {
 		select {
-		case <-gap.C:
-			urgent = l.urgent
-		case <-urgent:
+		case <-minTimer.C:
+			early = l.earlyFlush
+		case <-early:
 			return
 		case <-timer.C:
 			return
@@ -89,8 +94,8 @@
 	}
 }
 
-// Flush writes all bills and counts that aren't in the table. After an error
-// they are kept for the next flush.
+// Flush writes all bills and refusal counts that aren't in the table. After an
+// error they are kept for the next flush.
 func (l *Ledger) Flush(ctx context.Context) error {
 	select {
 	case l.flushing <- struct{}{}:
@@ -98,25 +103,25 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	// Loose bills are left loose until the frozen segments are written, so that
-	// an outage ends with few large segments.
-	if err := l.writeFrozen(ctx); err != nil {
-		l.drop(ctx, l.lastDropped())
+	// New segments are built only after the pending ones are written, so that
+	// bills recorded during an outage end up in few large segments.
+	if err := l.writePendingSegments(ctx); err != nil {
+		l.releaseCopies(ctx, l.lastReleased())
 		return err
 	}
-	upTo := l.freeze()
-	if err := l.writeFrozen(ctx); err != nil {
-		l.drop(ctx, l.lastDropped())
+	upTo := l.buildSegments()
+	if err := l.writePendingSegments(ctx); err != nil {
+		l.releaseCopies(ctx, l.lastReleased())
 		return err
 	}
-	l.drop(ctx, upTo)
+	l.releaseCopies(ctx, upTo)
 	return nil
 }
 
-// writeFrozen writes the frozen segments up to the first error.
-func (l *Ledger) writeFrozen(ctx context.Context) error {
+// writePendingSegments writes the pending segments up to the first error.
+func (l *Ledger) writePendingSegments(ctx context.Context) error {
 	l.mu.Lock()
-	segments := slices.Clone(l.frozen)
+	segments := slices.Clone(l.pendingSegments)
 	l.mu.Unlock()
 	for _, s := range segments {
 		if err := l.writeSegment(ctx, s); err != nil {
@@ -126,34 +131,35 @@
 	return nil
 }
 
-// freeze makes segments of all loose bills. Every message to a peer up to upTo
-// holds only bills that are in segments now.
-func (l *Ledger) freeze() (upTo uint64) {
+// buildSegments puts all bills that are in no segment into new ones. Every
+// message to a peer up to number upTo contains only bills that are in segments
+// now.
+func (l *Ledger) buildSegments() (upTo uint64) {
 	refusals := l.refusals.take()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.collect()
-	loose := l.unflushed
-	l.unflushed = nil
-	for _, group := range l.group(loose) {
-		l.frozen = append(l.frozen, l.newSegment(bucket(group[0].bill.At), group, nil))
+	l.drainShards()
+	entries := l.unsegmented
+	l.unsegmented = nil
+	for _, group := range l.groupByBucket(entries) {
+		l.pendingSegments = append(l.pendingSegments, l.newSegment(bucket(group[0].bill.At), group, nil))
 	}
 	if len(refusals) > 0 {
-		l.frozen = append(l.frozen, l.newSegment(bucket(l.opts.Clock()), nil, refusals))
+		l.pendingSegments = append(l.pendingSegments, l.newSegment(bucket(l.opts.Clock()), nil, refusals))
 	}
-	return l.holdSeq
+	return l.messageSeq
 }
 
-// group puts entries into groups by bucket, at most MaxSegment in a group.
-func (l *Ledger) group(entries []*entry) [][]*entry {
+// groupByBucket groups entries by bucket, at most MaxSegmentBills in a group.
+func (l *Ledger) groupByBucket(entries []*entry) [][]*entry {
 	var groups [][]*entry
-	open := make(map[string]int)
+	current := make(map[string]int)
 	for _, e := range entries {
 		key := bucket(e.bill.At)
-		i, found := open[key]
-		if !found || len(groups[i]) >= l.opts.MaxSegment {
+		i, found := current[key]
+		if !found || len(groups[i]) >= l.opts.MaxSegmentBills {
 			i = len(groups)
-			open[key] = i
+			current[key] = i
 			groups = append(groups, nil)
 		}
 		groups[i] = append(groups[i], e)
@@ -161,18 +167,18 @@
 	return groups
 }
 
-// newSegment numbers a segment. Ledger.mu is held.
-func (l *Ledger) newSegment(bucket string, entries []*entry, refusals []RefusalCount) *frozenSegment {
+// newSegment returns a segment with the next number. Ledger.mu is held.
+func (l *Ledger) newSegment(bucket string, entries []*entry, refusals []RefusalCount) *pendingSegment {
 	l.segmentSeq++
 	key := segmentKey(bucket, l.opts.Host, l.incarnation, l.segmentSeq)
 	for i := range refusals {
 		refusals[i].Origin = key
 	}
-	content := batch{Bills: bills(entries), Refusals: refusals}
-	return &frozenSegment{segment: segment{key: key, batch: content}, entries: entries}
+	content := batch{Bills: billsOf(entries), Refusals: refusals}
+	return &pendingSegment{segment: segment{key: key, batch: content}, entries: entries}
 }
 
-func (l *Ledger) writeSegment(ctx context.Context, s *frozenSegment) error {
+func (l *Ledger) writeSegment(ctx context.Context, s *pendingSegment) error {
 	writeCtx, cancel := context.WithTimeout(ctx, l.opts.WriteTimeout)
 	defer cancel()
 	if err := s.write(writeCtx, l.opts.Table, l.opts.Objects); err != nil {
@@ -182,15 +188,15 @@
 	defer l.mu.Unlock()
 	for _, e := range s.entries {
 		e.flushed = true
-		l.protect(e)
+		l.markDurable(e)
 	}
-	l.frozen = without(l.frozen, s)
+	l.pendingSegments = withoutSegment(l.pendingSegments, s)
 	l.pending.Add(-int64(len(s.entries)))
 	return nil
 }
 
-func without(list []*frozenSegment, s *frozenSegment) []*frozenSegment {
-	kept := make([]*frozenSegment, 0, len(list))
+func withoutSegment(list []*pendingSegment, s *pendingSegment) []*pendingSegment {
+	kept := make([]*pendingSegment, 0, len(list))
 	for _, f := range list {
 		if f != s {
 			kept = append(kept, f)
@@ -199,28 +205,29 @@
 	return kept
 }
 
-// drop tells the peers which copies they may release. A message that is lost
-// costs only memory: the peer writes the copies, and they are the same bills.
-// In an outage of the table the message says nothing new, but shows the peers
-// that the owner still cares for its bills.
-func (l *Ledger) drop(ctx context.Context, upTo uint64) {
+// releaseCopies tells the peers which copies they can delete. If that message
+// is lost, the peer keeps the copies longer and may write them to the table,
+// which changes nothing because the same bills are there already. While the
+// table is unavailable upTo doesn't advance, but the message shows the peers
+// that the owner is alive.
+func (l *Ledger) releaseCopies(ctx context.Context, upTo uint64) {
 	if l.opts.Holders == nil {
 		return
 	}
 	for _, holder := range l.currentHolders(upTo) {
-		callCtx, cancel := context.WithTimeout(ctx, l.opts.HoldTimeout)
-		// The next message covers a lost one.
+		callCtx, cancel := context.WithTimeout(ctx, l.opts.ReplicateTimeout)
+		// A lost message is made up for by the next one, which has a higher upTo.
 		_ = l.opts.Holders.Drop(callCtx, holder, l.Owner(), upTo)
 		cancel()
 	}
 }
 
-// currentHolders returns the peers that may have copies and forgets those that
-// have none above upTo.
+// currentHolders returns the peers that may have copies and removes from
+// l.holders those that have none of messages above upTo.
 func (l *Ledger) currentHolders(upTo uint64) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.dropped = max(l.dropped, upTo)
+	l.released = max(l.released, upTo)
 	list := make([]string, 0, len(l.holders))
 	for holder, last := range l.holders {
 		list = append(list, holder)
@@ -232,15 +239,17 @@
 	return list
 }
 
-// lastDropped is the highest number that peers were told to release.
-func (l *Ledger) lastDropped() uint64 {
+// lastReleased returns the highest message number whose copies peers were told
+// to delete.
+func (l *Ledger) lastReleased() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.dropped
+	return l.released
 }
 
 // Drain writes everything before a planned stop. It retries until ctx ends and
-// then returns ErrUnwritten; bills that a peer holds are written by the peer.
+// then returns ErrUnwritten; a peer that has copies of the remaining bills
+// writes them later.
 func (l *Ledger) Drain(ctx context.Context) error {
 	for {
 		err := l.Flush(ctx)
@@ -248,26 +257,27 @@
 			return nil
 		}
 		if ctx.Err() != nil {
-			return fmt.Errorf("%w: %d, of these %d in memory only: %w", ErrUnwritten, l.Pending(), l.unprotected(), ctx.Err())
+			return fmt.Errorf("%w: %d, of these %d in memory only: %w", ErrUnwritten, l.Pending(), l.countMemoryOnly(), ctx.Err())
 		}
-		_ = wait.For(ctx, drainRetry)
+		_ = wait.For(ctx, drainRetryDelay)
 	}
 }
 
-// unprotected counts the bills that are only in this host's memory.
-func (l *Ledger) unprotected() int {
+// countMemoryOnly returns the number of bills that are only in this host's
+// memory.
+func (l *Ledger) countMemoryOnly() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.collect()
+	l.drainShards()
 	n := 0
-	for _, e := range l.unflushed {
-		if !e.protected {
+	for _, e := range l.unsegmented {
+		if !e.isDurable {
 			n++
 		}
 	}
-	for _, f := range l.frozen {
+	for _, f := range l.pendingSegments {
 		for _, e := range f.entries {
-			if !e.protected {
+			if !e.isDurable {
 				n++
 			}
 		}
--- a/ledger/held.go
+++ b/ledger/held.go
@@ -5,54 +5,55 @@
 	"slices"
 )
 
-// packAfter is the number of messages after which the copies of an owner are
-// packed into one block.
-const packAfter = 64
+// packThreshold is the number of messages from one owner after which their
+// copies are encoded into one block, which needs less memory.
+const packThreshold = 64
 
-// heldBatch is the copies of one message, or a packed block of several.
-type heldBatch struct {
-	// seq is the number of the last message.
+// copyBatch holds the copies of one message, or a packed block of several.
+type copyBatch struct {
+	// seq is the highest message number in the batch.
 	seq uint64
 	// count is the number of bills.
 	count int
 	bills []Bill
-	// packed holds the bills where bills is nil.
+	// packed holds the encoded bills of a block; bills is then nil.
 	packed []byte
 }
 
-// hold keeps the bills of a message.
-func (o *owned) hold(seq uint64, bills []Bill) {
-	o.batches = append(o.batches, heldBatch{seq: seq, count: len(bills), bills: bills})
-	o.loose++
-	if o.loose >= packAfter {
+// add stores the bills of a message.
+func (o *ownerCopies) add(seq uint64, bills []Bill) {
+	o.batches = append(o.batches, copyBatch{seq: seq, count: len(bills), bills: bills})
+	o.unpacked++
+	if o.unpacked >= packThreshold {
 		o.pack()
 	}
 }
 
-// pack replaces the loose batches by one block. The block is released when the
-// highest of their numbers is: a bill kept too long is only a copy more.
-func (o *owned) pack() {
-	first := len(o.batches) - o.loose
-	var block heldBatch
+// pack replaces the unpacked batches by one block. The block is released when
+// the highest of their message numbers is. A copy that is kept longer than
+// needed does no harm: writing it to the table again changes nothing.
+func (o *ownerCopies) pack() {
+	first := len(o.batches) - o.unpacked
+	var block copyBatch
 	var bills []Bill
 	for _, b := range o.batches[first:] {
 		block.seq = max(block.seq, b.seq)
 		bills = append(bills, b.bills...)
 	}
-	o.loose = 0
+	o.unpacked = 0
 	packed, err := EncodeBills(bills)
 	if err != nil {
-		// They stay as they are.
+		// The batches stay unpacked.
 		return
 	}
 	block.count, block.packed = len(bills), bytes.Clone(packed)
 	o.batches = append(o.batches[:first:first], block)
 }
 
-// release removes the batches up to upTo and returns them.
-func (o *owned) release(upTo uint64) []heldBatch {
-	var released []heldBatch
-	first := len(o.batches) - o.loose
+// release removes the batches of messages up to number upTo and returns them.
+func (o *ownerCopies) release(upTo uint64) []copyBatch {
+	var released []copyBatch
+	first := len(o.batches) - o.unpacked
 	kept := o.batches[:0:0]
 	for i, b := range o.batches {
 		if b.seq > upTo {
@@ -61,15 +62,16 @@
 		}
 		released = append(released, b)
 		if i >= first {
-			o.loose--
+			o.unpacked--
 		}
 	}
 	o.batches = slices.Clip(kept)
 	return released
 }
 
-// unpack returns the bills. What pack made always decodes.
-func (b heldBatch) unpack() []Bill {
+// unpack returns the bills of a batch. DecodeBills doesn't fail on the output
+// of pack.
+func (b copyBatch) unpack() []Bill {
 	if b.packed == nil {
 		return b.bills
 	}
--- a/ledger/helper_test.go
+++ b/ledger/helper_test.go
@@ -16,7 +16,7 @@
 	"github.com/quetzalweir/quetzalweir/storage/memory"
 )
 
-var errDead = errors.New("no route to host")
+var errUnreachable = errors.New("no route to host")
 
 // testHost is one host of a testCluster.
 type testHost struct {
@@ -28,26 +28,27 @@
 	done    chan struct{}
 }
 
-// testCluster is a set of hosts over one table with faults.
+// testCluster is a set of hosts that share one table in which faults can be
+// injected.
 type testCluster struct {
 	table   *faulty.Table
 	objects storage.Objects
 	hosts   []*testHost
 }
 
-// peers is the Holder of one host: it tries the other hosts in turn.
-type peers struct {
+// testReplicator is the Holder of one host. It tries the other hosts in turn.
+type testReplicator struct {
 	cluster *testCluster
 	self    int
-	first   int
+	offset  int
 }
 
-func (p *peers) Hold(ctx context.Context, owner string, seq uint64, bills []Bill) (string, error) {
+func (p *testReplicator) Hold(ctx context.Context, owner string, seq uint64, bills []Bill) (string, error) {
 	if err := p.cluster.hosts[p.self].WaitWhilePaused(); err != nil {
 		return "", err
 	}
 	for i := range len(p.cluster.hosts) - 1 {
-		n := (p.self + 1 + p.first + i) % len(p.cluster.hosts)
+		n := (p.self + 1 + p.offset + i) % len(p.cluster.hosts)
 		peer := p.cluster.hosts[n]
 		if n == p.self {
 			continue
@@ -57,24 +58,24 @@
 		}
 		if peer.Paused() {
 			<-ctx.Done()
-			p.first++
+			p.offset++
 			return peer.name, ctx.Err()
 		}
 		return peer.name, peer.custody.Hold(owner, seq, bills)
 	}
-	return "", errDead
+	return "", errUnreachable
 }
 
-func (p *peers) Drop(_ context.Context, holder, owner string, upTo uint64) error {
+func (p *testReplicator) Drop(_ context.Context, holder, owner string, upTo uint64) error {
 	for _, peer := range p.cluster.hosts {
-		if peer.name == holder && peer.up() {
+		if peer.name == holder && peer.running() {
 			peer.custody.Drop(owner, upTo)
 		}
 	}
 	return nil
 }
 
-// newCluster starts n hosts; stopAll ends them.
+// newCluster starts n hosts; stopAll stops them.
 func newCluster(n int, opts Options) *testCluster {
 	c := &testCluster{table: faulty.New(memory.New()), objects: memory.NewObjects()}
 	for i := range n {
@@ -82,7 +83,7 @@
 		o := opts
 		o.Table, o.Objects, o.Host = h.TableFailingAfterKill(c.table), c.objects, h.name
 		if n > 1 {
-			o.Holders = &peers{cluster: c, self: i}
+			o.Holders = &testReplicator{cluster: c, self: i}
 		}
 		h.ledger = New(o)
 		h.custody = NewCustody(h.ledger, CustodyOptions{})
@@ -94,41 +95,41 @@
 	return c
 }
 
-func (h *testHost) up() bool { return !h.Paused() && !h.Killed() }
+func (h *testHost) running() bool { return !h.Paused() && !h.Killed() }
 
 func (h *testHost) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	h.stop = cancel
-	go h.sweep(ctx)
+	go h.sweepLoop(ctx)
 	go func() {
 		defer close(h.done)
 		_ = h.ledger.Run(ctx)
 	}()
 }
 
-// sweep looks for copies whose owner is gone, as a host does.
-func (h *testHost) sweep(ctx context.Context) {
+// sweepLoop calls Custody.Sweep periodically, as a host does.
+func (h *testHost) sweepLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		_ = wait.For(ctx, 10*time.Second)
-		if h.up() {
-			// An error says only that the table isn't there yet.
+		if h.running() {
+			// An error means only that the table is still unavailable.
 			_ = h.custody.Sweep(ctx)
 		}
 	}
 }
 
-// killHost ends a host at once; nothing in its memory is seen again.
+// killHost ends a host at once; the contents of its memory are lost.
 func (c *testCluster) killHost(i int) {
 	c.hosts[i].Kill()
 	c.hosts[i].stop()
 }
 
-// hostDown tells the live hosts that another is down.
+// hostDown reports a host as down to all hosts that weren't killed.
 func (c *testCluster) hostDown(i int) {
 	for _, h := range c.hosts {
 		if !h.Killed() {
 			h.ledger.HolderDown(c.hosts[i].name)
-			// An error says only that the table isn't there yet.
+			// An error means only that the table is still unavailable.
 			_ = h.custody.Settle(context.Background(), c.hosts[i].name)
 		}
 	}
@@ -142,15 +143,15 @@
 	}
 }
 
-// all reads the ledger by ID.
-func (c *testCluster) all(t rapid.TB) map[string]Bill {
+// readAll returns all bills in the table by ID.
+func (c *testCluster) readAll(t rapid.TB) map[string]Bill {
 	t.Helper()
 	list := make(map[string]Bill)
 	for b, err := range Read(context.Background(), c.table, c.objects, Query{}) {
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, twice := list[b.ID]; twice {
+		if _, duplicate := list[b.ID]; duplicate {
 			t.Fatalf("%s is read twice", b.ID)
 		}
 		list[b.ID] = b
@@ -158,7 +159,7 @@
 	return list
 }
 
-// testBill is a bill like that of a usual request.
+// testBill returns a bill with the values of a typical request.
 func testBill(id string) Bill {
 	return Bill{
 		ID:        "valley-auction/" + id,
--- a/ledger/hold.go
+++ b/ledger/hold.go
@@ -8,61 +8,63 @@
 )
 
 const (
-	// holdBackoff is the pause after the first failed message to a peer; it
-	// doubles up to maxHoldBackoff.
-	holdBackoff    = 5 * time.Millisecond
-	maxHoldBackoff = time.Second
+	// minReplicateBackoff is the pause after the first failed message to a
+	// peer; it doubles up to maxReplicateBackoff.
+	minReplicateBackoff = 5 * time.Millisecond
+	maxReplicateBackoff = time.Second
 )
 
-// holdLoop gives new bills to peers until ctx ends. One message is under way
-// at a time; what comes meanwhile goes into the next.
-func (l *Ledger) holdLoop(ctx context.Context) {
-	backoff := holdBackoff
+// replicateLoop copies new bills to peers until ctx ends. It sends one message
+// at a time; bills that arrive meanwhile are sent in the next one.
+func (l *Ledger) replicateLoop(ctx context.Context) {
+	backoff := minReplicateBackoff
 	for ctx.Err() == nil {
-		more, err := l.holdOnce(ctx)
+		attempted, err := l.replicateNext(ctx)
 		switch {
 		case err != nil:
-			signal(l.urgent)
+			signal(l.earlyFlush)
 			_ = wait.For(ctx, backoff)
-			backoff = min(2*backoff, maxHoldBackoff)
+			backoff = min(2*backoff, maxReplicateBackoff)
 			continue
-		case more:
-			backoff = holdBackoff
+		case attempted:
+			backoff = minReplicateBackoff
 			continue
 		}
 		select {
-		case <-l.wake:
+		case <-l.newBills:
 		case <-ctx.Done():
 		}
 	}
 }
 
-// holdOnce sends one message; more says that there was something to send.
-func (l *Ledger) holdOnce(ctx context.Context) (more bool, err error) {
-	entries, seq := l.nextUnheld()
+// replicateNext sends the next message to a peer. attempted is false if there
+// was nothing to send. Without peers it requests an early flush instead.
+func (l *Ledger) replicateNext(ctx context.Context) (attempted bool, err error) {
+	entries, seq := l.nextUnreplicated()
 	if len(entries) == 0 {
 		return false, nil
 	}
 	if l.opts.Holders == nil {
-		signal(l.urgent)
+		signal(l.earlyFlush)
 		return true, nil
 	}
-	callCtx, cancel := context.WithTimeout(ctx, l.opts.HoldTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, l.opts.ReplicateTimeout)
 	defer cancel()
-	holder, err := l.opts.Holders.Hold(callCtx, l.Owner(), seq, bills(entries))
-	l.holdDone(entries, seq, holder, err)
+	holder, err := l.opts.Holders.Hold(callCtx, l.Owner(), seq, billsOf(entries))
+	l.finishMessage(entries, seq, holder, err)
 	return true, err
 }
 
-// nextUnheld takes the next bills that no peer holds and a number for them.
-func (l *Ledger) nextUnheld() ([]*entry, uint64) {
+// nextUnreplicated removes the next unwritten bills from the queue and returns
+// them with the number of their message.
+func (l *Ledger) nextUnreplicated() ([]*entry, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.collect()
+	l.drainShards()
 	var entries []*entry
 	taken := 0
-	for _, e := range l.unheld {
-		if len(entries) == maxHoldBatch {
+	for _, e := range l.unreplicated {
+		if len(entries) == maxMessageBills {
 			break
 		}
 		taken++
@@ -70,52 +72,54 @@
 			entries = append(entries, e)
 		}
 	}
-	l.unheld = l.unheld[taken:]
+	l.unreplicated = l.unreplicated[taken:]
 	if len(entries) > 0 {
-		l.holdSeq++
+		l.messageSeq++
 	}
-	return entries, l.holdSeq
+	return entries, l.messageSeq
 }
 
-// holdDone notes the outcome of a message.
-func (l *Ledger) holdDone(entries []*entry, seq uint64, holder string, err error) {
+// finishMessage records the outcome of a message. After an error its bills
+// return to the front of the queue.
+func (l *Ledger) finishMessage(entries []*entry, seq uint64, holder string, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if holder != "" {
 		l.holders[holder] = seq
 	}
 	if err != nil {
-		l.unheld = append(entries, l.unheld...)
+		l.unreplicated = append(entries, l.unreplicated...)
 		return
 	}
 	for _, e := range entries {
 		e.holder = holder
-		l.protect(e)
+		l.markDurable(e)
 	}
 }
 
-// HolderDown says that a peer is lost, and with it the copies that it held.
-// The bills that aren't in the table yet are given to another peer.
+// HolderDown records that a peer is down and the copies on it are lost. Bills
+// of which it had the copy are sent to another peer, unless they are in the
+// table.
 func (l *Ledger) HolderDown(host string) {
 	l.mu.Lock()
-	l.collect()
+	l.drainShards()
 	delete(l.holders, host)
-	again := l.heldBy(host)
-	l.unheld = append(again, l.unheld...)
+	lostCopies := l.unwrittenHeldBy(host)
+	l.unreplicated = append(lostCopies, l.unreplicated...)
 	l.mu.Unlock()
-	signal(l.wake)
+	signal(l.newBills)
 }
 
-// heldBy returns the unwritten bills whose copy is with host. Ledger.mu is
-// held.
-func (l *Ledger) heldBy(host string) []*entry {
+// unwrittenHeldBy returns the unwritten bills whose copy is on host. Ledger.mu
+// is held.
+func (l *Ledger) unwrittenHeldBy(host string) []*entry {
 	var list []*entry
-	for _, e := range l.unflushed {
+	for _, e := range l.unsegmented {
 		if e.holder == host {
 			list = append(list, e)
 		}
 	}
-	for _, f := range l.frozen {
+	for _, f := range l.pendingSegments {
 		for _, e := range f.entries {
 			if e.holder == host && !e.flushed {
 				list = append(list, e)
@@ -125,7 +129,7 @@
 	return list
 }
 
-func bills(entries []*entry) []Bill {
+func billsOf(entries []*entry) []Bill {
 	list := make([]Bill, 0, len(entries))
 	for _, e := range entries {
 		list = append(list, e.bill)
--- a/ledger/join.go
+++ b/ledger/join.go
@@ -6,12 +6,12 @@
 	"iter"
 )
 
-// joinedVersion is the first byte of joined batches. It differs from every
-// codecVersion.
+// joinedVersion is the first byte of an object of joined batches. It differs
+// from the first byte of every encoded batch.
 const joinedVersion = 0x80
 
-// join puts encoded batches into one object: a byte for the format, then each
-// batch behind its length.
+// join combines encoded batches into the content of one object: joinedVersion,
+// then each batch preceded by its length.
 func join(batches [][]byte) []byte {
 	data := []byte{joinedVersion}
 	for _, b := range batches {
@@ -21,8 +21,8 @@
 	return data
 }
 
-// split yields the encoded batches in an object: those that join put there, or
-// the one that the object is.
+// split yields the encoded batches of an object. An object that doesn't start
+// with joinedVersion is a single batch.
 func split(data []byte) iter.Seq2[[]byte, error] {
 	return func(yield func([]byte, error) bool) {
 		if len(data) == 0 || data[0] != joinedVersion {
@@ -33,7 +33,7 @@
 		for len(rest) > 0 {
 			size, n := binary.Uvarint(rest)
 			if n <= 0 || size > uint64(len(rest)-n) {
-				yield(nil, fmt.Errorf("%w: joined batches cut short", ErrCorrupt))
+				yield(nil, fmt.Errorf("%w: joined batches are truncated", ErrCorrupt))
 				return
 			}
 			end := n + int(size)
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -15,18 +15,18 @@
 
 // Defaults of Options.
 const (
-	// DefaultFlushEvery is the time between flushes.
-	DefaultFlushEvery = time.Second
-	// DefaultMinFlushGap is the least time between flushes asked for early.
-	DefaultMinFlushGap = 100 * time.Millisecond
-	// DefaultMaxSegment is the number of bills in one segment.
-	DefaultMaxSegment = 2000
-	// DefaultMaxPending is the number of unwritten bills of one host.
+	// DefaultFlushInterval is the time between flushes.
+	DefaultFlushInterval = time.Second
+	// DefaultMinFlushInterval is the minimum time before an early flush.
+	DefaultMinFlushInterval = 100 * time.Millisecond
+	// DefaultMaxSegmentBills is the maximum number of bills in one segment.
+	DefaultMaxSegmentBills = 2000
+	// DefaultMaxPending is the maximum number of unwritten bills of one host.
 	DefaultMaxPending = 20_000
-	// DefaultRecordTimeout is how long Record waits for a bill to be safe.
+	// DefaultRecordTimeout is how long Record waits for a bill to be durable.
 	DefaultRecordTimeout = 200 * time.Millisecond
-	// DefaultHoldTimeout is how long one peer may take to accept bills.
-	DefaultHoldTimeout = 60 * time.Millisecond
+	// DefaultReplicateTimeout is how long one peer may take to accept bills.
+	DefaultReplicateTimeout = 60 * time.Millisecond
 	// DefaultWriteTimeout bounds the write of one segment.
 	DefaultWriteTimeout = 5 * time.Second
 )
@@ -34,56 +34,62 @@
 const (
 	// shardCount is a power of two.
 	shardCount = 16
-	// maxHoldBatch is the most bills in one message to a peer.
-	maxHoldBatch = 512
+	// maxMessageBills is the maximum number of bills in one message to a peer.
+	maxMessageBills = 512
 )
 
-// Holder keeps copies of bills on peers in other availability zones.
+// Holder sends copies of bills to peers in other availability zones.
 type Holder interface {
-	// Hold gives bills to a peer of the implementation's choice and returns
-	// its host. With an error, a holder that isn't empty may have the bills.
-	// An implementation goes to another peer after a failed call.
+	// Hold sends the bills of message seq to a peer that the implementation
+	// selects and returns the name of that peer's host. If it returns both an
+	// error and a host name, that host may have stored the bills. After a
+	// failed call an implementation selects another peer.
 	Hold(ctx context.Context, owner string, seq uint64, bills []Bill) (holder string, err error)
-	// Drop says that the owner's bills up to upTo are in the table.
+	// Drop tells holder that the owner's bills in the messages up to and
+	// including number upTo are in the table, so their copies can be deleted.
 	Drop(ctx context.Context, holder, owner string, upTo uint64) error
 }
 
-// Options configure a Ledger. Table, Objects and Host are needed.
+// Options configure a Ledger. Table, Objects and Host are required.
 type Options struct {
 	Table   storage.Table
 	Objects storage.Objects
 	// Host is this host's name.
 	Host string
-	// Holders is nil where there are no peers; then Record waits for a flush.
+	// Holders copies bills to peers. It is nil if there are no peers; Record
+	// then waits for a flush.
 	Holders Holder
-	// FlushEvery is the time between flushes; default DefaultFlushEvery.
-	FlushEvery time.Duration
-	// MinFlushGap is the least time between flushes when bills wait that no
-	// peer holds; default DefaultMinFlushGap.
-	MinFlushGap time.Duration
-	// MaxSegment is the most bills in a segment; default DefaultMaxSegment.
-	MaxSegment int
-	// MaxPending is the number of unwritten bills at which Admit refuses;
-	// default DefaultMaxPending.
+	// FlushInterval is the time between flushes; default DefaultFlushInterval.
+	FlushInterval time.Duration
+	// MinFlushInterval is the minimum time between flushes while there are
+	// bills that no peer has a copy of; default DefaultMinFlushInterval.
+	MinFlushInterval time.Duration
+	// MaxSegmentBills is the maximum number of bills in a segment; default
+	// DefaultMaxSegmentBills.
+	MaxSegmentBills int
+	// MaxPending is the number of unwritten bills at which Admit returns
+	// ErrFull; default DefaultMaxPending.
 	MaxPending int
 	// RecordTimeout is how long Record waits; default DefaultRecordTimeout.
 	RecordTimeout time.Duration
-	// HoldTimeout bounds one call of Holders; default DefaultHoldTimeout.
-	HoldTimeout time.Duration
+	// ReplicateTimeout bounds one call of Holders; default
+	// DefaultReplicateTimeout.
+	ReplicateTimeout time.Duration
 	// WriteTimeout bounds the write of one segment; default
 	// DefaultWriteTimeout.
 	WriteTimeout time.Duration
-	// Clock is the source of the time of refusals; default time.Now.
+	// Clock returns the time under which refusals are counted; default
+	// time.Now.
 	Clock storage.Clock
 }
 
 func (o Options) withDefaults() Options {
-	defaults.Positive(&o.FlushEvery, DefaultFlushEvery)
-	defaults.Positive(&o.MinFlushGap, DefaultMinFlushGap)
+	defaults.Positive(&o.FlushInterval, DefaultFlushInterval)
+	defaults.Positive(&o.MinFlushInterval, DefaultMinFlushInterval)
 	defaults.Positive(&o.RecordTimeout, DefaultRecordTimeout)
-	defaults.Positive(&o.HoldTimeout, DefaultHoldTimeout)
+	defaults.Positive(&o.ReplicateTimeout, DefaultReplicateTimeout)
 	defaults.Positive(&o.WriteTimeout, DefaultWriteTimeout)
-	defaults.Positive(&o.MaxSegment, DefaultMaxSegment)
+	defaults.Positive(&o.MaxSegmentBills, DefaultMaxSegmentBills)
 	defaults.Positive(&o.MaxPending, DefaultMaxPending)
 	if o.Clock == nil {
 		o.Clock = time.Now
@@ -97,72 +103,76 @@
 	incarnation string
 	shards      [shardCount]shard
 	refusals    refusalCounts
-	// wake tells the hold loop of new bills; urgent asks for an early flush.
-	wake, urgent chan struct{}
-	// flushEvery is the time between flushes, a time.Duration.
-	flushEvery atomic.Int64
+	// newBills wakes replicateLoop; earlyFlush requests an early flush.
+	newBills, earlyFlush chan struct{}
+	// flushInterval is the time between flushes, a time.Duration.
+	flushInterval atomic.Int64
 	// pending is the number of bills that aren't in the table.
 	pending atomic.Int64
-	// flushing is held during a flush.
+	// flushing is a semaphore that allows one flush at a time.
 	flushing chan struct{}
 
 	mu sync.Mutex
-	// unheld are the bills to give to a peer, in order.
-	unheld []*entry
-	// unflushed are the bills that are in no segment yet.
-	unflushed []*entry
-	// frozen are the segments that aren't known to be in the table.
-	frozen []*frozenSegment
+	// unreplicated are the bills to copy to a peer, in order.
+	unreplicated []*entry
+	// unsegmented are the bills that are in no segment yet.
+	unsegmented []*entry
+	// pendingSegments are the segments that aren't known to be in the table.
+	pendingSegments []*pendingSegment
 	// holders are the peers that may have copies, with the number of the last
 	// message to each.
 	holders map[string]uint64
-	// holdSeq numbers the messages to peers; segmentSeq numbers segments;
-	// dropped is the highest number that peers were told to release.
-	holdSeq, segmentSeq, dropped uint64
-	atRisk                       int
+	// messageSeq numbers the messages to peers; segmentSeq numbers segments;
+	// released is the highest message number whose copies peers were told to
+	// delete.
+	messageSeq, segmentSeq, released uint64
+	atRisk                           int
 }
 
-// entry is an unwritten bill.
+// entry is a bill that isn't in the table yet, with its state.
 type entry struct {
 	bill Bill
-	// safe is closed when the bill would survive the loss of this host.
-	safe chan struct{}
-	// The rest is guarded by Ledger.mu.
-	protected, flushed, gaveUp bool
-	holder                     string
+	// durable is closed when the bill would survive the loss of this host.
+	durable chan struct{}
+	// The fields below are guarded by Ledger.mu. countedAtRisk is set once
+	// markAtRisk counted the bill; holder is the peer that confirmed a copy.
+	isDurable, flushed, countedAtRisk bool
+	holder                            string
 }
 
-// shard takes new bills off the request path.
+// shard buffers new bills, so that concurrent requests rarely wait for one
+// lock.
 type shard struct {
-	mu    sync.Mutex
-	fresh []*entry
+	mu      sync.Mutex
+	entries []*entry
 }
 
-// New returns a Ledger. Bills are made safe while Run runs.
+// New returns a Ledger. Bills are copied and written only while Run runs.
 func New(opts Options) *Ledger {
 	opts = opts.withDefaults()
 	l := &Ledger{
 		opts:        opts,
 		incarnation: uuid.NewString(),
 		refusals:    refusalCounts{counts: make(map[refusalKey]int)},
-		wake:        make(chan struct{}, 1),
-		urgent:      make(chan struct{}, 1),
+		newBills:    make(chan struct{}, 1),
+		earlyFlush:  make(chan struct{}, 1),
 		flushing:    make(chan struct{}, 1),
 		holders:     make(map[string]uint64),
 	}
-	l.SetFlushEvery(opts.FlushEvery)
+	l.SetFlushEvery(opts.FlushInterval)
 	return l
 }
 
-// Owner names this ledger to its holders: the host and the incarnation of its
-// process, so a restarted host doesn't reuse the numbers of its predecessor.
+// Owner returns the name of this ledger in messages to its holders. It consists
+// of the host and the incarnation of its process, because a restarted process
+// counts its messages from 1 again.
 func (l *Ledger) Owner() string {
 	return l.opts.Host + "/" + l.incarnation
 }
 
-// Admit returns ErrFull when the host holds too many unwritten bills. It is
-// asked before a request is dispatched, so the memory is bounded by MaxPending
-// bills and one for each request in flight, and no bill is ever thrown away.
+// Admit returns ErrFull when the host has too many unwritten bills. Callers
+// check it before they dispatch a request. That bounds memory to MaxPending
+// bills plus one for each request in flight, and no bill is ever discarded.
 func (l *Ledger) Admit() error {
 	if l.pending.Load() >= int64(l.opts.MaxPending) {
 		return ErrFull
@@ -170,12 +180,12 @@
 	return nil
 }
 
-// Record takes a bill and waits until it would survive the loss of this host.
-// Call it before the end of the answer goes to the caller. ErrAtRisk says that
-// the wait ended before; the bill is kept and written all the same, and isn't
-// to be recorded again.
+// Record adds a bill and waits until it would survive the loss of this host.
+// Call it before the end of the answer is sent to the caller. ErrAtRisk means
+// that the wait timed out or ctx ended first; the bill is still kept and
+// written, and must not be recorded again.
 func (l *Ledger) Record(ctx context.Context, b Bill) error {
-	b, err := normal(b)
+	b, err := normalize(b)
 	if err != nil {
 		return err
 	}
@@ -183,84 +193,85 @@
 	timer := time.NewTimer(l.opts.RecordTimeout)
 	defer timer.Stop()
 	select {
-	case <-e.safe:
+	case <-e.durable:
 		return nil
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return l.giveUp(e)
+	return l.markAtRisk(e)
 }
 
-// add puts a bill into its shard.
+// add appends a bill to its shard.
 func (l *Ledger) add(b Bill) *entry {
-	e := &entry{bill: b, safe: make(chan struct{})}
+	e := &entry{bill: b, durable: make(chan struct{})}
 	l.pending.Add(1)
 	s := &l.shards[xxhash.Sum64String(b.ID)%shardCount]
 	s.mu.Lock()
-	s.fresh = append(s.fresh, e)
+	s.entries = append(s.entries, e)
 	s.mu.Unlock()
-	signal(l.wake)
+	signal(l.newBills)
 	return e
 }
 
-// addAll puts bills that came from elsewhere into their shards.
+// addAll adds bills that this host received from another ledger.
 func (l *Ledger) addAll(bills []Bill) {
 	for _, b := range bills {
 		l.add(b)
 	}
 }
 
-// giveUp ends the wait for a bill that isn't safe.
-func (l *Ledger) giveUp(e *entry) error {
+// markAtRisk counts a bill as at risk and returns ErrAtRisk, unless the bill
+// has become durable.
+func (l *Ledger) markAtRisk(e *entry) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if e.protected {
+	if e.isDurable {
 		return nil
 	}
-	e.gaveUp = true
+	e.countedAtRisk = true
 	l.atRisk++
 	return ErrAtRisk
 }
 
-// protect marks a bill as safe. Ledger.mu is held.
-func (l *Ledger) protect(e *entry) {
-	if e.protected {
+// markDurable marks a bill as durable. Ledger.mu is held.
+func (l *Ledger) markDurable(e *entry) {
+	if e.isDurable {
 		return
 	}
-	e.protected = true
-	close(e.safe)
-	if e.gaveUp {
+	e.isDurable = true
+	close(e.durable)
+	if e.countedAtRisk {
 		l.atRisk--
 	}
 }
 
-// AtRisk is the number of bills that Record gave up on and that are still in
-// this host's memory only.
+// AtRisk returns the number of bills for which Record returned ErrAtRisk and
+// that are still in this host's memory only.
 func (l *Ledger) AtRisk() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.atRisk
 }
 
-// Pending is the number of bills that aren't known to be in the table.
+// Pending returns the number of bills that aren't known to be in the table.
 func (l *Ledger) Pending() int {
 	return int(l.pending.Load())
 }
 
-// collect moves new bills from the shards to the queues. Ledger.mu is held.
-func (l *Ledger) collect() {
+// drainShards moves new bills from the shards to the queues. Ledger.mu is held.
+func (l *Ledger) drainShards() {
 	for i := range l.shards {
 		s := &l.shards[i]
 		s.mu.Lock()
-		fresh := s.fresh
-		s.fresh = nil
+		newEntries := s.entries
+		s.entries = nil
 		s.mu.Unlock()
-		l.unheld = append(l.unheld, fresh...)
-		l.unflushed = append(l.unflushed, fresh...)
+		l.unreplicated = append(l.unreplicated, newEntries...)
+		l.unsegmented = append(l.unsegmented, newEntries...)
 	}
 }
 
-// signal wakes the reader of c, once for any number of calls.
+// signal wakes the reader of c. Calls before the reader runs wake it only once.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -20,26 +20,26 @@
 	goleak.VerifyTestMain(m)
 }
 
-// hookTable lists few rows at once and calls a function between two pages.
-type hookTable struct {
+// pagingTable lists at most 3 rows at once and calls a function between pages.
+type pagingTable struct {
 	*memory.Table
-	between func()
+	betweenPages func()
 }
 
-func (h *hookTable) List(ctx context.Context, prefix, after string, limit int) ([]storage.Row, error) {
+func (h *pagingTable) List(ctx context.Context, prefix, after string, limit int) ([]storage.Row, error) {
 	if after != "" {
-		h.between()
+		h.betweenPages()
 	}
 	return h.Table.List(ctx, prefix, after, min(limit, 3))
 }
 
-// TestCompactUnderRead compacts between every two pages of a reader, while late
-// segments come, and checks that the reader misses none.
+// TestCompactUnderRead compacts between the pages of a reader, while late
+// segments are written, and checks that the reader doesn't miss a bill.
 func TestCompactUnderRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table, objects := memory.New(), memory.NewObjects()
-		l := New(Options{Table: table, Objects: objects, Host: "~h/0", MaxSegment: 1})
+		l := New(Options{Table: table, Objects: objects, Host: "~h/0", MaxSegmentBills: 1})
 		const bills = 300
 		for i := range bills {
 			l.add(testBill(fmt.Sprint(i)))
@@ -49,9 +49,9 @@
 		time.Sleep(time.Minute)
 		const maxMoves = 20
 		seen, moves := 0, 0
-		reader := &hookTable{Table: table, between: func() {
+		reader := &pagingTable{Table: table, betweenPages: func() {
 			if moves == maxMoves {
-				// Else the reader would never get past the rows that come.
+				// Without a limit, new rows would keep the reader from finishing.
 				return
 			}
 			moves++
@@ -70,7 +70,7 @@
 				}
 			}
 			is.Equal(seen, bills)
-			// Rows of their own again, for the next reader.
+			// Write the bills as separate rows again for the next reader.
 			for i := range bills {
 				l.add(testBill(fmt.Sprint(i)))
 			}
@@ -80,13 +80,13 @@
 	})
 }
 
-// TestCompactBounds checks that compaction leaves one row a day and counts
-// refusals once, also when a segment is written again after its merge.
+// TestCompactBounds checks that compaction leaves one row per day and that
+// refusals are counted once, even if a segment is written again after its merge.
 func TestCompactBounds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table, objects := memory.New(), memory.NewObjects()
-		l := New(Options{Table: table, Objects: objects, Host: "h0", MaxSegment: 1})
+		l := New(Options{Table: table, Objects: objects, Host: "h0", MaxSegmentBills: 1})
 		const bills = 700
 		for i := range bills {
 			time.Sleep(4 * time.Minute)
@@ -94,12 +94,12 @@
 		}
 		l.Refuse("valley-auction", 41, 3001)
 		l.Refuse("valley-auction", 41, 3001)
-		l.freeze()
-		segments := l.frozen
+		l.buildSegments()
+		segments := l.pendingSegments
 		is.NoErr(l.Flush(t.Context()))
 		time.Sleep(48 * time.Hour)
 		for range 3 {
-			// A day of more rows than one transaction takes needs two runs.
+			// A day with more than maxCompactRows rows needs two runs.
 			is.NoErr(Compact(t.Context(), table, objects, time.Now()))
 			is.NoErr(Compact(t.Context(), table, objects, time.Now()))
 			rows, err := table.List(t.Context(), "", "", 1000)
@@ -130,15 +130,15 @@
 		time.AfterFunc(time.Hour, func() { c.table.SetDown(true) })
 		err := RunCompaction(ctx, CompactionOptions{
 			Table: c.table, Objects: c.objects, Random: rand.New(rand.NewPCG(1, 1)),
-			Failed: func(error) { failures++ },
+			OnError: func(error) { failures++ },
 		})
 		is.True(errors.Is(err, context.DeadlineExceeded))
 		is.True(failures > 30 && failures < 120) // one a minute on average
 		c.table.Heal()
-		rows, err := c.table.List(t.Context(), prefix, "", 100)
+		rows, err := c.table.List(t.Context(), keyPrefix, "", 100)
 		is.NoErr(err)
 		is.Equal(len(rows), 1)
-		is.Equal(len(c.all(t)), 50)
+		is.Equal(len(c.readAll(t)), 50)
 	})
 }
 
@@ -152,7 +152,7 @@
 	}
 }
 
-// TestSetFlushEvery counts the flushes of ten minutes.
+// TestSetFlushEvery checks the number of commits in ten minutes.
 func TestSetFlushEvery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(3, Options{})
@@ -166,7 +166,8 @@
 			time.Sleep(time.Second)
 		}
 		commits := c.table.Counts().Commits - before
-		// One each 10 s, and one more for each of the minutes that they span.
+		// One commit every 10 s, and one more whenever the bills of a flush are
+		// from two minutes.
 		is.New(t).True(commits >= 59 && commits <= 71)
 	})
 }
@@ -194,12 +195,12 @@
 			query Query
 			want  string
 		}{
-			{"all, a whole answer before a failure", Query{}, "[r2 r3 r4]"},
+			{"all, a complete answer over a failure", Query{}, "[r2 r3 r4]"},
 			{"other account", Query{Account: "clydegate"}, "[]"},
-			{"request that gave way", Query{RequestID: "r1"}, "[]"},
+			{"request whose bill is superseded", Query{RequestID: "r1"}, "[]"},
 			{"request", Query{RequestID: "r3"}, "[r3]"},
 			{"epoch", Query{Epoch: 40}, "[]"},
-			{"the standing bill is outside", Query{To: start.Add(time.Minute)}, "[]"},
+			{"the preferred bill is outside", Query{To: start.Add(time.Minute)}, "[]"},
 			{"one day", Query{To: start.Add(10 * time.Minute)}, "[r2]"},
 			{"over midnight", Query{From: start.Add(5 * time.Minute), To: start.Add(30 * time.Minute)}, "[r2 r3]"},
 			{"from", Query{From: start.Add(15 * time.Minute)}, "[r3 r4]"},
@@ -221,11 +222,11 @@
 	if err := Compact(t.Context(), table, objects, start.Add(time.Hour)); err != nil {
 		t.Fatal(err)
 	}
-	t.Run("one day folded", check)
+	t.Run("one day compacted", check)
 	if err := Compact(t.Context(), table, objects, start.Add(48*time.Hour)); err != nil {
 		t.Fatal(err)
 	}
-	t.Run("both days folded", check)
+	t.Run("both days compacted", check)
 	_, err := ByRequest(t.Context(), table, objects, "r1")
 	is.New(t).True(errors.Is(err, storage.ErrNotFound))
 }
@@ -249,8 +250,8 @@
 		time.Sleep(time.Minute)
 		is.NoErr(l.Admit())
 		is.Equal(l.AtRisk(), 0)
-		is.NoErr(l.Record(t.Context(), testBill("4"))) // alone, safe by an early flush
-		is.Equal(len(c.all(t)), 4)
+		is.NoErr(l.Record(t.Context(), testBill("4"))) // without peers, an early flush makes it durable
+		is.Equal(len(c.readAll(t)), 4)
 	})
 }
 
--- a/ledger/period.go
+++ b/ledger/period.go
@@ -2,25 +2,27 @@
 
 import "time"
 
-// maxFlushRate is how many flushes a second all hosts together should make: a
-// small part of the few hundred commits that the table takes.
+// maxFlushRate is the target for the flushes per second of all hosts together.
+// The table accepts a few hundred commits per second, and flushes should be a
+// small part of them.
 const maxFlushRate = 50
 
-// FlushPeriod returns a time between flushes that suits the number of hosts:
-// DefaultFlushEvery while they are few. Bills are safe with a peer meanwhile.
+// FlushPeriod returns the time between flushes for a number of hosts. It is
+// DefaultFlushInterval for up to maxFlushRate hosts and grows with their number
+// above that. Until the flush a copy on a peer protects each bill.
 func FlushPeriod(hosts int) time.Duration {
-	return max(DefaultFlushEvery, time.Duration(hosts)*time.Second/maxFlushRate)
+	return max(DefaultFlushInterval, time.Duration(hosts)*time.Second/maxFlushRate)
 }
 
-// SetFlushEvery changes the time between flushes, from the next flush on. It
-// follows the number of hosts.
+// SetFlushEvery changes the time between flushes, from the next flush on.
+// Callers adjust it when the number of hosts changes.
 func (l *Ledger) SetFlushEvery(d time.Duration) {
 	if d > 0 {
-		l.flushEvery.Store(int64(d))
+		l.flushInterval.Store(int64(d))
 	}
 }
 
-// flushPeriod is the present time between flushes.
-func (l *Ledger) flushPeriod() time.Duration {
-	return time.Duration(l.flushEvery.Load())
+// currentFlushInterval returns the time between flushes.
+func (l *Ledger) currentFlushInterval() time.Duration {
+	return time.Duration(l.flushInterval.Load())
 }
--- a/ledger/plain.go
+++ b/ledger/plain.go
@@ -7,50 +7,52 @@
 )
 
 const (
-	// plainVersion is the first byte of bills that aren't compressed: a JSON
-	// array with an array of values for each bill.
-	plainVersion = 2
-	// maxPlain is the most bills that are sent so. To prepare the compressor
-	// takes longer than to send a few bills as they are.
-	maxPlain = 4
+	// uncompressedVersion is the first byte of bills that aren't compressed. A
+	// JSON array with an array of values for each bill follows.
+	uncompressedVersion = 2
+	// maxUncompressedBills is the maximum number of bills that are sent
+	// uncompressed. For a few bills, setting up the compressor takes longer than
+	// sending the additional bytes.
+	maxUncompressedBills = 4
 )
 
-// plainBill is a bill as an array of values. What usually stands twice in a
-// bill stands there once.
-type plainBill struct {
+// billArray is a bill that is encoded as an array of values. Values that most
+// bills contain twice, such as those of a single step, are encoded once.
+type billArray struct {
 	Bill
-	// ownStep says that the one step repeats the bill's own values.
-	ownStep bool
+	// stepOmitted is set if the bill has one step that repeats the bill's own
+	// values and therefore isn't encoded.
+	stepOmitted bool
 	// at is Bill.At in Unix nanoseconds.
 	at int64
 }
 
-// values lists where the values of a bill are, in their order. The order is
-// part of plainVersion.
-func (p *plainBill) values() []any {
+// values returns pointers to the values of a bill in the order of their
+// encoding. That order is part of the format uncompressedVersion.
+func (p *billArray) values() []any {
 	return []any{
 		&p.ID, &p.RequestID, &p.Account, &p.Model, &p.Version, &p.Service,
 		&p.Upstream, &p.Class, &p.Epoch, &p.Code, &p.RunState, &p.Attempts,
-		&p.PromptTokens, &p.CompletionTokens, &p.CostMicro, &p.at, &p.ownStep,
+		&p.PromptTokens, &p.CompletionTokens, &p.CostMicro, &p.at, &p.stepOmitted,
 		&p.Steps,
 	}
 }
 
 // MarshalJSON implements json.Marshaler.
-func (p plainBill) MarshalJSON() ([]byte, error) {
+func (p billArray) MarshalJSON() ([]byte, error) {
 	p.at = p.At.UnixNano()
 	if p.ID == p.RequestID {
 		p.ID = ""
 	}
-	if len(p.Steps) == 1 && p.Steps[0] == p.step() {
-		p.ownStep = true
+	if len(p.Steps) == 1 && p.Steps[0] == p.impliedStep() {
+		p.stepOmitted = true
 		p.Steps = nil
 	}
 	return json.Marshal(p.values())
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
-func (p *plainBill) UnmarshalJSON(data []byte) error {
+func (p *billArray) UnmarshalJSON(data []byte) error {
 	values := p.values()
 	want := len(values)
 	if err := json.Unmarshal(data, &values); err != nil {
@@ -63,14 +65,14 @@
 	if p.ID == "" {
 		p.ID = p.RequestID
 	}
-	if p.ownStep {
-		p.Steps = []Step{p.step()}
+	if p.stepOmitted {
+		p.Steps = []Step{p.impliedStep()}
 	}
 	return nil
 }
 
-// step is the step that repeats the bill's own values.
-func (p *plainBill) step() Step {
+// impliedStep returns the step that repeats the bill's own values.
+func (p *billArray) impliedStep() Step {
 	return Step{
 		Model:            p.Model,
 		Version:          p.Version,
@@ -81,8 +83,8 @@
 	}
 }
 
-func encodePlain(bills []Bill) ([]byte, error) {
-	list := make([]plainBill, len(bills))
+func encodeUncompressed(bills []Bill) ([]byte, error) {
+	list := make([]billArray, len(bills))
 	for i, b := range bills {
 		list[i].Bill = b
 	}
@@ -90,12 +92,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("ledger: encode: %w", err)
 	}
-	return append([]byte{plainVersion}, text...), nil
+	return append([]byte{uncompressedVersion}, text...), nil
 }
 
-// decodePlain reads what follows the version.
-func decodePlain(text []byte) (batch, error) {
-	var list []plainBill
+// decodeUncompressed decodes the JSON text that follows the version byte.
+func decodeUncompressed(text []byte) (batch, error) {
+	var list []billArray
 	if err := json.Unmarshal(text, &list); err != nil {
 		return batch{}, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
--- a/ledger/plain_test.go
+++ b/ledger/plain_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// anyBill draws bills whose every field can have any value.
+// anyBill returns a generator of bills with arbitrary values in all fields.
 func anyBill() *rapid.Generator[Bill] {
 	text, count := rapid.String(), rapid.IntMin(0)
 	step := rapid.Custom(func(t *rapid.T) Step {
@@ -31,7 +31,7 @@
 		if rapid.Bool().Draw(t, "own step") {
 			b.Steps = []Step{s}
 		}
-		b, err := normal(b)
+		b, err := normalize(b)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -41,12 +41,12 @@
 
 func TestBillsSurviveEitherEncoding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		bills := rapid.SliceOfN(anyBill(), 1, 2*maxPlain).Draw(t, "bills")
+		bills := rapid.SliceOfN(anyBill(), 1, 2*maxUncompressedBills).Draw(t, "bills")
 		data, err := EncodeBills(bills)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if plain := data[0] == plainVersion; plain != (len(bills) <= maxPlain) {
+		if plain := data[0] == uncompressedVersion; plain != (len(bills) <= maxUncompressedBills) {
 			t.Fatalf("%d bills have version %d", len(bills), data[0])
 		}
 		got, err := DecodeBills(data)
@@ -61,16 +61,16 @@
 	good, err := EncodeBills([]Bill{testBill("1")})
 	is.New(t).NoErr(err)
 	tests := []struct{ desc, text string }{
-		{"cut short", string(good[1 : len(good)-4])},
+		{"truncated data", string(good[1 : len(good)-4])},
 		{"no array", `{}`},
-		{"a value too few", `[["a","b"]]`},
-		{"a value too many", string(good[1:len(good)-2]) + `,1]]`},
+		{"too few values", `[["a","b"]]`},
+		{"too many values", string(good[1:len(good)-2]) + `,1]]`},
 		{"a value of another type", `[[` + `1` + string(good[4:])},
-		{"something behind the end", string(good[1:]) + `x`},
+		{"trailing data", string(good[1:]) + `x`},
 	}
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
-			_, err := DecodeBills(append([]byte{plainVersion}, tt.text...))
+			_, err := DecodeBills(append([]byte{uncompressedVersion}, tt.text...))
 			is.New(t).True(errors.Is(err, ErrCorrupt))
 		})
 	}
--- a/ledger/reader.go
+++ b/ledger/reader.go
@@ -13,30 +13,30 @@
 )
 
 const (
-	// pageSize is the number of rows in one read of the table.
+	// pageSize is the maximum number of rows in one read of the table.
 	pageSize = 200
 	// DefaultMargin is the default of Query.Margin.
 	DefaultMargin = 10 * time.Minute
 )
 
-// Query selects bills. Zero fields select everything.
+// Query selects bills. A field with its zero value doesn't restrict the result.
 type Query struct {
 	Account   string
 	RequestID string
 	Epoch     uint64
 	// From and To bound Bill.At: from From, up to but not including To.
 	From, To time.Time
-	// Margin is how far outside From and To is looked for another bill with
-	// the same ID that stands in place of one inside; default DefaultMargin.
+	// Margin is how far outside From and To a bill is searched that has the same
+	// ID as one inside and takes precedence over it; default DefaultMargin.
 	Margin time.Duration
 }
 
 // Read yields the bills that match q, each ID once, in the order of their
-// time and ID. An error is yielded last, with a zero bill; bills before an
-// error aren't yielded, since none is known to stand.
+// time and ID. After an error it yields only that error, with a zero bill,
+// because a bill that wasn't read could take precedence over one that was.
 func Read(ctx context.Context, table storage.Table, objects storage.Objects, q Query) iter.Seq2[Bill, error] {
 	return func(yield func(Bill, error) bool) {
-		set, err := collectSet(ctx, table, objects, q)
+		set, err := readBillSet(ctx, table, objects, q)
 		if err != nil {
 			yield(Bill{}, err)
 			return
@@ -64,22 +64,24 @@
 	return DefaultMargin
 }
 
-// set is a set of bills by ID and of refusal counts by origin.
-type set struct {
+// billSet holds bills by ID and refusal counts by origin.
+type billSet struct {
 	bills    map[string]Bill
-	refusals map[refusalOrigin]RefusalCount
+	refusals map[refusalID]RefusalCount
 }
 
-type refusalOrigin struct {
+// refusalID identifies a refusal count. A count that is read twice, from a
+// segment and from its compacted copy, has the same refusalID.
+type refusalID struct {
 	origin string
 	key    refusalKey
 }
 
-func newSet() *set {
-	return &set{bills: make(map[string]Bill), refusals: make(map[refusalOrigin]RefusalCount)}
+func newBillSet() *billSet {
+	return &billSet{bills: make(map[string]Bill), refusals: make(map[refusalID]RefusalCount)}
 }
 
-func (s *set) add(b batch, keep func(Bill) bool) {
+func (s *billSet) add(b batch, keep func(Bill) bool) {
 	for _, bill := range b.Bills {
 		if keep(bill) {
 			s.addBill(bill)
@@ -87,11 +89,11 @@
 	}
 	for _, r := range b.Refusals {
 		key := refusalKey{account: r.Account, epoch: r.Epoch, code: r.Code}
-		s.refusals[refusalOrigin{origin: r.Origin, key: key}] = r
+		s.refusals[refusalID{origin: r.Origin, key: key}] = r
 	}
 }
 
-func (s *set) addBill(b Bill) {
+func (s *billSet) addBill(b Bill) {
 	if other, found := s.bills[b.ID]; found {
 		b = Prefer(other, b)
 	}
@@ -99,7 +101,7 @@
 }
 
 // sorted returns the bills in the order of their time and ID.
-func (s *set) sorted() []Bill {
+func (s *billSet) sorted() []Bill {
 	list := make([]Bill, 0, len(s.bills))
 	for _, b := range s.bills {
 		list = append(list, b)
@@ -110,12 +112,13 @@
 	return list
 }
 
-// collectSet reads all that bears on q. Only the account is filtered here: the
-// other fields may differ between two bills with one ID.
-func collectSet(ctx context.Context, table storage.Table, objects storage.Objects, q Query) (*set, error) {
-	s := newSet()
+// readBillSet reads all bills and refusal counts that can affect the result of
+// q. It filters bills only by account, because the other fields can differ
+// between two bills with the same ID.
+func readBillSet(ctx context.Context, table storage.Table, objects storage.Objects, q Query) (*billSet, error) {
+	s := newBillSet()
 	keep := func(b Bill) bool { return q.Account == "" || q.Account == b.Account }
-	for stored, err := range q.rows(ctx, table) {
+	for stored, err := range q.listRows(ctx, table) {
 		if err != nil {
 			return nil, err
 		}
@@ -126,12 +129,12 @@
 	return s, nil
 }
 
-func (s *set) addRow(ctx context.Context, objects storage.Objects, stored storage.Row, keep func(Bill) bool) error {
+func (s *billSet) addRow(ctx context.Context, objects storage.Objects, stored storage.Row, keep func(Bill) bool) error {
 	r, err := parseRow(stored)
 	if err != nil {
 		return err
 	}
-	for b, err := range load(ctx, objects, r) {
+	for b, err := range decodedBatches(ctx, objects, r) {
 		if err != nil {
 			return fmt.Errorf("row %s: %w", stored.Key, err)
 		}
@@ -140,18 +143,19 @@
 	return nil
 }
 
-// rows yields the rows of the buckets that bear on q, and the folded rows of
-// their days. Those of the last day sort above its buckets and are read last.
-func (q Query) rows(ctx context.Context, table storage.Table) iter.Seq2[storage.Row, error] {
+// listRows yields the rows of the minutes from From to To, widened by the
+// margin, and the compacted rows of their days. That of the last day sorts after
+// the day's minutes and is read last.
+func (q Query) listRows(ctx context.Context, table storage.Table) iter.Seq2[storage.Row, error] {
 	return func(yield func(storage.Row, error) bool) {
 		after, last := "", "~"
 		if !q.From.IsZero() {
-			after = prefix + bucket(q.From.Add(-q.margin()))
+			after = keyPrefix + bucket(q.From.Add(-q.margin()))
 		}
 		if !q.To.IsZero() {
 			last = bucket(q.To.Add(q.margin()))
 		}
-		for stored, err := range rows(ctx, table, prefix, after) {
+		for stored, err := range listRows(ctx, table, keyPrefix, after) {
 			if err == nil && bucketOf(stored.Key) > last {
 				break
 			}
@@ -162,7 +166,7 @@
 		if q.To.IsZero() {
 			return
 		}
-		for stored, err := range rows(ctx, table, prefix+dayBucket(dayOf(last))+"/", "") {
+		for stored, err := range listRows(ctx, table, keyPrefix+dayBucket(dayOf(last))+"/", "") {
 			if !yield(stored, err) || err != nil {
 				return
 			}
@@ -172,13 +176,14 @@
 
 // bucketOf returns the bucket in a row's key.
 func bucketOf(key string) string {
-	name, _, _ := strings.Cut(strings.TrimPrefix(key, prefix), "/")
+	name, _, _ := strings.Cut(strings.TrimPrefix(key, keyPrefix), "/")
 	return name
 }
 
-// rows yields all rows with a prefix whose keys are above after. A row moved by
-// a compaction meanwhile is met again: its new key is above the old one.
-func rows(ctx context.Context, table storage.Table, prefix, after string) iter.Seq2[storage.Row, error] {
+// listRows yields all rows with a prefix whose keys are above after. It doesn't
+// miss a row that is compacted meanwhile, because the key of the compacted row
+// is above that of the row that it replaces.
+func listRows(ctx context.Context, table storage.Table, prefix, after string) iter.Seq2[storage.Row, error] {
 	return func(yield func(storage.Row, error) bool) {
 		for {
 			page, err := table.List(ctx, prefix, after, pageSize)
--- a/ledger/refusal.go
+++ b/ledger/refusal.go
@@ -7,9 +7,11 @@
 )
 
 const (
-	// maxRefusalKeys bounds the kinds of refusals counted between two flushes.
+	// maxRefusalKeys bounds the combinations of account, epoch and code that are
+	// counted separately between two flushes.
 	maxRefusalKeys = 10_000
-	// OtherAccounts is the account of refusals counted beyond that bound.
+	// OtherAccounts is the account under which refusals beyond that bound are
+	// counted.
 	OtherAccounts = "*"
 )
 
@@ -25,7 +27,8 @@
 	counts map[refusalKey]int
 }
 
-// Refuse counts a request that was refused before anything was sent.
+// Refuse counts a request that was refused before anything was sent to an
+// upstream.
 func (l *Ledger) Refuse(account string, epoch uint64, code int) {
 	l.refusals.add(refusalKey{account: account, epoch: epoch, code: code}, 1)
 }
@@ -39,7 +42,7 @@
 	r.counts[key] += n
 }
 
-// take returns the counts in a fixed order and starts from nothing.
+// take returns the counts, sorted, and resets them.
 func (r *refusalCounts) take() []RefusalCount {
 	r.mu.Lock()
 	counts := r.counts
--- a/ledger/segment.go
+++ b/ledger/segment.go
@@ -15,66 +15,69 @@
 )
 
 const (
-	// prefix starts the keys of all rows and objects of the ledger.
-	prefix = "ledger/"
-	// bucketLayout is the minute, in UTC, that a segment's bills ended in.
+	// keyPrefix starts the keys of all rows and objects of the ledger.
+	keyPrefix = "ledger/"
+	// bucketLayout is the time format of a bucket: the minute, in UTC, in which
+	// the answers of a segment's bills ended.
 	bucketLayout = "20060102T1504"
-	// maxInline is the size, in bytes, up to which a segment stands in its row.
-	maxInline = 16 << 10
+	// maxInlineBytes is the encoded size up to which a segment is stored in its
+	// row instead of in an object.
+	maxInlineBytes = 16 << 10
 )
 
-// row is the value of a table row: a segment's data, or where it is kept.
+// row is the value of a table row: encoded batches, or the name of the object
+// that contains or lists them. One of Data, Object and Index is set.
 type row struct {
-	// Data is the encoded batch; empty where another field is set.
+	// Data is the encoded batch.
 	Data []byte `json:"data,omitempty"`
-	// Object is the name of the object with the encoded batch.
+	// Object is the name of an object that contains encoded batches.
 	Object string `json:"object,omitempty"`
-	// Index is the name of an object with a list of such names.
+	// Index is the name of an object that contains a list of such names.
 	Index string `json:"index,omitempty"`
-	// Bills is the number of bills, with duplicates.
+	// Bills is the number of bills, including duplicates.
 	Bills int `json:"bills"`
-	// Bytes is the encoded size.
+	// Bytes is the encoded size of the bills.
 	Bytes int `json:"bytes"`
 }
 
-// segment is a part of the ledger on its way into the table. Its key and its
-// value never change, so writing it again is harmless.
+// segment is a batch that is written to the table as one row. Its key and its
+// value never change, so writing it again changes nothing.
 type segment struct {
 	key   string
 	batch batch
-	// value is the row's value; made at the first write.
+	// value is the row's value, encoded at the first write.
 	value []byte
-	// data is the encoded batch where it is too large for the row.
+	// data is the encoded batch if it is too large for the row, else nil.
 	data []byte
 }
 
-// bucket returns the key part for bills that ended at t.
+// bucket returns the key part for bills with the time t.
 func bucket(t time.Time) string {
 	return t.UTC().Format(bucketLayout)
 }
 
-// segmentKey names a segment: bucket, host, incarnation of the host's process,
-// number within it.
+// segmentKey returns the key of a segment. It consists of the bucket, the host,
+// the incarnation of the host's process, and the segment's number in it.
 func segmentKey(bucket, host, incarnation string, seq uint64) string {
-	return fmt.Sprintf("%s%s/%s/%s/%012d", prefix, bucket, keyPart(host), incarnation, seq)
+	return fmt.Sprintf("%s%s/%s/%s/%012d", keyPrefix, bucket, keyPart(host), incarnation, seq)
 }
 
-// keyPart escapes a name so that it has no slash and sorts below compactName.
+// keyPart escapes a name so that it has no slash and sorts below compactedHost.
 func keyPart(name string) string {
 	return strings.ReplaceAll(url.QueryEscape(name), "~", "%7E")
 }
 
-// prepare encodes the segment once.
+// prepare encodes the segment, unless an earlier call did.
 func (s *segment) prepare() error {
 	if s.value != nil {
 		return nil
 	}
-	data, err := encode(s.batch)
+	data, err := encodeBatch(s.batch)
 	if err != nil {
 		return err
 	}
 	r := row{Bills: len(s.batch.Bills), Bytes: len(data)}
-	if len(data) <= maxInline {
+	if len(data) <= maxInlineBytes {
 		r.Data = data
 	} else {
 		r.Object = s.key
@@ -88,9 +91,10 @@
 	return nil
 }
 
-// write stores the segment. After a nil error it is in the table. A lost
-// answer is settled by reading the row back; a write that takes effect later
-// finds the row there and changes nothing.
+// write stores the segment. If it returns nil, the segment is in the table.
+// If the outcome of the commit isn't known, write reads the row back. An
+// earlier attempt that takes effect late changes nothing, because its condition
+// fails once the row exists.
 func (s *segment) write(ctx context.Context, table storage.Table, objects storage.Objects) error {
 	if err := s.prepare(); err != nil {
 		return err
@@ -110,17 +114,18 @@
 	if errors.Is(err, storage.ErrUnavailable) {
 		return fmt.Errorf("ledger: commit: %w", err)
 	}
-	return s.settle(ctx, table, err)
+	return s.confirmWritten(ctx, table, err)
 }
 
-// settle reads the segment back after a commit whose outcome isn't known.
-func (s *segment) settle(ctx context.Context, table storage.Table, cause error) error {
+// confirmWritten reads the segment back after a commit whose outcome isn't
+// known.
+func (s *segment) confirmWritten(ctx context.Context, table storage.Table, cause error) error {
 	stored, err := table.Get(ctx, s.key)
 	if err != nil {
 		return fmt.Errorf("ledger: commit: %w", errors.Join(cause, err))
 	}
 	if !bytes.Equal(stored.Value, s.value) {
-		return fmt.Errorf("%w: %s holds another segment", ErrCorrupt, s.key)
+		return fmt.Errorf("%w: row %s contains a different segment", ErrCorrupt, s.key)
 	}
 	return nil
 }
@@ -134,23 +139,23 @@
 	return r, nil
 }
 
-// load yields the batches that a row stands for.
-func load(ctx context.Context, objects storage.Objects, r row) iter.Seq2[batch, error] {
+// decodedBatches yields the decoded batches of a row.
+func decodedBatches(ctx context.Context, objects storage.Objects, r row) iter.Seq2[batch, error] {
 	return func(yield func(batch, error) bool) {
 		for data, err := range encodedBatches(ctx, objects, r) {
 			if err != nil {
 				yield(batch{}, err)
 				return
 			}
-			if !yield(decode(data)) {
+			if !yield(decodeBatch(data)) {
 				return
 			}
 		}
 	}
 }
 
-// encodedBatches yields the encoded batches that a row stands for. It keeps
-// one object in memory at a time.
+// encodedBatches yields the encoded batches of a row. It keeps one object in
+// memory at a time.
 func encodedBatches(ctx context.Context, objects storage.Objects, r row) iter.Seq2[[]byte, error] {
 	return func(yield func([]byte, error) bool) {
 		if len(r.Data) > 0 {
@@ -177,7 +182,7 @@
 	}
 }
 
-// objectNames returns the names of a row's objects.
+// objectNames returns the names of the objects that contain a row's batches.
 func objectNames(ctx context.Context, objects storage.Objects, r row) ([]string, error) {
 	if r.Object != "" {
 		return []string{r.Object}, nil
--- a/ledger/sequence_test.go
+++ b/ledger/sequence_test.go
@@ -14,53 +14,55 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// TestFaultSequences runs random sequences of work and faults, and compares
-// the ledger with what was recorded once the faults are over.
+// TestFaultSequences runs random sequences of records and faults. It then ends
+// the faults and compares the ledger with the recorded bills.
 func TestFaultSequences(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(noDeadline{t}, func(rt *rapid.T) {
-			s := &sequence{
-				cluster: newCluster(4, Options{FlushEvery: 2 * time.Second}),
-				must:    make(map[string]Bill),
-				may:     make(map[string]Bill),
+			s := &faultSequence{
+				cluster:  newCluster(4, Options{FlushInterval: 2 * time.Second}),
+				required: make(map[string]Bill),
+				optional: make(map[string]Bill),
 			}
 			defer s.cluster.stopAll()
 			rt.Repeat(map[string]func(*rapid.T){
 				"record":  s.record,
 				"outage":  s.outage,
-				"answers": s.answers,
+				"answers": s.tableFaults,
 				"pause":   s.pause,
 				"kill":    s.kill,
 				"stop":    s.stop,
 				"compact": s.compact,
-				"time":    func(rt *rapid.T) { time.Sleep(duration(rt)) },
+				"time":    func(rt *rapid.T) { time.Sleep(drawDuration(rt)) },
 			})
 			s.check(rt)
 		})
 	})
 }
 
-// noDeadline hides the test's deadline, which can't be asked for in virtual
-// time.
+// noDeadline hides the Deadline method of a test, which can't be called in a
+// synctest bubble.
 type noDeadline struct{ rapid.TB }
 
-// sequence is one sequence's cluster and what its ledger has to be.
-type sequence struct {
-	cluster *testCluster
-	gone    int
-	next    int
-	mu      sync.Mutex
-	// must are the bills that Record called safe, or whose host lived on; may
-	// are those that it called at risk on a host that was then killed.
-	must, may map[string]Bill
+// faultSequence is the state of one random sequence: its cluster and the
+// expected contents of the ledger.
+type faultSequence struct {
+	cluster      *testCluster
+	removedHosts int
+	lastID       int
+	mu           sync.Mutex
+	// required are the bills for which Record returned no error. optional are
+	// those for which it returned ErrAtRisk, by host and ID; check moves them to
+	// required if their host wasn't killed.
+	required, optional map[string]Bill
 }
 
-func duration(rt *rapid.T) time.Duration {
+func drawDuration(rt *rapid.T) time.Duration {
 	return time.Duration(rapid.IntRange(1, 90_000).Draw(rt, "ms")) * time.Millisecond
 }
 
-// liveHost draws a host that wasn't killed.
-func (s *sequence) liveHost(rt *rapid.T) *testHost {
+// liveHost draws one of the hosts that weren't killed.
+func (s *faultSequence) liveHost(rt *rapid.T) *testHost {
 	var live []*testHost
 	for _, h := range s.cluster.hosts {
 		if !h.Killed() {
@@ -70,65 +72,67 @@
 	return rapid.SampledFrom(live).Draw(rt, "host")
 }
 
-// record records some bills at once; one of them may be a repeat elsewhere.
-func (s *sequence) record(rt *rapid.T) {
+// record records several bills concurrently on one host.
+func (s *faultSequence) record(rt *rapid.T) {
 	h := s.liveHost(rt)
 	if h.Paused() {
 		return
 	}
 	var group sync.WaitGroup
 	for range rapid.IntRange(1, 30).Draw(rt, "bills") {
-		s.next++
-		b := testBill(fmt.Sprint(s.next))
+		s.lastID++
+		b := testBill(fmt.Sprint(s.lastID))
 		group.Go(func() {
 			err := h.ledger.Record(context.Background(), b)
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			if errors.Is(err, ErrAtRisk) {
-				s.may[h.name+b.ID] = b
+				s.optional[h.name+b.ID] = b
 				return
 			}
-			s.must[b.ID] = b
+			s.required[b.ID] = b
 		})
 	}
 	group.Wait()
 }
 
-func (s *sequence) outage(rt *rapid.T) {
+func (s *faultSequence) outage(rt *rapid.T) {
 	s.cluster.table.SetDown(rapid.Bool().Draw(rt, "down"))
 }
 
-func (s *sequence) answers(rt *rapid.T) {
+func (s *faultSequence) tableFaults(rt *rapid.T) {
 	s.cluster.table.LoseNext(rapid.IntRange(0, 3).Draw(rt, "lost"))
 	s.cluster.table.DropNext(rapid.IntRange(0, 3).Draw(rt, "dropped"))
-	s.cluster.table.DelayNext(rapid.IntRange(0, 3).Draw(rt, "late"), duration(rt))
+	s.cluster.table.DelayNext(rapid.IntRange(0, 3).Draw(rt, "late"), drawDuration(rt))
 }
 
-// pause stops a host for a while; its peers think it down.
-func (s *sequence) pause(rt *rapid.T) {
+// pause pauses a host for a while and reports it as down to its peers.
+func (s *faultSequence) pause(rt *rapid.T) {
 	h := s.liveHost(rt)
 	h.Pause()
-	time.Sleep(duration(rt))
+	time.Sleep(drawDuration(rt))
 	s.cluster.hostDown(s.index(h))
-	time.Sleep(duration(rt))
+	time.Sleep(drawDuration(rt))
 	h.Resume()
 }
 
-// kill ends a host. The next is killed only when the copies are made again.
-func (s *sequence) kill(rt *rapid.T) {
-	if s.gone == 2 {
+// kill kills a host. The pause after it gives the other hosts time to replace
+// lost copies before another host is killed.
+func (s *faultSequence) kill(rt *rapid.T) {
+	if s.removedHosts == 2 {
 		return
 	}
-	s.gone++
+	s.removedHosts++
 	i := s.index(s.liveHost(rt))
 	s.cluster.killHost(i)
 	s.cluster.hostDown(i)
 	time.Sleep(5 * time.Second)
 }
 
-// stop is a planned stop with time to drain.
-func (s *sequence) stop(rt *rapid.T) {
-	if s.gone == 2 {
+// stop drains a host and then kills it, as a planned stop does. It does neither
+// if two hosts are gone, and doesn't kill a host whose drain fails.
+func (s *faultSequence) stop(rt *rapid.T) {
+	if s.removedHosts == 2 {
 		return
 	}
 	h := s.liveHost(rt)
@@ -137,21 +141,21 @@
 	if err := h.ledger.Drain(ctx); err != nil {
 		return
 	}
-	s.gone++
+	s.removedHosts++
 	s.cluster.killHost(s.index(h))
 	s.cluster.hostDown(s.index(h))
 	time.Sleep(5 * time.Second)
 }
 
-func (s *sequence) compact(rt *rapid.T) {
-	before := time.Now().Add(-duration(rt))
+func (s *faultSequence) compact(rt *rapid.T) {
+	before := time.Now().Add(-drawDuration(rt))
 	err := Compact(context.Background(), s.cluster.table, s.cluster.objects, before)
 	if err != nil && !errors.Is(err, storage.ErrUnavailable) {
 		rt.Fatal(err)
 	}
 }
 
-func (s *sequence) index(h *testHost) int {
+func (s *faultSequence) index(h *testHost) int {
 	for i := range s.cluster.hosts {
 		if s.cluster.hosts[i] == h {
 			return i
@@ -160,37 +164,38 @@
 	return -1
 }
 
-// check ends the faults and compares.
-func (s *sequence) check(rt *rapid.T) {
+// check ends the faults and compares the ledger with the recorded bills.
+func (s *faultSequence) check(rt *rapid.T) {
 	s.cluster.table.Heal()
 	time.Sleep(5 * time.Minute)
 	if err := Compact(context.Background(), s.cluster.table, s.cluster.objects, time.Now()); err != nil {
 		rt.Fatal(err)
 	}
 	for _, h := range s.cluster.hosts {
-		for key, b := range s.may {
+		for key, b := range s.optional {
 			if !h.Killed() && key == h.name+b.ID {
-				s.must[b.ID] = b
+				s.required[b.ID] = b
 			}
 		}
 	}
-	got := s.cluster.all(rt)
-	for id, b := range s.must {
+	got := s.cluster.readAll(rt)
+	for id, b := range s.required {
 		if stored, found := got[id]; !found || !equalBills(stored, b) {
 			rt.Fatalf("%s: bill is missing or differs", id)
 		}
 		delete(got, id)
 	}
-	for _, b := range s.may {
+	for _, b := range s.optional {
 		delete(got, b.ID)
 	}
 	if len(got) != 0 {
-		rt.Fatalf("%d bills that nobody recorded", len(got))
+		rt.Fatalf("%d bills in the ledger that were not recorded", len(got))
 	}
 }
 
-// TestPreferLaws checks that the bill that stands doesn't depend on the order
-// or the number of times that bills are read in.
+// TestPreferLaws checks that Prefer is commutative, associative and idempotent,
+// so that its result doesn't depend on the order in which bills are read or on
+// how often.
 func TestPreferLaws(t *testing.T) {
 	bill := rapid.Custom(func(rt *rapid.T) Bill {
 		b := testBill("r1")
--- a/ledger/trace.go
+++ b/ledger/trace.go
@@ -6,9 +6,9 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// Total sums bills.
+// Total holds the sums of a set of bills.
 type Total struct {
-	// Bills is the number of bills; Charged is how many have a charge.
+	// Bills is the number of bills; Charged is how many of them have a charge.
 	Bills, Charged                 int
 	PromptTokens, CompletionTokens int
 	// CostMicro is in micro units of currency.
@@ -37,16 +37,17 @@
 	t.CostMicro += b.CostMicro
 }
 
-// EpochTrace is what the requests under one manifest came to.
+// EpochTrace holds the outcomes of the requests under one manifest.
 type EpochTrace struct {
 	Bills []Bill
-	// Refusals are the counts of refusals by the number of the result code.
+	// Refusals are the numbers of refusals by result code.
 	Refusals map[int]int
 }
 
-// ByEpoch traces a manifest to the outcomes that it produced.
+// ByEpoch returns the bills and refusal counts of the requests under the
+// manifest with that epoch.
 func ByEpoch(ctx context.Context, table storage.Table, objects storage.Objects, epoch uint64) (EpochTrace, error) {
-	s, err := collectSet(ctx, table, objects, Query{})
+	s, err := readBillSet(ctx, table, objects, Query{})
 	if err != nil {
 		return EpochTrace{}, err
 	}
@@ -64,9 +65,9 @@
 	return trace, nil
 }
 
-// ByRequest returns the bill of a request; none gives storage.ErrNotFound. A
-// request whose bill gave way to that of a repeat with the same request key
-// has none of its own.
+// ByRequest returns the bill of a request, or storage.ErrNotFound if it has
+// none. If a duplicate has the same request key and its bill takes precedence
+// (see Prefer), the request has no bill of its own.
 func ByRequest(ctx context.Context, table storage.Table, objects storage.Objects, requestID string) (Bill, error) {
 	for b, err := range Read(ctx, table, objects, Query{RequestID: requestID}) {
 		return b, err
