--- a/history/answer.go
+++ b/history/answer.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// WholeOwnAnswers checks that each whole answer is the answer to its own
-// request: the one that the sender expected or, where it had none to expect,
-// one that an upstream made for the request or a request with the same key. It
+// CheckAnswers checks that each complete answer belongs to its request: that it
+// is the answer that the sender expected or, if the sender expected none, one
+// that an upstream produced for the request or a request with the same key. It
 // also checks that no request is answered twice.
-func WholeOwnAnswers(events []Event) []Violation {
+func CheckAnswers(events []Event) []Violation {
 	byID, _ := requests(events)
-	made := madeAnswers(events, byID)
+	digests := upstreamDigests(events, byID)
 	answered := make(map[string]bool)
 	var found []Violation
 	for _, e := range events {
@@ -18,32 +18,32 @@
 		r := byID[e.RequestID]
 		switch {
 		case r == nil:
-			found = append(found, Violation{RuleAnswer, e, "answer to a request that nobody sent"})
+			found = append(found, Violation{RuleAnswer, e, "answer to a request that was not sent"})
 		case answered[e.RequestID]:
 			found = append(found, Violation{RuleAnswer, e, "second answer"})
-		case e.whole() && !own(r, e, made[r.keyID()]):
-			found = append(found, Violation{RuleAnswer, e, "answer of another request, or not whole"})
+		case e.complete() && !isOwnAnswer(r, e, digests[r.sharedID()]):
+			found = append(found, Violation{RuleAnswer, e, "answer of another request, or incomplete"})
 		}
 		answered[e.RequestID] = true
 	}
 	return found
 }
 
-// madeAnswers returns the digests of the answers that upstreams made, by the
-// ID that the repeats of a request share.
-func madeAnswers(events []Event, byID map[string]*request) map[string][]string {
-	made := make(map[string][]string)
+// upstreamDigests returns the digests of the answers that upstreams produced,
+// by request.sharedID.
+func upstreamDigests(events []Event, byID map[string]*request) map[string][]string {
+	digests := make(map[string][]string)
 	for _, e := range events {
 		if r := byID[e.RequestID]; e.Kind == UpstreamRan && r != nil {
-			made[r.keyID()] = append(made[r.keyID()], e.Digest)
+			digests[r.sharedID()] = append(digests[r.sharedID()], e.Digest)
 		}
 	}
-	return made
+	return digests
 }
 
-func own(r *request, answer Event, made []string) bool {
+func isOwnAnswer(r *request, answer Event, upstreamAnswers []string) bool {
 	if r.sent.Digest != "" {
 		return answer.Digest == r.sent.Digest
 	}
-	return slices.Contains(made, answer.Digest)
+	return slices.Contains(upstreamAnswers, answer.Digest)
 }
--- a/history/atmostonce.go
+++ b/history/atmostonce.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// AtMostOnce checks that upstreams ran each request that isn't idempotent at
-// most once, counting all requests with one account and key as one.
-func AtMostOnce(events []Event) []Violation {
+// CheckAtMostOnce checks that upstreams ran each request that isn't idempotent
+// at most once, counting all requests with the same account and key as one.
+func CheckAtMostOnce(events []Event) []Violation {
 	byID, _ := requests(events)
 	runs := make(map[string]int)
 	var found []Violation
@@ -13,7 +13,7 @@
 		if e.Kind != UpstreamRan || r == nil || r.sent.Idempotent {
 			continue
 		}
-		id := r.keyID()
+		id := r.sharedID()
 		runs[id]++
 		if runs[id] > 1 {
 			found = append(found, Violation{RuleAtMostOnce, e, fmt.Sprintf("%q: run %d", id, runs[id])})
--- a/history/billing.go
+++ b/history/billing.go
@@ -2,12 +2,13 @@
 
 import "fmt"
 
-// BilledOnce compares the ledger with what callers got. Requests with one key
-// share a bill, unless their senders expected other bill IDs; a bill belongs to
-// its request's group, whatever its own ID. For each bill's requests: a whole answer has one bill with its
+// BilledOnce compares the bills in the ledger with the answers that callers
+// received. Requests with the same key share a bill, unless their senders
+// expected different bill IDs; a bill belongs to the group of its request,
+// whatever its own ID. For each group: a complete answer has one bill with its
 // code; a request that was dispatched and failed has one bill without a charge;
-// one that wasn't dispatched has none; and where a caller's connection was lost
-// or the run ended first, there is at most one.
+// one that wasn't dispatched has none; and if a caller's connection was lost or
+// the run ended before the answer, there is at most one.
 func BilledOnce(events []Event) []Violation {
 	byID, sent := requests(events)
 	groups, order := billGroups(byID, sent)
@@ -21,7 +22,7 @@
 			g = groups[r.billID()]
 		}
 		if g == nil {
-			found = append(found, Violation{RuleBilledOnce, e, "bill of a request that nobody sent"})
+			found = append(found, Violation{RuleBilledOnce, e, "bill of a request that was not sent"})
 			continue
 		}
 		g.bills = append(g.bills, e)
@@ -34,7 +35,7 @@
 	return found
 }
 
-// billGroup is the requests that share a bill.
+// billGroup holds the requests that share a bill, and the bills found for them.
 type billGroup struct {
 	requests []*request
 	bills    []Event
@@ -60,11 +61,11 @@
 	if len(g.bills) > 1 {
 		return Violation{RuleBilledOnce, g.bills[1], fmt.Sprintf("billed %d times", len(g.bills))}, true
 	}
-	whole, open, dispatched := g.outcome()
+	complete, unknown, dispatched := g.outcome()
 	switch {
-	case len(g.bills) == 0 && whole:
-		return g.violation("a whole answer wasn't billed")
-	case len(g.bills) == 0 && dispatched && !open:
+	case len(g.bills) == 0 && complete:
+		return g.violation("a complete answer wasn't billed")
+	case len(g.bills) == 0 && dispatched && !unknown:
 		return g.violation("a dispatched request has no bill")
 	case len(g.bills) == 0:
 		return Violation{}, false
@@ -73,25 +74,25 @@
 	switch {
 	case bill.Account != g.requests[0].sent.Account:
 		return Violation{RuleBilledOnce, bill, "billed to another account"}, true
-	case whole && bill.Code != 0:
-		return Violation{RuleBilledOnce, bill, "a whole answer is billed as a failure"}, true
-	case !whole && !open && !dispatched:
-		return Violation{RuleBilledOnce, bill, "billed although nothing was sent"}, true
-	case !whole && !open && bill.CostMicro != 0:
+	case complete && bill.Code != 0:
+		return Violation{RuleBilledOnce, bill, "a complete answer is billed as a failure"}, true
+	case !complete && !unknown && !dispatched:
+		return Violation{RuleBilledOnce, bill, "billed although the request wasn't dispatched"}, true
+	case !complete && !unknown && bill.CostMicro != 0:
 		return Violation{RuleBilledOnce, bill, "a failed request has a charge"}, true
 	}
 	return Violation{}, false
 }
 
-// outcome says whether a caller got a whole answer, whether what a caller got
-// isn't known, and whether a request was dispatched.
-func (g *billGroup) outcome() (whole, open, dispatched bool) {
+// outcome reports whether a caller received a complete answer, whether it is
+// unknown what a caller received, and whether a request was dispatched.
+func (g *billGroup) outcome() (complete, unknown, dispatched bool) {
 	for _, r := range g.requests {
-		whole = whole || r.answered && r.answer.whole()
-		open = open || !r.answered || r.answer.Lost
+		complete = complete || r.answered && r.answer.complete()
+		unknown = unknown || !r.answered || r.answer.Lost
 		dispatched = dispatched || r.dispatched()
 	}
-	return whole, open, dispatched
+	return complete, unknown, dispatched
 }
 
 func (g *billGroup) violation(detail string) (Violation, bool) {
--- a/history/check.go
+++ b/history/check.go
@@ -8,24 +8,24 @@
 	"github.com/quetzalweir/quetzalweir/internal/defaults"
 )
 
-// Rule names what a violation is of.
+// Rule is the name of a rule that a checker enforces.
 type Rule string
 
 // Rules, one for each checker.
 const (
-	RulePermitted  Rule = "permitted"
-	RuleWithdrawn  Rule = "withdrawn"
-	RuleSession    Rule = "session"
-	RuleBilledOnce Rule = "billed-once"
-	RuleAnswer     Rule = "whole-own-answer"
-	RuleTruthful   Rule = "truthful-refusal"
-	RuleAtMostOnce Rule = "at-most-once"
-	RuleLeaving    Rule = "leaving"
-	RuleStop       Rule = "planned-stop"
-	RuleConfig     Rule = "configuration"
+	RulePermitted       Rule = "permitted"
+	RuleWithdrawn       Rule = "withdrawn"
+	RuleSession         Rule = "session"
+	RuleBilledOnce      Rule = "billed-once"
+	RuleAnswer          Rule = "whole-own-answer"
+	RuleTruthfulRefusal Rule = "truthful-refusal"
+	RuleAtMostOnce      Rule = "at-most-once"
+	RuleLeaving         Rule = "leaving"
+	RulePlannedStop     Rule = "planned-stop"
+	RuleConfig          Rule = "configuration"
 )
 
-// Violation is an event, or the lack of one, that breaks a rule.
+// Violation describes an event, or the lack of one, that breaks a rule.
 type Violation struct {
 	Rule Rule
 	// Event is the event that shows the violation.
@@ -40,19 +40,19 @@
 
 // Default bounds.
 const (
-	// DefaultInForce is how long a manifest may take to be in force on a host.
+	// DefaultInForce is the default of Bounds.InForce.
 	DefaultInForce = 5 * time.Second
-	// DefaultLeaving is how long an upstream that leaves may get new work.
+	// DefaultLeaving is the default of Bounds.Leaving.
 	DefaultLeaving = 5 * time.Second
 )
 
-// Bounds are the times that the checkers allow.
+// Bounds are the delays that the checkers allow.
 type Bounds struct {
-	// InForce is from the acceptance of a manifest until it is in force
-	// everywhere; default DefaultInForce.
+	// InForce is the maximum time from the acceptance of a manifest until it is
+	// in force on all hosts; default DefaultInForce.
 	InForce time.Duration
-	// Leaving is from an upstream's word that it leaves until it gets no new
-	// work; default DefaultLeaving.
+	// Leaving is the maximum time from an upstream's signal that it is leaving
+	// until it receives no new work; default DefaultLeaving.
 	Leaving time.Duration
 }
 
@@ -66,15 +66,15 @@
 func Check(events []Event, bounds Bounds) []Violation {
 	bounds = bounds.withDefaults()
 	return slices.Concat(
-		Permitted(events, bounds.InForce),
-		WithdrawnWork(events, bounds.InForce),
-		Sessions(events),
+		CheckPermissions(events, bounds.InForce),
+		CheckWithdrawn(events, bounds.InForce),
+		CheckSessions(events),
 		BilledOnce(events),
-		WholeOwnAnswers(events),
-		TruthfulRefusals(events),
-		AtMostOnce(events),
-		LeavingWork(events, bounds.Leaving),
-		PlannedStops(events),
-		Configurations(events, bounds.InForce),
+		CheckAnswers(events),
+		CheckRefusals(events),
+		CheckAtMostOnce(events),
+		CheckLeaving(events, bounds.Leaving),
+		CheckPlannedStops(events),
+		CheckConfigurations(events, bounds.InForce),
 	)
 }
--- a/history/config.go
+++ b/history/config.go
@@ -6,38 +6,39 @@
 	"time"
 )
 
-// Configurations checks that accepted manifests form one line of epochs, that
-// no host goes back to an earlier one, and that each is in force on every host
-// within bound, except on those that are impaired or gone meanwhile.
-func Configurations(events []Event, bound time.Duration) []Violation {
+// CheckConfigurations checks that accepted manifests have unique, increasing
+// epochs, that no host reverts to an earlier one, and that each is in force on
+// every host within bound, except on hosts that are impaired or gone in that
+// time.
+func CheckConfigurations(events []Event, bound time.Duration) []Violation {
 	return slices.Concat(
-		epochs(events),
-		reverts(events),
-		late(events, bound),
+		checkEpochs(events),
+		checkReverts(events),
+		checkInForce(events, bound),
 	)
 }
 
-// epochs checks that an epoch belongs to one manifest, and that a manifest
+// checkEpochs checks that an epoch belongs to one manifest, and that a manifest
 // submitted after another's acceptance has a higher epoch.
-func epochs(events []Event) []Violation {
+func checkEpochs(events []Event) []Violation {
 	digests := make(map[uint64]string)
-	// highest is the highest epoch accepted so far; floor is what it was when
-	// a manifest was submitted.
+	// highest is the highest epoch accepted so far; highestAtSubmission holds
+	// its value when each manifest was first submitted.
 	var highest uint64
-	floor := make(map[string]uint64)
+	highestAtSubmission := make(map[string]uint64)
 	var found []Violation
 	for _, e := range events {
 		switch e.Kind {
 		case ManifestSubmitted:
-			if _, again := floor[e.Digest]; !again {
-				floor[e.Digest] = highest
+			if _, again := highestAtSubmission[e.Digest]; !again {
+				highestAtSubmission[e.Digest] = highest
 			}
 		case ManifestAccepted:
 			other, taken := digests[e.Epoch]
 			switch {
 			case taken && other != e.Digest:
 				found = append(found, Violation{RuleConfig, e, "two manifests with one epoch"})
-			case !taken && e.Epoch <= floor[e.Digest]:
+			case !taken && e.Epoch <= highestAtSubmission[e.Digest]:
 				found = append(found, Violation{RuleConfig, e, "epoch isn't above that of an earlier acceptance"})
 			}
 			digests[e.Epoch] = e.Digest
@@ -47,47 +48,49 @@
 	return found
 }
 
-// reverts checks the epochs that each host works by, its own word and its
-// answers' word, also over restarts under the same name.
-func reverts(events []Event) []Violation {
+// checkReverts checks that the epoch of each host never decreases, in its own
+// reports and in its answers, including after restarts under the same name.
+func checkReverts(events []Event) []Violation {
 	byID, _ := requests(events)
 	current := make(map[string]uint64)
-	// atSending is the epoch that a request's host had when it was sent.
-	atSending := make(map[string]uint64)
+	// epochAtSend is the epoch in force on a request's host when the request was
+	// sent.
+	epochAtSend := make(map[string]uint64)
 	var found []Violation
 	for _, e := range events {
 		switch e.Kind {
 		case InForce:
 			if e.Epoch < current[e.Host] {
-				found = append(found, Violation{RuleConfig, e, fmt.Sprintf("%s went back from epoch %d to %d", e.Host, current[e.Host], e.Epoch)})
+				found = append(found, Violation{RuleConfig, e, fmt.Sprintf("%s reverted from epoch %d to %d", e.Host, current[e.Host], e.Epoch)})
 			}
 			current[e.Host] = max(current[e.Host], e.Epoch)
 		case RequestSent:
-			atSending[e.RequestID] = current[e.Host]
+			epochAtSend[e.RequestID] = current[e.Host]
 		case CallerAnswered:
 			r := byID[e.RequestID]
-			if r != nil && e.Epoch != 0 && e.Host == r.sent.Host && e.Epoch < atSending[e.RequestID] {
-				found = append(found, Violation{RuleConfig, e, fmt.Sprintf("answered under epoch %d after epoch %d was in force", e.Epoch, atSending[e.RequestID])})
+			if r != nil && e.Epoch != 0 && e.Host == r.sent.Host && e.Epoch < epochAtSend[e.RequestID] {
+				found = append(found, Violation{RuleConfig, e, fmt.Sprintf("answered under epoch %d after epoch %d was in force", e.Epoch, epochAtSend[e.RequestID])})
 			}
 		}
 	}
 	return found
 }
 
-// late checks that manifests come into force in time.
-func late(events []Event, bound time.Duration) []Violation {
+// checkInForce checks that each manifest is in force on all available hosts
+// within bound.
+func checkInForce(events []Event, bound time.Duration) []Violation {
 	if len(events) == 0 {
 		return nil
 	}
 	end := events[len(events)-1].At
-	hosts := hostSpans(events)
+	hosts := hostLifetimes(events)
 	var found []Violation
 	for _, e := range events {
 		if e.Kind != ManifestAccepted || e.At+bound > end {
 			continue
 		}
 		for _, h := range hosts {
-			if h.able(e.At, e.At+bound) && !h.reached(e.Epoch, e.At+bound) {
+			if h.available(e.At, e.At+bound) && !h.appliedEpoch(e.Epoch, e.At+bound) {
 				found = append(found, Violation{RuleConfig, e, fmt.Sprintf("epoch %d isn't in force on %s after %v", e.Epoch, h.name, bound)})
 			}
 		}
@@ -95,45 +98,45 @@
 	return found
 }
 
-// span is a time from begin to end.
-type span struct{ begin, end time.Duration }
+// interval is the time from begin to end.
+type interval struct{ begin, end time.Duration }
 
-// hostSpan is the life of one host, from its start to its end.
-type hostSpan struct {
+// hostLifetime holds what was recorded of one host from its start to its end.
+type hostLifetime struct {
 	name     string
-	life     span
-	impaired []span
+	running  interval
+	impaired []interval
 	inForce  []Event
 }
 
-// endless is the end of a span whose end isn't recorded.
-const endless = time.Duration(1<<63 - 1)
+// openEnd is the end of an interval whose end isn't recorded.
+const openEnd = time.Duration(1<<63 - 1)
 
-func hostSpans(events []Event) []*hostSpan {
-	var list []*hostSpan
-	current := make(map[string]*hostSpan)
+func hostLifetimes(events []Event) []*hostLifetime {
+	var list []*hostLifetime
+	current := make(map[string]*hostLifetime)
 	for _, e := range events {
 		h := current[e.Host]
 		if e.Kind == HostStarted {
-			h = &hostSpan{name: e.Host, life: span{e.At, endless}}
+			h = &hostLifetime{name: e.Host, running: interval{e.At, openEnd}}
 			current[e.Host] = h
 			list = append(list, h)
 		}
 		if h != nil {
-			h.note(e)
+			h.add(e)
 		}
 	}
 	return list
 }
 
-func (h *hostSpan) note(e Event) {
+func (h *hostLifetime) add(e Event) {
 	switch e.Kind {
 	case InForce:
 		h.inForce = append(h.inForce, e)
 	case HostStopping, HostGone:
-		h.life.end = min(h.life.end, e.At)
+		h.running.end = min(h.running.end, e.At)
 	case HostImpaired:
-		h.impaired = append(h.impaired, span{e.At, endless})
+		h.impaired = append(h.impaired, interval{e.At, openEnd})
 	case HostHealed:
 		if n := len(h.impaired); n > 0 {
 			h.impaired[n-1].end = min(h.impaired[n-1].end, e.At)
@@ -141,18 +144,20 @@
 	}
 }
 
-// able reports whether the host was there and sound from begin to end.
-func (h *hostSpan) able(begin, end time.Duration) bool {
-	if h.life.begin > begin || h.life.end < end {
+// available reports whether the host was running and never impaired from begin
+// to end.
+func (h *hostLifetime) available(begin, end time.Duration) bool {
+	if h.running.begin > begin || h.running.end < end {
 		return false
 	}
-	return !slices.ContainsFunc(h.impaired, func(s span) bool {
+	return !slices.ContainsFunc(h.impaired, func(s interval) bool {
 		return s.begin <= end && begin <= s.end
 	})
 }
 
-// reached reports whether the host worked by the epoch or a later one in time.
-func (h *hostSpan) reached(epoch uint64, by time.Duration) bool {
+// appliedEpoch reports whether the epoch or a later one was in force on the host
+// by the given time.
+func (h *hostLifetime) appliedEpoch(epoch uint64, by time.Duration) bool {
 	return slices.ContainsFunc(h.inForce, func(e Event) bool {
 		return e.Epoch >= epoch && e.At <= by
 	})
--- a/history/example_test.go
+++ b/history/example_test.go
@@ -16,5 +16,5 @@
 	}
 	// Output:
 	// billed-once: event 1 (request-sent, request "r1"): a dispatched request has no bill
-	// truthful-refusal: event 3 (caller-answered, request "r1"): told not run, but an upstream saw it
+	// truthful-refusal: event 3 (caller-answered, request "r1"): reported as not run, but an upstream received it
 }
--- a/history/file.go
+++ b/history/file.go
@@ -8,11 +8,11 @@
 	"io"
 )
 
-// ErrOrder means that a record's events aren't in the order of their places
-// and times.
+// ErrOrder means that the sequence numbers of a record's events have a gap, or
+// that their sequence numbers or times are out of order.
 var ErrOrder = errors.New("history: events out of order")
 
-// Write writes events as JSON, one a line.
+// Write writes events as JSON, one per line.
 func Write(w io.Writer, events []Event) error {
 	buffered := bufio.NewWriter(w)
 	encoder := json.NewEncoder(buffered)
@@ -27,8 +27,8 @@
 	return nil
 }
 
-// Read reads what Write wrote. A gap or events out of order give ErrOrder: a
-// check of a part of a record could pass wrongly.
+// Read reads the output of Write. It returns ErrOrder for a gap or events out of
+// order, because checking only a part of a record could miss violations.
 func Read(r io.Reader) ([]Event, error) {
 	var events []Event
 	decoder := json.NewDecoder(bufio.NewReader(r))
@@ -41,14 +41,14 @@
 		if err != nil {
 			return nil, fmt.Errorf("history: read event %d: %w", len(events)+1, err)
 		}
-		if !follows(events, e) {
+		if !isNext(events, e) {
 			return nil, fmt.Errorf("%w: at event %d", ErrOrder, len(events)+1)
 		}
 		events = append(events, e)
 	}
 }
 
-func follows(events []Event, e Event) bool {
+func isNext(events []Event, e Event) bool {
 	if e.Seq != uint64(len(events))+1 {
 		return false
 	}
--- a/history/helper_test.go
+++ b/history/helper_test.go
@@ -12,9 +12,9 @@
 	v2 = Version{Model: "quote", Version: "v2"}
 )
 
-// record numbers events. An event without a time comes a second after the one
-// before it.
-func record(events ...Event) []Event {
+// numbered sets the Seq of events. An event without a time gets that of the
+// previous event plus one second.
+func numbered(events ...Event) []Event {
 	for i := range events {
 		events[i].Seq = uint64(i) + 1
 		if i > 0 && events[i].At == 0 {
@@ -28,19 +28,19 @@
 	return Event{Kind: RequestSent, RequestID: id, Account: "clydegate", Host: "h0"}
 }
 
-func keyed(id, key string) Event {
+func sentWithKey(id, key string) Event {
 	e := sent(id)
 	e.Key = key
 	return e
 }
 
-func withBill(id, bill string) Event {
-	e := keyed(id, "k")
+func sentWithBillID(id, bill string) Event {
+	e := sentWithKey(id, "k")
 	e.BillID = bill
 	return e
 }
 
-func inSession(id string) Event {
+func sentInSession(id string) Event {
 	e := sent(id)
 	e.Session = "s1"
 	return e
@@ -76,7 +76,7 @@
 	return Event{Kind: Billed, BillID: id, RequestID: request, Account: "clydegate", CostMicro: 5}
 }
 
-func host(kind Kind, name string) Event {
+func hostEvent(kind Kind, name string) Event {
 	return Event{Kind: kind, Host: name}
 }
 
@@ -106,8 +106,8 @@
 	return e
 }
 
-// checkCase is a history and the detail of the violation that it must give;
-// empty for a history that holds.
+// checkCase is a list of events and the detail of the violation that the checker
+// must report; it is empty if there is none.
 type checkCase struct {
 	desc   string
 	events []Event
@@ -120,7 +120,7 @@
 		t.Run(tc.desc, func(t *testing.T) {
 			is := is.New(t)
 			var got []string
-			for _, v := range check(record(tc.events...)) {
+			for _, v := range check(numbered(tc.events...)) {
 				got = append(got, v.Detail)
 			}
 			var want []string
--- a/history/leaving.go
+++ b/history/leaving.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// LeavingWork checks that an upstream gets no new work once it has been leaving
-// for longer than bound.
-func LeavingWork(events []Event, bound time.Duration) []Violation {
+// CheckLeaving checks that an upstream receives no new work once it has been
+// leaving for longer than bound.
+func CheckLeaving(events []Event, bound time.Duration) []Violation {
 	leaving := make(map[string]time.Duration)
 	var found []Violation
 	for _, e := range events {
@@ -19,8 +19,8 @@
 		case UpstreamLive:
 			delete(leaving, e.Upstream)
 		case UpstreamArrived:
-			since, left := leaving[e.Upstream]
-			if left && e.At > since+bound {
+			since, isLeaving := leaving[e.Upstream]
+			if isLeaving && e.At > since+bound {
 				detail := fmt.Sprintf("%s had been leaving for %v", e.Upstream, e.At-since)
 				found = append(found, Violation{RuleLeaving, e, detail})
 			}
--- a/history/manifest.go
+++ b/history/manifest.go
@@ -2,8 +2,8 @@
 
 import "github.com/quetzalweir/quetzalweir/manifest"
 
-// Accepted returns the event for the acceptance of a document, with what it
-// permits and withdraws written out.
+// Accepted returns the event for the acceptance of a manifest document, with
+// lists of the versions that the document permits and withdraws.
 func Accepted(epoch uint64, digest string, document manifest.Document) Event {
 	return Event{
 		Kind:      ManifestAccepted,
@@ -14,8 +14,8 @@
 	}
 }
 
-// permits lists the versions that each account may use. A permission without
-// versions is for all of the model's.
+// permits returns the versions that each account may use. A permission without
+// versions covers all versions of its model.
 func permits(document manifest.Document) []Permit {
 	versions := make(map[string][]string)
 	for _, m := range document.Models {
@@ -38,7 +38,7 @@
 	return list
 }
 
-// withdrawn lists the withdrawn versions.
+// withdrawn returns the withdrawn versions.
 func withdrawn(document manifest.Document) []Version {
 	var list []Version
 	for _, m := range document.Models {
--- a/history/manifests.go
+++ b/history/manifests.go
@@ -7,19 +7,20 @@
 	"time"
 )
 
-// accepted is a manifest and when a host may have worked by it.
-type accepted struct {
+// acceptedManifest is an accepted manifest and the time in which it can have
+// been in force on a host.
+type acceptedManifest struct {
 	event Event
-	// from is the earliest time that it can have been in force: its
-	// submission. until is the latest: its successor's acceptance and the time
-	// that it takes to be in force everywhere.
-	from, until time.Duration
+	// earliest is when the manifest was submitted. latest is when its successor
+	// was accepted, plus the bound for the successor to be in force on all hosts.
+	earliest, latest time.Duration
 }
 
-// manifests returns the accepted manifests by epoch. One epoch stands once.
-func manifests(events []Event, bound time.Duration) []accepted {
+// manifests returns the accepted manifests in the order of their epochs, each
+// epoch once. bound is the time within which a manifest is in force on all hosts.
+func manifests(events []Event, bound time.Duration) []acceptedManifest {
 	submitted := make(map[string]time.Duration)
-	var list []accepted
+	var list []acceptedManifest
 	for _, e := range events {
 		switch e.Kind {
 		case ManifestSubmitted:
@@ -27,36 +28,36 @@
 				submitted[e.Digest] = e.At
 			}
 		case ManifestAccepted:
-			list = append(list, accepted{event: e, from: from(submitted, e), until: math.MaxInt64})
+			list = append(list, acceptedManifest{event: e, earliest: submissionTime(submitted, e), latest: math.MaxInt64})
 		}
 	}
-	slices.SortStableFunc(list, func(a, b accepted) int {
+	slices.SortStableFunc(list, func(a, b acceptedManifest) int {
 		return cmp.Compare(a.event.Epoch, b.event.Epoch)
 	})
-	list = slices.CompactFunc(list, func(a, b accepted) bool {
+	list = slices.CompactFunc(list, func(a, b acceptedManifest) bool {
 		return a.event.Epoch == b.event.Epoch
 	})
 	for i := range len(list) - 1 {
-		list[i].until = list[i+1].event.At + bound
+		list[i].latest = list[i+1].event.At + bound
 	}
 	return list
 }
 
-// from returns when the manifest of an acceptance was submitted; one whose
-// submission isn't recorded counts from its acceptance.
-func from(submitted map[string]time.Duration, e Event) time.Duration {
+// submissionTime returns when the manifest of acceptance e was submitted, or the
+// time of e if no submission is recorded.
+func submissionTime(submitted map[string]time.Duration, e Event) time.Duration {
 	if at, found := submitted[e.Digest]; found {
 		return at
 	}
 	return e.At
 }
 
-// possible returns the manifests that can have been in force somewhere at some
-// time from begin to end.
-func possible(list []accepted, begin, end time.Duration) []accepted {
-	var some []accepted
+// possiblyInForce returns the manifests that can have been in force on some host
+// at some time from begin to end.
+func possiblyInForce(list []acceptedManifest, begin, end time.Duration) []acceptedManifest {
+	var some []acceptedManifest
 	for _, m := range list {
-		if m.from <= end && begin <= m.until {
+		if m.earliest <= end && begin <= m.latest {
 			some = append(some, m)
 		}
 	}
@@ -64,11 +65,11 @@
 }
 
 // permits reports whether the manifest lets the account use the version.
-func (m accepted) permits(account string, v Version) bool {
+func (m acceptedManifest) permits(account string, v Version) bool {
 	return slices.Contains(m.event.Permits, Permit{Account: account, Version: v}) && !m.withdraws(v)
 }
 
 // withdraws reports whether the manifest withdraws the version.
-func (m accepted) withdraws(v Version) bool {
+func (m acceptedManifest) withdraws(v Version) bool {
 	return slices.Contains(m.event.Withdrawn, v)
 }
--- a/history/permitted.go
+++ b/history/permitted.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// Permitted checks that each request ran only on versions that its account was
-// permitted by a manifest that can have been in force between the sending and
-// the arrival. Plain services have no model and aren't looked at.
-func Permitted(events []Event, inForce time.Duration) []Violation {
+// CheckPermissions checks that each request arrived only at versions that its
+// account was permitted to use by a manifest that can have been in force between
+// the sending and the arrival. Requests to plain services have no model and
+// aren't checked.
+func CheckPermissions(events []Event, inForce time.Duration) []Violation {
 	list := manifests(events, inForce)
 	byID, _ := requests(events)
 	var found []Violation
@@ -18,10 +19,10 @@
 		}
 		r := byID[e.RequestID]
 		if r == nil {
-			found = append(found, Violation{RulePermitted, e, "arrival of a request that nobody sent"})
+			found = append(found, Violation{RulePermitted, e, "arrival of a request that was not sent"})
 			continue
 		}
-		if !anyPermits(possible(list, r.sent.At, e.At), r.sent.Account, e.version()) {
+		if !anyPermits(possiblyInForce(list, r.sent.At, e.At), r.sent.Account, e.version()) {
 			detail := fmt.Sprintf("account %q isn't permitted %s@%s", r.sent.Account, e.Model, e.Version)
 			found = append(found, Violation{RulePermitted, e, detail})
 		}
@@ -29,7 +30,7 @@
 	return found
 }
 
-func anyPermits(list []accepted, account string, v Version) bool {
+func anyPermits(list []acceptedManifest, account string, v Version) bool {
 	for _, m := range list {
 		if m.permits(account, v) {
 			return true
--- a/history/recorder.go
+++ b/history/recorder.go
@@ -14,13 +14,13 @@
 	events []Event
 }
 
-// NewRecorder returns a Recorder whose time starts now.
+// NewRecorder returns a Recorder. Event times are relative to this call.
 func NewRecorder() *Recorder {
 	return &Recorder{start: time.Now()}
 }
 
-// Add records an event with its place and time. The time is read under the
-// lock, from the monotonic clock, so it rises with the place.
+// Add records an event and sets its Seq and At. The time is read from the
+// monotonic clock while the lock is held, so it never decreases as Seq grows.
 func (r *Recorder) Add(e Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -29,7 +29,7 @@
 	r.events = append(r.events, e)
 }
 
-// Events returns the events so far.
+// Events returns the events recorded so far.
 func (r *Recorder) Events() []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/history/recorder_test.go
+++ b/history/recorder_test.go
@@ -37,8 +37,8 @@
 	}{
 		{"gap", `{"seq":1,"at":1}` + "\n" + `{"seq":3,"at":2}`, false},
 		{"start is missing", `{"seq":2,"at":1}`, false},
-		{"time falls", `{"seq":1,"at":2}` + "\n" + `{"seq":2,"at":1}`, false},
-		{"cut line", `{"seq":1,"at":1`, true},
+		{"time decreases", `{"seq":1,"at":2}` + "\n" + `{"seq":2,"at":1}`, false},
+		{"truncated line", `{"seq":1,"at":1`, true},
 	}
 	for _, tc := range tests {
 		t.Run(tc.desc, func(t *testing.T) {
@@ -63,9 +63,9 @@
 	events = append(events, accept(1, "a", v1))
 	for i := range 20_000 {
 		id := "r" + string(rune(i+256))
-		events = append(events, inSession(id), arrived(id, v1), ran(id), answeredBy(id, v1), billed(id, id))
+		events = append(events, sentInSession(id), arrived(id, v1), ran(id), answeredBy(id, v1), billed(id, id))
 	}
-	events = record(events...)
+	events = numbered(events...)
 	for b.Loop() {
 		if found := Check(events, Bounds{}); len(found) > 0 {
 			b.Fatal(found[0])
--- a/history/requests.go
+++ b/history/requests.go
@@ -1,9 +1,9 @@
 package history
 
-// request is what was seen of one request.
+// request holds the recorded events of one request.
 type request struct {
 	sent Event
-	// answer is valid where answered is set.
+	// answer is valid if answered is set.
 	answer   Event
 	answered bool
 	arrivals []Event
@@ -38,24 +38,25 @@
 	return byID, order
 }
 
-// dispatched reports whether an upstream saw the request, or the caller was
-// told that one may have.
+// dispatched reports whether an upstream received the request, or whether the
+// run state that the caller received means that one may have.
 func (r *request) dispatched() bool {
 	return len(r.arrivals) > 0 || len(r.runs) > 0 || r.answered && r.answer.RunState != notRun
 }
 
-// keyID identifies what the repeats of a request share.
-func (r *request) keyID() string {
+// sharedID returns an ID that a request has in common with its duplicates: its
+// account and key, or its request ID if it has no key.
+func (r *request) sharedID() string {
 	if r.sent.Key == "" {
 		return r.sent.RequestID
 	}
 	return r.sent.Account + "/" + r.sent.Key
 }
 
-// billID identifies the bill that the request shares with its repeats.
+// billID returns the ID of the bill that the request shares with its duplicates.
 func (r *request) billID() string {
 	if r.sent.BillID != "" {
 		return r.sent.BillID
 	}
-	return r.keyID()
+	return r.sharedID()
 }
--- a/history/run_test.go
+++ b/history/run_test.go
@@ -18,8 +18,8 @@
 	"github.com/quetzalweir/quetzalweir/storage/memory"
 )
 
-// TestLedgerEqualsAnswers records a seeded run of callers over two ledgers and
-// a table with faults, and compares the bills with the answers.
+// TestLedgerEqualsAnswers records seeded runs of callers with two ledgers and a
+// table in which faults are injected, and compares the bills with the answers.
 func TestLedgerEqualsAnswers(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -68,13 +68,13 @@
 	is.Equal(BilledOnce(r.Events()), nil)
 }
 
-// call is one request with its bill and its answer.
+// call records a request, its bill and its answer.
 func call(t *testing.T, r *Recorder, l *ledger.Ledger, id, key string) {
 	bill := ledger.Bill{ID: id, Account: "clydegate", RequestID: id, CostMicro: 5, At: time.Now()}
 	if key != "" {
 		bill.ID = "clydegate/" + key
 	}
-	r.Add(keyed(id, key))
+	r.Add(sentWithKey(id, key))
 	if err := l.Record(t.Context(), bill); err != nil && !errors.Is(err, ledger.ErrAtRisk) {
 		t.Error(err)
 	}
--- a/history/session.go
+++ b/history/session.go
@@ -2,15 +2,16 @@
 
 import "fmt"
 
-// sessionID identifies what keeps a version: a session's use of one model.
+// sessionID identifies a session's use of one model, which stays on one version.
 type sessionID struct {
 	account, session, model string
 }
 
-// Sessions checks that a request of a session has the version of every answer
-// that the session had got before the request was sent. A version that a
-// manifest withdraws, or no longer permits to the account, may be left.
-func Sessions(events []Event) []Violation {
+// CheckSessions checks that a request of a session is answered by the version of
+// every answer that the session had received before the request was sent. A
+// session may change from a version that a manifest withdraws or no longer
+// permits to the account.
+func CheckSessions(events []Event) []Violation {
 	list := manifests(events, 0)
 	byID, _ := requests(events)
 	earlier := make(map[sessionID][]Event)
@@ -22,19 +23,20 @@
 		}
 		id := sessionID{account: r.sent.Account, session: r.sent.Session, model: e.Model}
 		for _, before := range earlier[id] {
-			if before.At < r.sent.At && before.Version != e.Version && !left(list, r, before, e) {
-				detail := fmt.Sprintf("session %q went from version %s to %s", r.sent.Session, before.Version, e.Version)
+			if before.At < r.sent.At && before.Version != e.Version && !versionRevoked(list, r, before, e) {
+				detail := fmt.Sprintf("session %q changed from version %s to %s", r.sent.Session, before.Version, e.Version)
 				found = append(found, Violation{RuleSession, e, detail})
 				break
 			}
 		}
-		earlier[id] = withFirst(earlier[id], e)
+		earlier[id] = addFirstOfVersion(earlier[id], e)
 	}
 	return found
 }
 
-// withFirst adds an answer unless there is an earlier one of its version.
-func withFirst(answers []Event, e Event) []Event {
+// addFirstOfVersion appends an answer unless the list contains one of its
+// version.
+func addFirstOfVersion(answers []Event, e Event) []Event {
 	for _, a := range answers {
 		if a.Version == e.Version {
 			return answers
@@ -43,11 +45,12 @@
 	return append(answers, e)
 }
 
-// left reports whether a manifest submitted before the answer e takes the
-// version of the answer before from the account.
-func left(list []accepted, r *request, before, e Event) bool {
+// versionRevoked reports whether a manifest submitted before the answer e and
+// accepted after the answer before doesn't permit the account the version of
+// the answer before.
+func versionRevoked(list []acceptedManifest, r *request, before, e Event) bool {
 	for _, m := range list {
-		if m.from <= e.At && m.event.At >= before.At && !m.permits(r.sent.Account, before.version()) {
+		if m.earliest <= e.At && m.event.At >= before.At && !m.permits(r.sent.Account, before.version()) {
 			return true
 		}
 	}
--- a/history/stop.go
+++ b/history/stop.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// Result codes in the thousands from this one on are faults of upstreams, of
-// the platform and of hosts; those below are matters of the request.
+// firstFaultCode is the lowest result code for faults of upstreams, the platform
+// and hosts. Lower codes concern the request: its form, its permissions and its
+// admission.
 const firstFaultCode = 4000
 
-// PlannedStops checks that a host in a planned stop ends every request that was
-// sent to it before the stop began with a result, and with no fault.
-func PlannedStops(events []Event) []Violation {
+// CheckPlannedStops checks that a host that stops as planned ends every request
+// that was sent to it before the stop began with a result that isn't a fault.
+func CheckPlannedStops(events []Event) []Violation {
 	byID, order := requests(events)
 	var found []Violation
 	for host, stopping := range plannedStops(events) {
@@ -20,16 +21,16 @@
 			if r.sent.Host != host || r.sent.At >= stopping {
 				continue
 			}
-			if detail := cut(r, stopping); detail != "" {
-				found = append(found, Violation{RuleStop, r.sent, detail})
+			if detail := interruption(r, stopping); detail != "" {
+				found = append(found, Violation{RulePlannedStop, r.sent, detail})
 			}
 		}
 	}
 	return found
 }
 
-// plannedStops returns when the hosts that stop by plan began to. A host that
-// started again under its name is one with the last stop.
+// plannedStops returns when each planned stop began, by host. A host that was
+// restarted under the same name counts as one host with the last stop.
 func plannedStops(events []Event) map[string]time.Duration {
 	stops := make(map[string]time.Duration)
 	for _, e := range events {
@@ -40,8 +41,9 @@
 	return stops
 }
 
-// cut says how a stop cut a request that was under way; empty if it didn't.
-func cut(r *request, stopping time.Duration) string {
+// interruption describes how a stop interrupted a request in progress. It is
+// empty if the request ended properly.
+func interruption(r *request, stopping time.Duration) string {
 	switch {
 	case !r.answered:
 		return "no result"
--- a/history/truthful.go
+++ b/history/truthful.go
@@ -4,24 +4,26 @@
 
 var notRun = runstate.NotRun.String()
 
-// TruthfulRefusals checks that no upstream ever saw a request whose caller was
-// told that it wasn't run, also after the refusal. A repeat is told of itself,
-// not of earlier requests with its key; see TruthfulRepeats.
-func TruthfulRefusals(events []Event) []Violation {
+// CheckRefusals checks that a request whose caller received the run state "not
+// run" never arrived at an upstream, neither before nor after the refusal. The
+// run state of a duplicate refers only to the duplicate, not to earlier requests
+// with its key; for those see CheckDuplicateRefusals.
+func CheckRefusals(events []Event) []Violation {
 	byID, order := requests(events)
 	var found []Violation
 	for _, id := range order {
 		r := byID[id]
 		if r.answered && r.answer.RunState == notRun && len(r.arrivals)+len(r.runs) > 0 {
-			found = append(found, Violation{RuleTruthful, r.answer, "told not run, but an upstream saw it"})
+			found = append(found, Violation{RuleTruthfulRefusal, r.answer, "reported as not run, but an upstream received it"})
 		}
 	}
 	return found
 }
 
-// TruthfulRepeats is the stricter check that a request with a key is told "not
-// run" only if no request with that key had arrived at an upstream before.
-func TruthfulRepeats(events []Event) []Violation {
+// CheckDuplicateRefusals is a stricter check than CheckRefusals: the caller of a
+// request with a key receives "not run" only if no request with that key had
+// arrived at an upstream before.
+func CheckDuplicateRefusals(events []Event) []Violation {
 	byID, _ := requests(events)
 	arrived := make(map[string]bool)
 	var found []Violation
@@ -32,10 +34,10 @@
 		}
 		switch e.Kind {
 		case UpstreamArrived, UpstreamRan:
-			arrived[r.keyID()] = true
+			arrived[r.sharedID()] = true
 		case CallerAnswered:
-			if e.RunState == notRun && arrived[r.keyID()] {
-				found = append(found, Violation{RuleTruthful, e, "told not run, but an earlier request with the key arrived"})
+			if e.RunState == notRun && arrived[r.sharedID()] {
+				found = append(found, Violation{RuleTruthfulRefusal, e, "reported as not run, but an earlier request with the key arrived"})
 			}
 		}
 	}
--- a/history/withdrawn.go
+++ b/history/withdrawn.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// WithdrawnWork checks that no work arrives for a version when every manifest
-// that can be in force at that time withdraws it.
-func WithdrawnWork(events []Event, inForce time.Duration) []Violation {
+// CheckWithdrawn checks that no request arrives for a version at a time when
+// every manifest that can be in force withdraws that version.
+func CheckWithdrawn(events []Event, inForce time.Duration) []Violation {
 	list := manifests(events, inForce)
 	var found []Violation
 	for _, e := range events {
 		if e.Kind != UpstreamArrived || e.Model == "" {
 			continue
 		}
-		if allWithdraw(possible(list, e.At, e.At), e.version()) {
+		if allWithdraw(possiblyInForce(list, e.At, e.At), e.version()) {
 			detail := fmt.Sprintf("%s@%s is withdrawn", e.Model, e.Version)
 			found = append(found, Violation{RuleWithdrawn, e, detail})
 		}
@@ -22,7 +22,7 @@
 	return found
 }
 
-func allWithdraw(list []accepted, v Version) bool {
+func allWithdraw(list []acceptedManifest, v Version) bool {
 	for _, m := range list {
 		if !m.withdraws(v) {
 			return false
