--- a/history/check_test.go
+++ b/history/check_test.go
@@ -10,41 +10,41 @@
 func TestCheckPermissions(t *testing.T) {
 	check := func(events []Event) []Violation { return CheckPermissions(events, bound) }
 	runCases(t, check, []checkCase{
-		{"permitted", []Event{accept(1, "a", v1), sent("r1"), arrived("r1", v1)}, ""},
-		{"not permitted", []Event{accept(1, "a", v1), sent("r1"), arrived("r1", v2)}, `account "clydegate" isn't permitted quote@v2`},
-		{"no manifest yet", []Event{sent("r1"), arrived("r1", v1), accept(1, "a", v1)}, `account "clydegate" isn't permitted quote@v1`},
-		{"the old manifest within the bound", []Event{accept(1, "a", v1), accept(2, "b", v2), sent("r1"), arrived("r1", v1)}, ""},
-		{"the old manifest after the bound", []Event{accept(1, "a", v1), accept(2, "b", v2), at(9*time.Second, sent("r1")), arrived("r1", v1)}, `account "clydegate" isn't permitted quote@v1`},
-		{"sent in time, arrived long after", []Event{accept(1, "a", v1), accept(2, "b", v2), sent("r1"), at(time.Minute, arrived("r1", v1))}, ""},
-		{"in force before its acceptance was recorded", []Event{submitted("a"), sent("r1"), arrived("r1", v1), accept(1, "a", v1)}, ""},
-		{"permitted but withdrawn", []Event{withdrawing(accept(1, "a", v1), v1), sent("r1"), arrived("r1", v1)}, `account "clydegate" isn't permitted quote@v1`},
-		{"another account's permission", []Event{accept(1, "a", v1), {Kind: RequestSent, RequestID: "r1", Account: "valley"}, arrived("r1", v1)}, `account "valley" isn't permitted quote@v1`},
-		{"unknown request", []Event{accept(1, "a", v1), arrived("r1", v1)}, "arrival of a request that was not sent"},
+		{"permitted", []Event{accepted(1, "a", v1), sent("r1"), arrived("r1", v1)}, ""},
+		{"not permitted", []Event{accepted(1, "a", v1), sent("r1"), arrived("r1", v2)}, `account "clydegate" isn't permitted quote@v2`},
+		{"no manifest yet", []Event{sent("r1"), arrived("r1", v1), accepted(1, "a", v1)}, `account "clydegate" isn't permitted quote@v1`},
+		{"the old manifest within the bound", []Event{accepted(1, "a", v1), accepted(2, "b", v2), sent("r1"), arrived("r1", v1)}, ""},
+		{"the old manifest after the bound", []Event{accepted(1, "a", v1), accepted(2, "b", v2), at(9*time.Second, sent("r1")), arrived("r1", v1)}, `account "clydegate" isn't permitted quote@v1`},
+		{"sent in time, arrived long after", []Event{accepted(1, "a", v1), accepted(2, "b", v2), sent("r1"), at(time.Minute, arrived("r1", v1))}, ""},
+		{"in force before its acceptance was recorded", []Event{submitted("a"), sent("r1"), arrived("r1", v1), accepted(1, "a", v1)}, ""},
+		{"permitted but withdrawn", []Event{withdrawing(accepted(1, "a", v1), v1), sent("r1"), arrived("r1", v1)}, `account "clydegate" isn't permitted quote@v1`},
+		{"another account's permission", []Event{accepted(1, "a", v1), {Kind: RequestSent, RequestID: "r1", Account: "valley"}, arrived("r1", v1)}, `account "valley" isn't permitted quote@v1`},
+		{"unknown request", []Event{accepted(1, "a", v1), arrived("r1", v1)}, "arrival of a request that was not sent"},
 		{"plain service", []Event{sent("r1"), arrived("r1", Version{})}, ""},
 	})
 }
 
 func TestCheckWithdrawn(t *testing.T) {
 	check := func(events []Event) []Violation { return CheckWithdrawn(events, bound) }
-	first, second := accept(1, "a", v1, v2), withdrawing(accept(2, "b", v2), v1)
+	first, second := accepted(1, "a", v1, v2), withdrawing(accepted(2, "b", v2), v1)
 	runCases(t, check, []checkCase{
 		{"other version", []Event{first, second, at(time.Minute, arrived("r1", v2))}, ""},
 		{"within the bound", []Event{first, second, arrived("r1", v1)}, ""},
 		{"after the bound, sent before", []Event{first, sent("r1"), second, at(6*time.Second, arrived("r1", v1))}, "quote@v1 is withdrawn"},
-		{"withdrawn from the start", []Event{withdrawing(accept(1, "a"), v1), arrived("r1", v1)}, "quote@v1 is withdrawn"},
-		{"permitted again by a third manifest", []Event{first, second, submitted("c"), at(6*time.Second, arrived("r1", v1)), accept(3, "c", v1)}, ""},
+		{"withdrawn from the start", []Event{withdrawing(accepted(1, "a"), v1), arrived("r1", v1)}, "quote@v1 is withdrawn"},
+		{"permitted again by a third manifest", []Event{first, second, submitted("c"), at(6*time.Second, arrived("r1", v1)), accepted(3, "c", v1)}, ""},
 	})
 }
 
 func TestCheckSessions(t *testing.T) {
-	both := accept(1, "a", v1, v2)
+	both := accepted(1, "a", v1, v2)
 	runCases(t, CheckSessions, []checkCase{
 		{"kept", []Event{both, sentInSession("r1"), answeredBy("r1", v1), sentInSession("r2"), answeredBy("r2", v1)}, ""},
 		{"left", []Event{both, sentInSession("r1"), answeredBy("r1", v1), sentInSession("r2"), answeredBy("r2", v2)}, `session "s1" changed from version v1 to v2`},
 		{"left and returned", []Event{both, sentInSession("r1"), answeredBy("r1", v1), sentInSession("r2"), sentInSession("r3"), answeredBy("r2", v1), answeredBy("r3", v2)}, `session "s1" changed from version v1 to v2`},
 		{"requests at once", []Event{both, sentInSession("r1"), sentInSession("r2"), answeredBy("r1", v1), answeredBy("r2", v2)}, ""},
-		{"version withdrawn", []Event{both, sentInSession("r1"), answeredBy("r1", v1), withdrawing(accept(2, "b", v2), v1), sentInSession("r2"), answeredBy("r2", v2)}, ""},
-		{"withdrawn before the first answer already", []Event{withdrawing(accept(1, "a", v2), v1), sentInSession("r1"), answeredBy("r1", v1), sentInSession("r2"), answeredBy("r2", v2)}, `session "s1" changed from version v1 to v2`},
+		{"version withdrawn", []Event{both, sentInSession("r1"), answeredBy("r1", v1), withdrawing(accepted(2, "b", v2), v1), sentInSession("r2"), answeredBy("r2", v2)}, ""},
+		{"withdrawn before the first answer already", []Event{withdrawing(accepted(1, "a", v2), v1), sentInSession("r1"), answeredBy("r1", v1), sentInSession("r2"), answeredBy("r2", v2)}, `session "s1" changed from version v1 to v2`},
 		{"no session", []Event{both, sent("r1"), answeredBy("r1", v1), sent("r2"), answeredBy("r2", v2)}, ""},
 		{"refusal without a version", []Event{both, sentInSession("r1"), answeredBy("r1", v1), sentInSession("r2"), refused("r2", 3001, "not-run")}, ""},
 	})
@@ -161,23 +161,23 @@
 	old.Epoch = 1
 	missed := "epoch 1 isn't in force on h0 after 3s"
 	runCases(t, check, []checkCase{
-		{"in force in time", []Event{start, accept(1, "a"), inForce("h0", 1), end}, ""},
-		{"never in force", []Event{start, accept(1, "a"), end}, missed},
-		{"in force too late", []Event{start, accept(1, "a"), at(5*time.Second, inForce("h0", 1)), end}, missed},
-		{"its successor in force", []Event{start, accept(1, "a"), accept(2, "b"), inForce("h0", 2), end}, ""},
-		{"host gone", []Event{start, accept(1, "a"), hostEvent(HostGone, "h0"), hostEvent(HostGone, "h0"), end}, ""},
-		{"host impaired", []Event{start, accept(1, "a"), hostEvent(HostImpaired, "h0"), end}, ""},
-		{"host healed before", []Event{start, hostEvent(HostImpaired, "h0"), hostEvent(HostHealed, "h0"), accept(1, "a"), end}, missed},
-		{"record shorter than the bound", []Event{start, accept(1, "a")}, ""},
+		{"in force in time", []Event{start, accepted(1, "a"), inForce("h0", 1), end}, ""},
+		{"never in force", []Event{start, accepted(1, "a"), end}, missed},
+		{"in force too late", []Event{start, accepted(1, "a"), at(5*time.Second, inForce("h0", 1)), end}, missed},
+		{"its successor in force", []Event{start, accepted(1, "a"), accepted(2, "b"), inForce("h0", 2), end}, ""},
+		{"host gone", []Event{start, accepted(1, "a"), hostEvent(HostGone, "h0"), hostEvent(HostGone, "h0"), end}, ""},
+		{"host impaired", []Event{start, accepted(1, "a"), hostEvent(HostImpaired, "h0"), end}, ""},
+		{"host healed before", []Event{start, hostEvent(HostImpaired, "h0"), hostEvent(HostHealed, "h0"), accepted(1, "a"), end}, missed},
+		{"record shorter than the bound", []Event{start, accepted(1, "a")}, ""},
 		{"reverts", []Event{inForce("h0", 2), inForce("h0", 1)}, "h0 reverted from epoch 2 to 1"},
 		{"reverts after a restart", []Event{inForce("h0", 2), hostEvent(HostGone, "h0"), start, inForce("h0", 1)}, "h0 reverted from epoch 2 to 1"},
 		{"hosts differ", []Event{inForce("h0", 2), inForce("h1", 1)}, ""},
 		{"answers under an old epoch", []Event{inForce("h0", 2), sent("r1"), old}, "answered under epoch 1 after epoch 2 was in force"},
 		{"sent before the new epoch", []Event{sent("r1"), inForce("h0", 2), old}, ""},
-		{"two manifests, one epoch", []Event{accept(1, "a"), accept(1, "b")}, "two manifests with one epoch"},
-		{"later manifest, lower epoch", []Event{submitted("a"), accept(2, "a"), submitted("b"), accept(1, "b")}, "epoch isn't above that of an earlier acceptance"},
-		{"manifests at once", []Event{submitted("a"), submitted("b"), accept(2, "a"), accept(1, "b")}, ""},
-		{"acceptance recorded twice", []Event{submitted("a"), accept(1, "a"), accept(1, "a")}, ""},
+		{"two manifests, one epoch", []Event{accepted(1, "a"), accepted(1, "b")}, "two manifests with one epoch"},
+		{"later manifest, lower epoch", []Event{submitted("a"), accepted(2, "a"), submitted("b"), accepted(1, "b")}, "epoch isn't above that of an earlier acceptance"},
+		{"manifests at once", []Event{submitted("a"), submitted("b"), accepted(2, "a"), accepted(1, "b")}, ""},
+		{"acceptance recorded twice", []Event{submitted("a"), accepted(1, "a"), accepted(1, "a")}, ""},
 	})
 }
 
@@ -185,7 +185,7 @@
 func TestCheck(t *testing.T) {
 	events := numbered(
 		inForce("h0", 2), inForce("h0", 1),
-		accept(1, "a", v1), withdrawing(accept(2, "b"), v2),
+		accepted(1, "a", v1), withdrawing(accepted(2, "b"), v2),
 		Event{Kind: UpstreamLeaving, Upstream: "u1"},
 		sentInSession("r1"), answeredBy("r1", v1), sentInSession("r2"), answeredBy("r2", v2),
 		sentWithKey("r3", "k"), ran("r3"), ran("r3"), refused("r3", 3001, "not-run"),
--- a/history/helper_test.go
+++ b/history/helper_test.go
@@ -84,7 +84,7 @@
 	return Event{Kind: ManifestSubmitted, Digest: digest}
 }
 
-func accept(epoch uint64, digest string, permitted ...Version) Event {
+func accepted(epoch uint64, digest string, permitted ...Version) Event {
 	e := Event{Kind: ManifestAccepted, Epoch: epoch, Digest: digest}
 	for _, v := range permitted {
 		e.Permits = append(e.Permits, Permit{Account: "clydegate", Version: v})
--- a/history/recorder_test.go
+++ b/history/recorder_test.go
@@ -17,7 +17,7 @@
 	for range 8 {
 		group.Go(func() {
 			for range 100 {
-				r.Add(withdrawing(accept(1, "a", v1), v2))
+				r.Add(withdrawing(accepted(1, "a", v1), v2))
 			}
 		})
 	}
@@ -60,7 +60,7 @@
 
 func BenchmarkCheck(b *testing.B) {
 	var events []Event
-	events = append(events, accept(1, "a", v1))
+	events = append(events, accepted(1, "a", v1))
 	for i := range 20_000 {
 		id := "r" + string(rune(i+256))
 		events = append(events, sentInSession(id), arrived(id, v1), ran(id), answeredBy(id, v1), billed(id, id))
--- a/ledger/bill.go
+++ b/ledger/bill.go
@@ -24,8 +24,8 @@
 	// nor the table accepted it in time. It is still copied and flushed later,
 	// and is lost only if the host is lost before that.
 	ErrAtRisk = errors.New("ledger: bill is in memory only")
-	// ErrFull means that the host has MaxPending or more unwritten bills, so no
-	// request should be dispatched.
+	// ErrFull means that the host has Options.MaxPending or more unwritten bills,
+	// so no request should be dispatched.
 	ErrFull = errors.New("ledger: too many unwritten bills")
 	// ErrInvalid means that a bill has no ID or no time.
 	ErrInvalid = errors.New("ledger: invalid bill")
--- a/ledger/custody.go
+++ b/ledger/custody.go
@@ -128,8 +128,8 @@
 
 // moveToLedger adds the bills of the owners that match to the ledger, removes
 // these owners and reports whether there was a bill to move. It adds the bills
-// to the ledger before it releases Custody.mu, so that they are never in
-// neither.
+// to the ledger before it releases Custody.mu, so that no caller finds a bill in
+// neither of the two.
 func (c *Custody) moveToLedger(match func(name string, o *ownerCopies) bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/ledger/flush.go
+++ b/ledger/flush.go
@@ -17,8 +17,8 @@
 	// unavailable, in multiples of FlushInterval.
 	maxBackoffIntervals = 8
 	// maxBackoffWait is a second bound on that time, unless FlushInterval is
-	// longer. It is well below DefaultMaxAge, because a failed flush sends peers
-	// the message that shows them that the owner is alive.
+	// longer. It is well below DefaultMaxAge, because each failed flush sends
+	// peers a message, without which they take over the bills after that time.
 	maxBackoffWait = 15 * time.Second
 	// drainRetryDelay is the pause between the flushes of Drain.
 	drainRetryDelay = 50 * time.Millisecond
@@ -216,7 +216,8 @@
 	}
 	for _, holder := range l.currentHolders(upTo) {
 		callCtx, cancel := context.WithTimeout(ctx, l.opts.ReplicateTimeout)
-		// A lost message is made up for by the next one, which has a higher upTo.
+		// An error is ignored, because the next message to the same peer
+		// releases these copies too.
 		_ = l.opts.Holders.Drop(callCtx, holder, l.Owner(), upTo)
 		cancel()
 	}
--- a/ledger/reader.go
+++ b/ledger/reader.go
@@ -26,8 +26,8 @@
 	Epoch     uint64
 	// From and To bound Bill.At: from From, up to but not including To.
 	From, To time.Time
-	// Margin is how far outside From and To a bill is searched that has the same
-	// ID as one inside and takes precedence over it; default DefaultMargin.
+	// Margin is how far outside From and To Read looks for bills that have the
+	// same ID as one inside and take precedence over it; default DefaultMargin.
 	Margin time.Duration
 }
 
