--- a/history/recorder_test.go
+++ b/history/recorder_test.go
@@ -17,7 +17,7 @@
 	for range 8 {
 		group.Go(func() {
 			for range 100 {
-				r.Add(withdrawing(accept(1, "a", v1), v2))
+				r.Add(withdrawing(accepted(1, "a", v1), v2))
 			}
 		})
 	}
@@ -37,8 +37,8 @@
 	}{
 		{"gap", `{"seq":1,"at":1}` + "\n" + `{"seq":3,"at":2}`, false},
 		{"start is missing", `{"seq":2,"at":1}`, false},
-		{"time falls", `{"seq":1,"at":2}` + "\n" + `{"seq":2,"at":1}`, false},
-		{"cut line", `{"seq":1,"at":1`, true},
+		{"time decreases", `{"seq":1,"at":2}` + "\n" + `{"seq":2,"at":1}`, false},
+		{"truncated line", `{"seq":1,"at":1`, true},
 	}
 	for _, tc := range tests {
 		t.Run(tc.desc, func(t *testing.T) {
@@ -60,12 +60,12 @@
 
 func BenchmarkCheck(b *testing.B) {
 	var events []Event
-	events = append(events, accept(1, "a", v1))
+	events = append(events, accepted(1, "a", v1))
 	for i := range 20_000 {
 		id := "r" + string(rune(i+256))
-		events = append(events, inSession(id), arrived(id, v1), ran(id), answeredBy(id, v1), billed(id, id))
+		events = append(events, sentInSession(id), arrived(id, v1), ran(id), answeredBy(id, v1), billed(id, id))
 	}
-	events = record(events...)
+	events = numbered(events...)
 	for b.Loop() {
 		if found := Check(events, Bounds{}); len(found) > 0 {
 			b.Fatal(found[0])
