--- a/storage/protocol/protocol.go
+++ b/storage/protocol/protocol.go
@@ -1,8 +1,8 @@
 // Package protocol holds the messages, paths and headers of the JSON protocol
 // between the system and its platform. docs/PLATFORM-PROTOCOL.md describes it.
 //
-// Package storage/client and the platform's stand-in share it. It has no
-// behaviour of its own and checks nothing.
+// Package storage/client and the platform's stand-in share it. It contains no
+// logic and validates nothing.
 package protocol
 
 import "github.com/quetzalweir/quetzalweir/storage"
@@ -35,37 +35,37 @@
 
 // Names of the headers.
 const (
-	// HeaderCall carries the caller's number of the call. An answer repeats
-	// it, so that the caller knows an answer to another call.
+	// HeaderCall carries the caller's ID of the call. The response repeats it,
+	// so that the caller detects a response to another call.
 	HeaderCall = "Platform-Call"
-	// HeaderEffect, with the value EffectNone, says that the call had no effect
-	// and never will. Without it a failed call may have had one.
+	// HeaderEffect, with the value EffectNone, states that the call had no effect
+	// and never will. Without it a failed call may have had an effect.
 	HeaderEffect = "Platform-Effect"
 	// EffectNone is the only value of HeaderEffect.
 	EffectNone = "none"
 )
 
-// Rows is the answer to PathRows.
+// Rows is the response to PathRows.
 type Rows struct {
 	Rows []storage.Row `json:"rows"`
 }
 
-// Committed is the answer to PathCommit.
+// Committed is the response to PathCommit.
 type Committed struct {
-	// Revision is that of the transaction, at least 1.
+	// Revision is the revision of the transaction, at least 1.
 	Revision uint64 `json:"revision"`
 }
 
-// Hosts is the answer to PathHosts.
+// Hosts is the response to PathHosts.
 type Hosts struct {
-	// Cursor names this state of the list, for the QuerySince of a later call.
+	// Cursor identifies this state of the list, for QuerySince of a later call.
 	Cursor string `json:"cursor"`
-	// Full says that Hosts holds the whole list. Otherwise the answer holds the
-	// changes since the cursor of the call.
+	// Full reports whether Hosts holds the whole list. Otherwise the response
+	// holds the changes since the cursor of the call.
 	Full bool `json:"full"`
 	// Hosts holds the hosts added or changed.
 	Hosts []storage.Host `json:"hosts"`
-	// Removed holds the IDs of the hosts that are gone; empty if Full.
+	// Removed holds the IDs of the hosts removed; empty if Full.
 	Removed []string `json:"removed,omitempty"`
 }
 
@@ -77,8 +77,8 @@
 	Answer  string `json:"answer"`
 }
 
-// Problem is the body of an answer with an error status. It is for logs: no
-// caller decides by it.
+// Problem is the body of a response with an error status. It is for logs only;
+// callers don't depend on it.
 type Problem struct {
 	Error string `json:"error"`
 }
--- a/storage/revision_test.go
+++ b/storage/revision_test.go
@@ -10,7 +10,7 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// Whatever is written in a later era is after all of an earlier one.
+// Every revision of an era is greater than all revisions of earlier eras.
 func TestRevisionsAreOrderedByEra(t *testing.T) {
 	is := is.New(t)
 	ordered := []storage.Revision{
@@ -28,7 +28,7 @@
 
 	data, err := json.Marshal(storage.NewRevision(65_535, 1<<47+1))
 	is.NoErr(err)
-	var back storage.Revision
-	is.NoErr(json.Unmarshal(data, &back))
-	is.Equal(back, storage.NewRevision(65_535, 1<<47+1)) // whole, in messages and rows
+	var decoded storage.Revision
+	is.NoErr(json.Unmarshal(data, &decoded))
+	is.Equal(decoded, storage.NewRevision(65_535, 1<<47+1)) // JSON in messages and rows keeps all 64 bits
 }
--- a/storage/storage.go
+++ b/storage/storage.go
@@ -1,8 +1,8 @@
-// Package storage states what the system needs from the platform that it
-// runs on: a transactional table, an object store, a host list, a rater of
-// answers. Package storage/client implements it over HTTP, storage/memory in one
-// process. docs/PLATFORM-PROTOCOL.md says what a platform has to keep; nothing
-// else about it is assumed, least of all that it answers.
+// Package storage declares the services that the system needs from the platform
+// it runs on: a transactional table, an object store, a host list, and a rater
+// of answers. Package storage/client implements them over HTTP, storage/memory
+// in one process. docs/PLATFORM-PROTOCOL.md specifies what a platform guarantees;
+// nothing else is assumed, in particular not that it responds to every call.
 package storage
 
 import (
@@ -11,15 +11,16 @@
 	"time"
 )
 
-// Errors of the table and the object store. Every failed call wraps exactly
-// one of these, or ErrNotFound, or the context's error.
+// Errors of the table and the object store. The error of a failed call wraps
+// exactly one of these, or the context's error.
 var (
 	// ErrConflict means that a condition didn't hold; nothing was written.
 	ErrConflict = errors.New("storage: conflict")
 	// ErrUnavailable means that the call had no effect.
 	ErrUnavailable = errors.New("storage: unavailable")
-	// ErrUnknown means that the call may have had its effect, now or later:
-	// its answer was lost. Settle it by reading back the attempt token.
+	// ErrUnknown means that the call's response was lost: the call may have
+	// taken effect, or may still do so later. The caller finds out by reading
+	// back the token that its attempt writes.
 	ErrUnknown = errors.New("storage: outcome unknown")
 	// ErrNotFound means that the row or object doesn't exist.
 	ErrNotFound = errors.New("storage: not found")
@@ -53,16 +54,18 @@
 	Deletes    []string    `json:"deletes,omitempty"`
 }
 
-// Table is the platform's transactional table service: linearizable, a few
-// hundred commits and about two thousand reads a second, subject to outages.
+// Table is the platform's transactional table service. It is linearizable, but
+// has outages. It handles a few hundred commits and about two thousand reads a
+// second.
 type Table interface {
-	// Get reads a row; an absent one gives ErrNotFound.
+	// Get reads a row. It returns ErrNotFound if the row doesn't exist.
 	Get(ctx context.Context, key string) (Row, error)
 	// List reads up to limit rows with the prefix whose keys are above after,
 	// in ascending order of their keys.
 	List(ctx context.Context, prefix, after string, limit int) ([]Row, error)
 	// Commit applies txn and returns its revision. It isn't idempotent: after
-	// ErrUnknown the caller reads back its own mark before it tries again.
+	// ErrUnknown the caller must read back the token that txn writes before it
+	// tries again.
 	Commit(ctx context.Context, txn Txn) (revision uint64, err error)
 }
 
@@ -70,7 +73,7 @@
 type Objects interface {
 	// Write stores data under name; writing the same data again succeeds.
 	Write(ctx context.Context, name string, data []byte) error
-	// Read returns an object; an absent one gives ErrNotFound.
+	// Read returns an object, or ErrNotFound if it doesn't exist.
 	Read(ctx context.Context, name string) ([]byte, error)
 }
 
@@ -78,13 +81,14 @@
 type HostState string
 
 const (
-	// HostLive is in service.
+	// HostLive is the state of a host in service.
 	HostLive HostState = "live"
-	// HostLeaving finishes its work and takes no more.
+	// HostLeaving is the state of a host that finishes its work and accepts no
+	// more.
 	HostLeaving HostState = "leaving"
 )
 
-// HostKind says what runs on a host.
+// HostKind is the kind of software that runs on a host.
 type HostKind string
 
 const (
@@ -106,25 +110,27 @@
 	// Address is the IP and port for requests.
 	Address string    `json:"address"`
 	State   HostState `json:"state"`
-	// Fenced says that the host refuses orders with an old fencing number.
+	// Fenced reports whether the host rejects commands whose fencing number is
+	// lower than one it has received.
 	Fenced bool `json:"fenced,omitempty"`
 }
 
-// HostList is the platform's list of hosts. It lags.
+// HostList is the platform's list of hosts. Changes appear in it with a delay.
 type HostList interface {
 	Hosts(ctx context.Context) ([]Host, error)
 }
 
-// Rating is the rater's judgement of an answer.
+// Rating is a rater's result for one answer.
 type Rating struct {
 	// Score is from 0 (useless) to 1 (best).
 	Score float64 `json:"score"`
 }
 
-// Rater rates answers.
+// Rater rates the quality of answers of models.
 type Rater interface {
 	Rate(ctx context.Context, model, version, prompt, answer string) (Rating, error)
 }
 
-// Clock is the source of time for packages whose tests need their own.
+// Clock returns the current time. Packages take one as an option, so that tests
+// can supply their own.
 type Clock func() time.Time
