--- a/storage/groupcommit/batch.go
+++ b/storage/groupcommit/batch.go
@@ -2,9 +2,10 @@
 
 import "github.com/quetzalweir/quetzalweir/storage"
 
-// batch collects transactions that may be committed as one.
+// batch collects transactions to commit as one: they touch different rows, and
+// together they stay within maxOps and maxBytes.
 type batch struct {
-	items    []*pending
+	items    []*pendingTxn
 	keys     map[string]struct{}
 	ops      int
 	bytes    int
@@ -16,9 +17,10 @@
 	return &batch{keys: make(map[string]struct{}), maxOps: maxOps, maxBytes: maxBytes}
 }
 
-// add takes p in and reports false if it shares a row with an earlier one or
-// doesn't fit. The first one always fits.
-func (b *batch) add(p *pending) bool {
+// add adds p. It returns false, without adding p, if p shares a row with a
+// transaction of the batch or would exceed a limit. The first transaction is
+// added whatever its size.
+func (b *batch) add(p *pendingTxn) bool {
 	if len(b.items) > 0 && !b.fits(p) {
 		return false
 	}
@@ -31,7 +33,7 @@
 	return true
 }
 
-func (b *batch) fits(p *pending) bool {
+func (b *batch) fits(p *pendingTxn) bool {
 	if b.ops+p.ops() > b.maxOps || b.bytes+p.bytes > b.maxBytes {
 		return false
 	}
@@ -43,8 +45,8 @@
 	return true
 }
 
-// merge joins transactions that touch different rows.
-func merge(items []*pending) storage.Txn {
+// merge returns one transaction made of several that touch different rows.
+func merge(items []*pendingTxn) storage.Txn {
 	if len(items) == 1 {
 		return items[0].txn
 	}
--- a/storage/groupcommit/committer.go
+++ b/storage/groupcommit/committer.go
@@ -13,29 +13,29 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// Stats counts what a Committer did since it was made.
+// Stats counts the work of a Committer since its creation.
 type Stats struct {
-	// Transactions is how many were sent to the table.
+	// Transactions is the number of transactions sent to the table.
 	Transactions uint64
-	// Commits is how many commits were sent, those of splits included.
+	// Commits is the number of commits sent, those of splits included.
 	Commits uint64
 	// Splits is how many of these commits were sent because a merged one
 	// failed on a condition.
 	Splits uint64
-	// Reads is how many rows were read to find conflicting transactions.
+	// Reads is the number of rows read to find conflicting transactions.
 	Reads uint64
 }
 
 // Committer is a storage.Table that merges commits. Reads pass through. It
 // is safe for concurrent use.
 type Committer struct {
-	table   storage.Table
-	options Options
-	limiter *rate.Limiter
-	probes  *rate.Limiter
-	queue   *queue
-	slots   chan struct{}
-	stopped chan struct{}
+	table         storage.Table
+	options       Options
+	commitLimiter *rate.Limiter
+	readLimiter   *rate.Limiter
+	queue         *queue
+	inFlightSlots chan struct{}
+	stopped       chan struct{}
 
 	transactions atomic.Uint64
 	commits      atomic.Uint64
@@ -45,17 +45,17 @@
 
 var _ storage.Table = (*Committer)(nil)
 
-// New returns a Committer on table. Close stops its goroutine.
+// New returns a Committer that commits to table. Close stops its goroutine.
 func New(table storage.Table, options Options) *Committer {
 	options = options.withDefaults()
 	c := &Committer{
-		table:   table,
-		options: options,
-		limiter: rate.NewLimiter(rate.Limit(options.CommitsPerSecond), options.burst()),
-		probes:  rate.NewLimiter(rate.Limit(options.ReadsPerSecond), int(options.ReadsPerSecond)),
-		queue:   newQueue(options.MaxOps, options.MaxBytes),
-		slots:   make(chan struct{}, options.MaxInFlight),
-		stopped: make(chan struct{}),
+		table:         table,
+		options:       options,
+		commitLimiter: rate.NewLimiter(rate.Limit(options.CommitsPerSecond), options.burst()),
+		readLimiter:   rate.NewLimiter(rate.Limit(options.ReadsPerSecond), int(options.ReadsPerSecond)),
+		queue:         newQueue(options.MaxOps, options.MaxBytes),
+		inFlightSlots: make(chan struct{}, options.MaxInFlight),
+		stopped:       make(chan struct{}),
 	}
 	go c.run()
 	return c
@@ -79,7 +79,7 @@
 	if err := ctx.Err(); err != nil {
 		return 0, fmt.Errorf("%w: not queued: %v", storage.ErrUnavailable, err)
 	}
-	p := newPending(txn)
+	p := newPendingTxn(txn)
 	if !c.queue.push(p) {
 		return 0, fmt.Errorf("%w: committer is closed", storage.ErrUnavailable)
 	}
@@ -91,8 +91,9 @@
 	}
 }
 
-// abandon ends the wait for p, whose caller's context has ended.
-func (c *Committer) abandon(ctx context.Context, p *pending) (uint64, error) {
+// abandon returns the outcome of p when its caller's context has ended. It
+// removes p from the queue if p wasn't sent.
+func (c *Committer) abandon(ctx context.Context, p *pendingTxn) (uint64, error) {
 	if c.queue.remove(p) {
 		return 0, fmt.Errorf("%w: withdrawn from the queue: %v", storage.ErrUnavailable, ctx.Err())
 	}
@@ -100,7 +101,7 @@
 	case out := <-p.done:
 		return out.revision, out.err
 	default:
-		return 0, fmt.Errorf("%w: sent without an answer: %v", storage.ErrUnknown, ctx.Err())
+		return 0, fmt.Errorf("%w: sent, no response received: %v", storage.ErrUnknown, ctx.Err())
 	}
 }
 
@@ -114,9 +115,9 @@
 	}
 }
 
-// Close commits what is queued, waits for the answers and stops. Transactions
-// that come after it fail with storage.ErrUnavailable. It may be called
-// several times; the error is always nil.
+// Close commits the queued transactions, waits for their outcomes and stops the
+// Committer. Later transactions fail with storage.ErrUnavailable. Close may be
+// called several times; the error is always nil.
 func (c *Committer) Close() error {
 	c.queue.close()
 	<-c.stopped
@@ -128,29 +129,30 @@
 	defer close(c.stopped)
 	var inFlight sync.WaitGroup
 	defer inFlight.Wait()
-	for !c.queue.drained() {
-		<-c.queue.more
+	for !c.queue.isDrained() {
+		<-c.queue.nonEmpty
 		if c.queue.isEmpty() {
 			continue
 		}
-		c.gather()
-		c.pace()
-		c.slots <- struct{}{}
-		items := c.queue.take()
+		c.waitForMore()
+		c.waitForRate()
+		c.inFlightSlots <- struct{}{}
+		items := c.queue.takeBatch()
 		if len(items) == 0 {
-			<-c.slots
+			<-c.inFlightSlots
 			continue
 		}
 		c.transactions.Add(uint64(len(items)))
 		inFlight.Go(func() {
-			defer func() { <-c.slots }()
-			c.settle(items)
+			defer func() { <-c.inFlightSlots }()
+			c.commitBatch(items)
 		})
 	}
 }
 
-// gather waits for more transactions to merge.
-func (c *Committer) gather() {
+// waitForMore waits until MaxDelay has passed or the queue holds a whole batch,
+// so that more transactions are merged.
+func (c *Committer) waitForMore() {
 	if c.queue.isClosed() {
 		return
 	}
@@ -158,68 +160,68 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-c.queue.full:
+	case <-c.queue.batchReady:
 	}
 }
 
-// pace waits until the rate allows one more commit.
-func (c *Committer) pace() {
+// waitForRate waits until the rate limit allows one more commit.
+func (c *Committer) waitForRate() {
 	now := c.options.Clock()
-	time.Sleep(c.limiter.ReserveN(now, 1).DelayFrom(now))
+	time.Sleep(c.commitLimiter.ReserveN(now, 1).DelayFrom(now))
 }
 
-// settle commits a batch and splits it if a condition fails, so that each
-// transaction gets the outcome that it would have had alone. It reports
-// whether any transaction conflicted.
-func (c *Committer) settle(items []*pending) bool {
-	revision, err := c.send(items)
+// commitBatch commits a batch. If a condition fails, it finds the conflicting
+// transactions and commits the others, so that each transaction gets the outcome
+// that it would have had alone. It reports whether any transaction conflicted.
+func (c *Committer) commitBatch(items []*pendingTxn) bool {
+	revision, err := c.commitOnce(items)
 	isConflict := errors.Is(err, storage.ErrConflict)
 	if isConflict && len(items) > 1 {
-		c.resolve(items)
+		c.resolveConflict(items)
 		return true
 	}
 	deliver(items, revision, err)
 	return isConflict
 }
 
-// split settles the halves of a batch that conflicted. If the first half goes
-// through, the conflict lies in the second, which is then split without being
+// split commits the halves of a batch that conflicted. If the first half
+// succeeds, the conflict is in the second, which is then split without being
 // tried as a whole: that saves one commit at each level.
-func (c *Committer) split(items []*pending) {
+func (c *Committer) split(items []*pendingTxn) {
 	half := len(items) / 2
 	first, second := items[:half], items[half:]
-	if c.settlePart(first) || len(second) == 1 {
-		c.settlePart(second)
+	if c.commitPart(first) || len(second) == 1 {
+		c.commitPart(second)
 		return
 	}
 	c.split(second)
 }
 
-// settlePart settles a part of a batch at the bounded rate.
-func (c *Committer) settlePart(items []*pending) bool {
-	c.pace()
+// commitPart commits a part of a batch within the rate limit.
+func (c *Committer) commitPart(items []*pendingTxn) bool {
+	c.waitForRate()
 	c.splits.Add(1)
-	return c.settle(items)
+	return c.commitBatch(items)
 }
 
-// send commits the items as one transaction. The answers of the table that
-// don't say what happened, such as a passed deadline, become ErrUnknown.
-func (c *Committer) send(items []*pending) (uint64, error) {
+// commitOnce commits the items as one transaction. Errors of the table that
+// leave the outcome open, such as an exceeded deadline, become ErrUnknown.
+func (c *Committer) commitOnce(items []*pendingTxn) (uint64, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.options.Timeout)
 	defer cancel()
 	c.commits.Add(1)
 	revision, err := c.table.Commit(ctx, merge(items))
-	if err == nil || isDefinite(err) {
+	if err == nil || isOutcomeKnown(err) {
 		return revision, err
 	}
 	return 0, fmt.Errorf("%w: %v", storage.ErrUnknown, err)
 }
 
-func isDefinite(err error) bool {
+func isOutcomeKnown(err error) bool {
 	return errors.Is(err, storage.ErrConflict) || errors.Is(err, storage.ErrUnavailable)
 }
 
-func deliver(items []*pending, revision uint64, err error) {
+func deliver(items []*pendingTxn, revision uint64, err error) {
 	for _, p := range items {
 		p.done <- outcome{revision: revision, err: err}
 	}
--- a/storage/groupcommit/committer_test.go
+++ b/storage/groupcommit/committer_test.go
@@ -49,11 +49,11 @@
 		desc     string
 		size     int
 		existing []int
-		// most bounds the commits, splits included: 1 + 2*log2(size) for one
-		// conflict, wherever it stands in the batch.
-		most uint64
-		// probed is the exact number of commits where rows may be read.
-		probed uint64
+		// maxCommits bounds the commits, splits included: 1 + 2*log2(size) for
+		// one conflict at any position in the batch.
+		maxCommits uint64
+		// commitsWithReads is the exact number of commits if rows may be read.
+		commitsWithReads uint64
 	}{
 		{"no conflict", 32, nil, 1, 1},
 		{"one in 32", 32, []int{13}, 11, 2},
@@ -67,28 +67,28 @@
 		t.Run(tt.desc, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				stats := commitWithConflicts(t, groupcommit.Options{ReadsPerSecond: -1}, tt.size, tt.existing)
-				is.New(t).True(stats.Commits <= tt.most)
+				is.New(t).True(stats.Commits <= tt.maxCommits)
 				is.New(t).Equal(stats.Reads, uint64(0))
 			})
 		})
 		t.Run(tt.desc+", probed", func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				stats := commitWithConflicts(t, groupcommit.Options{}, tt.size, tt.existing)
-				is.New(t).Equal(stats.Commits, tt.probed)
+				is.New(t).Equal(stats.Commits, tt.commitsWithReads)
 				is.New(t).True(stats.Reads <= uint64(tt.size))
 			})
 		})
 	}
 }
 
-// commitWithConflicts commits size transactions at once, those that exist
-// failing, and checks the outcome of each.
+// commitWithConflicts commits size transactions that create one row each at
+// once, and checks the outcome of each. Those whose rows exist must conflict.
 func commitWithConflicts(t *testing.T, options groupcommit.Options, size int, existing []int) groupcommit.Stats {
 	is := is.New(t)
 	c, table := setup(t, options)
-	bad := make(map[int]bool)
+	conflicting := make(map[int]bool)
 	for _, i := range existing {
-		bad[i] = true
+		conflicting[i] = true
 		_, err := table.Commit(t.Context(), create(fmt.Sprint("row/", i)))
 		is.NoErr(err)
 	}
@@ -98,10 +98,10 @@
 	}
 	revisions, errs := commitAll(t.Context(), c, txns)
 	for i := range txns {
-		is.Equal(errors.Is(errs[i], storage.ErrConflict), bad[i])
+		is.Equal(errors.Is(errs[i], storage.ErrConflict), conflicting[i])
 		row, err := table.Get(t.Context(), fmt.Sprint("row/", i))
 		is.NoErr(err)
-		is.True(bad[i] || row.Version == revisions[i]) // the row is at its own revision
+		is.True(conflicting[i] || row.Version == revisions[i]) // the row has the revision that its commit returned
 	}
 	stats := c.Stats()
 	is.Equal(stats.Commits, stats.Splits+1)
@@ -112,10 +112,10 @@
 func TestFaultsReachEachCaller(t *testing.T) {
 	const size = 8
 	tests := []struct {
-		desc    string
-		arrange func(*faulty.Table)
-		want    error
-		written bool
+		desc        string
+		injectFault func(*faulty.Table)
+		want        error
+		written     bool
 	}{
 		{"down", func(f *faulty.Table) { f.SetDown(true) }, storage.ErrUnavailable, false},
 		{"answer lost after the effect", func(f *faulty.Table) { f.LoseNext(1) }, storage.ErrUnknown, true},
@@ -127,7 +127,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				c, table := setup(t, groupcommit.Options{})
-				tt.arrange(table)
+				tt.injectFault(table)
 				txns := make([]storage.Txn, size)
 				for i := range txns {
 					txns[i] = create(fmt.Sprint("row/", i))
@@ -168,11 +168,11 @@
 func TestCallerContext(t *testing.T) {
 	tests := []struct {
 		desc string
-		// patience is when the caller gives up; the queue holds its
-		// transaction for 5 ms and the table then takes 100 ms.
-		patience time.Duration
-		want     error
-		written  bool
+		// callerTimeout ends the caller's context. Its transaction is queued
+		// for 5 ms, and the table then takes 100 ms.
+		callerTimeout time.Duration
+		want          error
+		written       bool
 	}{
 		{"while queued", 2 * time.Millisecond, storage.ErrUnavailable, false},
 		{"after it was sent", 20 * time.Millisecond, storage.ErrUnknown, true},
@@ -184,7 +184,7 @@
 				is := is.New(t)
 				c, table := setup(t, groupcommit.Options{})
 				table.SetDelay(100 * time.Millisecond)
-				ctx, cancel := context.WithTimeout(t.Context(), tt.patience)
+				ctx, cancel := context.WithTimeout(t.Context(), tt.callerTimeout)
 				defer cancel()
 				_, err := c.Commit(ctx, create("a"))
 				is.True(errors.Is(err, tt.want))
@@ -202,9 +202,9 @@
 		options groupcommit.Options
 		// commits is the exact number for 60 transactions of 2 ops at once.
 		commits uint64
-		// least is the time that the rate demands for all but the burst of 5 and
-		// the commit after it.
-		least time.Duration
+		// minDuration is the time that the rate limit requires for all but the
+		// burst of 5 and the commit after it.
+		minDuration time.Duration
 	}{
 		{"one commit for all", groupcommit.Options{}, 1, 0},
 		{"by operations", groupcommit.Options{MaxOps: 12}, 10, 200 * time.Millisecond},
@@ -223,7 +223,7 @@
 				_, errs := commitAll(t.Context(), c, txns)
 				is.NoErr(errors.Join(errs...))
 				is.Equal(c.Stats().Commits, tt.commits)
-				is.True(time.Since(start) >= tt.least) // synctest's clock is exact
+				is.True(time.Since(start) >= tt.minDuration) // synctest's clock is exact
 			})
 		})
 	}
--- a/storage/groupcommit/options.go
+++ b/storage/groupcommit/options.go
@@ -18,10 +18,11 @@
 	DefaultTimeout          = 2 * time.Second
 )
 
-// burstPart is the part of a second whose commits may come at once.
-const burstPart = 4
+// burstDivisor divides CommitsPerSecond into the number of commits that may be
+// sent at once.
+const burstDivisor = 4
 
-// Options sets up a Committer. Zero values take the defaults.
+// Options configures a Committer. Zero values are replaced by the defaults.
 type Options struct {
 	// MaxOps bounds the conditions, puts and deletes of one merged commit;
 	// default 512. A larger single transaction is committed alone.
@@ -29,23 +30,24 @@
 	// MaxBytes bounds the keys and values of one merged commit, in bytes;
 	// default 512 KiB. A larger single transaction is committed alone.
 	MaxBytes int
-	// MaxDelay is how long the first transaction waits for others; default
-	// 5 ms.
+	// MaxDelay is how long the first transaction of a batch waits for others;
+	// default 5 ms.
 	MaxDelay time.Duration
 	// CommitsPerSecond bounds the commits sent, those of splits included;
-	// default 20. A quarter of it, at least one, may come at once.
+	// default 20. A quarter of it, at least one, may be sent at once.
 	CommitsPerSecond float64
 	// ReadsPerSecond bounds the rows read to find the conflicting transactions
-	// of a merged commit; default 100, and as many at once. Beyond it batches
-	// are split, which takes more commits. Negative is none.
+	// of a merged commit; default 100. As many may be read at once. Beyond it,
+	// batches that conflict are split, which takes more commits. A negative
+	// value disables these reads.
 	ReadsPerSecond float64
-	// MaxInFlight bounds the merged commits that await their answers; default
-	// 4, so that one lost answer doesn't hold up all others.
+	// MaxInFlight bounds the merged commits in progress at a time; default 4,
+	// so that one lost response doesn't delay all others.
 	MaxInFlight int
 	// Timeout bounds one commit; default 2 s. It doesn't depend on any
 	// caller's context, since a commit serves several callers.
 	Timeout time.Duration
-	// Clock is the time that the rate is measured by; default time.Now.
+	// Clock supplies the time for the rate limits; default time.Now.
 	Clock storage.Clock
 }
 
@@ -67,5 +69,5 @@
 }
 
 func (o Options) burst() int {
-	return max(1, int(o.CommitsPerSecond/burstPart))
+	return max(1, int(o.CommitsPerSecond/burstDivisor))
 }
--- a/storage/groupcommit/probe.go
+++ b/storage/groupcommit/probe.go
@@ -9,55 +9,59 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// probeConcurrency bounds the reads that one probe has at a time.
-const probeConcurrency = 32
+// maxConcurrentReads bounds the transactions of one batch whose rows are read at
+// a time.
+const maxConcurrentReads = 32
 
-// resolve finds the conflicting transactions of a batch that conflicted: by
-// reading their rows while the budget of reads lasts, else by splitting.
-func (c *Committer) resolve(items []*pending) {
-	if !c.probes.AllowN(c.options.Clock(), countConditions(items)) {
+// resolveConflict finds the conflicting transactions of a batch whose commit
+// failed on a condition, and commits the others. It reads the rows of the
+// conditions while ReadsPerSecond allows it; otherwise it splits the batch.
+func (c *Committer) resolveConflict(items []*pendingTxn) {
+	if !c.readLimiter.AllowN(c.options.Clock(), countConditions(items)) {
 		c.split(items)
 		return
 	}
-	rest := c.probe(items)
-	switch len(rest) {
+	remaining := c.probeConditions(items)
+	switch len(remaining) {
 	case len(items):
 		c.split(items)
 	case 0:
 	default:
-		c.settlePart(rest)
+		c.commitPart(remaining)
 	}
 }
 
-// probe gives storage.ErrConflict to each transaction of which a condition
-// doesn't hold, and returns the others. The merged commit wrote nothing, and
-// what is refused here isn't sent again, so nothing was or will be written.
-func (c *Committer) probe(items []*pending) []*pending {
+// probeConditions reads the rows of all conditions. It delivers
+// storage.ErrConflict to each transaction with a condition that doesn't hold,
+// and returns the others. The merged commit wrote nothing, and the transactions
+// that fail here aren't sent again, so they had no effect and will have none.
+func (c *Committer) probeConditions(items []*pendingTxn) []*pendingTxn {
 	ctx, cancel := context.WithTimeout(context.Background(), c.options.Timeout)
 	defer cancel()
 	conflicts := make([]error, len(items))
 	var group errgroup.Group
-	group.SetLimit(probeConcurrency)
+	group.SetLimit(maxConcurrentReads)
 	for i, p := range items {
 		group.Go(func() error {
-			conflicts[i] = c.check(ctx, p.txn.Conditions)
+			conflicts[i] = c.checkConditions(ctx, p.txn.Conditions)
 			return nil
 		})
 	}
 	_ = group.Wait()
-	var rest []*pending
+	var remaining []*pendingTxn
 	for i, p := range items {
 		if conflicts[i] == nil {
-			rest = append(rest, p)
+			remaining = append(remaining, p)
 			continue
 		}
 		deliver(items[i:i+1], 0, conflicts[i])
 	}
-	return rest
+	return remaining
 }
 
-// check returns storage.ErrConflict if a condition is known not to hold.
-func (c *Committer) check(ctx context.Context, conditions []storage.Condition) error {
+// checkConditions returns storage.ErrConflict if a condition is known not to
+// hold. A row that can't be read counts as no conflict.
+func (c *Committer) checkConditions(ctx context.Context, conditions []storage.Condition) error {
 	for _, condition := range conditions {
 		c.reads.Add(1)
 		row, err := c.table.Get(ctx, condition.Key)
@@ -71,7 +75,7 @@
 	return nil
 }
 
-func countConditions(items []*pending) int {
+func countConditions(items []*pendingTxn) int {
 	count := 0
 	for _, p := range items {
 		count += len(p.txn.Conditions)
--- a/storage/groupcommit/queue.go
+++ b/storage/groupcommit/queue.go
@@ -6,73 +6,76 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// outcome is what one transaction came to.
+// outcome is the result of one transaction's commit.
 type outcome struct {
 	revision uint64
 	err      error
 }
 
-// pending is one caller's transaction. Its done channel has room for the one
-// outcome, so that nobody waits for a caller that has gone.
-type pending struct {
+// pendingTxn is one caller's transaction until its outcome is known. Its done
+// channel has a buffer for the outcome, so that the sender doesn't block if the
+// caller no longer receives.
+type pendingTxn struct {
 	txn   storage.Txn
 	keys  map[string]struct{}
 	bytes int
 	done  chan outcome
 }
 
-func newPending(txn storage.Txn) *pending {
-	p := &pending{
+func newPendingTxn(txn storage.Txn) *pendingTxn {
+	p := &pendingTxn{
 		txn:  txn,
 		keys: make(map[string]struct{}, len(txn.Conditions)+len(txn.Puts)+len(txn.Deletes)),
 		done: make(chan outcome, 1),
 	}
 	for _, c := range txn.Conditions {
-		p.add(c.Key, 0)
+		p.addKey(c.Key, 0)
 	}
 	for _, put := range txn.Puts {
-		p.add(put.Key, len(put.Value))
+		p.addKey(put.Key, len(put.Value))
 	}
 	for _, key := range txn.Deletes {
-		p.add(key, 0)
+		p.addKey(key, 0)
 	}
 	return p
 }
 
-func (p *pending) add(key string, valueBytes int) {
+func (p *pendingTxn) addKey(key string, valueBytes int) {
 	p.keys[key] = struct{}{}
 	p.bytes += len(key) + valueBytes
 }
 
-func (p *pending) ops() int {
+func (p *pendingTxn) ops() int {
 	return len(p.txn.Conditions) + len(p.txn.Puts) + len(p.txn.Deletes)
 }
 
-// queue holds the transactions that haven't been sent.
+// queue holds the transactions that haven't been sent to the table.
 type queue struct {
 	mu     sync.Mutex
-	items  []*pending
+	items  []*pendingTxn
 	ops    int
 	closed bool
-	// more has an element while there may be items that the loop hasn't seen.
-	more chan struct{}
-	// full has an element when a whole batch is there, or on close.
-	full    chan struct{}
-	maxOps  int
-	maxSize int
+	// nonEmpty has an element while there may be items that Committer.run hasn't
+	// processed.
+	nonEmpty chan struct{}
+	// batchReady has an element when items hold the operations of a whole batch,
+	// or the queue is closed.
+	batchReady chan struct{}
+	maxOps     int
+	maxBytes   int
 }
 
 func newQueue(maxOps, maxBytes int) *queue {
 	return &queue{
-		more:    make(chan struct{}, 1),
-		full:    make(chan struct{}, 1),
-		maxOps:  maxOps,
-		maxSize: maxBytes,
+		nonEmpty:   make(chan struct{}, 1),
+		batchReady: make(chan struct{}, 1),
+		maxOps:     maxOps,
+		maxBytes:   maxBytes,
 	}
 }
 
-// push appends p and reports false if the queue is closed.
-func (q *queue) push(p *pending) bool {
+// push appends p. It returns false if the queue is closed.
+func (q *queue) push(p *pendingTxn) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.closed {
@@ -80,15 +83,15 @@
 	}
 	q.items = append(q.items, p)
 	q.ops += p.ops()
-	signal(q.more)
+	signal(q.nonEmpty)
 	if q.ops >= q.maxOps {
-		signal(q.full)
+		signal(q.batchReady)
 	}
 	return true
 }
 
-// remove takes p out and reports false if it has been taken already.
-func (q *queue) remove(p *pending) bool {
+// remove removes p. It returns false if takeBatch has removed it already.
+func (q *queue) remove(p *pendingTxn) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for i, item := range q.items {
@@ -101,26 +104,27 @@
 	return false
 }
 
-// take removes the oldest transactions that touch different rows and fit into
-// one commit. The oldest one of all always goes, so none starves.
-func (q *queue) take() []*pending {
+// takeBatch removes and returns the oldest transactions that touch different
+// rows and fit into one commit. The oldest one of all is always among them, so
+// that none starves.
+func (q *queue) takeBatch() []*pendingTxn {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	b := newBatch(q.maxOps, q.maxSize)
-	kept := q.items[:0:0]
+	b := newBatch(q.maxOps, q.maxBytes)
+	remaining := q.items[:0:0]
 	for _, p := range q.items {
 		if b.add(p) {
 			q.ops -= p.ops()
 			continue
 		}
-		kept = append(kept, p)
+		remaining = append(remaining, p)
 	}
-	q.items = kept
-	if len(kept) > 0 {
-		signal(q.more)
+	q.items = remaining
+	if len(remaining) > 0 {
+		signal(q.nonEmpty)
 	}
 	if q.ops < q.maxOps && !q.closed {
-		drain(q.full)
+		clearSignal(q.batchReady)
 	}
 	return b.items
 }
@@ -129,12 +133,12 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.closed = true
-	signal(q.more)
-	signal(q.full)
+	signal(q.nonEmpty)
+	signal(q.batchReady)
 }
 
-// drained reports that no item is left and none will come.
-func (q *queue) drained() bool {
+// isDrained reports whether the queue is empty and accepts no more items.
+func (q *queue) isDrained() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.closed && len(q.items) == 0
@@ -152,7 +156,7 @@
 	return q.closed
 }
 
-func drain(c chan struct{}) {
+func clearSignal(c chan struct{}) {
 	select {
 	case <-c:
 	default:
