--- a/storage/faulty/example_test.go
+++ b/storage/faulty/example_test.go
@@ -10,7 +10,7 @@
 	"github.com/quetzalweir/quetzalweir/storage/memory"
 )
 
-// The answer of a commit is lost after the write took effect.
+// The response to a commit is lost after the write took effect.
 func ExampleTable_LoseNext() {
 	ctx := context.Background()
 	table := faulty.New(memory.New())
--- a/storage/faulty/objects.go
+++ b/storage/faulty/objects.go
@@ -10,7 +10,7 @@
 
 var _ storage.Objects = (*Objects)(nil)
 
-// Objects passes calls to an inner object store, unless it is down. It is safe
+// Objects passes calls to an inner object store, subject to faults. It is safe
 // for concurrent use.
 type Objects struct {
 	inner storage.Objects
@@ -24,13 +24,13 @@
 	return &Objects{inner: inner}
 }
 
-// SetDown starts or ends an outage: every call has no effect and gives
+// SetDown starts or ends an outage: every call has no effect and returns
 // storage.ErrUnavailable.
 func (o *Objects) SetDown(down bool) {
 	o.down.Store(down)
 }
 
-// SetReadDelay sets how long each object takes to arrive, as over a small link.
+// SetReadDelay sets the delay of each read, to simulate a slow link.
 func (o *Objects) SetReadDelay(d time.Duration) {
 	o.readDelay.Store(int64(d))
 }
--- a/storage/faulty/random_test.go
+++ b/storage/faulty/random_test.go
@@ -15,11 +15,11 @@
 	"github.com/quetzalweir/quetzalweir/storage/storagetest"
 )
 
-// Each outcome of a commit comes from some of the drawn faults.
+// The drawn faults produce every possible outcome of a commit.
 func TestSetRandom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		type outcome struct{ unavailable, unknown, slow, held, heldLater bool }
-		met := map[outcome]bool{}
+		type outcome struct{ unavailable, unknown, slow, exists, existsLater bool }
+		observed := map[outcome]bool{}
 		for seed := range uint64(100) {
 			inner := memory.New()
 			table := faulty.New(inner)
@@ -28,19 +28,19 @@
 			_, err := table.Commit(t.Context(), storagetest.Put(key, "value"))
 			o := outcome{unavailable: errors.Is(err, storage.ErrUnavailable), unknown: errors.Is(err, storage.ErrUnknown), slow: time.Since(start) > 0}
 			_, err = inner.Get(t.Context(), key)
-			o.held = err == nil
+			o.exists = err == nil
 			time.Sleep(delay)
 			_, err = inner.Get(t.Context(), key)
-			o.heldLater = err == nil
-			met[o] = true
+			o.existsLater = err == nil
+			observed[o] = true
 		}
-		is.New(t).Equal(met, map[outcome]bool{
-			{unavailable: true}:                          true, // down
-			{slow: true, held: true, heldLater: true}:    true, // delay
-			{unknown: true, held: true, heldLater: true}: true, // answer lost
-			{unknown: true}:                              true, // dropped
-			{unknown: true, heldLater: true}:             true, // late
-			{held: true, heldLater: true}:                true, // healed
+		is.New(t).Equal(observed, map[outcome]bool{
+			{unavailable: true}:                              true, // down
+			{slow: true, exists: true, existsLater: true}:    true, // delay
+			{unknown: true, exists: true, existsLater: true}: true, // response lost
+			{unknown: true}:                                  true, // dropped
+			{unknown: true, existsLater: true}:               true, // late
+			{exists: true, existsLater: true}:                true, // healed
 		})
 	})
 }
--- a/storage/faulty/rater.go
+++ b/storage/faulty/rater.go
@@ -26,7 +26,7 @@
 	return &Rater{inner: inner}
 }
 
-// SetDown starts or ends an outage: every call gives storage.ErrUnavailable.
+// SetDown starts or ends an outage: every call returns storage.ErrUnavailable.
 func (r *Rater) SetDown(down bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/storage/faulty/support.go
+++ b/storage/faulty/support.go
@@ -15,8 +15,8 @@
 	return fmt.Errorf("injected outage: %w", storage.ErrUnavailable)
 }
 
-func errLost() error {
-	return fmt.Errorf("injected loss of the answer: %w", storage.ErrUnknown)
+func errResponseLost() error {
+	return fmt.Errorf("injected loss of the response: %w", storage.ErrUnknown)
 }
 
 // sleep waits for d or the context's end. It returns at once for d of zero.
@@ -27,7 +27,8 @@
 	return wait.For(ctx, d)
 }
 
-// copyTxn copies all that the caller may change after its call returned.
+// copyTxn returns a deep copy, since the caller may reuse its buffers after the
+// call.
 func copyTxn(txn storage.Txn) storage.Txn {
 	copied := storage.Txn{
 		Conditions: slices.Clone(txn.Conditions),
--- a/storage/faulty/table.go
+++ b/storage/faulty/table.go
@@ -1,9 +1,9 @@
 // Package faulty wraps a table, an object store and a rater with faults that a test
-// switches on: outages, slowness, and commits whose answers are lost.
+// switches on: outages, delays, and commits whose responses are lost.
 //
-// Tests and the platform's stand-in use it. It never breaks the inner table's
-// own promises: a commit takes effect whole or not at all, and reads are
-// damaged by no fault.
+// Tests and the platform's stand-in use it. It preserves the guarantees of the
+// inner table: a commit takes effect whole or not at all, and no fault changes
+// the result of a successful read.
 package faulty
 
 import (
@@ -28,8 +28,9 @@
 // changes nothing. It is safe for concurrent use.
 //
 // A slow call spends half of its delay before its effect and half after. A
-// commit whose context ends in either half gives storage.ErrUnknown, so that
-// a caller can't learn which half it was; a read gives storage.ErrUnavailable.
+// commit whose context ends in either half returns storage.ErrUnknown, so that
+// the caller can't tell which half it was; a read returns
+// storage.ErrUnavailable.
 type Table struct {
 	inner storage.Table
 
@@ -37,8 +38,8 @@
 	faults faults
 	counts Counts
 	hooks  hooks
-	// held are the commits on their way until Deliver.
-	held []storage.Txn
+	// heldTxns holds the transactions that Deliver commits.
+	heldTxns []storage.Txn
 }
 
 // hooks are called around each call; nil for none.
@@ -46,17 +47,17 @@
 	before, after func()
 }
 
-// faults is what a Table does wrong at present.
+// faults holds the current faults of a Table.
 type faults struct {
-	// down fails every call without effect; default false.
+	// down makes every call fail without effect; default false.
 	down bool
-	// delay is how long each call takes; default 0.
+	// delay is the delay of each call; default 0.
 	delay time.Duration
-	// drop, lose, late and hold count the coming commits with that fault; a
-	// commit takes from the first of them that isn't zero. Default 0.
+	// drop, lose, late and hold are the numbers of coming commits with that
+	// fault; a commit uses the first of them that isn't zero. Default 0.
 	drop, lose, late, hold int
-	// lateBy is how long a late commit stays on its way.
-	lateBy time.Duration
+	// lateDelay is the time until a late commit takes effect.
+	lateDelay time.Duration
 }
 
 // commitFault is the fault of one commit.
@@ -64,13 +65,13 @@
 
 const (
 	faultNone commitFault = iota
-	// faultDrop has no effect.
+	// faultDrop discards the commit and loses the response.
 	faultDrop
-	// faultLose takes effect and loses the answer.
+	// faultLose applies the commit and loses the response.
 	faultLose
-	// faultLate loses the answer and takes effect later.
+	// faultLate loses the response and applies the commit later.
 	faultLate
-	// faultHold loses the answer and takes effect when the test says so.
+	// faultHold loses the response and applies the commit at the next Deliver.
 	faultHold
 )
 
@@ -79,64 +80,65 @@
 	return &Table{inner: inner}
 }
 
-// SetDown starts or ends an outage: every call has no effect and gives
+// SetDown starts or ends an outage: every call has no effect and returns
 // storage.ErrUnavailable.
 func (t *Table) SetDown(down bool) {
-	t.change(func(f *faults) { f.down = down })
+	t.updateFaults(func(f *faults) { f.down = down })
 }
 
 // SetDelay makes each call take d longer; zero ends it.
 func (t *Table) SetDelay(d time.Duration) {
-	t.change(func(f *faults) { f.delay = d })
+	t.updateFaults(func(f *faults) { f.delay = d })
 }
 
 // LoseNext makes the next n commits take effect, if their conditions hold, and
-// give storage.ErrUnknown.
+// return storage.ErrUnknown.
 func (t *Table) LoseNext(n int) {
-	t.change(func(f *faults) { f.lose = n })
+	t.updateFaults(func(f *faults) { f.lose = n })
 }
 
-// DropNext makes the next n commits have no effect and give
+// DropNext makes the next n commits have no effect and return
 // storage.ErrUnknown.
 func (t *Table) DropNext(n int) {
-	t.change(func(f *faults) { f.drop = n })
+	t.updateFaults(func(f *faults) { f.drop = n })
 }
 
-// DelayNext makes the next n commits give storage.ErrUnknown at once and take
+// DelayNext makes the next n commits return storage.ErrUnknown at once and take
 // effect after d, if their conditions hold then.
 func (t *Table) DelayNext(n int, d time.Duration) {
-	t.change(func(f *faults) { f.late, f.lateBy = n, d })
+	t.updateFaults(func(f *faults) { f.late, f.lateDelay = n, d })
 }
 
-// HoldNext makes the next n commits give storage.ErrUnknown at once and take
-// effect at the next Deliver, if their conditions hold then. It is DelayNext for
-// tests whose time is their own.
+// HoldNext makes the next n commits return storage.ErrUnknown at once and take
+// effect at the next Deliver, if their conditions hold then. It replaces
+// DelayNext in tests that use a clock of their own.
 func (t *Table) HoldNext(n int) {
-	t.change(func(f *faults) { f.hold = n })
+	t.updateFaults(func(f *faults) { f.hold = n })
 }
 
-// Deliver lets the held commits arrive, in the order of their calls.
+// Deliver applies the held commits in the order of their calls.
 func (t *Table) Deliver() {
 	t.mu.Lock()
-	arrived := t.held
-	t.held = nil
+	txns := t.heldTxns
+	t.heldTxns = nil
 	t.mu.Unlock()
-	for _, txn := range arrived {
+	for _, txn := range txns {
 		_, _ = t.inner.Commit(context.Background(), txn)
 	}
 }
 
-// SetHooks has before run ahead of each call, and after between a call's effect
-// and its answer, whatever the call's context says. That is where a paused
-// caller stands still. Nil ends either.
+// SetHooks sets functions that run before each call, and between a call's effect
+// and its return, even if the call's context has ended. Tests block in them to
+// simulate a caller that is paused there. Nil removes a hook.
 func (t *Table) SetHooks(before, after func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.hooks = hooks{before, after}
 }
 
-// around runs the hook before a call and returns the one behind it.
-func (t *Table) around() (after func()) {
+// runHooks runs the hook before a call and returns a function that runs the hook
+// after it.
+func (t *Table) runHooks() (after func()) {
 	if before := t.currentHooks().before; before != nil {
 		before()
 	}
@@ -153,9 +155,9 @@
 	return t.hooks
 }
 
-// Heal ends all faults. Late and held commits still arrive.
+// Heal ends all faults. Late and held commits still take effect.
 func (t *Table) Heal() {
-	t.change(func(f *faults) { *f = faults{} })
+	t.updateFaults(func(f *faults) { *f = faults{} })
 }
 
 // Counts returns the numbers of calls received so far.
@@ -167,8 +169,8 @@
 
 // Get implements storage.Table.
 func (t *Table) Get(ctx context.Context, key string) (storage.Row, error) {
-	t.count(func(c *Counts) { c.Gets++ })
-	defer t.around()()
+	t.updateCounts(func(c *Counts) { c.Gets++ })
+	defer t.runHooks()()
 	return read(ctx, t, func() (storage.Row, error) {
 		return t.inner.Get(ctx, key)
 	})
@@ -176,8 +178,8 @@
 
 // List implements storage.Table.
 func (t *Table) List(ctx context.Context, prefix, after string, limit int) ([]storage.Row, error) {
-	t.count(func(c *Counts) { c.Lists++ })
-	defer t.around()()
+	t.updateCounts(func(c *Counts) { c.Lists++ })
+	defer t.runHooks()()
 	return read(ctx, t, func() ([]storage.Row, error) {
 		return t.inner.List(ctx, prefix, after, limit)
 	})
@@ -185,86 +187,87 @@
 
 // Commit implements storage.Table.
 func (t *Table) Commit(ctx context.Context, txn storage.Txn) (uint64, error) {
-	t.count(func(c *Counts) { c.Commits++ })
-	defer t.around()()
-	current := t.current()
+	t.updateCounts(func(c *Counts) { c.Commits++ })
+	defer t.runHooks()()
+	current := t.currentFaults()
 	if current.down {
 		return 0, errDown()
 	}
 	if err := sleep(ctx, current.delay/2); err != nil {
 		return 0, fmt.Errorf("%w: %w", storage.ErrUnknown, err)
 	}
-	if t.current().down {
+	if t.currentFaults().down {
 		return 0, errDown()
 	}
-	revision, err := t.commit(ctx, txn)
+	revision, err := t.commitWithFault(ctx, txn)
 	if sleepErr := sleep(ctx, current.delay/2); sleepErr != nil {
 		return 0, fmt.Errorf("%w: %w", storage.ErrUnknown, sleepErr)
 	}
 	return revision, err
 }
 
-// commit passes the transaction on with the fault that is due.
-func (t *Table) commit(ctx context.Context, txn storage.Txn) (uint64, error) {
-	fault, lateBy := t.takeCommitFault()
+// commitWithFault commits the transaction to the inner table, subject to the next
+// counted fault.
+func (t *Table) commitWithFault(ctx context.Context, txn storage.Txn) (uint64, error) {
+	fault, lateDelay := t.takeCommitFault()
 	switch fault {
 	case faultDrop:
-		return 0, errLost()
+		return 0, errResponseLost()
 	case faultLose:
-		// A conflict is hidden as well: its answer is lost like any other.
+		// A conflict isn't reported either: its response is lost like any other.
 		_, _ = t.inner.Commit(ctx, txn)
-		return 0, errLost()
+		return 0, errResponseLost()
 	case faultLate:
-		// The caller's context ends with its call; the transaction is already
-		// on its way and must arrive all the same.
+		// The caller's context ends with its call, but the transaction must
+		// still be applied later.
 		arrival := context.WithoutCancel(ctx)
 		copied := copyTxn(txn)
-		time.AfterFunc(lateBy, func() { _, _ = t.inner.Commit(arrival, copied) })
-		return 0, errLost()
+		time.AfterFunc(lateDelay, func() { _, _ = t.inner.Commit(arrival, copied) })
+		return 0, errResponseLost()
 	case faultHold:
 		copied := copyTxn(txn)
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		t.held = append(t.held, copied)
-		return 0, errLost()
+		t.heldTxns = append(t.heldTxns, copied)
+		return 0, errResponseLost()
 	default:
 		return t.inner.Commit(ctx, txn)
 	}
 }
 
-// read runs one read between the halves of its delay.
+// read makes one read between the two halves of its delay.
 func read[T any](ctx context.Context, t *Table, call func() (T, error)) (T, error) {
-	var none T
-	current := t.current()
+	var zero T
+	current := t.currentFaults()
 	if current.down {
-		return none, errDown()
+		return zero, errDown()
 	}
 	if err := sleep(ctx, current.delay/2); err != nil {
-		return none, fmt.Errorf("%w: %w", storage.ErrUnavailable, err)
+		return zero, fmt.Errorf("%w: %w", storage.ErrUnavailable, err)
 	}
-	if t.current().down {
-		return none, errDown()
+	if t.currentFaults().down {
+		return zero, errDown()
 	}
 	result, callErr := call()
 	if err := sleep(ctx, current.delay/2); err != nil {
-		return none, fmt.Errorf("%w: %w", storage.ErrUnavailable, err)
+		return zero, fmt.Errorf("%w: %w", storage.ErrUnavailable, err)
 	}
 	return result, callErr
 }
 
-func (t *Table) change(f func(*faults)) {
+func (t *Table) updateFaults(f func(*faults)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f(&t.faults)
 }
 
-func (t *Table) count(f func(*Counts)) {
+func (t *Table) updateCounts(f func(*Counts)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f(&t.counts)
 }
 
-func (t *Table) current() faults {
+func (t *Table) currentFaults() faults {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.faults
@@ -284,7 +287,7 @@
 		return faultLose, 0
 	case f.late > 0:
 		f.late--
-		return faultLate, f.lateBy
+		return faultLate, f.lateDelay
 	case f.hold > 0:
 		f.hold--
 		return faultHold, 0
--- a/storage/faulty/table_test.go
+++ b/storage/faulty/table_test.go
@@ -29,22 +29,22 @@
 	tests := []struct {
 		desc  string
 		fault func(*faulty.Table)
-		// timeout is that of the call; zero for none.
+		// timeout is the timeout of the call; zero for none.
 		timeout time.Duration
 		want    error
-		// held and heldLater say whether the row is there right after the call
-		// and once all that is late has arrived.
-		held, heldLater bool
+		// exists and existsLater report whether the row exists right after the
+		// call and once late and held commits have been applied.
+		exists, existsLater bool
 	}{
-		{desc: "no fault", fault: func(*faulty.Table) {}, held: true, heldLater: true},
+		{desc: "no fault", fault: func(*faulty.Table) {}, exists: true, existsLater: true},
 		{desc: "down", fault: func(f *faulty.Table) { f.SetDown(true) }, want: storage.ErrUnavailable},
-		{desc: "lost answer", fault: func(f *faulty.Table) { f.LoseNext(1) }, want: storage.ErrUnknown, held: true, heldLater: true},
+		{desc: "lost answer", fault: func(f *faulty.Table) { f.LoseNext(1) }, want: storage.ErrUnknown, exists: true, existsLater: true},
 		{desc: "dropped", fault: func(f *faulty.Table) { f.DropNext(1) }, want: storage.ErrUnknown},
-		{desc: "late", fault: func(f *faulty.Table) { f.DelayNext(1, delay) }, want: storage.ErrUnknown, heldLater: true},
-		{desc: "held", fault: func(f *faulty.Table) { f.HoldNext(1) }, want: storage.ErrUnknown, heldLater: true},
-		{desc: "slow", fault: func(f *faulty.Table) { f.SetDelay(delay) }, held: true, heldLater: true},
+		{desc: "late", fault: func(f *faulty.Table) { f.DelayNext(1, delay) }, want: storage.ErrUnknown, existsLater: true},
+		{desc: "held", fault: func(f *faulty.Table) { f.HoldNext(1) }, want: storage.ErrUnknown, existsLater: true},
+		{desc: "slow", fault: func(f *faulty.Table) { f.SetDelay(delay) }, exists: true, existsLater: true},
 		{desc: "slow, timeout before the effect", fault: func(f *faulty.Table) { f.SetDelay(delay) }, timeout: delay / 4, want: storage.ErrUnknown},
-		{desc: "slow, timeout after the effect", fault: func(f *faulty.Table) { f.SetDelay(delay) }, timeout: 3 * delay / 4, want: storage.ErrUnknown, held: true, heldLater: true},
+		{desc: "slow, timeout after the effect", fault: func(f *faulty.Table) { f.SetDelay(delay) }, timeout: 3 * delay / 4, want: storage.ErrUnknown, exists: true, existsLater: true},
 		{desc: "healed", fault: func(f *faulty.Table) {
 			f.SetDown(true)
 			f.SetDelay(delay)
@@ -53,7 +53,7 @@
 			f.DelayNext(1, delay)
 			f.HoldNext(1)
 			f.Heal()
-		}, held: true, heldLater: true},
+		}, exists: true, existsLater: true},
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
@@ -69,25 +69,26 @@
 					defer cancel()
 				}
 				_, err := table.Commit(ctx, storagetest.Put(key, "value"))
-				is.True(storagetest.IsClass(err, test.want)) // class of the outcome
-				is.Equal(holds(t, inner), test.held)
+				is.True(storagetest.IsClass(err, test.want)) // class of the error
+				is.Equal(rowExists(t, inner), test.exists)
 				time.Sleep(2 * delay)
 				table.Deliver()
-				is.Equal(holds(t, inner), test.heldLater)
+				is.Equal(rowExists(t, inner), test.existsLater)
 				is.Equal(table.Counts(), faulty.Counts{Commits: 1})
 			})
 		})
 	}
 }
 
-// The hooks run before a call's effect, and behind it with the answer withheld.
+// One hook runs before a call's effect, the other after it and before the call
+// returns.
 func TestHooks(t *testing.T) {
 	is := is.New(t)
 	inner := memory.New()
 	table := faulty.New(inner)
 	var seen []bool
-	look := func() { seen = append(seen, holds(t, inner)) }
-	table.SetHooks(look, look)
+	recordRow := func() { seen = append(seen, rowExists(t, inner)) }
+	table.SetHooks(recordRow, recordRow)
 	_, err := table.Commit(t.Context(), storagetest.Put(key, "value"))
 	is.NoErr(err)
 	_, err = table.Get(t.Context(), key)
@@ -98,8 +99,8 @@
 	is.Equal(seen, []bool{false, true, true, true})
 }
 
-// A late commit must not overwrite what was committed meanwhile under the same
-// condition.
+// A late commit must not overwrite a row that was committed in the meantime under
+// the same condition.
 func TestLateCommitChecksConditionsOnArrival(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -152,7 +153,7 @@
 	is.NoErr(objects.Write(t.Context(), key, nil))
 }
 
-func holds(t *testing.T, table storage.Table) bool {
+func rowExists(t *testing.T, table storage.Table) bool {
 	t.Helper()
 	_, err := table.Get(t.Context(), key)
 	if err != nil && !storagetest.IsClass(err, storage.ErrNotFound) {
