--- a/storage/memory/example_test.go
+++ b/storage/memory/example_test.go
@@ -9,7 +9,7 @@
 	"github.com/quetzalweir/quetzalweir/storage/memory"
 )
 
-// A row is created once: the second creation finds that it is there.
+// A row can be created only once: the second attempt conflicts.
 func ExampleTable() {
 	ctx := context.Background()
 	table := memory.New()
--- a/storage/memory/hosts.go
+++ b/storage/memory/hosts.go
@@ -12,23 +12,23 @@
 
 var _ storage.HostList = (*Hosts)(nil)
 
-// MaxHostChanges is how many of the latest changes Changes can tell apart.
+// MaxHostChanges is the number of latest changes that are kept for Changes.
 const MaxHostChanges = 4096
 
-// Hosts is a host list that lags: it shows the hosts as they were some time
-// ago. It never goes back to a state older than one it has shown.
+// Hosts is a host list that lags: it returns the hosts as they were some time
+// ago. It never returns an older state than before.
 type Hosts struct {
 	mu sync.Mutex
-	// lag is the age of what Hosts shows; zero shows every change at once.
+	// lag is the delay until a change becomes visible; zero for none.
 	lag time.Duration
-	// shown holds the hosts as of the newest change that is older than lag.
-	shown map[string]storage.Host
-	// revision counts the changes that made up shown.
+	// visible holds the hosts after the changes that are at least lag old.
+	visible map[string]storage.Host
+	// revision counts the changes applied to visible.
 	revision uint64
-	// recent holds the IDs that the latest changes concern, oldest first; at
-	// most MaxHostChanges.
-	recent []string
-	// pending holds the changes not yet shown, oldest first.
+	// recentIDs holds the host IDs of the latest changes applied, oldest first;
+	// at most MaxHostChanges.
+	recentIDs []string
+	// pending holds the changes not yet visible, oldest first.
 	pending []hostChange
 }
 
@@ -39,10 +39,11 @@
 	removed bool
 }
 
-// HostChanges is what makes the list of an earlier revision that of Revision.
+// HostChanges holds the difference between the list of an earlier revision and
+// that of Revision.
 type HostChanges struct {
 	Revision uint64
-	// Full says that Hosts holds the whole list, whatever was there before.
+	// Full reports whether Hosts holds the whole list instead of the changes.
 	Full bool
 	// Hosts holds the hosts that were added or changed, in ascending order of
 	// their IDs.
@@ -53,7 +54,7 @@
 
 // NewHosts returns an empty list that lags by lag.
 func NewHosts(lag time.Duration) *Hosts {
-	return &Hosts{lag: lag, shown: make(map[string]storage.Host)}
+	return &Hosts{lag: lag, visible: make(map[string]storage.Host)}
 }
 
 // Set adds the host or replaces the entry with its ID.
@@ -66,7 +67,8 @@
 	h.change(hostChange{host: storage.Host{ID: id}, removed: true})
 }
 
-// SetLag changes the lag. A longer one holds the list still until it is due.
+// SetLag changes the lag. After an increase the list doesn't change until the
+// next pending change is older than the new lag.
 func (h *Hosts) SetLag(lag time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -85,9 +87,9 @@
 	return h.list(), nil
 }
 
-// Changes returns the changes since a revision. The whole list comes for
-// revision zero, for one that isn't this list's, and for one that is more than
-// MaxHostChanges changes old.
+// Changes returns the changes since a revision. It returns the whole list for
+// revision zero, for a revision that the list hasn't reached, and for one that
+// is more than MaxHostChanges changes old.
 func (h *Hosts) Changes(ctx context.Context, since uint64) (HostChanges, error) {
 	if err := checkContext(ctx); err != nil {
 		return HostChanges{}, err
@@ -96,21 +98,21 @@
 	defer h.mu.Unlock()
 	h.advance()
 	changes := HostChanges{Revision: h.revision}
-	oldest := h.revision - uint64(len(h.recent))
+	oldest := h.revision - uint64(len(h.recentIDs))
 	if since == 0 || since > h.revision || since < oldest {
 		changes.Full = true
 		changes.Hosts = h.list()
 		return changes, nil
 	}
-	h.collect(&changes, h.recent[since-oldest:])
+	h.addCurrentState(&changes, h.recentIDs[since-oldest:])
 	return changes, nil
 }
 
-// collect adds the present state of each of the hosts to changes.
-func (h *Hosts) collect(changes *HostChanges, ids []string) {
+// addCurrentState adds the current state of the hosts with the IDs to changes.
+func (h *Hosts) addCurrentState(changes *HostChanges, ids []string) {
 	ids = slices.Compact(slices.Sorted(slices.Values(ids)))
 	for _, id := range ids {
-		host, ok := h.shown[id]
+		host, ok := h.visible[id]
 		if ok {
 			changes.Hosts = append(changes.Hosts, host)
 		} else {
@@ -120,9 +122,9 @@
 }
 
 func (h *Hosts) list() []storage.Host {
-	hosts := make([]storage.Host, 0, len(h.shown))
-	for _, id := range slices.Sorted(maps.Keys(h.shown)) {
-		hosts = append(hosts, h.shown[id])
+	hosts := make([]storage.Host, 0, len(h.visible))
+	for _, id := range slices.Sorted(maps.Keys(h.visible)) {
+		hosts = append(hosts, h.visible[id])
 	}
 	return hosts
 }
@@ -135,11 +137,11 @@
 	h.advance()
 }
 
-// advance moves the changes that are at least lag old into shown.
+// advance applies the pending changes that are at least lag old to visible.
 func (h *Hosts) advance() {
-	newest := time.Now().Add(-h.lag)
+	cutoff := time.Now().Add(-h.lag)
 	due := 0
-	for due < len(h.pending) && !h.pending[due].at.After(newest) {
+	for due < len(h.pending) && !h.pending[due].at.After(cutoff) {
 		h.apply(h.pending[due])
 		due++
 	}
@@ -148,13 +150,13 @@
 
 func (h *Hosts) apply(c hostChange) {
 	h.revision++
-	h.recent = append(h.recent, c.host.ID)
-	if excess := len(h.recent) - MaxHostChanges; excess > 0 {
-		h.recent = slices.Delete(h.recent, 0, excess)
+	h.recentIDs = append(h.recentIDs, c.host.ID)
+	if excess := len(h.recentIDs) - MaxHostChanges; excess > 0 {
+		h.recentIDs = slices.Delete(h.recentIDs, 0, excess)
 	}
 	if c.removed {
-		delete(h.shown, c.host.ID)
+		delete(h.visible, c.host.ID)
 		return
 	}
-	h.shown[c.host.ID] = c.host
+	h.visible[c.host.ID] = c.host
 }
--- a/storage/memory/memory_test.go
+++ b/storage/memory/memory_test.go
@@ -42,7 +42,7 @@
 		hosts.Remove("b")
 		hosts.SetLag(2 * lag)
 		time.Sleep(lag)
-		is.Equal(len(states()), 2) // the longer lag holds the list still
+		is.Equal(len(states()), 2) // with the longer lag the removal isn't visible yet
 		hosts.SetLag(lag)
 		is.Equal(len(states()), 1)
 	})
@@ -69,7 +69,7 @@
 	is.Equal(mean("1"), mean("1")) // deterministic
 	is.True(mean("1") > 0.85)
 	is.True(mean("2") < 0.25)
-	is.True(mean("3") > 0.45) // the default
+	is.True(mean("3") > 0.45) // DefaultQuality
 }
 
 func TestHostChanges(t *testing.T) {
--- a/storage/memory/objects.go
+++ b/storage/memory/objects.go
@@ -22,8 +22,8 @@
 	return &Objects{objects: make(map[string][]byte)}
 }
 
-// Write implements storage.Objects. Other data under a name that is taken
-// gives storage.ErrConflict.
+// Write implements storage.Objects. It returns storage.ErrConflict if the name
+// is already used for other data.
 func (o *Objects) Write(ctx context.Context, name string, data []byte) error {
 	if err := checkContext(ctx); err != nil {
 		return err
--- a/storage/memory/rater.go
+++ b/storage/memory/rater.go
@@ -11,10 +11,11 @@
 
 var _ storage.Rater = (*Rater)(nil)
 
-// DefaultQuality is the mean score of a model version that has none of its own.
+// DefaultQuality is the mean score of a model version that isn't in
+// RaterOptions.Quality.
 const DefaultQuality = 0.5
 
-// RaterOptions set how a Rater scores.
+// RaterOptions configures the scores of a Rater.
 type RaterOptions struct {
 	// Quality is the mean score, from 0 to 1, by "model@version". A version
 	// that isn't in it has DefaultQuality.
@@ -22,7 +23,7 @@
 	// Noise is the standard deviation of the score around its mean, on the
 	// scale of the score; default 0.
 	Noise float64
-	// Seed selects the noise; default 0.
+	// Seed is the seed of the noise; default 0.
 	Seed uint64
 }
 
@@ -32,7 +33,8 @@
 	options RaterOptions
 }
 
-// NewRater returns a rater. It keeps options.Quality, which must not change.
+// NewRater returns a rater. It retains options.Quality, which the caller must
+// not change afterwards.
 func NewRater(options RaterOptions) *Rater {
 	return &Rater{options: options}
 }
@@ -51,8 +53,8 @@
 	return storage.Rating{Score: min(max(score, 0), 1)}, nil
 }
 
-// hashCall hashes prompt and answer so that moving the border between them
-// changes the hash.
+// hashCall hashes prompt and answer with a separator between them, so that the
+// same text divided at another place gets another hash.
 func hashCall(prompt, answer string) uint64 {
 	digest := xxhash.New()
 	digest.WriteString(prompt)
--- a/storage/memory/table.go
+++ b/storage/memory/table.go
@@ -42,7 +42,7 @@
 	return copyRow(row), nil
 }
 
-// List implements storage.Table. A limit of zero or less gives no rows.
+// List implements storage.Table. It returns no rows for a limit of zero or less.
 func (t *Table) List(ctx context.Context, prefix, after string, limit int) ([]storage.Row, error) {
 	if err := checkContext(ctx); err != nil {
 		return nil, err
@@ -74,14 +74,14 @@
 }
 
 // Commit implements storage.Table. Puts are applied in their order, then
-// deletes. Each successful commit takes a revision of its own.
+// deletes. Each successful commit gets a new revision.
 func (t *Table) Commit(ctx context.Context, txn storage.Txn) (uint64, error) {
 	if err := checkContext(ctx); err != nil {
 		return 0, err
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if err := t.check(txn.Conditions); err != nil {
+	if err := t.checkConditions(txn.Conditions); err != nil {
 		return 0, err
 	}
 	t.revision++
@@ -94,9 +94,10 @@
 	return t.revision, nil
 }
 
-func (t *Table) check(conditions []storage.Condition) error {
+func (t *Table) checkConditions(conditions []storage.Condition) error {
 	for _, c := range conditions {
-		// An absent row's version is zero, as conditions express absence.
+		// An absent row has version zero, which is how a condition requires
+		// absence.
 		version := t.rows[c.Key].Version
 		if version != c.Version {
 			return fmt.Errorf("commit: %q has version %d, want %d: %w", c.Key, version, c.Version, storage.ErrConflict)
