--- a/storage/client/call.go
+++ b/storage/client/call.go
@@ -17,60 +17,62 @@
 	"github.com/quetzalweir/quetzalweir/storage/protocol"
 )
 
-// maxDetail bounds the part of a server's text that goes into an error.
-const maxDetail = 200
+// maxErrorText bounds the part of a server's error text that is copied into an
+// error, in bytes.
+const maxErrorText = 200
 
-// call is one call of the protocol.
+// call describes one request of the protocol.
 type call struct {
 	op     string
 	method string
 	path   string
 	query  url.Values
 	body   []byte
-	// writes says that the call has an effect; only then can its outcome be
-	// unknown.
+	// writes reports whether the call changes stored data; only then can its
+	// outcome be unknown.
 	writes bool
 }
 
-// answer is a whole answer that belongs to its call.
-type answer struct {
+// callResponse is the complete response to a call.
+type callResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// noEffect says whether the server stated that the call had no effect. Only an
-// error status can state it.
-func (a answer) noEffect() bool {
-	return a.status >= http.StatusBadRequest && a.header.Get(protocol.HeaderEffect) == protocol.EffectNone
+// statesNoEffect reports whether the response states that the call had no
+// effect. Only a response with an error status can.
+func (r callResponse) statesNoEffect() bool {
+	return r.status >= http.StatusBadRequest && r.header.Get(protocol.HeaderEffect) == protocol.EffectNone
 }
 
-// failUnsent returns the error of a call that had no effect.
-func (c call) failUnsent(cause error) error {
+// unavailableError returns the error of a call that had no effect.
+func (c call) unavailableError(cause error) error {
 	return &Error{Op: c.op, Class: storage.ErrUnavailable, Cause: cause}
 }
 
-// failEnded returns the error of a call whose connection failed, by how far
-// its sending came.
-func (c call) failEnded(progress sealedconn.Progress, cause error) error {
+// transportError returns the error of a call whose connection failed. The class
+// depends on how much of the call was sent.
+func (c call) transportError(progress sealedconn.Progress, cause error) error {
 	if progress == sealedconn.Written {
-		return c.failSent(cause)
+		return c.uncertainError(cause)
 	}
-	return c.failUnsent(cause)
+	return c.unavailableError(cause)
 }
 
-// failSent returns the error of a call that may have had its effect, if it is
-// one that has effects.
-func (c call) failSent(cause error) error {
+// uncertainError returns the error of a call that was sent and whose outcome
+// wasn't learned: storage.ErrUnknown for a write, storage.ErrUnavailable for a
+// read.
+func (c call) uncertainError(cause error) error {
 	if !c.writes {
-		return c.failUnsent(cause)
+		return c.unavailableError(cause)
 	}
 	return &Error{Op: c.op, Class: storage.ErrUnknown, Cause: cause}
 }
 
-// do makes the call once and returns its answer whatever the status. Every
-// error is an *Error with the class that the call may claim.
-func (p *Platform) do(ctx context.Context, c call) (answer, error) {
+// do makes the call once and returns its response, whatever the status. Every
+// error is an *Error whose class states whether the call may have had an effect.
+func (p *Platform) do(ctx context.Context, c call) (callResponse, error) {
 	start := time.Now()
 	result, err := p.exchange(ctx, c)
 	if p.options.Observe != nil {
@@ -85,35 +87,34 @@
 	return result, err
 }
 
-// exchange sends the call, unless it can't be sent, and reads its answer.
-func (p *Platform) exchange(ctx context.Context, c call) (answer, error) {
+// exchange sends the call and reads its response.
+func (p *Platform) exchange(ctx context.Context, c call) (callResponse, error) {
 	if int64(len(c.body)) > p.options.MaxBody {
-		return answer{}, c.failUnsent(errTooLarge)
+		return callResponse{}, c.unavailableError(errTooLarge)
 	}
 	ctx, guard := stall.WithTimeout(ctx, p.options.Timeout)
 	defer guard.Stop()
 	progress := func() { guard.Progress(p.options.Timeout) }
-	try := sealedconn.Call{Repeatable: !c.writes, OnWrite: progress}
-	request, err := p.newRequest(try.Trace(ctx), c)
+	tracked := sealedconn.Call{Repeatable: !c.writes, OnWrite: progress}
+	request, err := p.newRequest(tracked.Trace(ctx), c)
 	if err != nil {
-		return answer{}, c.failUnsent(err)
+		return callResponse{}, c.unavailableError(err)
 	}
 	response, err := p.transport.RoundTrip(request)
 	if err != nil {
-		return answer{}, c.failEnded(try.Abandon(), guard.Explain(err))
+		return callResponse{}, c.transportError(tracked.Abandon(), guard.Explain(err))
 	}
 	defer func() { _ = response.Body.Close() }()
-	result, err := p.readAnswer(request, response, progress)
+	result, err := p.readResponse(request, response, progress)
 	if err != nil {
-		try.Abandon()
-		return answer{}, c.failSent(guard.Explain(err))
+		tracked.Abandon()
+		return callResponse{}, c.uncertainError(guard.Explain(err))
 	}
 	return result, nil
 }
 
-// newRequest builds the request of a call. Its body is a bare reader, from
-// which net/http can make no second copy: a request that was begun can't be
-// sent again.
+// newRequest builds the request of a call. It leaves GetBody unset, so that
+// net/http can't send the body again once it has begun to send it.
 func (p *Platform) newRequest(ctx context.Context, c call) (*http.Request, error) {
 	target := p.baseURL + c.path
 	if len(c.query) > 0 {
@@ -127,22 +128,24 @@
 		request.Body = io.NopCloser(bytes.NewReader(c.body))
 		request.ContentLength = int64(len(c.body))
 	}
-	number := p.calls.Add(1)
-	request.Header.Set(protocol.HeaderCall, p.instance+"-"+strconv.FormatUint(number, 10))
+	callNumber := p.callCount.Add(1)
+	request.Header.Set(protocol.HeaderCall, p.instanceID+"-"+strconv.FormatUint(callNumber, 10))
 	return request, nil
 }
 
-// readAnswer reads the whole answer, and makes sure that it is whole and an
-// answer to the request. It calls progress with each part of the body.
-func (p *Platform) readAnswer(request *http.Request, response *http.Response, progress func()) (answer, error) {
+// readResponse reads the whole response. It returns an error if the response is
+// incomplete or belongs to another request. It calls progress for each part of
+// the body.
+func (p *Platform) readResponse(request *http.Request, response *http.Response, progress func()) (callResponse, error) {
 	if response.Header.Get(protocol.HeaderCall) != request.Header.Get(protocol.HeaderCall) {
-		return answer{}, fmt.Errorf("%w: status %d", errOtherCall, response.StatusCode)
+		return callResponse{}, fmt.Errorf("%w: status %d", errOtherCall, response.StatusCode)
 	}
-	result := answer{status: response.StatusCode, header: response.Header}
+	result := callResponse{status: response.StatusCode, header: response.Header}
 	body, err := p.readBody(response, progress)
-	// A refusal stands in the headers; losing its text changes nothing.
-	if err != nil && !result.noEffect() {
-		return answer{}, err
+	// The headers already state that there was no effect; the body is only text
+	// for the error.
+	if err != nil && !result.statesNoEffect() {
+		return callResponse{}, err
 	}
 	result.body = body
 	return result, nil
@@ -150,7 +153,8 @@
 
 func (p *Platform) readBody(response *http.Response, progress func()) ([]byte, error) {
 	if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
-		// The body ends with the connection, so that a cut looks like its end.
+		// The body ends where the connection does, so that a truncated body would
+		// look complete.
 		return nil, errUnframed
 	}
 	parts := stall.Reader{Reader: response.Body, Received: func(int) { progress() }}
@@ -164,46 +168,47 @@
 	return body, nil
 }
 
-// refused returns the error of a call whose answer's status isn't one of
-// success.
-func (c call) refused(a answer) error {
-	if !a.noEffect() {
-		return c.failSent(refusal(a))
+// statusError returns the error of a call whose response doesn't have the status
+// of success.
+func (c call) statusError(r callResponse) error {
+	if !r.statesNoEffect() {
+		return c.uncertainError(statusCause(r))
 	}
 	switch {
-	case a.status == http.StatusConflict && c.writes:
-		return &Error{Op: c.op, Class: storage.ErrConflict, Cause: refusal(a)}
-	case a.status == http.StatusNotFound && !c.writes:
-		return &Error{Op: c.op, Class: storage.ErrNotFound, Cause: refusal(a)}
+	case r.status == http.StatusConflict && c.writes:
+		return &Error{Op: c.op, Class: storage.ErrConflict, Cause: statusCause(r)}
+	case r.status == http.StatusNotFound && !c.writes:
+		return &Error{Op: c.op, Class: storage.ErrNotFound, Cause: statusCause(r)}
 	default:
-		return c.failUnsent(refusal(a))
+		return c.unavailableError(statusCause(r))
 	}
 }
 
-// refusal returns the server's account of why it refused the call.
-func refusal(a answer) error {
-	if a.status == http.StatusTooManyRequests {
-		return &RateLimitedError{RetryAfter: parseRetryAfter(a.header)}
+// statusCause returns the cause that the server gave for the status.
+func statusCause(r callResponse) error {
+	if r.status == http.StatusTooManyRequests {
+		return &RateLimitedError{RetryAfter: parseRetryAfter(r.header)}
 	}
 	var body protocol.Problem
-	if json.Unmarshal(a.body, &body) != nil {
-		return fmt.Errorf("%w: status %d", errServerStatus, a.status)
+	if json.Unmarshal(r.body, &body) != nil {
+		return fmt.Errorf("%w: status %d", errServerStatus, r.status)
 	}
-	detail := body.Error[:min(len(body.Error), maxDetail)]
-	return fmt.Errorf("%w: status %d: %q", errServerStatus, a.status, detail)
+	detail := body.Error[:min(len(body.Error), maxErrorText)]
+	return fmt.Errorf("%w: status %d: %q", errServerStatus, r.status, detail)
 }
 
-// decode makes the call and reads the JSON of a successful answer into result.
-func (p *Platform) decode(ctx context.Context, c call, result any) error {
-	a, err := p.do(ctx, c)
+// callJSON makes the call and decodes the JSON body of a successful response
+// into result.
+func (p *Platform) callJSON(ctx context.Context, c call, result any) error {
+	response, err := p.do(ctx, c)
 	if err != nil {
 		return err
 	}
-	if a.status != http.StatusOK {
-		return c.refused(a)
+	if response.status != http.StatusOK {
+		return c.statusError(response)
 	}
-	if err := json.Unmarshal(a.body, result); err != nil {
-		return c.failSent(fmt.Errorf("%w: %w", errBadAnswer, err))
+	if err := json.Unmarshal(response.body, result); err != nil {
+		return c.uncertainError(fmt.Errorf("%w: %w", errInvalidResponse, err))
 	}
 	return nil
 }
--- a/storage/client/doc.go
+++ b/storage/client/doc.go
@@ -1,16 +1,17 @@
 // Package client implements the interfaces of package storage over the JSON
 // protocol of package protocol.
 //
-// Its heart is what a failed commit may claim. A commit gives
-// platform.ErrUnavailable only where no byte of it was handed to the operating
-// system, or where the server said that it had no effect. Every other failure
-// gives platform.ErrUnknown: a lost connection, a timeout, a damaged answer, an
-// answer to another call, an error status that doesn't speak of the effect.
+// Its main concern is which error a failed commit returns. A commit returns
+// storage.ErrUnavailable only if no byte of it was handed to the operating
+// system, or if the server stated that it had no effect. Every other failure,
+// apart from a conflict that the server states, returns storage.ErrUnknown: a
+// lost connection, a timeout, a damaged response, a response to another call, an
+// error status without a statement about the effect.
 //
-// No call is sent twice. The package repeats nothing by itself, and net/http
-// is kept from it: commits carry no idempotency key and a body that can't be
-// rewound, and redirects aren't followed.
+// No commit or write is sent twice. The package retries nothing by itself, and
+// net/http can't retry them either: they carry no idempotency key and a body
+// that can't be rewound, and redirects aren't followed.
 //
-// The commands that run a host or talk to a platform use it. It promises no
-// more than the server keeps, and its connections aren't authenticated.
+// The commands that run a host or connect to a platform use it. Its guarantees
+// are those of the server, and its connections aren't authenticated.
 package client
--- a/storage/client/errors.go
+++ b/storage/client/errors.go
@@ -8,28 +8,29 @@
 	"time"
 )
 
-// MaxRetryAfter bounds the advice of a rate-limited server, so that a bad
-// value can't silence a caller.
+// MaxRetryAfter bounds the delay that a server over its rate limit asks for, so
+// that a bad value can't stop a caller for longer.
 const MaxRetryAfter = time.Minute
 
 // Causes of failed calls.
 var (
-	errTooLarge     = errors.New("body over the size limit")
-	errInvalidText  = errors.New("key or name isn't valid UTF-8")
-	errOtherCall    = errors.New("answer doesn't belong to this call")
-	errUnframed     = errors.New("answer's end isn't marked")
-	errBadAnswer    = errors.New("answer doesn't fit the call")
-	errServerStatus = errors.New("server refused the call")
+	errTooLarge        = errors.New("body exceeds the size limit")
+	errInvalidUTF8     = errors.New("key or name isn't valid UTF-8")
+	errOtherCall       = errors.New("response belongs to another call")
+	errUnframed        = errors.New("response has neither a length nor chunked encoding")
+	errInvalidResponse = errors.New("invalid response")
+	errServerStatus    = errors.New("unsuccessful response")
 )
 
-// Error is a failed call. It wraps both the class of the failure and its cause.
+// Error is the error of a failed call. It wraps the class of the failure and its
+// cause.
 type Error struct {
-	// Op is the call, such as "commit".
+	// Op is the name of the call, such as "commit".
 	Op string
 	// Class is one of the errors of package storage.
 	Class error
-	// Cause says what went wrong; it may wrap the context's error, an error of
-	// the network, or a *RateLimitedError.
+	// Cause is the underlying error; it may wrap the context's error, a network
+	// error, or a *RateLimitedError.
 	Cause error
 }
 
@@ -41,10 +42,11 @@
 // Unwrap returns the class and the cause.
 func (e *Error) Unwrap() []error { return []error{e.Class, e.Cause} }
 
-// RateLimitedError is the cause of a call's failure where the server was over
-// its rate limit. The class of the failure stands in the Error around it.
+// RateLimitedError is the cause of a failure if the server had reached its rate
+// limit. The Error that wraps it holds the class of the failure.
 type RateLimitedError struct {
-	// RetryAfter is the server's advice, from zero (none) to MaxRetryAfter.
+	// RetryAfter is the delay that the server asked for, from zero (none) to
+	// MaxRetryAfter.
 	RetryAfter time.Duration
 }
 
@@ -53,8 +55,8 @@
 	return fmt.Sprintf("rate limited, retry after %s", e.RetryAfter)
 }
 
-// parseRetryAfter reads a Retry-After header in whole seconds. A date or any
-// other text counts as no advice.
+// parseRetryAfter parses a Retry-After header in whole seconds. It returns zero
+// for a date or any other text.
 func parseRetryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.ParseUint(header.Get("Retry-After"), 10, 32)
 	if err != nil {
--- a/storage/client/hosts.go
+++ b/storage/client/hosts.go
@@ -12,51 +12,52 @@
 )
 
 // hostList implements storage.HostList. It keeps the list of the last call
-// and fetches what has changed since, for the whole list of a large platform
+// and fetches the changes since, because the whole list of a large platform
 // takes megabytes.
 type hostList struct {
 	platform *Platform
-	// turn holds one token, for the call that may use what follows. A channel
-	// lets a waiting call end with its context.
-	turn chan struct{}
-	// cursor names the state that hosts shows; empty for none.
+	// lock protects the fields below: a call takes the one token that it holds
+	// and puts it back. With a channel, a waiting call can end with its context.
+	lock chan struct{}
+	// cursor identifies the state of the list in hosts; empty if the next call
+	// must fetch the whole list.
 	cursor string
-	// hosts is in ascending order of the IDs.
+	// hosts is sorted by ID.
 	hosts []storage.Host
 }
 
 func newHostList(p *Platform) *hostList {
-	l := &hostList{platform: p, turn: make(chan struct{}, 1)}
-	l.turn <- struct{}{}
+	l := &hostList{platform: p, lock: make(chan struct{}, 1)}
+	l.lock <- struct{}{}
 	return l
 }
 
-// Hosts implements storage.HostList. A failed call gives no list, not even an
+// Hosts implements storage.HostList. A failed call returns no list, not even an
 // old one. The caller owns the result.
 func (l *hostList) Hosts(ctx context.Context) ([]storage.Host, error) {
 	c := call{op: "list hosts", method: http.MethodGet, path: protocol.PathHosts}
 	select {
-	case <-l.turn:
+	case <-l.lock:
 	case <-ctx.Done():
-		return nil, c.failUnsent(ctx.Err())
+		return nil, c.unavailableError(ctx.Err())
 	}
-	defer func() { l.turn <- struct{}{} }()
+	defer func() { l.lock <- struct{}{} }()
 	if l.cursor != "" {
 		c.query = url.Values{protocol.QuerySince: {l.cursor}}
 	}
 	var changes protocol.Hosts
-	if err := l.platform.decode(ctx, c, &changes); err != nil {
+	if err := l.platform.callJSON(ctx, c, &changes); err != nil {
 		return nil, err
 	}
 	if !l.apply(changes) {
-		// What was kept may be wrong, so the next call takes the whole list.
+		// The stored list may be wrong, so the next call fetches the whole list.
 		l.cursor = ""
-		return nil, c.failSent(errBadAnswer)
+		return nil, c.uncertainError(errInvalidResponse)
 	}
 	return slices.Clone(l.hosts), nil
 }
 
-// apply brings the list up to date and reports whether the answer fits it.
+// apply updates the list and reports whether the response was valid.
 func (l *hostList) apply(changes protocol.Hosts) bool {
 	if changes.Cursor == "" {
 		return false
@@ -77,8 +78,8 @@
 	return true
 }
 
-// replace takes the whole list. One that is missing isn't an empty one, which
-// would take every upstream out of service.
+// replace replaces the whole list. It rejects a response without a list: taken
+// for an empty list, it would put every upstream out of service.
 func (l *hostList) replace(changes protocol.Hosts) bool {
 	if changes.Hosts == nil {
 		return false
@@ -98,7 +99,8 @@
 	l.hosts = slices.Insert(l.hosts, i, host)
 }
 
-// remove removes a host. One that came and went between two calls isn't there.
+// remove removes a host, if it is there. A host that was added and removed
+// between two calls isn't.
 func (l *hostList) remove(id string) {
 	i, found := l.find(id)
 	if found {
--- a/storage/client/options.go
+++ b/storage/client/options.go
@@ -15,14 +15,14 @@
 	DefaultMaxBody        = 8 << 20
 )
 
-// Options set up a Platform. Zero fields take their defaults.
+// Options configures a Platform. Zero fields are replaced by their defaults.
 type Options struct {
-	// Timeout bounds the service's silence: from the last byte sent to the first of
-	// the answer, and between the answer's parts; default DefaultTimeout. The whole
-	// call takes as long as its bodies need on the link. An earlier deadline of the
-	// context prevails.
+	// Timeout bounds the time without data: from the last byte sent to the first of
+	// the response, and between the parts of the response; default DefaultTimeout.
+	// The whole call may take as long as the link needs for its bodies. An earlier
+	// deadline of the context has priority.
 	Timeout time.Duration
-	// DialTimeout bounds the making of a connection; default
+	// DialTimeout bounds the time to establish a connection; default
 	// DefaultDialTimeout.
 	DialTimeout time.Duration
 	// MaxConnections bounds the connections in use or idle; further calls wait
@@ -32,11 +32,11 @@
 	// DefaultMaxIdle.
 	MaxIdle int
 	// IdleTimeout is how long an idle connection is kept; default
-	// DefaultIdleTimeout. Keep it below the server's: a commit that meets a
-	// connection which the server has just closed may end in
-	// platform.ErrUnknown.
+	// DefaultIdleTimeout. It must be below the server's: a commit sent on a
+	// connection that the server has just closed may end in
+	// storage.ErrUnknown.
 	IdleTimeout time.Duration
-	// MaxBody bounds the body of a request and of an answer, in bytes; default
+	// MaxBody bounds the body of a request and of a response, in bytes; default
 	// DefaultMaxBody.
 	MaxBody int64
 	// Observe is called after each call, in the caller's goroutine, for metrics
@@ -44,18 +44,19 @@
 	Observe func(Observation)
 }
 
-// Observation is what a call took and gave.
+// Observation describes one call that has ended.
 type Observation struct {
-	// Op is the call: "get", "list", "commit", "write object", "read object",
+	// Op names the call: "get", "list", "commit", "write object", "read object",
 	// "list hosts" or "rate".
 	Op string
-	// Elapsed is the time from the call's start to its outcome.
+	// Elapsed is the time from the call's start to its end.
 	Elapsed time.Duration
-	// Sent and Received are the bytes of the bodies. A call that failed before
-	// its whole answer was read counts none as received.
+	// Sent and Received are the sizes of the bodies of the request and the
+	// response, in bytes. Received is zero if the call failed before its whole
+	// response was read.
 	Sent, Received int
-	// Err is the failure of the exchange; nil for every whole answer, also for
-	// one that refuses the call.
+	// Err is the error of sending the request or reading the response. It is nil
+	// for every complete response, also for one with an error status.
 	Err error
 }
 
--- a/storage/client/platform.go
+++ b/storage/client/platform.go
@@ -11,7 +11,7 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// maxHeaderBytes bounds the headers of an answer.
+// maxHeaderBytes bounds the headers of a response.
 const maxHeaderBytes = 16 << 10
 
 // Platform holds the connections to one platform. It is safe for concurrent
@@ -21,20 +21,21 @@
 	options   Options
 	transport *http.Transport
 	hosts     *hostList
-	// instance and calls make up the numbers of calls.
-	instance string
-	calls    atomic.Uint64
+	// instanceID and callCount form the IDs of calls in protocol.HeaderCall.
+	instanceID string
+	callCount  atomic.Uint64
 }
 
-// New returns a Platform at baseURL, such as "http://127.0.0.1:7000". Nothing
-// is sent before the first call; a bad URL makes each call fail without effect.
+// New returns a client of the platform at baseURL, such as
+// "http://127.0.0.1:7000". Nothing is sent before the first call; with an invalid
+// URL each call fails without effect.
 func New(baseURL string, options Options) *Platform {
 	options = options.withDefaults()
 	p := &Platform{
-		baseURL:   strings.TrimSuffix(baseURL, "/"),
-		options:   options,
-		transport: newTransport(options),
-		instance:  uuid.NewString(),
+		baseURL:    strings.TrimSuffix(baseURL, "/"),
+		options:    options,
+		transport:  newTransport(options),
+		instanceID: uuid.NewString(),
 	}
 	p.hosts = newHostList(p)
 	return p
@@ -46,20 +47,20 @@
 // Objects returns the object store.
 func (p *Platform) Objects() storage.Objects { return objects{p} }
 
-// Hosts returns the host list. Its calls wait for one another, as each fetches
-// only what has changed since the one before.
+// Hosts returns the host list. Its calls run one at a time, because each fetches
+// only the changes since the one before.
 func (p *Platform) Hosts() storage.HostList { return p.hosts }
 
 // Rater returns the rater.
 func (p *Platform) Rater() storage.Rater { return rater{p} }
 
-// Close closes the idle connections. Calls under way aren't cut.
+// Close closes the idle connections. It doesn't interrupt calls in progress.
 func (p *Platform) Close() {
 	p.transport.CloseIdleConnections()
 }
 
-// newTransport returns an HTTP/1.1 transport that tells sealedconn's calls
-// what it writes.
+// newTransport returns an HTTP/1.1 transport whose connections report their
+// writes to the sealedconn.Call of the request.
 func newTransport(options Options) *http.Transport {
 	transport := sealedconn.NewTransport(options.DialTimeout)
 	transport.TLSHandshakeTimeout = options.DialTimeout
--- a/storage/client/services.go
+++ b/storage/client/services.go
@@ -16,26 +16,26 @@
 type objects struct{ platform *Platform }
 
 // Write implements storage.Objects. After storage.ErrUnknown the same write
-// may be tried again: objects are written once.
+// may be retried: writing the same data again succeeds.
 func (o objects) Write(ctx context.Context, name string, data []byte) error {
 	c := call{
 		op:     "write object",
 		method: http.MethodPut,
 		path:   protocol.PathObject,
 		query:  url.Values{protocol.QueryName: {name}},
-		// An empty object has a body too, if one of no bytes.
+		// The body must not be nil, also for an empty object.
 		body:   append([]byte{}, data...),
 		writes: true,
 	}
 	if !utf8.ValidString(name) {
-		return c.failUnsent(errInvalidText)
+		return c.unavailableError(errInvalidUTF8)
 	}
-	a, err := o.platform.do(ctx, c)
+	response, err := o.platform.do(ctx, c)
 	if err != nil {
 		return err
 	}
-	if a.status != http.StatusNoContent {
-		return c.refused(a)
+	if response.status != http.StatusNoContent {
+		return c.statusError(response)
 	}
 	return nil
 }
@@ -49,23 +49,23 @@
 		query:  url.Values{protocol.QueryName: {name}},
 	}
 	if !utf8.ValidString(name) {
-		return nil, c.failUnsent(errInvalidText)
+		return nil, c.unavailableError(errInvalidUTF8)
 	}
-	a, err := o.platform.do(ctx, c)
+	response, err := o.platform.do(ctx, c)
 	if err != nil {
 		return nil, err
 	}
-	if a.status != http.StatusOK {
-		return nil, c.refused(a)
+	if response.status != http.StatusOK {
+		return nil, c.statusError(response)
 	}
-	return a.body, nil
+	return response.body, nil
 }
 
 // rater implements storage.Rater.
 type rater struct{ platform *Platform }
 
-// ratingAnswer tells a missing score from one of zero.
-type ratingAnswer struct {
+// ratingResponse distinguishes a missing score from one of zero.
+type ratingResponse struct {
 	Score *float64 `json:"score"`
 }
 
@@ -79,15 +79,15 @@
 		Answer:  answer,
 	})
 	if err != nil {
-		return storage.Rating{}, c.failUnsent(err)
+		return storage.Rating{}, c.unavailableError(err)
 	}
 	c.body = body
-	var result ratingAnswer
-	if err := r.platform.decode(ctx, c, &result); err != nil {
+	var result ratingResponse
+	if err := r.platform.callJSON(ctx, c, &result); err != nil {
 		return storage.Rating{}, err
 	}
 	if result.Score == nil || !validScore(*result.Score) {
-		return storage.Rating{}, c.failSent(errBadAnswer)
+		return storage.Rating{}, c.uncertainError(errInvalidResponse)
 	}
 	return storage.Rating{Score: *result.Score}, nil
 }
--- a/storage/client/table.go
+++ b/storage/client/table.go
@@ -25,14 +25,14 @@
 		query:  url.Values{protocol.QueryKey: {key}},
 	}
 	if !utf8.ValidString(key) {
-		return storage.Row{}, c.failUnsent(errInvalidText)
+		return storage.Row{}, c.unavailableError(errInvalidUTF8)
 	}
 	var row storage.Row
-	if err := t.platform.decode(ctx, c, &row); err != nil {
+	if err := t.platform.callJSON(ctx, c, &row); err != nil {
 		return storage.Row{}, err
 	}
 	if row.Key != key || row.Version == 0 {
-		return storage.Row{}, c.failSent(errBadAnswer)
+		return storage.Row{}, c.uncertainError(errInvalidResponse)
 	}
 	return row, nil
 }
@@ -50,20 +50,21 @@
 		},
 	}
 	if !utf8.ValidString(prefix) || !utf8.ValidString(after) {
-		return nil, c.failUnsent(errInvalidText)
+		return nil, c.unavailableError(errInvalidUTF8)
 	}
 	var result protocol.Rows
-	if err := t.platform.decode(ctx, c, &result); err != nil {
+	if err := t.platform.callJSON(ctx, c, &result); err != nil {
 		return nil, err
 	}
-	if !isPage(result.Rows, prefix, after, limit) {
-		return nil, c.failSent(errBadAnswer)
+	if !isValidPage(result.Rows, prefix, after, limit) {
+		return nil, c.uncertainError(errInvalidResponse)
 	}
 	return result.Rows, nil
 }
 
-// isPage says whether rows can be the page that List asked for.
-func isPage(rows []storage.Row, prefix, after string, limit int) bool {
+// isValidPage reports whether rows can be the result of List with these
+// arguments.
+func isValidPage(rows []storage.Row, prefix, after string, limit int) bool {
 	if len(rows) > max(limit, 0) {
 		return false
 	}
@@ -85,25 +86,25 @@
 		writes: true,
 	}
 	if !validKeys(txn) {
-		return 0, c.failUnsent(errInvalidText)
+		return 0, c.unavailableError(errInvalidUTF8)
 	}
 	body, err := json.Marshal(txn)
 	if err != nil {
-		return 0, c.failUnsent(err)
+		return 0, c.unavailableError(err)
 	}
 	c.body = body
 	var result protocol.Committed
-	if err := t.platform.decode(ctx, c, &result); err != nil {
+	if err := t.platform.callJSON(ctx, c, &result); err != nil {
 		return 0, err
 	}
 	if result.Revision == 0 {
-		return 0, c.failSent(errBadAnswer)
+		return 0, c.uncertainError(errInvalidResponse)
 	}
 	return result.Revision, nil
 }
 
-// validKeys says whether JSON can carry all keys. It would replace bytes that
-// aren't UTF-8, and so name other rows.
+// validKeys reports whether all keys are valid UTF-8. JSON would replace other
+// bytes, so that the transaction would refer to other rows.
 func validKeys(txn storage.Txn) bool {
 	for _, condition := range txn.Conditions {
 		if !utf8.ValidString(condition.Key) {
