--- a/storage/client/cut_test.go
+++ b/storage/client/cut_test.go
@@ -16,35 +16,36 @@
 	"github.com/quetzalweir/quetzalweir/storage/storagetest"
 )
 
-// A connection is cut before each byte of the request and of the answer. A
+// The connection is cut before each byte of the request and of the response. A
 // commit takes effect once its last byte has arrived; from then on it must
-// never give ErrUnavailable, and it succeeds only with the whole answer.
+// never return ErrUnavailable, and it succeeds only with the whole response.
 func TestCutAtEveryByte(t *testing.T) {
 	server := platformd.New(unlimitedOptions())
-	// Revisions have four digits throughout, so that all answers are as long.
+	// After 1000 commits all revisions have four digits, so that all responses
+	// have the same length.
 	for range 1000 {
 		if _, err := server.Table().Commit(t.Context(), storage.Txn{}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	measured := commitOnce(t, server, uncut(), "measure")
-	if measured.err != nil {
-		t.Fatal(measured.err)
+	baseline := commitOnce(t, server, noCut(), "measure")
+	if baseline.err != nil {
+		t.Fatal(baseline.err)
 	}
-	for n := range measured.requestBytes {
+	for n := range baseline.requestBytes {
 		o := commitOnce(t, server, cut.Limits{Request: n, Answer: cut.Unlimited}, fmt.Sprintf("r-%05d", n))
 		o.check(t, false, false)
 	}
 	// The first of these cuts comes after the whole request.
-	for n := range measured.answerBytes + 1 {
+	for n := range baseline.answerBytes + 1 {
 		o := commitOnce(t, server, cut.Limits{Request: cut.Unlimited, Answer: n}, fmt.Sprintf("a-%05d", n))
-		o.check(t, true, n == measured.answerBytes)
+		o.check(t, true, n == baseline.answerBytes)
 	}
-	t.Logf("cut at each of %d bytes of the request and %d of the answer", measured.requestBytes, measured.answerBytes)
+	t.Logf("cut at each of %d bytes of the request and %d of the response", baseline.requestBytes, baseline.answerBytes)
 }
 
-// serveCut serves over connections that are cut. Closing the server waits for
-// the requests that it has read.
+// serveCut starts a server whose connections are cut at the limits that plan
+// returns. Closing the server waits for the requests that it has read.
 func serveCut(t testing.TB, handler http.Handler, plan func() cut.Limits) (*httptest.Server, *cut.LimitListener) {
 	t.Helper()
 	web := httptest.NewUnstartedServer(handler)
@@ -54,14 +55,14 @@
 	return web, listener
 }
 
-func uncut() cut.Limits { return cut.Limits{Request: cut.Unlimited, Answer: cut.Unlimited} }
+func noCut() cut.Limits { return cut.Limits{Request: cut.Unlimited, Answer: cut.Unlimited} }
 
-// outcome is that of one commit over a cut connection.
+// outcome is the result of one commit over a connection with limits.
 type outcome struct {
-	cut  cut.Limits
-	err  error
-	held bool
-	// requestBytes and answerBytes are what passed.
+	cut       cut.Limits
+	err       error
+	rowExists bool
+	// requestBytes and answerBytes are the numbers of bytes transferred.
 	requestBytes, answerBytes int64
 }
 
@@ -74,19 +75,19 @@
 	p.Close()
 	web.Close()
 	requests, answers := listener.Passed()
-	return outcome{limits, err, holds(t, server.Table(), row), requests, answers}
+	return outcome{limits, err, rowExists(t, server.Table(), row), requests, answers}
 }
 
-func (o outcome) check(t *testing.T, held, succeeded bool) {
+func (o outcome) check(t *testing.T, wantRow, wantSuccess bool) {
 	t.Helper()
-	if o.held != held {
-		t.Errorf("%v: row held: %v, want %v", o.cut, o.held, held)
+	if o.rowExists != wantRow {
+		t.Errorf("%v: row exists: %v, want %v", o.cut, o.rowExists, wantRow)
 	}
-	if (o.err == nil) != succeeded {
-		t.Errorf("%v: succeeded: %v, want %v", o.cut, o.err, succeeded)
+	if (o.err == nil) != wantSuccess {
+		t.Errorf("%v: error %v, want success: %v", o.cut, o.err, wantSuccess)
 	}
-	if o.held && errors.Is(o.err, storage.ErrUnavailable) {
-		t.Errorf("%v: took effect and gave %v", o.cut, o.err)
+	if o.rowExists && errors.Is(o.err, storage.ErrUnavailable) {
+		t.Errorf("%v: took effect but returned %v", o.cut, o.err)
 	}
 	if o.err != nil && !storagetest.IsClass(o.err, storage.ErrUnavailable) && !storagetest.IsClass(o.err, storage.ErrUnknown) {
 		t.Errorf("%v: unexpected class: %v", o.cut, o.err)
@@ -94,8 +95,8 @@
 }
 
 // Concurrent clients commit over connections that are cut at random, to a
-// table that loses, drops and delays commits. The history must be explained by
-// what the calls claim.
+// table that loses, drops and delays commits. The history of the calls and
+// their errors must be linearizable.
 func TestHistoryOverCutConnections(t *testing.T) {
 	unknown := 0
 	for seed := range uint64(8) {
@@ -104,12 +105,12 @@
 		web, _ := serveCut(t, server.Handler(), randomCuts(seed))
 		p := client.New(web.URL, client.Options{})
 		recorder := storagetest.NewRecorder(p.Table())
-		workload := storagetest.Workload{Clients: 4, Calls: 30, Keys: 2, Seed: seed}
+		workload := storagetest.Workload{Clients: 4, Rounds: 30, Keys: 2, Seed: seed}
 		workload.Run(t.Context(), recorder)
 		p.Close()
 		web.Close()
 		history := recorder.History()
-		storagetest.Check(t, history)
+		storagetest.CheckTable(t, history)
 		unknown += storagetest.CountUnknown(history)
 	}
 	t.Logf("%d commits of unknown outcome", unknown)
@@ -121,7 +122,8 @@
 	table.DelayNext(1, 1)
 }
 
-// randomCuts lets through several calls, then cuts in one direction.
+// randomCuts returns limits that let several calls through before the connection
+// is cut in one direction.
 func randomCuts(seed uint64) func() cut.Limits {
 	random := rand.New(rand.NewPCG(seed, 0))
 	return func() cut.Limits {
--- a/storage/client/example_test.go
+++ b/storage/client/example_test.go
@@ -11,7 +11,8 @@
 	"github.com/quetzalweir/quetzalweir/storage/client"
 )
 
-// A commit whose answer is lost is settled by reading the row back.
+// The outcome of a commit whose response was lost is found by reading the row
+// back.
 func ExamplePlatform_Table() {
 	server := platformd.New(platformd.Options{})
 	web := httptest.NewServer(server.Handler())
--- a/storage/client/helpers_test.go
+++ b/storage/client/helpers_test.go
@@ -23,7 +23,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-// startStandin serves a stand-in and returns it with its URL.
+// startStandin starts a stand-in of the platform and returns it with its URL.
 func startStandin(t testing.TB, options platformd.Options) (*platformd.Server, string) {
 	t.Helper()
 	server := platformd.New(options)
@@ -43,8 +43,8 @@
 	return p
 }
 
-// holds reads the table in this process, past the connections.
-func holds(t testing.TB, table storage.Table, key string) bool {
+// rowExists reads the table directly, without the client.
+func rowExists(t testing.TB, table storage.Table, key string) bool {
 	t.Helper()
 	_, err := table.Get(t.Context(), key)
 	if err != nil && !errors.Is(err, storage.ErrNotFound) {
@@ -53,10 +53,11 @@
 	return err == nil
 }
 
-// waitHeld waits for a late commit; the test's own timeout bounds the wait.
-func waitHeld(t testing.TB, table storage.Table, key string) {
+// waitForRow waits until a late commit has written the row; the test's own
+// timeout bounds the wait.
+func waitForRow(t testing.TB, table storage.Table, key string) {
 	t.Helper()
-	for !holds(t, table, key) {
+	for !rowExists(t, table, key) {
 		time.Sleep(time.Millisecond)
 	}
 }
--- a/storage/client/hosts_test.go
+++ b/storage/client/hosts_test.go
@@ -19,8 +19,8 @@
 	"github.com/quetzalweir/quetzalweir/storage/storagetest"
 )
 
-// Whatever happens between two calls, a call gives the list that the server
-// shows, also after the server was replaced by one with other revisions.
+// A call returns the server's current list, whatever changed since the previous
+// call, and also if the server was replaced by one with other revisions.
 func TestHostsFollowChanges(t *testing.T) {
 	var server *platformd.Server
 	web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -55,7 +55,8 @@
 	})
 }
 
-// An answer that doesn't fit gives no list, and the next call starts anew.
+// After an invalid response a call returns no list, and the next call fetches the
+// whole list.
 func TestBadHostAnswers(t *testing.T) {
 	const full = `{"cursor": "1", "full": true, "hosts": [{"id": "b"}, {"id": "a"}]}`
 	tests := []struct{ desc, body string }{
@@ -75,13 +76,13 @@
 			}))
 			defer web.Close()
 			p := newClient(t, web.URL, client.Options{})
-			list := func(answer string) error {
-				body = answer
+			list := func(response string) error {
+				body = response
 				_, err := p.Hosts().Hosts(t.Context())
 				return err
 			}
 			is.True(storagetest.IsClass(list(test.body), storage.ErrUnavailable))
-			is.True(storagetest.IsClass(list(`{"cursor": "1"}`), storage.ErrUnavailable)) // changes to nothing
+			is.True(storagetest.IsClass(list(`{"cursor": "1"}`), storage.ErrUnavailable)) // changes, but there is no list yet
 			is.NoErr(list(full))
 			is.True(storagetest.IsClass(list(test.body), storage.ErrUnavailable))
 			is.NoErr(list(full))
@@ -91,13 +92,13 @@
 	}
 }
 
-// BenchmarkHosts lists 12,000 hosts of which some changed since the last call.
+// BenchmarkHosts lists 12,000 hosts, some of which changed since the last call.
 func BenchmarkHosts(b *testing.B) {
 	const hosts = 12000
 	for _, changed := range []int{0, 10, memory.MaxHostChanges + 1} {
 		b.Run(strconv.Itoa(changed), func(b *testing.B) {
 			server := platformd.New(platformd.Options{})
-			web, listener := serveCut(b, server.Handler(), uncut)
+			web, listener := serveCut(b, server.Handler(), noCut)
 			defer web.Close()
 			for i := range hosts {
 				server.Hosts().Set(benchmarkHost(i))
--- a/storage/client/outcome_test.go
+++ b/storage/client/outcome_test.go
@@ -25,23 +25,24 @@
 )
 
 func TestCommitUnderFaults(t *testing.T) {
-	const late = 50 * time.Millisecond
+	const delay = 50 * time.Millisecond
 	tests := []struct {
 		desc  string
 		fault func(*platformd.Server)
-		// abandoned says that the caller gives up once the table has the commit.
-		abandoned bool
-		want      error
-		// held is whether the commit takes effect in the end.
-		held bool
+		// canceled reports whether the caller's context is canceled once the table
+		// has received the commit.
+		canceled bool
+		want     error
+		// rowExists reports whether the commit takes effect in the end.
+		rowExists bool
 	}{
-		{desc: "no fault", fault: func(*platformd.Server) {}, held: true},
+		{desc: "no fault", fault: func(*platformd.Server) {}, rowExists: true},
 		{desc: "down", fault: func(s *platformd.Server) { s.Table().SetDown(true) }, want: storage.ErrUnavailable},
-		{desc: "answer lost", fault: func(s *platformd.Server) { s.Table().LoseNext(1) }, want: storage.ErrUnknown, held: true},
+		{desc: "answer lost", fault: func(s *platformd.Server) { s.Table().LoseNext(1) }, want: storage.ErrUnknown, rowExists: true},
 		{desc: "dropped", fault: func(s *platformd.Server) { s.Table().DropNext(1) }, want: storage.ErrUnknown},
-		{desc: "late", fault: func(s *platformd.Server) { s.Table().DelayNext(1, late) }, want: storage.ErrUnknown, held: true},
-		{desc: "slow", fault: func(s *platformd.Server) { s.Table().SetDelay(late) }, held: true},
-		{desc: "slow and abandoned", fault: func(s *platformd.Server) { s.Table().SetDelay(20 * late) }, abandoned: true, want: storage.ErrUnknown, held: true},
+		{desc: "late", fault: func(s *platformd.Server) { s.Table().DelayNext(1, delay) }, want: storage.ErrUnknown, rowExists: true},
+		{desc: "slow", fault: func(s *platformd.Server) { s.Table().SetDelay(delay) }, rowExists: true},
+		{desc: "slow and abandoned", fault: func(s *platformd.Server) { s.Table().SetDelay(20 * delay) }, canceled: true, want: storage.ErrUnknown, rowExists: true},
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
@@ -51,16 +52,16 @@
 			p := newClient(t, url, client.Options{})
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			if test.abandoned {
+			if test.canceled {
 				go cancelAfterCommit(server, cancel)
 			}
 			_, err := p.Table().Commit(ctx, storagetest.Put(key, "value"))
 			server.Heal()
-			if test.held {
-				waitHeld(t, server.Table(), key)
+			if test.rowExists {
+				waitForRow(t, server.Table(), key)
 			}
-			is.Equal(holds(t, server.Table(), key), test.held)
-			is.True(storagetest.IsClass(err, test.want)) // class of the outcome
+			is.Equal(rowExists(t, server.Table(), key), test.rowExists)
+			is.True(storagetest.IsClass(err, test.want)) // class of the error
 		})
 	}
 }
@@ -73,7 +74,7 @@
 	cancel()
 }
 
-// A server that doesn't answer holds a call no longer than its timeout.
+// A call to a server that doesn't respond ends after the timeout.
 func TestTimeout(t *testing.T) {
 	server, url := startStandin(t, unlimitedOptions())
 	server.Table().SetDelay(time.Hour)
@@ -84,9 +85,10 @@
 	}
 }
 
-// An answer that keeps coming is read to its end, however long that takes; one that
-// stops is given up. As a limit on the whole call the timeout cut each reading of a
-// large object at the same byte: "context deadline exceeded", for good.
+// A response that keeps arriving is read to its end, however long that takes; the
+// timeout ends only a call whose response stops arriving. When the timeout was a
+// limit on the whole call, every read of a large object over a slow link failed at
+// the same byte with "context deadline exceeded", however often it was retried.
 func TestLargeObjectOverASlowLink(t *testing.T) {
 	is := is.New(t)
 	const timeout = 500 * time.Millisecond
@@ -104,12 +106,12 @@
 }
 
 func TestUnsentCommitIsUnavailable(t *testing.T) {
-	refused, release, err := freeport.Refused("127.0.0.1")
+	refusedAddress, release, err := freeport.Refused("127.0.0.1")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = release() }()
-	ended, cancel := context.WithCancel(t.Context())
+	canceledCtx, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, url := startStandin(t, unlimitedOptions())
 	tests := []struct {
@@ -118,9 +120,9 @@
 		ctx  context.Context
 		txn  storage.Txn
 	}{
-		{"connection refused", "http://" + refused, t.Context(), storagetest.Put(key, "value")},
+		{"connection refused", "http://" + refusedAddress, t.Context(), storagetest.Put(key, "value")},
 		{"bad URL", "http://127.0.0.1:bad", t.Context(), storagetest.Put(key, "value")},
-		{"context ended", url, ended, storagetest.Put(key, "value")},
+		{"context ended", url, canceledCtx, storagetest.Put(key, "value")},
 		{"key isn't UTF-8", url, t.Context(), storagetest.Put("\xff", "value")},
 		{"too large", url, t.Context(), storagetest.Put(strings.Repeat("a", 2000), "value")},
 	}
@@ -146,15 +148,16 @@
 	var limited *client.RateLimitedError
 	is.True(errors.As(err, &limited))
 	is.Equal(limited.RetryAfter, time.Second)
-	is.Equal(holds(t, server.Table(), key), false)
+	is.Equal(rowExists(t, server.Table(), key), false)
 	_, err = p.Table().Get(t.Context(), "first")
 	is.NoErr(err)
 	_, err = p.Table().Get(t.Context(), "first")
 	is.True(errors.As(err, &limited))
 }
 
-// Only an answer to the call itself, whole and with the header of the effect,
-// may say that a commit had none.
+// Only a response to the call itself, with an error status and the effect header,
+// states that a commit had no effect or conflicted. After any other response that
+// isn't a complete confirmation the outcome is unknown.
 func TestAnswersToCommit(t *testing.T) {
 	const committed = `{"revision":7}`
 	none := map[string]string{protocol.HeaderEffect: protocol.EffectNone}
@@ -208,7 +211,8 @@
 	}
 }
 
-// An answer whose end is that of the connection could be cut unnoticed.
+// A response whose end is marked only by the end of the connection is rejected,
+// since it could be truncated unnoticed.
 func TestUnframedAnswer(t *testing.T) {
 	web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		conn, _, err := http.NewResponseController(w).Hijack()
@@ -263,19 +267,19 @@
 func TestObserve(t *testing.T) {
 	is := is.New(t)
 	server, url := startStandin(t, unlimitedOptions())
-	var seen []client.Observation
-	p := newClient(t, url, client.Options{Observe: func(o client.Observation) { seen = append(seen, o) }})
+	var observations []client.Observation
+	p := newClient(t, url, client.Options{Observe: func(o client.Observation) { observations = append(observations, o) }})
 	_, err := p.Table().Commit(t.Context(), storagetest.Put(key, "value"))
 	is.NoErr(err)
 	server.Table().LoseNext(1)
 	_, err = p.Table().Commit(t.Context(), storagetest.Put(key, "value"))
-	is.Equal(len(seen), 2)
-	is.Equal(seen[0].Op, "commit")
-	is.True(seen[0].Sent > 0 && seen[0].Received > 0)
-	is.Equal(seen[1].Err, err)
+	is.Equal(len(observations), 2)
+	is.Equal(observations[0].Op, "commit")
+	is.True(observations[0].Sent > 0 && observations[0].Received > 0)
+	is.Equal(observations[1].Err, err)
 }
 
-// An outage must not look like the absence of a row.
+// During an outage a read must not report that a row doesn't exist.
 func TestReadsDuringOutage(t *testing.T) {
 	is := is.New(t)
 	server, url := startStandin(t, unlimitedOptions())
@@ -287,8 +291,9 @@
 	is.True(storagetest.IsClass(err, storage.ErrUnavailable))
 }
 
-// A server that reads a commit on a connection that was idle, and cuts it. The
-// transport resends a request in such a case, if it may.
+// The server reads a commit on a connection that was idle, and closes it. In such
+// a case the transport resends a request if that is allowed; a commit must not be
+// sent again.
 func TestCommitIsSentOnce(t *testing.T) {
 	var requests atomic.Int64
 	server := platformd.New(unlimitedOptions())
--- a/storage/memory/history_test.go
+++ b/storage/memory/history_test.go
@@ -15,8 +15,8 @@
 			table.LoseNext(lost)
 			table.DropNext(lost)
 			recorder := storagetest.NewRecorder(table)
-			storagetest.Workload{Clients: 8, Calls: 60, Keys: 3, Seed: seed}.Run(t.Context(), recorder)
-			storagetest.Check(t, recorder.History())
+			storagetest.Workload{Clients: 8, Rounds: 60, Keys: 3, Seed: seed}.Run(t.Context(), recorder)
+			storagetest.CheckTable(t, recorder.History())
 		}
 	}
 }
--- a/storage/storagetest/conformance.go
+++ b/storage/storagetest/conformance.go
@@ -12,8 +12,8 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// IsClass says whether err wraps the class want, an error of package storage,
-// and no other one. A want of nil asks for no error.
+// IsClass reports whether err wraps want, one of the error classes of package
+// storage, and no other class. If want is nil, err must be nil.
 func IsClass(err, want error) bool {
 	classes := []error{storage.ErrConflict, storage.ErrUnavailable, storage.ErrUnknown, storage.ErrNotFound}
 	for _, class := range classes {
@@ -24,18 +24,18 @@
 	return (err == nil) == (want == nil)
 }
 
-// Put returns a transaction that writes a row without condition.
+// Put returns a transaction that writes a row without a condition.
 func Put(key, value string) storage.Txn {
 	return storage.Txn{Puts: []storage.Put{{Key: key, Value: []byte(value)}}}
 }
 
-// TestTable checks what every table without faults has to do. Each call of
-// empty gives a table without rows.
-func TestTable(t *testing.T, empty func(t *testing.T) storage.Table) {
-	t.Run("list", func(t *testing.T) { testList(t, empty(t)) })
-	t.Run("conditions", func(t *testing.T) { testConditions(t, empty(t)) })
-	t.Run("values", func(t *testing.T) { testValues(t, empty(t)) })
-	t.Run("ended context", func(t *testing.T) { testEndedContext(t, empty(t)) })
+// TestTable checks the behaviour required of every table without faults. Each
+// call of newTable must return a table without rows.
+func TestTable(t *testing.T, newTable func(t *testing.T) storage.Table) {
+	t.Run("list", func(t *testing.T) { testList(t, newTable(t)) })
+	t.Run("conditions", func(t *testing.T) { testConditions(t, newTable(t)) })
+	t.Run("values", func(t *testing.T) { testValues(t, newTable(t)) })
+	t.Run("ended context", func(t *testing.T) { testEndedContext(t, newTable(t)) })
 }
 
 func testList(t *testing.T, table storage.Table) {
@@ -85,7 +85,7 @@
 	first, err := write(0)
 	is.NoErr(err)
 	_, err = write(0)
-	is.True(IsClass(err, storage.ErrConflict)) // the row is there
+	is.True(IsClass(err, storage.ErrConflict)) // the row exists
 	second, err := write(first)
 	is.NoErr(err)
 	is.True(second > first)
@@ -96,7 +96,7 @@
 	is.True(third > second) // a version isn't reused after a delete
 }
 
-// testValues checks that values are bytes of any kind, and copied.
+// testValues checks that values can hold any bytes and are copied.
 func testValues(t *testing.T, table storage.Table) {
 	is := is.New(t)
 	const want = "\x00\xff one"
@@ -124,8 +124,8 @@
 	is.True(IsClass(err, storage.ErrNotFound))
 }
 
-// TestObjects checks what every object store without faults has to do. The
-// store must be empty.
+// TestObjects checks the behaviour required of every object store without faults.
+// The store must be empty.
 func TestObjects(t *testing.T, objects storage.Objects) {
 	is := is.New(t)
 	for _, data := range [][]byte{{}, []byte("\x00\xff data")} {
--- a/storage/storagetest/example_test.go
+++ b/storage/storagetest/example_test.go
@@ -10,10 +10,11 @@
 	"github.com/quetzalweir/quetzalweir/storage/storagetest"
 )
 
-// Concurrent clients of a table are recorded, and their history is checked.
+// The calls of concurrent clients of a table are recorded, and their history is
+// checked.
 func ExampleRecorder() {
 	recorder := storagetest.NewRecorder(memory.New())
-	storagetest.Workload{Clients: 3, Calls: 10, Keys: 2}.Run(context.Background(), recorder)
+	storagetest.Workload{Clients: 3, Rounds: 10, Keys: 2}.Run(context.Background(), recorder)
 	fmt.Println(porcupine.CheckOperations(storagetest.Model(), recorder.History()))
 	// Output: true
 }
--- a/storage/storagetest/history.go
+++ b/storage/storagetest/history.go
@@ -10,9 +10,9 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// History collects the operations of concurrent clients. Its clock is a
-// counter, since times in a synctest bubble are often equal. The zero value is
-// empty. It is safe for concurrent use.
+// History records the operations of concurrent clients. Its clock is a counter,
+// since times in a synctest bubble are often equal. The zero value is empty. It
+// is safe for concurrent use.
 type History struct {
 	// clock orders the starts and returns of operations; no two are equal.
 	clock atomic.Int64
@@ -21,7 +21,7 @@
 	operations []porcupine.Operation
 }
 
-// Tick returns a time of its own: the start or the end of an operation. An
+// Tick returns a unique time for the start or the end of an operation. An
 // operation that is started and never added isn't part of the history.
 func (h *History) Tick() int64 { return h.clock.Add(1) }
 
@@ -52,14 +52,14 @@
 	return slices.Clone(h.operations)
 }
 
-// IsLinearizable reports whether the model explains the history. A search that
-// doesn't end in a minute counts as no.
+// IsLinearizable reports whether the history is linearizable under the model. It
+// returns false if the search takes more than a minute.
 func IsLinearizable(model porcupine.Model, history []porcupine.Operation) bool {
 	return porcupine.CheckOperationsTimeout(model, history, checkTimeout) == porcupine.Ok
 }
 
-// CheckModel fails the test and logs the history if the model can't explain
-// it; desc names the history.
+// CheckModel fails the test and logs the history if it isn't linearizable under
+// the model; desc names the history.
 func CheckModel(t testing.TB, desc string, model porcupine.Model, history []porcupine.Operation) {
 	t.Helper()
 	if IsLinearizable(model, history) {
--- a/storage/storagetest/model.go
+++ b/storage/storagetest/model.go
@@ -21,14 +21,14 @@
 	commitInput struct{ txn storage.Txn }
 )
 
-// output is what a call gave.
+// output is the result of a call.
 type output struct {
-	// rows are those read; empty for a row that is absent.
+	// rows holds the rows read; empty for a row that is absent.
 	rows []storage.Row
-	// revision is that of a commit which took effect.
+	// revision is the revision of a commit that succeeded.
 	revision uint64
 	conflict bool
-	// unknown says that the commit's answer was lost.
+	// unknown reports whether the outcome of the commit is unknown.
 	unknown bool
 }
 
@@ -38,7 +38,7 @@
 	rows     map[string]row
 }
 
-// row is a storage.Row in a form that compares with ==.
+// row is the content of a storage.Row in a form that can be compared with ==.
 type row struct {
 	value   string
 	version uint64
@@ -62,8 +62,8 @@
 	}
 }
 
-// step says whether out is the result of input in state s, and gives the state
-// that follows.
+// step reports whether out is a possible result of input in state s, and returns
+// the state that follows.
 func step(s state, input any, out output) (bool, state) {
 	switch in := input.(type) {
 	case getInput:
@@ -78,7 +78,7 @@
 }
 
 func stepCommit(s state, txn storage.Txn, out output) (bool, state) {
-	if !s.permits(txn.Conditions) {
+	if !s.conditionsHold(txn.Conditions) {
 		return out.conflict || out.unknown, s
 	}
 	next := s.apply(txn)
@@ -89,11 +89,11 @@
 }
 
 func (s state) get(key string) []storage.Row {
-	held, ok := s.rows[key]
+	stored, ok := s.rows[key]
 	if !ok {
 		return nil
 	}
-	return []storage.Row{{Key: key, Value: []byte(held.value), Version: held.version}}
+	return []storage.Row{{Key: key, Value: []byte(stored.value), Version: stored.version}}
 }
 
 func (s state) list(in listInput) []storage.Row {
@@ -106,7 +106,7 @@
 	return rows
 }
 
-func (s state) permits(conditions []storage.Condition) bool {
+func (s state) conditionsHold(conditions []storage.Condition) bool {
 	for _, c := range conditions {
 		if s.rows[c.Key].version != c.Version {
 			return false
--- a/storage/storagetest/model_test.go
+++ b/storage/storagetest/model_test.go
@@ -9,7 +9,7 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// The model must reject histories that no linearizable table gives.
+// The model must reject histories that no linearizable table can produce.
 func TestModel(t *testing.T) {
 	create := storage.Txn{
 		Conditions: []storage.Condition{{Key: "a"}},
@@ -47,7 +47,7 @@
 	}
 }
 
-// history builds a sequential history of pairs of input and output.
+// history builds a sequential history from pairs of input and output.
 func history(pairs ...any) []porcupine.Operation {
 	var operations []porcupine.Operation
 	for i := 0; i < len(pairs); i += 2 {
--- a/storage/storagetest/recorder.go
+++ b/storage/storagetest/recorder.go
@@ -14,10 +14,10 @@
 // Recorder passes calls to an inner table and records their history. It is
 // safe for concurrent use.
 //
-// A call that gave storage.ErrUnavailable isn't recorded: it claims that it
-// had no effect, so that the history must be explained without it. A commit
-// that gave storage.ErrUnknown, or the context's error, is recorded as one
-// that may take effect at any time after its start.
+// A call that returned storage.ErrUnavailable isn't recorded: the error states
+// that the call had no effect, so the history must be linearizable without it. A
+// commit that returned storage.ErrUnknown, or the context's error, is recorded
+// as one that may take effect at any time after its start.
 type Recorder struct {
 	inner   storage.Table
 	history History
@@ -30,39 +30,39 @@
 
 // Get implements storage.Table.
 func (r *Recorder) Get(ctx context.Context, key string) (storage.Row, error) {
-	call := r.history.Tick()
+	start := r.history.Tick()
 	row, err := r.inner.Get(ctx, key)
 	switch {
 	case err == nil:
-		r.record(call, getInput{key}, output{rows: []storage.Row{row}})
+		r.record(start, getInput{key}, output{rows: []storage.Row{row}})
 	case errors.Is(err, storage.ErrNotFound):
-		r.record(call, getInput{key}, output{})
+		r.record(start, getInput{key}, output{})
 	}
 	return row, err
 }
 
 // List implements storage.Table.
 func (r *Recorder) List(ctx context.Context, prefix, after string, limit int) ([]storage.Row, error) {
-	call := r.history.Tick()
+	start := r.history.Tick()
 	rows, err := r.inner.List(ctx, prefix, after, limit)
 	if err == nil {
-		r.record(call, listInput{prefix, after, limit}, output{rows: rows})
+		r.record(start, listInput{prefix, after, limit}, output{rows: rows})
 	}
 	return rows, err
 }
 
 // Commit implements storage.Table.
 func (r *Recorder) Commit(ctx context.Context, txn storage.Txn) (uint64, error) {
-	call := r.history.Tick()
+	start := r.history.Tick()
 	revision, err := r.inner.Commit(ctx, txn)
 	switch {
 	case err == nil:
-		r.record(call, commitInput{txn}, output{revision: revision})
+		r.record(start, commitInput{txn}, output{revision: revision})
 	case errors.Is(err, storage.ErrConflict):
-		r.record(call, commitInput{txn}, output{conflict: true})
+		r.record(start, commitInput{txn}, output{conflict: true})
 	case errors.Is(err, storage.ErrUnavailable):
 	default:
-		r.record(call, commitInput{txn}, output{unknown: true})
+		r.record(start, commitInput{txn}, output{unknown: true})
 	}
 	return revision, err
 }
@@ -81,10 +81,10 @@
 	return n
 }
 
-func (r *Recorder) record(call int64, input any, out output) {
+func (r *Recorder) record(start int64, input any, out output) {
 	if out.unknown {
-		r.history.Open(0, call, input, out)
+		r.history.Open(0, start, input, out)
 		return
 	}
-	r.history.End(0, call, input, out)
+	r.history.End(0, start, input, out)
 }
--- a/storage/storagetest/workload.go
+++ b/storage/storagetest/workload.go
@@ -13,23 +13,23 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// checkTimeout bounds the search for an explanation of a history.
+// checkTimeout bounds the search for a linearization of a history.
 const checkTimeout = time.Minute
 
 // Workload describes concurrent clients that read, compare and swap a few rows.
 type Workload struct {
 	// Clients is the number of concurrent clients.
 	Clients int
-	// Calls is the number of rounds of each client: a read, mostly followed by
-	// a commit.
-	Calls int
-	// Keys is the number of rows that they contend for.
+	// Rounds is the number of rounds of each client. A round is a read, mostly
+	// followed by a commit.
+	Rounds int
+	// Keys is the number of rows that the clients contend for.
 	Keys int
-	// Seed selects the calls of each client.
+	// Seed is the seed of the random choice of calls.
 	Seed uint64
 }
 
-// Run runs the workload to its end. Failed calls are part of it.
+// Run runs the workload to its end. It ignores the errors of calls.
 func (w Workload) Run(ctx context.Context, table storage.Table) {
 	var group sync.WaitGroup
 	for client := range w.Clients {
@@ -40,20 +40,21 @@
 
 func (w Workload) runClient(ctx context.Context, table storage.Table, client int) {
 	random := rand.New(rand.NewPCG(w.Seed, uint64(client)))
-	for call := range w.Calls {
+	for round := range w.Rounds {
 		key := w.key(random)
 		if random.IntN(4) == 0 {
 			_, _ = table.List(ctx, "key/", key, 1+random.IntN(w.Keys))
 			continue
 		}
 		row, _ := table.Get(ctx, key)
-		value := []byte(fmt.Sprintf("%d.%d", client, call))
+		value := []byte(fmt.Sprintf("%d.%d", client, round))
 		_, _ = table.Commit(ctx, w.transaction(random, key, row.Version, value))
 	}
 }
 
-// transaction swaps the row of key on condition of its version, and now and
-// then puts or deletes another row without condition.
+// transaction returns a transaction that replaces the row of key on condition of
+// its version. Some transactions also put or delete another row without a
+// condition.
 func (w Workload) transaction(random *rand.Rand, key string, version uint64, value []byte) storage.Txn {
 	txn := storage.Txn{
 		Conditions: []storage.Condition{{Key: key, Version: version}},
@@ -72,9 +73,9 @@
 	return fmt.Sprintf("key/%d", random.IntN(w.Keys))
 }
 
-// Check fails the test if the history can't be explained by Model. A search
-// that doesn't end in a minute fails as well.
-func Check(t testing.TB, history []porcupine.Operation) {
+// CheckTable fails the test if the history isn't linearizable under Model, or if
+// the search takes more than a minute.
+func CheckTable(t testing.TB, history []porcupine.Operation) {
 	t.Helper()
 	CheckModel(t, "table", Model(), history)
 }
