--- a/storage/groupcommit/committer_test.go
+++ b/storage/groupcommit/committer_test.go
@@ -176,7 +176,7 @@
 	}{
 		{"while queued", 2 * time.Millisecond, storage.ErrUnavailable, false},
 		{"after it was sent", 20 * time.Millisecond, storage.ErrUnknown, true},
-		{"before it came", 0, storage.ErrUnavailable, false},
+		{"before the call", 0, storage.ErrUnavailable, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
--- a/storage/memory/memory_test.go
+++ b/storage/memory/memory_test.go
@@ -86,10 +86,10 @@
 		since uint64
 		want  memory.HostChanges
 	}{
-		{"from nothing", 0, memory.HostChanges{Full: true, Hosts: []storage.Host{b}}},
+		{"from revision zero", 0, memory.HostChanges{Full: true, Hosts: []storage.Host{b}}},
 		{"unknown revision", 7, memory.HostChanges{Full: true, Hosts: []storage.Host{b}}},
 		{"from the first", 1, memory.HostChanges{Hosts: []storage.Host{b}, Removed: []string{"a", "c"}}},
-		{"came and went", 4, memory.HostChanges{Removed: []string{"c"}}},
+		{"added and removed", 4, memory.HostChanges{Removed: []string{"c"}}},
 		{"up to date", 6, memory.HostChanges{}},
 	}
 	for _, test := range tests {
--- a/storage/storagetest/model_test.go
+++ b/storage/storagetest/model_test.go
@@ -26,7 +26,7 @@
 	}{
 		{"create, read", history(commitInput{create}, created, getInput{"a"}, found), true},
 		{"stale read", history(commitInput{create}, created, getInput{"a"}, output{}), false},
-		{"read of what nobody wrote", history(getInput{"a"}, found), false},
+		{"read of a row never written", history(getInput{"a"}, found), false},
 		{"stale list", history(commitInput{create}, created, listInput{limit: 1}, output{}), false},
 		{"two creations", history(commitInput{create}, created, commitInput{create}, output{revision: 2}), false},
 		{"conflict", history(commitInput{create}, created, commitInput{create}, output{conflict: true}), true},
