--- a/storage/memory/memory_test.go
+++ b/storage/memory/memory_test.go
@@ -42,7 +42,7 @@
 		hosts.Remove("b")
 		hosts.SetLag(2 * lag)
 		time.Sleep(lag)
-		is.Equal(len(states()), 2) // the longer lag holds the list still
+		is.Equal(len(states()), 2) // with the longer lag the removal isn't visible yet
 		hosts.SetLag(lag)
 		is.Equal(len(states()), 1)
 	})
@@ -69,7 +69,7 @@
 	is.Equal(mean("1"), mean("1")) // deterministic
 	is.True(mean("1") > 0.85)
 	is.True(mean("2") < 0.25)
-	is.True(mean("3") > 0.45) // the default
+	is.True(mean("3") > 0.45) // DefaultQuality
 }
 
 func TestHostChanges(t *testing.T) {
@@ -86,10 +86,10 @@
 		since uint64
 		want  memory.HostChanges
 	}{
-		{"from nothing", 0, memory.HostChanges{Full: true, Hosts: []storage.Host{b}}},
+		{"from revision zero", 0, memory.HostChanges{Full: true, Hosts: []storage.Host{b}}},
 		{"unknown revision", 7, memory.HostChanges{Full: true, Hosts: []storage.Host{b}}},
 		{"from the first", 1, memory.HostChanges{Hosts: []storage.Host{b}, Removed: []string{"a", "c"}}},
-		{"came and went", 4, memory.HostChanges{Removed: []string{"c"}}},
+		{"added and removed", 4, memory.HostChanges{Removed: []string{"c"}}},
 		{"up to date", 6, memory.HostChanges{}},
 	}
 	for _, test := range tests {
--- a/storage/storagetest/model_test.go
+++ b/storage/storagetest/model_test.go
@@ -9,7 +9,7 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// The model must reject histories that no linearizable table gives.
+// The model must reject histories that no linearizable table can produce.
 func TestModel(t *testing.T) {
 	create := storage.Txn{
 		Conditions: []storage.Condition{{Key: "a"}},
@@ -26,7 +26,7 @@
 	}{
 		{"create, read", history(commitInput{create}, created, getInput{"a"}, found), true},
 		{"stale read", history(commitInput{create}, created, getInput{"a"}, output{}), false},
-		{"read of what nobody wrote", history(getInput{"a"}, found), false},
+		{"read of a row never written", history(getInput{"a"}, found), false},
 		{"stale list", history(commitInput{create}, created, listInput{limit: 1}, output{}), false},
 		{"two creations", history(commitInput{create}, created, commitInput{create}, output{revision: 2}), false},
 		{"conflict", history(commitInput{create}, created, commitInput{create}, output{conflict: true}), true},
@@ -47,7 +47,7 @@
 	}
 }
 
-// history builds a sequential history of pairs of input and output.
+// history builds a sequential history from pairs of input and output.
 func history(pairs ...any) []porcupine.Operation {
 	var operations []porcupine.Operation
 	for i := 0; i < len(pairs); i += 2 {
