--- a/placement/upgrade.go
+++ b/placement/escalation.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Escalation decides whether a request is escalated to a better model after a cheaper model has
-// answered with some confidence.
+// Escalation holds what decides whether a request is escalated to a better model after a
+// cheaper model has answered with a confidence.
 type Escalation struct {
 	// Threshold is the confidence threshold set by the operators, from 0 to 100.
 	Threshold float64
@@ -11,7 +11,8 @@
 	// event. Target is the target for that time; 0 means none.
 	Expected time.Duration
 	Target   time.Duration
-	// Pressure is the mean queueing time of prompts relative to their prefill time.
+	// Pressure is the mean queueing time of the service's prompts divided by their mean
+	// prefill time.
 	Pressure float64
 }
 
@@ -19,7 +20,7 @@
 	// lateFraction is the fraction of the target from which an expected first event counts as
 	// late. It is below 1 because estimates are inexact.
 	lateFraction = 0.9
-	// lateThresholdFactor scales the threshold where the better answer would be late. It is
+	// lateThresholdFactor multiplies the threshold if the better answer would be late. It is
 	// above 0 because a late answer is better than a poor one.
 	lateThresholdFactor = 0.3
 	// maxLatePressure is the pressure from which late answers are never requested, because
@@ -27,13 +28,14 @@
 	maxLatePressure = 0.6
 )
 
-// RequiredConfidence returns the confidence from which the cheaper model's answer is accepted. While
-// the better answer would be in time it is Threshold, at any load. Lowering it under pressure, or
-// by the cost of the better model's prefill, serves callers worse: it accepts answers of
-// medium confidence, and most answers below the usual threshold are poor.
-func (u *Escalation) RequiredConfidence() float64 {
-	if u.Target <= 0 || float64(u.Expected) <= lateFraction*float64(u.Target) {
-		return u.Threshold
+// RequiredConfidence returns the confidence from which the cheaper model's answer is accepted;
+// below it the request is escalated. If the better answer would be in time, it is Threshold at
+// any load. Lowering it under pressure, or by the cost of the better model's prefill, would
+// serve callers worse: it would accept answers of medium confidence, and most answers below the
+// usual threshold are poor.
+func (e *Escalation) RequiredConfidence() float64 {
+	if e.Target <= 0 || float64(e.Expected) <= lateFraction*float64(e.Target) {
+		return e.Threshold
 	}
-	return u.Threshold * lateThresholdFactor * max(0, 1-u.Pressure/maxLatePressure)
+	return e.Threshold * lateThresholdFactor * max(0, 1-e.Pressure/maxLatePressure)
 }
--- a/placement/place.go
+++ b/placement/place.go
@@ -8,11 +8,12 @@
 	Prompt *Prompt
 	// Target is the target for the time to the first event; 0 means none.
 	Target time.Duration
-	// ZoneCost is the cost of sending the request to another availability zone; RegionCost is added
-	// for another region.
+	// ZoneCost is the cost of sending the request to another availability zone; RegionCost is
+	// added for another region.
 	ZoneCost   time.Duration
 	RegionCost time.Duration
-	// Random is a random number in [0, 1).
+	// Random is a random number in [0, 1), by which the request may prefer an owner in this
+	// zone.
 	Random float64
 }
 
@@ -27,7 +28,7 @@
 	// CachedParts is the number of leading parts of the prompt that the engine caches.
 	CachedParts int
 	// OwnerRank ranks the engine for the prompt's shared parts, identically on all hosts; the
-	// highest rank is the owner.
+	// engine with the highest rank is the owner of the parts.
 	OwnerRank uint64
 }
 
@@ -37,9 +38,9 @@
 	Index int
 	// Expected is the expected time to the first event.
 	Expected time.Duration
-	// ExpectedUnqueued is the expected time to the first event without queued work. PrefillTime is the
-	// portion of it during which the engine works on this prompt alone and other prompts
-	// wait: the prefill and the least overhead.
+	// ExpectedUnqueued is the expected time to the first event without queued work.
+	// PrefillTime is the portion of it during which the engine works on this prompt alone and
+	// other prompts wait: the prefill and the minimum overhead.
 	ExpectedUnqueued time.Duration
 	PrefillTime      time.Duration
 	// UncachedTokens is the number of tokens to prefill.
@@ -55,31 +56,32 @@
 //
 // The cost of an engine is a time: its prefill work for the request, the cost of the latency,
 // which is small far below the target and counts in full at the target, and the cost of
-// another zone or region. At equal costs the engine with the higher rank is selected, so that
-// all hosts select the same engine without communication.
-func Place(rates *PrefillEstimator, r *Request, list []Candidate) Choice {
-	local := r.prefersLocalOwner(rates)
-	ownerIndex := findOwner(list, local)
+// another zone or region. If an owner in this zone is preferred, its cost doesn't include the
+// prefill of the shared parts, because later requests reuse it. At equal costs the engine with
+// the higher rank is selected, so that all hosts select the same engine without communication.
+func Place(estimator *PrefillEstimator, r *Request, candidates []Candidate) Choice {
+	local := r.prefersLocalOwner(estimator)
+	owner := findOwner(candidates, local)
 	best := Choice{Index: -1}
-	lowest := time.Duration(0)
-	for i := range list {
-		c := r.evaluate(rates, &list[i])
-		c.Index, c.Owner = i, i == ownerIndex
-		cost := r.cost(&c, &list[i])
+	lowestCost := time.Duration(0)
+	for i := range candidates {
+		c := r.evaluate(estimator, &candidates[i])
+		c.Index, c.Owner = i, i == owner
+		cost := r.cost(&c, &candidates[i])
 		if local && c.Owner {
-			cost -= r.sharedPrefillTime(rates, &list[i]) // later requests reuse this prefill
+			cost -= r.sharedPrefillTime(estimator, &candidates[i])
 		}
-		if best.Index < 0 || cost < lowest || cost == lowest && list[i].OwnerRank > list[best.Index].OwnerRank {
-			best, lowest = c, cost
+		if best.Index < 0 || cost < lowestCost || cost == lowestCost && candidates[i].OwnerRank > candidates[best.Index].OwnerRank {
+			best, lowestCost = c, cost
 		}
 	}
 	return best
 }
 
-func (r *Request) evaluate(rates *PrefillEstimator, c *Candidate) Choice {
+func (r *Request) evaluate(estimator *PrefillEstimator, c *Candidate) Choice {
 	uncached := r.Prompt.uncachedTokens(c.CachedParts)
-	unloaded := rates.TimeToFirstEvent(r.Model, uncached)
-	return Choice{Expected: c.QueuedWork + unloaded, ExpectedUnqueued: unloaded, PrefillTime: overhead + rates.PrefillTime(r.Model, uncached), UncachedTokens: uncached}
+	unqueued := estimator.TimeToFirstEvent(r.Model, uncached)
+	return Choice{Expected: c.QueuedWork + unqueued, ExpectedUnqueued: unqueued, PrefillTime: overhead + estimator.PrefillTime(r.Model, uncached), UncachedTokens: uncached}
 }
 
 func (r *Request) cost(choice *Choice, c *Candidate) time.Duration {
@@ -94,8 +96,8 @@
 }
 
 // sharedPrefillTime returns the prefill time of the shared parts that the engine doesn't cache.
-func (r *Request) sharedPrefillTime(rates *PrefillEstimator, c *Candidate) time.Duration {
-	return rates.PrefillTime(r.Model, r.Prompt.uncachedSharedTokens(c.CachedParts))
+func (r *Request) sharedPrefillTime(estimator *PrefillEstimator, c *Candidate) time.Duration {
+	return estimator.PrefillTime(r.Model, r.Prompt.uncachedSharedTokens(c.CachedParts))
 }
 
 // latencyCost returns the cost of a time to the first event. It is quadratic, because latency
@@ -109,30 +111,32 @@
 }
 
 // prefersLocalOwner reports whether the owner of the shared parts is chosen among the engines
-// of this zone only, which matters if the owner among all engines is in another zone.
-// Requests to another zone cost ZoneCost each time; a prefill in this zone costs once, after which
-// the parts are cached here. The probability of a local owner is the ratio of ZoneCost to the
-// prefill time, so that the expected total cost of remote requests is about one prefill: small
-// for parts that are frequent or fast to prefill, and large only for long, rare parts.
-func (r *Request) prefersLocalOwner(rates *PrefillEstimator) bool {
-	prefill := float64(rates.PrefillTime(r.Model, r.Prompt.uncachedSharedTokens(0)))
+// of this zone only, which matters if the owner among all engines is in another zone. Sending
+// to that owner costs ZoneCost for each request; a prefill in this zone costs its time once,
+// after which the parts are cached here. The result is true with a probability of ZoneCost
+// divided by the prefill time of the shared parts, so that the requests sent to another zone
+// before that prefill are expected to cost about as much as the prefill itself. Parts that are
+// frequent or fast to prefill are therefore soon cached in each zone, and long, rare parts stay
+// with their owner among all engines.
+func (r *Request) prefersLocalOwner(estimator *PrefillEstimator) bool {
+	prefill := float64(estimator.PrefillTime(r.Model, r.Prompt.uncachedSharedTokens(0)))
 	return r.Random*prefill < float64(r.ZoneCost)
 }
 
 // findOwner returns the index of the engine with the highest rank for the shared parts. If
 // local is set, it considers engines of this zone only, unless there are none.
-func findOwner(list []Candidate, local bool) int {
+func findOwner(candidates []Candidate, local bool) int {
 	best := -1
-	for i := range list {
-		if local && list[i].OtherZone {
+	for i := range candidates {
+		if local && candidates[i].OtherZone {
 			continue
 		}
-		if best < 0 || list[i].OwnerRank > list[best].OwnerRank {
+		if best < 0 || candidates[i].OwnerRank > candidates[best].OwnerRank {
 			best = i
 		}
 	}
 	if best < 0 {
-		return findOwner(list, false)
+		return findOwner(candidates, false)
 	}
 	return best
 }
--- a/placement/place_test.go
+++ b/placement/place_test.go
@@ -18,31 +18,30 @@
 
 // fleet simulates engines under a load pattern in virtual time.
 type fleet struct {
-	engines     []*engine
-	rates       *PrefillEstimator
-	rng         *rand.Rand
-	now         time.Duration
-	target      time.Duration
-	zonePenalty time.Duration
-	// prefilled is the number of prefilled tokens, count the number of requests, late the
-	// number of those whose first event exceeded the target, and latencies their times to
-	// the first event.
-	prefilled int
-	count     int
-	late      int
-	latencies []time.Duration
-	// pick selects an engine; nil means Place.
-	pick func(f *fleet, r *Request, list []Candidate) int
+	engines   []*engine
+	estimator *PrefillEstimator
+	rng       *rand.Rand
+	now       time.Duration
+	target    time.Duration
+	zoneCost  time.Duration
+	// lateRequests is the number of requests whose first event came later than the target;
+	// latencies holds the time to the first event of each request.
+	prefilledTokens int
+	requests        int
+	lateRequests    int
+	latencies       []time.Duration
+	// selectEngine returns the index of the engine for a request; nil means Place.
+	selectEngine func(f *fleet, r *Request, list []Candidate) int
 }
 
 const tokenTime = 100 * time.Microsecond
 
 func newFleet(engines int) *fleet {
-	f := &fleet{rates: NewPrefillEstimator(), rng: rand.New(rand.NewPCG(3, 5)), target: 2 * time.Second, zonePenalty: 20 * time.Millisecond}
+	f := &fleet{estimator: NewPrefillEstimator(), rng: rand.New(rand.NewPCG(3, 5)), target: 2 * time.Second, zoneCost: 20 * time.Millisecond}
 	for range engines {
 		f.engines = append(f.engines, &engine{cache: NewCacheTracker[int](MaxCachedPrefixes)})
 	}
-	observeRepeatedly(f.rates, "m", 10_000, overhead+10_000*tokenTime)
+	observeRepeatedly(f.estimator, "m", 10_000, overhead+10_000*tokenTime)
 	return f
 }
 
@@ -51,30 +50,30 @@
 	keys := PrefixKeys("m", p)
 	list := make([]Candidate, len(f.engines))
 	for i, e := range f.engines {
-		list[i] = Candidate{QueuedWork: max(0, e.idleAt-f.now), OtherZone: e.otherZone, CachedParts: e.cache.CachedParts(0, keys), OwnerRank: order(p, i)}
+		list[i] = Candidate{QueuedWork: max(0, e.idleAt-f.now), OtherZone: e.otherZone, CachedParts: e.cache.CachedParts(0, keys), OwnerRank: ownerRank(p, i)}
 	}
-	r := &Request{Model: "m", Prompt: p, Target: f.target, ZoneCost: f.zonePenalty, Random: f.rng.Float64()}
+	r := &Request{Model: "m", Prompt: p, Target: f.target, ZoneCost: f.zoneCost, Random: f.rng.Float64()}
 	index := 0
-	if f.pick != nil {
-		index = f.pick(f, r, list)
+	if f.selectEngine != nil {
+		index = f.selectEngine(f, r, list)
 	} else {
-		index = Place(f.rates, r, list).Index
+		index = Place(f.estimator, r, list).Index
 	}
 	e := f.engines[index]
-	missing := p.uncachedTokens(list[index].CachedParts)
-	e.idleAt = max(e.idleAt, f.now) + overhead + time.Duration(missing)*tokenTime
+	uncached := p.uncachedTokens(list[index].CachedParts)
+	e.idleAt = max(e.idleAt, f.now) + overhead + time.Duration(uncached)*tokenTime
 	e.cache.Add(0, keys...)
-	f.prefilled += missing
-	f.count++
+	f.prefilledTokens += uncached
+	f.requests++
 	f.latencies = append(f.latencies, e.idleAt-f.now)
 	if e.idleAt-f.now > f.target {
-		f.late++
+		f.lateRequests++
 	}
 	return index
 }
 
 // order returns the rank of an engine for a prompt's shared part.
-func order(p *Prompt, engine int) uint64 {
+func ownerRank(p *Prompt, engine int) uint64 {
 	subject := ""
 	if p.SharedParts > 0 {
 		subject = p.Parts[p.SharedParts-1].ID
@@ -82,10 +81,11 @@
 	return uint64(PrefixKeys(subject, &Prompt{Parts: []Part{{ID: fmt.Sprint("engine ", engine)}}})[0])
 }
 
-// sharedPrompt returns a prompt with a shared part of 10,000 tokens and 1,000 unique tokens.
-func sharedPrompt(subject, own int) *Prompt {
+// sharedPrompt returns a prompt with a part of 10,000 tokens that all prompts on the subject
+// share and a part of 1,000 tokens of its own.
+func sharedPrompt(subject, unique int) *Prompt {
 	return &Prompt{
-		Parts:  []Part{{ID: fmt.Sprint("subject ", subject), Tokens: 10_000}, {ID: fmt.Sprint("own ", own), Tokens: 1_000}},
+		Parts:  []Part{{ID: fmt.Sprint("subject ", subject), Tokens: 10_000}, {ID: fmt.Sprint("own ", unique), Tokens: 1_000}},
 		Tokens: 11_000, SharedParts: 1,
 	}
 }
@@ -108,28 +108,28 @@
 	return best
 }
 
-// Shared parts are prefilled about once each, not once per engine. Selection of the least
-// loaded engine prefills them on every engine and overloads the fleet.
+// Shared parts are prefilled about once each, not once per engine. The baseline, which selects
+// the engine with the least queued work, prefills them on every engine and overloads the fleet.
 func TestSharedPartsArePrefilledOnce(t *testing.T) {
 	is := is.New(t)
 	f, baseline := newFleet(8), newFleet(8)
-	baseline.pick = leastQueued
+	baseline.selectEngine = leastQueued
 	for _, fleet := range []*fleet{f, baseline} {
 		fleet.replay(400, 60, 60*time.Millisecond) // warm up the caches
-		fleet.late = 0
+		fleet.lateRequests = 0
 		fleet.replay(1200, 60, 60*time.Millisecond)
 	}
-	unique := 1600 * 1_000
-	t.Log("tokens prefilled", f.prefilled, baseline.prefilled, "late", f.late, baseline.late)
-	is.True(f.prefilled-unique < 2*60*10_000) // each of the 60 shared parts less than twice
-	is.True(baseline.prefilled > 2*f.prefilled)
-	is.True(f.late < 1200/100)
-	is.True(baseline.late > 10*max(1, f.late))
+	unique := 1600 * 1_000 // tokens that no other prompt shares
+	t.Log("tokens prefilled", f.prefilledTokens, baseline.prefilledTokens, "late", f.lateRequests, baseline.lateRequests)
+	is.True(f.prefilledTokens-unique < 2*60*10_000) // each of the 60 shared parts less than twice
+	is.True(baseline.prefilledTokens > 2*f.prefilledTokens)
+	is.True(f.lateRequests < 1200/100)
+	is.True(baseline.lateRequests > 10*max(1, f.lateRequests))
 }
 
-// A popular part is prefilled on further engines once queueing for the first engine costs more
-// than another prefill.
-func TestPopularPartSpreads(t *testing.T) {
+// A popular part is prefilled on further engines as soon as queueing for the first engine costs
+// more than another prefill.
+func TestPopularPartIsPrefilledOnFurtherEngines(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(8)
 	used := make(map[int]bool)
@@ -138,20 +138,20 @@
 		used[f.send(sharedPrompt(0, i))] = true
 	}
 	is.True(len(used) >= 4)
-	is.True(f.late < 2000/20)
+	is.True(f.lateRequests < 2000/20)
 }
 
-// Half of the engines restart with empty caches: few of the following requests are late.
+// After half of the engines restarted with empty caches, few of the following requests are late.
 func TestCrashOfHalfTheEngines(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(8)
 	f.replay(600, 40, 80*time.Millisecond)
-	before := f.late
+	before := f.lateRequests
 	for _, e := range f.engines[:4] {
 		e.cache, e.idleAt = NewCacheTracker[int](MaxCachedPrefixes), f.now
 	}
 	f.replay(600, 40, 80*time.Millisecond)
-	is.True(f.late-before < 600/20)
+	is.True(f.lateRequests-before < 600/20)
 }
 
 // Short prompts aren't queued behind long ones while an engine is idle, because queued work is
@@ -177,11 +177,11 @@
 
 // Parts that are frequent or fast to prefill are prefilled in each zone; requests with long,
 // rare parts are sent to the engine that caches them, in whatever zone. The more a request to
-// another zone costs, the fewer are sent there.
+// another zone costs, the fewer requests are sent there.
 func TestSharedPartsAcrossZones(t *testing.T) {
 	tests := []struct {
 		desc              string
-		zonePenalty       time.Duration
+		zoneCost          time.Duration
 		maxOtherZoneShare float64
 	}{
 		{"other zone costs little against prefill", 5 * time.Millisecond, 0.8},
@@ -193,7 +193,7 @@
 		t.Run(test.desc, func(t *testing.T) {
 			is := is.New(t)
 			f := newFleet(9)
-			f.zonePenalty = test.zonePenalty
+			f.zoneCost = test.zoneCost
 			for _, e := range f.engines[3:] {
 				e.otherZone = true
 			}
@@ -213,7 +213,7 @@
 	}
 }
 
-// An engine is selected for prompts without parts and from a list of a single engine.
+// Place also selects an engine for prompts without parts and among a single candidate.
 func TestPlaceWithoutParts(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1)
@@ -222,29 +222,30 @@
 	is.Equal(f.send(&Prompt{}), 0)
 }
 
-// observeRepeatedly observes the same answer often enough for an estimate.
-func observeRepeatedly(r *PrefillEstimator, model string, tokens int, took time.Duration) {
+// observeRepeatedly adds the same answer often enough for an estimate.
+func observeRepeatedly(estimator *PrefillEstimator, model string, tokens int, took time.Duration) {
 	for range 3 {
-		r.Observe(model, tokens, took, time.Time{})
+		estimator.Observe(model, tokens, took, time.Time{})
 	}
 }
 
-func TestRatesIgnoreOutliers(t *testing.T) {
+func TestEstimateIgnoresOutliers(t *testing.T) {
 	is := is.New(t)
-	r := NewPrefillEstimator()
+	estimator := NewPrefillEstimator()
 	for i := range 400 {
 		took := overhead + 10_000*tokenTime
 		if i%10 == 0 {
 			took *= 20 // unknown queueing
 		}
-		r.Observe("m", 10_000, took, time.Time{})
+		estimator.Observe("m", 10_000, took, time.Time{})
 	}
-	got := r.TimeToFirstEvent("m", 10_000)
+	got := estimator.TimeToFirstEvent("m", 10_000)
 	is.True(got > 900*time.Millisecond && got < 1300*time.Millisecond)
 }
 
-// randomAnswer returns the size and the time of a random answer. Most prompts are short, and
-// one answer in four is delayed by unknown queueing.
+// randomAnswer returns a random prompt size and the time to the first event of its answer. Most
+// prompts are short, and one answer in four is delayed by unknown queueing; answerTime returns
+// the time without it.
 func randomAnswer(rng *rand.Rand) (tokens int, took time.Duration) {
 	tokens = 300 + rng.IntN(1500)
 	if rng.IntN(5) == 0 {
@@ -263,34 +264,34 @@
 
 // estimatesMatch reports whether the estimates are close to the actual times for prompts of
 // all sizes.
-func estimatesMatch(t *testing.T, r *PrefillEstimator) bool {
+func estimatesMatch(t *testing.T, estimator *PrefillEstimator) bool {
 	t.Helper()
 	ok := true
 	for _, tokens := range []int{500, 2000, 8000, 16_000, 40_000} {
-		ratio := float64(r.TimeToFirstEvent("m", tokens)) / float64(answerTime(tokens))
+		ratio := float64(estimator.TimeToFirstEvent("m", tokens)) / float64(answerTime(tokens))
 		t.Logf("%d tokens: estimate is %.2f of the actual time", tokens, ratio)
 		ok = ok && ratio > 0.8 && ratio < 1.35
 	}
 	return ok
 }
 
-// A host with 60 observed answers estimates the right time for prompts of any size.
-func TestRatesOfShortAndLongPrompts(t *testing.T) {
+// A host that received 60 answers estimates the right time for prompts of any size.
+func TestEstimateForShortAndLongPrompts(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	r := NewPrefillEstimator()
+	estimator := NewPrefillEstimator()
 	for range 60 {
 		tokens, took := randomAnswer(rng)
-		r.Observe("m", tokens, took, time.Time{})
+		estimator.Observe("m", tokens, took, time.Time{})
 	}
-	is.New(t).True(estimatesMatch(t, r))
+	is.New(t).True(estimatesMatch(t, estimator))
 }
 
-// A host with a single answer estimates the right time from the timings of its peers.
-func TestRatesOfOtherHosts(t *testing.T) {
+// A host that received a single answer estimates the right time from the timings of its peers.
+func TestEstimateFromPeerTimings(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 2))
 	var sum Timings
-	for range 50 { // hosts with six answers each
+	for range 50 { // peers that received six answers each
 		other := NewPrefillEstimator()
 		for range 6 {
 			tokens, took := randomAnswer(rng)
@@ -298,80 +299,81 @@
 		}
 		sum.Add(other.Timings(time.Time{})["m"])
 	}
-	r := NewPrefillEstimator()
-	r.Observe("m", 500, time.Second, time.Time{}) // delayed by queueing
-	r.SetPeerTimings("m", sum)
-	is.True(estimatesMatch(t, r))
-	r.SetPeerTimings("m", Timings{Answers: 100, Weight: -1})
-	is.True(estimatesMatch(t, r)) // invalid sums are ignored
+	estimator := NewPrefillEstimator()
+	estimator.Observe("m", 500, time.Second, time.Time{}) // delayed by queueing
+	estimator.SetPeerTimings("m", sum)
+	is.True(estimatesMatch(t, estimator))
+	estimator.SetPeerTimings("m", Timings{Answers: 100, Weight: -1})
+	is.True(estimatesMatch(t, estimator)) // invalid sums are ignored
 }
 
 // The estimate follows a fourfold slowdown of the engines within half a minute.
-func TestRatesFollowSlowerEngines(t *testing.T) {
+func TestEstimateFollowsSlowerEngines(t *testing.T) {
 	is := is.New(t)
-	r := NewPrefillEstimator()
+	estimator := NewPrefillEstimator()
 	now := time.Unix(0, 0)
 	for range 60 {
 		now = now.Add(time.Second)
-		r.Observe("m", 10_000, 200*time.Millisecond, now)
+		estimator.Observe("m", 10_000, 200*time.Millisecond, now)
 	}
 	for range 30 {
 		now = now.Add(time.Second)
-		r.Observe("m", 10_000, 800*time.Millisecond, now)
+		estimator.Observe("m", 10_000, 800*time.Millisecond, now)
 	}
-	is.True(r.TimeToFirstEvent("m", 10_000) > 500*time.Millisecond)
+	is.True(estimator.TimeToFirstEvent("m", 10_000) > 500*time.Millisecond)
 }
 
-// The estimate of a model without answers is that of another model scaled by the price ratio.
-func TestRateOfAnUnknownModel(t *testing.T) {
+// The estimate for a model without answers is that of another model, multiplied by the ratio of
+// the prices.
+func TestEstimateOfModelWithoutAnswers(t *testing.T) {
 	is := is.New(t)
-	r := NewPrefillEstimator()
-	observeRepeatedly(r, "small", 10_000, overhead+100*time.Millisecond)
-	is.Equal(r.TimeToFirstEvent("large", 10_000).Round(time.Millisecond), overhead+100*time.Millisecond)
-	r.SetPrice("small", 1)
-	r.SetPrice("large", 12)
-	is.Equal(r.TimeToFirstEvent("large", 10_000).Round(time.Millisecond), overhead+1200*time.Millisecond)
+	estimator := NewPrefillEstimator()
+	observeRepeatedly(estimator, "small", 10_000, overhead+100*time.Millisecond)
+	is.Equal(estimator.TimeToFirstEvent("large", 10_000).Round(time.Millisecond), overhead+100*time.Millisecond)
+	estimator.SetPrice("small", 1)
+	estimator.SetPrice("large", 12)
+	is.Equal(estimator.TimeToFirstEvent("large", 10_000).Round(time.Millisecond), overhead+1200*time.Millisecond)
 }
 
-func TestKeptParts(t *testing.T) {
+func TestCachedParts(t *testing.T) {
 	is := is.New(t)
-	k := NewCacheTracker[int](MaxCachedPrefixes)
+	tracker := NewCacheTracker[int](MaxCachedPrefixes)
 	p := &Prompt{Parts: []Part{{"a", 1}, {"b", 2}, {"c", 3}}, Tokens: 6, SharedParts: 2}
 	keys := PrefixKeys("m", p)
-	is.Equal(k.CachedParts(1, keys), 0)
-	k.Add(1, keys[1]) // a cached prefix includes all shorter ones
-	is.Equal(k.CachedParts(1, keys), 2)
+	is.Equal(tracker.CachedParts(1, keys), 0)
+	tracker.Add(1, keys[1]) // a cached prefix includes all shorter ones
+	is.Equal(tracker.CachedParts(1, keys), 2)
 	is.Equal(p.uncachedTokens(2), 3)
 	is.Equal(p.uncachedSharedTokens(1), 2)
-	is.Equal(k.CachedParts(1, PrefixKeys("other model", p)), 0)
+	is.Equal(tracker.CachedParts(1, PrefixKeys("other model", p)), 0)
 	other := &Prompt{Parts: []Part{{"b", 2}}}
-	is.Equal(k.CachedParts(1, PrefixKeys("m", other)), 0) // the same part after a different prefix
-	k.Remove(1, keys[1:]...)
-	is.Equal(k.CachedParts(1, keys), 0)
+	is.Equal(tracker.CachedParts(1, PrefixKeys("m", other)), 0) // the same part after a different prefix
+	tracker.Remove(1, keys[1:]...)
+	is.Equal(tracker.CachedParts(1, keys), 0)
 }
 
-// The number of tracked prefixes is bounded over all engines together: the least recently used
-// are evicted first, and the indexes hold no evicted ones.
-func TestKeptPartsOfAllEnginesAreBounded(t *testing.T) {
+// The number of tracked prefixes is bounded for all engines together: the least recently used
+// ones are evicted first, and the indexes don't contain evicted ones.
+func TestTrackedPrefixesOfAllEnginesAreBounded(t *testing.T) {
 	is := is.New(t)
 	const capacity, engines = 100, 1000
-	k := NewCacheTracker[int](capacity)
+	tracker := NewCacheTracker[int](capacity)
 	for i := range engines {
-		k.Add(i, PrefixKey(i), 7)
-		k.Add(0, 7) // kept in use
+		tracker.Add(i, PrefixKey(i), 7)
+		tracker.Add(0, 7) // recently used, so it isn't evicted
 	}
-	is.Equal(k.Len(), capacity)
-	is.Equal(k.CachedParts(0, []PrefixKey{7}), 1)
-	is.Equal(k.CachedParts(1, []PrefixKey{7}), 0)
-	is.Equal(k.CachedParts(engines-1, []PrefixKey{PrefixKey(engines - 1)}), 1)
-	is.Equal(len(k.Engines(1)), 0)
-	pairs := 0
-	for _, holders := range k.enginesByKey {
-		pairs += len(holders)
+	is.Equal(tracker.Len(), capacity)
+	is.Equal(tracker.CachedParts(0, []PrefixKey{7}), 1)
+	is.Equal(tracker.CachedParts(1, []PrefixKey{7}), 0)
+	is.Equal(tracker.CachedParts(engines-1, []PrefixKey{PrefixKey(engines - 1)}), 1)
+	is.Equal(len(tracker.Engines(1)), 0)
+	tracked := 0
+	for _, cachingEngines := range tracker.enginesByKey {
+		tracked += len(cachingEngines)
 	}
-	is.Equal(pairs, capacity)
+	is.Equal(tracked, capacity)
 	for i := range engines {
-		k.RemoveEngine(i)
+		tracker.RemoveEngine(i)
 	}
-	is.Equal(k.Len()+len(k.enginesByKey)+len(k.keysByEngine), 0)
+	is.Equal(tracker.Len()+len(tracker.enginesByKey)+len(tracker.keysByEngine), 0)
 }
--- a/placement/ration.go
+++ b/placement/rank_admission.go
@@ -12,7 +12,8 @@
 // most frequent kind. Requests in excess of the capacity are rejected at once. The zero value
 // is ready for use. It isn't safe for concurrent use.
 type RankAdmission struct {
-	// arrivalRates holds the decayed rate of requests per second by rank, as of updatedAt.
+	// arrivalRates holds the decayed rate of arriving requests per second, by rank, as of
+	// updatedAt.
 	arrivalRates [rankCount]float64
 	updatedAt    time.Time
 }
@@ -31,8 +32,9 @@
 }
 
 // Admits reports whether a request is admitted when supply, the capacity in requests per
-// second, doesn't suffice for all. The draw is a random number in [0, 1): the rank that the
-// remaining supply serves in part is admitted in proportion.
+// second, doesn't suffice for all. The more urgent ranks are served first. draw is a random
+// number in [0, 1): if the remaining supply suffices for a fraction of the request's rank, that
+// fraction of the draws is admitted.
 func (r *RankAdmission) Admits(rank int, supply, draw float64, now time.Time) bool {
 	r.decay(now)
 	rank = clampRank(rank)
