--- a/balance/balance.go
+++ b/balance/balance.go
@@ -10,49 +10,50 @@
 	"github.com/quetzalweir/quetzalweir/upstream"
 )
 
-// Upstream is a snapshot of the state that this host has of one upstream.
-// Snapshots are shared and must not be changed.
+// Upstream is a snapshot of what this host stores about one upstream. Snapshots
+// are shared between goroutines and must not be changed.
 type Upstream struct {
 	ID      string
 	Address string
 	Zone    string
 	Kind    storage.HostKind
-	// Name is the model pool's or service's name.
+	// Name is the name of the engine's model pool or of the upstream's service.
 	Name string
 	// Leaving reports whether the upstream drains: it takes no new requests.
 	Leaving bool
-	// Versions are the loaded versions as "model@version", from its last
-	// report that lists them.
+	// Versions are the loaded model versions as "model@version", from the
+	// upstream's last report that lists them.
 	Versions []string
 	// Reported is the upstream's last load report, as of ReportedAt. Both are
 	// zero before the first report.
 	Reported   upstream.Load
 	ReportedAt time.Time
-	// Hosts is the number of entry hosts that send to the upstream; 0 means 1.
+	// Hosts is the number of entry hosts that share the traffic; 0 means 1.
 	Hosts int
 	// InFlight is the number of this host's requests in flight.
 	InFlight int
-	// SentSinceReport is the number of requests in flight sent after
-	// ReportedAt, which the report doesn't include.
+	// SentSinceReport is the number of this host's requests in flight that were
+	// sent after ReportedAt and that the report therefore doesn't include.
 	SentSinceReport int
-	// ErrorRate is the decayed fraction of failed requests, from 0 to 1.
+	// ErrorRate is the decayed fraction of this host's requests that failed,
+	// from 0 to 1, as of the last outcome.
 	ErrorRate float64
-	// LatencyMs is the moving average of the time to the first token in
-	// milliseconds; 0 without a measurement.
+	// LatencyMs is the moving average of the time to the first token of this
+	// host's requests, in milliseconds; 0 without a measurement.
 	LatencyMs float64
 	// EjectedUntil is the end of the latest ejection; zero without one.
 	EjectedUntil time.Time
 
-	// outcomeAt is when ErrorRate was last updated.
-	outcomeAt time.Time
+	// errorRateUpdatedAt is the time of the last outcome; zero without one.
+	errorRateUpdatedAt time.Time
 }
 
 // errorRateAt returns the error rate decayed to now.
 func (u *Upstream) errorRateAt(now time.Time) float64 {
-	if u.outcomeAt.IsZero() {
+	if u.errorRateUpdatedAt.IsZero() {
 		return u.ErrorRate
 	}
-	return u.ErrorRate * math.Exp2(-float64(now.Sub(u.outcomeAt))/float64(errorHalfLife))
+	return u.ErrorRate * math.Exp2(-float64(now.Sub(u.errorRateUpdatedAt))/float64(errorHalfLife))
 }
 
 // Request describes a request for which an upstream is selected.
@@ -73,8 +74,9 @@
 	Exclude []string
 }
 
-// loadedVersion returns the requested version as engines report it.
-func (r *Request) loadedVersion() string {
+// requestedVersion returns the requested model version in the format in which
+// engines report their loaded versions.
+func (r *Request) requestedVersion() string {
 	return r.Model + "@" + r.Version
 }
 
@@ -129,13 +131,14 @@
 // Selector is a chain of filters, scorers and a picker.
 type Selector struct {
 	Filters []Filter
-	// Affinity scorers rate every candidate. The best candidate of each is
-	// added to the picker's sample unless its load exceeds Bound.
+	// Affinity scorers rate every candidate. For each scorer, the best among
+	// the candidates whose load is within Bound is added to the picker's sample.
 	Affinity []Weighted
-	// Scorers rate the sampled and the preferred candidates only.
+	// Scorers rate the candidates in the picker's sample, including those that
+	// affinity scorers added.
 	Scorers []Weighted
 	Picker  Picker
-	// Bound limits the load of upstreams preferred by affinity.
+	// Bound is the maximum load of candidates that affinity scorers add.
 	Bound LoadBound
 }
 
@@ -160,7 +163,8 @@
 	return choice, true
 }
 
-// preference is a candidate that an affinity scorer adds to the sample.
+// preference is a candidate that an affinity scorer adds to the sample, by its
+// index in the list, and the weighted score that the scorer gives it.
 type preference struct {
 	index int
 	bonus float64
@@ -181,8 +185,8 @@
 }
 
 // bestAffinity returns the index and score of the candidate with the highest
-// positive score among those with a load of at most limit, or -1. Among equal
-// scores it returns the least loaded candidate.
+// positive score among those with a load of at most limit, or the index -1 if
+// there is none. Among equal scores it returns the least loaded candidate.
 func bestAffinity(scorer Scorer, req *Request, candidates []*Upstream, limit float64, now time.Time) (best int, bestScore float64) {
 	best = -1
 	for i, u := range candidates {
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -8,7 +8,8 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// benchPool returns a pool of n engines with prefixes in the index.
+// benchPool returns a pool of n engines, each with a part of one prompt's blocks in
+// the prefix index, and a request with this prompt.
 func benchPool(n int) (*Pool, *Request) {
 	pool := NewPool(Options{Host: "entry-1", Zone: "a", Subset: Subset{Min: n, Max: n}})
 	var list []storage.Host
@@ -39,8 +40,9 @@
 	}
 }
 
-// BenchmarkChooseOfManyPools selects among the upstreams of one host at the
-// design size: 24 upstreams in each of 20 pools, one of which has the version.
+// BenchmarkChooseOfManyPools selects among as many upstreams as one host sends to
+// at the design size: 24 in each of 20 model pools, one of which has the requested
+// version loaded.
 func BenchmarkChooseOfManyPools(b *testing.B) {
 	const pools = 20
 	pool, req := benchPool(pools * DefaultSubsetMin)
--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -13,64 +13,67 @@
 	DefaultEjectMax          = 2 * time.Minute
 )
 
-// Ejection configures when an upstream is ejected, and for how long. Zero
-// fields mean the defaults.
+// Ejection configures when an upstream is ejected, that is, receives no requests
+// for a time, and for how long. Zero fields mean the defaults.
 type Ejection struct {
-	// ConsecutiveErrors is the number of consecutive errors that ejects.
+	// ConsecutiveErrors is the number of consecutive errors at which an
+	// upstream is ejected.
 	ConsecutiveErrors int
-	// ErrorRate is the decayed error rate that ejects.
+	// ErrorRate is the decayed error rate at which an upstream is ejected.
 	ErrorRate float64
-	// Base is the duration of the first ejection. It doubles with each
-	// further ejection without a success in between, up to Max. The actual
-	// duration is drawn from half to one and a half times that, so that the
-	// entry hosts don't resume sending to the upstream at the same time.
+	// Base is the mean duration of the first ejection. The mean doubles with
+	// each further ejection without a success in between, up to Max. The actual
+	// duration is drawn at random from half to one and a half times the mean,
+	// so that the entry hosts don't resume sending to the upstream at the same
+	// time.
 	Base time.Duration
 	Max  time.Duration
 }
 
-func (c Ejection) withDefaults() Ejection {
-	c.ConsecutiveErrors = cmp.Or(c.ConsecutiveErrors, DefaultConsecutiveErrors)
-	c.ErrorRate = cmp.Or(c.ErrorRate, DefaultEjectErrorRate)
-	c.Base = cmp.Or(c.Base, DefaultEjectBase)
-	c.Max = cmp.Or(c.Max, DefaultEjectMax)
-	return c
+func (e Ejection) withDefaults() Ejection {
+	e.ConsecutiveErrors = cmp.Or(e.ConsecutiveErrors, DefaultConsecutiveErrors)
+	e.ErrorRate = cmp.Or(e.ErrorRate, DefaultEjectErrorRate)
+	e.Base = cmp.Or(e.Base, DefaultEjectBase)
+	e.Max = cmp.Or(e.Max, DefaultEjectMax)
+	return e
 }
 
-// ejectionState holds the error and ejection counts of one upstream.
+// ejectionState holds the error and ejection counts of one upstream, and the end
+// of its latest ejection.
 type ejectionState struct {
-	consecutive int
+	consecutiveErrors int
 	// ejections counts the ejections since the last success.
-	ejections int
-	until     time.Time
+	ejections    int
+	ejectedUntil time.Time
 }
 
-// observe records an outcome and returns the end of the latest ejection.
-// Outcomes during an ejection are ignored: they belong to requests sent
-// before it.
-func (s *ejectionState) observe(failed bool, rate float64, now time.Time, c Ejection, jitter float64) time.Time {
-	c = c.withDefaults()
-	if now.Before(s.until) {
-		return s.until
+// observe records whether a request failed and returns the end of the latest
+// ejection. jitter is a random number from 0 to 1. Outcomes during an ejection
+// are ignored, because they belong to requests sent before it.
+func (s *ejectionState) observe(failed bool, errorRate float64, now time.Time, config Ejection, jitter float64) time.Time {
+	config = config.withDefaults()
+	if now.Before(s.ejectedUntil) {
+		return s.ejectedUntil
 	}
 	if !failed {
-		s.consecutive = 0
+		s.consecutiveErrors = 0
 		s.ejections = 0
-		return s.until
+		return s.ejectedUntil
 	}
-	s.consecutive++
+	s.consecutiveErrors++
 	// After an ejection, until the first success, a single error ejects again.
-	if s.ejections > 0 || s.consecutive >= c.ConsecutiveErrors || rate >= c.ErrorRate {
-		s.until = now.Add(s.duration(c, jitter))
+	if s.ejections > 0 || s.consecutiveErrors >= config.ConsecutiveErrors || errorRate >= config.ErrorRate {
+		s.ejectedUntil = now.Add(s.duration(config, jitter))
 		s.ejections++
-		s.consecutive = 0
+		s.consecutiveErrors = 0
 	}
-	return s.until
+	return s.ejectedUntil
 }
 
-func (s *ejectionState) duration(c Ejection, jitter float64) time.Duration {
-	length := c.Base
+func (s *ejectionState) duration(config Ejection, jitter float64) time.Duration {
+	mean := config.Base
 	for range s.ejections {
-		length = min(2*length, c.Max)
+		mean = min(2*mean, config.Max)
 	}
-	return time.Duration(float64(length) * (0.5 + jitter))
+	return time.Duration(float64(mean) * (0.5 + jitter))
 }
--- a/balance/filter_capacity.go
+++ b/balance/filter_capacity.go
@@ -10,11 +10,11 @@
 const DefaultMaxLoad = 2.0
 
 // CapacityFilter drops upstreams with long queues. If it would drop all of
-// them it drops none: the scorers then select the least loaded, and the queue
-// decides whether to refuse the request.
+// them it drops none: the scorers then prefer the least loaded upstream. Refusing
+// requests under overload is the task of the host's admission queue.
 type CapacityFilter struct {
-	// MaxLoad is the load, in multiples of the upstream's capacity, from which
-	// it is dropped; 0 means DefaultMaxLoad.
+	// MaxLoad is the load, in multiples of the capacity, from which an upstream
+	// is dropped; 0 means DefaultMaxLoad.
 	MaxLoad float64
 }
 
--- a/balance/filter_ejected.go
+++ b/balance/filter_ejected.go
@@ -13,9 +13,9 @@
 // candidates, beginning with those whose ejections end last, so that a fault
 // common to all upstreams doesn't remove all of them.
 type EjectedFilter struct {
-	// MaxShare is the largest share of candidates to drop, from 0 to 1; 0
-	// means DefaultMaxEjectedShare. Of two or more candidates, one may always
-	// be dropped.
+	// MaxShare is the maximum share of the candidates to drop, from 0 to 1; 0
+	// means DefaultMaxEjectedShare. Of two or more candidates, one may be
+	// dropped whatever the share.
 	MaxShare float64
 }
 
--- a/balance/filter_version.go
+++ b/balance/filter_version.go
@@ -22,8 +22,8 @@
 			return u.Kind != storage.KindService || u.Name != req.Service
 		})
 	}
-	loaded := req.loadedVersion()
+	requested := req.requestedVersion()
 	return slices.DeleteFunc(list, func(u *Upstream) bool {
-		return u.Kind != storage.KindEngine || !slices.Contains(u.Versions, loaded)
+		return u.Kind != storage.KindEngine || !slices.Contains(u.Versions, requested)
 	})
 }
--- a/balance/helpers_test.go
+++ b/balance/helpers_test.go
@@ -57,7 +57,7 @@
 	return pool, clock, list
 }
 
-func find(pool *Pool, id string) *Upstream {
+func findUpstream(pool *Pool, id string) *Upstream {
 	for _, u := range pool.View() {
 		if u.ID == id {
 			return u
@@ -66,6 +66,6 @@
 	return nil
 }
 
-func seeded() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
+func newSeededRand() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
 var modelRequest = &Request{Model: "m", Version: "1", Zone: "a"}
--- a/balance/pick.go
+++ b/balance/pick.go
@@ -2,8 +2,9 @@
 
 import "math/rand/v2"
 
-// PowerOfTwo samples two distinct candidates at random. Sampling prevents hosts
-// with the same outdated state from all selecting the same upstream.
+// PowerOfTwo samples two distinct candidates at random, or the only one.
+// Sampling keeps hosts that store the same outdated loads from all selecting the
+// same upstream.
 type PowerOfTwo struct{}
 
 // Sample implements Picker.
--- a/balance/pool.go
+++ b/balance/pool.go
@@ -17,19 +17,19 @@
 	// Host and Zone are this entry host's ID and availability zone.
 	Host string
 	Zone string
-	// Clock is the source of time; nil means time.Now.
+	// Clock returns the current time; nil means time.Now.
 	Clock storage.Clock
 	// Seed seeds the random selection, which makes it reproducible.
 	Seed uint64
-	// Selector is the chain; nil means NewSelector with the pool's index.
+	// Selector is the chain that Choose uses; nil means NewSelector with the
+	// pool's prefix index.
 	Selector *Selector
 	// Ejection configures when upstreams are ejected.
 	Ejection Ejection
 	// Subset limits the upstreams that this host sends to.
 	Subset Subset
-	// AbsentFor is the time of absence from the host list after which the
-	// return of an upstream counts as a new incarnation; 0 means
-	// DefaultAbsentFor.
+	// AbsentFor is how long an upstream must be absent from the host list for
+	// its return to count as a new incarnation; 0 means DefaultAbsentFor.
 	AbsentFor time.Duration
 	// IndexBlocks is the maximum number of blocks per upstream in the prefix
 	// index; 0 means DefaultIndexBlocks.
@@ -37,7 +37,8 @@
 }
 
 // DefaultAbsentFor is the default of Options.AbsentFor. It exceeds the lag of
-// the host list, so that an outdated list can't undo the leaving of an upstream.
+// the host list, so that an outdated list can't end the leaving state of an
+// upstream.
 const DefaultAbsentFor = time.Minute
 
 // Outcome is the result of a request at an upstream.
@@ -62,16 +63,16 @@
 	index    *PrefixIndex
 	shards   [poolShards]poolShard
 	// members holds the entries of the listed upstreams; Update replaces it.
-	members atomic.Pointer[[]*entry]
-	// updating serializes calls of Update.
-	updating sync.Mutex
-	hosts    atomic.Int64
-	random   randomSources
+	members atomic.Pointer[[]*poolEntry]
+	// updateMu serializes calls of Update.
+	updateMu  sync.Mutex
+	hostCount atomic.Int64
+	random    randomSources
 }
 
 type poolShard struct {
 	mu      sync.Mutex
-	entries map[string]*entry
+	entries map[string]*poolEntry
 }
 
 // NewPool returns an empty pool.
@@ -89,9 +90,9 @@
 		p.selector = NewSelector(p.index)
 	}
 	for i := range p.shards {
-		p.shards[i].entries = make(map[string]*entry)
+		p.shards[i].entries = make(map[string]*poolEntry)
 	}
-	p.members.Store(new([]*entry))
+	p.members.Store(new([]*poolEntry))
 	p.random.seed(options.Seed)
 	return p
 }
@@ -102,13 +103,14 @@
 
 // SetHosts sets the number of entry hosts that share the traffic. It is 1
 // before the first call.
-func (p *Pool) SetHosts(n int) { p.hosts.Store(int64(max(1, n))) }
+func (p *Pool) SetHosts(n int) { p.hostCount.Store(int64(max(1, n))) }
 
 // SetSelector replaces the chain. It must be called before the pool is used.
 func (p *Pool) SetSelector(s *Selector) { p.selector = s }
 
-// View returns the current snapshots of all members in the order of their IDs.
-// The caller owns the slice; the snapshots are shared.
+// View returns the current snapshots of the listed upstreams that this host sends
+// to, in the order of their IDs. The caller owns the slice; the snapshots are
+// shared.
 func (p *Pool) View() []*Upstream {
 	members := *p.members.Load()
 	view := make([]*Upstream, len(members))
@@ -118,8 +120,8 @@
 	return view
 }
 
-// Choose selects an upstream for the request. It reserves no capacity; the
-// caller must call Begin before it sends the request.
+// Choose selects an upstream for the request; ok is false if there is none. It
+// reserves no capacity; the caller must call Begin before it sends the request.
 func (p *Pool) Choose(req *Request) (choice Choice, ok bool) {
 	p.random.use(func(rnd *rand.Rand) {
 		choice, ok = p.selector.Select(req, p.View(), p.options.Clock(), rnd)
@@ -127,32 +129,34 @@
 	return choice, ok
 }
 
-// Report applies an upstream's load report received at now; its age is
-// subtracted. Reports older than the last one are ignored.
+// Report applies an upstream's load report received at now. The report was taken
+// load.AgeMs milliseconds before that. Reports taken before the last one are
+// ignored.
 func (p *Pool) Report(id string, load upstream.Load, now time.Time) {
 	takenAt := now.Add(-time.Duration(load.AgeMs) * time.Millisecond)
-	p.change(id, func(e *entry) { e.applyReport(load, takenAt) })
+	p.change(id, func(e *poolEntry) { e.applyReport(load, takenAt) })
 }
 
-// SetLeaving marks the upstream as leaving. The version of such a fact must
-// increase over time, like the table's revision; 0 stands for this host's own
-// observation. SetLeaving reports whether the state changed, in which case
-// callers forward the fact to other hosts.
+// SetLeaving applies a leaving fact: it marks the upstream as leaving. The
+// versions of an upstream's leaving facts must increase over time, like the
+// table's revision; version 0 stands for this host's own observation. SetLeaving
+// reports whether the state changed, in which case callers forward the fact to
+// other hosts.
 //
-// No host list and no report undoes the leaving state. It ends with the
-// incarnation: when the upstream returns after an absence from the host list of
-// at least AbsentFor. A version that was received for the earlier incarnation
-// doesn't apply to the new one, and facts older than AbsentFor must not be
-// forwarded. A fact may arrive before the host list that contains the upstream.
-// A fact that arrives after an absence of AbsentFor applies to the next
-// incarnation, whether or not the entry of the last one still exists.
+// The leaving state ends only with the incarnation, that is, when the upstream
+// returns after an absence from the host list of at least AbsentFor; no host list
+// and no report ends it earlier. A version that was received for the earlier
+// incarnation doesn't apply to the new one, and callers must not forward facts
+// older than AbsentFor. A fact may arrive before the host list that contains the
+// upstream. A fact that arrives after an absence of AbsentFor applies to the next
+// incarnation, whether or not the entry of the previous one still exists.
 func (p *Pool) SetLeaving(id string, version uint64) bool {
 	shard := p.shard(id)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
 	e := shard.entries[id]
 	if e == nil {
-		e = &entry{absentSince: p.options.Clock()}
+		e = &poolEntry{absentSince: p.options.Clock()}
 		shard.entries[id] = e
 	}
 	if now := p.options.Clock(); e.incarnationEnded(now, p.options.AbsentFor) {
@@ -165,17 +169,17 @@
 	return changed
 }
 
-// Begin counts a request as in flight. If the upstream is unknown, absent or
-// leaving by now, it returns false and the request must not be sent.
+// Begin counts a request as in flight. If the upstream is unknown, absent from
+// the host list or leaving, it returns false and the request must not be sent.
 func (p *Pool) Begin(id string) bool {
 	begun := false
-	p.change(id, func(e *entry) { begun = e.begin(p.options.Clock()) })
+	p.change(id, func(e *poolEntry) { begun = e.begin(p.options.Clock()) })
 	return begun
 }
 
 // End records the outcome of a request that Begin counted.
 func (p *Pool) End(id string, outcome Outcome) {
-	p.change(id, func(e *entry) {
+	p.change(id, func(e *poolEntry) {
 		e.end(outcome, p.options.Clock(), p.options.Ejection, p.jitter())
 	})
 }
@@ -186,8 +190,9 @@
 	return jitter
 }
 
-// change calls f on the entry under its shard's lock and publishes the result.
-func (p *Pool) change(id string, f func(e *entry)) {
+// change calls f with the upstream's entry under the lock of its shard, and
+// publishes the changed state. It does nothing if there is no entry.
+func (p *Pool) change(id string, f func(e *poolEntry)) {
 	shard := p.shard(id)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
@@ -195,7 +200,7 @@
 	if e == nil {
 		return
 	}
-	e.state.Hosts = int(p.hosts.Load())
+	e.state.Hosts = int(p.hostCount.Load())
 	f(e)
 	e.publish()
 }
--- a/balance/entry.go
+++ b/balance/pool_entry.go
@@ -19,15 +19,16 @@
 	errorHalfLife = 10 * time.Second
 )
 
-// entry is the state of one upstream. All fields except snapshot are guarded
-// by the lock of its shard.
-type entry struct {
+// poolEntry is the state of one upstream in a Pool. All fields except snapshot
+// are guarded by the lock of the entry's shard.
+type poolEntry struct {
 	snapshot atomic.Pointer[Upstream]
 	state    Upstream
 	// startTimes holds the start times of the requests in flight in ascending
 	// order.
 	startTimes []time.Time
-	// leavingVersion is the highest version of a leaving fact received.
+	// leavingVersion is the highest version that SetLeaving received for the
+	// upstream; 0 without one.
 	leavingVersion uint64
 	// absentSince is when the upstream disappeared from the host list; zero
 	// while it is listed.
@@ -35,17 +36,17 @@
 	ejection    ejectionState
 }
 
-func (e *entry) inFlight() int { return len(e.startTimes) }
+func (e *poolEntry) inFlight() int { return len(e.startTimes) }
 
 // publish replaces the snapshot that readers use.
-func (e *entry) publish() {
+func (e *poolEntry) publish() {
 	snapshot := e.state
 	e.snapshot.Store(&snapshot)
 }
 
 // reset clears the state for a new incarnation. It keeps leavingVersion and
 // absentSince.
-func (e *entry) reset() {
+func (e *poolEntry) reset() {
 	e.state = Upstream{}
 	e.startTimes = nil
 	e.ejection = ejectionState{}
@@ -53,12 +54,12 @@
 
 // incarnationEnded reports whether the upstream has been absent for so long
 // that its return counts as a new incarnation.
-func (e *entry) incarnationEnded(now time.Time, absentFor time.Duration) bool {
+func (e *poolEntry) incarnationEnded(now time.Time, absentFor time.Duration) bool {
 	return !e.absentSince.IsZero() && now.Sub(e.absentSince) >= absentFor
 }
 
-// applyHost applies the upstream's entry in the host list.
-func (e *entry) applyHost(h storage.Host) {
+// applyHost applies what the host list contains about the upstream.
+func (e *poolEntry) applyHost(h storage.Host) {
 	e.absentSince = time.Time{}
 	e.state.ID = h.ID
 	e.state.Address = h.Address
@@ -71,8 +72,9 @@
 }
 
 // markLeaving marks the upstream as leaving and reports whether that changed
-// its state. It ignores versions that aren't newer; 0 stands for none.
-func (e *entry) markLeaving(version uint64) bool {
+// its state. It ignores a version that isn't higher than all earlier ones;
+// version 0 always applies.
+func (e *poolEntry) markLeaving(version uint64) bool {
 	if version != 0 && version <= e.leavingVersion {
 		return false
 	}
@@ -82,9 +84,9 @@
 	return changed
 }
 
-// applyReport applies a load report unless it is older than the last one.
-// Requests that this host began later are added to the reported load.
-func (e *entry) applyReport(load upstream.Load, takenAt time.Time) {
+// applyReport applies a load report unless it is older than the last one. The
+// requests that this host began after takenAt count as sent since the report.
+func (e *poolEntry) applyReport(load upstream.Load, takenAt time.Time) {
 	if takenAt.Before(e.state.ReportedAt) {
 		return
 	}
@@ -100,8 +102,9 @@
 	e.updateCounters()
 }
 
-// updateCounters derives the counters of the state from the requests in flight.
-func (e *entry) updateCounters() {
+// updateCounters sets InFlight and SentSinceReport from the start times of the
+// requests in flight.
+func (e *poolEntry) updateCounters() {
 	e.state.InFlight = len(e.startTimes)
 	sentSinceReport := 0
 	for i := len(e.startTimes) - 1; i >= 0 && e.startTimes[i].After(e.state.ReportedAt); i-- {
@@ -110,7 +113,7 @@
 	e.state.SentSinceReport = sentSinceReport
 }
 
-func (e *entry) begin(now time.Time) bool {
+func (e *poolEntry) begin(now time.Time) bool {
 	if e.state.Leaving || !e.absentSince.IsZero() {
 		return false
 	}
@@ -119,7 +122,7 @@
 	return true
 }
 
-func (e *entry) end(outcome Outcome, now time.Time, ejection Ejection, jitter float64) {
+func (e *poolEntry) end(outcome Outcome, now time.Time, ejection Ejection, jitter float64) {
 	if len(e.startTimes) > 0 {
 		e.startTimes = e.startTimes[1:]
 	}
@@ -128,7 +131,7 @@
 	}
 	failed := outcome.Err && !outcome.Leaving
 	if outcome.Refused {
-		failed = failed && !e.reportsFull()
+		failed = failed && !e.loadExplainsRefusal()
 		e.markFull()
 	}
 	e.observeLatency(outcome.FirstToken)
@@ -137,16 +140,16 @@
 	e.updateCounters()
 }
 
-// reportsFull reports whether the corrected load explains a refusal. Otherwise
-// the refusal counts as an error: an upstream that refuses every request
-// appears idle by its load.
-func (e *entry) reportsFull() bool {
+// loadExplainsRefusal reports whether the corrected load reaches the capacity.
+// Otherwise a refusal counts as an error, because an upstream that refuses every
+// request reports a low load, which would attract further requests.
+func (e *poolEntry) loadExplainsRefusal() bool {
 	return float64(CorrectedLoad(&e.state)) >= capacity(&e.state)
 }
 
 // markFull treats a refusal as a report of full load, so that requests are sent
 // to other upstreams until the next report.
-func (e *entry) markFull() {
+func (e *poolEntry) markFull() {
 	if e.state.Reported.Capacity == 0 {
 		e.state.Reported.Capacity = unreportedCapacity
 	}
@@ -154,7 +157,7 @@
 	e.state.Reported.Running = max(e.state.Reported.Running, full)
 }
 
-func (e *entry) observeLatency(firstToken time.Duration) {
+func (e *poolEntry) observeLatency(firstToken time.Duration) {
 	if firstToken <= 0 {
 		return
 	}
@@ -166,12 +169,12 @@
 	e.state.LatencyMs += latencyGain * (ms - e.state.LatencyMs)
 }
 
-func (e *entry) observeError(failed bool, now time.Time) {
+func (e *poolEntry) observeError(failed bool, now time.Time) {
 	rate := e.state.errorRateAt(now)
-	e.state.outcomeAt = now
-	outcome := 0.0
+	e.state.errorRateUpdatedAt = now
+	sample := 0.0
 	if failed {
-		outcome = 1
+		sample = 1
 	}
-	e.state.ErrorRate = rate + errorGain*(outcome-rate)
+	e.state.ErrorRate = rate + errorGain*(sample-rate)
 }
--- a/balance/pool_property_test.go
+++ b/balance/pool_property_test.go
@@ -11,7 +11,8 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// poolModel is the reference model of a pool whose host list lags and flaps.
+// poolModel is the reference model of a pool. Its host lists may be outdated, and
+// upstreams may disappear from them and return.
 type poolModel struct {
 	pool        *Pool
 	clock       *fakeClock
@@ -64,8 +65,9 @@
 	return !absentAt.IsZero() && m.clock.now.Sub(absentAt) >= DefaultAbsentFor
 }
 
-// setLeaving applies a leaving fact. A fact that arrives after the end of the
-// incarnation applies to the next one, which isn't listed yet.
+// setLeaving applies a leaving fact to the pool and to the model. A fact that
+// arrives after the end of an incarnation applies to the next one, which isn't
+// listed yet.
 func (m *poolModel) setLeaving(id string) {
 	m.version++
 	m.pool.SetLeaving(id, m.version)
@@ -107,10 +109,10 @@
 	}
 }
 
-func TestLeavingHoldsUnderLaggingLists(t *testing.T) {
+func TestLeavingPersistsDespiteOutdatedLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newPoolModel()
-		pick := func(t *rapid.T) string { return rapid.SampledFrom(m.ids).Draw(t, "id") }
+		drawID := func(t *rapid.T) string { return rapid.SampledFrom(m.ids).Draw(t, "id") }
 		t.Repeat(map[string]func(*rapid.T){
 			"update": func(t *rapid.T) {
 				m.update(rapid.SliceOfDistinct(rapid.SampledFrom(m.ids), rapid.ID[string]).Draw(t, "listed"))
@@ -118,10 +120,10 @@
 			"advance": func(t *rapid.T) {
 				m.clock.Advance(time.Duration(rapid.IntRange(0, 50).Draw(t, "seconds")) * time.Second)
 			},
-			"leave": func(t *rapid.T) { m.setLeaving(pick(t)) },
-			"begin": func(t *rapid.T) { m.begin(t, pick(t)) },
+			"leave": func(t *rapid.T) { m.setLeaving(drawID(t)) },
+			"begin": func(t *rapid.T) { m.begin(t, drawID(t)) },
 			"end": func(t *rapid.T) {
-				if id := pick(t); m.inFlight[id] > 0 {
+				if id := drawID(t); m.inFlight[id] > 0 {
 					m.pool.End(id, Outcome{})
 					m.inFlight[id]--
 				}
--- a/balance/pool_test.go
+++ b/balance/pool_test.go
@@ -16,26 +16,26 @@
 	is := is.New(t)
 	pool, clock, list := newTestPool(t, "a", "b")
 	is.True(pool.SetLeaving("a", 7))
-	is.True(!pool.SetLeaving("a", 7)) // already known
+	is.True(!pool.SetLeaving("a", 7)) // the same version again
 	clock.Advance(time.Hour)
-	pool.Update(list) // the lagging list still reports it as live
+	pool.Update(list) // an outdated list still reports the upstream as live
 	pool.Report("a", newLoad(0), clock.Now())
-	is.True(find(pool, "a").Leaving)
+	is.True(findUpstream(pool, "a").Leaving)
 	is.True(!pool.Begin("a"))
 
 	pool.Update(list[1:])
 	clock.Advance(DefaultAbsentFor - 1)
 	pool.Update(list) // an outdated list after a short absence
-	is.True(find(pool, "a").Leaving)
+	is.True(findUpstream(pool, "a").Leaving)
 
 	pool.Update(list[1:])
 	clock.Advance(DefaultAbsentFor)
 	pool.Update(list) // a new incarnation
-	is.True(!find(pool, "a").Leaving)
+	is.True(!findUpstream(pool, "a").Leaving)
 	is.True(!pool.SetLeaving("a", 7)) // a fact of the earlier incarnation
-	is.True(!find(pool, "a").Leaving)
+	is.True(!findUpstream(pool, "a").Leaving)
 	is.True(pool.SetLeaving("a", 8))
-	is.True(find(pool, "a").Leaving)
+	is.True(findUpstream(pool, "a").Leaving)
 }
 
 func TestLeavingSources(t *testing.T) {
@@ -72,7 +72,7 @@
 	pool, _, list := newTestPool(t, "a")
 	pool.SetLeaving("new", 3)
 	pool.Update(append(list, newHost("new")))
-	is.True(find(pool, "new").Leaving)
+	is.True(findUpstream(pool, "new").Leaving)
 }
 
 func TestReportsCorrectTheLoad(t *testing.T) {
@@ -80,18 +80,18 @@
 	pool, clock, _ := newTestPool(t, "a")
 	clock.Advance(time.Second)
 	pool.Begin("a")
-	is.Equal(CorrectedLoad(find(pool, "a")), 1)
+	is.Equal(CorrectedLoad(findUpstream(pool, "a")), 1)
 	reported := newLoad(5)
-	reported.AgeMs = 2000 // taken before the request began
+	reported.AgeMs = 2000 // the report was taken before the request began
 	pool.Report("a", reported, clock.Now().Add(1500*time.Millisecond))
-	is.Equal(CorrectedLoad(find(pool, "a")), 6)
-	pool.Report("a", newLoad(0), start) // older than the latest
-	is.Equal(CorrectedLoad(find(pool, "a")), 6)
+	is.Equal(CorrectedLoad(findUpstream(pool, "a")), 6)
+	pool.Report("a", newLoad(0), start) // older than the last report, so ignored
+	is.Equal(CorrectedLoad(findUpstream(pool, "a")), 6)
 	pool.Report("a", newLoad(0), clock.Now().Add(2*time.Second))
-	is.Equal(CorrectedLoad(find(pool, "a")), 1) // not below this host's requests in flight
+	is.Equal(CorrectedLoad(findUpstream(pool, "a")), 1) // not below this host's requests in flight
 	pool.End("a", Outcome{FirstToken: 80 * time.Millisecond})
-	is.Equal(CorrectedLoad(find(pool, "a")), 0)
-	is.Equal(find(pool, "a").LatencyMs, 80.0)
+	is.Equal(CorrectedLoad(findUpstream(pool, "a")), 0)
+	is.Equal(findUpstream(pool, "a").LatencyMs, 80.0)
 }
 
 func TestImplausibleReportIsCorrected(t *testing.T) {
@@ -103,7 +103,7 @@
 	}
 	clock.Advance(time.Second)
 	pool.Report("a", newLoad(0), clock.Now())
-	is.Equal(CorrectedLoad(find(pool, "a")), 14) // half of the load extrapolated to 7 hosts
+	is.Equal(CorrectedLoad(findUpstream(pool, "a")), 14) // half of 4 requests times 7 hosts
 }
 
 func TestFastFailuresDoNotAttractRequests(t *testing.T) {
@@ -116,7 +116,7 @@
 		id := choice.Upstream.ID
 		is.True(pool.Begin(id))
 		counts[id]++
-		if id == "a" { // fails at once; the others stay busy
+		if id == "a" { // fails at once; the requests at the others stay in flight
 			pool.End(id, Outcome{Err: true})
 		}
 	}
@@ -133,17 +133,17 @@
 	for range DefaultConsecutiveErrors {
 		fail()
 	}
-	first := find(pool, "a").EjectedUntil.Sub(clock.Now())
+	first := findUpstream(pool, "a").EjectedUntil.Sub(clock.Now())
 	is.True(first >= DefaultEjectBase/2 && first <= DefaultEjectBase*3/2)
 	clock.Advance(first)
 	fail() // one error after an ejection
-	second := find(pool, "a").EjectedUntil.Sub(clock.Now())
+	second := findUpstream(pool, "a").EjectedUntil.Sub(clock.Now())
 	is.True(second >= DefaultEjectBase && second <= DefaultEjectBase*3)
 	clock.Advance(second)
 	pool.Begin("a")
 	pool.End("a", Outcome{})
 	fail()
-	is.True(!find(pool, "a").EjectedUntil.After(clock.Now()))
+	is.True(!findUpstream(pool, "a").EjectedUntil.After(clock.Now()))
 }
 
 func TestRefusalCountsAsFull(t *testing.T) {
@@ -157,8 +157,8 @@
 	}
 	clock.Advance(time.Second)
 	pool.Report("a", newLoad(0), clock.Now())
-	is.Equal(CorrectedLoad(find(pool, "a")), 0)
-	is.True(find(pool, "a").ErrorRate > 0) // the reported load didn't explain the refusal
+	is.Equal(CorrectedLoad(findUpstream(pool, "a")), 0)
+	is.True(findUpstream(pool, "a").ErrorRate > 0) // the reported load didn't explain the refusal
 }
 
 func TestRefusalOfABusyUpstreamIsNoError(t *testing.T) {
@@ -168,7 +168,7 @@
 	pool.Report("a", newLoad(10), clock.Now())
 	pool.Begin("a")
 	pool.End("a", Outcome{Err: true, Refused: true})
-	is.Equal(find(pool, "a").ErrorRate, 0.0)
+	is.Equal(findUpstream(pool, "a").ErrorRate, 0.0)
 }
 
 func TestPoolConcurrently(t *testing.T) {
@@ -212,8 +212,8 @@
 	pool, clock, _ := newTestPool(t, "a")
 	clock.Advance(time.Second)
 	pool.Report("a", upstream.Load{Running: 3, Capacity: 10}, clock.Now()) // from the header of an answer
-	is.Equal(find(pool, "a").Versions, []string{"m@1"})
+	is.Equal(findUpstream(pool, "a").Versions, []string{"m@1"})
 	clock.Advance(time.Second)
 	pool.Report("a", upstream.Load{Versions: []string{}}, clock.Now()) // all versions unloaded
-	is.Equal(len(find(pool, "a").Versions), 0)
+	is.Equal(len(findUpstream(pool, "a").Versions), 0)
 }
--- a/balance/pool_update.go
+++ b/balance/pool_update.go
@@ -10,20 +10,20 @@
 // multiples of AbsentFor.
 const leavingRetentionFactor = 60
 
-// Update applies the platform's host list. It skips entry hosts. It preserves
-// the state of upstreams that remain listed. An upstream that disappears
-// receives no new requests; its entry is removed once it has been absent for
-// AbsentFor and has no requests in flight.
+// Update applies the platform's host list. It skips entry hosts and preserves
+// the state of upstreams that remain listed. An upstream that disappears from the
+// list receives no new requests; its entry is removed once it has been absent for
+// its retention and has no requests in flight.
 func (p *Pool) Update(list []storage.Host) {
-	p.updating.Lock()
-	defer p.updating.Unlock()
+	p.updateMu.Lock()
+	defer p.updateMu.Unlock()
 	now := p.options.Clock()
 	chosen := p.options.Subset.Select(p.options.Host, p.options.Zone, list)
 	listed := make(map[string]bool, len(list))
 	for _, h := range list {
 		listed[h.ID] = true
 	}
-	members := make([]*entry, 0, len(chosen))
+	members := make([]*poolEntry, 0, len(chosen))
 	for _, h := range chosen {
 		members = append(members, p.upsert(h, now))
 	}
@@ -32,13 +32,13 @@
 }
 
 // upsert creates or updates the entry of a listed host.
-func (p *Pool) upsert(h storage.Host, now time.Time) *entry {
+func (p *Pool) upsert(h storage.Host, now time.Time) *poolEntry {
 	shard := p.shard(h.ID)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
 	e := shard.entries[h.ID]
 	if e == nil {
-		e = &entry{}
+		e = &poolEntry{}
 		shard.entries[h.ID] = e
 	}
 	if e.incarnationEnded(now, p.options.AbsentFor) {
@@ -50,8 +50,8 @@
 	return e
 }
 
-// removeAbsent marks entries that are absent from the list and removes those
-// whose retention has ended.
+// removeAbsent marks the entries of upstreams that are absent from the list, and
+// removes those whose retention has ended.
 func (p *Pool) removeAbsent(listed map[string]bool, now time.Time) {
 	for i := range p.shards {
 		shard := &p.shards[i]
@@ -63,7 +63,7 @@
 	}
 }
 
-func (p *Pool) removeIfAbsent(shard *poolShard, id string, e *entry, listed bool, now time.Time) {
+func (p *Pool) removeIfAbsent(shard *poolShard, id string, e *poolEntry, listed bool, now time.Time) {
 	switch {
 	case listed:
 		e.absentSince = time.Time{}
@@ -75,10 +75,10 @@
 	}
 }
 
-// retention returns how long an absent entry is retained. Entries with a leaving
-// fact are retained longer, so that a repeated fact isn't applied to the next
-// incarnation.
-func (p *Pool) retention(e *entry) time.Duration {
+// retention returns how long the entry of an absent upstream is retained:
+// AbsentFor, or longer with a leaving fact, so that a repetition of the fact isn't
+// applied to the next incarnation.
+func (p *Pool) retention(e *poolEntry) time.Duration {
 	if e.leavingVersion != 0 {
 		return leavingRetentionFactor * p.options.AbsentFor
 	}
--- a/balance/prefix.go
+++ b/balance/prefix.go
@@ -15,7 +15,8 @@
 
 // PrefixHashes returns a hash for each complete block of text, at most
 // MaxBlocks. Each hash covers the text from the start to the block's end, so
-// two prompts have as many hashes in common as leading blocks.
+// the number of hashes that two prompts have in common is the number of leading
+// blocks that they have in common.
 func PrefixHashes(text string) []uint64 {
 	n := min(len(text)/BlockBytes, MaxBlocks)
 	if n == 0 {
--- a/balance/prefix_index.go
+++ b/balance/prefix_index.go
@@ -15,10 +15,11 @@
 	// an entry takes about 130 bytes.
 	DefaultIndexBlocks = 4096
 	// afterGapWeight is the weight of blocks last confirmed before a gap in
-	// the upstream's events: an eviction may have been missed.
+	// the upstream's events, because the missed events may include an eviction.
 	afterGapWeight = 0.8
-	// noEventsWeight is the weight of blocks of an upstream without events:
-	// prompts sent by other hosts, and the evictions they caused, are unknown.
+	// noEventsWeight is the weight of blocks of an upstream without events,
+	// because the prompts sent by other hosts, and the evictions that they
+	// caused, are unknown.
 	noEventsWeight = 0.35
 	indexShards    = 32
 )
@@ -39,12 +40,12 @@
 }
 
 // PrefixIndex tracks which prompt blocks each upstream probably has in its
-// cache: those that this host sent to it and those that its events report. Its
-// size per upstream is bounded. It is safe for concurrent use.
+// cache: those that this host sent to it and those that its events report. The
+// number of blocks per upstream is bounded. It is safe for concurrent use.
 type PrefixIndex struct {
-	blocks int
-	clock  storage.Clock
-	shards [indexShards]indexShard
+	maxBlocks int
+	clock     storage.Clock
+	shards    [indexShards]indexShard
 }
 
 type indexShard struct {
@@ -68,20 +69,20 @@
 	gaps uint32
 }
 
-// NewPrefixIndex returns an index of at most blocks entries per upstream; 0
+// NewPrefixIndex returns an index of at most maxBlocks blocks per upstream; 0
 // means DefaultIndexBlocks.
-func NewPrefixIndex(blocks int, clock storage.Clock) *PrefixIndex {
-	if blocks <= 0 {
-		blocks = DefaultIndexBlocks
+func NewPrefixIndex(maxBlocks int, clock storage.Clock) *PrefixIndex {
+	if maxBlocks <= 0 {
+		maxBlocks = DefaultIndexBlocks
 	}
-	p := &PrefixIndex{blocks: blocks, clock: clock}
+	p := &PrefixIndex{maxBlocks: maxBlocks, clock: clock}
 	for i := range p.shards {
 		p.shards[i].upstreams = make(map[string]*cachedBlocks)
 	}
 	return p
 }
 
-// Sent records that a prompt with these blocks was sent to the upstream.
+// Sent records that a prompt with these block hashes was sent to the upstream.
 func (p *PrefixIndex) Sent(upstreamID string, hashes []uint64) {
 	if len(hashes) == 0 {
 		return
@@ -134,14 +135,14 @@
 	return &p.shards[rendezvous("", upstreamID)%indexShards]
 }
 
-// ensureCached returns the upstream's entry and creates it if necessary. The
-// caller holds the shard's lock.
+// ensureCached returns the blocks of an upstream and creates an empty set if
+// there is none. The caller holds the shard's lock.
 func (p *PrefixIndex) ensureCached(shard *indexShard, upstreamID string) *cachedBlocks {
 	cached := shard.upstreams[upstreamID]
 	if cached != nil {
 		return cached
 	}
-	lru, err := simplelru.NewLRU[uint64, blockEntry](p.blocks, nil)
+	lru, err := simplelru.NewLRU[uint64, blockEntry](p.maxBlocks, nil)
 	if err != nil {
 		panic(err) // the size is positive
 	}
@@ -150,8 +151,8 @@
 	return cached
 }
 
-// acceptSeq records the sequence number of an event and counts gaps. It returns
-// false for an earlier or repeated event.
+// acceptSeq records the sequence number of an event and counts gaps in the
+// sequence. It returns false for an outdated or repeated event.
 func (c *cachedBlocks) acceptSeq(seq uint64) bool {
 	switch {
 	case c.nextSeq == 0 || seq == c.nextSeq:
@@ -187,9 +188,9 @@
 	c.remove(c.blocks.Keys(), at)
 }
 
-// match returns the weighted length of the longest cached prefix. The order of
-// storing and eviction ensures that a cached block implies its predecessors,
-// which allows a binary search.
+// match returns the number of blocks in the longest cached prefix, multiplied by
+// their weight. Because the LRU evicts the start of a prompt after its end, the
+// blocks before a cached block are cached too, which allows a binary search.
 func (c *cachedBlocks) match(hashes []uint64) float64 {
 	matched := sort.Search(len(hashes), func(i int) bool { return !c.blocks.Contains(hashes[i]) })
 	if matched == 0 {
--- a/balance/prefix_test.go
+++ b/balance/prefix_test.go
@@ -21,13 +21,13 @@
 	is.Equal(len(PrefixHashes(strings.Repeat("a", (MaxBlocks+9)*BlockBytes))), MaxBlocks)
 }
 
-func event(seq uint64, at time.Duration, stored, removed []uint64) CacheEvent {
+func newCacheEvent(seq uint64, at time.Duration, stored, removed []uint64) CacheEvent {
 	return CacheEvent{Upstream: "u", Seq: seq, At: start.Add(at), Stored: stored, Removed: removed}
 }
 
 func TestPrefixIndexEvents(t *testing.T) {
 	hashes := []uint64{1, 2, 3, 4}
-	first := event(1, 0, nil, nil)
+	first := newCacheEvent(1, 0, nil, nil)
 	tests := []struct {
 		desc   string
 		events []CacheEvent
@@ -35,11 +35,11 @@
 	}{
 		{"blocks sent without events have reduced weight", nil, 4 * noEventsWeight},
 		{"blocks sent have full weight with events", []CacheEvent{first}, 4},
-		{"a removal shortens the match", []CacheEvent{event(1, time.Second, nil, []uint64{3})}, 2},
-		{"a removal before the blocks were sent is ignored", []CacheEvent{event(1, -time.Second, nil, []uint64{3})}, 4},
-		{"a repeated event changes nothing", []CacheEvent{event(1, time.Second, nil, nil), event(1, time.Second, nil, hashes)}, 4},
-		{"a gap reduces the weight of earlier blocks", []CacheEvent{first, event(3, 0, nil, nil)}, 4 * afterGapWeight},
-		{"blocks confirmed after a gap have full weight", []CacheEvent{first, event(3, time.Second, hashes, nil)}, 4},
+		{"a removal shortens the match", []CacheEvent{newCacheEvent(1, time.Second, nil, []uint64{3})}, 2},
+		{"a removal before the blocks were sent is ignored", []CacheEvent{newCacheEvent(1, -time.Second, nil, []uint64{3})}, 4},
+		{"a repeated event changes nothing", []CacheEvent{newCacheEvent(1, time.Second, nil, nil), newCacheEvent(1, time.Second, nil, hashes)}, 4},
+		{"a gap reduces the weight of earlier blocks", []CacheEvent{first, newCacheEvent(3, 0, nil, nil)}, 4 * afterGapWeight},
+		{"blocks confirmed after a gap have full weight", []CacheEvent{first, newCacheEvent(3, time.Second, hashes, nil)}, 4},
 		{"a cleared cache is empty", []CacheEvent{{Upstream: "u", Seq: 1, At: start.Add(time.Second), Cleared: true}}, 0},
 	}
 	for _, tt := range tests {
@@ -61,7 +61,7 @@
 func TestPrefixIndexIsBounded(t *testing.T) {
 	is := is.New(t)
 	index := NewPrefixIndex(4, func() time.Time { return start })
-	index.Apply(event(1, 0, nil, nil))
+	index.Apply(newCacheEvent(1, 0, nil, nil))
 	index.Sent("u", []uint64{1, 2, 3, 4})
 	index.Sent("u", []uint64{1, 9})
 	is.Equal(index.Match("u", []uint64{1, 2, 3, 4}), 3.0) // the end of the prompt is evicted first
--- a/balance/random.go
+++ b/balance/random.go
@@ -6,28 +6,28 @@
 	"sync/atomic"
 )
 
-const randomStreams = 16
+const randomSourceCount = 16
 
-// randomSources is a set of seeded random sources, each with its own lock, used
-// in turn to reduce contention. A single goroutine draws the same numbers in
-// each run.
+// randomSources is a set of seeded random sources, each with its own lock. They
+// are used in turn, which reduces contention. If only one goroutine uses them, it
+// draws the same numbers in each run with the same seed.
 type randomSources struct {
 	next    atomic.Uint64
-	streams [randomStreams]struct {
+	sources [randomSourceCount]struct {
 		mu  sync.Mutex
 		rnd *rand.Rand
 	}
 }
 
 func (r *randomSources) seed(seed uint64) {
-	for i := range r.streams {
-		r.streams[i].rnd = rand.New(rand.NewPCG(seed, uint64(i)))
+	for i := range r.sources {
+		r.sources[i].rnd = rand.New(rand.NewPCG(seed, uint64(i)))
 	}
 }
 
 // use calls f with exclusive access to one of the sources.
 func (r *randomSources) use(f func(rnd *rand.Rand)) {
-	s := &r.streams[r.next.Add(1)%randomStreams]
+	s := &r.sources[r.next.Add(1)%randomSourceCount]
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.rnd)
--- a/balance/score_prefix.go
+++ b/balance/score_prefix.go
@@ -5,8 +5,8 @@
 // PrefixMatcher estimates how many leading blocks of a prompt an upstream has
 // in its cache.
 type PrefixMatcher interface {
-	// Match returns a number of blocks from 0 to len(hashes). Uncertain blocks
-	// may count as fractions.
+	// Match returns the number of cached leading blocks, from 0 to len(hashes).
+	// Blocks that are probably but not certainly cached may count as fractions.
 	Match(upstreamID string, hashes []uint64) float64
 }
 
--- a/balance/score_load.go
+++ b/balance/scorers.go
@@ -17,8 +17,8 @@
 	return 1 / (1 + relativeLoad(u))
 }
 
-// ErrorScorer prefers upstreams with low error rates. It counteracts the low
-// load of an upstream that fails fast, which would otherwise attract requests.
+// ErrorScorer prefers upstreams with low error rates. An upstream that fails fast
+// has a low load, which would otherwise attract requests.
 type ErrorScorer struct{}
 
 // Name implements Scorer.
@@ -29,11 +29,12 @@
 	return 1 - u.errorRateAt(now)
 }
 
-// DefaultLatencyScale is the default of LatencyScorer.ScaleMs.
-const DefaultLatencyScale = 500
+// DefaultLatencyScaleMs is the default of LatencyScorer.ScaleMs.
+const DefaultLatencyScaleMs = 500
 
-// LatencyScorer prefers upstreams with a short time to the first token. Unlike
-// the load it doesn't depend on reports, which may be false or missing.
+// LatencyScorer prefers upstreams with a short time to the first token. This host
+// measures that time itself, so unlike the load it doesn't depend on reports,
+// which may be false or missing.
 type LatencyScorer struct {
 	// ScaleMs is the latency in milliseconds with the score 0.5; 0 means
 	// DefaultLatencyScale.
@@ -45,7 +46,7 @@
 
 // Score implements Scorer.
 func (s LatencyScorer) Score(_ *Request, u *Upstream, _ time.Time) float64 {
-	scale := cmp.Or(s.ScaleMs, DefaultLatencyScale)
+	scale := cmp.Or(s.ScaleMs, DefaultLatencyScaleMs)
 	return scale / (scale + u.LatencyMs)
 }
 
--- a/balance/selector_test.go
+++ b/balance/selector_test.go
@@ -9,12 +9,12 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-func ids(list []*Upstream) []string {
-	out := []string{}
+func upstreamIDs(list []*Upstream) []string {
+	ids := []string{}
 	for _, u := range list {
-		out = append(out, u.ID)
+		ids = append(ids, u.ID)
 	}
-	return out
+	return ids
 }
 
 func with(u *Upstream, change func(u *Upstream)) *Upstream {
@@ -55,7 +55,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
-			is.New(t).Equal(ids(tt.filter.Filter(&tt.req, tt.list, start)), tt.want)
+			is.New(t).Equal(upstreamIDs(tt.filter.Filter(&tt.req, tt.list, start)), tt.want)
 		})
 	}
 }
@@ -64,13 +64,13 @@
 	is := is.New(t)
 	leaving := with(newEngine("a", 0), func(u *Upstream) { u.Leaving = true })
 	list := []*Upstream{leaving, newEngine("b", 9), newEngine("c", 1)}
-	choice, ok := NewSelector(NewPrefixIndex(0, time.Now)).Select(modelRequest, list, start, seeded())
+	choice, ok := NewSelector(NewPrefixIndex(0, time.Now)).Select(modelRequest, list, start, newSeededRand())
 	is.True(ok)
 	is.Equal(choice.Upstream.ID, "c")
 	is.Equal(choice.Eligible, 2)
 	is.Equal(choice.Dropped, []DropCount{{Filter: "leaving", N: 1}})
-	is.Equal(ids(list), []string{"a", "b", "c"}) // the caller's list is unchanged
-	_, ok = NewSelector(NewPrefixIndex(0, time.Now)).Select(modelRequest, list[:1], start, seeded())
+	is.Equal(upstreamIDs(list), []string{"a", "b", "c"}) // the caller's list is unchanged
+	_, ok = NewSelector(NewPrefixIndex(0, time.Now)).Select(modelRequest, list[:1], start, newSeededRand())
 	is.True(!ok)
 }
 
@@ -79,8 +79,8 @@
 	selector := NewSelector(NewPrefixIndex(0, time.Now))
 	list := []*Upstream{newEngine("a", 2), newEngine("b", 2), newEngine("c", 2)}
 	req := &Request{Model: "m", Version: "1", SessionID: "s1"}
-	first, _ := selector.Select(req, list, start, seeded())
-	rnd := seeded()
+	first, _ := selector.Select(req, list, start, newSeededRand())
+	rnd := newSeededRand()
 	for range 50 {
 		again, _ := selector.Select(req, list, start, rnd)
 		is.Equal(again.Upstream.ID, first.Upstream.ID)
@@ -91,7 +91,7 @@
 		}
 	}
 	moved, _ := selector.Select(req, list, start, rnd)
-	is.True(moved.Upstream.ID != first.Upstream.ID) // over the bound
+	is.True(moved.Upstream.ID != first.Upstream.ID) // its load exceeds the bound
 }
 
 func TestPrefixAffinity(t *testing.T) {
@@ -100,7 +100,7 @@
 	req := &Request{Model: "m", Version: "1", PrefixHashes: []uint64{1, 2, 3, 4}}
 	index.Sent("b", []uint64{1, 2, 3})
 	list := []*Upstream{newEngine("a", 1), newEngine("b", 1), newEngine("c", 1)}
-	rnd := seeded()
+	rnd := newSeededRand()
 	for range 50 {
 		choice, _ := NewSelector(index).Select(req, list, start, rnd)
 		is.Equal(choice.Upstream.ID, "b")
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -16,10 +16,12 @@
 // Subset limits the upstreams that a host sends to, separately for each pool or
 // service. A host uses the upstreams of its own availability zone. If there are
 // fewer than Min it adds upstreams of other zones, and if there are more than
-// Max it omits some. Both are selected by rendezvous hashing of host and
-// upstream, so that a change of the list changes few of them.
+// Max it omits some. The added and the omitted ones are selected by rendezvous
+// hashing of the IDs of host and upstream, so that a change of the host list
+// changes few of them.
 type Subset struct {
-	// Min and Max are numbers of upstreams; 0 means the default.
+	// Min and Max are numbers of upstreams of one pool or service; 0 means the
+	// default.
 	Min int
 	Max int
 }
@@ -73,7 +75,8 @@
 	return chosen
 }
 
-// compareRankedHosts orders hosts of the own zone first, then by descending rank.
+// compareRankedHosts orders upstreams of the host's own zone first, then by
+// descending rank.
 func compareRankedHosts(a, b rankedHost) int {
 	if a.sameZone != b.sameZone {
 		if a.sameZone {
--- a/balance/subset_test.go
+++ b/balance/subset_test.go
@@ -47,28 +47,28 @@
 	}
 }
 
-func TestSubsetMovesLittle(t *testing.T) {
+func TestSubsetChangesLittleWithTheList(t *testing.T) {
 	is := is.New(t)
 	list := largeList(1000, 1, 1)
 	subset := Subset{Min: 100, Max: 100}
 	before := subset.Select("entry-1", "zone-0", list)
 	after := subset.Select("entry-1", "zone-0", list[10:])
-	kept := map[string]bool{}
+	selectedBefore := map[string]bool{}
 	for _, h := range before {
-		kept[h.ID] = true
+		selectedBefore[h.ID] = true
 	}
-	moved := 0
+	added := 0
 	for _, h := range after {
-		if !kept[h.ID] {
-			moved++
+		if !selectedBefore[h.ID] {
+			added++
 		}
 	}
-	is.True(moved <= 10)
+	is.True(added <= 10)
 }
 
 // TestEveryUpstreamIsInASubset checks that each upstream receives requests from
-// enough entry hosts, with all entry hosts of the design size and one of its
-// twenty pools.
+// enough entry hosts. It uses the design size: 440 entry hosts in 32 zones, and the
+// 600 upstreams of one of the twenty model pools.
 func TestEveryUpstreamIsInASubset(t *testing.T) {
 	is := is.New(t)
 	list := largeList(600, 32, 1)
@@ -92,10 +92,10 @@
 	counts := map[string]int{}
 	for i := range 1000 {
 		id := fmt.Sprint("upstream-", i)
-		home := PollingHost(id, hosts)
-		counts[home]++
-		if home != "d" {
-			is.Equal(PollingHost(id, hosts[:3]), home) // only the upstreams of d change their polling host
+		polling := PollingHost(id, hosts)
+		counts[polling]++
+		if polling != "d" {
+			is.Equal(PollingHost(id, hosts[:3]), polling) // only the upstreams of d change their polling host
 		}
 	}
 	for _, h := range hosts {
