--- a/routing/document.go
+++ b/routing/document.go
@@ -17,7 +17,8 @@
 
 // Document is the decoded routing document of the operators, before validation.
 type Document struct {
-	// Version orders documents; a higher version replaces a lower one.
+	// Version orders documents: one with a higher version replaces one with a
+	// lower version.
 	Version  uint64
 	Routes   []Route
 	Services []Service
@@ -44,13 +45,15 @@
 	// Models are the models that may answer, the cheapest first. If empty, the
 	// caller specifies the model.
 	Models []string
-	// Shares are the services that the route's requests are divided among.
+	// Shares are the services that the route's requests are divided among, with
+	// their weights.
 	Shares []Share
 	// MaxAttempts is the maximum number of upstreams that one request is sent to.
 	MaxAttempts int
 	// Public reports whether the route requires no account key.
 	Public bool
-	// PrefixAffinity reports whether upstreams cache the prompts of this route.
+	// PrefixAffinity reports whether upstreams cache prefixes of this route's
+	// prompts.
 	PrefixAffinity bool
 	// Resumable reports whether a stream can be resumed at another upstream.
 	Resumable bool
@@ -65,10 +68,11 @@
 	return r.Kind == Idempotent || (r.Kind == Stream && r.Resumable)
 }
 
-// Share is the share of a service in the requests of a route.
+// Share is the share of a route's requests that a service receives.
 type Share struct {
 	Service string
-	// Weight divided by the sum of the route's weights is the share.
+	// Weight divided by the sum of the weights of the route's shares is the
+	// fraction of the requests.
 	Weight int
 }
 
@@ -83,7 +87,8 @@
 	// Models are the models of a service that runs language models.
 	Models []Model
 	// ColdStart is how long an upstream is cold after its start. ColdRate is the
-	// number of requests per second that it tolerates while cold; 0 means any.
+	// number of requests per second that it tolerates while cold; 0 means
+	// unlimited.
 	ColdStart time.Duration
 	ColdRate  float64
 }
@@ -99,7 +104,7 @@
 type Account struct {
 	Name string
 	Keys []string
-	// Priority overrides the route's priority; nil doesn't.
+	// Priority overrides the route's priority; nil means that the route's applies.
 	Priority *int
 	// Regions are the regions in which the account's requests may be served; empty means
 	// all. If the route also has regions, both restrictions apply.
--- a/routing/table.go
+++ b/routing/table.go
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// Match returns the route of the host with the longest prefix that matches the
-// path. The host may include a port. The path must be the encoded path of the
+// Match returns the route for the host whose prefix is the longest that matches
+// the path. The host may include a port. The path must be the encoded path of the
 // request.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	for _, r := range t.routes[normalizeHost(host)] {
@@ -136,8 +136,9 @@
 	return n
 }
 
-// SelectService returns the service for a point in [0, 1), divided in proportion to the
-// shares. The same point yields the same service until the shares change.
+// SelectService returns the service for a point in [0, 1). The interval is divided
+// among the services in proportion to their weights. The same point yields the
+// same service until the shares change.
 func (r *Route) SelectService(point float64) string {
 	total := 0
 	for _, s := range r.Shares {
--- a/routing/table_test.go
+++ b/routing/table_test.go
@@ -10,13 +10,13 @@
 )
 
 func document() routing.Document {
-	split := []routing.Share{{Service: "a", Weight: 1}}
+	shares := []routing.Share{{Service: "a", Weight: 1}}
 	return routing.Document{
 		Version: 3,
 		Routes: []routing.Route{
-			{Name: "short", Host: "one.example", Prefix: "/a/", Shares: split},
-			{Name: "long", Host: "one.example", Prefix: "/a/b/", Shares: split},
-			{Name: "other", Host: "Two.example", Prefix: "/", Shares: split},
+			{Name: "short", Host: "one.example", Prefix: "/a/", Shares: shares},
+			{Name: "long", Host: "one.example", Prefix: "/a/b/", Shares: shares},
+			{Name: "other", Host: "Two.example", Prefix: "/", Shares: shares},
 		},
 		Services: []routing.Service{{Name: "a"}, {Name: "b"}},
 		Accounts: []routing.Account{{Name: "acme", Keys: []string{"k1", "k2"}}},
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestPickKeepsShares(t *testing.T) {
+func TestSelectServiceFollowsShares(t *testing.T) {
 	is := is.New(t)
 	r := routing.Route{Shares: []routing.Share{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	counts := map[string]int{}
