--- a/membership/discover.go
+++ b/membership/discover.go
@@ -11,25 +11,27 @@
 )
 
 const (
-	// presencePageSize is the number of rows read per call.
+	// presencePageSize is the maximum number of rows read per call.
 	presencePageSize = 256
-	// discoverIntervalPerRow is the least interval between listings per row.
-	// At about 250 bytes per row, a host reads at most 500 bytes per second.
+	// discoverIntervalPerRow times the number of rows is the minimum interval
+	// between listings. At about 250 bytes per row, a host reads at most 500
+	// bytes per second.
 	discoverIntervalPerRow = 500 * time.Millisecond
 	// abandonedTTLs is the number of TTLs without renewal after which any host
 	// removes a row.
 	abandonedTTLs = 10
-	// staleTTLs is the age of a row in TTLs, by the wall clock, from which a
-	// host that reads it for the first time doesn't add its member. Two TTLs
-	// allow for clocks that differ by one TTL.
+	// staleTTLs is the age of a row, in TTLs, from which its lease counts as
+	// expired. A host that reads such a row for the first time doesn't add its
+	// member; there the age is by the wall clock, and two TTLs allow for clocks
+	// that differ by one TTL.
 	staleTTLs = 2
 )
 
-// rowObservation records when a version of a row was first read, by this host's
-// clock.
+// rowObservation is the latest version of a row that this host has read, and when
+// it first read this version, by its own clock.
 type rowObservation struct {
-	version uint64
-	since   time.Time
+	version     uint64
+	firstReadAt time.Time
 }
 
 // discoverLoop periodically reads the presence rows of all hosts.
@@ -45,24 +47,25 @@
 	}
 }
 
-// discoverInterval returns the time to the next listing. It grows with the
-// number of members, which bounds the read rate of a host, except while this host
-// has no other live member or is isolated and depends on the rows.
+// discoverInterval returns the time to the next listing. It grows with the number
+// of members, which bounds the read rate of a host. It doesn't grow while there is
+// no other live member or this host is isolated, because the host then depends on
+// the rows.
 func (m *Membership) discoverInterval() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	o := m.options
 	switch {
-	case len(m.rings.all) == 0:
+	case len(m.rings.global) == 0:
 		return min(o.DiscoverInterval, o.Interval)
 	case m.isolated(boottime.Now()):
 		return o.DiscoverInterval
 	default:
-		return max(o.DiscoverInterval, time.Duration(len(m.rings.all))*discoverIntervalPerRow)
+		return max(o.DiscoverInterval, time.Duration(len(m.rings.global))*discoverIntervalPerRow)
 	}
 }
 
-// discover reads all presence rows. It stops at the first failure.
+// discover reads and processes all presence rows. It stops at the first failure.
 func (m *Membership) discover(ctx context.Context) {
 	after := ""
 	for {
@@ -89,16 +92,17 @@
 	return m.options.Table.List(ctx, PresencePrefix, after, presencePageSize)
 }
 
-// observeRow processes a presence row. A row with a new version indicates a live
-// host. An unchanged row is passed to observeUnchangedRow.
+// observeRow processes a presence row that was requested at now. A row with a new
+// version indicates a live host, whose member is added. An unchanged row is passed
+// to observeUnchangedRow.
 func (m *Membership) observeRow(ctx context.Context, stored storage.Row, now time.Time) {
 	p := m.presence
-	previous, found := p.observed[stored.Key]
+	previous, found := p.observations[stored.Key]
 	if found && previous.version == stored.Version {
-		m.observeUnchangedRow(ctx, stored, now.Sub(previous.since))
+		m.observeUnchangedRow(ctx, stored, now.Sub(previous.firstReadAt))
 		return
 	}
-	p.observed[stored.Key] = rowObservation{version: stored.Version, since: now}
+	p.observations[stored.Key] = rowObservation{version: stored.Version, firstReadAt: now}
 	var row presenceRow
 	if json.Unmarshal(stored.Value, &row) != nil || PresencePrefix+row.Member.ID != stored.Key {
 		return
@@ -118,8 +122,8 @@
 }
 
 // ownLeaseValid reports whether this host's own row was renewed within its TTL.
-// Only then is the missing renewal of another row evidence against its host
-// rather than the table.
+// Only then does the missing renewal of another row indicate a failure of the
+// row's host rather than of the table.
 func (m *Membership) ownLeaseValid(now time.Time) bool {
 	p := m.presence
 	p.mu.Lock()
@@ -127,19 +131,19 @@
 	return !p.renewedAt.IsZero() && now.Sub(p.renewedAt) < m.options.PresenceTTL
 }
 
-// observeUnchangedRow handles a row that hasn't been renewed for a time, by this
-// host's clock. It removes abandoned rows. While this host is isolated it also
-// declares the member Down, because an expired lease is then the only evidence
-// that the other host has failed and not this one.
-func (m *Membership) observeUnchangedRow(ctx context.Context, stored storage.Row, unchanged time.Duration) {
-	if unchanged < staleTTLs*m.options.PresenceTTL || !m.ownLeaseValid(boottime.Now()) {
+// observeUnchangedRow processes a row that hasn't been renewed for the given time,
+// by this host's clock. It removes abandoned rows. While this host is isolated, it
+// also declares the row's member Down if the lease has expired, which is then the
+// only evidence that the member has failed and not this host.
+func (m *Membership) observeUnchangedRow(ctx context.Context, stored storage.Row, unchangedFor time.Duration) {
+	if unchangedFor < staleTTLs*m.options.PresenceTTL || !m.ownLeaseValid(boottime.Now()) {
 		return
 	}
-	if unchanged >= abandonedTTLs*m.options.PresenceTTL {
+	if unchangedFor >= abandonedTTLs*m.options.PresenceTTL {
 		ctx, cancel := context.WithTimeout(ctx, m.options.TableTimeout)
 		defer cancel()
 		m.deleteRow(ctx, stored.Key, stored.Version)
-		delete(m.presence.observed, stored.Key)
+		delete(m.presence.observations, stored.Key)
 	}
 	m.mu.Lock()
 	now := boottime.Now()
--- a/membership/example_test.go
+++ b/membership/example_test.go
@@ -7,7 +7,7 @@
 	"github.com/quetzalweir/quetzalweir/membership"
 )
 
-// direct is a transport to a Membership in the same process.
+// direct is a transport that calls a Membership in the same process.
 type direct struct{ to *membership.Membership }
 
 func (d *direct) Exchange(ctx context.Context, _ membership.Member, m membership.Message) (membership.Message, error) {
--- a/membership/fact.go
+++ b/membership/fact.go
@@ -25,9 +25,10 @@
 	ErrFull = errors.New("membership: too many facts")
 )
 
-// Fact is a small versioned key-value record that is replicated to all hosts. The
-// highest version of a key wins. Among values of the same version the
-// lexicographically greater wins, so that all hosts converge.
+// Fact is a small versioned key-value record that is replicated to all hosts. For
+// each key, hosts store the fact with the highest version. Of two values with the
+// same version they store the lexicographically greater one, so that all hosts
+// converge.
 type Fact struct {
 	Key string `json:"k"`
 	// Version is at least 1.
@@ -35,7 +36,8 @@
 	// Value is at most MaxFactValue bytes.
 	Value []byte `json:"d,omitempty"`
 	// TTL is the remaining lifetime, in nanoseconds on the wire; zero means
-	// unlimited. It is relative, so it doesn't depend on synchronized clocks.
+	// unlimited, and a negative value that the fact has expired. It is relative,
+	// so it doesn't depend on synchronized clocks.
 	TTL time.Duration `json:"t,omitempty"`
 	// Lazy facts are sent with regular exchanges only and aren't pushed.
 	Lazy bool `json:"z,omitempty"`
@@ -59,8 +61,8 @@
 	return nil
 }
 
-// compareFacts orders the facts of one key by precedence. An expired fact
-// overrides a live one of the same version.
+// compareFacts orders the facts of one key by precedence: the greater one overrides
+// the other. An expired fact overrides one of the same version that hasn't expired.
 func compareFacts(a, b Fact) int {
 	if c := cmp.Compare(a.Version, b.Version); c != 0 {
 		return c
--- a/membership/fact_test.go
+++ b/membership/fact_test.go
@@ -14,17 +14,17 @@
 	_ "github.com/quetzalweir/quetzalweir/internal/rapidseed"
 )
 
-func TestLeavingFactSpreadsDespiteCutPair(t *testing.T) {
+func TestLeavingFactReachesAllDespitePartitionedPair(t *testing.T) {
 	runNetwork(t, hostCount, zoneCount, func(t *testing.T, n *network, hosts []*host) {
 		first, second := hostID(0), hostID(6)
-		n.setCut(func(a, b string) bool { return a == first && b == second || a == second && b == first })
+		n.setPartition(func(a, b string) bool { return a == first && b == second || a == second && b == first })
 		if err := hosts[0].Put(Fact{Key: "leaving/engine-3", Version: 1}); err != nil {
 			t.Fatal(err)
 		}
-		took := waitFor(t, spreadWithin, "fact on all hosts", func() bool { return allHave(hosts, "leaving/engine-3", 1) })
+		took := waitFor(t, maxDisseminationTime, "fact on all hosts", func() bool { return allHaveFact(hosts, "leaving/engine-3", 1) })
 		t.Logf("fact on all hosts after %v", took)
 		time.Sleep(time.Minute)
-		for _, h := range hosts { // indirect probes reach each host of the pair
+		for _, h := range hosts { // indirect probes reach both hosts of the pair
 			if suspected := h.Stats().Suspected; suspected != 0 {
 				t.Fatalf("%d suspicions", suspected)
 			}
@@ -32,8 +32,8 @@
 	})
 }
 
-// TestPushAloneReachesAll runs without rounds, so that only pushes can deliver
-// the fact.
+// TestPushAloneReachesAll checks that pushes deliver a fact to all hosts without
+// the exchanges of rounds: the next round is a day later.
 func TestPushAloneReachesAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
@@ -49,12 +49,12 @@
 		if err := hosts[0].Put(Fact{Key: "head", Version: 1}); err != nil {
 			t.Fatal(err)
 		}
-		waitFor(t, time.Second, "fact on all hosts", func() bool { return allHave(hosts, "head", 1) })
+		waitFor(t, time.Second, "fact on all hosts", func() bool { return allHaveFact(hosts, "head", 1) })
 	})
 }
 
 func TestPutRejectsInvalidFacts(t *testing.T) {
-	m := newLone(t)
+	m := newWithoutPeers(t)
 	if err := m.Put(Fact{Key: "k", Version: 5}); err != nil {
 		t.Fatal(err)
 	}
@@ -84,7 +84,7 @@
 	runNetwork(t, hostCount, zoneCount, func(t *testing.T, n *network, hosts []*host) {
 		is := is.New(t)
 		is.NoErr(hosts[0].Put(Fact{Key: "k", Version: 5, Value: []byte("new"), TTL: 10 * time.Second}))
-		waitFor(t, time.Second, "fact on all hosts", func() bool { return allHave(hosts, "k", 5) })
+		waitFor(t, time.Second, "fact on all hosts", func() bool { return allHaveFact(hosts, "k", 5) })
 		time.Sleep(11 * time.Second)
 		for _, h := range hosts {
 			_, ok := h.Get("k")
@@ -97,22 +97,22 @@
 	})
 }
 
-func TestWatchersSeeVersionsRise(t *testing.T) {
+func TestWatchersReceiveIncreasingVersions(t *testing.T) {
 	is := is.New(t)
-	m := newLone(t)
+	m := newWithoutPeers(t)
 	is.NoErr(m.Put(Fact{Key: "head", Version: 1}))
 	is.NoErr(m.Put(Fact{Key: "other", Version: 1}))
-	var seen []uint64
+	var versions []uint64
 	cancel := m.Watch("he", func(f Fact) {
-		seen = append(seen, f.Version)
+		versions = append(versions, f.Version)
 		if f.Version < 3 {
-			is.NoErr(m.Put(Fact{Key: "head", Version: f.Version + 1})) // a call from the watcher
+			is.NoErr(m.Put(Fact{Key: "head", Version: f.Version + 1})) // watchers may call the Membership
 		}
 	})
-	is.Equal(seen, []uint64{1, 2, 3})
+	is.Equal(versions, []uint64{1, 2, 3})
 	cancel()
 	is.NoErr(m.Put(Fact{Key: "head", Version: 9}))
-	is.Equal(len(seen), 3)
+	is.Equal(len(versions), 3)
 }
 
 func TestFactsAreBounded(t *testing.T) {
@@ -125,7 +125,7 @@
 }
 
 // TestUpdatesCommute delivers the same updates to two hosts in different orders,
-// with repeats. Both must end with the same records and digests.
+// and some of them repeatedly. Both must end with the same records and digests.
 func TestUpdatesCommute(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		member := rapid.Custom(func(rt *rapid.T) Member {
@@ -144,8 +144,8 @@
 		})
 		members := rapid.SliceOfN(member, 1, 20).Draw(rt, "members")
 		facts := rapid.SliceOfN(fact, 1, 20).Draw(rt, "facts")
-		one, two := newLone(t), newLone(t)
-		two.announce(one.Self().Incarnation, time.Now())
+		first, second := newWithoutPeers(t), newWithoutPeers(t)
+		second.announce(first.Self().Incarnation, time.Now())
 		deliver := func(m *Membership, members []Member, facts []Fact) {
 			for _, member := range members {
 				m.HandleExchange(t.Context(), Message{From: "z", Kind: KindPush, Members: []Member{member}})
@@ -154,26 +154,26 @@
 				m.HandleExchange(t.Context(), Message{From: "z", Kind: KindPush, Facts: []Fact{fact}})
 			}
 		}
-		deliver(one, members, facts)
-		deliver(two, rapid.Permutation(members).Draw(rt, "order"), rapid.Permutation(facts).Draw(rt, "fact order"))
-		deliver(two, members[:1], facts[:1])
-		if !slices.Equal(one.Members(), two.Members()) || one.store.digest() != two.store.digest() {
-			rt.Fatalf("differ: %v %v; %v %v", one.Members(), one.Facts(""), two.Members(), two.Facts(""))
+		deliver(first, members, facts)
+		deliver(second, rapid.Permutation(members).Draw(rt, "order"), rapid.Permutation(facts).Draw(rt, "fact order"))
+		deliver(second, members[:1], facts[:1])
+		if !slices.Equal(first.Members(), second.Members()) || first.store.digest() != second.store.digest() {
+			rt.Fatalf("differ: %v %v; %v %v", first.Members(), first.Facts(""), second.Members(), second.Facts(""))
 		}
 	})
 }
 
-func TestComparisonFindsEachDifference(t *testing.T) {
+func TestSyncFindsEachDifference(t *testing.T) {
 	runNetwork(t, 2, 1, func(t *testing.T, n *network, hosts []*host) {
 		is := is.New(t)
-		n.setCut(func(a, b string) bool { return true })
+		n.setPartition(func(a, b string) bool { return true })
 		value := []byte(strings.Repeat("v", 200))
 		for i := range 300 {
 			is.NoErr(hosts[i%2].Put(Fact{Key: hostID(i), Version: 1, Value: value, Lazy: true}))
 		}
 		is.NoErr(hosts[0].Put(Fact{Key: "both", Version: 1, Value: []byte("p")}))
 		is.NoErr(hosts[1].Put(Fact{Key: "both", Version: 1, Value: []byte("q")}))
-		n.setCut(nil)
+		n.setPartition(nil)
 		waitFor(t, time.Minute, "equal", func() bool {
 			return slices.EqualFunc(hosts[0].Facts(""), hosts[1].Facts(""), func(a, b Fact) bool {
 				return a.Key == b.Key && string(a.Value) == string(b.Value)
--- a/membership/faults_test.go
+++ b/membership/faults_test.go
@@ -12,22 +12,23 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// history records the versions that each host stored of each key or member.
+// history holds the versions of each fact or member that each host stored, in the
+// order of their arrival.
 type history struct {
-	mu   sync.Mutex
-	seen map[string][]uint64
+	mu       sync.Mutex
+	versions map[string][]uint64
 }
 
 func (h *history) add(host, key string, version uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	name := host + " " + key
-	h.seen[name] = append(h.seen[name], version)
+	h.versions[name] = append(h.versions[name], version)
 }
 
-// check returns an error if any version decreased.
+// check returns an error if a host stored a lower version after a higher one.
 func (h *history) check() error {
-	for name, versions := range h.seen {
+	for name, versions := range h.versions {
 		for i := 1; i < len(versions); i++ {
 			if versions[i] < versions[i-1] {
 				return fmt.Errorf("%s: version %d after %d", name, versions[i], versions[i-1])
@@ -39,7 +40,7 @@
 
 func TestHistoryCheckRejectsDecreasingVersion(t *testing.T) {
 	is := is.New(t)
-	h := history{seen: make(map[string][]uint64)}
+	h := history{versions: make(map[string][]uint64)}
 	for _, version := range []uint64{1, 2, 2, 5} {
 		h.add("host", "key", version)
 	}
@@ -48,17 +49,18 @@
 	is.True(h.check() != nil)
 }
 
-// TestConcurrentFaults applies random faults, several at once, for some minutes.
-// No version may decrease, and after the last fault all hosts must converge.
+// TestConcurrentFaults injects random faults, of which several last at the same
+// time, for a few minutes. Versions must not decrease at any host, and after the
+// last fault all hosts must converge.
 func TestConcurrentFaults(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			runNetwork(t, hostCount, zoneCount, func(t *testing.T, n *network, hosts []*host) {
 				is := is.New(t)
-				h := &history{seen: make(map[string][]uint64)}
+				observed := &history{versions: make(map[string][]uint64)}
 				for i, host := range hosts {
-					host.Watch("", func(f Fact) { h.add(hostID(i), f.Key, f.Version) })
-					host.Subscribe(func(e Event) { h.add(hostID(i), e.Member.ID, e.Member.version()) })
+					host.Watch("", func(f Fact) { observed.add(hostID(i), f.Key, f.Version) })
+					host.Subscribe(func(e Event) { observed.add(hostID(i), e.Member.ID, e.Member.version()) })
 				}
 				rng := rand.New(rand.NewPCG(seed, 0))
 				version := uint64(0)
@@ -72,16 +74,16 @@
 				version++
 				is.NoErr(hosts[0].Put(Fact{Key: "head", Version: version}))
 				took := waitFor(t, 30*time.Second, "agreement", func() bool {
-					return allUp(hosts) && allHave(hosts, "head", version)
+					return allUp(hosts) && allHaveFact(hosts, "head", version)
 				})
 				synctest.Wait()
-				declared := uint64(0)
+				declaredDown := uint64(0)
 				for _, host := range hosts {
-					declared += host.Stats().DeclaredDown
+					declaredDown += host.Stats().DeclaredDown
 				}
-				t.Logf("%d times down; converged %v after the last fault", declared, took)
-				is.True(declared > 0) // the faults had an effect
-				is.NoErr(h.check())
+				t.Logf("%d times down; converged %v after the last fault", declaredDown, took)
+				is.True(declaredDown > 0) // otherwise the faults had no effect
+				is.NoErr(observed.check())
 			})
 		})
 	}
@@ -92,15 +94,15 @@
 	target := hosts[rng.IntN(len(hosts))]
 	switch rng.IntN(7) {
 	case 0:
-		n.setLoss(rng.Float64() / 4)
+		n.setLossRate(rng.Float64() / 4)
 	case 1:
 		side := rng.Uint64()
-		n.setCut(func(a, b string) bool { return side>>(a[len(a)-1]&7)&1 != side>>(b[len(b)-1]&7)&1 })
+		n.setPartition(func(a, b string) bool { return side>>(a[len(a)-1]&7)&1 != side>>(b[len(b)-1]&7)&1 })
 	case 2:
-		n.setCut(nil)
+		n.setPartition(nil)
 	case 3:
 		target.resume()
-		target.suspend()
+		target.pause()
 	case 4:
 		for _, h := range hosts {
 			h.resume()
@@ -114,8 +116,8 @@
 
 // heal ends all faults.
 func (n *network) heal() {
-	n.setLoss(0)
-	n.setCut(nil)
+	n.setLossRate(0)
+	n.setPartition(nil)
 	n.table.setFail(nil)
 	n.table.setLoseResponses(false)
 	for _, h := range n.hosts {
--- a/membership/fuzz_test.go
+++ b/membership/fuzz_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzHandleExchange checks that no message of another host causes a panic,
-// removes or corrupts this host's own record, or makes the sums and counts
+// FuzzHandleExchange checks that no message from another host causes a panic,
+// removes or corrupts the record of this host, or makes the sums and counts
 // inconsistent with the records.
 func FuzzHandleExchange(f *testing.F) {
 	f.Add([]byte(`{"k":1,"f":"a","v":9,"q":true,"m":[{"i":"a","z":"z","s":1,"n":1}],"a":[{"k":"x","v":1,"t":-1}]}`))
@@ -18,9 +18,9 @@
 		if json.Unmarshal(data, &message) != nil {
 			return
 		}
-		m := newLone(t)
+		m := newWithoutPeers(t)
 		before := m.Self()
-		for range 2 { // with a repeat
+		for range 2 { // the message and a repetition of it
 			if _, err := m.HandleExchange(t.Context(), message); err != nil && message.To == "" {
 				t.Fatal(err)
 			}
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -12,21 +12,24 @@
 )
 
 const (
-	// sweepInterval is the interval between checks of the timeouts.
+	// sweepInterval is the interval between sweeps, which apply the timeouts.
 	sweepInterval = 250 * time.Millisecond
-	// pauseThreshold is the gap between sweeps from which this process counts as
-	// having been paused or starved: others may have declared it Down.
+	// pauseThreshold is the time between two sweeps above which this process
+	// counts as having been paused or starved. Other hosts may have declared it
+	// Down in that time.
 	pauseThreshold = 2 * time.Second
 	// reconnectRounds is the number of rounds between exchanges with a member
 	// that is Down, by which the two sides of a network partition reconnect.
 	reconnectRounds = 5
-	// jitterFraction is the largest deviation from an interval, as a fraction.
+	// jitterFraction is the maximum random deviation from an interval, as a
+	// fraction of it.
 	jitterFraction = 0.1
 	// maxPeersWithoutIsolation is the number of other live members up to which a
-	// host never counts as isolated: so few may have failed at the same time.
+	// host never counts as isolated, because so few members may have failed at
+	// the same time.
 	maxPeersWithoutIsolation = 2
-	// isolationIntervals is the number of intervals without any message after
-	// which a host counts as isolated.
+	// isolationIntervals is the number of intervals between rounds without a
+	// message from another host after which a host counts as isolated.
 	isolationIntervals = 2
 )
 
@@ -61,7 +64,7 @@
 	}
 }
 
-// jitter returns d changed at random by up to a tenth.
+// jitter returns d changed at random by up to jitterFraction.
 func (m *Membership) jitter(d time.Duration) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -72,7 +75,8 @@
 	return d + time.Duration((rng.Float64()*2-1)*jitterFraction*float64(d))
 }
 
-// round starts one exchange with each target.
+// round starts one exchange with each target of this round that isn't being
+// probed, and with the reconnect target if there is one.
 func (m *Membership) round(ctx context.Context, workers *sync.WaitGroup) {
 	m.mu.Lock()
 	m.stats.Rounds++
@@ -97,10 +101,10 @@
 	}
 }
 
-// reconnectTarget returns a seed while no other member is alive. Otherwise it
-// returns a random member that is Down every reconnectRounds rounds.
+// reconnectTarget returns a random seed while no other member is alive. Otherwise,
+// in every reconnectRounds-th round, it returns a random member that is Down.
 func (m *Membership) reconnectTarget(round uint64) (Member, bool) {
-	if len(m.rings.all) == 0 && len(m.options.Seeds) > 0 {
+	if len(m.rings.global) == 0 && len(m.options.Seeds) > 0 {
 		return Member{PeerAddr: m.options.Seeds[m.rng.IntN(len(m.options.Seeds))]}, true
 	}
 	if round%reconnectRounds != 0 || len(m.rings.down) == 0 {
@@ -114,9 +118,9 @@
 	now := boottime.Now()
 	m.mu.Lock()
 	message, sent := m.newGossip(KindGossip, to.ID, now)
-	message.RequestBuckets = !now.Before(m.nextSync)
+	message.RequestBuckets = !now.Before(m.nextSyncAt)
 	if message.RequestBuckets && m.joined {
-		m.nextSync = now.Add(jittered(m.rng, m.options.SyncInterval))
+		m.nextSyncAt = now.Add(jittered(m.rng, m.options.SyncInterval))
 	}
 	m.mu.Unlock()
 	answer, err := m.exchange(ctx, to, message, m.options.ProbeTimeout)
@@ -134,7 +138,7 @@
 	return nil
 }
 
-// setJoined records that this host has completed a sync with another one.
+// setJoined records that this host has completed a sync with another host.
 func (m *Membership) setJoined() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -162,7 +166,7 @@
 	return answer, nil
 }
 
-// HandleExchange answers a message of another host.
+// HandleExchange answers a message from another host.
 func (m *Membership) HandleExchange(ctx context.Context, message Message) (Message, error) {
 	now := boottime.Now()
 	m.mu.Lock()
@@ -181,7 +185,7 @@
 	return answer, nil
 }
 
-// recordContact records that a message of a host has arrived.
+// recordContact records that a message from another host has arrived.
 func (m *Membership) recordContact(message Message, now time.Time) {
 	m.lastContact = now
 	if r := m.store.member(message.From); r != nil {
@@ -202,7 +206,7 @@
 		}
 	case KindSync:
 		answer = m.newMessage(KindSync, message.From)
-		m.compare(&answer, message.Listing, now)
+		m.answerListing(&answer, message.Listing, now)
 	default:
 		answer = m.newMessage(message.Kind, message.From)
 	}
@@ -219,8 +223,9 @@
 	return 0
 }
 
-// newMessage returns a message without updates, except that a receiver that is
-// Suspect or Down here gets its own record, so that it can refute it.
+// newMessage returns a message without updates. If the receiver is stored as
+// Suspect or Down, the message contains its record, so that the receiver can refute
+// it.
 func (m *Membership) newMessage(kind Kind, to string) Message {
 	message := Message{Kind: kind, From: m.self.ID, Version: m.self.version()}
 	if r := m.store.member(to); r != nil && r.member.State >= Suspect {
@@ -229,24 +234,25 @@
 	return message
 }
 
-// newGossip returns a message with the digest and the records of the broadcast
-// queue that fit, those with the fewest transmissions first.
+// newGossip returns a message with the digest and with records of the broadcast
+// queue, those with the fewest transmissions first, up to MaxUpdateBytes. It also
+// returns these records.
 func (m *Membership) newGossip(kind Kind, to string, now time.Time) (Message, []*record) {
 	message := m.newMessage(kind, to)
 	message.Digest = m.store.digest()
-	m.store.pruneSent(sendLimit(len(m.rings.all) + 1))
-	slices.SortStableFunc(m.store.broadcasts, func(a, b *record) int { return cmp.Compare(a.transmits, b.transmits) })
+	m.store.pruneSent(maxTransmissions(len(m.rings.global) + 1))
+	slices.SortStableFunc(m.store.broadcasts, func(a, b *record) int { return cmp.Compare(a.transmissions, b.transmissions) })
 	sent := m.addRecords(&message, m.store.broadcasts, to, m.options.MaxUpdateBytes, now)
 	return message, sent
 }
 
 // addRecords adds records to a message, up to limit bytes, and returns those
-// added. It omits records that came from the receiver.
+// added. It omits records whose current version the receiver sent.
 func (m *Membership) addRecords(message *Message, records []*record, to string, limit int, now time.Time) []*record {
 	var added []*record
 	size := 0
 	for _, r := range records {
-		if to != "" && r.source == to {
+		if to != "" && r.sourceHost == to {
 			continue
 		}
 		size += r.size()
@@ -264,7 +270,7 @@
 	return added
 }
 
-// recordSent counts the transmission of records that the receiver confirmed.
+// recordSent counts a transmission of each record after the receiver has answered.
 func (m *Membership) recordSent(records []*record) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -273,6 +279,6 @@
 
 func countSent(records []*record) {
 	for _, r := range records {
-		r.transmits++
+		r.transmissions++
 	}
 }
--- a/membership/member.go
+++ b/membership/member.go
@@ -49,8 +49,9 @@
 	CallerAddr   string `json:"c,omitempty"`
 	OperatorAddr string `json:"o,omitempty"`
 	State        State  `json:"s"`
-	// Incarnation is increased by the member itself only: at its start, after a
-	// process pause, and to refute a state that others have given it.
+	// Incarnation is increased only by the member itself: at its start, when it
+	// leaves, after a pause of its process, and to refute a state that other
+	// hosts have given it.
 	Incarnation uint64 `json:"n"`
 }
 
@@ -58,8 +59,9 @@
 	// maxFieldBytes is the maximum size of an id, zone or address.
 	maxFieldBytes = 64
 	// maxIncarnation keeps versions within the range that JSON numbers represent
-	// exactly in any language. Incarnations start at the time in Unix
-	// milliseconds, which reaches it after about 35,000 years.
+	// exactly in any language. A process starts with the time in Unix
+	// milliseconds as its incarnation, which reaches the maximum after about
+	// 35,000 years.
 	maxIncarnation = 1 << 50
 	// maxMembers is the maximum number of members that a host stores, including
 	// those that are Down: many times the design size.
@@ -79,8 +81,8 @@
 // stateBits is the number of bits of the state in a member's version.
 const stateBits = 3
 
-// version returns the order of the member's record: by incarnation first, then
-// by state.
+// version returns the version of the member's record. Versions order records by
+// incarnation first, then by state.
 func (m Member) version() uint64 {
 	return m.Incarnation<<stateBits | uint64(m.State)
 }
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -5,8 +5,9 @@
 // Hosts exchange messages directly, at a fixed rate that doesn't depend on the
 // size of the system: with neighbours in their availability zone, which probe
 // each other, and with hosts in other zones. Messages carry updates and a digest
-// that shows whether two hosts store the same records. The table is used to
-// discover the first hosts only; nothing else depends on it.
+// that shows whether two hosts store the same records. Hosts use the table to
+// discover the first other hosts, and while they are isolated, to detect failures
+// by expired leases. Nothing else depends on it.
 //
 // Records of members and facts have versions that only increase, so delayed and
 // repeated messages have no effect.
@@ -32,10 +33,11 @@
 var (
 	// ErrOptions is returned for invalid options.
 	ErrOptions = errors.New("membership: invalid options")
-	// ErrSuperseded is returned if a later process runs with this host's id.
+	// ErrSuperseded is returned if another process that started later runs with
+	// this host's id.
 	ErrSuperseded = errors.New("membership: superseded by another process with this id")
-	// ErrWrongMember is returned for a message to another host, which previously
-	// had this address.
+	// ErrWrongMember is returned for a message to a host other than this one, for
+	// example a host that previously had this address.
 	ErrWrongMember = errors.New("membership: message for another member")
 	// ErrLeaveNotDelivered is returned if no other host received the
 	// announcement that this host leaves.
@@ -49,7 +51,8 @@
 	presence *presence
 	// pushSignal signals Run that there are records to push.
 	pushSignal chan struct{}
-	// blockHook is a test hook that suspends this host's loops.
+	// blockHook is called in each iteration of this host's loops. Tests set it to
+	// suspend them.
 	blockHook func()
 
 	// snapshot holds the members that Members and Lookup return.
@@ -60,7 +63,8 @@
 	store *store
 	rng   *rand.Rand
 	stats Stats
-	// membersChanged reports whether the snapshot and the rings are outdated.
+	// membersChanged reports whether member records have changed since the
+	// snapshot and the rings were updated.
 	membersChanged bool
 	rings          rings
 	// pendingPush holds the records of the next push by key.
@@ -68,12 +72,12 @@
 	// probing holds the ids of the members with a probe in progress.
 	probing map[string]bool
 	// pauseEpoch increases after each pause of this process; the results of
-	// probes of earlier epochs are ignored.
+	// probes that started in an earlier epoch are ignored.
 	pauseEpoch uint64
-	// lastContact is when the last message of any other host arrived.
+	// lastContact is when the last message from any other host arrived.
 	lastContact time.Time
-	// nextSync is the time of the next sync.
-	nextSync time.Time
+	// nextSyncAt is when the next exchange requests a sync.
+	nextSyncAt time.Time
 	// joined reports whether a sync with another host has been completed.
 	joined bool
 
@@ -104,14 +108,15 @@
 		probing:     make(map[string]bool),
 		lastContact: now,
 	}
-	// Hosts have no disks to store earlier incarnations. The current time exceeds
-	// them unless the clock has stepped back; refutation handles that case.
+	// Hosts have no disks to store the incarnations of earlier processes. The
+	// current time exceeds these unless the clock has stepped back; refutation
+	// handles that case.
 	m.announce(uint64(max(time.Now().UnixMilli(), 1)), now)
 	return m, nil
 }
 
-// Run runs the exchanges until ctx ends, and then returns nil. Its only error is
-// ErrSuperseded.
+// Run exchanges messages with other hosts until ctx ends, and then returns nil. Its
+// only error is ErrSuperseded.
 func (m *Membership) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -153,9 +158,9 @@
 	return members[i], true
 }
 
-// Isolated reports whether no message of another host arrived recently although
+// Isolated reports whether no message from another host arrived recently although
 // there are other live members. An isolated host declares no member Suspect or
-// Down because of failed probes; only expired leases in the table count.
+// Down because of failed probes, only because of expired leases in the table.
 func (m *Membership) Isolated() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -185,8 +190,8 @@
 	return err
 }
 
-// Get returns a fact that hasn't expired. It takes a lock; on the path of
-// requests, use the values delivered by Watch instead.
+// Get returns the fact with a key unless it has expired. It takes a lock; on the
+// path of requests, use the values delivered by Watch instead.
 func (m *Membership) Get(key string) (Fact, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -195,21 +200,21 @@
 	if r == nil || r.fact.Expired() {
 		return Fact{}, false
 	}
-	if !r.expires.IsZero() && !now.Before(r.expires) {
+	if !r.expiresAt.IsZero() && !now.Before(r.expiresAt) {
 		return Fact{}, false
 	}
 	return r.factAt(now), true
 }
 
-// Facts returns the facts with a key prefix that haven't expired, in the order
-// of their keys.
+// Facts returns the facts that haven't expired and whose keys have the prefix, in
+// the order of their keys.
 func (m *Membership) Facts(prefix string) []Fact {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.factsWith(prefix, boottime.Now())
+	return m.factsWithPrefix(prefix, boottime.Now())
 }
 
-func (m *Membership) factsWith(prefix string, now time.Time) []Fact {
+func (m *Membership) factsWithPrefix(prefix string, now time.Time) []Fact {
 	var facts []Fact
 	for _, r := range m.store.records {
 		if !r.isMember && !r.fact.Expired() && strings.HasPrefix(r.fact.Key, prefix) {
@@ -220,7 +225,7 @@
 	return facts
 }
 
-// publish updates the snapshot and the rings after a change.
+// publish updates the snapshot and the rings if member records have changed.
 func (m *Membership) publish() {
 	if !m.membersChanged {
 		return
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -14,14 +14,15 @@
 const (
 	// hostCount and zoneCount are the size of the present deployment.
 	hostCount, zoneCount = 7, 3
-	// suspectWithin and downWithin are the targets for the detection of a killed
-	// host.
+	// suspectWithin and downWithin are the targets for the time until all hosts
+	// store a killed host as Suspect and as Down.
 	suspectWithin, downWithin = 3 * time.Second, 6 * time.Second
-	// spreadWithin is the target for the dissemination of an update to hostCount
-	// hosts.
-	spreadWithin = time.Second
-	// probeTime is the time of a round, a direct and an indirect probe.
-	probeTime = 2500 * time.Millisecond
+	// maxDisseminationTime is the target for the time until an update has reached
+	// hostCount hosts.
+	maxDisseminationTime = time.Second
+	// probeDuration is the longest duration of the interval between rounds, a
+	// direct and an indirect probe together.
+	probeDuration = 2500 * time.Millisecond
 )
 
 func TestKilledHostIsDetectedWithTableDown(t *testing.T) {
@@ -29,9 +30,9 @@
 		desc  string
 		count int
 		kill  []int
-		// rounds is the number of rounds in which a survivor probes killed
-		// neighbours before it probes the last of the killed hosts; each adds
-		// probeTime.
+		// rounds is the number of rounds in which a remaining host probes killed
+		// neighbours before it probes the last of the killed hosts; each extends
+		// the targets by probeDuration.
 		rounds time.Duration
 	}{
 		{"one of two", 2, []int{1}, 0},
@@ -47,12 +48,12 @@
 				for _, i := range tt.kill {
 					hosts[i].kill()
 				}
-				killed := time.Now().Add(tt.rounds * probeTime)
+				killed := time.Now().Add(tt.rounds * probeDuration)
 				for _, i := range tt.kill {
-					waitFor(t, suspectWithin-time.Since(killed), "suspect", func() bool { return allObserve(hosts, hostID(i), Suspect, Down) })
+					waitFor(t, suspectWithin-time.Since(killed), "suspect", func() bool { return allHaveState(hosts, hostID(i), Suspect, Down) })
 				}
 				for _, i := range tt.kill {
-					waitFor(t, downWithin-time.Since(killed), "down", func() bool { return allObserve(hosts, hostID(i), Down) })
+					waitFor(t, downWithin-time.Since(killed), "down", func() bool { return allHaveState(hosts, hostID(i), Down) })
 				}
 			})
 		})
@@ -62,7 +63,7 @@
 func TestPacketLossDeclaresNoHostDown(t *testing.T) {
 	runNetwork(t, hostCount, zoneCount, func(t *testing.T, n *network, hosts []*host) {
 		is := is.New(t)
-		n.setLoss(0.1)
+		n.setLossRate(0.1)
 		time.Sleep(10 * time.Minute)
 		var suspected, declared uint64
 		for _, h := range hosts {
@@ -71,7 +72,7 @@
 		}
 		t.Logf("10 min at 10%% loss, 7 hosts: suspect %d, down %d (sums over hosts)", suspected, declared)
 		is.Equal(declared, uint64(0))
-		n.setLoss(0)
+		n.setLossRate(0)
 		waitFor(t, 10*time.Second, "all up again", func() bool { return allUp(hosts) })
 	})
 }
@@ -83,10 +84,10 @@
 				is := is.New(t)
 				paused := hosts[2]
 				before := paused.Self()
-				paused.suspend()
+				paused.pause()
 				time.Sleep(length)
-				others := allObserve(hosts, before.ID, Suspect, Down)
-				is.True(others)
+				detected := allHaveState(hosts, before.ID, Suspect, Down)
+				is.True(detected)
 				paused.resume()
 				waitFor(t, 3*time.Second, "up again", func() bool { return allUp(hosts) })
 				is.True(paused.Self().Incarnation > before.Incarnation)
@@ -97,7 +98,7 @@
 	}
 }
 
-func TestIsolatedHostDeclaresNobodyDown(t *testing.T) {
+func TestIsolatedHostDeclaresNoMemberDown(t *testing.T) {
 	tests := []struct {
 		desc  string
 		table func(*memoryTable)
@@ -111,13 +112,13 @@
 				is := is.New(t)
 				isolated := hosts[1]
 				id := isolated.Self().ID
-				n.setCut(func(a, b string) bool { return a == id || b == id })
+				n.setPartition(func(a, b string) bool { return a == id || b == id })
 				tt.table(n.table)
 				time.Sleep(5 * time.Minute)
 				is.True(isolated.Isolated())
 				is.Equal(isolated.Stats().DeclaredDown, uint64(0))
-				is.True(allObserve(hosts, id, Down))
-				n.setCut(nil)
+				is.True(allHaveState(hosts, id, Down))
+				n.setPartition(nil)
 				waitFor(t, 10*time.Second, "healed", func() bool { return allUp(hosts) })
 			})
 		})
@@ -148,7 +149,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
-			m := newLone(t)
+			m := newWithoutPeers(t)
 			for _, id := range []string{"a", "b", "c"} {
 				m.mergeMember(Member{ID: id, State: Up, Incarnation: 1}, localOrigin, start)
 			}
@@ -172,7 +173,7 @@
 		}
 		waitFor(t, 3*time.Minute, "the others down", func() bool {
 			for _, h := range hosts[1:] {
-				if !allObserve(hosts[:1], h.options.Self.ID, Down) {
+				if !allHaveState(hosts[:1], h.options.Self.ID, Down) {
 					return false
 				}
 			}
@@ -181,16 +182,16 @@
 	})
 }
 
-func TestCutBetweenZonesHeals(t *testing.T) {
+func TestPartitionBetweenZonesHeals(t *testing.T) {
 	runNetwork(t, 14, 2, func(t *testing.T, n *network, hosts []*host) {
 		zone := func(id string) byte { return (id[len(id)-1] - '0') % 2 }
-		n.setCut(func(a, b string) bool { return zone(a) != zone(b) })
+		n.setPartition(func(a, b string) bool { return zone(a) != zone(b) })
 		time.Sleep(time.Minute)
 		if err := hosts[0].Put(Fact{Key: "head", Version: 9}); err != nil {
 			t.Fatal(err)
 		}
-		n.setCut(nil)
-		took := waitFor(t, 15*time.Second, "healed", func() bool { return allUp(hosts) && allHave(hosts, "head", 9) })
+		n.setPartition(nil)
+		took := waitFor(t, 15*time.Second, "healed", func() bool { return allUp(hosts) && allHaveFact(hosts, "head", 9) })
 		t.Logf("healed %v after the end of the cut", took)
 	})
 }
@@ -209,7 +210,7 @@
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
 			is := is.New(t)
-			m := newLone(t)
+			m := newWithoutPeers(t)
 			deliver := func(member Member) {
 				member.ID = "x"
 				_, err := m.HandleExchange(t.Context(), Message{Kind: KindPush, From: "y", Members: []Member{member}})
@@ -228,11 +229,12 @@
 type unreachable struct{}
 
 func (unreachable) Exchange(context.Context, Member, Message) (Message, error) {
-	return Message{}, errCut
+	return Message{}, errUnreachable
 }
 
-// newLone returns a Membership without peers whose Run isn't called.
-func newLone(t testing.TB) *Membership {
+// newWithoutPeers returns a Membership that can't reach other hosts and whose Run
+// isn't called.
+func newWithoutPeers(t testing.TB) *Membership {
 	t.Helper()
 	m, err := New(Options{Self: Member{ID: "self", Zone: "z"}, Transport: unreachable{}, Seed: 1})
 	if err != nil {
@@ -243,17 +245,17 @@
 
 func TestRefutesFalseSuspicion(t *testing.T) {
 	is := is.New(t)
-	m := newLone(t)
-	claim := m.Self()
-	claim.State = Down
-	_, err := m.HandleExchange(t.Context(), Message{Kind: KindPush, From: "y", Members: []Member{claim}})
+	m := newWithoutPeers(t)
+	received := m.Self()
+	received.State = Down
+	_, err := m.HandleExchange(t.Context(), Message{Kind: KindPush, From: "y", Members: []Member{received}})
 	is.NoErr(err)
 	is.Equal(m.Self().State, Up)
-	is.Equal(m.Self().Incarnation, claim.Incarnation+1)
+	is.Equal(m.Self().Incarnation, received.Incarnation+1)
 }
 
 func TestMessageForAnotherMemberIsRefused(t *testing.T) {
-	_, err := newLone(t).HandleExchange(t.Context(), Message{Kind: KindPing, From: "y", To: "earlier"})
+	_, err := newWithoutPeers(t).HandleExchange(t.Context(), Message{Kind: KindPing, From: "y", To: "earlier"})
 	if !errors.Is(err, ErrWrongMember) {
 		t.Fatal(err)
 	}
@@ -269,10 +271,10 @@
 			}
 		})
 		is.NoErr(hosts[5].Leave(t.Context()))
-		took := waitFor(t, spreadWithin, "Leaving on all hosts", func() bool { return allObserve(hosts, hostID(5), Leaving) })
+		took := waitFor(t, maxDisseminationTime, "Leaving on all hosts", func() bool { return allHaveState(hosts, hostID(5), Leaving) })
 		t.Logf("Leaving on all hosts after %v", took)
 		hosts[5].kill()
-		waitFor(t, downWithin, "down", func() bool { return allObserve(hosts, hostID(5), Down) })
+		waitFor(t, downWithin, "down", func() bool { return allHaveState(hosts, hostID(5), Down) })
 		synctest.Wait()
 		is.Equal(events, []State{Leaving, Down}) // never Suspect
 		_, err := n.table.Get(t.Context(), PresencePrefix+hostID(5))
@@ -285,7 +287,7 @@
 		is := is.New(t)
 		before := hosts[4].Self().Incarnation
 		hosts[4].kill()
-		waitFor(t, downWithin, "down", func() bool { return allObserve(hosts, hostID(4), Down) })
+		waitFor(t, downWithin, "down", func() bool { return allHaveState(hosts, hostID(4), Down) })
 		<-hosts[4].done
 		hosts[4] = n.startHost(t, 4, zoneCount, func(*Options) {})
 		waitFor(t, 10*time.Second, "up again", func() bool { return allUp(hosts) })
--- a/membership/merge.go
+++ b/membership/merge.go
@@ -8,8 +8,9 @@
 type origin struct {
 	// host is the host that sent the record; empty if this host created it.
 	host string
-	// initialSync marks records received by a sync or listing before this host
-	// has joined. The other hosts have them, so they aren't disseminated.
+	// initialSync reports whether the record was received by a sync, or read from
+	// the presence rows, before this host had joined. The other hosts have such a
+	// record, so it isn't disseminated.
 	initialSync bool
 }
 
@@ -57,7 +58,7 @@
 	previous := r.member
 	r.member = member
 	r.updatedAt = now
-	m.store.refreshSum(r)
+	m.store.refresh(r)
 	m.disseminate(r, from)
 	m.membersChanged = true
 	previous.Incarnation = member.Incarnation
@@ -70,14 +71,15 @@
 	m.queueEvent(Event{Member: member, Previous: previous.State})
 }
 
-// refute handles a record of this host sent by another one. A version above its
-// own doesn't come from this process, so it increases its incarnation beyond it.
-func (m *Membership) refute(claim Member, now time.Time) {
-	if claim.version() <= m.self.version() {
+// refute processes a record of this host that another host sent. If its version is
+// higher than that of the own record, this process didn't create it; the host then
+// announces an incarnation that is higher than the record's.
+func (m *Membership) refute(received Member, now time.Time) {
+	if received.version() <= m.self.version() {
 		return
 	}
 	m.stats.Refuted++
-	m.announce(claim.Incarnation+1, now)
+	m.announce(received.Incarnation+1, now)
 }
 
 // announce stores and disseminates a new incarnation of this host.
@@ -114,20 +116,20 @@
 func (m *Membership) setFact(r *record, fact Fact, now time.Time) {
 	r.fact = fact
 	r.updatedAt = now
-	r.expires = time.Time{}
+	r.expiresAt = time.Time{}
 	switch {
 	case fact.Expired():
 		r.fact.Value = nil
-		r.expires = now.Add(m.options.TombstoneRetention)
+		r.expiresAt = now.Add(m.options.TombstoneRetention)
 	case fact.TTL > 0:
-		r.expires = now.Add(fact.TTL)
+		r.expiresAt = now.Add(fact.TTL)
 	}
-	m.store.refreshSum(r)
+	m.store.refresh(r)
 	m.queueFact(r.fact)
 }
 
 // disseminate adds a record to the broadcast queue, and to the next push unless
-// it is a lazy or expired fact.
+// it is a lazy or expired fact. It does nothing for records of an initial sync.
 func (m *Membership) disseminate(r *record, from origin) {
 	if from.initialSync {
 		return
@@ -140,11 +142,11 @@
 	m.signalPush()
 }
 
-// factAt returns the fact with its lifetime that remains at now.
+// factAt returns the fact with the lifetime that remains at now.
 func (r *record) factAt(now time.Time) Fact {
 	f := r.fact
 	if f.TTL > 0 {
-		f.TTL = max(r.expires.Sub(now), 1)
+		f.TTL = max(r.expiresAt.Sub(now), 1)
 	}
 	return f
 }
--- a/membership/message.go
+++ b/membership/message.go
@@ -3,7 +3,7 @@
 import "context"
 
 // Transport sends a message to another host and returns the answer. An error
-// means that no answer arrived; the message may have been processed.
+// means that no answer arrived; the other host may have processed the message.
 type Transport interface {
 	Exchange(ctx context.Context, to Member, message Message) (Message, error)
 }
@@ -20,14 +20,14 @@
 	KindProbe
 	// KindPing is a probe on behalf of another host.
 	KindPing
-	// KindSync lists the sender's records in some buckets.
+	// KindSync lists the sender's records in the buckets whose sums differ.
 	KindSync
 )
 
 // Message is the request or the answer of an exchange.
 type Message struct {
 	Kind Kind `json:"k"`
-	// From is the sender's id, Version the version of its own record.
+	// From is the sender's id, Version the version of the sender's own record.
 	From    string `json:"f"`
 	Version uint64 `json:"v"`
 	// To is the id that the sender expects at the address; empty for a seed.
@@ -47,13 +47,14 @@
 	Buckets []byte `json:"b,omitempty"`
 	// Listing lists the sender's records, for KindSync.
 	Listing *Listing `json:"l,omitempty"`
-	// Wanted are the keys of records that the sender of an answer lacks.
+	// Wanted are the keys of records that the sender of an answer requests,
+	// because it lacks them or stores an older version.
 	Wanted []string `json:"w,omitempty"`
-	// Truncated reports whether records were omitted because of the size limit.
+	// Truncated reports whether records were omitted because of a size limit.
 	Truncated bool `json:"o,omitempty"`
 }
 
-// Listing lists all records of some buckets with their versions.
+// Listing lists all records in the given buckets with their versions.
 type Listing struct {
 	Buckets []byte  `json:"b"`
 	Entries []Entry `json:"e,omitempty"`
--- a/membership/network_test.go
+++ b/membership/network_test.go
@@ -29,22 +29,23 @@
 	framingBytes = 95 + 78
 )
 
-var errCut = errors.New("network: cut")
+var errUnreachable = errors.New("network: unreachable")
 
-// network is a simulated network of hosts in one process. The exchange of a lost
-// message fails at the caller's timeout.
+// network is a simulated network of hosts in one process. If a message is lost,
+// its exchange fails at the caller's timeout.
 type network struct {
 	mu    sync.Mutex
 	rng   *rand.Rand
 	hosts map[string]*host
-	// loss is the fraction of messages that are lost.
-	loss float64
-	// cut reports which pairs of hosts can't communicate; nil means none.
-	cut             func(a, b string) bool
+	// lossRate is the fraction of messages that are lost.
+	lossRate float64
+	// partitioned reports whether two hosts can't communicate; nil means that all
+	// hosts can.
+	partitioned     func(a, b string) bool
 	bytes, messages uint64
 	table           *memoryTable
-	// handling counts messages being handled, even if their callers have timed
-	// out.
+	// handling counts the messages that hosts are processing, including those
+	// whose senders have timed out.
 	handling sync.WaitGroup
 }
 
@@ -125,7 +126,7 @@
 	synctest.Wait() // all other goroutines of the bubble have ended or are blocked
 }
 
-// kill stops a host permanently without notice to the others.
+// kill stops the host permanently without notifying the other hosts.
 func (h *host) kill() {
 	h.mu.Lock()
 	h.killed = true
@@ -133,16 +134,16 @@
 	h.cancel()
 }
 
-func (h *host) suspend() {
+func (h *host) pause() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.resumed = make(chan struct{})
 }
 
-// resume ends a pause and lets the host catch up before it returns. With Go 1.26
-// the race detector itself crashes (a failed check in tsan_rtl.cpp, or SIGSEGV)
-// if two threads receive at once from expired timer channels of one synctest
-// bubble, so no two hosts may resume at the same instant.
+// resume ends a pause and waits while the host processes what arrived during it,
+// so that no two hosts resume at the same instant. With Go 1.26 the race detector
+// itself crashes (a failed check in tsan_rtl.cpp, or SIGSEGV) if two threads
+// receive at the same time from expired timer channels of one synctest bubble.
 func (h *host) resume() {
 	h.mu.Lock()
 	resumed := h.resumed
@@ -163,13 +164,13 @@
 	}
 }
 
-func (h *host) dead() bool {
+func (h *host) isKilled() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.killed
 }
 
-// Exchange implements Transport for the host as the sender.
+// Exchange implements Transport. The host is the sender.
 func (h *host) Exchange(ctx context.Context, to Member, message Message) (Message, error) {
 	h.waitResumed()
 	n := h.net
@@ -186,8 +187,8 @@
 	return answer, err
 }
 
-// handle handles a message. A paused host does so after it resumes, whether or
-// not the caller still waits.
+// handle processes a message at the receiver. A paused host does so after it
+// resumes, whether or not the sender still waits.
 func (h *host) handle(ctx context.Context, message Message) (Message, error) {
 	type outcome struct {
 		answer Message
@@ -218,14 +219,14 @@
 	receiver := n.find(to)
 	n.bytes += uint64(len(data) + framingBytes)
 	n.messages++
-	lost := receiver == nil || receiver.dead() || n.hosts[from].dead() || n.rng.Float64() < n.loss
-	if !lost && n.cut != nil {
-		lost = n.cut(from, receiver.options.Self.ID)
+	lost := receiver == nil || receiver.isKilled() || n.hosts[from].isKilled() || n.rng.Float64() < n.lossRate
+	if !lost && n.partitioned != nil {
+		lost = n.partitioned(from, receiver.options.Self.ID)
 	}
 	n.mu.Unlock()
 	if lost {
 		<-ctx.Done()
-		return nil, errCut
+		return nil, errUnreachable
 	}
 	time.Sleep(latency)
 	*message = Message{}
@@ -250,20 +251,20 @@
 	return n.bytes, n.messages
 }
 
-func (n *network) setLoss(loss float64) {
+func (n *network) setLossRate(lossRate float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.loss = loss
+	n.lossRate = lossRate
 }
 
-func (n *network) setCut(cut func(a, b string) bool) {
+func (n *network) setPartition(partitioned func(a, b string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut = cut
+	n.partitioned = partitioned
 }
 
-// waitFor waits until the condition holds and returns how long it took. It fails
-// the test at the limit.
+// waitFor waits until the condition holds and returns how long that took. It fails
+// the test if that takes longer than limit.
 func waitFor(t *testing.T, limit time.Duration, what string, condition func() bool) time.Duration {
 	t.Helper()
 	const step = 10 * time.Millisecond
@@ -277,11 +278,11 @@
 	return time.Since(start)
 }
 
-// allObserve reports whether all living hosts other than the member itself have
-// it in one of the states.
-func allObserve(hosts []*host, id string, states ...State) bool {
+// allHaveState reports whether all hosts, except killed ones and the member itself,
+// store the member in one of the states.
+func allHaveState(hosts []*host, id string, states ...State) bool {
 	for _, h := range hosts {
-		if h.dead() || h.options.Self.ID == id {
+		if h.isKilled() || h.options.Self.ID == id {
 			continue
 		}
 		member, _ := h.Lookup(id)
@@ -292,7 +293,7 @@
 	return true
 }
 
-// allUp reports whether all hosts have all members as Up.
+// allUp reports whether each host stores all hosts as Up.
 func allUp(hosts []*host) bool {
 	for _, h := range hosts {
 		up := 0
@@ -308,18 +309,19 @@
 	return true
 }
 
-// allHave reports whether all living hosts have a version of a fact.
-func allHave(hosts []*host, key string, version uint64) bool {
+// allHaveFact reports whether all hosts that aren't killed store this version of a
+// fact.
+func allHaveFact(hosts []*host, key string, version uint64) bool {
 	for _, h := range hosts {
-		if f, ok := h.Get(key); !h.dead() && (!ok || f.Version != version) {
+		if f, ok := h.Get(key); !h.isKilled() && (!ok || f.Version != version) {
 			return false
 		}
 	}
 	return true
 }
 
-// runNetwork runs a test on a network in a synctest bubble. When the test begins,
-// all hosts are Up.
+// runNetwork runs a test with a network of hosts in a synctest bubble. The test
+// begins when each host stores all hosts as Up.
 func runNetwork(t *testing.T, count, zones int, test func(t *testing.T, n *network, hosts []*host)) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
@@ -335,11 +337,11 @@
 	mu       sync.Mutex
 	revision uint64
 	rows     map[string]storage.Row
-	// fail is the error of all calls; nil means none.
+	// fail is the error that all calls return; nil means none.
 	fail error
 	// readOnly makes all commits fail.
 	readOnly bool
-	// loseResponses makes commits take effect but return ErrUnknown.
+	// loseResponses makes commits take effect and return ErrUnknown.
 	loseResponses bool
 }
 
--- a/membership/notify.go
+++ b/membership/notify.go
@@ -7,8 +7,8 @@
 	"github.com/quetzalweir/quetzalweir/internal/boottime"
 )
 
-// notifier calls subscribers in the order of the changes, one at a time and
-// without the lock of the Membership. Subscribers may call the Membership.
+// notifier calls subscribers and watchers in the order of the changes, one at a
+// time and without holding the lock of the Membership, which they may call.
 type notifier struct {
 	mu          sync.Mutex
 	queue       []notification
@@ -22,7 +22,7 @@
 type notification struct {
 	event Event
 	fact  Fact
-	// isFact reports whether the change is of fact, and not of a member.
+	// isFact reports whether fact holds the change; otherwise event does.
 	isFact bool
 	// watcherID is the id of the only watcher to notify; zero means all.
 	watcherID int
@@ -30,7 +30,7 @@
 
 type watcher struct {
 	prefix string
-	f      func(Fact)
+	onFact func(Fact)
 }
 
 // Subscribe calls f for each later change of a member until cancel is called. f
@@ -52,8 +52,9 @@
 	}
 }
 
-// Watch calls f for each stored fact with the key prefix and then for each
-// change, including expiry, until cancel is called. f must not block.
+// Watch calls f for each stored fact whose key has the prefix, and then for each
+// change of such a fact, including its expiry, until cancel is called. f must not
+// block.
 func (m *Membership) Watch(prefix string, f func(Fact)) (cancel func()) {
 	n := &m.notifier
 	m.mu.Lock()
@@ -63,8 +64,8 @@
 	}
 	n.lastID++
 	id := n.lastID
-	n.watchers[id] = watcher{prefix: prefix, f: f}
-	for _, fact := range m.factsWith(prefix, boottime.Now()) {
+	n.watchers[id] = watcher{prefix: prefix, onFact: f}
+	for _, fact := range m.factsWithPrefix(prefix, boottime.Now()) {
 		n.queue = append(n.queue, notification{fact: fact, isFact: true, watcherID: id})
 	}
 	n.mu.Unlock()
@@ -81,10 +82,10 @@
 
 func (m *Membership) queueFact(f Fact) { m.notifier.add(notification{fact: f, isFact: true}) }
 
-func (n *notifier) add(c notification) {
+func (n *notifier) add(change notification) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.queue = append(n.queue, c)
+	n.queue = append(n.queue, change)
 }
 
 // flush delivers the queued notifications. If another goroutine is delivering, it
@@ -98,9 +99,9 @@
 	n.delivering = true
 	defer func() { n.delivering = false }()
 	for len(n.queue) > 0 {
-		c := n.queue[0]
+		change := n.queue[0]
 		n.queue = n.queue[1:]
-		calls := n.calls(c)
+		calls := n.calls(change)
 		n.mu.Unlock()
 		for _, call := range calls {
 			call()
@@ -109,18 +110,18 @@
 	}
 }
 
-// calls returns the subscriber calls for a notification.
-func (n *notifier) calls(c notification) []func() {
+// calls returns the calls of subscribers or watchers for a notification.
+func (n *notifier) calls(change notification) []func() {
 	var calls []func()
-	if !c.isFact {
+	if !change.isFact {
 		for _, f := range n.subscribers {
-			calls = append(calls, func() { f(c.event) })
+			calls = append(calls, func() { f(change.event) })
 		}
 		return calls
 	}
 	for id, w := range n.watchers {
-		if strings.HasPrefix(c.fact.Key, w.prefix) && (c.watcherID == 0 || c.watcherID == id) {
-			calls = append(calls, func() { w.f(c.fact) })
+		if strings.HasPrefix(change.fact.Key, w.prefix) && (change.watcherID == 0 || change.watcherID == id) {
+			calls = append(calls, func() { w.onFact(change.fact) })
 		}
 	}
 	return calls
--- a/membership/options.go
+++ b/membership/options.go
@@ -51,18 +51,19 @@
 	// SuspicionTimeout is how long a member is Suspect before it is Down;
 	// default 2.5 s.
 	SuspicionTimeout time.Duration
-	// SyncInterval is the least time between syncs; default 5 s.
+	// SyncInterval is the minimum time between syncs; default 5 s, jittered by a
+	// tenth.
 	SyncInterval time.Duration
-	// PushDelay is the delay of a push, in which further updates are batched
-	// with it; default 10 ms.
+	// PushDelay is the delay before a push, during which further updates are
+	// added to it; default 10 ms.
 	PushDelay time.Duration
 
-	// PresenceTTL is the lease duration of the presence row; default 30 s. The
-	// row is renewed every RenewInterval; default 10 s.
+	// PresenceTTL is the duration of the lease that the presence row stands for;
+	// default 30 s. The row is renewed every RenewInterval; default 10 s.
 	PresenceTTL   time.Duration
 	RenewInterval time.Duration
-	// DiscoverInterval is the least time between listings of the presence
-	// rows; default 30 s.
+	// DiscoverInterval is the minimum time between listings of the presence
+	// rows while there are other live members; default 30 s.
 	DiscoverInterval time.Duration
 	// TableTimeout is the timeout of one call of the table; default 5 s.
 	TableTimeout time.Duration
@@ -79,21 +80,23 @@
 	// and 1.
 	ZoneTargets   int
 	GlobalTargets int
-	// Delegates is the number of hosts in other zones that this host exchanges
-	// with in a round; default 1.
+	// Delegates is the number of hosts in other zones with which this host
+	// exchanges messages in each round; default 1.
 	Delegates int
-	// IndirectProbes is the number of hosts asked for an indirect probe;
-	// default 3.
+	// IndirectProbes is the maximum number of hosts that are asked to probe a
+	// member indirectly; default 3.
 	IndirectProbes int
 	// PushFanout is the number of hosts that updates are pushed to; default 4.
 	PushFanout int
 	// MaxFacts is the maximum number of facts, including expired ones; default
 	// 4096.
 	MaxFacts int
-	// MaxUpdateBytes is the maximum size of the records in an exchange or push;
-	// default 4 KiB. Further records are sent with the next one.
+	// MaxUpdateBytes is the maximum size of the records in a message of a regular
+	// exchange or push; default 4 KiB. Further records are sent with the next
+	// message.
 	MaxUpdateBytes int
-	// MaxSyncBytes is the maximum size of the records in a sync; default 16 KiB.
+	// MaxSyncBytes is the maximum size of the records in a message of a sync;
+	// default 16 KiB.
 	MaxSyncBytes int
 
 	// Seed seeds the random choices, which makes them reproducible; zero means a
--- a/membership/presence.go
+++ b/membership/presence.go
@@ -22,34 +22,37 @@
 	// Instance identifies the process.
 	Instance string `json:"instance"`
 	// RenewedAt is the time of the last renewal in Unix milliseconds, by the
-	// writer's clock. It is a hint only.
+	// writer's clock. Hosts use it only to ignore stale rows when they first read
+	// them.
 	RenewedAt int64 `json:"renewed_at"`
 }
 
-// presence is the state of this host's presence row and of the rows it has read.
+// presence holds the state of this host's presence row, and what this host has
+// observed of the rows of all hosts.
 type presence struct {
 	instance string
 
 	mu sync.Mutex
-	// version is the version of this host's row when last written or read; zero
-	// if the row doesn't exist. versionKnown is false after a failed write, which
-	// may have changed the row.
+	// version is the version of this host's row when it was last written or read;
+	// zero if the row didn't exist. versionKnown is false before the first read,
+	// and after a failed write, which may have changed the row.
 	version      uint64
 	versionKnown bool
 	// renewedAt is when this process last wrote the row; zero if never.
 	renewedAt time.Time
 	withdrawn bool
 
-	// observed holds the rows read, by key. Only the discovery loop uses it.
-	observed map[string]rowObservation
+	// observations holds the observations of rows by key. Only the discovery loop
+	// uses it.
+	observations map[string]rowObservation
 }
 
 func newPresence() *presence {
-	return &presence{instance: uuid.NewString(), observed: make(map[string]rowObservation)}
+	return &presence{instance: uuid.NewString(), observations: make(map[string]rowObservation)}
 }
 
-// renewLoop renews the presence row. It continues after failures of the table
-// and ends only with ctx or if this process is superseded.
+// renewLoop renews the presence row periodically. It continues after failures of
+// the table and ends only when ctx ends or this process is superseded.
 func (m *Membership) renewLoop(ctx context.Context, cancel context.CancelCauseFunc) {
 	for {
 		m.blockHook()
@@ -66,7 +69,7 @@
 }
 
 // renew writes the row on condition that its version hasn't changed. After a
-// conflict or a lost answer it reads the row and tries once more.
+// conflict or a lost answer of the table it reads the row and tries once more.
 func (m *Membership) renew(ctx context.Context) error {
 	p := m.presence
 	p.mu.Lock()
@@ -115,10 +118,10 @@
 	return version, nil
 }
 
-// readOwnRow reads this host's row. If it belongs to an earlier process with an
-// incarnation that isn't lower, this process increases its own beyond it. If it
-// belongs to another process although this one has written the row before, this
-// process is superseded.
+// readOwnRow reads this host's row. If the row was written by an earlier process
+// and its incarnation isn't lower than that of this process, this process announces
+// a higher one. If this process has written the row before and it now belongs to
+// another process, readOwnRow returns ErrSuperseded.
 func (m *Membership) readOwnRow(ctx context.Context) error {
 	p := m.presence
 	stored, err := m.options.Table.Get(ctx, m.ownKey())
@@ -146,8 +149,8 @@
 	return nil
 }
 
-// withdrawPresence deletes the row if it still belongs to this process. If the
-// deletion fails, the lease expires.
+// withdrawPresence ends the renewal of the row, and deletes the row if it still
+// belongs to this process. If the deletion fails, the lease expires.
 func (m *Membership) withdrawPresence(ctx context.Context) {
 	p := m.presence
 	p.mu.Lock()
--- a/membership/presence_test.go
+++ b/membership/presence_test.go
@@ -55,7 +55,7 @@
 	})
 }
 
-func TestIncarnationRisesAboveAnEarlierRow(t *testing.T) {
+func TestIncarnationExceedsEarlierRow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := newNetwork()
@@ -108,6 +108,6 @@
 		}
 		waitFor(t, 15*time.Second, "all up", func() bool { return allUp(hosts) })
 		hosts[1].kill()
-		waitFor(t, downWithin, "down", func() bool { return allObserve(hosts, hostID(1), Down) })
+		waitFor(t, downWithin, "down", func() bool { return allHaveState(hosts, hostID(1), Down) })
 	})
 }
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -7,9 +7,10 @@
 	"github.com/quetzalweir/quetzalweir/internal/boottime"
 )
 
-// probe performs an exchange with a target. If it fails, other hosts probe the
-// target; if these fail too, the target becomes Suspect.
-func (m *Membership) probe(ctx context.Context, target Member, epoch uint64) {
+// probe performs an exchange with a target. If the exchange fails, other hosts
+// probe the target. If none of them reaches it, applyFailedProbe may change its
+// state.
+func (m *Membership) probe(ctx context.Context, target Member, pauseEpoch uint64) {
 	defer func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
@@ -23,7 +24,7 @@
 		return
 	}
 	m.mu.Lock()
-	m.applyFailedProbe(target, epoch, start, boottime.Now())
+	m.applyFailedProbe(target, pauseEpoch, start, boottime.Now())
 	m.mu.Unlock()
 	m.notifier.flush()
 }
@@ -31,7 +32,7 @@
 // probeIndirect asks other hosts to probe the target, and reports whether one of
 // them reached it.
 func (m *Membership) probeIndirect(ctx context.Context, target Member) bool {
-	helpers := m.helpers(target.ID)
+	helpers := m.selectHelpers(target.ID)
 	if len(helpers) == 0 {
 		return false
 	}
@@ -56,14 +57,14 @@
 	return reached
 }
 
-// helpers returns the hosts for an indirect probe: random live members, except
-// the target and members that are Suspect.
-func (m *Membership) helpers(target string) []Member {
+// selectHelpers returns the hosts to ask for an indirect probe: random live
+// members, except the target and members that are Suspect.
+func (m *Membership) selectHelpers(target string) []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var chosen []Member
-	for _, i := range m.rng.Perm(len(m.rings.all)) {
-		member := m.rings.all[i]
+	for _, i := range m.rng.Perm(len(m.rings.global)) {
+		member := m.rings.global[i]
 		if member.ID == target || member.State == Suspect {
 			continue
 		}
@@ -75,28 +76,28 @@
 	return chosen
 }
 
-// newRequest returns a message without updates.
+// newRequest is newMessage for callers that don't hold the lock.
 func (m *Membership) newRequest(kind Kind, to string) Message {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.newMessage(kind, to)
 }
 
-// ping probes a target on behalf of another host.
+// ping probes a target on behalf of another host and reports whether it answered.
 func (m *Membership) ping(ctx context.Context, target Member) bool {
 	_, err := m.exchange(ctx, target, m.newRequest(KindPing, target.ID), m.options.ProbeTimeout)
 	return err == nil
 }
 
-// applyFailedProbe handles the failure of a probe that began at start. It has no
-// effect if the fault may be this host's, or if there is a later message or a
-// newer record of the target.
-func (m *Membership) applyFailedProbe(target Member, epoch uint64, start, now time.Time) {
+// applyFailedProbe marks a target as unresponsive after a probe that began at start
+// in the given pause epoch has failed. It has no effect if the cause may be this
+// host, or if a message from the target or a newer record of it has arrived since.
+func (m *Membership) applyFailedProbe(target Member, pauseEpoch uint64, start, now time.Time) {
 	maxDuration := m.options.ProbeTimeout + m.options.IndirectTimeout + sweepInterval
-	if epoch != m.pauseEpoch || now.Sub(start) > maxDuration {
+	if pauseEpoch != m.pauseEpoch || now.Sub(start) > maxDuration {
 		return // this process was paused or starved during the probe
 	}
-	if m.lastContact.Before(start) && len(m.rings.all) > maxPeersWithoutIsolation {
+	if m.lastContact.Before(start) && len(m.rings.global) > maxPeersWithoutIsolation {
 		return
 	}
 	r := m.store.member(target.ID)
@@ -121,17 +122,19 @@
 	m.publish()
 }
 
-// isolated reports whether no message of another host has arrived for a while.
-// Unless there are few other hosts, it is more likely that this host is
-// partitioned than that all others have failed at once.
+// isolated reports whether no message from another host has arrived for
+// isolationIntervals. Unless there are few other hosts, it is then more likely that
+// this host is partitioned from them than that all of them have failed at the same
+// time.
 func (m *Membership) isolated(now time.Time) bool {
-	if len(m.rings.all) <= maxPeersWithoutIsolation {
+	if len(m.rings.global) <= maxPeersWithoutIsolation {
 		return false
 	}
 	return now.Sub(m.lastContact) > isolationIntervals*m.options.Interval
 }
 
-// sweep applies the timeouts.
+// sweep applies the timeouts of suspicions, of the retention of records, and of
+// facts.
 func (m *Membership) sweep(now time.Time) {
 	m.mu.Lock()
 	isolated := m.isolated(now)
@@ -149,7 +152,7 @@
 
 func (m *Membership) sweepMember(r *record, isolated bool, now time.Time) {
 	if r.member.State == Suspect && isolated {
-		r.updatedAt = now // restart the timeout, so that it can refute after the isolation
+		r.updatedAt = now // restart the timeout, so that the member can refute after the isolation
 	}
 	age := now.Sub(r.updatedAt)
 	switch {
@@ -164,7 +167,7 @@
 }
 
 func (m *Membership) sweepFact(r *record, now time.Time) {
-	if r.expires.IsZero() || now.Before(r.expires) {
+	if r.expiresAt.IsZero() || now.Before(r.expiresAt) {
 		return
 	}
 	if r.fact.Expired() {
@@ -176,15 +179,16 @@
 	m.setFact(r, fact, now)
 }
 
-// resumeAfterPause handles a pause of this process, after which its records are
-// outdated. Probes in progress are ignored, suspicion timeouts restart, and this
-// host announces a new incarnation, because others may have declared it Down.
+// resumeAfterPause is called after a pause of this process, in which its records
+// became outdated. The results of probes in progress are ignored, suspicion timeouts
+// restart, the next exchange requests a sync, and this host announces a new
+// incarnation, because other hosts may have declared it Down.
 func (m *Membership) resumeAfterPause(now time.Time) {
 	m.mu.Lock()
 	m.stats.Pauses++
 	m.pauseEpoch++
 	m.lastContact = time.Time{}
-	m.nextSync = now
+	m.nextSyncAt = now
 	for _, r := range m.store.records {
 		if r.isMember && r.member.State == Suspect {
 			r.updatedAt = now
--- a/membership/push.go
+++ b/membership/push.go
@@ -10,8 +10,9 @@
 	"github.com/quetzalweir/quetzalweir/internal/boottime"
 )
 
-// push sends new records to a few hosts, which push the records that are new to
-// them in turn. A short delay batches updates that arrive together.
+// push sends new records to a few hosts, which in turn push those records that are
+// new to them. It first waits for PushDelay, so that updates that arrive together
+// are sent in one message.
 func (m *Membership) push(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -54,18 +55,18 @@
 	}
 }
 
-// pushTargets returns live members, about half of them in the zone: the successors on
-// both rings, then random ones. Random targets alone are fast, but in one push of fifty
-// missed one of 28 hosts; along the rings an update reaches every host to which no
+// pushTargets returns live members, about half of them in this host's zone: the successors
+// on both rings, then random ones. Pushes to random targets alone are fast, but one update in
+// fifty didn't reach one of 28 hosts. Along the rings an update reaches every host if no
 // message is lost.
 func (m *Membership) pushTargets() []Member {
 	fanout := m.options.PushFanout
 	var chosen []Member
 	chosen = appendDistinct(chosen, successors(m.rings.zone, 1), 1)
-	chosen = appendDistinct(chosen, successors(m.rings.all, 1), 1)
+	chosen = appendDistinct(chosen, successors(m.rings.global, 1), 1)
 	chosen = appendDistinct(chosen, m.shuffled(m.rings.zone), max(0, fanout/2-len(chosen)))
-	chosen = appendDistinct(chosen, m.shuffled(m.rings.others), fanout-len(chosen))
-	return appendDistinct(chosen, m.shuffled(m.rings.all), fanout-len(chosen))
+	chosen = appendDistinct(chosen, m.shuffled(m.rings.otherZones), fanout-len(chosen))
+	return appendDistinct(chosen, m.shuffled(m.rings.global), fanout-len(chosen))
 }
 
 func (m *Membership) shuffled(members []Member) []Member {
@@ -74,7 +75,7 @@
 	return members
 }
 
-// pushTo sends the records to all targets and returns how many received them.
+// pushTo sends the records to all targets and returns how many targets answered.
 func (m *Membership) pushTo(ctx context.Context, records []*record, targets []Member) int {
 	if len(records) == 0 {
 		return 0
@@ -82,7 +83,7 @@
 	var workers sync.WaitGroup
 	results := make(chan bool, len(targets))
 	for _, target := range targets {
-		workers.Go(func() { results <- m.pushOne(ctx, target, records) })
+		workers.Go(func() { results <- m.pushToOne(ctx, target, records) })
 	}
 	workers.Wait()
 	close(results)
@@ -95,7 +96,7 @@
 	return delivered
 }
 
-func (m *Membership) pushOne(ctx context.Context, target Member, records []*record) bool {
+func (m *Membership) pushToOne(ctx context.Context, target Member, records []*record) bool {
 	now := boottime.Now()
 	m.mu.Lock()
 	message := m.newMessage(KindPush, target.ID)
@@ -116,7 +117,8 @@
 	return true
 }
 
-// requeue adds the records that another host lacks to the broadcast queue again.
+// requeue adds the records with the keys, which another host requested, to the
+// broadcast queue again.
 func (m *Membership) requeue(keys []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -128,8 +130,8 @@
 }
 
 // Leave announces that this host is finishing its work, and removes its presence
-// row. Run continues; the caller ends it by its context when the work is done.
-// Leave returns ErrLeaveNotDelivered if no other host answered.
+// row. Run continues; the caller cancels its context when the work is done. Leave
+// returns ErrLeaveNotDelivered if there are other hosts and none answered.
 func (m *Membership) Leave(ctx context.Context) error {
 	m.mu.Lock()
 	m.self.State = Leaving
@@ -141,7 +143,7 @@
 	delivered := m.pushTo(ctx, records, targets)
 	m.withdrawPresence(ctx)
 	if delivered == 0 && len(targets) > 0 {
-		return fmt.Errorf("%w: %d tried", ErrLeaveNotDelivered, len(targets))
+		return fmt.Errorf("%w: sent to %d hosts", ErrLeaveNotDelivered, len(targets))
 	}
 	return nil
 }
--- a/membership/push_test.go
+++ b/membership/push_test.go
@@ -8,8 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// countReached returns the number of hosts that an update of the first host reaches by
-// pushes alone if no message is lost: each host that receives it first pushes it once.
+// countReached returns the number of hosts, including the first, that an update by the first
+// host reaches by pushes alone if no message is lost. Each host pushes the update once, when it
+// first receives it.
 func countReached(members []Member, seed uint64) int {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	reached := map[string]bool{members[0].ID: true}
@@ -28,7 +29,7 @@
 	return len(reached)
 }
 
-// Pushes reach every host, whatever random targets are selected.
+// Pushes reach every host, whichever random targets are selected.
 func TestPushReachesAll(t *testing.T) {
 	for _, size := range [][2]int{{2, 1}, {3, 3}, {7, 3}, {28, 4}, {73, 3}} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
--- a/membership/scale_test.go
+++ b/membership/scale_test.go
@@ -12,33 +12,35 @@
 
 var measure = flag.Bool("measure", false, "measure all sizes up to 440 hosts")
 
-// sizes are the measured numbers of hosts and zones.
+// sizes are the measured sizes, each a number of hosts and a number of zones.
 var sizes = [][2]int{{7, 3}, {14, 3}, {28, 4}, {56, 6}, {112, 10}, {224, 18}, {440, 32}}
 
 // measurements are the results for one size.
 type measurements struct {
-	hosts, zones int
-	// joined is the time from a simultaneous start until all hosts have all
+	hostCount, zoneCount int
+	// joinTime is the time from a simultaneous start until each host stores all
 	// members as Up.
-	joined time.Duration
-	// bytes and messages are sent and received per host and second while idle.
-	bytes, messages float64
-	// cpu is the processor time per host and round, including the encoding.
-	cpu time.Duration
-	// spread is the longest time of the trials until all hosts have a pushed
-	// fact; factBytes is the traffic per host and fact.
-	spread    time.Duration
-	factBytes float64
-	// suspect and down are the times until all hosts have a killed host in that
-	// state.
-	suspect, down time.Duration
-	// memory is the heap size per host and member, in bytes.
-	memory float64
+	joinTime time.Duration
+	// bytesPerSecond and messagesPerSecond are the bytes and messages that a host
+	// sends and receives per second without faults and new facts.
+	bytesPerSecond, messagesPerSecond float64
+	// cpuPerRound is the processor time per host and round, including the
+	// encoding of messages.
+	cpuPerRound time.Duration
+	// disseminationTime is the longest time, over the repetitions, until all
+	// hosts have a pushed fact; bytesPerFact is the traffic per host and fact.
+	disseminationTime time.Duration
+	bytesPerFact      float64
+	// timeToSuspect and timeToDown are the times until all other hosts store a
+	// killed host as Suspect and as Down.
+	timeToSuspect, timeToDown time.Duration
+	// bytesPerMember is the heap size per host and member.
+	bytesPerMember float64
 }
 
-// TestSpreadAndCost prints the measurements for docs/CAPACITY.md and checks them
-// against the targets.
-func TestSpreadAndCost(t *testing.T) {
+// TestDisseminationAndCost prints the measurements for docs/CAPACITY.md and checks
+// them against the targets.
+func TestDisseminationAndCost(t *testing.T) {
 	selected := sizes[:3]
 	if *measure {
 		selected = sizes
@@ -47,12 +49,12 @@
 		"bytes/s", "msgs/s", "cpu/rnd", "fact all", "fact bytes", "suspect", "down", "B/member")
 	for _, size := range selected {
 		synctest.Test(t, func(t *testing.T) {
-			f := measureSize(t, size[0], size[1])
-			t.Logf("%6d %6d %8v %10.0f %8.1f %8v %10v %10.0f %9v %8v %9.0f", f.hosts, f.zones,
-				f.joined, f.bytes, f.messages, f.cpu, f.spread, f.factBytes, f.suspect, f.down, f.memory)
+			result := measureSize(t, size[0], size[1])
+			t.Logf("%6d %6d %8v %10.0f %8.1f %8v %10v %10.0f %9v %8v %9.0f", result.hostCount, result.zoneCount,
+				result.joinTime, result.bytesPerSecond, result.messagesPerSecond, result.cpuPerRound, result.disseminationTime, result.bytesPerFact, result.timeToSuspect, result.timeToDown, result.bytesPerMember)
 			const maxBytes = 7000
-			if f.bytes > maxBytes || f.suspect > suspectWithin || f.down > downWithin || f.spread > time.Second {
-				t.Errorf("target exceeded: %+v", f)
+			if result.bytesPerSecond > maxBytes || result.timeToSuspect > suspectWithin || result.timeToDown > downWithin || result.disseminationTime > time.Second {
+				t.Errorf("target exceeded: %+v", result)
 			}
 		})
 	}
@@ -60,42 +62,42 @@
 
 func measureSize(t *testing.T, count, zones int) measurements {
 	const (
-		settle = 30 * time.Second
-		idle   = 20 * time.Second
-		trials = 5
+		settle      = 30 * time.Second
+		idle        = 20 * time.Second
+		repetitions = 5
 	)
-	f := measurements{hosts: count, zones: zones}
-	heap := heapBytes()
+	result := measurements{hostCount: count, zoneCount: zones}
+	beforeHeap := heapBytes()
 	n := newNetwork()
 	hosts := n.start(t, count, zones)
 	defer n.stop(t)
-	f.joined = waitFor(t, 5*time.Minute, "all up", func() bool { return allUp(hosts) })
+	result.joinTime = waitFor(t, 5*time.Minute, "all up", func() bool { return allUp(hosts) })
 	time.Sleep(settle)
-	f.memory = float64(heapBytes()-heap) / float64(count*count)
+	result.bytesPerMember = float64(heapBytes()-beforeHeap) / float64(count*count)
 
 	perHost := func(total uint64) float64 { return 2 * float64(total) / float64(count) }
-	bytes, messages := n.traffic()
-	cpu := cpuTime()
+	beforeBytes, beforeMessages := n.traffic()
+	beforeCPU := cpuTime()
 	time.Sleep(idle)
-	f.cpu = ((cpuTime() - cpu) / time.Duration(count) / time.Duration(idle/DefaultInterval)).Round(time.Microsecond)
+	result.cpuPerRound = ((cpuTime() - beforeCPU) / time.Duration(count) / time.Duration(idle/DefaultInterval)).Round(time.Microsecond)
 	afterBytes, afterMessages := n.traffic()
-	f.bytes = perHost(afterBytes-bytes) / idle.Seconds()
-	f.messages = perHost(afterMessages-messages) / idle.Seconds()
+	result.bytesPerSecond = perHost(afterBytes-beforeBytes) / idle.Seconds()
+	result.messagesPerSecond = perHost(afterMessages-beforeMessages) / idle.Seconds()
 
-	for i := range trials {
+	for i := range repetitions {
 		key := fmt.Sprintf("head-%d", i)
 		hosts[i].Put(Fact{Key: key, Version: 1, Value: make([]byte, 100)})
-		f.spread = max(f.spread, waitFor(t, 5*time.Second, "fact at all", func() bool { return allHave(hosts, key, 1) }))
-		time.Sleep(idle / trials)
+		result.disseminationTime = max(result.disseminationTime, waitFor(t, 5*time.Second, "fact at all", func() bool { return allHaveFact(hosts, key, 1) }))
+		time.Sleep(idle / repetitions)
 	}
-	factBytes, _ := n.traffic()
-	f.factBytes = max(0, perHost(factBytes-afterBytes)-f.bytes*idle.Seconds()) / trials
+	afterFactsBytes, _ := n.traffic()
+	result.bytesPerFact = max(0, perHost(afterFactsBytes-afterBytes)-result.bytesPerSecond*idle.Seconds()) / repetitions
 
 	killed := count / 2
 	hosts[killed].kill()
-	f.suspect = waitFor(t, downWithin, "suspect", func() bool { return allObserve(hosts, hostID(killed), Suspect, Down) })
-	f.down = f.suspect + waitFor(t, downWithin, "down", func() bool { return allObserve(hosts, hostID(killed), Down) })
-	return f
+	result.timeToSuspect = waitFor(t, downWithin, "suspect", func() bool { return allHaveState(hosts, hostID(killed), Suspect, Down) })
+	result.timeToDown = result.timeToSuspect + waitFor(t, downWithin, "down", func() bool { return allHaveState(hosts, hostID(killed), Down) })
+	return result
 }
 
 func heapBytes() uint64 {
--- a/membership/stats.go
+++ b/membership/stats.go
@@ -2,8 +2,8 @@
 
 // Stats holds the counters of a host since its start.
 type Stats struct {
-	// Rounds counts rounds, Exchanges messages sent, and Failures messages
-	// without an answer.
+	// Rounds counts rounds, Exchanges the messages sent to other hosts, and
+	// Failures those that weren't answered.
 	Rounds    uint64
 	Exchanges uint64
 	Failures  uint64
@@ -12,10 +12,11 @@
 	// Syncs counts syncs that this host started.
 	Syncs uint64
 	// Suspected and DeclaredDown count the changes of members to Suspect and
-	// Down.
+	// to Down in this host's records, whichever host detected them.
 	Suspected    uint64
 	DeclaredDown uint64
-	// Refuted counts the records of this host sent by others that it refuted.
+	// Refuted counts the records of this host that other hosts sent and this
+	// host refuted.
 	Refuted uint64
 	// Pauses counts the process pauses that this host detected.
 	Pauses uint64
--- a/membership/store.go
+++ b/membership/store.go
@@ -24,7 +24,7 @@
 	// sum is the record's contribution to its bucket's sum; zero if the digest
 	// excludes it.
 	sum uint64
-	// version and hash are the record's Entry.Version and Entry.Hash.
+	// version and hash are the record's Entry.Version and Entry.Hash in listings.
 	version uint64
 	hash    uint32
 
@@ -34,18 +34,19 @@
 
 	// updatedAt is when the current version was stored.
 	updatedAt time.Time
-	// expires is the end of a fact's lifetime or of its tombstone; zero if
-	// none.
-	expires time.Time
-	// lastContact is when the last message of the member arrived.
+	// expiresAt is the end of a fact's lifetime, or of the retention of its
+	// tombstone; zero if the lifetime is unlimited.
+	expiresAt time.Time
+	// lastContact is when the last message from the member arrived.
 	lastContact time.Time
 
-	// queued reports whether the record is in the broadcast queue; transmits
-	// counts the messages sent with this version.
-	queued    bool
-	transmits int
-	// source is the host that sent this version; it isn't sent back there.
-	source string
+	// queued reports whether the record is in the broadcast queue; transmissions
+	// counts the messages with this version that were sent since it was queued.
+	queued        bool
+	transmissions int
+	// sourceHost is the host that sent this version, to which it isn't sent back;
+	// empty if there is none, or if another host has requested the record.
+	sourceHost string
 }
 
 // inDigest reports whether digests include the record. They exclude members that
@@ -101,12 +102,13 @@
 	r := &record{key: key, isMember: isMember, bucket: uint8(xxhash.Sum64String(key) % bucketCount)}
 	s.records[key] = r
 	s.buckets[r.bucket][key] = r
-	s.count(isMember, 1)
+	s.adjustCount(isMember, 1)
 	return r
 }
 
-// refreshSum updates the version and the sums after a change of the record.
-func (s *store) refreshSum(r *record) {
+// refresh updates the record's version and hash, and the sums, after a change of
+// its member or fact.
+func (s *store) refresh(r *record) {
 	r.version, r.hash = r.member.version(), 0
 	if !r.isMember {
 		r.version, r.hash = r.fact.Version, uint32(xxhash.Sum64(r.fact.Value))
@@ -126,10 +128,11 @@
 	return xxhash.Sum64(data)
 }
 
-// enqueue adds a record to the broadcast queue and resets its transmissions.
-func (s *store) enqueue(r *record, source string) {
-	r.transmits = 0
-	r.source = source
+// enqueue adds a record to the broadcast queue, sets the host that sent it, and
+// resets the number of its transmissions.
+func (s *store) enqueue(r *record, sourceHost string) {
+	r.transmissions = 0
+	r.sourceHost = sourceHost
 	if r.queued {
 		return
 	}
@@ -137,19 +140,19 @@
 	s.broadcasts = append(s.broadcasts, r)
 }
 
-// pruneSent removes the records that were sent limit times from the broadcast
-// queue.
+// pruneSent removes from the broadcast queue the records that were sent limit times
+// and those that are no longer stored.
 func (s *store) pruneSent(limit int) {
-	kept := s.broadcasts[:0]
+	remaining := s.broadcasts[:0]
 	for _, r := range s.broadcasts {
-		if r.transmits < limit && s.records[r.key] == r {
-			kept = append(kept, r)
+		if r.transmissions < limit && s.records[r.key] == r {
+			remaining = append(remaining, r)
 			continue
 		}
 		r.queued = false
 	}
-	clear(s.broadcasts[len(kept):])
-	s.broadcasts = kept
+	clear(s.broadcasts[len(remaining):])
+	s.broadcasts = remaining
 }
 
 // remove removes a record.
@@ -157,10 +160,10 @@
 	s.sums[r.bucket] ^= r.sum
 	delete(s.records, r.key)
 	delete(s.buckets[r.bucket], r.key)
-	s.count(r.isMember, -1)
+	s.adjustCount(r.isMember, -1)
 }
 
-func (s *store) count(isMember bool, change int) {
+func (s *store) adjustCount(isMember bool, change int) {
 	if isMember {
 		s.members += change
 		return
--- a/membership/sync.go
+++ b/membership/sync.go
@@ -40,16 +40,17 @@
 	m.setJoined()
 }
 
-// syncSoon requests another sync with the next exchange, for use when one sync
-// wasn't enough.
+// syncSoon makes the next exchange request another sync, because the last one
+// didn't transfer all differing records.
 func (m *Membership) syncSoon() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.nextSync = boottime.Now()
+	m.nextSyncAt = boottime.Now()
 }
 
-// newListing lists complete buckets, beginning with a random one, and reports
-// whether it listed all.
+// newListing lists the records of the buckets, beginning with a random bucket, and
+// reports whether it listed all buckets. It stops after the bucket with which the
+// listing reaches maxListingEntries.
 func (m *Membership) newListing(buckets []byte) (Listing, bool) {
 	var listing Listing
 	if len(buckets) == 0 {
@@ -84,16 +85,16 @@
 	return records
 }
 
-// compare adds the records that are newer here than in the listing to the answer,
-// and the keys of the records that are newer in the listing.
-func (m *Membership) compare(answer *Message, listing *Listing, now time.Time) {
+// answerListing adds to the answer the records of the listed buckets that are newer
+// here than in the listing, and the keys of those that may be newer in the listing.
+func (m *Membership) answerListing(answer *Message, listing *Listing, now time.Time) {
 	if listing == nil {
 		return
 	}
 	listed := make(map[string]Entry, len(listing.Entries))
 	for _, entry := range listing.Entries {
 		listed[entry.Key] = entry
-		if m.wants(entry) {
+		if m.entryMayBeNewer(entry) {
 			answer.Wanted = append(answer.Wanted, entry.Key)
 		}
 	}
@@ -112,9 +113,9 @@
 	m.addRecords(answer, newer, "", m.options.MaxSyncBytes, now)
 }
 
-// wants reports whether the record of an entry may be newer than the one here. If
-// two values have the same version, each side requests the other's.
-func (m *Membership) wants(entry Entry) bool {
+// entryMayBeNewer reports whether the record of an entry may be newer than the one
+// here. If two values have the same version, each host requests the other's value.
+func (m *Membership) entryMayBeNewer(entry Entry) bool {
 	r := m.store.get(entry.Key)
 	if r == nil {
 		return true
@@ -126,7 +127,7 @@
 	return r.version > entry.Version || r.version == entry.Version && (r.hash != entry.Hash || !r.inDigest())
 }
 
-// sendWanted sends the records that another host requested.
+// sendWanted sends the records with the keys that another host requested.
 func (m *Membership) sendWanted(ctx context.Context, to Member, keys []string) {
 	now := boottime.Now()
 	m.mu.Lock()
--- a/membership/targets.go
+++ b/membership/targets.go
@@ -9,13 +9,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// rings are the orders in which members probe each other. All hosts compute the
-// same order, so each member is probed by as many members as it probes.
+// rings holds the other members in the order in which this host probes them. All
+// hosts compute the same order, so each member is probed by as many members as it
+// probes.
 type rings struct {
-	// zone and all hold the other live members of the zone and of all zones, the
-	// successor of this host first; others holds those outside the zone.
-	zone, all, others []Member
-	down              []Member
+	// zone and global hold the other live members of this host's zone and of all
+	// zones, the successor of this host first. otherZones holds the live members
+	// outside the zone, and down those that are Down.
+	zone, global, otherZones []Member
+	down                     []Member
 }
 
 // ringSalt makes the order of a ring independent of other uses of the hash.
@@ -34,16 +36,16 @@
 		case !member.alive():
 			r.down = append(r.down, member)
 		default:
-			r.all = append(r.all, member)
+			r.global = append(r.global, member)
 			if member.Zone == self.Zone {
 				r.zone = append(r.zone, member)
 			} else {
-				r.others = append(r.others, member)
+				r.otherZones = append(r.otherZones, member)
 			}
 		}
 	}
 	r.zone = fromSuccessor(self, r.zone, zoneRing)
-	r.all = fromSuccessor(self, r.all, globalRing)
+	r.global = fromSuccessor(self, r.global, globalRing)
 	return r
 }
 
@@ -64,18 +66,18 @@
 func (r rings) targets(self Member, round uint64, o Options) []Member {
 	var chosen []Member
 	chosen = appendDistinct(chosen, successors(r.zone, o.ZoneTargets), len(r.zone))
-	chosen = appendDistinct(chosen, successors(r.all, o.GlobalTargets), len(r.all))
-	pool := r.others
+	chosen = appendDistinct(chosen, successors(r.global, o.GlobalTargets), len(r.global))
+	pool := r.otherZones
 	if len(pool) == 0 {
-		pool = r.all
+		pool = r.global
 	}
 	chosen = appendDistinct(chosen, delegates(self.ID, round, pool, o.Delegates), o.Delegates)
 	return chosen
 }
 
 // successors returns the first n members of a ring that aren't Suspect, and up to
-// n Suspect ones before them. If neighbours fail together, the probes thus don't
-// wait until the first of them are Down.
+// n Suspect ones before them. If several neighbours fail at the same time, this host
+// thus probes the later ones before the first ones are Down.
 func successors(ring []Member, n int) []Member {
 	var chosen []Member
 	suspects := 0
@@ -133,9 +135,9 @@
 	return best
 }
 
-// sendLimit returns the number of transmissions per record and host: slightly
-// more than the number of doublings needed to reach all members.
-func sendLimit(members int) int {
+// maxTransmissions returns how often a host sends the current version of a record:
+// slightly more than the number of doublings that it takes to reach all members.
+func maxTransmissions(members int) int {
 	const margin = 2
 	return bits.Len(uint(members)) + margin
 }
