--- a/balance/pool.go
+++ b/balance/pool.go
@@ -10,7 +10,7 @@
 	"github.com/quetzalweir/quetzalweir/upstream"
 )
 
-const poolShards = 64
+const poolShardCount = 64
 
 // Options are the settings of a Pool.
 type Options struct {
@@ -61,7 +61,7 @@
 	options  Options
 	selector *Selector
 	index    *PrefixIndex
-	shards   [poolShards]poolShard
+	shards   [poolShardCount]poolShard
 	// members holds the entries of the listed upstreams; Update replaces it.
 	members atomic.Pointer[[]*poolEntry]
 	// updateMu serializes calls of Update.
@@ -206,5 +206,5 @@
 }
 
 func (p *Pool) shard(id string) *poolShard {
-	return &p.shards[rendezvous("", id)%poolShards]
+	return &p.shards[rendezvous("", id)%poolShardCount]
 }
--- a/balance/prefix_index.go
+++ b/balance/prefix_index.go
@@ -12,7 +12,7 @@
 
 const (
 	// DefaultIndexBlocks is the default maximum number of blocks per upstream;
-	// an entry takes about 130 bytes.
+	// a block takes about 130 bytes of the index.
 	DefaultIndexBlocks = 4096
 	// afterGapWeight is the weight of blocks last confirmed before a gap in
 	// the upstream's events, because the missed events may include an eviction.
@@ -20,8 +20,8 @@
 	// noEventsWeight is the weight of blocks of an upstream without events,
 	// because the prompts sent by other hosts, and the evictions that they
 	// caused, are unknown.
-	noEventsWeight = 0.35
-	indexShards    = 32
+	noEventsWeight  = 0.35
+	indexShardCount = 32
 )
 
 // CacheEvent is a change of an upstream's prefix cache. Events may arrive late
@@ -45,7 +45,7 @@
 type PrefixIndex struct {
 	maxBlocks int
 	clock     storage.Clock
-	shards    [indexShards]indexShard
+	shards    [indexShardCount]indexShard
 }
 
 type indexShard struct {
@@ -63,7 +63,7 @@
 }
 
 type blockEntry struct {
-	// confirmedAt is when the block was last known to be in the cache.
+	// confirmedAt is when the block was last sent or reported as stored.
 	confirmedAt time.Time
 	// gaps is the value of cachedBlocks.gaps at that time.
 	gaps uint32
@@ -132,7 +132,7 @@
 }
 
 func (p *PrefixIndex) shard(upstreamID string) *indexShard {
-	return &p.shards[rendezvous("", upstreamID)%indexShards]
+	return &p.shards[rendezvous("", upstreamID)%indexShardCount]
 }
 
 // ensureCached returns the blocks of an upstream and creates an empty set if
@@ -144,7 +144,7 @@
 	}
 	lru, err := simplelru.NewLRU[uint64, blockEntry](p.maxBlocks, nil)
 	if err != nil {
-		panic(err) // the size is positive
+		panic(err) // maxBlocks is positive
 	}
 	cached = &cachedBlocks{blocks: lru}
 	shard.upstreams[upstreamID] = cached
--- a/balance/scorers.go
+++ b/balance/scorers.go
@@ -37,7 +37,7 @@
 // which may be false or missing.
 type LatencyScorer struct {
 	// ScaleMs is the latency in milliseconds with the score 0.5; 0 means
-	// DefaultLatencyScale.
+	// DefaultLatencyScaleMs.
 	ScaleMs float64
 }
 
--- a/membership/merge.go
+++ b/membership/merge.go
@@ -66,7 +66,7 @@
 		return
 	}
 	if previous.State != member.State {
-		m.stats.count(member.State)
+		m.stats.countChange(member.State)
 	}
 	m.queueEvent(Event{Member: member, Previous: previous.State})
 }
--- a/membership/presence.go
+++ b/membership/presence.go
@@ -30,7 +30,7 @@
 // presence holds the state of this host's presence row, and what this host has
 // observed of the rows of all hosts.
 type presence struct {
-	instance string
+	instanceID string
 
 	mu sync.Mutex
 	// version is the version of this host's row when it was last written or read;
@@ -48,7 +48,7 @@
 }
 
 func newPresence() *presence {
-	return &presence{instance: uuid.NewString(), observations: make(map[string]rowObservation)}
+	return &presence{instanceID: uuid.NewString(), observations: make(map[string]rowObservation)}
 }
 
 // renewLoop renews the presence row periodically. It continues after failures of
@@ -102,7 +102,7 @@
 func (m *Membership) ownKey() string { return PresencePrefix + m.options.Self.ID }
 
 func (m *Membership) writeOwnRow(ctx context.Context) (uint64, error) {
-	row := presenceRow{Member: m.Self(), Instance: m.presence.instance, RenewedAt: time.Now().UnixMilli()}
+	row := presenceRow{Member: m.Self(), Instance: m.presence.instanceID, RenewedAt: time.Now().UnixMilli()}
 	value, err := json.Marshal(row)
 	if err != nil {
 		return 0, fmt.Errorf("membership: encode presence: %w", err)
@@ -134,7 +134,7 @@
 	}
 	p.version, p.versionKnown = stored.Version, true
 	var row presenceRow
-	if json.Unmarshal(stored.Value, &row) != nil || row.Instance == p.instance {
+	if json.Unmarshal(stored.Value, &row) != nil || row.Instance == p.instanceID {
 		return nil
 	}
 	if !p.renewedAt.IsZero() {
--- a/membership/presence_test.go
+++ b/membership/presence_test.go
@@ -83,7 +83,7 @@
 		second := n.startHost(t, 0, 1, func(*Options) {})
 		is.True(errors.Is(<-first.done, ErrSuperseded))
 		row, _ := readPresence(t, n.table, hostID(0))
-		is.Equal(row.Instance, second.presence.instance)
+		is.Equal(row.Instance, second.presence.instanceID)
 	})
 }
 
--- a/membership/push.go
+++ b/membership/push.go
@@ -55,10 +55,10 @@
 	}
 }
 
-// pushTargets returns live members, about half of them in this host's zone: the successors
-// on both rings, then random ones. Pushes to random targets alone are fast, but one update in
-// fifty didn't reach one of 28 hosts. Along the rings an update reaches every host if no
-// message is lost.
+// pushTargets returns live members, about half of them in this host's zone: the
+// successors on both rings, then random ones. Pushes to random targets alone are
+// fast, but one update in fifty didn't reach one of 28 hosts. Along the rings an
+// update reaches every host if no message is lost.
 func (m *Membership) pushTargets() []Member {
 	fanout := m.options.PushFanout
 	var chosen []Member
--- a/membership/stats.go
+++ b/membership/stats.go
@@ -24,8 +24,8 @@
 	FactsDropped uint64
 }
 
-// count counts a member's change to a state.
-func (s *Stats) count(state State) {
+// countChange counts a member's change to a state.
+func (s *Stats) countChange(state State) {
 	switch state {
 	case Suspect:
 		s.Suspected++
--- a/membership/targets.go
+++ b/membership/targets.go
@@ -44,13 +44,13 @@
 			}
 		}
 	}
-	r.zone = fromSuccessor(self, r.zone, zoneRing)
-	r.global = fromSuccessor(self, r.global, globalRing)
+	r.zone = sortFromSuccessor(self, r.zone, zoneRing)
+	r.global = sortFromSuccessor(self, r.global, globalRing)
 	return r
 }
 
-// fromSuccessor sorts members by a hash of their ids, beginning after self.
-func fromSuccessor(self Member, members []Member, salt ringSalt) []Member {
+// sortFromSuccessor sorts members by a hash of their ids, beginning after self.
+func sortFromSuccessor(self Member, members []Member, salt ringSalt) []Member {
 	position := func(m Member) uint64 { return xxhash.Sum64String(string(salt) + m.ID) }
 	start := position(self)
 	sorted := slices.Clone(members)
--- a/placement/escalation.go
+++ b/placement/escalation.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Escalation holds what decides whether a request is escalated to a better model after a
-// cheaper model has answered with a confidence.
+// Escalation holds the values that decide whether a request is escalated to a better model after
+// a cheaper model has answered.
 type Escalation struct {
 	// Threshold is the confidence threshold set by the operators, from 0 to 100.
 	Threshold float64
--- a/placement/place.go
+++ b/placement/place.go
@@ -12,8 +12,8 @@
 	// added for another region.
 	ZoneCost   time.Duration
 	RegionCost time.Duration
-	// Random is a random number in [0, 1), by which the request may prefer an owner in this
-	// zone.
+	// Random is a random number in [0, 1), which decides whether the request prefers an owner
+	// in this zone.
 	Random float64
 }
 
--- a/placement/place_test.go
+++ b/placement/place_test.go
@@ -72,7 +72,7 @@
 	return index
 }
 
-// order returns the rank of an engine for a prompt's shared part.
+// ownerRank returns the rank of an engine for a prompt's shared part.
 func ownerRank(p *Prompt, engine int) uint64 {
 	subject := ""
 	if p.SharedParts > 0 {
--- a/routing/document.go
+++ b/routing/document.go
@@ -106,8 +106,8 @@
 	Keys []string
 	// Priority overrides the route's priority; nil means that the route's applies.
 	Priority *int
-	// Regions are the regions in which the account's requests may be served; empty means
-	// all. If the route also has regions, both restrictions apply.
+	// Regions are the regions in which the account's requests may be served;
+	// empty means all. If the route also has regions, both restrictions apply.
 	Regions []string
 }
 
