--- a/placement/timings.go
+++ b/placement/timings.go
@@ -36,10 +36,10 @@
 
 const (
 	// maxSlowdown is the upper limit of an observed time, in multiples of the expected time.
-	// It keeps queueing that this host doesn't know of, for example if it triples the time of
-	// one answer in ten, from changing the estimate much; a lasting slowdown of the engines
-	// still does. The expected time divided by maxSpeedup is the lower limit: shorter times
-	// occur if the engine had cached parts that it was expected to prefill.
+	// It keeps queueing that the expected time doesn't include, for example if it triples the
+	// time of one answer in ten, from changing the estimate much; a lasting slowdown of the
+	// engines still does. The expected time divided by maxSpeedup is the lower limit: shorter
+	// times occur if the engine had cached parts that it was expected to prefill.
 	maxSlowdown = 1.6
 	maxSpeedup  = 4
 	// weightWithoutEstimate is the weight of an answer that arrives before there is an
