--- a/evenhash/evenhash_test.go
+++ b/evenhash/evenhash_test.go
@@ -22,12 +22,12 @@
 
 // Strings that differ only in their last character are spread evenly, too.
 func TestPointsAreEven(t *testing.T) {
-	const texts, parts = 100_000, 20
-	counts := make([]int, parts)
+	const texts, bins = 100_000, 20
+	counts := make([]int, bins)
 	for i := range texts {
-		counts[int(parts*evenhash.Point("part", strconv.Itoa(i)))]++
+		counts[int(bins*evenhash.Point("part", strconv.Itoa(i)))]++
 	}
-	const mean = float64(texts) / parts
+	const mean = float64(texts) / bins
 	for _, n := range counts {
 		// Six standard deviations.
 		is.New(t).True(math.Abs(float64(n)-mean) < 6*math.Sqrt(mean))
--- a/ratelease/lease_test.go
+++ b/ratelease/lease_test.go
@@ -14,10 +14,10 @@
 
 func TestBound(t *testing.T) {
 	tests := []struct {
-		bound ratelease.Bound
-		roots int
-		parts int
-		each  int // part
+		bound           ratelease.Bound
+		roots           int
+		parts           int
+		requestsPerPart int // part
 	}{
 		{ratelease.Bound{Rate: 18, Overrun: 1.5, Headroom: 5}, 1, 4, 6},
 		{ratelease.Bound{Rate: 18, Overrun: 1.5, Headroom: 5}, 3, 4, 2},
@@ -30,10 +30,10 @@
 		is := is.New(t)
 		is.Equal(test.bound.Parts(test.roots), test.parts)
 		share := ratelease.Share{Parts: 1, Of: test.parts, Roots: test.roots}
-		is.Equal(test.bound.RequestsPerSpan(share), test.each)
+		is.Equal(test.bound.RequestsPerSpan(share), test.requestsPerPart)
 		share.Parts = test.parts
-		handedOut := max(1, test.roots) * test.bound.RequestsPerSpan(share)
-		is.True(float64(handedOut) <= 0.75*test.bound.Permitted())
+		leasedRequests := max(1, test.roots) * test.bound.RequestsPerSpan(share)
+		is.True(float64(leasedRequests) <= 0.75*test.bound.Permitted())
 	}
 }
 
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestHoldingEndsByTheHoldersClock(t *testing.T) {
+func TestHoldingExpiresByTheHoldersClock(t *testing.T) {
 	is := is.New(t)
 	h := ratelease.NewHolding(ratelease.Lease{Grants: wholeGrants(1), For: time.Hour, Roots: 3}, start, nil)
 	is.Equal(heldParts(&h, 1, start.Add(ratelease.LeaseDuration-1)), 1)
--- a/ratelease/lessor.go
+++ b/ratelease/lessor.go
@@ -13,7 +13,7 @@
 type Lessor struct {
 	startedAt time.Time
 	// assigned holds the lessees of each upstream's parts.
-	assigned map[UpstreamID]*assignment
+	assignments map[UpstreamID]*assignment
 	// allotments holds what each reporter is granted, of a holding that expires at expiresAt.
 	allotments map[string]*allotment
 	expiresAt  time.Time
@@ -22,8 +22,8 @@
 
 // assignment records the lessees of an upstream's parts.
 type assignment struct {
-	of      int
-	lessees []lessee
+	partCount int
+	lessees   []lessee
 	// lastHeldAt is when this host last held parts of the upstream.
 	lastHeldAt time.Time
 }
@@ -51,7 +51,7 @@
 
 // NewLessor returns the lessor of a host that started at the given time.
 func NewLessor(startedAt time.Time) *Lessor {
-	return &Lessor{startedAt: startedAt, assigned: make(map[UpstreamID]*assignment)}
+	return &Lessor{startedAt: startedAt, assignments: make(map[UpstreamID]*assignment)}
 }
 
 // Assign assigns the parts of the holding to reporters. The map has the hosts that report now,
@@ -66,7 +66,7 @@
 		}
 		for partIndex := range min(g.Parts, len(a.lessees)) {
 			part := &a.lessees[partIndex]
-			if l.resolveLessee(part, g.Upstream, partIndex, picker, now) {
+			if l.ensureLessee(part, g.Upstream, partIndex, picker, now) {
 				l.allot(part, g)
 			}
 		}
@@ -74,29 +74,31 @@
 	for _, allotted := range l.allotments {
 		allotted.digest = Digest(allotted.grants)
 	}
-	maps.DeleteFunc(l.assigned, func(_ UpstreamID, a *assignment) bool { return now.Sub(a.lastHeldAt) > HandoverDelay && a.expired(now) })
+	maps.DeleteFunc(l.assignments, func(_ UpstreamID, a *assignment) bool {
+		return now.Sub(a.lastHeldAt) > HandoverDelay && a.allAvailable(now)
+	})
 }
 
 // assignmentFor returns the assignment of the grant's upstream, or nil while leases of parts of
 // another size may be in use.
 func (l *Lessor) assignmentFor(g Grant, now time.Time) *assignment {
-	a := l.assigned[g.Upstream]
-	if a != nil && a.of != g.Of {
-		if !a.expired(now) {
+	a := l.assignments[g.Upstream]
+	if a != nil && a.partCount != g.Of {
+		if !a.allAvailable(now) {
 			return nil
 		}
 		a = nil
 	}
 	if a == nil {
-		a = &assignment{of: g.Of, lessees: make([]lessee, g.Of)}
-		l.assigned[g.Upstream] = a
+		a = &assignment{partCount: g.Of, lessees: make([]lessee, g.Of)}
+		l.assignments[g.Upstream] = a
 	}
 	a.lastHeldAt = now
 	return a
 }
 
 // expired reports whether all parts are available.
-func (a *assignment) expired(now time.Time) bool {
+func (a *assignment) allAvailable(now time.Time) bool {
 	for i := range a.lessees {
 		if !a.lessees[i].available(now) {
 			return false
@@ -107,7 +109,7 @@
 
 // resolveLessee reports whether the part has a current lessee, and assigns an available part to
 // a reporter. It returns false while the part may not be assigned.
-func (l *Lessor) resolveLessee(part *lessee, u UpstreamID, partIndex int, picker weightedPicker, now time.Time) bool {
+func (l *Lessor) ensureLessee(part *lessee, u UpstreamID, partIndex int, picker weightedPicker, now time.Time) bool {
 	if _, reports := picker.hostCounts[part.name]; reports {
 		return true
 	}
@@ -152,13 +154,13 @@
 // picks the same reporter for the same part.
 type weightedPicker struct {
 	hostCounts map[string]int
-	seeds      map[string]uint64
+	nameHashes map[string]uint64
 }
 
 func newWeightedPicker(reporters map[string]int) weightedPicker {
-	p := weightedPicker{hostCounts: reporters, seeds: make(map[string]uint64, len(reporters))}
+	p := weightedPicker{hostCounts: reporters, nameHashes: make(map[string]uint64, len(reporters))}
 	for name := range reporters {
-		p.seeds[name] = evenhash.Sum(name)
+		p.nameHashes[name] = evenhash.Sum(name)
 	}
 	return p
 }
@@ -166,8 +168,8 @@
 // pick picks a reporter for the part, with a probability in proportion to its number of hosts.
 func (p weightedPicker) pick(u UpstreamID, partIndex int) string {
 	picked, lowest := "", math.Inf(1)
-	for name, seed := range p.seeds {
-		uniform := float64(evenhash.Mix(uint64(u)^seed^uint64(partIndex)*0x9e3779b97f4a7c15)>>11+1) / (1 << 53)
+	for name, nameHash := range p.nameHashes {
+		uniform := float64(evenhash.Mix(uint64(u)^nameHash^uint64(partIndex)*0x9e3779b97f4a7c15)>>11+1) / (1 << 53)
 		// The minimum of exponentially distributed values falls to each reporter in proportion
 		// to its weight.
 		if score := -math.Log(uniform) / float64(max(1, p.hostCounts[name])); score < lowest || score == lowest && name < picked {
--- a/ratelease/limit.go
+++ b/ratelease/limit.go
@@ -53,9 +53,9 @@
 // IsolatedAllowance returns the allowance of a host that no hub answers, where hosts is the number of such
 // hosts: together they try the upstream now and then, so that they learn when its limit ends.
 // The draw, in [0, 1), spreads their tries over time.
-func IsolatedAllowance(hosts int, draw float64, since time.Time) Allowance {
+func IsolatedAllowance(hosts int, phase float64, since time.Time) Allowance {
 	rate := probeRate / float64(max(1, hosts))
-	delay := time.Duration(draw / rate * float64(time.Second))
+	delay := time.Duration(phase / rate * float64(time.Second))
 	return Allowance{Rate: rate, Burst: 1, Since: since.Add(delay)}
 }
 
--- a/ratelease/limit_test.go
+++ b/ratelease/limit_test.go
@@ -89,7 +89,7 @@
 }
 
 // Hosts without hubs try an upstream once in four seconds in total.
-func TestLoneHosts(t *testing.T) {
+func TestIsolatedHostsShareTheProbeRate(t *testing.T) {
 	is := is.New(t)
 	const hosts = 40
 	var sent []time.Time
--- a/ratelease/named.go
+++ b/ratelease/limitstate.go
@@ -8,7 +8,7 @@
 const (
 	// propagationTime is the maximum time until a hub sends an update back to the host that
 	// reported it, via other hubs.
-	propagationTime = 3 * time.Second
+	maxPropagationDelay = 3 * time.Second
 	// A limit ends if responsesToEnd responses without one arrive and it was last named at least
 	// endDelay ago; after singleResponseEndDelay a single response is enough.
 	endDelay               = time.Second
@@ -60,14 +60,14 @@
 
 // hadTimeToRepeat reports whether the hub has had enough time to send back what was reported at
 // the given time. If it hasn't sent that back by then, the limit has ended.
-func (c HubContact) hadTimeToRepeat(reportedAt, now time.Time) bool {
+func (c HubContact) hadTimeToSendBack(reportedAt, now time.Time) bool {
 	if now.Sub(c.answeredAt) > LeaseDuration {
 		return false
 	}
 	if c.answeringSince.After(reportedAt) {
 		reportedAt = c.answeringSince
 	}
-	return now.Sub(reportedAt) >= propagationTime
+	return now.Sub(reportedAt) >= maxPropagationDelay
 }
 
 // Isolated reports whether no root hub is reachable, so that no lease can arrive, and since when.
@@ -101,85 +101,85 @@
 }
 
 // Limited reports whether the upstream has a limit.
-func (n *LimitState) Limited(c HubContact, now time.Time) bool {
-	return n.hasHubLimit || !n.ownAt.IsZero() && !c.hadTimeToRepeat(n.ownAt, now)
+func (s *LimitState) Limited(c HubContact, now time.Time) bool {
+	return s.hasHubLimit || !s.ownAt.IsZero() && !c.hadTimeToSendBack(s.ownAt, now)
 }
 
 // Limit returns the limit named last.
-func (n *LimitState) Limit() Limit {
-	if n.ownAt.After(n.hubLimitAt) || !n.hasHubLimit {
-		return n.own
+func (s *LimitState) Limit() Limit {
+	if s.ownAt.After(s.hubLimitAt) || !s.hasHubLimit {
+		return s.own
 	}
-	return n.hubLimit
+	return s.hubLimit
 }
 
 // PartCount returns the number of parts that a root splits the limit into. It changes only by a
 // factor of two or more, since no part is usable for a moment after a change.
-func (n *LimitState) PartCount(roots int) int {
-	if needed := n.Limit().Parts(roots); n.parts == 0 || needed >= 2*n.parts || 2*needed <= n.parts {
-		n.parts = needed
+func (s *LimitState) PartCount(roots int) int {
+	if needed := s.Limit().Parts(roots); s.parts == 0 || needed >= 2*s.parts || 2*needed <= s.parts {
+		s.parts = needed
 	}
-	return n.parts
+	return s.parts
 }
 
 // Observe processes a response that named a limit. It reports whether the hub must be sent an
 // update.
-func (n *LimitState) Observe(limit Limit, now time.Time) (report bool) {
-	n.own, n.ownAt, n.unlimitedResponses = limit, now, 0
-	if n.hasHubLimit && math.Abs(float64(limit-n.hubLimit)) <= minReportedChange*float64(n.hubLimit) {
+func (s *LimitState) Observe(limit Limit, now time.Time) (report bool) {
+	s.own, s.ownAt, s.unlimitedResponses = limit, now, 0
+	if s.hasHubLimit && math.Abs(float64(limit-s.hubLimit)) <= minReportedChange*float64(s.hubLimit) {
 		return false
 	}
-	return n.reportDue(now)
+	return s.reportDue(now)
 }
 
 // ObserveUnlimited processes a response without a limit from an upstream that had one, to a request
 // sent at the given time. It reports whether the hub must be sent an update.
-func (n *LimitState) ObserveUnlimited(sentAt, now time.Time) (report bool) {
-	lastNamed := n.ownAt
-	if n.hasHubLimit && n.hubLimitAt.After(lastNamed) {
-		lastNamed = n.hubLimitAt
+func (s *LimitState) ObserveUnlimited(sentAt, now time.Time) (report bool) {
+	lastNamed := s.ownAt
+	if s.hasHubLimit && s.hubLimitAt.After(lastNamed) {
+		lastNamed = s.hubLimitAt
 	}
 	if sentAt.Before(lastNamed) {
 		return false
 	}
-	n.unlimitedResponses++
+	s.unlimitedResponses++
 	elapsed := now.Sub(lastNamed)
-	if elapsed < endDelay || elapsed < singleResponseEndDelay && n.unlimitedResponses < responsesToEnd {
+	if elapsed < endDelay || elapsed < singleResponseEndDelay && s.unlimitedResponses < responsesToEnd {
 		return false
 	}
-	n.ownAt, n.endedAt = time.Time{}, now
-	return n.hasHubLimit && n.reportDue(now)
+	s.ownAt, s.endedAt = time.Time{}, now
+	return s.hasHubLimit && s.reportDue(now)
 }
 
-func (n *LimitState) reportDue(now time.Time) bool { return now.Sub(n.reportedAt) >= minReportInterval }
+func (s *LimitState) reportDue(now time.Time) bool { return now.Sub(s.reportedAt) >= minReportInterval }
 
 // NextUpdate returns the update to send to the hub.
-func (n *LimitState) NextUpdate(u UpstreamID, now time.Time) LimitUpdate {
-	n.reportedAt = now
+func (s *LimitState) NextUpdate(u UpstreamID, now time.Time) LimitUpdate {
+	s.reportedAt = now
 	switch {
-	case !n.ownAt.IsZero():
-		return LimitUpdate{Upstream: u, Limit: n.own, Age: now.Sub(n.ownAt)}
-	case n.hasHubLimit && n.hubLimitAt.After(n.endedAt):
-		return LimitUpdate{Upstream: u, Limit: n.hubLimit, Age: now.Sub(n.hubLimitAt)}
+	case !s.ownAt.IsZero():
+		return LimitUpdate{Upstream: u, Limit: s.own, Age: now.Sub(s.ownAt)}
+	case s.hasHubLimit && s.hubLimitAt.After(s.endedAt):
+		return LimitUpdate{Upstream: u, Limit: s.hubLimit, Age: now.Sub(s.hubLimitAt)}
 	default:
-		return LimitUpdate{Upstream: u, Ended: true, Age: now.Sub(n.endedAt)}
+		return LimitUpdate{Upstream: u, Ended: true, Age: now.Sub(s.endedAt)}
 	}
 }
 
 // Apply applies the hub's update.
-func (n *LimitState) Apply(update LimitUpdate, now time.Time) {
+func (s *LimitState) Apply(update LimitUpdate, now time.Time) {
 	observedAt := now.Add(-update.Age)
-	n.hasHubLimit, n.hubLimit, n.hubLimitAt, n.unlimitedResponses = !update.Ended, update.Limit, observedAt, 0
-	if update.Ended && observedAt.After(n.ownAt) {
-		n.ownAt = time.Time{}
+	s.hasHubLimit, s.hubLimit, s.hubLimitAt, s.unlimitedResponses = !update.Ended, update.Limit, observedAt, 0
+	if update.Ended && observedAt.After(s.ownAt) {
+		s.ownAt = time.Time{}
 	}
 }
 
 // IsEmpty reports whether neither a response nor the hub names a limit.
-func (n *LimitState) IsEmpty() bool { return !n.hasHubLimit && n.ownAt.IsZero() }
+func (s *LimitState) IsEmpty() bool { return !s.hasHubLimit && s.ownAt.IsZero() }
 
 // HasHubLimit reports whether the upstream has a limit by the hub's last update.
-func (n *LimitState) HasHubLimit() bool { return n.hasHubLimit }
+func (s *LimitState) HasHubLimit() bool { return s.hasHubLimit }
 
 // ResetPartCount resets the number of parts, so that it is computed anew for the next limit.
-func (n *LimitState) ResetPartCount() { n.parts = 0 }
+func (s *LimitState) ResetPartCount() { s.parts = 0 }
--- a/ratelease/log.go
+++ b/ratelease/log.go
@@ -159,24 +159,24 @@
 
 // Apply processes a batch. restarted reports that the hub is another one than before, or has
 // restarted; complete reports that the returned updates are all of the hub's log.
-func (f *LogReader) Apply(batch LimitBatch) (updates []LimitUpdate, restarted, complete bool) {
-	if restarted = batch.Cursor.Epoch != f.cursor.Epoch; restarted {
-		*f = LogReader{} // the hub sent its log from the start
+func (r *LogReader) Apply(batch LimitBatch) (updates []LimitUpdate, hubChanged, complete bool) {
+	if hubChanged = batch.Cursor.Epoch != r.cursor.Epoch; hubChanged {
+		*r = LogReader{} // the hub sent its log from the start
 	}
-	f.cursor = batch.Cursor
-	if f.complete {
+	r.cursor = batch.Cursor
+	if r.complete {
 		return batch.Updates, false, false
 	}
-	f.pending = append(f.pending, batch.Updates...)
+	r.pending = append(r.pending, batch.Updates...)
 	if !batch.Complete {
-		return batch.Updates, restarted, false
+		return batch.Updates, hubChanged, false
 	}
-	updates, f.pending, f.complete = f.pending, nil, true
-	return updates, restarted, true
+	updates, r.pending, r.complete = r.pending, nil, true
+	return updates, hubChanged, true
 }
 
 // Cursor returns the position up to which the hub's log was read.
-func (f *LogReader) Cursor() LogCursor { return f.cursor }
+func (r *LogReader) Cursor() LogCursor { return r.cursor }
 
 // Complete reports whether the end of the hub's log was reached once.
-func (f *LogReader) Complete() bool { return f.complete }
+func (r *LogReader) Complete() bool { return r.complete }
--- a/ratelease/log_test.go
+++ b/ratelease/log_test.go
@@ -58,8 +58,8 @@
 	}
 	is.Equal(received, limits)
 	is.Equal(messages, 4)
-	updates, restarted, complete := f.Apply(l.Since(f.Cursor(), perMessage, false, now))
-	is.True(len(updates) == 0 && !restarted && !complete)
+	updates, hubChanged, complete := f.Apply(l.Since(f.Cursor(), perMessage, false, now))
+	is.True(len(updates) == 0 && !hubChanged && !complete)
 	// The log is bounded.
 	const maxLimits = 16_384
 	for u := range ratelease.UpstreamID(maxLimits + 100) {
