--- a/internal/guard/admit.go
+++ b/internal/guard/admit.go
@@ -61,7 +61,7 @@
 		delete(g.running, d)
 	}
 	g.mu.Unlock()
-	if g.events(d, boottime.Elapsed()) > 0 {
+	if g.eventCount(d, boottime.Elapsed()) > 0 {
 		g.notifyWaiting()
 	}
 }
@@ -69,13 +69,13 @@
 // quarantined reports whether a verdict keeps the request away.
 func (g *Guard) quarantined(d quarantine.Digest) bool {
 	entry, ok := g.register.Get(d)
-	return ok && !g.verdictRows.permitsTrial(entry)
+	return ok && !g.verdictRows.claimOrStartTrial(entry)
 }
 
 // tryStart counts the request as running, unless it must wait. It reports whether it did.
 func (g *Guard) tryStart(d quarantine.Digest) bool {
 	now := boottime.Elapsed()
-	s := quarantine.Suspect{Digest: d, Events: g.events(d, now)}
+	s := quarantine.Suspect{Digest: d, Events: g.eventCount(d, now)}
 	serialized := s.Events > 1 || s.Events == 1 && !g.tracker.Survived(d, now)
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -89,11 +89,11 @@
 // VerdictDue reports whether the request has enough events for a verdict, which is then due
 // soon: this host doesn't retry it at another upstream.
 func (g *Guard) VerdictDue(d quarantine.Digest) bool {
-	return quarantine.Suspect{Digest: d, Events: g.events(d, boottime.Elapsed())}.MeetsThreshold()
+	return quarantine.Suspect{Digest: d, Events: g.eventCount(d, boottime.Elapsed())}.MeetsThreshold()
 }
 
 // Begin records that the request is sent to the upstream.
 func (g *Guard) Begin(u Upstream, d quarantine.Digest) { g.runs.begin(u, d) }
 
 // End records the outcome of an attempt.
-func (g *Guard) End(u Upstream, d quarantine.Digest, how Outcome) { g.runs.end(u, d, how) }
+func (g *Guard) End(u Upstream, d quarantine.Digest, outcome Outcome) { g.runs.end(u, d, outcome) }
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -79,8 +79,8 @@
 	// terminations holds the recent terminations of upstreams.
 	terminations []termination
 	// status is the status last sent to followers, built at statusAt.
-	status   exchange.QuarantineStatus
-	statusAt time.Duration
+	cachedStatus   exchange.QuarantineStatus
+	cachedStatusAt time.Duration
 	// running counts the requests of this host at upstreams, by digest.
 	running map[quarantine.Digest]int
 	// changed is closed when waiting requests must check their state again.
@@ -108,8 +108,8 @@
 		changed: make(chan struct{}),
 	}
 	g.runs.onTermination, g.runs.onSurvival = g.recordTermination, g.recordSurvival
-	g.runs.isSuspect = func(d quarantine.Digest) bool { return g.events(d, boottime.Elapsed()) > 1 }
-	g.verdictRows.onVerdict, g.verdictRows.onLift = g.applyVerdict, g.applyLift
+	g.runs.isSuspect = func(d quarantine.Digest) bool { return g.eventCount(d, boottime.Elapsed()) > 1 }
+	g.verdictRows.onVerdict, g.verdictRows.onWithdrawal = g.applyVerdict, g.applyWithdrawal
 	return g
 }
 
@@ -127,10 +127,10 @@
 
 // SetMakesVerdicts sets whether this host makes verdicts from its observations: it does if it receives
 // those of all other hosts, or of none.
-func (g *Guard) SetMakesVerdicts(judges bool) {
+func (g *Guard) SetMakesVerdicts(makesVerdicts bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.makesVerdicts = judges
+	g.makesVerdicts = makesVerdicts
 }
 
 func (g *Guard) shouldMakeVerdicts() bool {
@@ -150,21 +150,21 @@
 		g.register.Add(v, now)
 		g.options.OnEvent(CountVerdict, "")
 		g.log.Warn().Str("event", "request-judged").Stringer("digest", f.Digest).Int("events", f.Events).
-			Int("upstreams", f.Upstreams).Int("lost", f.Lost).Int64("until_ms", v.Until.Milliseconds()).Msg("")
+			Int("upstreams", f.Upstreams).Int("lost", f.UnexplainedTerminations).Int64("until_ms", v.Until.Milliseconds()).Msg("")
 		g.notifyWaiting()
 	}
 }
 
 // applyVerdict processes a verdict that came from another host or from the store.
-func (g *Guard) applyVerdict(v quarantine.Verdict, from string) {
+func (g *Guard) applyVerdict(v quarantine.Verdict, source string) {
 	g.tracker.SetVerdict(v.Digest)
-	g.log.Warn().Str("event", "request-judged-elsewhere").Stringer("digest", v.Digest).Str("by", v.By).Str("from", from).
+	g.log.Warn().Str("event", "request-judged-elsewhere").Stringer("digest", v.Digest).Str("by", v.By).Str("from", source).
 		Int("events", v.Events).Int("upstreams", v.Upstreams).Int64("until_ms", v.Until.Milliseconds()).Msg("")
 	g.notifyWaiting()
 }
 
 // applyLift processes the withdrawal of a verdict.
-func (g *Guard) applyLift(d quarantine.Digest) {
+func (g *Guard) applyWithdrawal(d quarantine.Digest) {
 	g.tracker.ClearVerdict(d)
 	g.log.Warn().Str("event", "quarantine-lifted").Stringer("digest", d).Msg("")
 	g.notifyWaiting()
@@ -179,7 +179,7 @@
 }
 
 // recordTermination records that an upstream terminated, the given time ago, with the runs.
-func (g *Guard) recordTermination(u Upstream, ago time.Duration, runs []exposedRun) {
+func (g *Guard) recordTermination(u Upstream, ago time.Duration, runs []candidateRun) {
 	now := boottime.Elapsed()
 	at := now - ago
 	g.options.OnEvent(CountTerminated, u.Service)
@@ -190,7 +190,7 @@
 			continue
 		}
 		g.addLoss(loss)
-		g.verdictRows.trialFailed(d)
+		g.verdictRows.renewIfTried(d)
 		if n := g.tracker.Events(d, now); n > 1 {
 			g.log.Warn().Str("event", "request-suspected").Stringer("digest", d).Int("events", n).Str("upstream", u.ID).Msg("")
 		}
@@ -201,9 +201,9 @@
 // recordSurvival records that a request was answered and that its upstream survived it.
 func (g *Guard) recordSurvival(d quarantine.Digest) {
 	now := boottime.Elapsed()
-	events := g.events(d, now)
+	events := g.eventCount(d, now)
 	g.tracker.RecordSurvival(d, now)
-	g.verdictRows.trialSucceeded(d)
+	g.verdictRows.withdrawIfTried(d)
 	if events > 0 {
 		g.notifyWaiting()
 	}
@@ -215,7 +215,7 @@
 
 // events returns the number of events in which upstreams terminated with the request, as
 // observed by this host or reported by its hub.
-func (g *Guard) events(d quarantine.Digest, now time.Duration) int {
+func (g *Guard) eventCount(d quarantine.Digest, now time.Duration) int {
 	n := g.tracker.Events(d, now)
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -235,18 +235,18 @@
 
 // AttributeInterruption finds the cause of a response that an upstream interrupted and calls the callback
 // for it: soon if the upstream is alive, otherwise once a verdict would have been made.
-func (g *Guard) AttributeInterruption(u Upstream, blame Attribution) {
+func (g *Guard) AttributeInterruption(u Upstream, callbacks Attribution) {
 	time.AfterFunc(checkDuration, func() {
 		if !g.runs.hasTerminated(u) {
-			blame.Version()
+			callbacks.Version()
 			return
 		}
 		time.AfterFunc(verdictWait, func() {
 			switch {
 			case !g.tracker.Explained(u.Incarnation):
-				blame.Version()
-			case blame.Request != nil:
-				blame.Request()
+				callbacks.Version()
+			case callbacks.Request != nil:
+				callbacks.Request()
 			}
 		})
 	})
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -36,64 +36,64 @@
 }
 
 func newTestGuard(host string, table storage.Table) *testGuard {
-	b := &testGuard{table: table, now: time.Hour}
-	b.Guard = New(Options{
+	g := &testGuard{table: table, now: time.Hour}
+	g.Guard = New(Options{
 		Host: host, Table: table, Prefix: "quarantine/", Log: zerolog.Nop(), OnEvent: func(CountedEvent, string) {},
 		Clock: func() time.Duration {
-			b.mu.Lock()
-			defer b.mu.Unlock()
-			return b.now
+			g.mu.Lock()
+			defer g.mu.Unlock()
+			return g.now
 		},
 	})
-	return b
+	return g
 }
 
 // advance advances the clock shared by all hosts.
-func (b *testGuard) advance(d time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.now += d
+func (g *testGuard) advance(d time.Duration) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.now += d
 }
 
 // currentStatus returns the status for followers without the cache.
-func (b *testGuard) currentStatus() exchange.QuarantineStatus {
-	return b.buildStatus(boottime.Elapsed())
+func (g *testGuard) currentStatus() exchange.QuarantineStatus {
+	return g.buildStatus(boottime.Elapsed())
 }
 
 // syncRows applies the table's rows as a watcher would.
-func (b *testGuard) syncRows(t *testing.T) {
+func (g *testGuard) syncRows(t *testing.T) {
 	t.Helper()
-	rows, err := b.table.List(t.Context(), "quarantine/", "", 100)
+	rows, err := g.table.List(t.Context(), "quarantine/", "", 100)
 	if err != nil {
 		t.Fatal(err)
 	}
 	keys := make(map[string]bool)
 	for _, row := range rows {
 		keys[row.Key] = true
-		if err := b.ApplyRow(row.Key, row.Value, storage.Revision(row.Version)); err != nil {
+		if err := g.ApplyRow(row.Key, row.Value, storage.Revision(row.Version)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	b.LiftMissingRows(keys)
+	g.LiftMissingRows(keys)
 }
 
 // terminateWith has upstreams terminate with the request, some time apart.
-func (b *testGuard) terminateWith(d quarantine.Digest, from, ends int) {
-	for i := range ends {
-		b.recordTermination(Upstream{ID: "u", Service: "svc", Incarnation: quarantine.Incarnation(from + i)}, time.Duration(ends-i)*200*time.Millisecond+quarantine.SettleDelay, []exposedRun{{digest: d, ran: 40 * time.Millisecond}})
+func (g *testGuard) terminateWith(d quarantine.Digest, firstIncarnation, count int) {
+	for i := range count {
+		g.recordTermination(Upstream{ID: "u", Service: "svc", Incarnation: quarantine.Incarnation(firstIncarnation + i)}, time.Duration(count-i)*200*time.Millisecond+quarantine.SettleDelay, []candidateRun{{digest: d, ran: 40 * time.Millisecond}})
 	}
 }
 
 // guardWithVerdict returns a guard with a verdict on the request.
 func guardWithVerdict(t *testing.T, host string, table storage.Table, d quarantine.Digest) *testGuard {
 	t.Helper()
-	b := newTestGuard(host, table)
-	b.terminateWith(d, 1, 3)
-	b.makeVerdicts()
-	if b.Len() != 1 {
+	g := newTestGuard(host, table)
+	g.terminateWith(d, 1, 3)
+	g.makeVerdicts()
+	if g.Len() != 1 {
 		t.Fatal("no verdict was made")
 	}
-	return b
+	return g
 }
 
 // listener returns an upstream whose address accepts connections until the listener is closed.
@@ -108,29 +108,29 @@
 }
 
 // recordedRuns is a run tracker that records its callbacks.
-type recordedRuns struct {
+type recordingTracker struct {
 	*runTracker
-	terminations chan []quarantine.Digest
-	survivals    []quarantine.Digest
+	lostDigests     chan []quarantine.Digest
+	survivedDigests []quarantine.Digest
 }
 
-func newRecordedRuns() *recordedRuns {
-	e := &recordedRuns{runTracker: newRunTracker(zerolog.Nop()), terminations: make(chan []quarantine.Digest, 10)}
-	e.onSurvival = func(d quarantine.Digest) { e.survivals = append(e.survivals, d) }
-	e.onTermination = func(_ Upstream, _ time.Duration, runs []exposedRun) {
+func newRecordingTracker() *recordingTracker {
+	r := &recordingTracker{runTracker: newRunTracker(zerolog.Nop()), lostDigests: make(chan []quarantine.Digest, 10)}
+	r.onSurvival = func(d quarantine.Digest) { r.survivedDigests = append(r.survivedDigests, d) }
+	r.onTermination = func(_ Upstream, _ time.Duration, runs []candidateRun) {
 		var digests []quarantine.Digest
 		for _, run := range runs {
 			digests = append(digests, run.digest)
 		}
-		e.terminations <- digests
+		r.lostDigests <- digests
 	}
-	return e
+	return r
 }
 
-func (e *recordedRuns) next(t *testing.T) []quarantine.Digest {
+func (r *recordingTracker) nextLostDigests(t *testing.T) []quarantine.Digest {
 	t.Helper()
 	select {
-	case digests := <-e.terminations:
+	case digests := <-r.lostDigests:
 		slices.SortFunc(digests, func(a, b quarantine.Digest) int { return slices.Compare(a[:], b[:]) })
 		return digests
 	case <-time.After(5 * time.Second):
@@ -143,120 +143,120 @@
 // with the interrupted runs and with those that this host abandoned there just before.
 func TestTerminationReportsRuns(t *testing.T) {
 	is := is.New(t)
-	e := newRecordedRuns()
+	tracker := newRecordingTracker()
 	u, l := listener(t)
 	for n := range uint64(5) {
-		e.begin(u, digest(n))
+		tracker.begin(u, digest(n))
 	}
-	e.end(u, digest(0), Answered)
-	undo := boottime.SimulateSuspension(answeredRunExposure + time.Millisecond)
+	tracker.end(u, digest(0), Answered)
+	undo := boottime.SimulateSuspension(answeredCauseWindow + time.Millisecond)
 	t.Cleanup(undo)
-	e.end(u, digest(1), NotRun)
-	e.end(u, digest(2), Abandoned)
+	tracker.end(u, digest(1), NotRun)
+	tracker.end(u, digest(2), Abandoned)
 	l.Close()
-	e.end(u, digest(3), Interrupted)
-	e.end(u, digest(4), Interrupted)
-	is.Equal(e.next(t), []quarantine.Digest{digest(2), digest(3), digest(4)})
-	is.True(e.hasTerminated(u))
-	e.reportSurvivals()
-	is.Equal(len(e.survivals), 0) // no request counts as survived by a terminated upstream
+	tracker.end(u, digest(3), Interrupted)
+	tracker.end(u, digest(4), Interrupted)
+	is.Equal(tracker.nextLostDigests(t), []quarantine.Digest{digest(2), digest(3), digest(4)})
+	is.True(tracker.hasTerminated(u))
+	tracker.reportSurvivals()
+	is.Equal(len(tracker.survivedDigests), 0) // no request counts as survived by a terminated upstream
 	// Interruptions that are detected later are reported, too.
-	e.begin(u, digest(5))
-	e.end(u, digest(5), Interrupted)
-	is.Equal(e.next(t), []quarantine.Digest{digest(5)})
+	tracker.begin(u, digest(5))
+	tracker.end(u, digest(5), Interrupted)
+	is.Equal(tracker.nextLostDigests(t), []quarantine.Digest{digest(5)})
 }
 
 // A short run may be answered before it terminates its upstream: an answer shows that the
 // request is sound only if the upstream is still alive some time later.
 func TestAnswersCountOnceTheUpstreamSurvives(t *testing.T) {
 	is := is.New(t)
-	e := newRecordedRuns()
+	tracker := newRecordingTracker()
 	u, l := listener(t)
-	e.begin(u, digest(1))
-	e.end(u, digest(1), Answered)
-	e.reportSurvivals()
-	is.Equal(len(e.survivals), 0)
+	tracker.begin(u, digest(1))
+	tracker.end(u, digest(1), Answered)
+	tracker.reportSurvivals()
+	is.Equal(len(tracker.survivedDigests), 0)
 	undo := boottime.SimulateSuspension(survivalDelay)
-	e.reportSurvivals()
-	is.Equal(e.survivals, []quarantine.Digest{digest(1)})
-	e.reportSurvivals()
-	is.Equal(len(e.survivals), 1)
+	tracker.reportSurvivals()
+	is.Equal(tracker.survivedDigests, []quarantine.Digest{digest(1)})
+	tracker.reportSurvivals()
+	is.Equal(len(tracker.survivedDigests), 1)
 	undo()
 
 	// For a suspect, the upstream is checked for certain.
-	e.isSuspect = func(d quarantine.Digest) bool { return d == digest(2) }
+	tracker.isSuspect = func(d quarantine.Digest) bool { return d == digest(2) }
 	u.Incarnation = 3
-	e.begin(u, digest(2))
-	e.end(u, digest(2), Answered)
+	tracker.begin(u, digest(2))
+	tracker.end(u, digest(2), Answered)
 	l.Close()
 	t.Cleanup(boottime.SimulateSuspension(survivalDelay))
-	e.reportSurvivals()
-	is.Equal(e.next(t), []quarantine.Digest{digest(2)})
-	is.Equal(len(e.survivals), 1)
+	tracker.reportSurvivals()
+	is.Equal(tracker.nextLostDigests(t), []quarantine.Digest{digest(2)})
+	is.Equal(len(tracker.survivedDigests), 1)
 
 	// The check after an interruption reports answered runs as well.
-	v, m := listener(t)
-	v.Incarnation = 2
-	e.begin(v, digest(4))
-	e.begin(v, digest(5))
-	e.end(v, digest(4), Answered)
-	m.Close()
-	e.end(v, digest(5), Interrupted)
-	is.Equal(e.next(t), []quarantine.Digest{digest(4), digest(5)})
+	otherUpstream, otherListener := listener(t)
+	otherUpstream.Incarnation = 2
+	tracker.begin(otherUpstream, digest(4))
+	tracker.begin(otherUpstream, digest(5))
+	tracker.end(otherUpstream, digest(4), Answered)
+	otherListener.Close()
+	tracker.end(otherUpstream, digest(5), Interrupted)
+	is.Equal(tracker.nextLostDigests(t), []quarantine.Digest{digest(4), digest(5)})
 }
 
 // An upstream that accepts connections is alive, whichever responses were interrupted; so is one
 // where other requests still run.
-func TestBrokenResponseIsNoTermination(t *testing.T) {
+func TestInterruptedResponseIsNoTermination(t *testing.T) {
 	is := is.New(t)
-	e := newRecordedRuns()
+	tracker := newRecordingTracker()
 	u, l := listener(t)
-	e.begin(u, digest(1))
-	e.end(u, digest(1), Interrupted)
+	tracker.begin(u, digest(1))
+	tracker.end(u, digest(1), Interrupted)
 	time.Sleep(20 * checkDelay)
 	l.Close()
 	other := Upstream{ID: "o", Service: "svc", Address: u.Address, Incarnation: 2}
-	e.begin(other, digest(2))
-	e.begin(other, digest(3))
-	e.end(other, digest(2), Interrupted)
+	tracker.begin(other, digest(2))
+	tracker.begin(other, digest(3))
+	tracker.end(other, digest(2), Interrupted)
 	time.Sleep(20 * checkDelay)
-	is.Equal(len(e.terminations), 0)
+	is.Equal(len(tracker.lostDigests), 0)
 	// A refused connection shows the termination in the end.
-	e.end(other, digest(3), Abandoned)
-	e.begin(other, digest(4))
-	e.end(other, digest(4), Unreachable)
-	is.Equal(e.next(t), []quarantine.Digest{digest(2), digest(3)})
+	tracker.end(other, digest(3), Abandoned)
+	tracker.begin(other, digest(4))
+	tracker.end(other, digest(4), Unreachable)
+	is.Equal(tracker.nextLostDigests(t), []quarantine.Digest{digest(2), digest(3)})
 }
 
 // When another host observes a termination, this host reports the runs that it abandoned there
 // shortly before.
-func TestTerminationSeenElsewhere(t *testing.T) {
+func TestTerminationReportedByAnotherHost(t *testing.T) {
 	is := is.New(t)
-	e := newRecordedRuns()
+	tracker := newRecordingTracker()
 	u, _ := listener(t)
-	e.begin(u, digest(1))
-	e.end(u, digest(1), Abandoned)
-	t.Cleanup(boottime.SimulateSuspension(abandonedRunExposure + 200*time.Millisecond))
-	e.begin(u, digest(2))
-	e.end(u, digest(2), Abandoned)
-	e.terminatedElsewhere(u.Incarnation, 100*time.Millisecond)
-	is.Equal(e.next(t), []quarantine.Digest{digest(2)})
-	e.terminatedElsewhere(99, 0) // this host had no runs there
-	is.Equal(len(e.terminations), 0)
+	tracker.begin(u, digest(1))
+	tracker.end(u, digest(1), Abandoned)
+	t.Cleanup(boottime.SimulateSuspension(abandonedCauseWindow + 200*time.Millisecond))
+	tracker.begin(u, digest(2))
+	tracker.end(u, digest(2), Abandoned)
+	tracker.recordRemoteTermination(u.Incarnation, 100*time.Millisecond)
+	is.Equal(tracker.nextLostDigests(t), []quarantine.Digest{digest(2)})
+	tracker.recordRemoteTermination(99, 0) // this host had no runs there
+	is.Equal(len(tracker.lostDigests), 0)
 }
 
 // The record of an upstream is dropped once no runs remain.
 func TestIdleUpstreamsAreDropped(t *testing.T) {
 	is := is.New(t)
-	e := newRecordedRuns()
+	tracker := newRecordingTracker()
 	u, _ := listener(t)
-	e.begin(u, digest(1))
-	e.end(u, digest(1), Abandoned)
-	e.sweep()
-	is.Equal(len(e.upstreams), 1)
+	tracker.begin(u, digest(1))
+	tracker.end(u, digest(1), Abandoned)
+	tracker.sweep()
+	is.Equal(len(tracker.upstreams), 1)
 	t.Cleanup(boottime.SimulateSuspension(recentRunRetention + time.Second))
-	e.sweep()
-	is.Equal(len(e.upstreams), 0)
+	tracker.sweep()
+	is.Equal(len(tracker.upstreams), 0)
 }
 
 // A request without losses never waits. A suspect runs at one upstream at a time, and one with
@@ -265,80 +265,80 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := t.Context()
-		b := newTestGuard("h", memory.New())
+		g := newTestGuard("h", memory.New())
 		start := time.Now()
 		for range 100 {
-			is.NoErr(b.Admit(ctx, digest(1), "svc"))
+			is.NoErr(g.Admit(ctx, digest(1), "svc"))
 		}
 		is.Equal(time.Since(start), time.Duration(0))
 
 		// A request that was lost once isn't sent to a second upstream at the same time, unless
 		// it was answered just before: such a request is a popular one.
 		once, popular := digest(8), digest(9)
-		b.terminateWith(once, 100, 1)
-		b.recordSurvival(popular)
-		b.terminateWith(popular, 101, 1)
-		is.NoErr(b.Admit(ctx, popular, "svc"))
-		is.NoErr(b.Admit(ctx, popular, "svc"))
-		is.NoErr(b.Admit(ctx, once, "svc"))
+		g.terminateWith(once, 100, 1)
+		g.recordSurvival(popular)
+		g.terminateWith(popular, 101, 1)
+		is.NoErr(g.Admit(ctx, popular, "svc"))
+		is.NoErr(g.Admit(ctx, popular, "svc"))
+		is.NoErr(g.Admit(ctx, once, "svc"))
 		is.Equal(time.Since(start), time.Duration(0))
-		is.NoErr(b.Admit(ctx, once, "svc"))
+		is.NoErr(g.Admit(ctx, once, "svc"))
 		is.Equal(time.Since(start), maxSuspectWait)
 		start = time.Now()
 
 		d := digest(2)
-		b.terminateWith(d, 1, 2)
-		is.NoErr(b.Admit(ctx, d, "svc"))
-		entered := make(chan time.Duration, 2)
+		g.terminateWith(d, 1, 2)
+		is.NoErr(g.Admit(ctx, d, "svc"))
+		admittedAfter := make(chan time.Duration, 2)
 		go func() {
-			is.NoErr(b.Admit(ctx, d, "svc"))
-			entered <- time.Since(start)
+			is.NoErr(g.Admit(ctx, d, "svc"))
+			admittedAfter <- time.Since(start)
 		}()
 		time.Sleep(300 * time.Millisecond)
-		is.Equal(len(entered), 0)
-		b.Leave(d)
-		is.Equal(<-entered, 300*time.Millisecond)
+		is.Equal(len(admittedAfter), 0)
+		g.Leave(d)
+		is.Equal(<-admittedAfter, 300*time.Millisecond)
 
 		// Once answered, it doesn't wait any more.
-		b.recordSurvival(d)
-		b.Leave(d)
-		is.NoErr(b.Admit(ctx, d, "svc"))
-		is.NoErr(b.Admit(ctx, d, "svc"))
+		g.recordSurvival(d)
+		g.Leave(d)
+		is.NoErr(g.Admit(ctx, d, "svc"))
+		is.NoErr(g.Admit(ctx, d, "svc"))
 
 		// If no verdict is made, the request is sent after the maximum wait.
 		d = digest(3)
-		b.terminateWith(d, 10, 3)
-		is.True(b.VerdictDue(d))
+		g.terminateWith(d, 10, 3)
+		is.True(g.VerdictDue(d))
 		before := time.Now()
-		is.NoErr(b.Admit(ctx, d, "svc"))
+		is.NoErr(g.Admit(ctx, d, "svc"))
 		is.Equal(time.Since(before), maxSuspectWait)
 
 		// If a verdict is made in the meantime, it is refused.
-		b.Leave(d)
+		g.Leave(d)
 		go func() {
 			time.Sleep(200 * time.Millisecond)
-			b.makeVerdicts()
+			g.makeVerdicts()
 		}()
-		is.True(errors.Is(b.Admit(ctx, d, "svc"), ErrQuarantined))
+		is.True(errors.Is(g.Admit(ctx, d, "svc"), ErrQuarantined))
 
 		// A request whose deadline expires isn't sent.
 		d = digest(4)
-		b.terminateWith(d, 20, 2)
-		is.NoErr(b.Admit(ctx, d, "svc"))
+		g.terminateWith(d, 20, 2)
+		is.NoErr(g.Admit(ctx, d, "svc"))
 		short, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 		defer cancel()
-		is.True(errors.Is(b.Admit(short, d, "svc"), context.DeadlineExceeded))
+		is.True(errors.Is(g.Admit(short, d, "svc"), context.DeadlineExceeded))
 	})
 }
 
 // A verdict is written to the store, where hosts that started later find it. It is lifted by the
 // removal of its row.
-func TestVerdictsOutliveTheirHosts(t *testing.T) {
+func TestVerdictsAreStored(t *testing.T) {
 	is := is.New(t)
 	table, d := memory.New(), digest(1)
-	b := guardWithVerdict(t, "h1", table, d)
-	is.True(errors.Is(b.Admit(t.Context(), d, "svc"), ErrQuarantined))
-	b.verdictRows.writeMissing(t.Context(), true)
+	g := guardWithVerdict(t, "h1", table, d)
+	is.True(errors.Is(g.Admit(t.Context(), d, "svc"), ErrQuarantined))
+	g.verdictRows.writeMissing(t.Context(), true)
 
 	later := newTestGuard("h2", table)
 	is.NoErr(later.Admit(t.Context(), d, "svc")) // the verdict isn't known to it yet, and it doesn't wait
@@ -353,7 +353,7 @@
 	later.syncRows(t)
 	is.NoErr(later.Admit(t.Context(), d, "svc"))
 	// A host that hasn't received the removal yet doesn't restore the verdict.
-	later.ApplyStatus(b.currentStatus())
+	later.ApplyStatus(g.currentStatus())
 	is.NoErr(later.Admit(t.Context(), d, "svc"))
 }
 
@@ -362,13 +362,13 @@
 func TestVerdictWhileTheStoreIsUnavailable(t *testing.T) {
 	is := is.New(t)
 	table, d := memory.New(), digest(1)
-	b := guardWithVerdict(t, "h1", table, d)
+	g := guardWithVerdict(t, "h1", table, d)
 	undo := boottime.SimulateSuspension(time.Minute)
 	t.Cleanup(undo)
-	standing := b.currentStatus()
-	is.Equal(len(standing.Verdicts), 1) // not stored, so still sent
+	status := g.currentStatus()
+	is.Equal(len(status.Verdicts), 1) // not stored, so still sent
 	other := newTestGuard("h2", table)
-	other.ApplyStatus(standing)
+	other.ApplyStatus(status)
 	is.True(errors.Is(other.Admit(t.Context(), d, "svc"), ErrQuarantined))
 	other.verdictRows.writeMissing(t.Context(), true)
 	_, err := table.Get(t.Context(), "quarantine/"+d.String())
@@ -418,9 +418,9 @@
 	b.syncRows(t)
 	is.True(!admitted(b)) // no other host may
 	is.True(!admitted(a)) // and a only once
-	term := until()
-	a.recordTermination(u, 0, []exposedRun{{digest: d, ran: time.Second}})
-	eventually("the verdict holds again", func() bool { return until() > term })
+	previousExpiry := until()
+	a.recordTermination(u, 0, []candidateRun{{digest: d, ran: time.Second}})
+	eventually("the verdict holds again", func() bool { return until() > previousExpiry })
 	is.Equal(until()-a.options.Clock(), time.Hour)
 	is.True(!admitted(a))
 
@@ -441,12 +441,12 @@
 func TestUnusedVerdictsAreRemoved(t *testing.T) {
 	is := is.New(t)
 	table := memory.New()
-	b := guardWithVerdict(t, "h1", table, digest(1))
-	b.verdictRows.writeMissing(t.Context(), true)
-	b.advance(8 * 24 * time.Hour)
+	g := guardWithVerdict(t, "h1", table, digest(1))
+	g.verdictRows.writeMissing(t.Context(), true)
+	g.advance(8 * 24 * time.Hour)
 	t.Cleanup(boottime.SimulateSuspension(2 * cleanupInterval))
-	b.verdictRows.writeMissing(t.Context(), true)
-	is.Equal(b.Len(), 0)
+	g.verdictRows.writeMissing(t.Context(), true)
+	is.Equal(g.Len(), 0)
 	_, err := table.Get(t.Context(), "quarantine/"+digest(1).String())
 	is.True(errors.Is(err, storage.ErrNotFound))
 }
@@ -454,12 +454,12 @@
 // Rows that aren't verdicts are refused and quarantine nothing.
 func TestUnreadableRows(t *testing.T) {
 	is := is.New(t)
-	b := newTestGuard("h", memory.New())
-	is.True(b.ApplyRow("quarantine/zz", []byte("{}"), 1) != nil)
-	is.True(b.ApplyRow("quarantine/"+digest(1).String(), []byte("["), 1) != nil)
-	is.True(b.ApplyRow("quarantine/"+digest(1).String(), []byte(`{"digest":"`+digest(2).String()+`","until_ms":1}`), 1) != nil)
-	is.True(b.RowRemoved("quarantine/zz") != nil)
-	is.Equal(b.Len(), 0)
+	g := newTestGuard("h", memory.New())
+	is.True(g.ApplyRow("quarantine/zz", []byte("{}"), 1) != nil)
+	is.True(g.ApplyRow("quarantine/"+digest(1).String(), []byte("["), 1) != nil)
+	is.True(g.ApplyRow("quarantine/"+digest(1).String(), []byte(`{"digest":"`+digest(2).String()+`","until_ms":1}`), 1) != nil)
+	is.True(g.RowRemoved("quarantine/zz") != nil)
+	is.Equal(g.Len(), 0)
 }
 
 // A suspect that the hub sent and that this host saw answered since is cleared, and the hub is
@@ -471,9 +471,9 @@
 	hub.terminateWith(d, 1, 2)
 	host.recordSurvival(d)
 	host.ApplyStatus(hub.currentStatus())
-	is.Equal(host.events(d, boottime.Elapsed()), 0)
+	is.Equal(host.eventCount(d, boottime.Elapsed()), 0)
 	hub.AddSightings(host.Sightings())
-	is.Equal(hub.events(d, boottime.Elapsed()), 0)
+	is.Equal(hub.eventCount(d, boottime.Elapsed()), 0)
 	is.Equal(len(hub.currentStatus().Suspects), 0)
 
 	// A suspect that it didn't see answered since counts for as long as the hub sends it.
@@ -482,13 +482,13 @@
 	t.Cleanup(boottime.SimulateSuspension(10 * time.Second))
 	hub.terminateWith(d, 10, 2)
 	host.ApplyStatus(hub.currentStatus())
-	is.Equal(host.events(d, boottime.Elapsed()), 2)
+	is.Equal(host.eventCount(d, boottime.Elapsed()), 2)
 	t.Cleanup(boottime.SimulateSuspension(hubSuspectTTL + time.Second))
-	is.Equal(host.events(d, boottime.Elapsed()), 0)
+	is.Equal(host.eventCount(d, boottime.Elapsed()), 0)
 }
 
 // Two hosts that send each other their suspects don't keep them alive.
-func TestSuspectsAreNotEchoed(t *testing.T) {
+func TestExchangedSuspectsExpire(t *testing.T) {
 	is := is.New(t)
 	a, b := newTestGuard("a", memory.New()), newTestGuard("b", memory.New())
 	d := digest(1)
@@ -506,82 +506,82 @@
 }
 
 // The status is built once for all followers, and is recent.
-func TestStatusIsShared(t *testing.T) {
+func TestStatusIsCached(t *testing.T) {
 	is := is.New(t)
-	b := newTestGuard("h", memory.New())
-	is.True(b.Status().IsZero())
-	b.terminateWith(digest(1), 1, 2)
-	is.True(b.Status().IsZero())
-	t.Cleanup(boottime.SimulateSuspension(statusCacheTime))
-	is.Equal(len(b.Status().Suspects), 1)
+	g := newTestGuard("h", memory.New())
+	is.True(g.Status().IsZero())
+	g.terminateWith(digest(1), 1, 2)
+	is.True(g.Status().IsZero())
+	t.Cleanup(boottime.SimulateSuspension(statusCacheTTL))
+	is.Equal(len(g.Status().Suspects), 1)
 }
 
 // A request in transit to an upstream that terminated isn't counted as lost with it: it never
 // ran there.
-func TestRequestsInTransitAreNotExposed(t *testing.T) {
+func TestRequestsInTransitAreNotReportedAsLost(t *testing.T) {
 	is := is.New(t)
-	e := newRecordedRuns()
+	tracker := newRecordingTracker()
 	u, l := listener(t)
-	e.begin(u, digest(1))
+	tracker.begin(u, digest(1))
 	l.Close()
-	e.end(u, digest(1), Interrupted)
-	is.Equal(e.next(t), []quarantine.Digest{digest(1)})
-	e.begin(u, digest(2)) // its connection will be refused
-	e.begin(u, digest(3))
-	e.end(u, digest(3), Interrupted) // its interruption was detected late
-	is.Equal(e.next(t), []quarantine.Digest{digest(3)})
-	e.end(u, digest(2), Unreachable)
-	is.Equal(len(e.terminations), 0)
+	tracker.end(u, digest(1), Interrupted)
+	is.Equal(tracker.nextLostDigests(t), []quarantine.Digest{digest(1)})
+	tracker.begin(u, digest(2)) // its connection will be refused
+	tracker.begin(u, digest(3))
+	tracker.end(u, digest(3), Interrupted) // its interruption was detected late
+	is.Equal(tracker.nextLostDigests(t), []quarantine.Digest{digest(3)})
+	tracker.end(u, digest(2), Unreachable)
+	is.Equal(len(tracker.lostDigests), 0)
 	// After a restart under the same name, the record starts anew.
 	t.Cleanup(boottime.SimulateSuspension(lateResponseWindow + time.Millisecond))
-	e.begin(u, digest(4))
-	is.True(!e.hasTerminated(u))
+	tracker.begin(u, digest(4))
+	is.True(!tracker.hasTerminated(u))
 }
 
 // A new hub is sent the recent losses again.
 func TestRecentSightings(t *testing.T) {
 	is := is.New(t)
-	b := newTestGuard("h", memory.New())
-	b.terminateWith(digest(1), 1, 2)
-	is.Equal(len(b.Sightings().Losses), 2)
-	is.Equal(len(b.Sightings().Losses), 0)
-	is.Equal(len(b.RecentSightings().Losses), 2)
-	fresh := b.AddSightings(exchange.Sightings{Losses: exchange.Losses{{Digest: digest(1), Incarnation: 1, Age: 2*200*time.Millisecond + quarantine.SettleDelay}, {Digest: digest(1), Incarnation: 50}}})
+	g := newTestGuard("h", memory.New())
+	g.terminateWith(digest(1), 1, 2)
+	is.Equal(len(g.Sightings().Losses), 2)
+	is.Equal(len(g.Sightings().Losses), 0)
+	is.Equal(len(g.RecentSightings().Losses), 2)
+	fresh := g.AddSightings(exchange.Sightings{Losses: exchange.Losses{{Digest: digest(1), Incarnation: 1, Age: 2*200*time.Millisecond + quarantine.SettleDelay}, {Digest: digest(1), Incarnation: 50}}})
 	is.Equal(len(fresh.Losses), 1)
 	t.Cleanup(boottime.SimulateSuspension(recentRetention + time.Second))
-	is.Equal(len(b.RecentSightings().Losses), 0)
+	is.Equal(len(g.RecentSightings().Losses), 0)
 }
 
 // The termination of an upstream is attributed to its version, unless a poison request is the
 // cause.
-func TestUnexplained(t *testing.T) {
+func TestAttributeInterruption(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newTestGuard("h", memory.New())
+		g := newTestGuard("h", memory.New())
 		attributed := make(chan string, 10)
-		lives := Upstream{ID: "lives", Incarnation: 100}
-		b.AttributeInterruption(lives, Attribution{Version: func() { attributed <- "lives" }})
+		alive := Upstream{ID: "lives", Incarnation: 100}
+		g.AttributeInterruption(alive, Attribution{Version: func() { attributed <- "lives" }})
 		time.Sleep(checkDelay + checkTimeout + time.Millisecond)
 		is.Equal(<-attributed, "lives") // the response was interrupted, but the upstream is alive
 
 		d := digest(1)
 		for incarnation := range quarantine.Incarnation(4) {
 			u := Upstream{ID: "ended", Service: "svc", Address: "", Incarnation: incarnation}
-			b.Begin(u, d)
-			b.runs.upstreams[incarnation].terminatedAt = boottime.Now()
-			b.recordTermination(u, 0, []exposedRun{{digest: d, ran: time.Second}})
-			b.AttributeInterruption(u, Attribution{Version: func() { attributed <- "ended" }})
+			g.Begin(u, d)
+			g.runs.upstreams[incarnation].terminatedAt = boottime.Now()
+			g.recordTermination(u, 0, []candidateRun{{digest: d, ran: time.Second}})
+			g.AttributeInterruption(u, Attribution{Version: func() { attributed <- "ended" }})
 			time.Sleep(100 * time.Millisecond)
 		}
 		other := Upstream{ID: "other", Service: "svc", Incarnation: 200}
-		b.Begin(other, digest(2))
-		b.runs.upstreams[200].terminatedAt = boottime.Now()
-		b.recordTermination(other, 0, []exposedRun{{digest: digest(2), ran: time.Second}})
-		b.AttributeInterruption(other, Attribution{Version: func() { attributed <- "other" }})
+		g.Begin(other, digest(2))
+		g.runs.upstreams[200].terminatedAt = boottime.Now()
+		g.recordTermination(other, 0, []candidateRun{{digest: digest(2), ran: time.Second}})
+		g.AttributeInterruption(other, Attribution{Version: func() { attributed <- "other" }})
 		time.Sleep(quarantine.SettleDelay + time.Millisecond)
-		b.makeVerdicts()
+		g.makeVerdicts()
 		time.Sleep(2 * verdictWait)
-		is.Equal(b.Len(), 1)
+		is.Equal(g.Len(), 1)
 		is.Equal(len(attributed), 1)
 		is.Equal(<-attributed, "other")
 	})
--- a/internal/guard/sightings.go
+++ b/internal/guard/hubexchange.go
@@ -36,7 +36,7 @@
 
 // sightingBuffer holds the sightings not yet sent to the hub, and the recent losses.
 type sightingBuffer struct {
-	unsent, recent []sighting
+	unsent, recentLosses []sighting
 }
 
 // sighting is a loss, or a suspect that was answered, with the time when it was observed.
@@ -48,7 +48,7 @@
 func (b *sightingBuffer) add(s sighting) {
 	b.unsent = keepLast(append(b.unsent, s), maxSightings)
 	if !s.answered {
-		b.recent = keepLast(append(b.recent, s), maxSightings)
+		b.recentLosses = keepLast(append(b.recentLosses, s), maxSightings)
 	}
 }
 
@@ -89,15 +89,15 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.sightings.unsent = nil
-	return agedSightings(g.sightings.recent, recentRetention)
+	return agedSightings(g.sightings.recentLosses, recentRetention)
 }
 
-func agedSightings(list []sighting, within time.Duration) exchange.Sightings {
+func agedSightings(list []sighting, maxAge time.Duration) exchange.Sightings {
 	now := boottime.Elapsed()
 	var s exchange.Sightings
 	for _, seen := range list {
 		switch age := now - seen.loss.At; {
-		case age > within:
+		case age > maxAge:
 		case seen.answered:
 			s.Answered = append(s.Answered, seen.loss.Digest)
 		default:
@@ -128,53 +128,53 @@
 // termination records that an upstream terminated, and when this host learned of it.
 type termination struct {
 	incarnation              quarantine.Incarnation
-	terminatedAt, reportedAt time.Duration
+	terminatedAt, recordedAt time.Duration
 }
 
 // addTermination records that an upstream terminated, and checks for runs that this host
 // abandoned there.
 func (g *Guard) addTermination(i quarantine.Incarnation, at time.Duration) {
 	g.mu.Lock()
-	for _, e := range g.terminations {
-		if e.incarnation == i {
+	for _, known := range g.terminations {
+		if known.incarnation == i {
 			g.mu.Unlock()
 			return
 		}
 	}
-	g.terminations = keepLast(append(g.terminations, termination{incarnation: i, terminatedAt: at, reportedAt: boottime.Elapsed()}), maxTerminations)
+	g.terminations = keepLast(append(g.terminations, termination{incarnation: i, terminatedAt: at, recordedAt: boottime.Elapsed()}), maxTerminations)
 	g.mu.Unlock()
 	g.options.OnTermination(i)
-	g.runs.terminatedElsewhere(i, boottime.Elapsed()-at)
+	g.runs.recordRemoteTermination(i, boottime.Elapsed()-at)
 }
 
 // statusCacheTime is how long the status for followers is cached: a hub has up to 64
 // followers, each of which requests it seven times a second.
-const statusCacheTime = 50 * time.Millisecond
+const statusCacheTTL = 50 * time.Millisecond
 
 // Status implements exchange.Quarantine.
 func (g *Guard) Status() exchange.QuarantineStatus {
 	now := boottime.Elapsed()
 	g.mu.Lock()
-	standing, fresh := g.status, now-g.statusAt < statusCacheTime && g.statusAt != 0
+	status, fresh := g.cachedStatus, now-g.cachedStatusAt < statusCacheTTL && g.cachedStatusAt != 0
 	g.mu.Unlock()
 	if fresh {
-		return standing
+		return status
 	}
-	standing = g.buildStatus(now)
+	status = g.buildStatus(now)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.status, g.statusAt = standing, now
-	return standing
+	g.cachedStatus, g.cachedStatusAt = status, now
+	return status
 }
 
 // buildStatus returns the current status for followers.
 func (g *Guard) buildStatus(now time.Duration) exchange.QuarantineStatus {
 	var s exchange.QuarantineStatus
-	for _, suspect := range g.tracker.Suspects(now, suspectTTL, maxSentSuspects) {
-		s.Suspects = append(s.Suspects, exchange.AgedSuspect{Digest: suspect.Digest, Events: suspect.Events, FirstAge: now - suspect.First})
+	for _, tracked := range g.tracker.Suspects(now, suspectTTL, maxSentSuspects) {
+		s.Suspects = append(s.Suspects, exchange.AgedSuspect{Digest: tracked.Digest, Events: tracked.Events, FirstAge: now - tracked.FirstAt})
 	}
 	for _, e := range g.register.All() {
-		if e.Revision == 0 || now-e.Heard < storedVerdictTTL {
+		if e.Revision == 0 || now-e.ReceivedAt < storedVerdictTTL {
 			s.Verdicts = append(s.Verdicts, e.Verdict)
 		}
 	}
@@ -190,13 +190,13 @@
 		})
 	}
 	kept := g.terminations[:0]
-	for _, e := range g.terminations {
-		if now-e.terminatedAt > explainedTTL {
+	for _, known := range g.terminations {
+		if now-known.terminatedAt > explainedTTL {
 			continue
 		}
-		kept = append(kept, e)
-		if explained := g.tracker.Explained(e.incarnation); explained || now-e.reportedAt < terminationTTL {
-			s.Ended = append(s.Ended, exchange.Ending{Incarnation: e.incarnation, Age: now - e.terminatedAt, Explained: explained})
+		kept = append(kept, known)
+		if explained := g.tracker.Explained(known.incarnation); explained || now-known.recordedAt < terminationTTL {
+			s.Ended = append(s.Ended, exchange.Ending{Incarnation: known.incarnation, Age: now - known.terminatedAt, Explained: explained})
 		}
 	}
 	g.terminations = kept
--- a/internal/guard/exposures.go
+++ b/internal/guard/runtracker.go
@@ -18,10 +18,10 @@
 	// abandonedRunExposure is how long a run that this host abandoned may go on at its upstream.
 	// The upstream detects the closed connection late, and an engine that was given a prompt can
 	// terminate up to 0.1 s after its response was dropped.
-	abandonedRunExposure = time.Second
+	abandonedCauseWindow = time.Second
 	// answeredRunExposure is the same for a run that the upstream completed: short runs are over
 	// before their effects terminate the upstream.
-	answeredRunExposure = 300 * time.Millisecond
+	answeredCauseWindow = 300 * time.Millisecond
 	// lateResponseWindow is the time after an upstream's termination in which responses that it
 	// sent before still arrive.
 	lateResponseWindow = time.Second
@@ -59,7 +59,7 @@
 type runTracker struct {
 	// onTermination is called when an upstream is found to have terminated, with the time since
 	// then and the runs of this host that it may have interrupted.
-	onTermination func(u Upstream, ago time.Duration, runs []exposedRun)
+	onTermination func(u Upstream, ago time.Duration, runs []candidateRun)
 	// onSurvival is called for a request that its upstream survived.
 	onSurvival func(d quarantine.Digest)
 	// isSuspect reports whether an upstream terminated with the request before.
@@ -75,7 +75,7 @@
 
 // answeredRun is a run that was answered, and its upstream.
 type answeredRun struct {
-	runs *upstreamRuns
+	atUpstream *upstreamRuns
 	recentRun
 }
 
@@ -87,8 +87,8 @@
 	recent []recentRun
 	// checking says that a check of the upstream is pending, brokeAt when the response that
 	// caused the check was interrupted.
-	checking bool
-	brokeAt  time.Time
+	checking      bool
+	interruptedAt time.Time
 	// terminatedAt is when the upstream terminated; zero while it isn't known to have.
 	terminatedAt time.Time
 }
@@ -102,139 +102,139 @@
 // recentRun is a run that is over for this host. It may terminate its upstream for the duration
 // exposure after overAt.
 type recentRun struct {
-	digest    quarantine.Digest
-	startedAt time.Time
-	overAt    time.Time
-	exposure  time.Duration
+	digest      quarantine.Digest
+	startedAt   time.Time
+	overAt      time.Time
+	causeWindow time.Duration
 }
 
 // exposedRun is a run that may have terminated an upstream, and how long it had been there.
-type exposedRun struct {
+type candidateRun struct {
 	digest quarantine.Digest
 	ran    time.Duration
 }
 
 func newRunTracker(log zerolog.Logger) *runTracker {
 	return &runTracker{
-		onTermination: func(Upstream, time.Duration, []exposedRun) {}, onSurvival: func(quarantine.Digest) {},
+		onTermination: func(Upstream, time.Duration, []candidateRun) {}, onSurvival: func(quarantine.Digest) {},
 		isSuspect: func(quarantine.Digest) bool { return false }, log: log, upstreams: make(map[quarantine.Incarnation]*upstreamRuns),
 	}
 }
 
 // begin records that a request is sent to an upstream.
-func (e *runTracker) begin(u Upstream, d quarantine.Digest) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	x := e.upstreams[u.Incarnation]
-	if x == nil {
-		x = &upstreamRuns{upstream: u, running: make(map[quarantine.Digest]activeRuns)}
-		e.upstreams[u.Incarnation] = x
+func (t *runTracker) begin(u Upstream, d quarantine.Digest) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	runs := t.upstreams[u.Incarnation]
+	if runs == nil {
+		runs = &upstreamRuns{upstream: u, running: make(map[quarantine.Digest]activeRuns)}
+		t.upstreams[u.Incarnation] = runs
 	}
-	if !x.terminatedAt.IsZero() && boottime.Since(x.terminatedAt) > lateResponseWindow {
-		x.terminatedAt, x.recent = time.Time{}, nil // the upstream may have restarted under the same name
+	if !runs.terminatedAt.IsZero() && boottime.Since(runs.terminatedAt) > lateResponseWindow {
+		runs.terminatedAt, runs.recent = time.Time{}, nil // the upstream may have restarted under the same name
 	}
-	r := x.running[d]
-	if r.count++; r.count == 1 {
-		r.startedAt = boottime.Now()
+	active := runs.running[d]
+	if active.count++; active.count == 1 {
+		active.startedAt = boottime.Now()
 	}
-	x.running[d] = r
+	runs.running[d] = active
 }
 
 // end records the outcome of an attempt.
-func (e *runTracker) end(u Upstream, d quarantine.Digest, how Outcome) {
-	e.mu.Lock()
-	x := e.upstreams[u.Incarnation]
-	if x == nil {
-		e.mu.Unlock()
+func (t *runTracker) end(u Upstream, d quarantine.Digest, outcome Outcome) {
+	t.mu.Lock()
+	runs := t.upstreams[u.Incarnation]
+	if runs == nil {
+		t.mu.Unlock()
 		return
 	}
-	r := x.running[d]
-	if r.count--; r.count <= 0 {
-		delete(x.running, d)
+	active := runs.running[d]
+	if active.count--; active.count <= 0 {
+		delete(runs.running, d)
 	} else {
-		x.running[d] = r
+		runs.running[d] = active
 	}
-	switch how {
+	switch outcome {
 	case Interrupted:
-		x.addRecent(d, r.startedAt, abandonedRunExposure)
-		e.scheduleCheck(x)
+		runs.addRecent(d, active.startedAt, abandonedCauseWindow)
+		t.scheduleCheck(runs)
 	case Abandoned:
-		x.addRecent(d, r.startedAt, abandonedRunExposure)
+		runs.addRecent(d, active.startedAt, abandonedCauseWindow)
 	case Unreachable:
-		if x.hasRuns() {
-			e.scheduleCheck(x)
+		if runs.hasRuns() {
+			t.scheduleCheck(runs)
 		}
 	case Answered:
-		e.answered = append(e.answered, answeredRun{runs: x, recentRun: x.addRecent(d, r.startedAt, answeredRunExposure)})
+		t.answered = append(t.answered, answeredRun{atUpstream: runs, recentRun: runs.addRecent(d, active.startedAt, answeredCauseWindow)})
 	}
-	late, ago := x.takeLateExposed()
-	e.mu.Unlock()
+	late, ago := runs.takeLateCandidates()
+	t.mu.Unlock()
 	if len(late) > 0 {
-		e.onTermination(u, ago, late)
+		t.onTermination(u, ago, late)
 	}
 }
 
 // addRecent adds a run that is over for this host. The lock must be held.
-func (x *upstreamRuns) addRecent(d quarantine.Digest, startedAt time.Time, exposure time.Duration) recentRun {
-	run := recentRun{digest: d, startedAt: startedAt, overAt: boottime.Now(), exposure: exposure}
-	x.recent = append(x.recent, run)
+func (r *upstreamRuns) addRecent(d quarantine.Digest, startedAt time.Time, causeWindow time.Duration) recentRun {
+	run := recentRun{digest: d, startedAt: startedAt, overAt: boottime.Now(), causeWindow: causeWindow}
+	r.recent = append(r.recent, run)
 	return run
 }
 
 // hasRuns reports whether runs of this host may exist at the upstream. The lock must be held.
-func (x *upstreamRuns) hasRuns() bool {
-	x.dropOld()
-	return len(x.running)+len(x.recent) > 0
+func (r *upstreamRuns) hasRuns() bool {
+	r.dropOldRuns()
+	return len(r.running)+len(r.recent) > 0
 }
 
 // dropOld drops runs that were over more than recentRunRetention ago. The lock must be held.
-func (x *upstreamRuns) dropOld() {
-	x.recent = slices.DeleteFunc(x.recent, func(run recentRun) bool { return boottime.Since(run.overAt) > recentRunRetention })
+func (r *upstreamRuns) dropOldRuns() {
+	r.recent = slices.DeleteFunc(r.recent, func(run recentRun) bool { return boottime.Since(run.overAt) > recentRunRetention })
 }
 
 // takeExposed removes the recent runs and returns, one for each request, those that may have
 // terminated the upstream. Requests that still run there will be interrupted and are returned
 // then, unless they are only in transit. The lock must be held.
-func (x *upstreamRuns) takeExposed() []exposedRun {
+func (r *upstreamRuns) takeCandidates() []candidateRun {
 	longest := make(map[quarantine.Digest]time.Duration)
-	for _, run := range x.recent {
-		if x.terminatedAt.Sub(run.overAt) <= run.exposure {
-			longest[run.digest] = max(longest[run.digest], x.terminatedAt.Sub(run.startedAt))
+	for _, run := range r.recent {
+		if r.terminatedAt.Sub(run.overAt) <= run.causeWindow {
+			longest[run.digest] = max(longest[run.digest], r.terminatedAt.Sub(run.startedAt))
 		}
 	}
-	x.recent = nil
-	list := make([]exposedRun, 0, len(longest))
+	r.recent = nil
+	list := make([]candidateRun, 0, len(longest))
 	for d, ran := range longest {
-		list = append(list, exposedRun{digest: d, ran: ran})
+		list = append(list, candidateRun{digest: d, ran: ran})
 	}
 	return list
 }
 
 // takeLateExposed returns the runs that were found to be interrupted after the upstream's
 // termination was detected, and the time since the termination. The lock must be held.
-func (x *upstreamRuns) takeLateExposed() ([]exposedRun, time.Duration) {
-	if x.terminatedAt.IsZero() || len(x.recent) == 0 {
+func (r *upstreamRuns) takeLateCandidates() ([]candidateRun, time.Duration) {
+	if r.terminatedAt.IsZero() || len(r.recent) == 0 {
 		return nil, 0
 	}
-	return x.takeExposed(), boottime.Since(x.terminatedAt)
+	return r.takeCandidates(), boottime.Since(r.terminatedAt)
 }
 
 // hasTerminated reports whether the upstream is known to have terminated.
-func (e *runTracker) hasTerminated(u Upstream) bool {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	x := e.upstreams[u.Incarnation]
-	return x != nil && !x.terminatedAt.IsZero()
+func (t *runTracker) hasTerminated(u Upstream) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	runs := t.upstreams[u.Incarnation]
+	return runs != nil && !runs.terminatedAt.IsZero()
 }
 
 // sweep drops upstreams without runs of this host.
-func (e *runTracker) sweep() {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	for name, x := range e.upstreams {
-		old := x.terminatedAt.IsZero() || boottime.Since(x.terminatedAt) > terminationRetention
-		if old && !x.checking && !x.hasRuns() {
-			delete(e.upstreams, name)
+func (t *runTracker) sweep() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for incarnation, runs := range t.upstreams {
+		old := runs.terminatedAt.IsZero() || boottime.Since(runs.terminatedAt) > terminationRetention
+		if old && !runs.checking && !runs.hasRuns() {
+			delete(t.upstreams, incarnation)
 		}
 	}
 }
--- a/internal/guard/endings.go
+++ b/internal/guard/upstreamcheck.go
@@ -27,77 +27,77 @@
 
 // reportSurvivals reports the requests whose upstreams survived them. For suspects it first
 // checks the upstream, in a goroutine of its own.
-func (e *runTracker) reportSurvivals() {
-	for _, run := range e.takeDue() {
-		if e.isSuspect(run.digest) {
-			go e.confirmSurvival(run)
+func (t *runTracker) reportSurvivals() {
+	for _, run := range t.takeDueAnswers() {
+		if t.isSuspect(run.digest) {
+			go t.confirmSurvival(run)
 			continue
 		}
-		e.onSurvival(run.digest)
+		t.onSurvival(run.digest)
 	}
 }
 
 // confirmSurvival checks whether the upstream survived an answered run.
-func (e *runTracker) confirmSurvival(run answeredRun) {
-	if !refusesConnections(run.runs.upstream.Address) {
-		e.onSurvival(run.digest)
+func (t *runTracker) confirmSurvival(run answeredRun) {
+	if !refusesConnections(run.atUpstream.upstream.Address) {
+		t.onSurvival(run.digest)
 		return
 	}
-	e.mu.Lock()
-	alreadyTerminated := !run.runs.terminatedAt.IsZero()
+	t.mu.Lock()
+	alreadyTerminated := !run.atUpstream.terminatedAt.IsZero()
 	if !alreadyTerminated {
-		run.runs.terminatedAt = run.overAt
+		run.atUpstream.terminatedAt = run.overAt
 	}
-	runs := run.runs.takeExposed()
-	e.mu.Unlock()
-	if !alreadyTerminated || len(runs) > 0 {
-		e.onTermination(run.runs.upstream, boottime.Since(run.overAt), runs)
+	candidates := run.atUpstream.takeCandidates()
+	t.mu.Unlock()
+	if !alreadyTerminated || len(candidates) > 0 {
+		t.onTermination(run.atUpstream.upstream, boottime.Since(run.overAt), candidates)
 	}
 }
 
 // takeDue removes and returns the runs that were answered at least survivalDelay ago and whose
 // upstreams aren't known to have terminated.
-func (e *runTracker) takeDue() []answeredRun {
-	e.mu.Lock()
-	defer e.mu.Unlock()
+func (t *runTracker) takeDueAnswers() []answeredRun {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	n := 0
-	for n < len(e.answered) && boottime.Since(e.answered[n].overAt) >= survivalDelay {
+	for n < len(t.answered) && boottime.Since(t.answered[n].overAt) >= survivalDelay {
 		n++
 	}
-	due := slices.Clone(e.answered[:n])
-	e.answered = slices.Delete(e.answered, 0, n)
-	return slices.DeleteFunc(due, func(run answeredRun) bool { return !run.runs.terminatedAt.IsZero() })
+	due := slices.Clone(t.answered[:n])
+	t.answered = slices.Delete(t.answered, 0, n)
+	return slices.DeleteFunc(due, func(run answeredRun) bool { return !run.atUpstream.terminatedAt.IsZero() })
 }
 
 // scheduleCheck has the upstream checked, unless a check is pending or its termination is known.
 // The lock must be held.
-func (e *runTracker) scheduleCheck(x *upstreamRuns) {
-	if x.checking || !x.terminatedAt.IsZero() {
+func (t *runTracker) scheduleCheck(runs *upstreamRuns) {
+	if runs.checking || !runs.terminatedAt.IsZero() {
 		return
 	}
-	x.checking, x.brokeAt = true, boottime.Now()
-	time.AfterFunc(checkDelay, func() { e.check(x) })
+	runs.checking, runs.interruptedAt = true, boottime.Now()
+	time.AfterFunc(checkDelay, func() { t.check(runs) })
 }
 
 // check tries to connect to the upstream, unless other requests still run there and thus show
 // that it is alive.
-func (e *runTracker) check(x *upstreamRuns) {
-	e.mu.Lock()
-	others, brokeAt := len(x.running), x.brokeAt
-	e.mu.Unlock()
-	terminated := others == 0 && refusesConnections(x.upstream.Address)
-	e.mu.Lock()
-	x.checking = false
-	var runs []exposedRun
+func (t *runTracker) check(runs *upstreamRuns) {
+	t.mu.Lock()
+	otherRuns, interruptedAt := len(runs.running), runs.interruptedAt
+	t.mu.Unlock()
+	terminated := otherRuns == 0 && refusesConnections(runs.upstream.Address)
+	t.mu.Lock()
+	runs.checking = false
+	var candidates []candidateRun
 	if terminated {
-		x.terminatedAt = brokeAt
-		runs = x.takeExposed()
+		runs.terminatedAt = interruptedAt
+		candidates = runs.takeCandidates()
 	}
-	e.mu.Unlock()
-	e.log.Warn().Str("event", "upstream-checked").Str("upstream", x.upstream.ID).Bool("ended", terminated).
-		Int("exposed", len(runs)).Int("running", others).Strs("digests", digestTexts(runs)).Msg("")
+	t.mu.Unlock()
+	t.log.Warn().Str("event", "upstream-checked").Str("upstream", runs.upstream.ID).Bool("ended", terminated).
+		Int("exposed", len(candidates)).Int("running", otherRuns).Strs("digests", digestTexts(candidates)).Msg("")
 	if terminated {
-		e.onTermination(x.upstream, boottime.Since(brokeAt), runs)
+		t.onTermination(runs.upstream, boottime.Since(interruptedAt), candidates)
 	}
 }
 
@@ -118,7 +118,7 @@
 // maxLoggedDigests bounds the digests in one log line.
 const maxLoggedDigests = 16
 
-func digestTexts(runs []exposedRun) []string {
+func digestTexts(runs []candidateRun) []string {
 	list := make([]string, 0, min(len(runs), maxLoggedDigests))
 	for _, run := range runs[:min(len(runs), maxLoggedDigests)] {
 		list = append(list, run.digest.String())
@@ -128,22 +128,22 @@
 
 // terminatedElsewhere processes another host's report that an upstream terminated. The requests
 // that this host abandoned there shortly before may be the cause, and no other host has them.
-func (e *runTracker) terminatedElsewhere(name quarantine.Incarnation, ago time.Duration) {
-	e.mu.Lock()
-	x := e.upstreams[name]
-	if x == nil || !x.terminatedAt.IsZero() || x.checking {
-		e.mu.Unlock()
+func (t *runTracker) recordRemoteTermination(incarnation quarantine.Incarnation, ago time.Duration) {
+	t.mu.Lock()
+	runs := t.upstreams[incarnation]
+	if runs == nil || !runs.terminatedAt.IsZero() || runs.checking {
+		t.mu.Unlock()
 		return
 	}
-	if len(x.running) > 0 {
-		e.scheduleCheck(x)
-		e.mu.Unlock()
+	if len(runs.running) > 0 {
+		t.scheduleCheck(runs)
+		t.mu.Unlock()
 		return
 	}
-	x.terminatedAt = boottime.Now().Add(-ago)
-	runs := x.takeExposed()
-	e.mu.Unlock()
-	if len(runs) > 0 {
-		e.onTermination(x.upstream, ago, runs)
+	runs.terminatedAt = boottime.Now().Add(-ago)
+	candidates := runs.takeCandidates()
+	t.mu.Unlock()
+	if len(candidates) > 0 {
+		t.onTermination(runs.upstream, ago, candidates)
 	}
 }
--- a/internal/guard/rows.go
+++ b/internal/guard/verdictrows.go
@@ -42,8 +42,8 @@
 	clock func() time.Duration
 	// onVerdict is called for a verdict that came from the store, onLift for one whose row was
 	// removed.
-	onVerdict func(v quarantine.Verdict, from string)
-	onLift    func(d quarantine.Digest)
+	onVerdict    func(v quarantine.Verdict, source string)
+	onWithdrawal func(d quarantine.Digest)
 
 	mu sync.Mutex
 	// trials holds the requests that this host may try, or has sent as a trial.
@@ -56,14 +56,14 @@
 type trial struct {
 	// granted says that the store accepted this host's claim of the trial, sent that the request
 	// was sent.
-	granted, sent bool
+	claimed, sent bool
 }
 
 func newVerdictRows(o *Options, register *quarantine.Register) *verdictRows {
 	return &verdictRows{
 		host: o.Host, prefix: o.Prefix, table: o.Table, register: register, log: o.Log, clock: o.Clock,
 		trials:    make(map[quarantine.Digest]*trial),
-		onVerdict: func(quarantine.Verdict, string) {}, onLift: func(quarantine.Digest) {},
+		onVerdict: func(quarantine.Verdict, string) {}, onWithdrawal: func(quarantine.Digest) {},
 	}
 }
 
@@ -73,7 +73,7 @@
 // ApplyRow applies a verdict's row from the store.
 func (g *Guard) ApplyRow(key string, data []byte, revision storage.Revision) error {
 	v := g.verdictRows
-	d, err := v.digest(key)
+	d, err := v.digestFromKey(key)
 	if err != nil {
 		return err
 	}
@@ -92,11 +92,11 @@
 
 // RowRemoved processes the removal of a verdict's row from the store.
 func (g *Guard) RowRemoved(key string) error {
-	d, err := g.verdictRows.digest(key)
+	d, err := g.verdictRows.digestFromKey(key)
 	if err != nil {
 		return err
 	}
-	g.verdictRows.lift(d)
+	g.verdictRows.dropVerdict(d)
 	return nil
 }
 
@@ -106,25 +106,25 @@
 
 // LiftMissingRows lifts the stored verdicts that aren't among the keys, which are those of all rows in
 // the store.
-func (g *Guard) LiftMissingRows(keys map[string]bool) { g.verdictRows.liftMissing(keys) }
+func (g *Guard) LiftMissingRows(keys map[string]bool) { g.verdictRows.dropMissing(keys) }
 
 // digest returns the digest in a row's key.
-func (v *verdictRows) digest(key string) (quarantine.Digest, error) {
+func (v *verdictRows) digestFromKey(key string) (quarantine.Digest, error) {
 	return quarantine.ParseDigest(strings.TrimPrefix(key, v.prefix))
 }
 
 // lift removes a verdict from the register.
-func (v *verdictRows) lift(d quarantine.Digest) {
-	if v.register.Lift(d, boottime.Elapsed()) {
-		v.onLift(d)
+func (v *verdictRows) dropVerdict(d quarantine.Digest) {
+	if v.register.Withdraw(d, boottime.Elapsed()) {
+		v.onWithdrawal(d)
 	}
 }
 
 // liftMissing lifts the stored verdicts that aren't among the keys.
-func (v *verdictRows) liftMissing(keys map[string]bool) {
+func (v *verdictRows) dropMissing(keys map[string]bool) {
 	for _, e := range v.register.All() {
 		if e.Revision > 0 && !keys[v.key(e.Digest)] {
-			v.lift(e.Digest)
+			v.dropVerdict(e.Digest)
 		}
 	}
 }
@@ -134,18 +134,18 @@
 // permitsTrial reports whether a request with a verdict may be sent now, because the verdict has
 // expired and this host has claimed the trial. The first request after the expiry only starts
 // the claim, which takes a write to the store.
-func (v *verdictRows) permitsTrial(e quarantine.Entry) bool {
+func (v *verdictRows) claimOrStartTrial(e quarantine.Entry) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if t := v.trials[e.Digest]; t != nil {
-		if !t.granted || t.sent {
+		if !t.claimed || t.sent {
 			return false
 		}
 		t.sent = true
 		v.log.Info().Str("event", "quarantine-trial").Stringer("digest", e.Digest).Int("trial", e.Trials).Msg("")
 		return true
 	}
-	if e.Holds(v.clock()) {
+	if e.InForce(v.clock()) {
 		return false
 	}
 	t := &trial{}
@@ -156,7 +156,7 @@
 
 // claim claims the trial in the store.
 func (v *verdictRows) claim(t *trial, e quarantine.Entry) {
-	err := v.put(context.Background(), e.Trial(v.clock()), e.Revision)
+	err := v.put(context.Background(), e.ForTrial(v.clock()), e.Revision)
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if err != nil {
@@ -165,12 +165,12 @@
 		delete(v.trials, e.Digest)
 		return
 	}
-	t.granted = true
+	t.claimed = true
 }
 
 // trialFailed processes the termination of an upstream with the request: if this host tried it,
 // the verdict is renewed with a longer term.
-func (v *verdictRows) trialFailed(d quarantine.Digest) {
+func (v *verdictRows) renewIfTried(d quarantine.Digest) {
 	e, ok := v.endTrial(d)
 	if !ok {
 		return
@@ -180,7 +180,7 @@
 
 // trialSucceeded processes an answer to the request: if this host tried it, the verdict is
 // withdrawn.
-func (v *verdictRows) trialSucceeded(d quarantine.Digest) {
+func (v *verdictRows) withdrawIfTried(d quarantine.Digest) {
 	e, ok := v.endTrial(d)
 	if !ok {
 		return
@@ -209,7 +209,7 @@
 	wrote := false
 	for _, e := range v.register.All() {
 		own := e.By == v.host
-		takeover := makesVerdicts && boottime.Elapsed()-e.Heard > takeoverAge
+		takeover := makesVerdicts && boottime.Elapsed()-e.ReceivedAt > takeoverAge
 		if e.Unsaved() && (own || takeover) {
 			wrote = true
 			_ = v.put(ctx, e.Verdict, e.Revision) // logged in commit; the next call tries again
@@ -259,7 +259,7 @@
 		Deletes:    []string{key},
 	})
 	if err == nil {
-		v.lift(e.Digest)
+		v.dropVerdict(e.Digest)
 	}
 	return err
 }
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -12,7 +12,7 @@
 }
 
 // BenchmarkSurvive measures the work for an answered request without losses.
-func BenchmarkSurvive(b *testing.B) {
+func BenchmarkRecordSurvival(b *testing.B) {
 	t := NewTracker()
 	n := uint64(0)
 	for b.Loop() {
--- a/quarantine/digest_test.go
+++ b/quarantine/digest_test.go
@@ -8,7 +8,7 @@
 
 // Each field of the content distinguishes requests, also where the concatenated bytes are the
 // same.
-func TestDigestTellsContentsApart(t *testing.T) {
+func TestDigestDistinguishesContents(t *testing.T) {
 	is := is.New(t)
 	base := Content{Host: "h", Method: "POST", Target: "/a", Account: "acme", Body: []byte("body")}
 	contents := []Content{
--- a/quarantine/judge.go
+++ b/quarantine/evaluate.go
@@ -10,8 +10,8 @@
 type Suspect struct {
 	Digest Digest
 	// Events is the number of events in which they did, First the time of the first.
-	Events int
-	First  time.Duration
+	Events  int
+	FirstAt time.Duration
 }
 
 // MeetsThreshold reports whether the suspect has as many events as a verdict needs at least.
@@ -19,16 +19,16 @@
 
 // Suspects returns at most the given number of suspects whose last loss is within the duration,
 // those with the most events first.
-func (t *Tracker) Suspects(now, within time.Duration, limit int) []Suspect {
+func (t *Tracker) Suspects(now, maxAge time.Duration, limit int) []Suspect {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var list []Suspect
-	for d, history := range t.suspects {
-		if now-history.last() > within {
+	for d, history := range t.lostRepeatedly {
+		if now-history.lastLossAt() > maxAge {
 			continue
 		}
 		if events := eventTimes(t.unexplainedLosses(history, now)); len(events) >= minSuspectEvents {
-			list = append(list, Suspect{Digest: d, Events: len(events), First: events[0]})
+			list = append(list, Suspect{Digest: d, Events: len(events), FirstAt: events[0]})
 		}
 	}
 	slices.SortFunc(list, func(a, b Suspect) int {
@@ -46,7 +46,7 @@
 	// Events is the number of events for which the request is the only likely cause, Upstreams
 	// the number of upstreams that terminated with it, and Lost the number of all that
 	// terminated from the first to the last of those.
-	Events, Upstreams, Lost int
+	Events, Upstreams, UnexplainedTerminations int
 }
 
 // FindPoisonRequests returns the requests found to terminate upstreams, and records verdicts on them.
@@ -59,7 +59,7 @@
 	defer t.mu.Unlock()
 	t.dropStale(now)
 	var findings []Finding
-	for d, h := range t.suspects {
+	for d, h := range t.lostRepeatedly {
 		f, ok := t.evaluate(d, h, now)
 		if ok {
 			findings = append(findings, f)
@@ -78,9 +78,9 @@
 		return Finding{}, false
 	}
 	leading := eventTimes(t.leadingLosses(d, history, now))
-	f := Finding{Digest: d, Events: len(leading), Upstreams: len(losses), Lost: t.unexplainedBetween(losses[0].at, losses[len(losses)-1].at)}
+	f := Finding{Digest: d, Events: len(leading), Upstreams: len(losses), UnexplainedTerminations: t.countUnexplained(losses[0].at, losses[len(losses)-1].at)}
 	required := f.requiredEvents()
-	if at, ok := t.survived.Peek(d); ok && now-at < survivalRetention {
+	if at, ok := t.survivedAt.Peek(d); ok && now-at < survivalRetention {
 		required = minEventsAnyShare
 	}
 	return f, len(leading) >= required && now-leading[required-1] >= SettleDelay
@@ -88,7 +88,7 @@
 
 // requiredEvents returns the number of events that a verdict needs.
 func (f *Finding) requiredEvents() int {
-	switch share := float64(f.Upstreams) / float64(max(1, f.Lost)); {
+	switch share := float64(f.Upstreams) / float64(max(1, f.UnexplainedTerminations)); {
 	case share >= highShare:
 		return minVerdictEvents
 	case share >= mediumShare:
@@ -109,8 +109,8 @@
 			continue
 		}
 		if !slices.ContainsFunc(upstream.digests, func(other Digest) bool {
-			rivalHistory := t.suspects[other]
-			return other != d && rivalHistory != nil && len(eventTimes(t.unexplainedLosses(rivalHistory, now))) >= events
+			otherHistory := t.lostRepeatedly[other]
+			return other != d && otherHistory != nil && len(eventTimes(t.unexplainedLosses(otherHistory, now))) >= events
 		}) {
 			list = append(list, timedLoss{at: upstream.at, ran: l.Ran})
 		}
@@ -121,7 +121,7 @@
 
 // unexplainedBetween returns the number of upstreams that terminated between the times without a
 // known cause. The lock must be held.
-func (t *Tracker) unexplainedBetween(first, last time.Duration) int {
+func (t *Tracker) countUnexplained(first, last time.Duration) int {
 	n := 0
 	for _, upstream := range t.terminated.Values() {
 		if !upstream.explained && upstream.at >= first-EventWindow && upstream.at <= last+EventWindow {
@@ -133,9 +133,9 @@
 
 // dropStale drops suspects whose last loss is older than lossRetention. The lock must be held.
 func (t *Tracker) dropStale(now time.Duration) {
-	for d, h := range t.suspects {
-		if now-h.last() > lossRetention {
-			delete(t.suspects, d)
+	for d, h := range t.lostRepeatedly {
+		if now-h.lastLossAt() > lossRetention {
+			delete(t.lostRepeatedly, d)
 		}
 	}
 }
--- a/quarantine/register.go
+++ b/quarantine/register.go
@@ -53,7 +53,7 @@
 
 // Trial returns the verdict for the time of a trial: it applies to all hosts but the one that
 // tries the request.
-func (v Verdict) Trial(now time.Duration) Verdict {
+func (v Verdict) ForTrial(now time.Duration) Verdict {
 	v.Trials++
 	v.Until = now + trialTimeout
 	return v
@@ -70,7 +70,7 @@
 }
 
 // Holds reports whether the verdict is in force at the given time.
-func (v Verdict) Holds(now time.Duration) bool { return now < v.Until }
+func (v Verdict) InForce(now time.Duration) bool { return now < v.Until }
 
 // Unused reports whether the request wasn't received for long after the verdict's expiry.
 func (v Verdict) Unused(now time.Duration) bool { return now-v.Until > unusedRetention }
@@ -89,7 +89,7 @@
 	By        string `json:"by"`
 	Events    int    `json:"events"`
 	Upstreams int    `json:"upstreams"`
-	JudgedMs  int64  `json:"judged_ms"`
+	MadeAtMs  int64  `json:"judged_ms"`
 	UntilMs   int64  `json:"until_ms"`
 	Trials    int    `json:"trials"`
 }
@@ -98,7 +98,7 @@
 func (v Verdict) MarshalJSON() ([]byte, error) {
 	return json.Marshal(verdictRow{
 		Digest: v.Digest.String(), By: v.By, Events: v.Events, Upstreams: v.Upstreams,
-		JudgedMs: v.Judged.Milliseconds(), UntilMs: v.Until.Milliseconds(), Trials: v.Trials,
+		MadeAtMs: v.Judged.Milliseconds(), UntilMs: v.Until.Milliseconds(), Trials: v.Trials,
 	})
 }
 
@@ -120,7 +120,7 @@
 	}
 	*v = Verdict{
 		Digest: d, By: r.By, Events: r.Events, Upstreams: r.Upstreams,
-		Judged: time.Duration(r.JudgedMs) * time.Millisecond, Until: time.Duration(r.UntilMs) * time.Millisecond,
+		Judged: time.Duration(r.MadeAtMs) * time.Millisecond, Until: time.Duration(r.UntilMs) * time.Millisecond,
 		Trials: r.Trials,
 	}
 	return nil
@@ -134,13 +134,13 @@
 	Revision storage.Revision
 	// Lost says that the store had the row and may have lost it: it has none, or that of an
 	// earlier verdict.
-	Lost bool
+	RowMayBeLost bool
 	// Heard is when the host first received the verdict, on the host's own clock.
-	Heard time.Duration
+	ReceivedAt time.Duration
 }
 
 // Unsaved reports whether the store has no row of the verdict, or that of an earlier one.
-func (e *Entry) Unsaved() bool { return e.Revision == 0 || e.Lost }
+func (e *Entry) Unsaved() bool { return e.Revision == 0 || e.RowMayBeLost }
 
 // Register holds the verdicts that a host has received. It is safe for concurrent use.
 type Register struct {
@@ -148,16 +148,16 @@
 	entries map[Digest]Entry
 	// lifted maps requests whose verdict's row was removed to the time until which verdicts from
 	// other hosts are ignored, since those may not have received the removal yet.
-	lifted map[Digest]time.Duration
+	withdrawn map[Digest]time.Duration
 }
 
 // liftedRetention is how long a lifted verdict may still arrive from other hosts. It exceeds the
 // time for which hosts send a verdict.
-const liftedRetention = time.Minute
+const withdrawnRetention = time.Minute
 
 // NewRegister returns an empty register.
 func NewRegister() *Register {
-	return &Register{entries: make(map[Digest]Entry), lifted: make(map[Digest]time.Duration)}
+	return &Register{entries: make(map[Digest]Entry), withdrawn: make(map[Digest]time.Duration)}
 }
 
 // Get returns the entry of a request.
@@ -172,14 +172,14 @@
 func (r *Register) Add(v Verdict, now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if until, ok := r.lifted[v.Digest]; ok && now < until {
+	if until, ok := r.withdrawn[v.Digest]; ok && now < until {
 		return false
 	}
 	known, ok := r.entries[v.Digest]
 	if ok && !v.supersedes(known.Verdict) {
 		return false
 	}
-	r.set(Entry{Verdict: v, Revision: known.Revision, Heard: now})
+	r.set(Entry{Verdict: v, Revision: known.Revision, ReceivedAt: now})
 	return true
 }
 
@@ -188,7 +188,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for d, e := range r.entries {
-		e.Revision, e.Lost = 0, true
+		e.Revision, e.RowMayBeLost = 0, true
 		r.entries[d] = e
 	}
 }
@@ -205,15 +205,15 @@
 	}
 	receivedAt := now
 	if ok {
-		receivedAt = known.Heard
+		receivedAt = known.ReceivedAt
 	}
-	if ok && known.Lost && known.supersedes(v) {
+	if ok && known.RowMayBeLost && known.supersedes(v) {
 		known.Revision = revision
 		r.set(known)
 		return false
 	}
-	delete(r.lifted, v.Digest)
-	r.set(Entry{Verdict: v, Revision: revision, Heard: receivedAt})
+	delete(r.withdrawn, v.Digest)
+	r.set(Entry{Verdict: v, Revision: revision, ReceivedAt: receivedAt})
 	return !ok
 }
 
@@ -235,19 +235,19 @@
 
 // Lift removes the verdict, after its row was removed from the store. It reports whether there
 // was one.
-func (r *Register) Lift(d Digest, now time.Duration) bool {
+func (r *Register) Withdraw(d Digest, now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for other, until := range r.lifted {
+	for other, until := range r.withdrawn {
 		if now >= until {
-			delete(r.lifted, other)
+			delete(r.withdrawn, other)
 		}
 	}
 	if _, ok := r.entries[d]; !ok {
 		return false
 	}
 	delete(r.entries, d)
-	r.lifted[d] = now + liftedRetention
+	r.withdrawn[d] = now + withdrawnRetention
 	return true
 }
 
--- a/quarantine/register_test.go
+++ b/quarantine/register_test.go
@@ -16,16 +16,16 @@
 
 // A verdict expires, is tried once, and has a longer term after each trial that terminated an
 // upstream.
-func TestTerms(t *testing.T) {
+func TestVerdictTerms(t *testing.T) {
 	is := is.New(t)
 	v := NewVerdict(Finding{Digest: digest(1)}, "host", time.Hour)
-	is.True(v.Holds(time.Hour + initialTerm - 1))
-	is.True(!v.Holds(time.Hour + initialTerm))
+	is.True(v.InForce(time.Hour + initialTerm - 1))
+	is.True(!v.InForce(time.Hour + initialTerm))
 	now := 2 * time.Hour
 	var terms []time.Duration
 	for range 4 {
-		v = v.Trial(now)
-		is.True(v.Holds(now)) // for the other hosts
+		v = v.ForTrial(now)
+		is.True(v.InForce(now)) // for the other hosts
 		v = v.Renewed(now)
 		terms = append(terms, v.Until-now)
 		now = v.Until
@@ -61,11 +61,11 @@
 	e, ok := r.Get(digest(1))
 	is.True(ok)
 	is.Equal(e.Revision, storage.Revision(5))
-	is.Equal(e.Heard, time.Duration(0))
-	is.True(r.Add(first.Trial(2*time.Hour), 3*time.Second))
+	is.Equal(e.ReceivedAt, time.Duration(0))
+	is.True(r.Add(first.ForTrial(2*time.Hour), 3*time.Second))
 	is.True(!r.Add(first, 3*time.Second))
-	is.True(r.Lift(digest(1), 4*time.Second))
-	is.True(!r.Lift(digest(1), 4*time.Second))
+	is.True(r.Withdraw(digest(1), 4*time.Second))
+	is.True(!r.Withdraw(digest(1), 4*time.Second))
 	is.True(!r.Add(first, 5*time.Second))
 	is.True(r.ApplyRow(first, 9, 6*time.Second)) // the store has a newer revision
 	is.Equal(r.Len(), 1)
--- a/quarantine/odds_test.go
+++ b/quarantine/simulation_test.go
@@ -20,12 +20,12 @@
 	rnd      *rand.Rand
 	tracker  *Tracker
 	now      time.Duration
-	queue    eventQueue
+	queue    callQueue
 	scenario scenario
 
 	upstreams       []*simUpstream // by slot
 	nextIncarnation Incarnation
-	next            uint64
+	nextKey         uint64
 
 	// soundRequests counts the sound requests, falsePositives those of them that got a verdict.
 	soundRequests, falsePositives int
@@ -51,28 +51,28 @@
 
 type simUpstream struct {
 	incarnation Incarnation
-	running     map[uint64]*simRun
+	running     map[uint64]*simRequest
 	up          bool
 }
 
-type simRun struct {
+type simRequest struct {
 	id      uint64
 	sends   int
 	started time.Duration
 }
 
-type event struct {
+type scheduledCall struct {
 	at time.Duration
 	do func()
 }
 
-type eventQueue []event
+type callQueue []scheduledCall
 
-func (q eventQueue) Len() int           { return len(q) }
-func (q eventQueue) Less(i, j int) bool { return q[i].at < q[j].at }
-func (q eventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(x any)        { *q = append(*q, x.(event)) }
-func (q *eventQueue) Pop() any {
+func (q callQueue) Len() int           { return len(q) }
+func (q callQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q callQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *callQueue) Push(x any)        { *q = append(*q, x.(scheduledCall)) }
+func (q *callQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
 	*q = old[:len(old)-1]
@@ -87,7 +87,7 @@
 	crashDelay         = 80 * time.Millisecond
 	restartDelay       = 3500 * time.Millisecond
 	maxReportDelay     = 600 * time.Millisecond
-	simulatedTime      = time.Minute
+	simulatedDuration  = time.Minute
 	popularID          = 2
 	poisonID           = 1
 	hosts              = 7
@@ -96,163 +96,165 @@
 )
 
 func newSimulation(seed uint64, s scenario) *simulation {
-	p := &simulation{rnd: rand.New(rand.NewPCG(seed, 7)), tracker: NewTracker(), scenario: s, next: 100, poison: digest(poisonID), foundAt: -1}
+	sim := &simulation{rnd: rand.New(rand.NewPCG(seed, 7)), tracker: NewTracker(), scenario: s, nextKey: 100, poison: digest(poisonID), foundAt: -1}
 	for range slots {
-		p.upstreams = append(p.upstreams, &simUpstream{})
+		sim.upstreams = append(sim.upstreams, &simUpstream{})
 	}
-	for i := range p.upstreams {
-		p.start(i)
+	for i := range sim.upstreams {
+		sim.start(i)
 	}
-	p.after(0, p.arrive)
-	p.after(evaluationInterval, p.evaluate)
+	sim.schedule(0, sim.arriveSound)
+	sim.schedule(evaluationInterval, sim.evaluate)
 	if s.poisonInterval > 0 {
-		p.after(2*time.Second, p.arrivePoison)
+		sim.schedule(2*time.Second, sim.arrivePoison)
 	}
 	if s.killInterval > 0 {
-		p.after(s.killInterval, p.kill)
+		sim.schedule(s.killInterval, sim.kill)
 	}
-	return p
+	return sim
 }
 
-func (p *simulation) after(d time.Duration, do func()) { heap.Push(&p.queue, event{p.now + d, do}) }
+func (sim *simulation) schedule(d time.Duration, do func()) {
+	heap.Push(&sim.queue, scheduledCall{sim.now + d, do})
+}
 
-func (p *simulation) exp(mean time.Duration) time.Duration {
-	return time.Duration(p.rnd.ExpFloat64() * float64(mean))
+func (sim *simulation) randomDuration(mean time.Duration) time.Duration {
+	return time.Duration(sim.rnd.ExpFloat64() * float64(mean))
 }
 
-func (p *simulation) run() {
-	for len(p.queue) > 0 {
-		e := heap.Pop(&p.queue).(event)
-		if e.at > simulatedTime {
+func (sim *simulation) run() {
+	for len(sim.queue) > 0 {
+		call := heap.Pop(&sim.queue).(scheduledCall)
+		if call.at > simulatedDuration {
 			return
 		}
-		p.now = e.at
-		e.do()
+		sim.now = call.at
+		call.do()
 	}
 }
 
-func (p *simulation) start(slot int) {
-	p.nextIncarnation++
-	p.upstreams[slot] = &simUpstream{incarnation: p.nextIncarnation, running: make(map[uint64]*simRun), up: true}
+func (sim *simulation) start(slot int) {
+	sim.nextIncarnation++
+	sim.upstreams[slot] = &simUpstream{incarnation: sim.nextIncarnation, running: make(map[uint64]*simRequest), up: true}
 }
 
-func (p *simulation) arrive() {
-	p.after(p.exp(time.Second/soundRate), p.arrive)
-	p.soundRequests++
-	p.next++
-	id := p.next << 8
-	if p.rnd.Float64() < p.scenario.popularFraction {
+func (sim *simulation) arriveSound() {
+	sim.schedule(sim.randomDuration(time.Second/soundRate), sim.arriveSound)
+	sim.soundRequests++
+	sim.nextKey++
+	id := sim.nextKey << 8
+	if sim.rnd.Float64() < sim.scenario.popularFraction {
 		id = popularID
 	}
-	p.send(&simRun{id: id})
+	sim.send(&simRequest{id: id})
 }
 
 // send sends a sound request to a random upstream, if that is up.
-func (p *simulation) send(r *simRun) {
+func (sim *simulation) send(r *simRequest) {
 	r.sends++
-	u := p.upstreams[p.rnd.IntN(slots)]
+	u := sim.upstreams[sim.rnd.IntN(slots)]
 	if !u.up || r.sends > maxSends {
 		return
 	}
-	r.started = p.now
-	p.next++
-	key := p.next
+	r.started = sim.now
+	sim.nextKey++
+	key := sim.nextKey
 	u.running[key] = r
-	p.after(p.exp(soundMeanDuration), func() {
+	sim.schedule(sim.randomDuration(soundMeanDuration), func() {
 		if u.running[key] == r {
 			delete(u.running, key)
 			id := digest(r.id)
-			p.after(p.reportDelay(), func() { p.tracker.RecordSurvival(id, p.now) })
+			sim.schedule(sim.reportDelay(), func() { sim.tracker.RecordSurvival(id, sim.now) })
 		}
 	})
 }
 
 // reportDelay returns the time until the tracker receives a host's observation.
-func (p *simulation) reportDelay() time.Duration {
-	return time.Duration(p.rnd.Int64N(int64(maxReportDelay)))
+func (sim *simulation) reportDelay() time.Duration {
+	return time.Duration(sim.rnd.Int64N(int64(maxReportDelay)))
 }
 
-func (p *simulation) arrivePoison() {
-	p.after(p.exp(p.scenario.poisonInterval), p.arrivePoison)
-	p.sendPoison(1)
+func (sim *simulation) arrivePoison() {
+	sim.schedule(sim.randomDuration(sim.scenario.poisonInterval), sim.arrivePoison)
+	sim.sendPoison(1)
 }
 
-func (p *simulation) sendPoison(sends int) {
-	if p.foundAt >= 0 && p.now > p.foundAt+maxReportDelay {
+func (sim *simulation) sendPoison(sends int) {
+	if sim.foundAt >= 0 && sim.now > sim.foundAt+maxReportDelay {
 		return
 	}
-	slot := p.rnd.IntN(slots)
-	u := p.upstreams[slot]
+	slot := sim.rnd.IntN(slots)
+	u := sim.upstreams[slot]
 	if !u.up {
 		return
 	}
-	p.poisonSends = append(p.poisonSends, p.now)
-	p.next++
-	u.running[p.next] = &simRun{id: poisonID, started: p.now}
-	p.after(crashDelay, func() {
+	sim.poisonSends = append(sim.poisonSends, sim.now)
+	sim.nextKey++
+	u.running[sim.nextKey] = &simRequest{id: poisonID, started: sim.now}
+	sim.schedule(crashDelay, func() {
 		if !u.up {
 			return
 		}
-		p.terminations = append(p.terminations, p.now)
-		p.terminate(slot, restartDelay)
+		sim.terminations = append(sim.terminations, sim.now)
+		sim.terminate(slot, restartDelay)
 		if sends < 3 {
-			p.after(5*time.Millisecond, func() { p.sendPoison(sends + 1) })
+			sim.schedule(5*time.Millisecond, func() { sim.sendPoison(sends + 1) })
 		}
 	})
 }
 
 // terminate terminates an upstream with all requests that it runs.
-func (p *simulation) terminate(slot int, downtime time.Duration) {
-	u := p.upstreams[slot]
+func (sim *simulation) terminate(slot int, downtime time.Duration) {
+	u := sim.upstreams[slot]
 	if !u.up {
 		return
 	}
 	u.up = false
-	terminatedAt := p.now
+	terminatedAt := sim.now
 	reportDelays := make([]time.Duration, hosts)
 	for i := range reportDelays {
-		reportDelays[i] = p.reportDelay()
+		reportDelays[i] = sim.reportDelay()
 	}
 	for _, key := range slices.Sorted(maps.Keys(u.running)) { // in an order that depends on the seed only
 		r := u.running[key]
 		loss := Loss{Digest: digest(r.id), Incarnation: u.incarnation, At: terminatedAt, Ran: terminatedAt - r.started}
-		p.after(reportDelays[key%hosts], func() { p.tracker.RecordLoss(loss) })
+		sim.schedule(reportDelays[key%hosts], func() { sim.tracker.RecordLoss(loss) })
 		if r.id != poisonID {
-			p.after(5*time.Millisecond, func() { p.send(r) })
+			sim.schedule(5*time.Millisecond, func() { sim.send(r) })
 		}
 	}
 	u.running = nil
-	p.after(downtime, func() { p.start(slot) })
+	sim.schedule(downtime, func() { sim.start(slot) })
 }
 
-func (p *simulation) kill() {
-	p.after(p.scenario.killInterval, p.kill)
-	for i := range p.upstreams {
-		if p.rnd.Float64() < p.scenario.killedFraction {
-			p.terminate(i, p.scenario.downtime)
+func (sim *simulation) kill() {
+	sim.schedule(sim.scenario.killInterval, sim.kill)
+	for i := range sim.upstreams {
+		if sim.rnd.Float64() < sim.scenario.killedFraction {
+			sim.terminate(i, sim.scenario.downtime)
 		}
 	}
 }
 
-func (p *simulation) evaluate() {
-	p.after(evaluationInterval, p.evaluate)
-	for _, f := range p.tracker.FindPoisonRequests(p.now) {
-		if f.Digest == p.poison {
-			p.foundAt = p.now
+func (sim *simulation) evaluate() {
+	sim.schedule(evaluationInterval, sim.evaluate)
+	for _, f := range sim.tracker.FindPoisonRequests(sim.now) {
+		if f.Digest == sim.poison {
+			sim.foundAt = sim.now
 		} else {
-			p.falsePositives++
+			sim.falsePositives++
 		}
 	}
 }
 
 // lateSends returns how often the poison request was sent later than permitted.
-func (p *simulation) lateSends() int {
-	if len(p.terminations) < 3 {
+func (sim *simulation) lateSends() int {
+	if len(sim.terminations) < 3 {
 		return 0
 	}
 	n := 0
-	for _, at := range p.poisonSends {
-		if at > p.terminations[2]+permittedDelay {
+	for _, at := range sim.poisonSends {
+		if at > sim.terminations[2]+permittedDelay {
 			n++
 		}
 	}
@@ -278,16 +280,16 @@
 			is := is.New(t)
 			soundRequests, falsePositives, lateSends, terminations, slowest := 0, 0, 0, 0, time.Duration(0)
 			for seed := range uint64(seeds) {
-				p := newSimulation(seed, s)
-				p.run()
-				soundRequests += p.soundRequests
-				falsePositives += p.falsePositives
-				lateSends = max(lateSends, p.lateSends())
-				terminations = max(terminations, len(p.terminations))
-				if len(p.terminations) >= 3 && p.foundAt >= 0 {
-					slowest = max(slowest, p.foundAt-p.terminations[2])
+				sim := newSimulation(seed, s)
+				sim.run()
+				soundRequests += sim.soundRequests
+				falsePositives += sim.falsePositives
+				lateSends = max(lateSends, sim.lateSends())
+				terminations = max(terminations, len(sim.terminations))
+				if len(sim.terminations) >= 3 && sim.foundAt >= 0 {
+					slowest = max(slowest, sim.foundAt-sim.terminations[2])
 				}
-				is.True(p.foundAt >= 0 || len(p.terminations) < minEventsAnyShare+1) // it is found if it keeps arriving
+				is.True(sim.foundAt >= 0 || len(sim.terminations) < minEventsAnyShare+1) // it is found if it keeps arriving
 			}
 			t.Logf("%d sound requests, %d of them with a verdict; at most %d terminations, found %v after the third, %d sends later than permitted",
 				soundRequests, falsePositives, terminations, slowest, lateSends)
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -54,12 +54,12 @@
 	survivalRetention = time.Minute
 
 	// The bounds keep memory at a few MB at most, however many distinct bodies callers send.
-	maxSingles     = 4096 // requests with one loss
-	maxSuspects    = 512  // requests with several losses
-	maxLosses      = 8    // losses of one request
-	maxTerminated  = 512  // terminated upstreams
-	maxPerUpstream = 256  // requests at one upstream that were lost at no other one
-	maxSurvivals   = 4096 // answered requests
+	maxLostOnce           = 4096 // requests with one loss
+	maxLostRepeatedly     = 512  // requests with several losses
+	maxLosses             = 8    // losses of one request
+	maxTerminated         = 512  // terminated upstreams
+	maxDigestsPerUpstream = 256  // requests at one upstream that were lost at no other one
+	maxSurvivals          = 4096 // answered requests
 )
 
 // Incarnation identifies one incarnation of an upstream.
@@ -81,10 +81,10 @@
 type Tracker struct {
 	mu sync.Mutex
 	// singles holds the requests with one loss, suspects those with several.
-	singles    *simplelru.LRU[Digest, *lossHistory]
-	suspects   map[Digest]*lossHistory
-	terminated *simplelru.LRU[Incarnation, *terminatedUpstream]
-	survived   *simplelru.LRU[Digest, time.Duration]
+	lostOnce       *simplelru.LRU[Digest, *lossHistory]
+	lostRepeatedly map[Digest]*lossHistory
+	terminated     *simplelru.LRU[Incarnation, *terminatedUpstream]
+	survivedAt     *simplelru.LRU[Digest, time.Duration]
 	// withVerdict holds the requests that have a verdict.
 	withVerdict map[Digest]bool
 }
@@ -106,11 +106,11 @@
 // NewTracker returns an empty tracker.
 func NewTracker() *Tracker {
 	return &Tracker{
-		singles:     newLRU[Digest, *lossHistory](maxSingles),
-		suspects:    make(map[Digest]*lossHistory),
-		terminated:  newLRU[Incarnation, *terminatedUpstream](maxTerminated),
-		survived:    newLRU[Digest, time.Duration](maxSurvivals),
-		withVerdict: make(map[Digest]bool),
+		lostOnce:       newLRU[Digest, *lossHistory](maxLostOnce),
+		lostRepeatedly: make(map[Digest]*lossHistory),
+		terminated:     newLRU[Incarnation, *terminatedUpstream](maxTerminated),
+		survivedAt:     newLRU[Digest, time.Duration](maxSurvivals),
+		withVerdict:    make(map[Digest]bool),
 	}
 }
 
@@ -127,8 +127,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	l.Incarnation = t.resolveIncarnation(l)
-	upstream := t.upstreamOf(l)
-	if slices.Contains(upstream.digests, l.Digest) || len(upstream.digests) >= maxPerUpstream && !t.tracked(l.Digest) {
+	upstream := t.getOrAddUpstream(l)
+	if slices.Contains(upstream.digests, l.Digest) || len(upstream.digests) >= maxDigestsPerUpstream && !t.isTracked(l.Digest) {
 		return false
 	}
 	upstream.digests = append(upstream.digests, l.Digest)
@@ -136,13 +136,13 @@
 		upstream.explained = true
 		return true
 	}
-	t.add(l)
+	t.addToHistory(l)
 	return true
 }
 
 // tracked reports whether the request has losses or a verdict. The lock must be held.
-func (t *Tracker) tracked(d Digest) bool {
-	return t.withVerdict[d] || t.suspects[d] != nil || t.singles.Contains(d)
+func (t *Tracker) isTracked(d Digest) bool {
+	return t.withVerdict[d] || t.lostRepeatedly[d] != nil || t.lostOnce.Contains(d)
 }
 
 // sameTerminationWindow is the time within which two terminations under one name are the same
@@ -153,23 +153,23 @@
 // derived from that for each earlier termination under the name. The lock must be held.
 func (t *Tracker) resolveIncarnation(l Loss) Incarnation {
 	const maxTerminations = 64 // of one name, within lossRetention
-	name := l.Incarnation
+	incarnation := l.Incarnation
 	for range maxTerminations {
-		recorded, ok := t.terminated.Peek(name)
+		recorded, ok := t.terminated.Peek(incarnation)
 		if !ok || l.At-recorded.at < sameTerminationWindow {
 			break
 		}
-		name = name.next()
+		incarnation = incarnation.successor()
 	}
-	return name
+	return incarnation
 }
 
 // next returns the name of the incarnation after this one. FNV's prime spreads the names.
-func (l Incarnation) next() Incarnation { return l*16777619 + 1 }
+func (i Incarnation) successor() Incarnation { return i*16777619 + 1 }
 
 // upstreamOf returns the record of the loss's upstream, and adds it if there is none. The lock must
 // be held.
-func (t *Tracker) upstreamOf(l Loss) *terminatedUpstream {
+func (t *Tracker) getOrAddUpstream(l Loss) *terminatedUpstream {
 	upstream, ok := t.terminated.Get(l.Incarnation)
 	if !ok {
 		upstream = &terminatedUpstream{at: l.At}
@@ -180,22 +180,22 @@
 }
 
 // add adds the loss to the request's history. The lock must be held.
-func (t *Tracker) add(l Loss) {
-	if h := t.suspects[l.Digest]; h != nil {
+func (t *Tracker) addToHistory(l Loss) {
+	if h := t.lostRepeatedly[l.Digest]; h != nil {
 		if len(h.losses) < maxLosses {
 			h.losses = append(h.losses, l)
 		}
 		return
 	}
-	h, ok := t.singles.Get(l.Digest)
+	h, ok := t.lostOnce.Get(l.Digest)
 	if !ok {
-		t.singles.Add(l.Digest, &lossHistory{losses: []Loss{l}})
+		t.lostOnce.Add(l.Digest, &lossHistory{losses: []Loss{l}})
 		return
 	}
-	t.singles.Remove(l.Digest)
+	t.lostOnce.Remove(l.Digest)
 	h.losses = append(h.losses, l)
-	t.suspects[l.Digest] = h
-	if len(t.suspects) > maxSuspects {
+	t.lostRepeatedly[l.Digest] = h
+	if len(t.lostRepeatedly) > maxLostRepeatedly {
 		t.dropOldest()
 	}
 }
@@ -204,24 +204,24 @@
 func (t *Tracker) dropOldest() {
 	var oldest Digest
 	first := true
-	for d, h := range t.suspects {
-		if first || h.last() < t.suspects[oldest].last() {
+	for d, h := range t.lostRepeatedly {
+		if first || h.lastLossAt() < t.lostRepeatedly[oldest].lastLossAt() {
 			oldest, first = d, false
 		}
 	}
-	delete(t.suspects, oldest)
+	delete(t.lostRepeatedly, oldest)
 }
 
-func (h *lossHistory) last() time.Duration { return h.losses[len(h.losses)-1].At }
+func (h *lossHistory) lastLossAt() time.Duration { return h.losses[len(h.losses)-1].At }
 
 // RecordSurvival records that a request was answered: an upstream completed it and didn't
 // terminate. It reports whether the request had losses.
 func (t *Tracker) RecordSurvival(d Digest, now time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.survived.Add(d, now)
-	hadLosses := t.singles.Remove(d) || t.suspects[d] != nil
-	delete(t.suspects, d)
+	t.survivedAt.Add(d, now)
+	hadLosses := t.lostOnce.Remove(d) || t.lostRepeatedly[d] != nil
+	delete(t.lostRepeatedly, d)
 	return hadLosses
 }
 
@@ -234,7 +234,7 @@
 func (t *Tracker) SurvivedSince(d Digest, since time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	at, ok := t.survived.Peek(d)
+	at, ok := t.survivedAt.Peek(d)
 	return ok && at >= since
 }
 
@@ -248,8 +248,8 @@
 
 func (t *Tracker) setVerdict(d Digest) {
 	t.withVerdict[d] = true
-	t.singles.Remove(d)
-	delete(t.suspects, d)
+	t.lostOnce.Remove(d)
+	delete(t.lostRepeatedly, d)
 	for _, upstream := range t.terminated.Values() {
 		if slices.Contains(upstream.digests, d) {
 			upstream.explained = true
@@ -262,8 +262,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.withVerdict, d)
-	t.singles.Remove(d)
-	delete(t.suspects, d)
+	t.lostOnce.Remove(d)
+	delete(t.lostRepeatedly, d)
 }
 
 // Explained reports whether a request with a verdict ran at the upstream when it last
@@ -272,8 +272,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	explained := false
-	for e, ok := t.terminated.Peek(i); ok; e, ok = t.terminated.Peek(i) {
-		explained, i = e.explained, i.next()
+	for upstream, ok := t.terminated.Peek(i); ok; upstream, ok = t.terminated.Peek(i) {
+		explained, i = upstream.explained, i.successor()
 	}
 	return explained
 }
@@ -282,7 +282,7 @@
 func (t *Tracker) MarkExplained(i Incarnation, at time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.upstreamOf(Loss{Incarnation: t.resolveIncarnation(Loss{Incarnation: i, At: at}), At: at}).explained = true
+	t.getOrAddUpstream(Loss{Incarnation: t.resolveIncarnation(Loss{Incarnation: i, At: at}), At: at}).explained = true
 }
 
 // Events returns the number of unexplained events in which upstreams terminated with the
@@ -290,9 +290,9 @@
 func (t *Tracker) Events(d Digest, now time.Duration) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	h := t.suspects[d]
+	h := t.lostRepeatedly[d]
 	if h == nil {
-		h, _ = t.singles.Peek(d)
+		h, _ = t.lostOnce.Peek(d)
 	}
 	if h == nil {
 		return 0
@@ -302,9 +302,9 @@
 
 // unexplainedLosses returns a request's losses that count against it, in order of time. The lock
 // must be held.
-func (t *Tracker) unexplainedLosses(h *lossHistory, now time.Duration) []timedLoss {
+func (t *Tracker) unexplainedLosses(history *lossHistory, now time.Duration) []timedLoss {
 	var list []timedLoss
-	for _, l := range h.losses {
+	for _, l := range history.losses {
 		upstream, ok := t.terminated.Peek(l.Incarnation)
 		if !ok || upstream.explained || now-upstream.at > lossRetention {
 			continue
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -34,7 +34,7 @@
 	is.Equal(tr.FindPoisonRequests(800*ms), nil) // other hosts may still report more
 	f := tr.FindPoisonRequests(800*ms + SettleDelay)
 	is.Equal(len(f), 1)
-	is.Equal(f[0], Finding{Digest: digest(1), Events: 3, Upstreams: 3, Lost: 3})
+	is.Equal(f[0], Finding{Digest: digest(1), Events: 3, Upstreams: 3, UnexplainedTerminations: 3})
 	for upstream := Incarnation(1); upstream <= 3; upstream++ {
 		is.True(tr.Explained(upstream))
 	}
@@ -84,7 +84,7 @@
 // A request that terminates upstreams immediately and is retried terminates three within
 // milliseconds: each of its runs began after the previous termination. A request that had run
 // before at upstreams killed at the same time has only one event.
-func TestRunsThatBeganAfterTheEndBeforeAreEvents(t *testing.T) {
+func TestRunsBegunAfterATerminationAreSeparateEvents(t *testing.T) {
 	is := is.New(t)
 	tr := NewTracker()
 	for i := range 3 {
@@ -105,7 +105,7 @@
 	tr := NewTracker()
 	loseAll(tr, 1, 0, 1)
 	loseAll(tr, 2, 500*ms, 1)
-	is.Equal(tr.Suspects(500*ms, time.Second, 10), []Suspect{{Digest: digest(1), Events: 2, First: 0}})
+	is.Equal(tr.Suspects(500*ms, time.Second, 10), []Suspect{{Digest: digest(1), Events: 2, FirstAt: 0}})
 	is.True(tr.RecordSurvival(digest(1), 600*ms))
 	is.True(!tr.RecordSurvival(digest(1), 600*ms)) // it has no losses left
 	is.True(tr.SurvivedSince(digest(1), 600*ms))
@@ -162,12 +162,12 @@
 		}
 		tr.RecordSurvival(digest(next+1_000_000), at)
 	}
-	is.True(tr.singles.Len() <= maxSingles)
-	is.True(len(tr.suspects) <= maxSuspects)
+	is.True(tr.lostOnce.Len() <= maxLostOnce)
+	is.True(len(tr.lostRepeatedly) <= maxLostRepeatedly)
 	is.True(tr.terminated.Len() <= maxTerminated)
-	is.True(tr.survived.Len() <= maxSurvivals)
+	is.True(tr.survivedAt.Len() <= maxSurvivals)
 	for _, upstream := range tr.terminated.Values() {
-		is.True(len(upstream.digests) <= maxPerUpstream+maxSuspects)
+		is.True(len(upstream.digests) <= maxDigestsPerUpstream+maxLostRepeatedly)
 	}
 	is.Equal(len(tr.FindPoisonRequests(2*time.Minute)), 1)
 }
@@ -188,7 +188,7 @@
 }
 
 // When a verdict is lifted, the request's losses are dropped, too.
-func TestClear(t *testing.T) {
+func TestClearVerdict(t *testing.T) {
 	is := is.New(t)
 	tr := NewTracker()
 	tr.SetVerdict(digest(1))
