--- a/quarantine/digest.go
+++ b/quarantine/digest.go
@@ -12,7 +12,7 @@
 // part of the content, so that nobody can craft a request with the digest of another account's.
 type Digest [16]byte
 
-// Content holds what makes two requests the same one.
+// Content holds what identifies a request: requests with equal contents count as the same one.
 type Content struct {
 	// Host, Method and Target are as sent by the caller.
 	Host   string
--- a/quarantine/evaluate.go
+++ b/quarantine/evaluate.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Suspect is a request with which upstreams terminated more than once.
+// Suspect is a request with which upstreams terminated in more than one event.
 type Suspect struct {
 	Digest Digest
-	// Events is the number of events in which they did, First the time of the first.
+	// Events is the number of these events, FirstAt the time of the first.
 	Events  int
 	FirstAt time.Duration
 }
 
-// MeetsThreshold reports whether the suspect has as many events as a verdict needs at least.
+// MeetsThreshold reports whether the suspect has the minimum number of events for a verdict.
 func (s Suspect) MeetsThreshold() bool { return s.Events >= minVerdictEvents }
 
-// Suspects returns at most the given number of suspects whose last loss is within the duration,
-// those with the most events first.
+// Suspects returns the suspects whose last loss is no older than maxAge, those with the most
+// events first, and at most limit of them.
 func (t *Tracker) Suspects(now, maxAge time.Duration, limit int) []Suspect {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -44,16 +44,19 @@
 type Finding struct {
 	Digest Digest
 	// Events is the number of events for which the request is the only likely cause, Upstreams
-	// the number of upstreams that terminated with it, and Lost the number of all that
-	// terminated from the first to the last of those.
+	// the number of upstreams that terminated with it. UnexplainedTerminations is the number of
+	// all upstreams that terminated, for no known cause, between the first and the last of
+	// those.
 	Events, Upstreams, UnexplainedTerminations int
 }
 
-// FindPoisonRequests returns the requests found to terminate upstreams, and records verdicts on them.
+// FindPoisonRequests returns the requests found to terminate upstreams, and records verdicts on
+// them.
 //
 // Of the requests lost with an upstream, only the one with the most events counts as the cause:
-// a poison request was in each of its losses, the sound ones next to it in some. If two have
-// equally many, neither counts until another termination tells them apart.
+// a poison request ran at each upstream that it terminated, and each sound request at only some
+// of these. If two requests have equally many events, neither counts as the cause until another
+// termination tells them apart.
 func (t *Tracker) FindPoisonRequests(now time.Duration) []Finding {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -71,7 +74,8 @@
 	return findings
 }
 
-// evaluate reports whether the request is found to terminate upstreams. The lock must be held.
+// evaluate reports whether the request is found to terminate upstreams, and returns the
+// evidence. The lock must be held.
 func (t *Tracker) evaluate(d Digest, history *lossHistory, now time.Duration) (Finding, bool) {
 	losses := t.unexplainedLosses(history, now)
 	if len(eventTimes(losses)) < minVerdictEvents {
@@ -86,7 +90,8 @@
 	return f, len(leading) >= required && now-leading[required-1] >= SettleDelay
 }
 
-// requiredEvents returns the number of events that a verdict needs.
+// requiredEvents returns the minimum number of events for a verdict, which depends on the
+// request's share of all unexplained terminations.
 func (f *Finding) requiredEvents() int {
 	switch share := float64(f.Upstreams) / float64(max(1, f.UnexplainedTerminations)); {
 	case share >= highShare:
@@ -98,8 +103,8 @@
 	}
 }
 
-// leadingLosses returns, in order of time, the request's losses in which no other request has as
-// many events. The lock must be held.
+// leadingLosses returns, in order of time, the request's losses in which no other request lost
+// with the same upstream has as many events. The lock must be held.
 func (t *Tracker) leadingLosses(d Digest, history *lossHistory, now time.Duration) []timedLoss {
 	events := len(eventTimes(t.unexplainedLosses(history, now)))
 	var list []timedLoss
@@ -119,7 +124,7 @@
 	return list
 }
 
-// unexplainedBetween returns the number of upstreams that terminated between the times without a
+// countUnexplained returns the number of upstreams that terminated between the times, for no
 // known cause. The lock must be held.
 func (t *Tracker) countUnexplained(first, last time.Duration) int {
 	n := 0
@@ -131,7 +136,8 @@
 	return n
 }
 
-// dropStale drops suspects whose last loss is older than lossRetention. The lock must be held.
+// dropStale drops the requests with several losses whose last loss is older than lossRetention.
+// The lock must be held.
 func (t *Tracker) dropStale(now time.Duration) {
 	for d, h := range t.lostRepeatedly {
 		if now-h.lastLossAt() > lossRetention {
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -10,47 +10,50 @@
 )
 
 const (
-	// EventWindow is the time within which terminations of upstreams count as one event. A rack,
-	// or a third of a service, that is lost at once terminates many copies of a popular request
-	// at the same time, which is no stronger evidence than one termination. Hosts detect the end
-	// of a process within some milliseconds, and the earliest report counts. A run that began
-	// after the previous termination is a separate event in any case: a request that terminates
-	// upstreams immediately, and is retried, terminates three within milliseconds.
+	// EventWindow is the time within which terminations of upstreams count as one event. If a
+	// rack or a third of a service fails at once, many copies of a popular request are lost at
+	// the same time, which is no stronger evidence than one termination. Hosts detect the end of
+	// a process within a few milliseconds, and the earliest report counts. A loss in a run that
+	// began after the previous termination is a separate event in any case: a request that
+	// terminates upstreams immediately, and is retried, terminates three within milliseconds.
 	EventWindow = 50 * time.Millisecond
-	// maxClockError is the maximum difference between the times that hosts report: times are
-	// sent as ages in milliseconds, and the transit of the message adds to them.
+	// maxClockError is the maximum difference between the times that hosts report for the same
+	// moment: times are sent as ages in milliseconds, to which the message's time in transit
+	// adds an error.
 	maxClockError = 5 * time.Millisecond
-	// SettleDelay is the time between the event that completes the evidence against a request and the
-	// verdict. In that time hosts report, over two hubs, what else ran at the terminated
-	// upstreams and which suspects they saw answered. Operators require a verdict within 3 s in
+	// SettleDelay is the time between the last event that a verdict needs and the verdict. In
+	// that time hosts report, over two hubs, which other requests ran at the terminated
+	// upstreams and which suspects were answered. Operators require a verdict within 3 s in
 	// total.
 	SettleDelay = 750 * time.Millisecond
 
-	// minSuspectEvents is the number of events from which a request is a suspect. Each request
-	// that ran at a terminated upstream has one.
+	// minSuspectEvents is the minimum number of events of a suspect. One event isn't enough,
+	// since each request that ran at a terminated upstream has one.
 	minSuspectEvents = 2
-	// minVerdictEvents is the number of events for a verdict, unless another request of the same
-	// losses has as many; operators specify three. The request must have run at highShare of the
-	// upstreams that terminated between its first and last loss.
+	// minVerdictEvents is the minimum number of events for a verdict; operators specify three.
+	// Only events count in which no other request lost with the same upstream has as many. The
+	// request must have run at no less than the fraction highShare of the upstreams that
+	// terminated between its first and last loss.
 	minVerdictEvents = 3
 	highShare        = 0.75
-	// minEventsMediumShare and mediumShare are the same for a request while upstreams also
-	// terminate for other reasons: a sound request runs at few of those. Two poison requests at
-	// the same time have a share of half each.
+	// minEventsMediumShare is the minimum number of events if the request ran at a smaller
+	// fraction of those upstreams, but no less than mediumShare. The fraction is smaller while
+	// upstreams also terminate for other reasons; a sound request runs at few of those. Two
+	// poison requests at the same time have a share of half each.
 	minEventsMediumShare = 4
 	mediumShare          = 0.5
-	// minEventsAnyShare is the number of events for a verdict whatever the share. A sound
-	// request is sent six times at most, including its caller's retry, and is rarely interrupted
-	// in five events.
+	// minEventsAnyShare is the minimum number of events for a verdict whatever the share. A
+	// sound request is sent six times at most, including its caller's retry, and rarely has
+	// five events.
 	minEventsAnyShare = 5
 
-	// lossRetention is how long losses count. A poison request that is sent more rarely isn't
-	// found.
+	// lossRetention is the age up to which a loss counts. A poison request whose losses are
+	// further apart isn't found.
 	lossRetention = 10 * time.Minute
-	// survivalRetention is how long a request that was answered needs minEventsAnyShare events
-	// for a verdict: popular requests run at many upstreams at any time, of which some
-	// terminate. A request that one version answered may still terminate the upstreams of the
-	// next.
+	// survivalRetention is the time after an answer in which the request needs
+	// minEventsAnyShare events for a verdict: popular requests run at many upstreams at any
+	// time, and some of these terminate for other reasons. An older answer doesn't count, since
+	// a request that one version answered may terminate the upstreams of the next.
 	survivalRetention = time.Minute
 
 	// The bounds keep memory at a few MB at most, however many distinct bodies callers send.
@@ -58,19 +61,19 @@
 	maxLostRepeatedly     = 512  // requests with several losses
 	maxLosses             = 8    // losses of one request
 	maxTerminated         = 512  // terminated upstreams
-	maxDigestsPerUpstream = 256  // requests at one upstream that were lost at no other one
+	maxDigestsPerUpstream = 256  // requests lost with one upstream, not counting those tracked before
 	maxSurvivals          = 4096 // answered requests
 )
 
-// Incarnation identifies one incarnation of an upstream.
+// Incarnation identifies one incarnation of an upstream, by a hash of its name.
 type Incarnation uint32
 
 // Loss says that a request may have been running at an upstream when it terminated.
 type Loss struct {
 	Digest      Digest
 	Incarnation Incarnation
-	// At is when the upstream terminated, on a monotonic clock of the caller that includes
-	// suspensions.
+	// At is when the upstream terminated, on the caller's monotonic clock, which goes on while
+	// the machine is suspended.
 	At time.Duration
 	// Ran is how long the request had been at the upstream by then.
 	Ran time.Duration
@@ -80,7 +83,8 @@
 // times are readings of one monotonic clock.
 type Tracker struct {
 	mu sync.Mutex
-	// singles holds the requests with one loss, suspects those with several.
+	// lostOnce holds the requests with one loss, lostRepeatedly those with several, survivedAt
+	// the time of the last answer to each request.
 	lostOnce       *simplelru.LRU[Digest, *lossHistory]
 	lostRepeatedly map[Digest]*lossHistory
 	terminated     *simplelru.LRU[Incarnation, *terminatedUpstream]
@@ -94,12 +98,13 @@
 	losses []Loss
 }
 
-// terminatedUpstream is an incarnation of an upstream that terminated.
+// terminatedUpstream is an incarnation of an upstream that terminated, with the digests of the
+// requests that were lost with it.
 type terminatedUpstream struct {
 	at      time.Duration
 	digests []Digest
-	// explained says that a request with a verdict ran at the upstream: the termination doesn't
-	// count against the other requests.
+	// explained says that a request with a verdict ran at the upstream. The termination then
+	// doesn't count against the other requests.
 	explained bool
 }
 
@@ -122,7 +127,7 @@
 	return lru
 }
 
-// RecordLoss adds a loss. It reports whether the loss was new.
+// RecordLoss adds a loss. It reports whether the loss was new and there was room for it.
 func (t *Tracker) RecordLoss(l Loss) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -145,12 +150,14 @@
 	return t.withVerdict[d] || t.lostRepeatedly[d] != nil || t.lostOnce.Contains(d)
 }
 
-// sameTerminationWindow is the time within which two terminations under one name are the same
-// one. If upstreams keep their names when they restart, nothing else tells these apart.
+// sameTerminationWindow is the time within which two reported terminations under one name are
+// the same termination. If upstreams keep their names when they restart, nothing else
+// distinguishes one termination from the next.
 const sameTerminationWindow = time.Second
 
-// resolveIncarnation returns the incarnation of the loss: the one that the loss names, or one
-// derived from that for each earlier termination under the name. The lock must be held.
+// resolveIncarnation returns the incarnation under which the loss is recorded. It is the one
+// that the loss names, unless an upstream terminated under that name before: then it is its
+// successor, or the next one that is free. The lock must be held.
 func (t *Tracker) resolveIncarnation(l Loss) Incarnation {
 	const maxTerminations = 64 // of one name, within lossRetention
 	incarnation := l.Incarnation
@@ -164,7 +171,8 @@
 	return incarnation
 }
 
-// next returns the name of the incarnation after this one. FNV's prime spreads the names.
+// successor returns the identifier of the next incarnation under the same name. The factor,
+// FNV's prime, spreads the identifiers.
 func (i Incarnation) successor() Incarnation { return i*16777619 + 1 }
 
 // upstreamOf returns the record of the loss's upstream, and adds it if there is none. The lock must
@@ -200,7 +208,8 @@
 	}
 }
 
-// dropOldest drops the suspect whose last loss is the oldest. The lock must be held.
+// dropOldest drops, of the requests with several losses, the one whose last loss is the oldest.
+// The lock must be held.
 func (t *Tracker) dropOldest() {
 	var oldest Digest
 	first := true
@@ -214,8 +223,8 @@
 
 func (h *lossHistory) lastLossAt() time.Duration { return h.losses[len(h.losses)-1].At }
 
-// RecordSurvival records that a request was answered: an upstream completed it and didn't
-// terminate. It reports whether the request had losses.
+// RecordSurvival records that a request was answered, because an upstream completed it and
+// didn't terminate, and drops its losses. It reports whether it had any.
 func (t *Tracker) RecordSurvival(d Digest, now time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -300,7 +309,8 @@
 	return len(eventTimes(t.unexplainedLosses(h, now)))
 }
 
-// unexplainedLosses returns a request's losses that count against it, in order of time. The lock
+// unexplainedLosses returns, in order of time, the losses that count against a request: those
+// that are no older than lossRetention and that no request with a verdict explains. The lock
 // must be held.
 func (t *Tracker) unexplainedLosses(history *lossHistory, now time.Duration) []timedLoss {
 	var list []timedLoss
@@ -309,13 +319,13 @@
 		if !ok || upstream.explained || now-upstream.at > lossRetention {
 			continue
 		}
-		list = append(list, timedLoss{at: upstream.at, ran: l.Ran}) // the earliest reported time
+		list = append(list, timedLoss{at: upstream.at, ran: l.Ran}) // upstream.at is the earliest reported time
 	}
 	sortLosses(list)
 	return list
 }
 
-// timedLoss is when an upstream terminated with a request, and how long the request had been
+// timedLoss holds when an upstream terminated with a request, and how long the request had been
 // there.
 type timedLoss struct{ at, ran time.Duration }
 
@@ -323,8 +333,8 @@
 	slices.SortFunc(list, func(a, b timedLoss) int { return cmp.Compare(a.at, b.at) })
 }
 
-// eventTimes groups losses, in order of time, into events and returns the time of the first loss
-// of each.
+// eventTimes groups losses, which must be in order of time, into events. It returns the time of
+// the first loss of each event.
 func eventTimes(list []timedLoss) []time.Duration {
 	var times []time.Duration
 	for i, l := range list {
