--- a/quarantine/register.go
+++ b/quarantine/register.go
@@ -23,15 +23,15 @@
 	trialTimeout = time.Minute
 	// unusedRetention is how long an expired verdict is kept if the request isn't received.
 	unusedRetention = 7 * 24 * time.Hour
-	// MaxVerdicts bounds the number of stored verdicts. Each one took the termination of three
-	// upstreams.
+	// MaxVerdicts bounds the number of stored verdicts. Three upstreams must terminate for each.
 	MaxVerdicts = 1000
 )
 
-// Verdict keeps a request away from upstreams for a time.
+// Verdict keeps a request away from upstreams until the verdict expires.
 type Verdict struct {
 	Digest Digest
-	// By is the host that made the verdict, Events and Upstreams the evidence.
+	// By is the host that made the verdict. Events and Upstreams are the evidence, as in
+	// Finding.
 	By        string
 	Events    int
 	Upstreams int
@@ -39,7 +39,7 @@
 	// hosts share.
 	Judged time.Duration
 	Until  time.Duration
-	// Trials is the number of trials after the verdict's expiry.
+	// Trials is the number of trials so far: sends of the request after the verdict expired.
 	Trials int
 }
 
@@ -51,8 +51,8 @@
 	}
 }
 
-// Trial returns the verdict for the time of a trial: it applies to all hosts but the one that
-// tries the request.
+// ForTrial returns the verdict that is in force during a trial. It applies to all hosts but the
+// one that tries the request.
 func (v Verdict) ForTrial(now time.Duration) Verdict {
 	v.Trials++
 	v.Until = now + trialTimeout
@@ -72,7 +72,8 @@
 // Holds reports whether the verdict is in force at the given time.
 func (v Verdict) InForce(now time.Duration) bool { return now < v.Until }
 
-// Unused reports whether the request wasn't received for long after the verdict's expiry.
+// Unused reports whether the verdict expired more than unusedRetention ago. There was no trial
+// since, so the request wasn't received in that time.
 func (v Verdict) Unused(now time.Duration) bool { return now-v.Until > unusedRetention }
 
 // supersedes reports whether the verdict is later than another one on the same request.
@@ -132,27 +133,28 @@
 	// Revision is the revision of the verdict's row in the store; 0 if the row isn't known to
 	// exist.
 	Revision storage.Revision
-	// Lost says that the store had the row and may have lost it: it has none, or that of an
-	// earlier verdict.
+	// RowMayBeLost says that the store had the verdict's row and may have lost it in a restore
+	// from a backup: it then has no row, or that of an earlier verdict.
 	RowMayBeLost bool
-	// Heard is when the host first received the verdict, on the host's own clock.
+	// ReceivedAt is when the host made or first received the verdict, on the host's own clock.
 	ReceivedAt time.Duration
 }
 
-// Unsaved reports whether the store has no row of the verdict, or that of an earlier one.
+// Unsaved reports whether the store may have no row of the verdict, or that of an earlier one.
 func (e *Entry) Unsaved() bool { return e.Revision == 0 || e.RowMayBeLost }
 
 // Register holds the verdicts that a host has received. It is safe for concurrent use.
 type Register struct {
 	mu      sync.RWMutex
 	entries map[Digest]Entry
-	// lifted maps requests whose verdict's row was removed to the time until which verdicts from
-	// other hosts are ignored, since those may not have received the removal yet.
+	// withdrawn holds the requests whose verdict was withdrawn, with the time until which
+	// verdicts on them from other hosts are ignored: those hosts may not have received the
+	// withdrawal yet.
 	withdrawn map[Digest]time.Duration
 }
 
-// liftedRetention is how long a lifted verdict may still arrive from other hosts. It exceeds the
-// time for which hosts send a verdict.
+// withdrawnRetention is how long a withdrawn verdict may still arrive from other hosts. It
+// exceeds the time for which hosts send a verdict.
 const withdrawnRetention = time.Minute
 
 // NewRegister returns an empty register.
@@ -168,7 +170,8 @@
 	return e, ok
 }
 
-// Add adds a verdict made by this or another host. It reports whether the verdict is new.
+// Add adds a verdict that this host made or received from another one. It reports whether the
+// verdict is new.
 func (r *Register) Add(v Verdict, now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -233,8 +236,8 @@
 	delete(r.entries, first.Digest)
 }
 
-// Lift removes the verdict, after its row was removed from the store. It reports whether there
-// was one.
+// Withdraw removes the verdict, after its row was removed from the store. It reports whether
+// there was one.
 func (r *Register) Withdraw(d Digest, now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
