--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// BenchmarkDigest measures the digest of a request of 40 kB, which is computed before it is
-// sent.
+// BenchmarkDigest measures the computation of the digest of a request with a body of 40 kB,
+// which every request waits for before it is sent.
 func BenchmarkDigest(b *testing.B) {
 	c := Content{Host: "api.example", Method: "POST", Target: "/reports/2f", Account: "acme", Body: make([]byte, 40<<10)}
 	for b.Loop() {
@@ -11,7 +11,7 @@
 	}
 }
 
-// BenchmarkSurvive measures the work for an answered request without losses.
+// BenchmarkRecordSurvival measures the work for an answered request without losses.
 func BenchmarkRecordSurvival(b *testing.B) {
 	t := NewTracker()
 	n := uint64(0)
--- a/quarantine/digest_test.go
+++ b/quarantine/digest_test.go
@@ -6,8 +6,8 @@
 	"github.com/matryer/is"
 )
 
-// Each field of the content distinguishes requests, also where the concatenated bytes are the
-// same.
+// Contents that differ in any field have different digests, also if the bytes of their fields
+// in sequence are the same.
 func TestDigestDistinguishesContents(t *testing.T) {
 	is := is.New(t)
 	base := Content{Host: "h", Method: "POST", Target: "/a", Account: "acme", Body: []byte("body")}
--- a/quarantine/example_test.go
+++ b/quarantine/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/quetzalweir/quetzalweir/quarantine"
 )
 
-// A poison request is lost with three upstreams, each time together with others. One of those
-// ran at two of the upstreams and isn't the cause.
+// A poison request is lost with three upstreams, each time together with sound requests. One of
+// the sound requests, b, ran at two of the upstreams; it isn't the cause and gets no verdict.
 func Example() {
 	name := func(body string) quarantine.Digest {
 		content := quarantine.Content{Method: "POST", Target: "/reports", Account: "acme", Body: []byte(body)}
--- a/quarantine/register_test.go
+++ b/quarantine/register_test.go
@@ -14,8 +14,8 @@
 	return Verdict{Digest: digest(n), By: "host", Events: 3, Upstreams: 4, Judged: time.Second, Until: until}
 }
 
-// A verdict expires, is tried once, and has a longer term after each trial that terminated an
-// upstream.
+// A verdict expires. One host then tries the request, and the term of the renewed verdict is
+// longer after each trial that terminated an upstream, up to maxTerm.
 func TestVerdictTerms(t *testing.T) {
 	is := is.New(t)
 	v := NewVerdict(Finding{Digest: digest(1)}, "host", time.Hour)
@@ -49,15 +49,15 @@
 	}
 }
 
-// The later verdict on a request counts, whatever its source. A lifted verdict isn't accepted
-// from a host that hasn't received the removal yet.
+// Of two verdicts on a request, the later one is kept, whatever its source. A withdrawn verdict
+// isn't accepted from a host that hasn't received the withdrawal yet.
 func TestRegisterKeepsTheLaterVerdict(t *testing.T) {
 	is := is.New(t)
 	r := NewRegister()
 	first := verdict(1, time.Hour)
 	is.True(r.Add(first, 0))
 	is.True(!r.Add(first, time.Second))
-	is.True(!r.ApplyRow(first, 5, 2*time.Second)) // it has the entry already
+	is.True(!r.ApplyRow(first, 5, 2*time.Second)) // the request has an entry already
 	e, ok := r.Get(digest(1))
 	is.True(ok)
 	is.Equal(e.Revision, storage.Revision(5))
@@ -71,7 +71,7 @@
 	is.Equal(r.Len(), 1)
 }
 
-// The register holds MaxVerdicts verdicts, those that expire last.
+// The register holds at most MaxVerdicts verdicts: those that expire last.
 func TestRegisterIsBounded(t *testing.T) {
 	is := is.New(t)
 	r := NewRegister()
@@ -86,8 +86,8 @@
 	is.Equal(len(r.All()), MaxVerdicts)
 }
 
-// A store restored from a backup may lack a verdict's row, or have that of an earlier one: the
-// verdicts in the register remain, marked as unsaved.
+// A store restored from a backup may lack a verdict's row, or have the row of an earlier
+// verdict. The verdicts in the register remain, marked as unsaved.
 func TestRowsOfARestoredStore(t *testing.T) {
 	is := is.New(t)
 	r := NewRegister()
@@ -100,10 +100,10 @@
 	e, ok := r.Get(later.Digest)
 	is.True(ok && e.Unsaved())
 	is.Equal(e.Verdict, later)
-	is.Equal(e.Revision, storage.NewRevision(1, 60)) // the revision that the later verdict replaces
+	is.Equal(e.Revision, storage.NewRevision(1, 60)) // that of the earlier verdict's row, which the later one must replace
 	is.True(!r.ApplyRow(later, storage.NewRevision(1, 61), time.Second))
 	e, _ = r.Get(later.Digest)
 	is.True(!e.Unsaved())
 	e, _ = r.Get(verdict(2, 0).Digest)
-	is.True(e.Unsaved() && e.Revision == 0) // the backup has no row of it
+	is.True(e.Unsaved() && e.Revision == 0) // the restored store has no row of this verdict
 }
--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -11,11 +11,11 @@
 	"github.com/matryer/is"
 )
 
-// These tests simulate a service in virtual time, seeded: hosts that report losses to a tracker
-// with a delay, sound requests that are retried when they are interrupted, and upstreams that
-// are terminated by a poison request or for other reasons.
+// The test in this file simulates a service in virtual time, with a random generator seeded per
+// run: hosts report losses to a tracker with a delay, sound requests are retried when they are
+// interrupted, and upstreams are terminated by a poison request or for other reasons.
 
-// simulation is one run.
+// simulation is one run of the simulated service.
 type simulation struct {
 	rnd      *rand.Rand
 	tracker  *Tracker
@@ -23,15 +23,15 @@
 	queue    callQueue
 	scenario scenario
 
-	upstreams       []*simUpstream // by slot
+	upstreams       []*simUpstream // by slot: a restarted upstream takes the slot of the terminated one
 	nextIncarnation Incarnation
 	nextKey         uint64
 
 	// soundRequests counts the sound requests, falsePositives those of them that got a verdict.
 	soundRequests, falsePositives int
 	poison                        Digest
-	// terminations holds when the poison request terminated upstreams, poisonSends when it was
-	// sent.
+	// terminations holds the times when the poison request terminated upstreams, poisonSends
+	// those when it was sent. foundAt is when it got a verdict; -1 before.
 	terminations, poisonSends []time.Duration
 	foundAt                   time.Duration
 }
@@ -41,8 +41,8 @@
 	name string
 	// poisonInterval is the mean time between arrivals of the poison request; 0 for none.
 	poisonInterval time.Duration
-	// killInterval is the time between kills of a fraction of all upstreams, which stay down for
-	// downtime; 0 for none.
+	// killInterval is the time between kills, 0 for none. Each kill terminates each upstream
+	// with the probability killedFraction, for downtime.
 	killInterval, downtime time.Duration
 	killedFraction         float64
 	// popularFraction is the fraction of sound requests that share one body.
@@ -52,13 +52,13 @@
 type simUpstream struct {
 	incarnation Incarnation
 	running     map[uint64]*simRequest
-	up          bool
+	isUp        bool
 }
 
 type simRequest struct {
-	id      uint64
-	sends   int
-	started time.Duration
+	id        uint64
+	sends     int
+	startedAt time.Duration
 }
 
 type scheduledCall struct {
@@ -83,7 +83,7 @@
 	slots              = 18
 	soundRate          = 150 // a second
 	soundMeanDuration  = 900 * time.Millisecond
-	maxSends           = 6 // three by a host, and three for the caller's retry
+	maxSends           = 6 // three by a host for the request, and three for its caller's retry
 	crashDelay         = 80 * time.Millisecond
 	restartDelay       = 3500 * time.Millisecond
 	maxReportDelay     = 600 * time.Millisecond
@@ -135,7 +135,7 @@
 
 func (sim *simulation) start(slot int) {
 	sim.nextIncarnation++
-	sim.upstreams[slot] = &simUpstream{incarnation: sim.nextIncarnation, running: make(map[uint64]*simRequest), up: true}
+	sim.upstreams[slot] = &simUpstream{incarnation: sim.nextIncarnation, running: make(map[uint64]*simRequest), isUp: true}
 }
 
 func (sim *simulation) arriveSound() {
@@ -153,10 +153,10 @@
 func (sim *simulation) send(r *simRequest) {
 	r.sends++
 	u := sim.upstreams[sim.rnd.IntN(slots)]
-	if !u.up || r.sends > maxSends {
+	if !u.isUp || r.sends > maxSends {
 		return
 	}
-	r.started = sim.now
+	r.startedAt = sim.now
 	sim.nextKey++
 	key := sim.nextKey
 	u.running[key] = r
@@ -185,14 +185,14 @@
 	}
 	slot := sim.rnd.IntN(slots)
 	u := sim.upstreams[slot]
-	if !u.up {
+	if !u.isUp {
 		return
 	}
 	sim.poisonSends = append(sim.poisonSends, sim.now)
 	sim.nextKey++
-	u.running[sim.nextKey] = &simRequest{id: poisonID, started: sim.now}
+	u.running[sim.nextKey] = &simRequest{id: poisonID, startedAt: sim.now}
 	sim.schedule(crashDelay, func() {
-		if !u.up {
+		if !u.isUp {
 			return
 		}
 		sim.terminations = append(sim.terminations, sim.now)
@@ -206,10 +206,10 @@
 // terminate terminates an upstream with all requests that it runs.
 func (sim *simulation) terminate(slot int, downtime time.Duration) {
 	u := sim.upstreams[slot]
-	if !u.up {
+	if !u.isUp {
 		return
 	}
-	u.up = false
+	u.isUp = false
 	terminatedAt := sim.now
 	reportDelays := make([]time.Duration, hosts)
 	for i := range reportDelays {
@@ -217,7 +217,7 @@
 	}
 	for _, key := range slices.Sorted(maps.Keys(u.running)) { // in an order that depends on the seed only
 		r := u.running[key]
-		loss := Loss{Digest: digest(r.id), Incarnation: u.incarnation, At: terminatedAt, Ran: terminatedAt - r.started}
+		loss := Loss{Digest: digest(r.id), Incarnation: u.incarnation, At: terminatedAt, Ran: terminatedAt - r.startedAt}
 		sim.schedule(reportDelays[key%hosts], func() { sim.tracker.RecordLoss(loss) })
 		if r.id != poisonID {
 			sim.schedule(5*time.Millisecond, func() { sim.send(r) })
@@ -261,19 +261,21 @@
 	return n
 }
 
-// In each scenario, over all seeds, hardly any sound request gets a verdict and the poison
-// request is found in time.
+// In each scenario, over all seeds, at most one sound request in 100,000 gets a verdict, and the
+// poison request is sent at most three times in a run later than permittedDelay after the third
+// upstream that it terminated.
 func TestFalsePositiveRate(t *testing.T) {
 	const seeds = 40
 	scenarios := []scenario{
+		// The names say how often the poison request arrives, if it does, and what else happens.
 		{name: "often", poisonInterval: 250 * time.Millisecond},
 		{name: "at times", poisonInterval: 4 * time.Second},
 		{name: "rarely", poisonInterval: 12 * time.Second},
 		{name: "often, and a popular body", poisonInterval: 250 * time.Millisecond, popularFraction: 0.2},
-		{name: "a third is killed", killInterval: 5 * time.Second, downtime: 3 * time.Second, killedFraction: 0.33, popularFraction: 0.2},
-		{name: "a seventh goes down by turns", killInterval: time.Second, downtime: 700 * time.Millisecond, killedFraction: 0.15, popularFraction: 0.05},
-		{name: "a third goes down by turns", killInterval: time.Second, downtime: 500 * time.Millisecond, killedFraction: 0.33, popularFraction: 0.05},
-		{name: "often, and a seventh by turns", poisonInterval: 250 * time.Millisecond, killInterval: time.Second, downtime: 700 * time.Millisecond, killedFraction: 0.15},
+		{name: "a third is killed every 5 s", killInterval: 5 * time.Second, downtime: 3 * time.Second, killedFraction: 0.33, popularFraction: 0.2},
+		{name: "a seventh is killed every second", killInterval: time.Second, downtime: 700 * time.Millisecond, killedFraction: 0.15, popularFraction: 0.05},
+		{name: "a third is killed every second", killInterval: time.Second, downtime: 500 * time.Millisecond, killedFraction: 0.33, popularFraction: 0.05},
+		{name: "often, and a seventh is killed every second", poisonInterval: 250 * time.Millisecond, killInterval: time.Second, downtime: 700 * time.Millisecond, killedFraction: 0.15},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -289,9 +291,9 @@
 				if len(sim.terminations) >= 3 && sim.foundAt >= 0 {
 					slowest = max(slowest, sim.foundAt-sim.terminations[2])
 				}
-				is.True(sim.foundAt >= 0 || len(sim.terminations) < minEventsAnyShare+1) // it is found if it keeps arriving
+				is.True(sim.foundAt >= 0 || len(sim.terminations) < minEventsAnyShare+1) // it must be found by then
 			}
-			t.Logf("%d sound requests, %d of them with a verdict; at most %d terminations, found %v after the third, %d sends later than permitted",
+			t.Logf("%d sound requests, %d of them with a verdict; in any run at most %d terminations by the poison request, which was found at most %v after the third and sent at most %d times later than permitted",
 				soundRequests, falsePositives, terminations, slowest, lateSends)
 			is.True(lateSends <= 3)
 			is.True(falsePositives*100_000 <= soundRequests)
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// A request lost with each of three upstreams gets a verdict; the others don't, though one of
-// them ran at two of the upstreams.
+// A request lost with each of three upstreams gets a verdict. The requests next to it don't,
+// though one of them ran at two of the upstreams.
 func TestCommonRequestGetsVerdict(t *testing.T) {
 	is := is.New(t)
 	tr := NewTracker()
@@ -38,13 +38,15 @@
 	for upstream := Incarnation(1); upstream <= 3; upstream++ {
 		is.True(tr.Explained(upstream))
 	}
-	// The requests that ran next to it are cleared, also for later terminations.
+	// Terminations with a request that has a verdict don't count against the requests that ran
+	// next to it, whether they happened before or after the verdict.
 	loseAll(tr, 4, time.Second, 1, 11)
 	is.Equal(tr.Events(digest(11), time.Second), 0)
 	is.Equal(tr.FindPoisonRequests(10*time.Second), nil)
 }
 
-// Two requests with the same losses are told apart by the next termination.
+// Of two requests with the same losses, neither gets a verdict until an upstream terminates with
+// only one of them.
 func TestTieGetsNoVerdict(t *testing.T) {
 	is := is.New(t)
 	tr := NewTracker()
@@ -58,7 +60,7 @@
 	is.Equal(f[0].Digest, digest(1))
 }
 
-// Two requests that terminate upstreams at the same time both get a verdict.
+// Two requests that terminate different upstreams in the same period both get a verdict.
 func TestTwoPoisonRequestsAtOnce(t *testing.T) {
 	is := is.New(t)
 	tr := NewTracker()
@@ -69,8 +71,8 @@
 	is.Equal(len(tr.FindPoisonRequests(1750*ms+SettleDelay)), 2)
 }
 
-// A popular request that runs at a third of all upstreams when these are killed has one event,
-// however many upstreams that are.
+// A popular request that runs at many upstreams which are killed at once has one event, however
+// many upstreams these are.
 func TestUpstreamsKilledAtOnceAreOneEvent(t *testing.T) {
 	is := is.New(t)
 	tr := NewTracker()
@@ -82,8 +84,9 @@
 }
 
 // A request that terminates upstreams immediately and is retried terminates three within
-// milliseconds: each of its runs began after the previous termination. A request that had run
-// before at upstreams killed at the same time has only one event.
+// milliseconds. Each of its runs began after the previous termination, so it has three events.
+// A request that was already running at all three upstreams before the first termination has
+// only one event.
 func TestRunsBegunAfterATerminationAreSeparateEvents(t *testing.T) {
 	is := is.New(t)
 	tr := NewTracker()
@@ -99,7 +102,8 @@
 	is.Equal(f[0].Digest, digest(1))
 }
 
-// An answered request is no longer a suspect, and needs more events for a verdict for some time.
+// An answered request is no longer a suspect, and for survivalRetention it needs more events for
+// a verdict.
 func TestAnsweredRequestsAreSound(t *testing.T) {
 	is := is.New(t)
 	tr := NewTracker()
@@ -115,11 +119,12 @@
 		loseAll(tr, Incarnation(10+i), time.Duration(i+1)*time.Second, 1)
 	}
 	is.Equal(tr.FindPoisonRequests(20*time.Second), nil)
-	// It may still terminate the next version's upstreams.
+	// With minEventsAnyShare events it gets a verdict: it may terminate the upstreams of another
+	// version than the one that answered it.
 	loseAll(tr, 14, 21*time.Second, 1)
 	is.Equal(len(tr.FindPoisonRequests(22*time.Second)), 1)
 
-	// Long after an answer, the usual number of events is enough.
+	// Once the answer is older than survivalRetention, the usual number of events is enough.
 	tr.RecordSurvival(digest(2), 30*time.Second)
 	for i := range 3 {
 		loseAll(tr, Incarnation(20+i), 2*time.Minute+time.Duration(i)*time.Second, 2)
@@ -127,8 +132,8 @@
 	is.Equal(len(tr.FindPoisonRequests(3*time.Minute)), 1)
 }
 
-// While upstreams terminate for other reasons, three losses of a request aren't enough for a
-// verdict.
+// While many upstreams terminate for other reasons, a request needs more than the usual three
+// events for a verdict, since it ran at a small share of the terminated upstreams.
 func TestUnrelatedTerminationsRequireMoreEvents(t *testing.T) {
 	is := is.New(t)
 	tr := NewTracker()
@@ -144,11 +149,11 @@
 	}
 	is.Equal(tr.FindPoisonRequests(10*time.Second), nil)
 	loseAll(tr, 99, 11*time.Second, 1)
-	is.Equal(len(tr.FindPoisonRequests(12*time.Second)), 1) // five events are no coincidence
+	is.Equal(len(tr.FindPoisonRequests(12*time.Second)), 1) // five events are enough whatever the share
 }
 
-// The memory stays bounded however many distinct bodies callers send, and a request that is lost
-// again and again is still found.
+// The tracker's memory stays bounded however many distinct bodies callers send, and a request
+// that is lost with every upstream is still found.
 func TestMemoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	tr := NewTracker()
@@ -187,7 +192,7 @@
 	is.True(tr.Explained(5))
 }
 
-// When a verdict is lifted, the request's losses are dropped, too.
+// When a verdict is withdrawn, the request's losses are dropped, too.
 func TestClearVerdict(t *testing.T) {
 	is := is.New(t)
 	tr := NewTracker()
@@ -197,5 +202,5 @@
 	tr.ClearVerdict(digest(1))
 	loseAll(tr, 2, time.Second, 1)
 	is.True(!tr.Explained(2))
-	is.Equal(tr.Events(digest(1), time.Second), 1) // the loss before the verdict was lifted doesn't count
+	is.Equal(tr.Events(digest(1), time.Second), 1) // the loss before the verdict was withdrawn doesn't count
 }
