--- a/internal/guard/admit.go
+++ b/internal/guard/admit.go
@@ -9,19 +9,19 @@
 	"github.com/quetzalweir/quetzalweir/quarantine"
 )
 
-// maxSuspectWait bounds how long a request waits for the outcome of another one with the same
-// content. It covers the time to a verdict and its distribution over two hubs. A request without
-// losses never waits.
+// maxSuspectWait is the maximum time that a request waits for the outcome of another one with
+// the same content, or for a verdict. It covers the time to a verdict and its distribution over
+// two hubs. A request without losses never waits.
 const maxSuspectWait = 1200 * time.Millisecond
 
 // ErrQuarantined means that a verdict keeps the request away from upstreams.
 var ErrQuarantined = errors.New("guard: the request is quarantined")
 
 // Admit waits until the request may be sent to an upstream of the service; Leave must be called
-// when the attempt is over. A request that was running at a terminated upstream waits, for
-// maxSuspectWait at most, while another one with its content runs at an upstream of this host,
-// or until there is a verdict: it isn't sent to several upstreams at once. The error is
-// ErrQuarantined or the context's.
+// when the attempt is over. A request that was lost with an upstream waits, for maxSuspectWait
+// at most, while this host runs another one with its content, so that they don't terminate
+// several upstreams at once. A request with enough events for a verdict waits for the verdict.
+// The error is ErrQuarantined or the context's.
 func (g *Guard) Admit(ctx context.Context, d quarantine.Digest, service string) error {
 	var timeout <-chan time.Time
 	for {
@@ -66,13 +66,16 @@
 	}
 }
 
-// quarantined reports whether a verdict keeps the request away.
+// quarantined reports whether a verdict keeps the request away from upstreams. If the verdict has
+// expired, it claims or starts the trial.
 func (g *Guard) quarantined(d quarantine.Digest) bool {
 	entry, ok := g.register.Get(d)
 	return ok && !g.verdictRows.claimOrStartTrial(entry)
 }
 
-// tryStart counts the request as running, unless it must wait. It reports whether it did.
+// tryStart counts the request as running and returns true, or returns false if the request must
+// wait. A request with one event doesn't wait if it was answered shortly before that, since such
+// a request is a popular one.
 func (g *Guard) tryStart(d quarantine.Digest) bool {
 	now := boottime.Elapsed()
 	s := quarantine.Suspect{Digest: d, Events: g.eventCount(d, now)}
@@ -87,7 +90,7 @@
 }
 
 // VerdictDue reports whether the request has enough events for a verdict, which is then due
-// soon: this host doesn't retry it at another upstream.
+// soon. This host doesn't retry such a request at another upstream.
 func (g *Guard) VerdictDue(d quarantine.Digest) bool {
 	return quarantine.Suspect{Digest: d, Events: g.eventCount(d, boottime.Elapsed())}.MeetsThreshold()
 }
@@ -95,5 +98,5 @@
 // Begin records that the request is sent to the upstream.
 func (g *Guard) Begin(u Upstream, d quarantine.Digest) { g.runs.begin(u, d) }
 
-// End records the outcome of an attempt.
+// End records the outcome of sending the request to the upstream.
 func (g *Guard) End(u Upstream, d quarantine.Digest, outcome Outcome) { g.runs.end(u, d, outcome) }
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -19,17 +19,19 @@
 )
 
 const (
-	// evaluationInterval is the time between two evaluations of the losses: a small part of the
-	// time in which a verdict must reach all hosts.
+	// evaluationInterval is the time between two searches for poison requests, for verdicts to
+	// be written and for survivals: a small part of the time in which a verdict must reach all
+	// hosts.
 	evaluationInterval = 100 * time.Millisecond
-	// sweepInterval is how often the records of idle upstreams are dropped.
+	// sweepInterval is the time between two searches for upstreams without runs, whose records
+	// are dropped.
 	sweepInterval = 10 * time.Second
-	// verdictWait is how long the termination of an upstream isn't attributed to its version: if
-	// a poison request is the cause, it is found in that time. Operators require a bad version
-	// to be stopped within 5 s.
+	// verdictWait is the time after the check of a terminated upstream before the termination is
+	// attributed to the upstream's version. If a poison request is the cause, it gets a verdict
+	// in that time. Operators require a bad version to be stopped within 5 s.
 	verdictWait = 2500 * time.Millisecond
-	// checkDuration is the time within which it is known whether an upstream that interrupted a
-	// response has terminated.
+	// checkDuration is the maximum time from an interrupted response to the end of the check
+	// whether its upstream has terminated.
 	checkDuration = checkDelay + checkTimeout + 50*time.Millisecond
 )
 
@@ -52,12 +54,13 @@
 	// Table stores the verdicts under keys that begin with Prefix.
 	Table  storage.Table
 	Prefix string
-	// Clock is the clock, shared by all hosts, by which verdicts expire.
+	// Clock returns the time on the clock that all hosts share, by which verdicts expire.
 	Clock func() time.Duration
-	// OnTermination is called once for each upstream that terminated, whichever host observed it. It may
-	// be nil.
+	// OnTermination is called once for each upstream that terminated, whichever host observed
+	// it. It may be nil.
 	OnTermination func(quarantine.Incarnation)
-	// OnEvent counts an event at a service; the service is empty for verdicts.
+	// OnEvent is called for each event to be counted, with the service that it concerns; the
+	// service is empty for verdicts.
 	OnEvent func(what CountedEvent, service string)
 	Log     zerolog.Logger
 }
@@ -72,30 +75,33 @@
 	log         zerolog.Logger
 
 	mu sync.Mutex
-	// makesVerdicts says that this host makes verdicts from its observations.
+	// makesVerdicts says that this host makes verdicts, in place of a hub that it reports to.
 	makesVerdicts bool
 	sightings     sightingBuffer
 	hubSuspects   map[quarantine.Digest]hubSuspect
-	// terminations holds the recent terminations of upstreams.
+	// terminations holds the recent terminations of upstreams, in the order in which this host
+	// recorded them.
 	terminations []termination
-	// status is the status last sent to followers, built at statusAt.
+	// cachedStatus is the status last built for followers, at cachedStatusAt.
 	cachedStatus   exchange.QuarantineStatus
 	cachedStatusAt time.Duration
-	// running counts the requests of this host at upstreams, by digest.
+	// running holds the number of attempts that this host has admitted and that aren't over, by
+	// the digest of the request.
 	running map[quarantine.Digest]int
-	// changed is closed when waiting requests must check their state again.
+	// changed is closed when waiting requests must check again whether they may be sent.
 	changed chan struct{}
 }
 
 // hubSuspect is a suspect that the hub sent.
 type hubSuspect struct {
 	events int
-	// firstAt is the time of the first termination with it, reportedAt that of the report.
+	// firstAt is the time of the first termination with it. reportedAt is when the host that
+	// counted the events sent the suspect; relaying by hubs doesn't make it later.
 	firstAt, reportedAt time.Duration
 }
 
-// New returns a guard; Run must be called to run it. Until SetMakesVerdicts is called, the host makes
-// verdicts itself.
+// New returns a guard; Run must be called to run it. The host makes verdicts itself until
+// SetMakesVerdicts is called.
 func New(options Options) *Guard {
 	if options.OnTermination == nil {
 		options.OnTermination = func(quarantine.Incarnation) {}
@@ -113,7 +119,7 @@
 	return g
 }
 
-// Run makes verdicts and writes their rows until the context ends.
+// Run makes verdicts, writes their rows and processes survivals until the context ends.
 func (g *Guard) Run(ctx context.Context) {
 	var loops sync.WaitGroup
 	loops.Go(func() { wait.Every(ctx, evaluationInterval, g.makeVerdicts) })
@@ -125,8 +131,8 @@
 	loops.Wait()
 }
 
-// SetMakesVerdicts sets whether this host makes verdicts from its observations: it does if it receives
-// those of all other hosts, or of none.
+// SetMakesVerdicts sets whether this host makes verdicts. It should if it receives the
+// observations of all other hosts, or of none.
 func (g *Guard) SetMakesVerdicts(makesVerdicts bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -155,7 +161,7 @@
 	}
 }
 
-// applyVerdict processes a verdict that came from another host or from the store.
+// applyVerdict processes a new verdict that came from another host or from the store.
 func (g *Guard) applyVerdict(v quarantine.Verdict, source string) {
 	g.tracker.SetVerdict(v.Digest)
 	g.log.Warn().Str("event", "request-judged-elsewhere").Stringer("digest", v.Digest).Str("by", v.By).Str("from", source).
@@ -163,14 +169,14 @@
 	g.notifyWaiting()
 }
 
-// applyLift processes the withdrawal of a verdict.
+// applyWithdrawal processes the withdrawal of a verdict.
 func (g *Guard) applyWithdrawal(d quarantine.Digest) {
 	g.tracker.ClearVerdict(d)
 	g.log.Warn().Str("event", "quarantine-lifted").Stringer("digest", d).Msg("")
 	g.notifyWaiting()
 }
 
-// notifyWaiting has waiting requests check their state again.
+// notifyWaiting has waiting requests check again whether they may be sent.
 func (g *Guard) notifyWaiting() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -178,7 +184,8 @@
 	g.changed = make(chan struct{})
 }
 
-// recordTermination records that an upstream terminated, the given time ago, with the runs.
+// recordTermination records that an upstream terminated, the given time ago, and that the runs of
+// this host may have been the cause.
 func (g *Guard) recordTermination(u Upstream, ago time.Duration, runs []candidateRun) {
 	now := boottime.Elapsed()
 	at := now - ago
@@ -213,8 +220,8 @@
 	}
 }
 
-// events returns the number of events in which upstreams terminated with the request, as
-// observed by this host or reported by its hub.
+// eventCount returns the number of events in which upstreams terminated with the request. It is
+// the number found by this host's tracker or the number sent by its hub, whichever is higher.
 func (g *Guard) eventCount(d quarantine.Digest, now time.Duration) int {
 	n := g.tracker.Events(d, now)
 	g.mu.Lock()
@@ -227,14 +234,16 @@
 
 // Attribution holds the callbacks for an interrupted response.
 type Attribution struct {
-	// Version is called if only the upstream's version can be the cause, Request if a request
-	// with a verdict terminated the upstream. Request may be nil.
+	// Version is called if no request with a verdict explains the interruption, so that only the
+	// upstream's version can be the cause. Request is called if such a request ran at the
+	// upstream when it terminated; it may be nil.
 	Version func()
 	Request func()
 }
 
-// AttributeInterruption finds the cause of a response that an upstream interrupted and calls the callback
-// for it: soon if the upstream is alive, otherwise once a verdict would have been made.
+// AttributeInterruption finds the cause of an interrupted response of the upstream and calls the
+// callback for it: after checkDuration if the upstream is alive, otherwise after a further
+// verdictWait, by when a verdict would have been made.
 func (g *Guard) AttributeInterruption(u Upstream, callbacks Attribution) {
 	time.AfterFunc(checkDuration, func() {
 		if !g.runs.hasTerminated(u) {
