--- a/internal/guard/runtracker.go
+++ b/internal/guard/runtracker.go
@@ -12,21 +12,23 @@
 )
 
 const (
-	// recentRunRetention is how long a finished run is kept: reports from other hosts that the
-	// upstream terminated arrive over two hubs.
+	// recentRunRetention is how long a run that is over for this host is kept. Reports from
+	// other hosts that the upstream terminated arrive within that time, over two hubs.
 	recentRunRetention = 3 * time.Second
-	// abandonedRunExposure is how long a run that this host abandoned may go on at its upstream.
-	// The upstream detects the closed connection late, and an engine that was given a prompt can
-	// terminate up to 0.1 s after its response was dropped.
+	// abandonedCauseWindow is the time in which a run that this host abandoned, or whose response
+	// was interrupted, may still terminate its upstream. The upstream detects the closed
+	// connection late, and an engine that was given a prompt can terminate up to 0.1 s after its
+	// response was dropped.
 	abandonedCauseWindow = time.Second
-	// answeredRunExposure is the same for a run that the upstream completed: short runs are over
-	// before their effects terminate the upstream.
+	// answeredCauseWindow is the time in which a run may terminate its upstream after the
+	// response: short runs are over before their effects terminate the upstream.
 	answeredCauseWindow = 300 * time.Millisecond
 	// lateResponseWindow is the time after an upstream's termination in which responses that it
-	// sent before still arrive.
+	// sent before may still arrive. A request that is sent to the upstream later shows that it
+	// may have restarted under the same name.
 	lateResponseWindow = time.Second
-	// terminationRetention is how long the termination of an upstream is kept for responses
-	// whose interruption is detected late.
+	// terminationRetention is how long an upstream's termination is recorded, so that responses
+	// whose interruption is detected late are attributed to it.
 	terminationRetention = 5 * time.Second
 )
 
@@ -35,7 +37,7 @@
 	ID      string
 	Service string
 	Address string
-	// Incarnation identifies the incarnation, the same on all hosts.
+	// Incarnation identifies the incarnation. It is the same on all hosts.
 	Incarnation quarantine.Incarnation
 }
 
@@ -58,22 +60,23 @@
 // runTracker tracks which requests run at each upstream, and detects terminated upstreams.
 type runTracker struct {
 	// onTermination is called when an upstream is found to have terminated, with the time since
-	// then and the runs of this host that it may have interrupted.
+	// then and the runs of this host that may be the cause. It is called again for runs that are
+	// found later.
 	onTermination func(u Upstream, ago time.Duration, runs []candidateRun)
 	// onSurvival is called for a request that its upstream survived.
 	onSurvival func(d quarantine.Digest)
-	// isSuspect reports whether an upstream terminated with the request before.
+	// isSuspect reports whether the request is a suspect.
 	isSuspect func(d quarantine.Digest) bool
 	log       zerolog.Logger
 
 	mu        sync.Mutex
 	upstreams map[quarantine.Incarnation]*upstreamRuns
-	// answered holds the answered runs for which it isn't known yet whether their upstreams
-	// survive, oldest first.
+	// answered holds the answered runs whose upstreams don't count as having survived them yet,
+	// oldest first.
 	answered []answeredRun
 }
 
-// answeredRun is a run that was answered, and its upstream.
+// answeredRun is a run that was answered, with the record of its upstream.
 type answeredRun struct {
 	atUpstream *upstreamRuns
 	recentRun
@@ -85,22 +88,22 @@
 	running  map[quarantine.Digest]activeRuns
 	// recent holds runs that are over for this host: abandoned, interrupted or answered.
 	recent []recentRun
-	// checking says that a check of the upstream is pending, brokeAt when the response that
-	// caused the check was interrupted.
-	checking      bool
-	interruptedAt time.Time
-	// terminatedAt is when the upstream terminated; zero while it isn't known to have.
+	// checking says that a check of the upstream is scheduled or running. checkScheduledAt is
+	// when it was scheduled, which counts as the time of the termination if the check finds one.
+	checking         bool
+	checkScheduledAt time.Time
+	// terminatedAt is when the upstream terminated; zero while no termination is known.
 	terminatedAt time.Time
 }
 
-// activeRuns counts the runs of one request at an upstream. startedAt is the start of the first.
+// activeRuns holds the number of runs of one request at an upstream, and the start of the first.
 type activeRuns struct {
 	count     int
 	startedAt time.Time
 }
 
-// recentRun is a run that is over for this host. It may terminate its upstream for the duration
-// exposure after overAt.
+// recentRun is a run that is over for this host since overAt. It may be the cause if its upstream
+// terminates within causeWindow after that.
 type recentRun struct {
 	digest      quarantine.Digest
 	startedAt   time.Time
@@ -108,7 +111,8 @@
 	causeWindow time.Duration
 }
 
-// exposedRun is a run that may have terminated an upstream, and how long it had been there.
+// candidateRun is a run that may have terminated an upstream, and how long the request had been
+// there by then.
 type candidateRun struct {
 	digest quarantine.Digest
 	ran    time.Duration
@@ -187,14 +191,16 @@
 	return len(r.running)+len(r.recent) > 0
 }
 
-// dropOld drops runs that were over more than recentRunRetention ago. The lock must be held.
+// dropOldRuns drops runs that have been over for more than recentRunRetention. The lock must be
+// held.
 func (r *upstreamRuns) dropOldRuns() {
 	r.recent = slices.DeleteFunc(r.recent, func(run recentRun) bool { return boottime.Since(run.overAt) > recentRunRetention })
 }
 
-// takeExposed removes the recent runs and returns, one for each request, those that may have
-// terminated the upstream. Requests that still run there will be interrupted and are returned
-// then, unless they are only in transit. The lock must be held.
+// takeCandidates removes the recent runs and returns those that may have terminated the upstream,
+// the longest one for each request. Runs that are still active will be interrupted, and are
+// returned by takeLateCandidates then; requests in transit will find no process at the address
+// and aren't candidates. The lock must be held.
 func (r *upstreamRuns) takeCandidates() []candidateRun {
 	longest := make(map[quarantine.Digest]time.Duration)
 	for _, run := range r.recent {
@@ -210,8 +216,9 @@
 	return list
 }
 
-// takeLateExposed returns the runs that were found to be interrupted after the upstream's
-// termination was detected, and the time since the termination. The lock must be held.
+// takeLateCandidates removes and returns the candidates among the runs that were over for this
+// host only after the upstream's termination was detected, and the time since the termination.
+// The lock must be held.
 func (r *upstreamRuns) takeLateCandidates() ([]candidateRun, time.Duration) {
 	if r.terminatedAt.IsZero() || len(r.recent) == 0 {
 		return nil, 0
@@ -227,7 +234,8 @@
 	return runs != nil && !runs.terminatedAt.IsZero()
 }
 
-// sweep drops upstreams without runs of this host.
+// sweep drops the records of upstreams without runs of this host, unless a check is pending or
+// the upstream terminated less than terminationRetention ago.
 func (t *runTracker) sweep() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/guard/upstreamcheck.go
+++ b/internal/guard/upstreamcheck.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	// survivalDelay is the time after a response from which its upstream counts as having
-	// survived the run. A report from another host that it terminated has arrived by then.
+	// survivalDelay is the time after a response until its upstream counts as having survived
+	// the run. If the upstream terminated, another host's report of it has arrived by then.
 	survivalDelay = 600 * time.Millisecond
 	// checkDelay is how long the interrupted responses of one upstream are collected before it
 	// is checked: the end of a process interrupts all of them within 2 ms.
 	checkDelay = 5 * time.Millisecond
-	// checkTimeout bounds the check of an upstream that interrupted responses. If its process
-	// has ended, connections are refused at once; if there is no reply, the upstream may be
-	// alive behind a network partition.
+	// checkTimeout is the maximum duration of a connection attempt that checks an upstream. If
+	// the upstream's process has ended, connections are refused at once; if there is no reply,
+	// the upstream may be alive behind a network partition.
 	checkTimeout = 250 * time.Millisecond
 )
 
-// reportSurvivals reports the requests whose upstreams survived them. For suspects it first
-// checks the upstream, in a goroutine of its own.
+// reportSurvivals calls onSurvival for the answered requests whose upstreams survived them. For
+// suspects it first checks the upstream, in a separate goroutine.
 func (t *runTracker) reportSurvivals() {
 	for _, run := range t.takeDueAnswers() {
 		if t.isSuspect(run.digest) {
@@ -37,7 +37,8 @@
 	}
 }
 
-// confirmSurvival checks whether the upstream survived an answered run.
+// confirmSurvival checks whether the upstream survived an answered run, and calls onSurvival or
+// onTermination.
 func (t *runTracker) confirmSurvival(run answeredRun) {
 	if !refusesConnections(run.atUpstream.upstream.Address) {
 		t.onSurvival(run.digest)
@@ -55,8 +56,8 @@
 	}
 }
 
-// takeDue removes and returns the runs that were answered at least survivalDelay ago and whose
-// upstreams aren't known to have terminated.
+// takeDueAnswers removes the runs that were answered at least survivalDelay ago and returns those
+// whose upstreams aren't known to have terminated.
 func (t *runTracker) takeDueAnswers() []answeredRun {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -69,35 +70,36 @@
 	return slices.DeleteFunc(due, func(run answeredRun) bool { return !run.atUpstream.terminatedAt.IsZero() })
 }
 
-// scheduleCheck has the upstream checked, unless a check is pending or its termination is known.
-// The lock must be held.
+// scheduleCheck has the upstream checked after checkDelay, unless a check is pending or the
+// upstream is known to have terminated. The lock must be held.
 func (t *runTracker) scheduleCheck(runs *upstreamRuns) {
 	if runs.checking || !runs.terminatedAt.IsZero() {
 		return
 	}
-	runs.checking, runs.interruptedAt = true, boottime.Now()
+	runs.checking, runs.checkScheduledAt = true, boottime.Now()
 	time.AfterFunc(checkDelay, func() { t.check(runs) })
 }
 
-// check tries to connect to the upstream, unless other requests still run there and thus show
-// that it is alive.
+// check tries to connect to the upstream and records its termination if the connection is
+// refused. If requests of this host still run there, the upstream counts as alive without an
+// attempt.
 func (t *runTracker) check(runs *upstreamRuns) {
 	t.mu.Lock()
-	otherRuns, interruptedAt := len(runs.running), runs.interruptedAt
+	otherRuns, checkScheduledAt := len(runs.running), runs.checkScheduledAt
 	t.mu.Unlock()
 	terminated := otherRuns == 0 && refusesConnections(runs.upstream.Address)
 	t.mu.Lock()
 	runs.checking = false
 	var candidates []candidateRun
 	if terminated {
-		runs.terminatedAt = interruptedAt
+		runs.terminatedAt = checkScheduledAt
 		candidates = runs.takeCandidates()
 	}
 	t.mu.Unlock()
 	t.log.Warn().Str("event", "upstream-checked").Str("upstream", runs.upstream.ID).Bool("ended", terminated).
 		Int("exposed", len(candidates)).Int("running", otherRuns).Strs("digests", digestTexts(candidates)).Msg("")
 	if terminated {
-		t.onTermination(runs.upstream, boottime.Since(interruptedAt), candidates)
+		t.onTermination(runs.upstream, boottime.Since(checkScheduledAt), candidates)
 	}
 }
 
@@ -108,14 +110,14 @@
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err == nil {
-		// the connection only serves as a check
+		// The connection serves only as a check.
 		_ = conn.Close()
 		return false
 	}
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// maxLoggedDigests bounds the digests in one log line.
+// maxLoggedDigests is the maximum number of digests in one log line.
 const maxLoggedDigests = 16
 
 func digestTexts(runs []candidateRun) []string {
@@ -126,8 +128,9 @@
 	return list
 }
 
-// terminatedElsewhere processes another host's report that an upstream terminated. The requests
-// that this host abandoned there shortly before may be the cause, and no other host has them.
+// recordRemoteTermination processes another host's report that an upstream terminated, the given
+// time ago. The runs that this host abandoned there shortly before may be the cause, and no
+// other host can report them.
 func (t *runTracker) recordRemoteTermination(incarnation quarantine.Incarnation, ago time.Duration) {
 	t.mu.Lock()
 	runs := t.upstreams[incarnation]
