--- a/internal/guard/hubexchange.go
+++ b/internal/guard/hubexchange.go
@@ -10,36 +10,39 @@
 )
 
 const (
-	// hubSuspectTTL is how long a suspect that the hub sent counts: several rounds of the
-	// exchange, of which one may be lost.
+	// hubSuspectTTL is how long a suspect that the hub sent counts: several reports and replies,
+	// of which one may be lost.
 	hubSuspectTTL = time.Second
-	// recentRetention is the maximum age of the losses that are sent to a new hub.
+	// recentRetention is the maximum age of the losses that are sent to hubs.
 	recentRetention = 30 * time.Second
-	// terminationTTL is how long followers are sent the termination of an upstream: several
-	// rounds of the exchange. explainedTTL is the same if a request with a verdict explains it,
-	// which is known later. maxTerminations bounds the number of stored terminations; the newest
-	// are kept.
+	// terminationTTL is how long after this host recorded an upstream's termination it is sent
+	// to followers: several reports and replies. A termination that a request with a verdict
+	// explains is sent until explainedTTL after it happened, since the verdict is made later.
+	// maxTerminations bounds the number of stored terminations; the newest are kept.
 	terminationTTL  = 800 * time.Millisecond
 	explainedTTL    = 5 * time.Second
 	maxTerminations = 128
-	// maxSentSuspects bounds the number of suspects sent to followers.
+	// maxSentSuspects bounds the number of this host's suspects that are sent to followers.
+	// Twice as many suspects from the hub are kept and forwarded.
 	maxSentSuspects = 64
-	// storedVerdictTTL is how long a stored verdict is sent; followers also receive it from the
-	// store's table a moment later.
+	// storedVerdictTTL is how long a host sends a stored verdict to followers after it made or
+	// received it. Followers also receive it from the store's table a moment later.
 	storedVerdictTTL = 4 * time.Second
-	// suspectTTL is how long after its last loss a suspect is sent. Hosts hold back other
-	// requests with its content in that time, and report if they saw it answered.
+	// suspectTTL is how long after its last loss a suspect is sent to followers. In that time
+	// they hold back other requests with its content, and report to the hub if it is answered.
 	suspectTTL = 5 * time.Second
-	// maxSightings bounds the sightings stored for hubs.
+	// maxSightings bounds the number of sightings not yet sent to the hub, and that of recent
+	// losses; the newest are kept.
 	maxSightings = 256
 )
 
-// sightingBuffer holds the sightings not yet sent to the hub, and the recent losses.
+// sightingBuffer holds the sightings not yet sent to the hub, and the recent losses, which are
+// sent to a new hub again.
 type sightingBuffer struct {
 	unsent, recentLosses []sighting
 }
 
-// sighting is a loss, or a suspect that was answered, with the time when it was observed.
+// sighting is a loss, or the answer to a suspect; loss then has only the digest and the time.
 type sighting struct {
 	loss     quarantine.Loss
 	answered bool
@@ -125,14 +128,14 @@
 	return fresh
 }
 
-// termination records that an upstream terminated, and when this host learned of it.
+// termination holds when an upstream terminated, and when this host recorded that.
 type termination struct {
 	incarnation              quarantine.Incarnation
 	terminatedAt, recordedAt time.Duration
 }
 
-// addTermination records that an upstream terminated, and checks for runs that this host
-// abandoned there.
+// addTermination records that an upstream terminated, unless that is recorded already, and has
+// the run tracker report the runs that may be the cause.
 func (g *Guard) addTermination(i quarantine.Incarnation, at time.Duration) {
 	g.mu.Lock()
 	for _, known := range g.terminations {
@@ -147,8 +150,8 @@
 	g.runs.recordRemoteTermination(i, boottime.Elapsed()-at)
 }
 
-// statusCacheTime is how long the status for followers is cached: a hub has up to 64
-// followers, each of which requests it seven times a second.
+// statusCacheTTL is how long the status for followers is cached. A hub has up to 64 followers,
+// each of which requests the status seven times a second.
 const statusCacheTTL = 50 * time.Millisecond
 
 // Status implements exchange.Quarantine.
@@ -222,8 +225,8 @@
 	}
 }
 
-// addHubSuspect adds a suspect that the hub sent. If it was answered here, it isn't a suspect,
-// and this is reported to the hub.
+// addHubSuspect adds a suspect that the hub sent. If it was answered at this host after the first
+// termination with it, it isn't a suspect, and the answer is reported to the hub.
 func (g *Guard) addHubSuspect(s exchange.AgedSuspect, now time.Duration) {
 	if g.tracker.SurvivedSince(s.Digest, now-s.FirstAge) {
 		g.addAnswered(s.Digest)
--- a/internal/guard/verdictrows.go
+++ b/internal/guard/verdictrows.go
@@ -18,35 +18,39 @@
 )
 
 const (
-	// verdictWriteTimeout bounds the write of a verdict's row. No request waits for it.
+	// verdictWriteTimeout is the time limit of writing or removing a verdict's row. No request
+	// waits for that.
 	verdictWriteTimeout = time.Second
 	// writeInterval is the mean time between two attempts to write rows. It exceeds the time
-	// that a write takes until the watcher returns it.
+	// from the write of a row until the watcher returns the row to this host.
 	writeInterval = time.Second
-	// takeoverAge is the age from which a host that makes verdicts writes the verdicts of other
-	// hosts, too: the host that made them may be gone.
+	// takeoverAge is the time after which a host that makes verdicts writes the verdicts that it
+	// received from other hosts and that aren't stored: those hosts may have stopped.
 	takeoverAge = 2 * time.Second
 	// cleanupInterval is the time between two searches for unused rows.
 	cleanupInterval = time.Minute
 )
 
-// verdictRows keeps the verdicts in the store, so that they survive the hosts, and lets one host
-// at a time try a request again after its verdict has expired.
+// verdictRows writes the verdicts to the store, so that they outlast the hosts that made them. It
+// also lets one host at a time try a request again after its verdict has expired: the host that
+// writes the row first.
 type verdictRows struct {
 	host     string
 	prefix   string
 	table    storage.Table
 	register *quarantine.Register
 	log      zerolog.Logger
-	// clock is the clock shared by all hosts.
+	// clock returns the time on the clock that all hosts share.
 	clock func() time.Duration
-	// onVerdict is called for a verdict that came from the store, onLift for one whose row was
-	// removed.
+	// onVerdict is called for a verdict that came from the store, onWithdrawal for one that was
+	// dropped because its row was removed.
 	onVerdict    func(v quarantine.Verdict, source string)
 	onWithdrawal func(d quarantine.Digest)
 
 	mu sync.Mutex
-	// trials holds the requests that this host may try, or has sent as a trial.
+	// trials holds this host's trials: those that it claims, may start, or has started.
+	// nextWriteAt is the earliest time of the next attempt to write rows, nextCleanupAt that of
+	// the next search for unused rows.
 	trials        map[quarantine.Digest]*trial
 	nextWriteAt   time.Time
 	nextCleanupAt time.Time
@@ -54,8 +58,8 @@
 
 // trial is one send of a request whose verdict has expired.
 type trial struct {
-	// granted says that the store accepted this host's claim of the trial, sent that the request
-	// was sent.
+	// claimed says that the store accepted this host's claim of the trial, sent that the request
+	// was admitted as the trial.
 	claimed, sent bool
 }
 
@@ -67,7 +71,7 @@
 	}
 }
 
-// errVerdictKey means that a verdict's row has the key of another request.
+// errVerdictKey means that the key of a verdict's row names another request than the verdict.
 var errVerdictKey = errors.New("guard: the verdict is on another request than the key of its row")
 
 // ApplyRow applies a verdict's row from the store.
@@ -101,26 +105,27 @@
 }
 
 // MarkRowsUnsaved marks the verdicts as unsaved, after the store was restored from a backup, which
-// may lack rows of verdicts: those that aren't received again are written again.
+// may lack some of their rows. Verdicts whose rows aren't received from the store again are
+// written again.
 func (g *Guard) MarkRowsUnsaved() { g.verdictRows.register.MarkUnsaved() }
 
-// LiftMissingRows lifts the stored verdicts that aren't among the keys, which are those of all rows in
-// the store.
+// LiftMissingRows drops the verdicts that were stored and whose row isn't among the keys, which
+// are those of all rows in the store.
 func (g *Guard) LiftMissingRows(keys map[string]bool) { g.verdictRows.dropMissing(keys) }
 
-// digest returns the digest in a row's key.
+// digestFromKey returns the digest in a row's key.
 func (v *verdictRows) digestFromKey(key string) (quarantine.Digest, error) {
 	return quarantine.ParseDigest(strings.TrimPrefix(key, v.prefix))
 }
 
-// lift removes a verdict from the register.
+// dropVerdict removes a verdict from the register, after its row was removed from the store.
 func (v *verdictRows) dropVerdict(d quarantine.Digest) {
 	if v.register.Withdraw(d, boottime.Elapsed()) {
 		v.onWithdrawal(d)
 	}
 }
 
-// liftMissing lifts the stored verdicts that aren't among the keys.
+// dropMissing drops the verdicts that were stored and whose row isn't among the keys.
 func (v *verdictRows) dropMissing(keys map[string]bool) {
 	for _, e := range v.register.All() {
 		if e.Revision > 0 && !keys[v.key(e.Digest)] {
@@ -131,9 +136,9 @@
 
 func (v *verdictRows) key(d quarantine.Digest) string { return v.prefix + d.String() }
 
-// permitsTrial reports whether a request with a verdict may be sent now, because the verdict has
-// expired and this host has claimed the trial. The first request after the expiry only starts
-// the claim, which takes a write to the store.
+// claimOrStartTrial reports whether a request with a verdict may be sent now as the trial, because
+// the verdict has expired and this host has claimed the trial. The first request after the
+// expiry isn't sent: it only starts the claim, which requires a write to the store.
 func (v *verdictRows) claimOrStartTrial(e quarantine.Entry) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -160,16 +165,16 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if err != nil {
-		// Another host claimed it first or the store is unavailable; the next request tries
-		// again.
+		// Another host claimed the trial first, or the store is unavailable; this host's next
+		// request with the digest starts another claim.
 		delete(v.trials, e.Digest)
 		return
 	}
 	t.claimed = true
 }
 
-// trialFailed processes the termination of an upstream with the request: if this host tried it,
-// the verdict is renewed with a longer term.
+// renewIfTried renews the verdict on a request with which an upstream terminated, with a longer
+// term, if this host had sent the request as a trial.
 func (v *verdictRows) renewIfTried(d quarantine.Digest) {
 	e, ok := v.endTrial(d)
 	if !ok {
@@ -178,8 +183,8 @@
 	go func() { _ = v.put(context.Background(), e.Renewed(v.clock()), e.Revision) }() // the error is logged in commit
 }
 
-// trialSucceeded processes an answer to the request: if this host tried it, the verdict is
-// withdrawn.
+// withdrawIfTried withdraws the verdict on a request that was answered, if this host had sent the
+// request as a trial.
 func (v *verdictRows) withdrawIfTried(d quarantine.Digest) {
 	e, ok := v.endTrial(d)
 	if !ok {
@@ -188,7 +193,7 @@
 	go func() { _ = v.remove(context.Background(), e) }()
 }
 
-// endTrial ends this host's trial of the request, if it was sent.
+// endTrial ends this host's trial, if the request was sent as one, and returns the verdict.
 func (v *verdictRows) endTrial(d quarantine.Digest) (quarantine.Entry, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -199,8 +204,9 @@
 	return v.register.Get(d)
 }
 
-// writeMissing writes the rows of this host's verdicts that the store doesn't have. If this host
-// makes verdicts, it also writes those of other hosts and removes unused rows.
+// writeMissing writes the rows of this host's verdicts that the store may not have. If this host
+// makes verdicts, it also writes those of other hosts, after takeoverAge, and removes unused
+// rows.
 func (v *verdictRows) writeMissing(ctx context.Context, makesVerdicts bool) {
 	now := boottime.Now()
 	if now.Before(v.nextWriteAt) {
@@ -212,7 +218,7 @@
 		takeover := makesVerdicts && boottime.Elapsed()-e.ReceivedAt > takeoverAge
 		if e.Unsaved() && (own || takeover) {
 			wrote = true
-			_ = v.put(ctx, e.Verdict, e.Revision) // logged in commit; the next call tries again
+			_ = v.put(ctx, e.Verdict, e.Revision) // the error is logged in commit; a later call tries again
 		}
 	}
 	if wrote {
@@ -224,17 +230,18 @@
 	}
 }
 
-// removeUnused removes the rows of verdicts whose requests weren't received for long after the
-// expiry.
+// removeUnused removes the rows of verdicts that are unused: no request was received for a long
+// time after the expiry.
 func (v *verdictRows) removeUnused(ctx context.Context) {
 	for _, e := range v.register.All() {
 		if e.Revision > 0 && e.Unused(v.clock()) {
-			_ = v.remove(ctx, e) // logged in commit; the next call tries again
+			_ = v.remove(ctx, e) // the error is logged in commit; a later call tries again
 		}
 	}
 }
 
-// put writes a verdict's row in place of the expected revision.
+// put writes a verdict's row, unless the row in the store has another revision than the expected
+// one.
 func (v *verdictRows) put(ctx context.Context, verdict quarantine.Verdict, expected storage.Revision) error {
 	data, err := json.Marshal(verdict)
 	if err != nil {
@@ -251,7 +258,7 @@
 	return err
 }
 
-// remove removes a verdict's row.
+// remove removes a verdict's row, unless it has changed, and drops the verdict.
 func (v *verdictRows) remove(ctx context.Context, e quarantine.Entry) error {
 	key := v.key(e.Digest)
 	_, err := v.commit(ctx, "remove", storage.Txn{
