--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -27,7 +27,8 @@
 	return d
 }
 
-// testGuard is a guard with a table and a shared clock that the test controls.
+// testGuard is a guard with a table, and with a reading of the clock shared by all hosts that the
+// test sets.
 type testGuard struct {
 	*Guard
 	table storage.Table
@@ -48,7 +49,7 @@
 	return g
 }
 
-// advance advances the clock shared by all hosts.
+// advance advances the guard's reading of the clock shared by all hosts.
 func (g *testGuard) advance(d time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -77,7 +78,8 @@
 	g.LiftMissingRows(keys)
 }
 
-// terminateWith has upstreams terminate with the request, some time apart.
+// terminateWith records that the given number of upstreams terminated with the request, 200 ms
+// apart and the last one longer than SettleDelay ago.
 func (g *testGuard) terminateWith(d quarantine.Digest, firstIncarnation, count int) {
 	for i := range count {
 		g.recordTermination(Upstream{ID: "u", Service: "svc", Incarnation: quarantine.Incarnation(firstIncarnation + i)}, time.Duration(count-i)*200*time.Millisecond+quarantine.SettleDelay, []candidateRun{{digest: d, ran: 40 * time.Millisecond}})
@@ -107,7 +109,7 @@
 	return Upstream{ID: "u", Service: "svc", Address: l.Addr().String(), Incarnation: 1}, l
 }
 
-// recordedRuns is a run tracker that records its callbacks.
+// recordingTracker is a run tracker that records the digests that its callbacks are given.
 type recordingTracker struct {
 	*runTracker
 	lostDigests     chan []quarantine.Digest
@@ -166,8 +168,8 @@
 	is.Equal(tracker.nextLostDigests(t), []quarantine.Digest{digest(5)})
 }
 
-// A short run may be answered before it terminates its upstream: an answer shows that the
-// request is sound only if the upstream is still alive some time later.
+// A short run may be answered before it terminates its upstream. Its request counts as survived
+// only if the upstream is still alive survivalDelay later.
 func TestAnswersCountOnceTheUpstreamSurvives(t *testing.T) {
 	is := is.New(t)
 	tracker := newRecordingTracker()
@@ -183,7 +185,7 @@
 	is.Equal(len(tracker.survivedDigests), 1)
 	undo()
 
-	// For a suspect, the upstream is checked for certain.
+	// If the request is a suspect, the upstream is checked by a connection.
 	tracker.isSuspect = func(d quarantine.Digest) bool { return d == digest(2) }
 	u.Incarnation = 3
 	tracker.begin(u, digest(2))
@@ -194,7 +196,7 @@
 	is.Equal(tracker.nextLostDigests(t), []quarantine.Digest{digest(2)})
 	is.Equal(len(tracker.survivedDigests), 1)
 
-	// The check after an interruption reports answered runs as well.
+	// After an interruption, the check reports the runs that were answered just before, too.
 	otherUpstream, otherListener := listener(t)
 	otherUpstream.Incarnation = 2
 	tracker.begin(otherUpstream, digest(4))
@@ -205,8 +207,8 @@
 	is.Equal(tracker.nextLostDigests(t), []quarantine.Digest{digest(4), digest(5)})
 }
 
-// An upstream that accepts connections is alive, whichever responses were interrupted; so is one
-// where other requests still run.
+// Hosts must not report a termination for an interrupted response alone: an upstream that accepts
+// connections is alive, and one where other requests still run counts as alive.
 func TestInterruptedResponseIsNoTermination(t *testing.T) {
 	is := is.New(t)
 	tracker := newRecordingTracker()
@@ -221,7 +223,7 @@
 	tracker.end(other, digest(2), Interrupted)
 	time.Sleep(20 * checkDelay)
 	is.Equal(len(tracker.lostDigests), 0)
-	// A refused connection shows the termination in the end.
+	// Once no request runs there, a refused connection shows that the upstream has terminated.
 	tracker.end(other, digest(3), Abandoned)
 	tracker.begin(other, digest(4))
 	tracker.end(other, digest(4), Unreachable)
@@ -259,8 +261,8 @@
 	is.Equal(len(tracker.upstreams), 0)
 }
 
-// A request without losses never waits. A suspect runs at one upstream at a time, and one with
-// enough events for a verdict waits for that.
+// A request without losses never waits. A suspect runs at one upstream at a time, and a suspect
+// with enough events for a verdict waits for the verdict.
 func TestSuspectsRunOneAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -272,8 +274,8 @@
 		}
 		is.Equal(time.Since(start), time.Duration(0))
 
-		// A request that was lost once isn't sent to a second upstream at the same time, unless
-		// it was answered just before: such a request is a popular one.
+		// A request with one event isn't sent to a second upstream at the same time, unless it
+		// was answered shortly before the event: such a request is a popular one.
 		once, popular := digest(8), digest(9)
 		g.terminateWith(once, 100, 1)
 		g.recordSurvival(popular)
@@ -299,7 +301,7 @@
 		g.Leave(d)
 		is.Equal(<-admittedAfter, 300*time.Millisecond)
 
-		// Once answered, it doesn't wait any more.
+		// Once the request was answered, it doesn't wait any more.
 		g.recordSurvival(d)
 		g.Leave(d)
 		is.NoErr(g.Admit(ctx, d, "svc"))
@@ -313,7 +315,7 @@
 		is.NoErr(g.Admit(ctx, d, "svc"))
 		is.Equal(time.Since(before), maxSuspectWait)
 
-		// If a verdict is made in the meantime, it is refused.
+		// If a verdict is made while the request waits, the request is refused.
 		g.Leave(d)
 		go func() {
 			time.Sleep(200 * time.Millisecond)
@@ -331,8 +333,8 @@
 	})
 }
 
-// A verdict is written to the store, where hosts that started later find it. It is lifted by the
-// removal of its row.
+// A verdict is written to the store, from which hosts that start later receive it. It is withdrawn
+// by the removal of its row.
 func TestVerdictsAreStored(t *testing.T) {
 	is := is.New(t)
 	table, d := memory.New(), digest(1)
@@ -341,7 +343,7 @@
 	g.verdictRows.writeMissing(t.Context(), true)
 
 	later := newTestGuard("h2", table)
-	is.NoErr(later.Admit(t.Context(), d, "svc")) // the verdict isn't known to it yet, and it doesn't wait
+	is.NoErr(later.Admit(t.Context(), d, "svc")) // this host has no verdict or losses yet, so the request doesn't wait
 	later.syncRows(t)
 	is.True(errors.Is(later.Admit(t.Context(), d, "svc"), ErrQuarantined))
 	is.NoErr(later.Admit(t.Context(), digest(2), "svc"))
@@ -352,13 +354,13 @@
 	is.NoErr(err)
 	later.syncRows(t)
 	is.NoErr(later.Admit(t.Context(), d, "svc"))
-	// A host that hasn't received the removal yet doesn't restore the verdict.
+	// The verdict isn't restored by a host that hasn't received the removal and still sends it.
 	later.ApplyStatus(g.currentStatus())
 	is.NoErr(later.Admit(t.Context(), d, "svc"))
 }
 
-// Hosts exchange a verdict for as long as it couldn't be stored; another host that makes
-// verdicts writes it if the one that made it is gone.
+// Hosts send each other a verdict until it is stored. If the host that made it doesn't store it
+// within takeoverAge, another host that makes verdicts does.
 func TestVerdictWhileTheStoreIsUnavailable(t *testing.T) {
 	is := is.New(t)
 	table, d := memory.New(), digest(1)
@@ -366,15 +368,15 @@
 	undo := boottime.SimulateSuspension(time.Minute)
 	t.Cleanup(undo)
 	status := g.currentStatus()
-	is.Equal(len(status.Verdicts), 1) // not stored, so still sent
+	is.Equal(len(status.Verdicts), 1) // the verdict isn't stored, so it is still sent
 	other := newTestGuard("h2", table)
 	other.ApplyStatus(status)
 	is.True(errors.Is(other.Admit(t.Context(), d, "svc"), ErrQuarantined))
 	other.verdictRows.writeMissing(t.Context(), true)
 	_, err := table.Get(t.Context(), "quarantine/"+d.String())
-	is.True(errors.Is(err, storage.ErrNotFound)) // the first host may still write it
+	is.True(errors.Is(err, storage.ErrNotFound)) // before takeoverAge, the first host may still write it
 	t.Cleanup(boottime.SimulateSuspension(takeoverAge + time.Second))
-	other.verdictRows.writeMissing(t.Context(), false) // it doesn't make verdicts
+	other.verdictRows.writeMissing(t.Context(), false) // a host that doesn't make verdicts writes no others'
 	other.verdictRows.writeMissing(t.Context(), true)
 	_, err = table.Get(t.Context(), "quarantine/"+d.String())
 	is.NoErr(err)
@@ -416,7 +418,7 @@
 	is.True(!admitted(a)) // this request only claims the trial
 	eventually("a may try", func() bool { return admitted(a) })
 	b.syncRows(t)
-	is.True(!admitted(b)) // no other host may
+	is.True(!admitted(b)) // no other host may send the request
 	is.True(!admitted(a)) // and a only once
 	previousExpiry := until()
 	a.recordTermination(u, 0, []candidateRun{{digest: d, ran: time.Second}})
@@ -451,7 +453,8 @@
 	is.True(errors.Is(err, storage.ErrNotFound))
 }
 
-// Rows that aren't verdicts are refused and quarantine nothing.
+// A row that isn't a verdict, or whose key names another request, is refused and quarantines
+// nothing.
 func TestUnreadableRows(t *testing.T) {
 	is := is.New(t)
 	g := newTestGuard("h", memory.New())
@@ -462,8 +465,8 @@
 	is.Equal(g.Len(), 0)
 }
 
-// A suspect that the hub sent and that this host saw answered since is cleared, and the hub is
-// told.
+// A suspect that the hub sent isn't one for a host that answered the request after the suspect's
+// first event. The host reports the answer to the hub, where the request stops being a suspect.
 func TestLocallyAnsweredSuspect(t *testing.T) {
 	is := is.New(t)
 	hub, host := newTestGuard("hub", memory.New()), newTestGuard("host", memory.New())
@@ -476,7 +479,8 @@
 	is.Equal(hub.eventCount(d, boottime.Elapsed()), 0)
 	is.Equal(len(hub.currentStatus().Suspects), 0)
 
-	// A suspect that it didn't see answered since counts for as long as the hub sends it.
+	// A suspect that the host answered only before the first event counts for as long as the hub
+	// sends it.
 	d = digest(2)
 	host.recordSurvival(d)
 	t.Cleanup(boottime.SimulateSuspension(10 * time.Second))
@@ -487,7 +491,8 @@
 	is.Equal(host.eventCount(d, boottime.Elapsed()), 0)
 }
 
-// Two hosts that send each other their suspects don't keep them alive.
+// A suspect expires although two hosts send it to each other. Guards against: each host refreshes
+// the suspect's age with every message, so that both keep it forever.
 func TestExchangedSuspectsExpire(t *testing.T) {
 	is := is.New(t)
 	a, b := newTestGuard("a", memory.New()), newTestGuard("b", memory.New())
@@ -505,7 +510,7 @@
 	is.Equal(len(a.currentStatus().Suspects)+len(b.currentStatus().Suspects), 0)
 }
 
-// The status is built once for all followers, and is recent.
+// The status for followers is cached, and built again after statusCacheTTL.
 func TestStatusIsCached(t *testing.T) {
 	is := is.New(t)
 	g := newTestGuard("h", memory.New())
@@ -516,8 +521,8 @@
 	is.Equal(len(g.Status().Suspects), 1)
 }
 
-// A request in transit to an upstream that terminated isn't counted as lost with it: it never
-// ran there.
+// A request in transit to an upstream that terminated isn't reported as lost with it, since it
+// never ran there.
 func TestRequestsInTransitAreNotReportedAsLost(t *testing.T) {
 	is := is.New(t)
 	tracker := newRecordingTracker()
@@ -526,19 +531,21 @@
 	l.Close()
 	tracker.end(u, digest(1), Interrupted)
 	is.Equal(tracker.nextLostDigests(t), []quarantine.Digest{digest(1)})
-	tracker.begin(u, digest(2)) // its connection will be refused
+	tracker.begin(u, digest(2)) // the connection for it will be refused
 	tracker.begin(u, digest(3))
-	tracker.end(u, digest(3), Interrupted) // its interruption was detected late
+	tracker.end(u, digest(3), Interrupted) // it ran there before; its interruption is detected late
 	is.Equal(tracker.nextLostDigests(t), []quarantine.Digest{digest(3)})
 	tracker.end(u, digest(2), Unreachable)
 	is.Equal(len(tracker.lostDigests), 0)
-	// After a restart under the same name, the record starts anew.
+	// A request sent later than lateResponseWindow shows that the upstream may have restarted
+	// under the same name: it no longer counts as terminated.
 	t.Cleanup(boottime.SimulateSuspension(lateResponseWindow + time.Millisecond))
 	tracker.begin(u, digest(4))
 	is.True(!tracker.hasTerminated(u))
 }
 
-// A new hub is sent the recent losses again.
+// Losses are sent to a hub once; a new hub is sent the recent ones again. Losses from another
+// host that are recorded already aren't forwarded.
 func TestRecentSightings(t *testing.T) {
 	is := is.New(t)
 	g := newTestGuard("h", memory.New())
@@ -552,8 +559,8 @@
 	is.Equal(len(g.RecentSightings().Losses), 0)
 }
 
-// The termination of an upstream is attributed to its version, unless a poison request is the
-// cause.
+// An interrupted response is attributed to its upstream's version, unless a poison request
+// terminated the upstream.
 func TestAttributeInterruption(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
