--- a/ratelease/bound.go
+++ b/ratelease/bound.go
@@ -19,15 +19,15 @@
 func (b Bound) Permitted() float64 { return max(1, b.Overrun)*b.Rate + b.Headroom }
 
 const (
-	// maxColdParts bounds the number of parts that a root's requests for a cold upstream are
-	// split into. A host among dozens receives only a few requests a second, and any one
-	// upstream can serve only some of those.
+	// maxColdParts is the maximum number of parts that a root's requests for a cold upstream are
+	// split into. A host among dozens receives only a few requests a second, of which any one
+	// upstream can serve only some.
 	maxColdParts = 4
 	// minPartRequests is the minimum number of requests in a part, unless the root has fewer.
 	minPartRequests = 2
 )
 
-// rootBudget returns how many requests one root leases for an upstream.
+// rootBudget returns how many requests for an upstream one of the roots leases.
 func (b Bound) rootBudget(roots int) int {
 	return int(allocatedFraction * b.Permitted() / float64(max(1, roots)))
 }
@@ -37,7 +37,7 @@
 	return min(maxColdParts, max(1, b.rootBudget(roots)/minPartRequests))
 }
 
-// RequestsPerWindowSpan returns how many requests the holder of the share may send in any Span.
+// RequestsPerSpan returns how many requests the holder of the share may send in any WindowSpan.
 func (b Bound) RequestsPerSpan(s Share) int {
 	if s.Of == 0 {
 		return 0
--- a/ratelease/doc.go
+++ b/ratelease/doc.go
@@ -8,11 +8,12 @@
 // much.
 //
 // The permitted requests are divided evenly between the root hubs, whose number is in the
-// settings and thus known to all hosts. Each host leases what it holds to one of the hosts that
-// report to it: a holder that is disconnected, frozen or gone loses the lease by its own clock
-// before another host can get it. A host that has just started grants nothing until the leases
-// of its previous run have expired. The bound therefore holds whatever view hosts have of each
-// other, and no request waits for a remote call.
+// settings and thus known to all hosts. Each host leases the requests that it holds, in parts, to
+// hosts that report to it, each part to one host at a time. The lease of a holder that is
+// disconnected, frozen or gone expires by the holder's own clock before another host can get the
+// part. A host that has just started grants nothing until the leases of its previous run have
+// expired. The limits therefore hold even while hosts disagree on which hosts are alive, and no
+// request waits for a remote call.
 //
-// The package only decides; callers supply the time and carry the messages.
+// The package does no input or output: callers supply the time and exchange the messages.
 package ratelease
--- a/ratelease/lease.go
+++ b/ratelease/lease.go
@@ -8,7 +8,7 @@
 )
 
 // UpstreamID identifies one incarnation of an upstream in messages between hosts, by a 64-bit hash
-// of its name. With 12,000 upstreams, a collision occurs in one installation of a hundred
+// of its name. With 12,000 upstreams, a collision occurs in one installation out of a hundred
 // billion; the two upstreams would then share their leases.
 type UpstreamID uint64
 
@@ -22,21 +22,22 @@
 }
 
 const (
-	// LeaseDuration is the duration of a lease that isn't renewed. It covers several exchanges
-	// between two hosts, one of which may be lost.
+	// LeaseDuration is the maximum time until a lease that isn't renewed expires. It covers
+	// several reports to a hub and its replies, of which one may be lost.
 	LeaseDuration = 1200 * time.Millisecond
-	// HandoverDelay is the time from the start of a host to the first lease that it grants. It also
-	// exceeds the time between the last grant to a holder and the grant of the same part to
-	// another one: by then the previous lease has expired, and the requests sent under it have
-	// left the window.
+	// HandoverDelay is the time from the start of a host to the first lease that it grants. It is
+	// also the maximum time from the last grant of a part to one holder until the part is
+	// available to another one: by then the previous lease has expired, and the requests sent
+	// under it have left the window.
 	HandoverDelay = LeaseDuration + WindowSpan + 200*time.Millisecond
 )
 
-// Grant is the right to send an upstream some of the parts that each root splits its requests
-// into.
+// Grant is the right to send an upstream a number of the parts into which roots split the
+// upstream's requests.
 type Grant struct {
 	Upstream UpstreamID
-	// Parts is the number of parts granted, out of Of.
+	// Parts is the number of parts granted, by one root or more. Of is the number of parts into
+	// which each root splits the requests.
 	Parts int
 	Of    int
 }
@@ -85,14 +86,16 @@
 	Roots int
 }
 
-// RootLease returns the lease that a root hub holds by itself: all of its own parts.
+// RootLease returns the lease that a root hub holds without being granted it: all of its own
+// parts.
 func RootLease(grants []Grant, roots int) Lease {
 	return Lease{Grants: grants, For: LeaseDuration, Roots: max(1, roots)}
 }
 
 // Share is the part of an upstream's requests that a host may send.
 type Share struct {
-	// The host holds Parts of the Of parts of each of the Roots roots.
+	// Parts is the number of parts that the host holds, from all roots together. Each of the
+	// Roots roots splits the upstream's requests into Of parts.
 	Parts, Of, Roots int
 	// Since is the time from which the host has held the share without interruption.
 	Since time.Time
@@ -106,7 +109,8 @@
 	return float64(s.Parts) / float64(s.Of) / float64(s.Roots)
 }
 
-// FullShare returns the share of the only host of an installation.
+// FullShare returns the share of the only host of an installation: all of the given number of
+// parts.
 func FullShare(of int, since time.Time) Share {
 	return Share{Parts: of, Of: of, Roots: 1, Since: since}
 }
@@ -119,8 +123,9 @@
 	roots     int
 }
 
-// NewHolding starts a lease that was requested at the given time. A share that was in the previous
-// holding and hasn't expired keeps its Since.
+// NewHolding returns the holding for a lease that was requested at the given time. It expires at
+// most LeaseDuration after that. A share that was in the previous holding and hadn't expired by
+// then keeps its Since.
 func NewHolding(l Lease, requestedAt time.Time, previous *Holding) Holding {
 	h := Holding{shares: make(map[UpstreamID]Share, len(l.Grants)), grants: l.Grants, expiresAt: requestedAt.Add(min(l.For, LeaseDuration)), roots: max(1, l.Roots)}
 	for _, g := range l.Grants {
@@ -144,7 +149,8 @@
 	return share, ok
 }
 
-// Lease returns the holding as a lease for its remaining time.
+// Lease returns the holding as a lease for its remaining time; the lease has no grants if the
+// holding has expired.
 func (h *Holding) Lease(now time.Time) Lease {
 	remaining := h.expiresAt.Sub(now)
 	if remaining <= 0 {
--- a/ratelease/lessor.go
+++ b/ratelease/lessor.go
@@ -12,9 +12,10 @@
 // part is leased to one of them at a time. It isn't safe for concurrent use.
 type Lessor struct {
 	startedAt time.Time
-	// assigned holds the lessees of each upstream's parts.
+	// assignments holds the lessees of each upstream's parts.
 	assignments map[UpstreamID]*assignment
-	// allotments holds what each reporter is granted, of a holding that expires at expiresAt.
+	// allotments holds what each reporter is granted, by its name. The grants are parts of the
+	// holding last assigned, which expires at expiresAt; roots is the number of root hubs.
 	allotments map[string]*allotment
 	expiresAt  time.Time
 	roots      int
@@ -44,7 +45,7 @@
 // allotment is what one reporter is granted.
 type allotment struct {
 	grants []Grant
-	// lessees points to the records of its parts.
+	// lessees points to the records of the parts that the reporter is granted.
 	lessees []*lessee
 	digest  uint64
 }
@@ -54,8 +55,8 @@
 	return &Lessor{startedAt: startedAt, assignments: make(map[UpstreamID]*assignment)}
 }
 
-// Assign assigns the parts of the holding to reporters. The map has the hosts that report now,
-// with the number of hosts that each represents.
+// Assign assigns the parts of the holding to reporters. The map has the names of the hosts that
+// report now, with the number of hosts that each represents: itself and its followers.
 func (l *Lessor) Assign(holding Lease, reporters map[string]int, now time.Time) {
 	l.allotments, l.expiresAt, l.roots = make(map[string]*allotment, len(reporters)), now.Add(min(holding.For, LeaseDuration)), holding.Roots
 	picker := newWeightedPicker(reporters)
@@ -79,8 +80,8 @@
 	})
 }
 
-// assignmentFor returns the assignment of the grant's upstream, or nil while leases of parts of
-// another size may be in use.
+// assignmentFor returns the assignment of the grant's upstream, and adds it if there is none. It
+// returns nil while leases of parts of another size may be in use.
 func (l *Lessor) assignmentFor(g Grant, now time.Time) *assignment {
 	a := l.assignments[g.Upstream]
 	if a != nil && a.partCount != g.Of {
@@ -97,7 +98,7 @@
 	return a
 }
 
-// expired reports whether all parts are available.
+// allAvailable reports whether all parts may be leased to other hosts.
 func (a *assignment) allAvailable(now time.Time) bool {
 	for i := range a.lessees {
 		if !a.lessees[i].available(now) {
@@ -107,8 +108,9 @@
 	return true
 }
 
-// resolveLessee reports whether the part has a current lessee, and assigns an available part to
-// a reporter. It returns false while the part may not be assigned.
+// ensureLessee reports whether the part may be leased now. If its lessee no longer reports, it
+// assigns the part to a reporter, once the part is available and HandoverDelay has passed since
+// the host's start.
 func (l *Lessor) ensureLessee(part *lessee, u UpstreamID, partIndex int, picker weightedPicker, now time.Time) bool {
 	if _, reports := picker.hostCounts[part.name]; reports {
 		return true
@@ -150,8 +152,8 @@
 	return lease, allotted.digest
 }
 
-// weightedPicker picks reporters at random in proportion to their number of hosts; it always
-// picks the same reporter for the same part.
+// weightedPicker picks reporters pseudorandomly, in proportion to the number of hosts that each
+// represents. From the same reporters it always picks the same one for a part.
 type weightedPicker struct {
 	hostCounts map[string]int
 	nameHashes map[string]uint64
--- a/ratelease/window.go
+++ b/ratelease/window.go
@@ -3,10 +3,10 @@
 import "time"
 
 // WindowSpan is the length of the window in which sent requests are counted. Upstreams count requests
-// on arrival, in windows of a second; the rest allows for different times in transit.
+// on arrival, in windows of a second; the remaining 0.1 s allow for different times in transit.
 const WindowSpan = 1100 * time.Millisecond
 
-// Window counts the requests sent in the last WindowSpan, at any time. The zero value is empty.
+// Window counts the requests sent within the last WindowSpan. The zero value is empty.
 type Window struct {
 	sentAt []time.Time
 }
@@ -17,7 +17,8 @@
 	w.sentAt = append(w.sentAt, now)
 }
 
-// Allows reports whether fewer than the given number of requests were sent.
+// Allows reports whether fewer than the given number of requests were sent within the last
+// WindowSpan.
 func (w *Window) Allows(now time.Time, limit int) bool {
 	w.dropExpired(now)
 	return len(w.sentAt) < limit
