--- a/ratelease/limit.go
+++ b/ratelease/limit.go
@@ -13,12 +13,13 @@
 	// limitWindow.
 	limitOverrun = 1.5
 	limitSpare   = 5
-	// probeRate is the rate, in requests a second, at which upstreams with a lower limit are
-	// still tried: only a response shows that the limit has ended.
+	// probeRate is the rate, in requests a second, at which an upstream with a lower limit is
+	// still tried, since only a response shows that the limit has ended.
 	probeRate = 0.25
 	// minPartRate is the minimum rate of a part, in requests a second.
 	minPartRate = 0.5
-	// maxLimitParts bounds the number of parts that a root's requests are split into.
+	// maxLimitParts is the maximum number of parts that a root's requests for an upstream with a
+	// limit are split into.
 	maxLimitParts = 16
 	// unlimitedRate is a rate that no upstream reaches, in requests a second.
 	unlimitedRate = 1000
@@ -32,7 +33,7 @@
 	return limitOverrun*limitWindow.Seconds()*float64(l) + limitSpare
 }
 
-// burst returns how many requests may be sent at once beyond the limit's sustained rate.
+// burst returns how many requests may be sent at once in addition to those at the limit's rate.
 func (l Limit) burst() float64 {
 	return allocatedFraction * (l.Permitted() - limitWindow.Seconds()*float64(l))
 }
@@ -44,23 +45,24 @@
 	return min(maxLimitParts, max(1, int(perRoot)))
 }
 
-// Allowance returns the rate and burst that the holder of a share may send.
+// Allowance returns the rate and the burst at which the holder of a share may send requests.
 func (l Limit) Allowance(s Share) Allowance {
 	part := s.Part()
 	return Allowance{Rate: part * max(probeRate, float64(l)), Burst: part * l.burst(), Since: s.Since}
 }
 
-// IsolatedAllowance returns the allowance of a host that no hub answers, where hosts is the number of such
-// hosts: together they try the upstream now and then, so that they learn when its limit ends.
-// The draw, in [0, 1), spreads their tries over time.
+// IsolatedAllowance returns the allowance of an isolated host for an upstream with a limit. If all
+// of the given number of hosts are isolated, together they try the upstream at probeRate, so that
+// they learn when its limit ends. The phase, a number in [0, 1) that differs between hosts,
+// spreads their attempts over time.
 func IsolatedAllowance(hosts int, phase float64, since time.Time) Allowance {
 	rate := probeRate / float64(max(1, hosts))
 	delay := time.Duration(phase / rate * float64(time.Second))
 	return Allowance{Rate: rate, Burst: 1, Since: since.Add(delay)}
 }
 
-// Allowance is a rate, in requests a second, and the number of requests that may be sent at once
-// after a pause. It applies from Since on.
+// Allowance is a rate, in requests a second, and a burst: the number of requests that may be sent
+// at once after a pause. It applies from Since on.
 type Allowance struct {
 	Rate  float64
 	Burst float64
@@ -84,7 +86,8 @@
 // Take counts a sent request.
 func (b *Bucket) Take() { b.tokens-- }
 
-// TimeToNext returns the time until a request may be sent; ok is false if none ever may.
+// TimeToNext returns the time until a request may be sent; ok is false if the allowance never
+// permits one.
 func (b *Bucket) TimeToNext(a Allowance, now time.Time) (wait time.Duration, ok bool) {
 	b.refill(a, now)
 	switch {
--- a/ratelease/limitstate.go
+++ b/ratelease/limitstate.go
@@ -6,25 +6,27 @@
 )
 
 const (
-	// propagationTime is the maximum time until a hub sends an update back to the host that
+	// maxPropagationDelay is the maximum time until a hub sends an update back to the host that
 	// reported it, via other hubs.
 	maxPropagationDelay = 3 * time.Second
-	// A limit ends if responsesToEnd responses without one arrive and it was last named at least
-	// endDelay ago; after singleResponseEndDelay a single response is enough.
+	// A limit ends once responsesToEnd responses that name none have arrived and it was last
+	// named at least endDelay ago. After singleResponseEndDelay, a single response is enough.
 	endDelay               = time.Second
 	responsesToEnd         = 2
 	singleResponseEndDelay = 5 * time.Second
-	// minReportInterval is the minimum time between two updates of one upstream to the hub.
+	// minReportInterval is the minimum time between two updates of one upstream's limit that a
+	// host sends to its hub.
 	minReportInterval = time.Second
-	// minReportedChange is the relative change of a limit up to which no update is sent: the
-	// hosts that hold leases see it in their own responses.
+	// minReportedChange is the relative change of a limit up to which no update is sent. The
+	// hosts that hold leases for the upstream receive the new limit in its responses.
 	minReportedChange = 0.1
-	// isolationDelay is how long a host waits for a root hub before it tries limited upstreams
-	// without a lease. All leases that other hosts may hold have expired by then.
+	// isolationDelay is how long a host without contact to a root hub waits before it tries
+	// upstreams with a limit without a lease. All leases that other hosts may hold have expired
+	// by then.
 	isolationDelay = 5 * time.Second
 )
 
-// LimitUpdate is an update of an upstream's limit, as seen in a response.
+// LimitUpdate is an update of an upstream's limit, as named in a response.
 type LimitUpdate struct {
 	Upstream UpstreamID
 	Limit    Limit
@@ -36,71 +38,77 @@
 
 // HubContact records when a host had contact to its hub.
 type HubContact struct {
-	// answeringSince is when the hub started to answer, answeredAt when it last did.
-	answeringSince, answeredAt time.Time
+	// replyingSince is the start of the hub's replies since the last interruption of more than
+	// LeaseDuration, repliedAt the time of the last reply.
+	replyingSince, repliedAt time.Time
 	// rootSeenAt is when the hub was last connected to a root hub.
 	rootSeenAt time.Time
 }
 
-// NewHubContact returns the contact of a host that started at the given time.
+// NewHubContact returns the contact of a host that started at the given time and has had no reply
+// yet.
 func NewHubContact(startedAt time.Time) HubContact { return HubContact{rootSeenAt: startedAt} }
 
-// Answered returns the contact updated by an answer of the hub; rootSeenAt is when the hub was last
-// connected to a root hub.
+// Answered returns the contact after a reply from the hub, where rootSeenAt is when the hub was
+// last connected to a root hub.
 func (c HubContact) Answered(now, rootSeenAt time.Time) HubContact {
-	if now.Sub(c.answeredAt) > LeaseDuration {
-		c.answeringSince = now
+	if now.Sub(c.repliedAt) > LeaseDuration {
+		c.replyingSince = now
 	}
-	c.answeredAt = now
+	c.repliedAt = now
 	if rootSeenAt.After(c.rootSeenAt) {
 		c.rootSeenAt = rootSeenAt
 	}
 	return c
 }
 
-// hadTimeToRepeat reports whether the hub has had enough time to send back what was reported at
-// the given time. If it hasn't sent that back by then, the limit has ended.
+// hadTimeToSendBack reports whether the hub has had enough time to send back a limit that was
+// reported to it at the given time. If it hasn't sent the limit back by then, the limit has
+// ended.
 func (c HubContact) hadTimeToSendBack(reportedAt, now time.Time) bool {
-	if now.Sub(c.answeredAt) > LeaseDuration {
+	if now.Sub(c.repliedAt) > LeaseDuration {
 		return false
 	}
-	if c.answeringSince.After(reportedAt) {
-		reportedAt = c.answeringSince
+	if c.replyingSince.After(reportedAt) {
+		reportedAt = c.replyingSince
 	}
 	return now.Sub(reportedAt) >= maxPropagationDelay
 }
 
-// Isolated reports whether no root hub is reachable, so that no lease can arrive, and since when.
+// Isolated reports whether the host is isolated, so that no lease can arrive, and since when. The
+// time lies in the future if the host isn't isolated yet.
 func (c HubContact) Isolated(now time.Time) (since time.Time, isolated bool) {
 	since = c.rootSeenAt.Add(isolationDelay)
 	return since, !now.Before(since)
 }
 
 // LimitState tracks the limit that an upstream names for all hosts, from the responses to this host
-// and from the hub's updates, which cover all hosts. The hub's update takes precedence in the
-// end, so that hosts agree; until the hub has had time to send a limit back, the host's own
-// observation counts. The zero value has no limit.
+// and from the hub's updates, which cover all hosts. Until the hub has had time to send back a
+// limit that this host reported, the host's own observation counts, too; after that only the
+// hub's updates do, so that hosts agree. The zero value has no limit.
 type LimitState struct {
 	// own is the limit last named in a response to this host, at ownAt; there is none if ownAt
 	// is zero.
 	own   Limit
 	ownAt time.Time
-	// hubLimit is the limit in the hub's last update, if hasHubLimit, seen in a response at
-	// hubLimitAt.
+	// hubLimit is the limit in the hub's last update, if hasHubLimit is set; a host received it
+	// in a response at hubLimitAt.
 	hubLimit    Limit
 	hasHubLimit bool
 	hubLimitAt  time.Time
-	// unlimitedResponses counts the responses since then that named no limit; endedAt is when
-	// they showed that the limit had ended.
-	unlimitedResponses int
-	endedAt            time.Time
+	// responsesWithoutLimit counts the responses to this host that named no limit since the last
+	// one that did or the hub's last update. endedAt is when they showed that the limit had
+	// ended.
+	responsesWithoutLimit int
+	endedAt               time.Time
 	// reportedAt is when the hub was last sent an update, parts the number of parts that a root
 	// splits the limit into.
 	reportedAt time.Time
 	parts      int
 }
 
-// Limited reports whether the upstream has a limit.
+// Limited reports whether the upstream has a limit: by the hub's last update, or in a response to
+// this host that the hub hasn't had time to send back.
 func (s *LimitState) Limited(c HubContact, now time.Time) bool {
 	return s.hasHubLimit || !s.ownAt.IsZero() && !c.hadTimeToSendBack(s.ownAt, now)
 }
@@ -125,7 +133,7 @@
 // Observe processes a response that named a limit. It reports whether the hub must be sent an
 // update.
 func (s *LimitState) Observe(limit Limit, now time.Time) (report bool) {
-	s.own, s.ownAt, s.unlimitedResponses = limit, now, 0
+	s.own, s.ownAt, s.responsesWithoutLimit = limit, now, 0
 	if s.hasHubLimit && math.Abs(float64(limit-s.hubLimit)) <= minReportedChange*float64(s.hubLimit) {
 		return false
 	}
@@ -142,9 +150,9 @@
 	if sentAt.Before(lastNamed) {
 		return false
 	}
-	s.unlimitedResponses++
+	s.responsesWithoutLimit++
 	elapsed := now.Sub(lastNamed)
-	if elapsed < endDelay || elapsed < singleResponseEndDelay && s.unlimitedResponses < responsesToEnd {
+	if elapsed < endDelay || elapsed < singleResponseEndDelay && s.responsesWithoutLimit < responsesToEnd {
 		return false
 	}
 	s.ownAt, s.endedAt = time.Time{}, now
@@ -169,13 +177,13 @@
 // Apply applies the hub's update.
 func (s *LimitState) Apply(update LimitUpdate, now time.Time) {
 	observedAt := now.Add(-update.Age)
-	s.hasHubLimit, s.hubLimit, s.hubLimitAt, s.unlimitedResponses = !update.Ended, update.Limit, observedAt, 0
+	s.hasHubLimit, s.hubLimit, s.hubLimitAt, s.responsesWithoutLimit = !update.Ended, update.Limit, observedAt, 0
 	if update.Ended && observedAt.After(s.ownAt) {
 		s.ownAt = time.Time{}
 	}
 }
 
-// IsEmpty reports whether neither a response nor the hub names a limit.
+// IsEmpty reports whether neither a response to this host nor the hub's last update names a limit.
 func (s *LimitState) IsEmpty() bool { return !s.hasHubLimit && s.ownAt.IsZero() }
 
 // HasHubLimit reports whether the upstream has a limit by the hub's last update.
--- a/ratelease/log.go
+++ b/ratelease/log.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	// maxLimits bounds the number of limits that a hub stores, at about 100 bytes each.
+	// maxLimits is the maximum number of limits that a hub stores, at about 100 bytes each.
 	maxLimits = 16_384
-	// endedRetention is how long a hub keeps the end of a limit for other hosts.
+	// endedRetention is how long a hub keeps the update that a limit has ended. All other hosts
+	// have received it by then.
 	endedRetention = time.Minute
-	// minReplacedEntries is the number of replaced entries that a log keeps at least before it
-	// is compacted.
+	// A log is compacted once its replaced entries outnumber the current ones by more than
+	// minReplacedEntries.
 	minReplacedEntries = 256
 )
 
-// LogCursor is a position in a hub's log: Epoch identifies the run of the hub, Last is the sequence
+// LogCursor is a position in a hub's log. Epoch identifies the run of the hub, Last is the sequence
 // number of the last update received.
 type LogCursor struct {
 	Epoch uint64 `json:"epoch,omitempty"`
@@ -27,23 +28,23 @@
 type LimitBatch struct {
 	Updates []LimitUpdate
 	Cursor  LogCursor
-	// Complete says that the batch reaches the end of the log and that the hub has received what
-	// others know: a limit that isn't in the log has ended.
+	// Complete says that the batch reaches the end of the log, and that the hub has received the
+	// updates of the other hubs: a limit that isn't in the log has ended.
 	Complete bool
 }
 
-// LimitLog is a hub's record of upstreams' limits: the latest update of each, numbered in the order
-// of arrival. It isn't safe for concurrent use.
+// LimitLog is a hub's record of the limits of upstreams: the latest update of each limit, numbered
+// in the order of arrival. It isn't safe for concurrent use.
 type LimitLog struct {
 	epoch   uint64
 	current map[UpstreamID]*logEntry
-	// entries holds the entries in the order of their sequence numbers, including some that were
-	// replaced by newer ones.
+	// entries holds the entries in the order of their sequence numbers, including those that were
+	// replaced by newer ones since the log was last compacted.
 	entries []*logEntry
 	lastSeq uint64
 }
 
-// logEntry is the latest update of an upstream.
+// logEntry is an update of an upstream's limit in a log.
 type logEntry struct {
 	update     LimitUpdate
 	observedAt time.Time
@@ -58,7 +59,7 @@
 }
 
 // Add adds updates from a host or from another hub. If an update is older than the current entry
-// and contradicts it, the current entry is sent again.
+// of its upstream and contradicts it, the current entry is sent again.
 func (l *LimitLog) Add(fromHub bool, updates []LimitUpdate, now time.Time) {
 	for _, update := range updates {
 		observedAt, current := now.Add(-update.Age), l.current[update.Upstream]
@@ -91,7 +92,8 @@
 	}
 }
 
-// oldest returns the current entry with the lowest sequence number. The log must not be empty.
+// oldest returns the current entry with the lowest sequence number, and drops the replaced entries
+// before it. The log must not be empty.
 func (l *LimitLog) oldest() *logEntry {
 	i := slices.IndexFunc(l.entries, l.isCurrent)
 	l.entries = l.entries[i:]
@@ -101,14 +103,15 @@
 // isCurrent reports whether the entry hasn't been replaced by a newer one.
 func (l *LimitLog) isCurrent(e *logEntry) bool { return l.current[e.update.Upstream] == e }
 
-// compact drops replaced entries, and ended limits whose end has reached all hosts.
+// compact drops replaced entries, and limits that ended more than endedRetention ago.
 func (l *LimitLog) compact(now time.Time) {
 	maps.DeleteFunc(l.current, func(_ UpstreamID, e *logEntry) bool { return e.update.Ended && now.Sub(e.observedAt) > endedRetention })
 	l.entries = slices.DeleteFunc(l.entries, func(e *logEntry) bool { return !l.isCurrent(e) })
 }
 
-// Since returns at most the given number of updates after the cursor, oldest first. For another
-// hub it leaves out updates that came from hubs, which that hub receives directly.
+// Since returns at most the given number of updates after the cursor, oldest first. If toHub is
+// set, the receiver is another hub, and updates that came from hubs are left out: the receiver
+// gets these from the hubs themselves.
 func (l *LimitLog) Since(cursor LogCursor, limit int, toHub bool, now time.Time) LimitBatch {
 	if cursor.Epoch != l.epoch {
 		cursor.Last = 0
@@ -135,7 +138,7 @@
 }
 
 // EndMissing ends the limits that came from other hubs and that aren't among the updates, which are
-// all that the hub of this host has.
+// the whole log of the hub that this host reports to.
 func (l *LimitLog) EndMissing(updates []LimitUpdate, now time.Time) {
 	listed := make(map[UpstreamID]bool, len(updates))
 	for _, update := range updates {
@@ -151,17 +154,18 @@
 // LogReader reads a hub's log batch by batch.
 type LogReader struct {
 	cursor LogCursor
-	// complete says that the end of the hub's log was reached once; pending holds the updates
-	// received until then.
+	// complete says that the end of the hub's log was reached since its start; pending holds the
+	// updates received until then.
 	complete bool
 	pending  []LimitUpdate
 }
 
-// Apply processes a batch. restarted reports that the hub is another one than before, or has
-// restarted; complete reports that the returned updates are all of the hub's log.
+// Apply processes a batch and returns its updates. If hubChanged is true, the hub is another one
+// than before, or has restarted. If complete is true, the batch reaches the end of the hub's log
+// for the first time, and the returned updates are the whole log.
 func (r *LogReader) Apply(batch LimitBatch) (updates []LimitUpdate, hubChanged, complete bool) {
 	if hubChanged = batch.Cursor.Epoch != r.cursor.Epoch; hubChanged {
-		*r = LogReader{} // the hub sent its log from the start
+		*r = LogReader{} // such a hub sends its log from the start
 	}
 	r.cursor = batch.Cursor
 	if r.complete {
@@ -178,5 +182,5 @@
 // Cursor returns the position up to which the hub's log was read.
 func (r *LogReader) Cursor() LogCursor { return r.cursor }
 
-// Complete reports whether the end of the hub's log was reached once.
+// Complete reports whether the end of the hub's log was reached since its start.
 func (r *LogReader) Complete() bool { return r.complete }
