--- a/evenhash/evenhash.go
+++ b/evenhash/evenhash.go
@@ -1,6 +1,6 @@
 // Package evenhash hashes strings to uniformly distributed numbers that are the same on all
-// hosts, so that hosts agree on ownership and on membership in a percentage without
-// communication.
+// hosts. Hosts thus agree, without communication, on which host owns an object and on which
+// requests belong to a given percentage.
 package evenhash
 
 import "hash/fnv"
--- a/evenhash/evenhash_test.go
+++ b/evenhash/evenhash_test.go
@@ -20,7 +20,7 @@
 	is.Equal(evenhash.Point("canary", "v2", "r-1"), float64(evenhash.Sum("canary", "v2", "r-1")>>11)/(1<<53))
 }
 
-// Strings that differ only in their last character are spread evenly, too.
+// Strings that differ only in their last characters are spread evenly, too.
 func TestPointsAreEven(t *testing.T) {
 	const texts, bins = 100_000, 20
 	counts := make([]int, bins)
@@ -29,7 +29,7 @@
 	}
 	const mean = float64(texts) / bins
 	for _, n := range counts {
-		// Six standard deviations.
+		// A count within six standard deviations of the mean is even.
 		is.New(t).True(math.Abs(float64(n)-mean) < 6*math.Sqrt(mean))
 	}
 }
--- a/ratelease/lease_test.go
+++ b/ratelease/lease_test.go
@@ -21,10 +21,10 @@
 	}{
 		{ratelease.Bound{Rate: 18, Overrun: 1.5, Headroom: 5}, 1, 4, 6},
 		{ratelease.Bound{Rate: 18, Overrun: 1.5, Headroom: 5}, 3, 4, 2},
-		{ratelease.Bound{Rate: 18, Overrun: 1.5, Headroom: 5}, 0, 4, 6}, // a host without seeds
+		{ratelease.Bound{Rate: 18, Overrun: 1.5, Headroom: 5}, 0, 4, 6}, // a host with no root hubs in its settings
 		{ratelease.Bound{Rate: 4, Overrun: 1.5, Headroom: 5}, 3, 1, 2},
-		{ratelease.Bound{Rate: 1, Overrun: 1}, 3, 1, 0}, // too few to be split
-		{ratelease.Bound{Rate: 4}, 1, 1, 3},             // the rate may not be exceeded
+		{ratelease.Bound{Rate: 1, Overrun: 1}, 3, 1, 0}, // less than one request for each of three roots
+		{ratelease.Bound{Rate: 4}, 1, 1, 3},             // an Overrun below 1 counts as 1
 	}
 	for _, test := range tests {
 		is := is.New(t)
@@ -37,7 +37,7 @@
 	}
 }
 
-// No position of the window holds more sends than permitted.
+// No interval of WindowSpan contains more sends than permitted, wherever it begins.
 func TestWindow(t *testing.T) {
 	const maxSends = 5
 	is := is.New(t)
@@ -59,7 +59,7 @@
 	is := is.New(t)
 	h := ratelease.NewHolding(ratelease.Lease{Grants: wholeGrants(1), For: time.Hour, Roots: 3}, start, nil)
 	is.Equal(heldParts(&h, 1, start.Add(ratelease.LeaseDuration-1)), 1)
-	is.Equal(heldParts(&h, 1, start.Add(ratelease.LeaseDuration)), 0) // whatever duration the lease names
+	is.Equal(heldParts(&h, 1, start.Add(ratelease.LeaseDuration)), 0) // although the lease names an hour
 	is.Equal(heldParts(&h, 2, start), 0)
 	is.Equal(h.Lease(start.Add(ratelease.LeaseDuration-time.Millisecond)).For, time.Millisecond)
 	is.Equal(len(h.Lease(start.Add(ratelease.LeaseDuration)).Grants), 0)
@@ -81,7 +81,7 @@
 	return share.Parts
 }
 
-// leaseOf returns the lease that the lessor grants to a reporter.
+// leaseOf returns the lease that the lessor grants to a reporter, and checks the digest.
 func leaseOf(l *ratelease.Lessor, reporter string, now time.Time) ratelease.Lease {
 	lease, digest := l.Lease(reporter, now)
 	if digest != ratelease.Digest(lease.Grants) {
@@ -99,7 +99,8 @@
 	return n
 }
 
-// holdersOf requests a lease for each reporter and returns those that got the upstream.
+// holdersOf assigns the only part of the upstream, requests a lease for each reporter, and returns
+// the reporters that got the part.
 func holdersOf(l *ratelease.Lessor, reporters map[string]int, u ratelease.UpstreamID, now time.Time) []string {
 	var names []string
 	l.Assign(ratelease.RootLease(wholeGrants(u), 1), reporters, now)
@@ -138,7 +139,8 @@
 	is.True(next[0] != first[0])
 }
 
-// Reporters get leases in proportion to the number of hosts that each represents.
+// Reporters get leases in proportion to the number of hosts that each represents: here a fifth,
+// or 1,000 of 5,000 upstreams, and four fifths.
 func TestLeasesAreSpreadByHosts(t *testing.T) {
 	is := is.New(t)
 	l := ratelease.NewLessor(start)
@@ -153,7 +155,7 @@
 	is.True(held["small"] > 800 && held["small"] < 1200)
 }
 
-// A lease has room for all upstreams of a large installation at once.
+// Two reporters get all parts of all upstreams of a large installation at once.
 func TestLeaseOfManyUpstreams(t *testing.T) {
 	is := is.New(t)
 	const upstreams = 12_000
@@ -187,7 +189,7 @@
 		total += countParts(leaseOf(hub, name, now).Grants)
 	}
 	is.Equal(total, countParts(toHub.Grants))
-	// A part that the hub no longer holds isn't renewed for anyone.
+	// The leases of parts that the hub no longer holds aren't renewed.
 	fewer := ratelease.Lease{Grants: []ratelease.Grant{{Upstream: 7, Parts: 1, Of: 4}}, For: ratelease.LeaseDuration, Roots: 3}
 	total = 0
 	hub.Assign(fewer, followers, now)
@@ -197,8 +199,8 @@
 	is.Equal(total, 1)
 }
 
-// When the size of the parts changes, leases on parts of the previous size expire first.
-// Otherwise two halves and a whole could be in use at once.
+// When the size of the parts changes, no part of the new size is leased before the leases of parts
+// of the previous size have expired. Guards against: two halves and a whole are in use at once.
 func TestPartsOfAnotherSize(t *testing.T) {
 	is := is.New(t)
 	now := start.Add(ratelease.HandoverDelay)
--- a/ratelease/limit_test.go
+++ b/ratelease/limit_test.go
@@ -11,16 +11,16 @@
 	"github.com/quetzalweir/quetzalweir/ratelease"
 )
 
-// holder sends as many requests as its share permits.
+// holder is a host that sends as many requests as its share permits.
 type holder struct {
 	bucket ratelease.Bucket
 	share  ratelease.Share
 }
 
-// window is the window over which the limit is guaranteed.
+// window is the length of the window in which the number of sends is bounded.
 const window = 4 * time.Second
 
-// maxPerWindow returns the greatest number of sends in any window.
+// maxPerWindow returns the highest number of sends in any window. The times must be in order.
 func maxPerWindow(sent []time.Time) int {
 	highest, first := 0, 0
 	for i := range sent {
@@ -32,8 +32,8 @@
 	return highest
 }
 
-// All holders of an upstream together stay below its limit, whenever they use their burst, and
-// make use of most of it.
+// All holders of an upstream's parts together send no more requests in any window than its limit
+// permits, whenever they use their bursts, and at least 40 % of the limit's rate.
 func TestAllHoldersKeepTheLimit(t *testing.T) {
 	for _, limit := range []ratelease.Limit{0, 0.1, 0.5, 1, 1.9, 2.5, 7, 30, 200} {
 		for _, roots := range []int{1, 2, 3} {
@@ -64,14 +64,14 @@
 				rate := float64(len(sent)) / span.Seconds()
 				t.Logf("%d holders: %d in a window, %.0f permitted, %.2f a second", len(holders), maxPerWindow(sent), limit.Permitted(), rate)
 				is.True(maxPerWindow(sent) <= int(limit.Permitted()))
-				is.True(rate >= 0.4*float64(limit)) // with idle periods
-				is.True(len(sent) > 0)              // requests go on, so that the end of any limit is noticed
+				is.True(rate >= 0.4*float64(limit)) // although holders are idle at times
+				is.True(len(sent) > 0)              // even with a limit of 0, a response must show when the limit ends
 			})
 		}
 	}
 }
 
-// A share that moves to another holder starts without tokens.
+// A share that a host got anew starts without tokens: the previous holder may have used the burst.
 func TestMovedShareStartsWithoutTokens(t *testing.T) {
 	is := is.New(t)
 	const limit = ratelease.Limit(3)
@@ -85,10 +85,11 @@
 	is.True(ok)
 	is.Equal(wait.Round(time.Millisecond), 333*time.Millisecond)
 	_, ok = b.TimeToNext(ratelease.Allowance{}, later)
-	is.True(!ok) // a host without a share may never send
+	is.True(!ok) // without a share, a host never may send a request
 }
 
-// Hosts without hubs try an upstream once in four seconds in total.
+// Isolated hosts together try an upstream with a limit about once in four seconds, which is
+// probeRate.
 func TestIsolatedHostsShareTheProbeRate(t *testing.T) {
 	is := is.New(t)
 	const hosts = 40
--- a/ratelease/log_test.go
+++ b/ratelease/log_test.go
@@ -19,7 +19,7 @@
 	}
 	l.Add(false, []ratelease.LimitUpdate{{Upstream: 1, Limit: 2, Age: time.Second}, {Upstream: 9, Ended: true}}, now)
 	updates, cursor := updatesSince(ratelease.LogCursor{}, false)
-	is.Equal(updates, []ratelease.LimitUpdate{{Upstream: 1, Limit: 2, Age: time.Second}}) // the end of an unknown limit is no update
+	is.Equal(updates, []ratelease.LimitUpdate{{Upstream: 1, Limit: 2, Age: time.Second}}) // the end of a limit that the log doesn't have is left out
 	l.Add(false, []ratelease.LimitUpdate{{Upstream: 1, Limit: 2}}, now)
 	updates, cursor = updatesSince(cursor, false)
 	is.Equal(len(updates), 0) // an unchanged limit isn't sent again
@@ -27,17 +27,17 @@
 	updates, cursor = updatesSince(cursor, false)
 	is.True(len(updates) == 1 && updates[0].Ended)
 	updates, _ = updatesSince(ratelease.LogCursor{}, true)
-	is.Equal(len(updates), 0) // hubs don't forward updates of other hubs to hubs
+	is.Equal(len(updates), 0) // hubs don't forward updates from hubs to other hubs
 	l.Add(false, []ratelease.LimitUpdate{{Upstream: 1, Limit: 2, Age: 10 * time.Second}}, now)
 	updates, cursor = updatesSince(cursor, false)
 	is.True(len(updates) == 1 && updates[0].Ended) // an outdated update has the current entry sent again
-	// A host that follows another run of the hub receives the whole log.
+	// A host whose cursor is from another run of the hub receives the whole log.
 	updates, _ = updatesSince(ratelease.LogCursor{Epoch: cursor.Epoch + 1, Last: cursor.Last}, false)
 	is.Equal(len(updates), 1)
 }
 
-// A batch has a limited number of updates; a follower receives all of them and learns when it is
-// complete.
+// A log with more updates than fit in one batch is read in several batches. The last one returns
+// all updates and reports that they are complete.
 func TestManyLimits(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -60,7 +60,7 @@
 	is.Equal(messages, 4)
 	updates, hubChanged, complete := f.Apply(l.Since(f.Cursor(), perMessage, false, now))
 	is.True(len(updates) == 0 && !hubChanged && !complete)
-	// The log is bounded.
+	// The log keeps at most maxLimits limits.
 	const maxLimits = 16_384
 	for u := range ratelease.UpstreamID(maxLimits + 100) {
 		l.Add(false, []ratelease.LimitUpdate{{Upstream: u, Limit: 2}}, now)
