--- a/quarantine/evaluate.go
+++ b/quarantine/evaluate.go
@@ -124,8 +124,8 @@
 	return list
 }
 
-// countUnexplained returns the number of upstreams that terminated between the times, for no
-// known cause. The lock must be held.
+// countUnexplained returns the number of upstreams that terminated between the times, or within
+// EventWindow of them, for no known cause. The lock must be held.
 func (t *Tracker) countUnexplained(first, last time.Duration) int {
 	n := 0
 	for _, upstream := range t.terminated.Values() {
--- a/quarantine/register.go
+++ b/quarantine/register.go
@@ -18,8 +18,9 @@
 	// maxTerm; three trials take more than seven hours.
 	termFactor = 6
 	maxTerm    = 24 * time.Hour
-	// trialTimeout is how long a trial may take; the longest time limits of routes are below
-	// half a minute.
+	// trialTimeout is the time after the start of a trial until another host may claim the next
+	// one. It is longer than any request takes, since the time limits of routes are below half a
+	// minute.
 	trialTimeout = time.Minute
 	// unusedRetention is how long an expired verdict is kept if the request isn't received.
 	unusedRetention = 7 * 24 * time.Hour
@@ -69,7 +70,7 @@
 	return v
 }
 
-// Holds reports whether the verdict is in force at the given time.
+// InForce reports whether the verdict is in force at the given time.
 func (v Verdict) InForce(now time.Duration) bool { return now < v.Until }
 
 // Unused reports whether the verdict expired more than unusedRetention ago. There was no trial
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -31,8 +31,8 @@
 	// since each request that ran at a terminated upstream has one.
 	minSuspectEvents = 2
 	// minVerdictEvents is the minimum number of events for a verdict; operators specify three.
-	// Only events count in which no other request lost with the same upstream has as many. The
-	// request must have run at no less than the fraction highShare of the upstreams that
+	// An event counts only if no other request lost with the same upstream has as many events.
+	// The request must have run at no less than the fraction highShare of the upstreams that
 	// terminated between its first and last loss.
 	minVerdictEvents = 3
 	highShare        = 0.75
@@ -61,7 +61,7 @@
 	maxLostRepeatedly     = 512  // requests with several losses
 	maxLosses             = 8    // losses of one request
 	maxTerminated         = 512  // terminated upstreams
-	maxDigestsPerUpstream = 256  // requests lost with one upstream, not counting those tracked before
+	maxDigestsPerUpstream = 256  // requests lost with one upstream, beyond which only tracked ones are added
 	maxSurvivals          = 4096 // answered requests
 )
 
@@ -145,7 +145,7 @@
 	return true
 }
 
-// tracked reports whether the request has losses or a verdict. The lock must be held.
+// isTracked reports whether the request has losses or a verdict. The lock must be held.
 func (t *Tracker) isTracked(d Digest) bool {
 	return t.withVerdict[d] || t.lostRepeatedly[d] != nil || t.lostOnce.Contains(d)
 }
@@ -155,9 +155,9 @@
 // distinguishes one termination from the next.
 const sameTerminationWindow = time.Second
 
-// resolveIncarnation returns the incarnation under which the loss is recorded. It is the one
-// that the loss names, unless an upstream terminated under that name before: then it is its
-// successor, or the next one that is free. The lock must be held.
+// resolveIncarnation returns the incarnation under which the loss is recorded: the one that the
+// loss names or, if that one terminated earlier, its first successor that didn't. The lock must
+// be held.
 func (t *Tracker) resolveIncarnation(l Loss) Incarnation {
 	const maxTerminations = 64 // of one name, within lossRetention
 	incarnation := l.Incarnation
@@ -175,8 +175,8 @@
 // FNV's prime, spreads the identifiers.
 func (i Incarnation) successor() Incarnation { return i*16777619 + 1 }
 
-// upstreamOf returns the record of the loss's upstream, and adds it if there is none. The lock must
-// be held.
+// getOrAddUpstream returns the record of the loss's upstream, and adds it if there is none. The
+// lock must be held.
 func (t *Tracker) getOrAddUpstream(l Loss) *terminatedUpstream {
 	upstream, ok := t.terminated.Get(l.Incarnation)
 	if !ok {
@@ -187,7 +187,7 @@
 	return upstream
 }
 
-// add adds the loss to the request's history. The lock must be held.
+// addToHistory adds the loss to the request's history. The lock must be held.
 func (t *Tracker) addToHistory(l Loss) {
 	if h := t.lostRepeatedly[l.Digest]; h != nil {
 		if len(h.losses) < maxLosses {
