--- a/internal/guard/admit.go
+++ b/internal/guard/admit.go
@@ -26,7 +26,7 @@
 	var timeout <-chan time.Time
 	for {
 		g.mu.Lock()
-		changed := g.changed
+		stateChanged := g.stateChanged
 		g.mu.Unlock()
 		if g.quarantined(d) {
 			g.options.OnEvent(CountRefused, service)
@@ -42,10 +42,10 @@
 			timeout = timer.C
 		}
 		select {
-		case <-changed:
+		case <-stateChanged:
 		case <-timeout:
 			g.mu.Lock()
-			g.running[d]++
+			g.activeAttempts[d]++
 			g.mu.Unlock()
 			return nil
 		case <-ctx.Done():
@@ -54,11 +54,11 @@
 	}
 }
 
-// Leave ends an attempt that Admit permitted.
+// Leave ends an attempt that Admit admitted.
 func (g *Guard) Leave(d quarantine.Digest) {
 	g.mu.Lock()
-	if g.running[d]--; g.running[d] <= 0 {
-		delete(g.running, d)
+	if g.activeAttempts[d]--; g.activeAttempts[d] <= 0 {
+		delete(g.activeAttempts, d)
 	}
 	g.mu.Unlock()
 	if g.eventCount(d, boottime.Elapsed()) > 0 {
@@ -82,10 +82,10 @@
 	serialized := s.Events > 1 || s.Events == 1 && !g.tracker.Survived(d, now)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if s.MeetsThreshold() || serialized && g.running[d] > 0 {
+	if s.MeetsThreshold() || serialized && g.activeAttempts[d] > 0 {
 		return false
 	}
-	g.running[d]++
+	g.activeAttempts[d]++
 	return true
 }
 
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -61,7 +61,7 @@
 	OnTermination func(quarantine.Incarnation)
 	// OnEvent is called for each event to be counted, with the service that it concerns; the
 	// service is empty for verdicts.
-	OnEvent func(what CountedEvent, service string)
+	OnEvent func(event CountedEvent, service string)
 	Log     zerolog.Logger
 }
 
@@ -85,11 +85,12 @@
 	// cachedStatus is the status last built for followers, at cachedStatusAt.
 	cachedStatus   exchange.QuarantineStatus
 	cachedStatusAt time.Duration
-	// running holds the number of attempts that this host has admitted and that aren't over, by
-	// the digest of the request.
-	running map[quarantine.Digest]int
-	// changed is closed when waiting requests must check again whether they may be sent.
-	changed chan struct{}
+	// activeAttempts holds the number of attempts that this host has admitted and that aren't
+	// over, by the digest of the request.
+	activeAttempts map[quarantine.Digest]int
+	// stateChanged is closed, and replaced, when waiting requests must check again whether they
+	// may be sent.
+	stateChanged chan struct{}
 }
 
 // hubSuspect is a suspect that the hub sent.
@@ -110,8 +111,8 @@
 	g := &Guard{
 		options: options, tracker: quarantine.NewTracker(), register: register,
 		runs: newRunTracker(options.Log), verdictRows: newVerdictRows(&options, register), log: options.Log,
-		makesVerdicts: true, hubSuspects: make(map[quarantine.Digest]hubSuspect), running: make(map[quarantine.Digest]int),
-		changed: make(chan struct{}),
+		makesVerdicts: true, hubSuspects: make(map[quarantine.Digest]hubSuspect), activeAttempts: make(map[quarantine.Digest]int),
+		stateChanged: make(chan struct{}),
 	}
 	g.runs.onTermination, g.runs.onSurvival = g.recordTermination, g.recordSurvival
 	g.runs.isSuspect = func(d quarantine.Digest) bool { return g.eventCount(d, boottime.Elapsed()) > 1 }
@@ -180,8 +181,8 @@
 func (g *Guard) notifyWaiting() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	close(g.changed)
-	g.changed = make(chan struct{})
+	close(g.stateChanged)
+	g.stateChanged = make(chan struct{})
 }
 
 // recordTermination records that an upstream terminated, the given time ago, and that the runs of
--- a/internal/guard/runtracker.go
+++ b/internal/guard/runtracker.go
@@ -24,8 +24,8 @@
 	// response: short runs are over before their effects terminate the upstream.
 	answeredCauseWindow = 300 * time.Millisecond
 	// lateResponseWindow is the time after an upstream's termination in which responses that it
-	// sent before may still arrive. A request that is sent to the upstream later shows that it
-	// may have restarted under the same name.
+	// sent before may still arrive. If a request is sent to the upstream later, the upstream may
+	// have restarted under the same name and no longer counts as terminated.
 	lateResponseWindow = time.Second
 	// terminationRetention is how long an upstream's termination is recorded, so that responses
 	// whose interruption is detected late are attributed to it.
@@ -102,8 +102,8 @@
 	startedAt time.Time
 }
 
-// recentRun is a run that is over for this host since overAt. It may be the cause if its upstream
-// terminates within causeWindow after that.
+// recentRun is a run that ended, as far as this host is concerned, at overAt. It may be the cause
+// if its upstream terminates within causeWindow after that.
 type recentRun struct {
 	digest      quarantine.Digest
 	startedAt   time.Time
--- a/internal/guard/upstreamcheck.go
+++ b/internal/guard/upstreamcheck.go
@@ -85,9 +85,9 @@
 // attempt.
 func (t *runTracker) check(runs *upstreamRuns) {
 	t.mu.Lock()
-	otherRuns, checkScheduledAt := len(runs.running), runs.checkScheduledAt
+	runningCount, checkScheduledAt := len(runs.running), runs.checkScheduledAt
 	t.mu.Unlock()
-	terminated := otherRuns == 0 && refusesConnections(runs.upstream.Address)
+	terminated := runningCount == 0 && refusesConnections(runs.upstream.Address)
 	t.mu.Lock()
 	runs.checking = false
 	var candidates []candidateRun
@@ -97,7 +97,7 @@
 	}
 	t.mu.Unlock()
 	t.log.Warn().Str("event", "upstream-checked").Str("upstream", runs.upstream.ID).Bool("ended", terminated).
-		Int("exposed", len(candidates)).Int("running", otherRuns).Strs("digests", digestTexts(candidates)).Msg("")
+		Int("exposed", len(candidates)).Int("running", runningCount).Strs("digests", digestTexts(candidates)).Msg("")
 	if terminated {
 		t.onTermination(runs.upstream, boottime.Since(checkScheduledAt), candidates)
 	}
--- a/internal/guard/verdictrows.go
+++ b/internal/guard/verdictrows.go
@@ -48,10 +48,10 @@
 	onWithdrawal func(d quarantine.Digest)
 
 	mu sync.Mutex
-	// trials holds this host's trials: those that it claims, may start, or has started.
+	// ownTrials holds this host's trials: those that it claims, may start, or has started.
 	// nextWriteAt is the earliest time of the next attempt to write rows, nextCleanupAt that of
 	// the next search for unused rows.
-	trials        map[quarantine.Digest]*trial
+	ownTrials     map[quarantine.Digest]*trial
 	nextWriteAt   time.Time
 	nextCleanupAt time.Time
 }
@@ -66,7 +66,7 @@
 func newVerdictRows(o *Options, register *quarantine.Register) *verdictRows {
 	return &verdictRows{
 		host: o.Host, prefix: o.Prefix, table: o.Table, register: register, log: o.Log, clock: o.Clock,
-		trials:    make(map[quarantine.Digest]*trial),
+		ownTrials: make(map[quarantine.Digest]*trial),
 		onVerdict: func(quarantine.Verdict, string) {}, onWithdrawal: func(quarantine.Digest) {},
 	}
 }
@@ -142,7 +142,7 @@
 func (v *verdictRows) claimOrStartTrial(e quarantine.Entry) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if t := v.trials[e.Digest]; t != nil {
+	if t := v.ownTrials[e.Digest]; t != nil {
 		if !t.claimed || t.sent {
 			return false
 		}
@@ -154,7 +154,7 @@
 		return false
 	}
 	t := &trial{}
-	v.trials[e.Digest] = t
+	v.ownTrials[e.Digest] = t
 	go v.claim(t, e)
 	return false
 }
@@ -167,7 +167,7 @@
 	if err != nil {
 		// Another host claimed the trial first, or the store is unavailable; this host's next
 		// request with the digest starts another claim.
-		delete(v.trials, e.Digest)
+		delete(v.ownTrials, e.Digest)
 		return
 	}
 	t.claimed = true
@@ -197,10 +197,10 @@
 func (v *verdictRows) endTrial(d quarantine.Digest) (quarantine.Entry, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if t := v.trials[d]; t == nil || !t.sent {
+	if t := v.ownTrials[d]; t == nil || !t.sent {
 		return quarantine.Entry{}, false
 	}
-	delete(v.trials, d)
+	delete(v.ownTrials, d)
 	return v.register.Get(d)
 }
 
