--- a/ratelease/lease.go
+++ b/ratelease/lease.go
@@ -92,7 +92,7 @@
 	return Lease{Grants: grants, For: LeaseDuration, Roots: max(1, roots)}
 }
 
-// Share is the part of an upstream's requests that a host may send.
+// Share is the fraction of an upstream's requests that a host may send.
 type Share struct {
 	// Parts is the number of parts that the host holds, from all roots together. Each of the
 	// Roots roots splits the upstream's requests into Of parts.
--- a/ratelease/limitstate.go
+++ b/ratelease/limitstate.go
@@ -20,9 +20,9 @@
 	// minReportedChange is the relative change of a limit up to which no update is sent. The
 	// hosts that hold leases for the upstream receive the new limit in its responses.
 	minReportedChange = 0.1
-	// isolationDelay is how long a host without contact to a root hub waits before it tries
-	// upstreams with a limit without a lease. All leases that other hosts may hold have expired
-	// by then.
+	// isolationDelay is how long a host without contact to a root hub waits before it sends
+	// requests to upstreams with a limit although it holds no lease. All leases that other hosts
+	// may hold have expired by then.
 	isolationDelay = 5 * time.Second
 )
 
@@ -87,10 +87,10 @@
 // limit that this host reported, the host's own observation counts, too; after that only the
 // hub's updates do, so that hosts agree. The zero value has no limit.
 type LimitState struct {
-	// own is the limit last named in a response to this host, at ownAt; there is none if ownAt
-	// is zero.
-	own   Limit
-	ownAt time.Time
+	// ownLimit is the limit last named in a response to this host, at ownLimitAt; there is none
+	// if ownLimitAt is zero.
+	ownLimit   Limit
+	ownLimitAt time.Time
 	// hubLimit is the limit in the hub's last update, if hasHubLimit is set; a host received it
 	// in a response at hubLimitAt.
 	hubLimit    Limit
@@ -110,13 +110,13 @@
 // Limited reports whether the upstream has a limit: by the hub's last update, or in a response to
 // this host that the hub hasn't had time to send back.
 func (s *LimitState) Limited(c HubContact, now time.Time) bool {
-	return s.hasHubLimit || !s.ownAt.IsZero() && !c.hadTimeToSendBack(s.ownAt, now)
+	return s.hasHubLimit || !s.ownLimitAt.IsZero() && !c.hadTimeToSendBack(s.ownLimitAt, now)
 }
 
 // Limit returns the limit named last.
 func (s *LimitState) Limit() Limit {
-	if s.ownAt.After(s.hubLimitAt) || !s.hasHubLimit {
-		return s.own
+	if s.ownLimitAt.After(s.hubLimitAt) || !s.hasHubLimit {
+		return s.ownLimit
 	}
 	return s.hubLimit
 }
@@ -133,7 +133,7 @@
 // Observe processes a response that named a limit. It reports whether the hub must be sent an
 // update.
 func (s *LimitState) Observe(limit Limit, now time.Time) (report bool) {
-	s.own, s.ownAt, s.responsesWithoutLimit = limit, now, 0
+	s.ownLimit, s.ownLimitAt, s.responsesWithoutLimit = limit, now, 0
 	if s.hasHubLimit && math.Abs(float64(limit-s.hubLimit)) <= minReportedChange*float64(s.hubLimit) {
 		return false
 	}
@@ -143,7 +143,7 @@
 // ObserveUnlimited processes a response without a limit from an upstream that had one, to a request
 // sent at the given time. It reports whether the hub must be sent an update.
 func (s *LimitState) ObserveUnlimited(sentAt, now time.Time) (report bool) {
-	lastNamed := s.ownAt
+	lastNamed := s.ownLimitAt
 	if s.hasHubLimit && s.hubLimitAt.After(lastNamed) {
 		lastNamed = s.hubLimitAt
 	}
@@ -155,7 +155,7 @@
 	if elapsed < endDelay || elapsed < singleResponseEndDelay && s.responsesWithoutLimit < responsesToEnd {
 		return false
 	}
-	s.ownAt, s.endedAt = time.Time{}, now
+	s.ownLimitAt, s.endedAt = time.Time{}, now
 	return s.hasHubLimit && s.reportDue(now)
 }
 
@@ -165,8 +165,8 @@
 func (s *LimitState) NextUpdate(u UpstreamID, now time.Time) LimitUpdate {
 	s.reportedAt = now
 	switch {
-	case !s.ownAt.IsZero():
-		return LimitUpdate{Upstream: u, Limit: s.own, Age: now.Sub(s.ownAt)}
+	case !s.ownLimitAt.IsZero():
+		return LimitUpdate{Upstream: u, Limit: s.ownLimit, Age: now.Sub(s.ownLimitAt)}
 	case s.hasHubLimit && s.hubLimitAt.After(s.endedAt):
 		return LimitUpdate{Upstream: u, Limit: s.hubLimit, Age: now.Sub(s.hubLimitAt)}
 	default:
@@ -178,13 +178,13 @@
 func (s *LimitState) Apply(update LimitUpdate, now time.Time) {
 	observedAt := now.Add(-update.Age)
 	s.hasHubLimit, s.hubLimit, s.hubLimitAt, s.responsesWithoutLimit = !update.Ended, update.Limit, observedAt, 0
-	if update.Ended && observedAt.After(s.ownAt) {
-		s.ownAt = time.Time{}
+	if update.Ended && observedAt.After(s.ownLimitAt) {
+		s.ownLimitAt = time.Time{}
 	}
 }
 
 // IsEmpty reports whether neither a response to this host nor the hub's last update names a limit.
-func (s *LimitState) IsEmpty() bool { return !s.hasHubLimit && s.ownAt.IsZero() }
+func (s *LimitState) IsEmpty() bool { return !s.hasHubLimit && s.ownLimitAt.IsZero() }
 
 // HasHubLimit reports whether the upstream has a limit by the hub's last update.
 func (s *LimitState) HasHubLimit() bool { return s.hasHubLimit }
