--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -327,9 +327,9 @@
 		d = digest(4)
 		g.terminateWith(d, 20, 2)
 		is.NoErr(g.Admit(ctx, d, "svc"))
-		short, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
+		shortCtx, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 		defer cancel()
-		is.True(errors.Is(g.Admit(short, d, "svc"), context.DeadlineExceeded))
+		is.True(errors.Is(g.Admit(shortCtx, d, "svc"), context.DeadlineExceeded))
 	})
 }
 
@@ -342,21 +342,21 @@
 	is.True(errors.Is(g.Admit(t.Context(), d, "svc"), ErrQuarantined))
 	g.verdictRows.writeMissing(t.Context(), true)
 
-	later := newTestGuard("h2", table)
-	is.NoErr(later.Admit(t.Context(), d, "svc")) // this host has no verdict or losses yet, so the request doesn't wait
-	later.syncRows(t)
-	is.True(errors.Is(later.Admit(t.Context(), d, "svc"), ErrQuarantined))
-	is.NoErr(later.Admit(t.Context(), digest(2), "svc"))
+	laterHost := newTestGuard("h2", table)
+	is.NoErr(laterHost.Admit(t.Context(), d, "svc")) // this host has no verdict or losses yet, so the request doesn't wait
+	laterHost.syncRows(t)
+	is.True(errors.Is(laterHost.Admit(t.Context(), d, "svc"), ErrQuarantined))
+	is.NoErr(laterHost.Admit(t.Context(), digest(2), "svc"))
 
 	row, err := table.Get(t.Context(), "quarantine/"+d.String())
 	is.NoErr(err)
 	_, err = table.Commit(t.Context(), storage.Txn{Conditions: []storage.Condition{{Key: row.Key, Version: row.Version}}, Deletes: []string{row.Key}})
 	is.NoErr(err)
-	later.syncRows(t)
-	is.NoErr(later.Admit(t.Context(), d, "svc"))
+	laterHost.syncRows(t)
+	is.NoErr(laterHost.Admit(t.Context(), d, "svc"))
 	// The verdict isn't restored by a host that hasn't received the removal and still sends it.
-	later.ApplyStatus(g.currentStatus())
-	is.NoErr(later.Admit(t.Context(), d, "svc"))
+	laterHost.ApplyStatus(g.currentStatus())
+	is.NoErr(laterHost.Admit(t.Context(), d, "svc"))
 }
 
 // Hosts send each other a verdict until it is stored. If the host that made it doesn't store it
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -32,9 +32,9 @@
 	loseAll(tr, 2, 400*ms, 1, 11, 12)
 	loseAll(tr, 3, 800*ms, 1, 13)
 	is.Equal(tr.FindPoisonRequests(800*ms), nil) // other hosts may still report more
-	f := tr.FindPoisonRequests(800*ms + SettleDelay)
-	is.Equal(len(f), 1)
-	is.Equal(f[0], Finding{Digest: digest(1), Events: 3, Upstreams: 3, UnexplainedTerminations: 3})
+	findings := tr.FindPoisonRequests(800*ms + SettleDelay)
+	is.Equal(len(findings), 1)
+	is.Equal(findings[0], Finding{Digest: digest(1), Events: 3, Upstreams: 3, UnexplainedTerminations: 3})
 	for upstream := Incarnation(1); upstream <= 3; upstream++ {
 		is.True(tr.Explained(upstream))
 	}
@@ -55,9 +55,9 @@
 	}
 	is.Equal(tr.FindPoisonRequests(10*time.Second), nil)
 	loseAll(tr, 9, 11*time.Second, 1)
-	f := tr.FindPoisonRequests(11*time.Second + SettleDelay)
-	is.Equal(len(f), 1)
-	is.Equal(f[0].Digest, digest(1))
+	findings := tr.FindPoisonRequests(11*time.Second + SettleDelay)
+	is.Equal(len(findings), 1)
+	is.Equal(findings[0].Digest, digest(1))
 }
 
 // Two requests that terminate different upstreams in the same period both get a verdict.
@@ -97,9 +97,9 @@
 	}
 	is.Equal(tr.Events(digest(1), time.Second), 3)
 	is.Equal(tr.Events(digest(2), time.Second), 1)
-	f := tr.FindPoisonRequests(2 * time.Second)
-	is.Equal(len(f), 1)
-	is.Equal(f[0].Digest, digest(1))
+	findings := tr.FindPoisonRequests(2 * time.Second)
+	is.Equal(len(findings), 1)
+	is.Equal(findings[0].Digest, digest(1))
 }
 
 // An answered request is no longer a suspect, and for survivalRetention it needs more events for
--- a/ratelease/lease_test.go
+++ b/ratelease/lease_test.go
@@ -81,8 +81,8 @@
 	return share.Parts
 }
 
-// leaseOf returns the lease that the lessor grants to a reporter, and checks the digest.
-func leaseOf(l *ratelease.Lessor, reporter string, now time.Time) ratelease.Lease {
+// requestLease returns the lease that the lessor grants to a reporter, and checks the digest.
+func requestLease(l *ratelease.Lessor, reporter string, now time.Time) ratelease.Lease {
 	lease, digest := l.Lease(reporter, now)
 	if digest != ratelease.Digest(lease.Grants) {
 		panic("the digest isn't that of the grants")
@@ -105,7 +105,7 @@
 	var names []string
 	l.Assign(ratelease.RootLease(wholeGrants(u), 1), reporters, now)
 	for name := range reporters {
-		if lease := leaseOf(l, name, now); len(lease.Grants) == 1 {
+		if lease := requestLease(l, name, now); len(lease.Grants) == 1 {
 			names = append(names, name)
 		}
 	}
@@ -145,14 +145,14 @@
 	is := is.New(t)
 	l := ratelease.NewLessor(start)
 	reporters := map[string]int{"small": 1, "large": 4}
-	held := make(map[string]int)
+	upstreamsHeld := make(map[string]int)
 	for u := range ratelease.UpstreamID(5000) {
 		for _, name := range holdersOf(l, reporters, u, start.Add(ratelease.HandoverDelay)) {
-			held[name]++
+			upstreamsHeld[name]++
 		}
 	}
-	is.Equal(held["small"]+held["large"], 5000)
-	is.True(held["small"] > 800 && held["small"] < 1200)
+	is.Equal(upstreamsHeld["small"]+upstreamsHeld["large"], 5000)
+	is.True(upstreamsHeld["small"] > 800 && upstreamsHeld["small"] < 1200)
 }
 
 // Two reporters get all parts of all upstreams of a large installation at once.
@@ -165,7 +165,7 @@
 	}
 	l := ratelease.NewLessor(start)
 	l.Assign(ratelease.RootLease(grants, 3), map[string]int{"a": 1, "b": 1}, start.Add(ratelease.HandoverDelay))
-	a, b := leaseOf(l, "a", start.Add(ratelease.HandoverDelay)), leaseOf(l, "b", start.Add(ratelease.HandoverDelay))
+	a, b := requestLease(l, "a", start.Add(ratelease.HandoverDelay)), requestLease(l, "b", start.Add(ratelease.HandoverDelay))
 	is.Equal(countParts(a.Grants)+countParts(b.Grants), 2*upstreams)
 }
 
@@ -175,26 +175,26 @@
 	is := is.New(t)
 	now := start.Add(ratelease.HandoverDelay)
 	root, hub := ratelease.NewLessor(start), ratelease.NewLessor(start)
-	own := ratelease.RootLease([]ratelease.Grant{{Upstream: 7, Parts: 4, Of: 4}}, 3)
+	rootLease := ratelease.RootLease([]ratelease.Grant{{Upstream: 7, Parts: 4, Of: 4}}, 3)
 	reporters := map[string]int{"hub": 3, "host": 1}
-	root.Assign(own, reporters, now)
-	toHub, toHost := leaseOf(root, "hub", now), leaseOf(root, "host", now)
+	root.Assign(rootLease, reporters, now)
+	toHub, toHost := requestLease(root, "hub", now), requestLease(root, "host", now)
 	is.Equal(countParts(toHub.Grants)+countParts(toHost.Grants), 4)
-	held := ratelease.NewHolding(toHub, now, nil)
-	is.Equal(heldParts(&held, 7, now), countParts(toHub.Grants))
+	hubHolding := ratelease.NewHolding(toHub, now, nil)
+	is.Equal(heldParts(&hubHolding, 7, now), countParts(toHub.Grants))
 	total := 0
 	followers := map[string]int{"hub": 1, "a": 1, "b": 1}
-	hub.Assign(held.Lease(now), followers, now)
+	hub.Assign(hubHolding.Lease(now), followers, now)
 	for name := range followers {
-		total += countParts(leaseOf(hub, name, now).Grants)
+		total += countParts(requestLease(hub, name, now).Grants)
 	}
 	is.Equal(total, countParts(toHub.Grants))
 	// The leases of parts that the hub no longer holds aren't renewed.
-	fewer := ratelease.Lease{Grants: []ratelease.Grant{{Upstream: 7, Parts: 1, Of: 4}}, For: ratelease.LeaseDuration, Roots: 3}
+	smallerLease := ratelease.Lease{Grants: []ratelease.Grant{{Upstream: 7, Parts: 1, Of: 4}}, For: ratelease.LeaseDuration, Roots: 3}
 	total = 0
-	hub.Assign(fewer, followers, now)
+	hub.Assign(smallerLease, followers, now)
 	for name := range followers {
-		total += countParts(leaseOf(hub, name, now).Grants)
+		total += countParts(requestLease(hub, name, now).Grants)
 	}
 	is.Equal(total, 1)
 }
@@ -210,7 +210,7 @@
 		l.Assign(ratelease.RootLease([]ratelease.Grant{{Upstream: 7, Parts: of, Of: of}}, 3), reporters, now)
 		n := 0
 		for name := range reporters {
-			n += countParts(leaseOf(l, name, now).Grants)
+			n += countParts(requestLease(l, name, now).Grants)
 		}
 		return n
 	}
--- a/ratelease/log_test.go
+++ b/ratelease/log_test.go
@@ -13,8 +13,8 @@
 	is := is.New(t)
 	now := time.Now()
 	l := ratelease.NewLimitLog(7)
-	updatesSince := func(known ratelease.LogCursor, toHub bool) ([]ratelease.LimitUpdate, ratelease.LogCursor) {
-		batch := l.Since(known, 100, toHub, now)
+	updatesSince := func(cursor ratelease.LogCursor, toHub bool) ([]ratelease.LimitUpdate, ratelease.LogCursor) {
+		batch := l.Since(cursor, 100, toHub, now)
 		return batch.Updates, batch.Cursor
 	}
 	l.Add(false, []ratelease.LimitUpdate{{Upstream: 1, Limit: 2, Age: time.Second}, {Upstream: 9, Ended: true}}, now)
@@ -43,22 +43,22 @@
 	now := time.Now()
 	l := ratelease.NewLimitLog(7)
 	const (
-		perMessage = 100
-		limits     = 3*perMessage + 5
+		perBatch = 100
+		limits   = 3*perBatch + 5
 	)
 	for u := range ratelease.UpstreamID(limits) {
 		l.Add(false, []ratelease.LimitUpdate{{Upstream: u, Limit: 1}}, now)
 	}
-	var f ratelease.LogReader
-	received, messages := 0, 0
-	for complete := false; !complete; messages++ {
+	var reader ratelease.LogReader
+	received, batches := 0, 0
+	for complete := false; !complete; batches++ {
 		var updates []ratelease.LimitUpdate
-		updates, _, complete = f.Apply(l.Since(f.Cursor(), perMessage, false, now))
+		updates, _, complete = reader.Apply(l.Since(reader.Cursor(), perBatch, false, now))
 		received = len(updates)
 	}
 	is.Equal(received, limits)
-	is.Equal(messages, 4)
-	updates, hubChanged, complete := f.Apply(l.Since(f.Cursor(), perMessage, false, now))
+	is.Equal(batches, 4)
+	updates, hubChanged, complete := reader.Apply(l.Since(reader.Cursor(), perBatch, false, now))
 	is.True(len(updates) == 0 && !hubChanged && !complete)
 	// The log keeps at most maxLimits limits.
 	const maxLimits = 16_384
