--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -19,17 +19,19 @@
 )
 
 const (
-	// evaluationInterval is the time between two evaluations of the losses: a small part of the
-	// time in which a verdict must reach all hosts.
+	// evaluationInterval is the time between two searches for poison requests, for verdicts to
+	// be written and for survivals: a small part of the time in which a verdict must reach all
+	// hosts.
 	evaluationInterval = 100 * time.Millisecond
-	// sweepInterval is how often the records of idle upstreams are dropped.
+	// sweepInterval is the time between two searches for upstreams without runs, whose records
+	// are dropped.
 	sweepInterval = 10 * time.Second
-	// verdictWait is how long the termination of an upstream isn't attributed to its version: if
-	// a poison request is the cause, it is found in that time. Operators require a bad version
-	// to be stopped within 5 s.
+	// verdictWait is the time after the check of a terminated upstream before the termination is
+	// attributed to the upstream's version. If a poison request is the cause, it gets a verdict
+	// in that time. Operators require a bad version to be stopped within 5 s.
 	verdictWait = 2500 * time.Millisecond
-	// checkDuration is the time within which it is known whether an upstream that interrupted a
-	// response has terminated.
+	// checkDuration is the maximum time from an interrupted response to the end of the check
+	// whether its upstream has terminated.
 	checkDuration = checkDelay + checkTimeout + 50*time.Millisecond
 )
 
@@ -52,13 +54,14 @@
 	// Table stores the verdicts under keys that begin with Prefix.
 	Table  storage.Table
 	Prefix string
-	// Clock is the clock, shared by all hosts, by which verdicts expire.
+	// Clock returns the time on the clock that all hosts share, by which verdicts expire.
 	Clock func() time.Duration
-	// OnTermination is called once for each upstream that terminated, whichever host observed it. It may
-	// be nil.
+	// OnTermination is called once for each upstream that terminated, whichever host observed
+	// it. It may be nil.
 	OnTermination func(quarantine.Incarnation)
-	// OnEvent counts an event at a service; the service is empty for verdicts.
-	OnEvent func(what CountedEvent, service string)
+	// OnEvent is called for each event to be counted, with the service that it concerns; the
+	// service is empty for verdicts.
+	OnEvent func(event CountedEvent, service string)
 	Log     zerolog.Logger
 }
 
@@ -72,30 +75,34 @@
 	log         zerolog.Logger
 
 	mu sync.Mutex
-	// makesVerdicts says that this host makes verdicts from its observations.
+	// makesVerdicts says that this host makes verdicts, in place of a hub that it reports to.
 	makesVerdicts bool
 	sightings     sightingBuffer
 	hubSuspects   map[quarantine.Digest]hubSuspect
-	// terminations holds the recent terminations of upstreams.
+	// terminations holds the recent terminations of upstreams, in the order in which this host
+	// recorded them.
 	terminations []termination
-	// status is the status last sent to followers, built at statusAt.
-	status   exchange.QuarantineStatus
-	statusAt time.Duration
-	// running counts the requests of this host at upstreams, by digest.
-	running map[quarantine.Digest]int
-	// changed is closed when waiting requests must check their state again.
-	changed chan struct{}
+	// cachedStatus is the status last built for followers, at cachedStatusAt.
+	cachedStatus   exchange.QuarantineStatus
+	cachedStatusAt time.Duration
+	// activeAttempts holds the number of attempts that this host has admitted and that aren't
+	// over, by the digest of the request.
+	activeAttempts map[quarantine.Digest]int
+	// stateChanged is closed, and replaced, when waiting requests must check again whether they
+	// may be sent.
+	stateChanged chan struct{}
 }
 
 // hubSuspect is a suspect that the hub sent.
 type hubSuspect struct {
 	events int
-	// firstAt is the time of the first termination with it, reportedAt that of the report.
+	// firstAt is the time of the first termination with it. reportedAt is when the host that
+	// counted the events sent the suspect; relaying by hubs doesn't make it later.
 	firstAt, reportedAt time.Duration
 }
 
-// New returns a guard; Run must be called to run it. Until SetMakesVerdicts is called, the host makes
-// verdicts itself.
+// New returns a guard; Run must be called to run it. The host makes verdicts itself until
+// SetMakesVerdicts is called.
 func New(options Options) *Guard {
 	if options.OnTermination == nil {
 		options.OnTermination = func(quarantine.Incarnation) {}
@@ -104,16 +111,16 @@
 	g := &Guard{
 		options: options, tracker: quarantine.NewTracker(), register: register,
 		runs: newRunTracker(options.Log), verdictRows: newVerdictRows(&options, register), log: options.Log,
-		makesVerdicts: true, hubSuspects: make(map[quarantine.Digest]hubSuspect), running: make(map[quarantine.Digest]int),
-		changed: make(chan struct{}),
+		makesVerdicts: true, hubSuspects: make(map[quarantine.Digest]hubSuspect), activeAttempts: make(map[quarantine.Digest]int),
+		stateChanged: make(chan struct{}),
 	}
 	g.runs.onTermination, g.runs.onSurvival = g.recordTermination, g.recordSurvival
-	g.runs.isSuspect = func(d quarantine.Digest) bool { return g.events(d, boottime.Elapsed()) > 1 }
-	g.verdictRows.onVerdict, g.verdictRows.onLift = g.applyVerdict, g.applyLift
+	g.runs.isSuspect = func(d quarantine.Digest) bool { return g.eventCount(d, boottime.Elapsed()) > 1 }
+	g.verdictRows.onVerdict, g.verdictRows.onWithdrawal = g.applyVerdict, g.applyWithdrawal
 	return g
 }
 
-// Run makes verdicts and writes their rows until the context ends.
+// Run makes verdicts, writes their rows and processes survivals until the context ends.
 func (g *Guard) Run(ctx context.Context) {
 	var loops sync.WaitGroup
 	loops.Go(func() { wait.Every(ctx, evaluationInterval, g.makeVerdicts) })
@@ -125,12 +132,12 @@
 	loops.Wait()
 }
 
-// SetMakesVerdicts sets whether this host makes verdicts from its observations: it does if it receives
-// those of all other hosts, or of none.
-func (g *Guard) SetMakesVerdicts(judges bool) {
+// SetMakesVerdicts sets whether this host makes verdicts. It should if it receives the
+// observations of all other hosts, or of none.
+func (g *Guard) SetMakesVerdicts(makesVerdicts bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.makesVerdicts = judges
+	g.makesVerdicts = makesVerdicts
 }
 
 func (g *Guard) shouldMakeVerdicts() bool {
@@ -150,36 +157,37 @@
 		g.register.Add(v, now)
 		g.options.OnEvent(CountVerdict, "")
 		g.log.Warn().Str("event", "request-judged").Stringer("digest", f.Digest).Int("events", f.Events).
-			Int("upstreams", f.Upstreams).Int("lost", f.Lost).Int64("until_ms", v.Until.Milliseconds()).Msg("")
+			Int("upstreams", f.Upstreams).Int("lost", f.UnexplainedTerminations).Int64("until_ms", v.Until.Milliseconds()).Msg("")
 		g.notifyWaiting()
 	}
 }
 
-// applyVerdict processes a verdict that came from another host or from the store.
-func (g *Guard) applyVerdict(v quarantine.Verdict, from string) {
+// applyVerdict processes a new verdict that came from another host or from the store.
+func (g *Guard) applyVerdict(v quarantine.Verdict, source string) {
 	g.tracker.SetVerdict(v.Digest)
-	g.log.Warn().Str("event", "request-judged-elsewhere").Stringer("digest", v.Digest).Str("by", v.By).Str("from", from).
+	g.log.Warn().Str("event", "request-judged-elsewhere").Stringer("digest", v.Digest).Str("by", v.By).Str("from", source).
 		Int("events", v.Events).Int("upstreams", v.Upstreams).Int64("until_ms", v.Until.Milliseconds()).Msg("")
 	g.notifyWaiting()
 }
 
-// applyLift processes the withdrawal of a verdict.
-func (g *Guard) applyLift(d quarantine.Digest) {
+// applyWithdrawal processes the withdrawal of a verdict.
+func (g *Guard) applyWithdrawal(d quarantine.Digest) {
 	g.tracker.ClearVerdict(d)
 	g.log.Warn().Str("event", "quarantine-lifted").Stringer("digest", d).Msg("")
 	g.notifyWaiting()
 }
 
-// notifyWaiting has waiting requests check their state again.
+// notifyWaiting has waiting requests check again whether they may be sent.
 func (g *Guard) notifyWaiting() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	close(g.changed)
-	g.changed = make(chan struct{})
+	close(g.stateChanged)
+	g.stateChanged = make(chan struct{})
 }
 
-// recordTermination records that an upstream terminated, the given time ago, with the runs.
-func (g *Guard) recordTermination(u Upstream, ago time.Duration, runs []exposedRun) {
+// recordTermination records that an upstream terminated, the given time ago, and that the runs of
+// this host may have been the cause.
+func (g *Guard) recordTermination(u Upstream, ago time.Duration, runs []candidateRun) {
 	now := boottime.Elapsed()
 	at := now - ago
 	g.options.OnEvent(CountTerminated, u.Service)
@@ -190,7 +198,7 @@
 			continue
 		}
 		g.addLoss(loss)
-		g.verdictRows.trialFailed(d)
+		g.verdictRows.renewIfTried(d)
 		if n := g.tracker.Events(d, now); n > 1 {
 			g.log.Warn().Str("event", "request-suspected").Stringer("digest", d).Int("events", n).Str("upstream", u.ID).Msg("")
 		}
@@ -201,9 +209,9 @@
 // recordSurvival records that a request was answered and that its upstream survived it.
 func (g *Guard) recordSurvival(d quarantine.Digest) {
 	now := boottime.Elapsed()
-	events := g.events(d, now)
+	events := g.eventCount(d, now)
 	g.tracker.RecordSurvival(d, now)
-	g.verdictRows.trialSucceeded(d)
+	g.verdictRows.withdrawIfTried(d)
 	if events > 0 {
 		g.notifyWaiting()
 	}
@@ -213,9 +221,9 @@
 	}
 }
 
-// events returns the number of events in which upstreams terminated with the request, as
-// observed by this host or reported by its hub.
-func (g *Guard) events(d quarantine.Digest, now time.Duration) int {
+// eventCount returns the number of events in which upstreams terminated with the request. It is
+// the number found by this host's tracker or the number sent by its hub, whichever is higher.
+func (g *Guard) eventCount(d quarantine.Digest, now time.Duration) int {
 	n := g.tracker.Events(d, now)
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -227,26 +235,28 @@
 
 // Attribution holds the callbacks for an interrupted response.
 type Attribution struct {
-	// Version is called if only the upstream's version can be the cause, Request if a request
-	// with a verdict terminated the upstream. Request may be nil.
+	// Version is called if no request with a verdict explains the interruption, so that only the
+	// upstream's version can be the cause. Request is called if such a request ran at the
+	// upstream when it terminated; it may be nil.
 	Version func()
 	Request func()
 }
 
-// AttributeInterruption finds the cause of a response that an upstream interrupted and calls the callback
-// for it: soon if the upstream is alive, otherwise once a verdict would have been made.
-func (g *Guard) AttributeInterruption(u Upstream, blame Attribution) {
+// AttributeInterruption finds the cause of an interrupted response of the upstream and calls the
+// callback for it: after checkDuration if the upstream is alive, otherwise after a further
+// verdictWait, by when a verdict would have been made.
+func (g *Guard) AttributeInterruption(u Upstream, callbacks Attribution) {
 	time.AfterFunc(checkDuration, func() {
 		if !g.runs.hasTerminated(u) {
-			blame.Version()
+			callbacks.Version()
 			return
 		}
 		time.AfterFunc(verdictWait, func() {
 			switch {
 			case !g.tracker.Explained(u.Incarnation):
-				blame.Version()
-			case blame.Request != nil:
-				blame.Request()
+				callbacks.Version()
+			case callbacks.Request != nil:
+				callbacks.Request()
 			}
 		})
 	})
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -27,7 +27,8 @@
 	return d
 }
 
-// testGuard is a guard with a table and a shared clock that the test controls.
+// testGuard is a guard with a table, and with a reading of the clock shared by all hosts that the
+// test sets.
 type testGuard struct {
 	*Guard
 	table storage.Table
@@ -36,64 +37,65 @@
 }
 
 func newTestGuard(host string, table storage.Table) *testGuard {
-	b := &testGuard{table: table, now: time.Hour}
-	b.Guard = New(Options{
+	g := &testGuard{table: table, now: time.Hour}
+	g.Guard = New(Options{
 		Host: host, Table: table, Prefix: "quarantine/", Log: zerolog.Nop(), OnEvent: func(CountedEvent, string) {},
 		Clock: func() time.Duration {
-			b.mu.Lock()
-			defer b.mu.Unlock()
-			return b.now
+			g.mu.Lock()
+			defer g.mu.Unlock()
+			return g.now
 		},
 	})
-	return b
+	return g
 }
 
-// advance advances the clock shared by all hosts.
-func (b *testGuard) advance(d time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.now += d
+// advance advances the guard's reading of the clock shared by all hosts.
+func (g *testGuard) advance(d time.Duration) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.now += d
 }
 
 // currentStatus returns the status for followers without the cache.
-func (b *testGuard) currentStatus() exchange.QuarantineStatus {
-	return b.buildStatus(boottime.Elapsed())
+func (g *testGuard) currentStatus() exchange.QuarantineStatus {
+	return g.buildStatus(boottime.Elapsed())
 }
 
 // syncRows applies the table's rows as a watcher would.
-func (b *testGuard) syncRows(t *testing.T) {
+func (g *testGuard) syncRows(t *testing.T) {
 	t.Helper()
-	rows, err := b.table.List(t.Context(), "quarantine/", "", 100)
+	rows, err := g.table.List(t.Context(), "quarantine/", "", 100)
 	if err != nil {
 		t.Fatal(err)
 	}
 	keys := make(map[string]bool)
 	for _, row := range rows {
 		keys[row.Key] = true
-		if err := b.ApplyRow(row.Key, row.Value, storage.Revision(row.Version)); err != nil {
+		if err := g.ApplyRow(row.Key, row.Value, storage.Revision(row.Version)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	b.LiftMissingRows(keys)
+	g.LiftMissingRows(keys)
 }
 
-// terminateWith has upstreams terminate with the request, some time apart.
-func (b *testGuard) terminateWith(d quarantine.Digest, from, ends int) {
-	for i := range ends {
-		b.recordTermination(Upstream{ID: "u", Service: "svc", Incarnation: quarantine.Incarnation(from + i)}, time.Duration(ends-i)*200*time.Millisecond+quarantine.SettleDelay, []exposedRun{{digest: d, ran: 40 * time.Millisecond}})
+// terminateWith records that the given number of upstreams terminated with the request, 200 ms
+// apart and the last one longer than SettleDelay ago.
+func (g *testGuard) terminateWith(d quarantine.Digest, firstIncarnation, count int) {
+	for i := range count {
+		g.recordTermination(Upstream{ID: "u", Service: "svc", Incarnation: quarantine.Incarnation(firstIncarnation + i)}, time.Duration(count-i)*200*time.Millisecond+quarantine.SettleDelay, []candidateRun{{digest: d, ran: 40 * time.Millisecond}})
 	}
 }
 
 // guardWithVerdict returns a guard with a verdict on the request.
 func guardWithVerdict(t *testing.T, host string, table storage.Table, d quarantine.Digest) *testGuard {
 	t.Helper()
-	b := newTestGuard(host, table)
-	b.terminateWith(d, 1, 3)
-	b.makeVerdicts()
-	if b.Len() != 1 {
+	g := newTestGuard(host, table)
+	g.terminateWith(d, 1, 3)
+	g.makeVerdicts()
+	if g.Len() != 1 {
 		t.Fatal("no verdict was made")
 	}
-	return b
+	return g
 }
 
 // listener returns an upstream whose address accepts connections until the listener is closed.
@@ -107,30 +109,30 @@
 	return Upstream{ID: "u", Service: "svc", Address: l.Addr().String(), Incarnation: 1}, l
 }
 
-// recordedRuns is a run tracker that records its callbacks.
-type recordedRuns struct {
+// recordingTracker is a run tracker that records the digests that its callbacks are given.
+type recordingTracker struct {
 	*runTracker
-	terminations chan []quarantine.Digest
-	survivals    []quarantine.Digest
+	lostDigests     chan []quarantine.Digest
+	survivedDigests []quarantine.Digest
 }
 
-func newRecordedRuns() *recordedRuns {
-	e := &recordedRuns{runTracker: newRunTracker(zerolog.Nop()), terminations: make(chan []quarantine.Digest, 10)}
-	e.onSurvival = func(d quarantine.Digest) { e.survivals = append(e.survivals, d) }
-	e.onTermination = func(_ Upstream, _ time.Duration, runs []exposedRun) {
+func newRecordingTracker() *recordingTracker {
+	r := &recordingTracker{runTracker: newRunTracker(zerolog.Nop()), lostDigests: make(chan []quarantine.Digest, 10)}
+	r.onSurvival = func(d quarantine.Digest) { r.survivedDigests = append(r.survivedDigests, d) }
+	r.onTermination = func(_ Upstream, _ time.Duration, runs []candidateRun) {
 		var digests []quarantine.Digest
 		for _, run := range runs {
 			digests = append(digests, run.digest)
 		}
-		e.terminations <- digests
+		r.lostDigests <- digests
 	}
-	return e
+	return r
 }
 
-func (e *recordedRuns) next(t *testing.T) []quarantine.Digest {
+func (r *recordingTracker) nextLostDigests(t *testing.T) []quarantine.Digest {
 	t.Helper()
 	select {
-	case digests := <-e.terminations:
+	case digests := <-r.lostDigests:
 		slices.SortFunc(digests, func(a, b quarantine.Digest) int { return slices.Compare(a[:], b[:]) })
 		return digests
 	case <-time.After(5 * time.Second):
@@ -143,238 +145,238 @@
 // with the interrupted runs and with those that this host abandoned there just before.
 func TestTerminationReportsRuns(t *testing.T) {
 	is := is.New(t)
-	e := newRecordedRuns()
+	tracker := newRecordingTracker()
 	u, l := listener(t)
 	for n := range uint64(5) {
-		e.begin(u, digest(n))
+		tracker.begin(u, digest(n))
 	}
-	e.end(u, digest(0), Answered)
-	undo := boottime.SimulateSuspension(answeredRunExposure + time.Millisecond)
+	tracker.end(u, digest(0), Answered)
+	undo := boottime.SimulateSuspension(answeredCauseWindow + time.Millisecond)
 	t.Cleanup(undo)
-	e.end(u, digest(1), NotRun)
-	e.end(u, digest(2), Abandoned)
+	tracker.end(u, digest(1), NotRun)
+	tracker.end(u, digest(2), Abandoned)
 	l.Close()
-	e.end(u, digest(3), Interrupted)
-	e.end(u, digest(4), Interrupted)
-	is.Equal(e.next(t), []quarantine.Digest{digest(2), digest(3), digest(4)})
-	is.True(e.hasTerminated(u))
-	e.reportSurvivals()
-	is.Equal(len(e.survivals), 0) // no request counts as survived by a terminated upstream
+	tracker.end(u, digest(3), Interrupted)
+	tracker.end(u, digest(4), Interrupted)
+	is.Equal(tracker.nextLostDigests(t), []quarantine.Digest{digest(2), digest(3), digest(4)})
+	is.True(tracker.hasTerminated(u))
+	tracker.reportSurvivals()
+	is.Equal(len(tracker.survivedDigests), 0) // no request counts as survived by a terminated upstream
 	// Interruptions that are detected later are reported, too.
-	e.begin(u, digest(5))
-	e.end(u, digest(5), Interrupted)
-	is.Equal(e.next(t), []quarantine.Digest{digest(5)})
+	tracker.begin(u, digest(5))
+	tracker.end(u, digest(5), Interrupted)
+	is.Equal(tracker.nextLostDigests(t), []quarantine.Digest{digest(5)})
 }
 
-// A short run may be answered before it terminates its upstream: an answer shows that the
-// request is sound only if the upstream is still alive some time later.
+// A short run may be answered before it terminates its upstream. Its request counts as survived
+// only if the upstream is still alive survivalDelay later.
 func TestAnswersCountOnceTheUpstreamSurvives(t *testing.T) {
 	is := is.New(t)
-	e := newRecordedRuns()
+	tracker := newRecordingTracker()
 	u, l := listener(t)
-	e.begin(u, digest(1))
-	e.end(u, digest(1), Answered)
-	e.reportSurvivals()
-	is.Equal(len(e.survivals), 0)
+	tracker.begin(u, digest(1))
+	tracker.end(u, digest(1), Answered)
+	tracker.reportSurvivals()
+	is.Equal(len(tracker.survivedDigests), 0)
 	undo := boottime.SimulateSuspension(survivalDelay)
-	e.reportSurvivals()
-	is.Equal(e.survivals, []quarantine.Digest{digest(1)})
-	e.reportSurvivals()
-	is.Equal(len(e.survivals), 1)
+	tracker.reportSurvivals()
+	is.Equal(tracker.survivedDigests, []quarantine.Digest{digest(1)})
+	tracker.reportSurvivals()
+	is.Equal(len(tracker.survivedDigests), 1)
 	undo()
 
-	// For a suspect, the upstream is checked for certain.
-	e.isSuspect = func(d quarantine.Digest) bool { return d == digest(2) }
+	// If the request is a suspect, the upstream is checked by a connection.
+	tracker.isSuspect = func(d quarantine.Digest) bool { return d == digest(2) }
 	u.Incarnation = 3
-	e.begin(u, digest(2))
-	e.end(u, digest(2), Answered)
+	tracker.begin(u, digest(2))
+	tracker.end(u, digest(2), Answered)
 	l.Close()
 	t.Cleanup(boottime.SimulateSuspension(survivalDelay))
-	e.reportSurvivals()
-	is.Equal(e.next(t), []quarantine.Digest{digest(2)})
-	is.Equal(len(e.survivals), 1)
-
-	// The check after an interruption reports answered runs as well.
-	v, m := listener(t)
-	v.Incarnation = 2
-	e.begin(v, digest(4))
-	e.begin(v, digest(5))
-	e.end(v, digest(4), Answered)
-	m.Close()
-	e.end(v, digest(5), Interrupted)
-	is.Equal(e.next(t), []quarantine.Digest{digest(4), digest(5)})
+	tracker.reportSurvivals()
+	is.Equal(tracker.nextLostDigests(t), []quarantine.Digest{digest(2)})
+	is.Equal(len(tracker.survivedDigests), 1)
+
+	// After an interruption, the check reports the runs that were answered just before, too.
+	otherUpstream, otherListener := listener(t)
+	otherUpstream.Incarnation = 2
+	tracker.begin(otherUpstream, digest(4))
+	tracker.begin(otherUpstream, digest(5))
+	tracker.end(otherUpstream, digest(4), Answered)
+	otherListener.Close()
+	tracker.end(otherUpstream, digest(5), Interrupted)
+	is.Equal(tracker.nextLostDigests(t), []quarantine.Digest{digest(4), digest(5)})
 }
 
-// An upstream that accepts connections is alive, whichever responses were interrupted; so is one
-// where other requests still run.
-func TestBrokenResponseIsNoTermination(t *testing.T) {
+// Hosts must not report a termination for an interrupted response alone: an upstream that accepts
+// connections is alive, and one where other requests still run counts as alive.
+func TestInterruptedResponseIsNoTermination(t *testing.T) {
 	is := is.New(t)
-	e := newRecordedRuns()
+	tracker := newRecordingTracker()
 	u, l := listener(t)
-	e.begin(u, digest(1))
-	e.end(u, digest(1), Interrupted)
+	tracker.begin(u, digest(1))
+	tracker.end(u, digest(1), Interrupted)
 	time.Sleep(20 * checkDelay)
 	l.Close()
 	other := Upstream{ID: "o", Service: "svc", Address: u.Address, Incarnation: 2}
-	e.begin(other, digest(2))
-	e.begin(other, digest(3))
-	e.end(other, digest(2), Interrupted)
+	tracker.begin(other, digest(2))
+	tracker.begin(other, digest(3))
+	tracker.end(other, digest(2), Interrupted)
 	time.Sleep(20 * checkDelay)
-	is.Equal(len(e.terminations), 0)
-	// A refused connection shows the termination in the end.
-	e.end(other, digest(3), Abandoned)
-	e.begin(other, digest(4))
-	e.end(other, digest(4), Unreachable)
-	is.Equal(e.next(t), []quarantine.Digest{digest(2), digest(3)})
+	is.Equal(len(tracker.lostDigests), 0)
+	// Once no request runs there, a refused connection shows that the upstream has terminated.
+	tracker.end(other, digest(3), Abandoned)
+	tracker.begin(other, digest(4))
+	tracker.end(other, digest(4), Unreachable)
+	is.Equal(tracker.nextLostDigests(t), []quarantine.Digest{digest(2), digest(3)})
 }
 
 // When another host observes a termination, this host reports the runs that it abandoned there
 // shortly before.
-func TestTerminationSeenElsewhere(t *testing.T) {
+func TestTerminationReportedByAnotherHost(t *testing.T) {
 	is := is.New(t)
-	e := newRecordedRuns()
+	tracker := newRecordingTracker()
 	u, _ := listener(t)
-	e.begin(u, digest(1))
-	e.end(u, digest(1), Abandoned)
-	t.Cleanup(boottime.SimulateSuspension(abandonedRunExposure + 200*time.Millisecond))
-	e.begin(u, digest(2))
-	e.end(u, digest(2), Abandoned)
-	e.terminatedElsewhere(u.Incarnation, 100*time.Millisecond)
-	is.Equal(e.next(t), []quarantine.Digest{digest(2)})
-	e.terminatedElsewhere(99, 0) // this host had no runs there
-	is.Equal(len(e.terminations), 0)
+	tracker.begin(u, digest(1))
+	tracker.end(u, digest(1), Abandoned)
+	t.Cleanup(boottime.SimulateSuspension(abandonedCauseWindow + 200*time.Millisecond))
+	tracker.begin(u, digest(2))
+	tracker.end(u, digest(2), Abandoned)
+	tracker.recordRemoteTermination(u.Incarnation, 100*time.Millisecond)
+	is.Equal(tracker.nextLostDigests(t), []quarantine.Digest{digest(2)})
+	tracker.recordRemoteTermination(99, 0) // this host had no runs there
+	is.Equal(len(tracker.lostDigests), 0)
 }
 
 // The record of an upstream is dropped once no runs remain.
 func TestIdleUpstreamsAreDropped(t *testing.T) {
 	is := is.New(t)
-	e := newRecordedRuns()
+	tracker := newRecordingTracker()
 	u, _ := listener(t)
-	e.begin(u, digest(1))
-	e.end(u, digest(1), Abandoned)
-	e.sweep()
-	is.Equal(len(e.upstreams), 1)
+	tracker.begin(u, digest(1))
+	tracker.end(u, digest(1), Abandoned)
+	tracker.sweep()
+	is.Equal(len(tracker.upstreams), 1)
 	t.Cleanup(boottime.SimulateSuspension(recentRunRetention + time.Second))
-	e.sweep()
-	is.Equal(len(e.upstreams), 0)
+	tracker.sweep()
+	is.Equal(len(tracker.upstreams), 0)
 }
 
-// A request without losses never waits. A suspect runs at one upstream at a time, and one with
-// enough events for a verdict waits for that.
+// A request without losses never waits. A suspect runs at one upstream at a time, and a suspect
+// with enough events for a verdict waits for the verdict.
 func TestSuspectsRunOneAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := t.Context()
-		b := newTestGuard("h", memory.New())
+		g := newTestGuard("h", memory.New())
 		start := time.Now()
 		for range 100 {
-			is.NoErr(b.Admit(ctx, digest(1), "svc"))
+			is.NoErr(g.Admit(ctx, digest(1), "svc"))
 		}
 		is.Equal(time.Since(start), time.Duration(0))
 
-		// A request that was lost once isn't sent to a second upstream at the same time, unless
-		// it was answered just before: such a request is a popular one.
+		// A request with one event isn't sent to a second upstream at the same time, unless it
+		// was answered shortly before the event: such a request is a popular one.
 		once, popular := digest(8), digest(9)
-		b.terminateWith(once, 100, 1)
-		b.recordSurvival(popular)
-		b.terminateWith(popular, 101, 1)
-		is.NoErr(b.Admit(ctx, popular, "svc"))
-		is.NoErr(b.Admit(ctx, popular, "svc"))
-		is.NoErr(b.Admit(ctx, once, "svc"))
+		g.terminateWith(once, 100, 1)
+		g.recordSurvival(popular)
+		g.terminateWith(popular, 101, 1)
+		is.NoErr(g.Admit(ctx, popular, "svc"))
+		is.NoErr(g.Admit(ctx, popular, "svc"))
+		is.NoErr(g.Admit(ctx, once, "svc"))
 		is.Equal(time.Since(start), time.Duration(0))
-		is.NoErr(b.Admit(ctx, once, "svc"))
+		is.NoErr(g.Admit(ctx, once, "svc"))
 		is.Equal(time.Since(start), maxSuspectWait)
 		start = time.Now()
 
 		d := digest(2)
-		b.terminateWith(d, 1, 2)
-		is.NoErr(b.Admit(ctx, d, "svc"))
-		entered := make(chan time.Duration, 2)
+		g.terminateWith(d, 1, 2)
+		is.NoErr(g.Admit(ctx, d, "svc"))
+		admittedAfter := make(chan time.Duration, 2)
 		go func() {
-			is.NoErr(b.Admit(ctx, d, "svc"))
-			entered <- time.Since(start)
+			is.NoErr(g.Admit(ctx, d, "svc"))
+			admittedAfter <- time.Since(start)
 		}()
 		time.Sleep(300 * time.Millisecond)
-		is.Equal(len(entered), 0)
-		b.Leave(d)
-		is.Equal(<-entered, 300*time.Millisecond)
+		is.Equal(len(admittedAfter), 0)
+		g.Leave(d)
+		is.Equal(<-admittedAfter, 300*time.Millisecond)
 
-		// Once answered, it doesn't wait any more.
-		b.recordSurvival(d)
-		b.Leave(d)
-		is.NoErr(b.Admit(ctx, d, "svc"))
-		is.NoErr(b.Admit(ctx, d, "svc"))
+		// Once the request was answered, it doesn't wait any more.
+		g.recordSurvival(d)
+		g.Leave(d)
+		is.NoErr(g.Admit(ctx, d, "svc"))
+		is.NoErr(g.Admit(ctx, d, "svc"))
 
 		// If no verdict is made, the request is sent after the maximum wait.
 		d = digest(3)
-		b.terminateWith(d, 10, 3)
-		is.True(b.VerdictDue(d))
+		g.terminateWith(d, 10, 3)
+		is.True(g.VerdictDue(d))
 		before := time.Now()
-		is.NoErr(b.Admit(ctx, d, "svc"))
+		is.NoErr(g.Admit(ctx, d, "svc"))
 		is.Equal(time.Since(before), maxSuspectWait)
 
-		// If a verdict is made in the meantime, it is refused.
-		b.Leave(d)
+		// If a verdict is made while the request waits, the request is refused.
+		g.Leave(d)
 		go func() {
 			time.Sleep(200 * time.Millisecond)
-			b.makeVerdicts()
+			g.makeVerdicts()
 		}()
-		is.True(errors.Is(b.Admit(ctx, d, "svc"), ErrQuarantined))
+		is.True(errors.Is(g.Admit(ctx, d, "svc"), ErrQuarantined))
 
 		// A request whose deadline expires isn't sent.
 		d = digest(4)
-		b.terminateWith(d, 20, 2)
-		is.NoErr(b.Admit(ctx, d, "svc"))
-		short, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
+		g.terminateWith(d, 20, 2)
+		is.NoErr(g.Admit(ctx, d, "svc"))
+		shortCtx, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 		defer cancel()
-		is.True(errors.Is(b.Admit(short, d, "svc"), context.DeadlineExceeded))
+		is.True(errors.Is(g.Admit(shortCtx, d, "svc"), context.DeadlineExceeded))
 	})
 }
 
-// A verdict is written to the store, where hosts that started later find it. It is lifted by the
-// removal of its row.
-func TestVerdictsOutliveTheirHosts(t *testing.T) {
+// A verdict is written to the store, from which hosts that start later receive it. It is withdrawn
+// by the removal of its row.
+func TestVerdictsAreStored(t *testing.T) {
 	is := is.New(t)
 	table, d := memory.New(), digest(1)
-	b := guardWithVerdict(t, "h1", table, d)
-	is.True(errors.Is(b.Admit(t.Context(), d, "svc"), ErrQuarantined))
-	b.verdictRows.writeMissing(t.Context(), true)
+	g := guardWithVerdict(t, "h1", table, d)
+	is.True(errors.Is(g.Admit(t.Context(), d, "svc"), ErrQuarantined))
+	g.verdictRows.writeMissing(t.Context(), true)
 
-	later := newTestGuard("h2", table)
-	is.NoErr(later.Admit(t.Context(), d, "svc")) // the verdict isn't known to it yet, and it doesn't wait
-	later.syncRows(t)
-	is.True(errors.Is(later.Admit(t.Context(), d, "svc"), ErrQuarantined))
-	is.NoErr(later.Admit(t.Context(), digest(2), "svc"))
+	laterHost := newTestGuard("h2", table)
+	is.NoErr(laterHost.Admit(t.Context(), d, "svc")) // this host has no verdict or losses yet, so the request doesn't wait
+	laterHost.syncRows(t)
+	is.True(errors.Is(laterHost.Admit(t.Context(), d, "svc"), ErrQuarantined))
+	is.NoErr(laterHost.Admit(t.Context(), digest(2), "svc"))
 
 	row, err := table.Get(t.Context(), "quarantine/"+d.String())
 	is.NoErr(err)
 	_, err = table.Commit(t.Context(), storage.Txn{Conditions: []storage.Condition{{Key: row.Key, Version: row.Version}}, Deletes: []string{row.Key}})
 	is.NoErr(err)
-	later.syncRows(t)
-	is.NoErr(later.Admit(t.Context(), d, "svc"))
-	// A host that hasn't received the removal yet doesn't restore the verdict.
-	later.ApplyStatus(b.currentStatus())
-	is.NoErr(later.Admit(t.Context(), d, "svc"))
+	laterHost.syncRows(t)
+	is.NoErr(laterHost.Admit(t.Context(), d, "svc"))
+	// The verdict isn't restored by a host that hasn't received the removal and still sends it.
+	laterHost.ApplyStatus(g.currentStatus())
+	is.NoErr(laterHost.Admit(t.Context(), d, "svc"))
 }
 
-// Hosts exchange a verdict for as long as it couldn't be stored; another host that makes
-// verdicts writes it if the one that made it is gone.
+// Hosts send each other a verdict until it is stored. If the host that made it doesn't store it
+// within takeoverAge, another host that makes verdicts does.
 func TestVerdictWhileTheStoreIsUnavailable(t *testing.T) {
 	is := is.New(t)
 	table, d := memory.New(), digest(1)
-	b := guardWithVerdict(t, "h1", table, d)
+	g := guardWithVerdict(t, "h1", table, d)
 	undo := boottime.SimulateSuspension(time.Minute)
 	t.Cleanup(undo)
-	standing := b.currentStatus()
-	is.Equal(len(standing.Verdicts), 1) // not stored, so still sent
+	status := g.currentStatus()
+	is.Equal(len(status.Verdicts), 1) // the verdict isn't stored, so it is still sent
 	other := newTestGuard("h2", table)
-	other.ApplyStatus(standing)
+	other.ApplyStatus(status)
 	is.True(errors.Is(other.Admit(t.Context(), d, "svc"), ErrQuarantined))
 	other.verdictRows.writeMissing(t.Context(), true)
 	_, err := table.Get(t.Context(), "quarantine/"+d.String())
-	is.True(errors.Is(err, storage.ErrNotFound)) // the first host may still write it
+	is.True(errors.Is(err, storage.ErrNotFound)) // before takeoverAge, the first host may still write it
 	t.Cleanup(boottime.SimulateSuspension(takeoverAge + time.Second))
-	other.verdictRows.writeMissing(t.Context(), false) // it doesn't make verdicts
+	other.verdictRows.writeMissing(t.Context(), false) // a host that doesn't make verdicts writes no others'
 	other.verdictRows.writeMissing(t.Context(), true)
 	_, err = table.Get(t.Context(), "quarantine/"+d.String())
 	is.NoErr(err)
@@ -416,11 +418,11 @@
 	is.True(!admitted(a)) // this request only claims the trial
 	eventually("a may try", func() bool { return admitted(a) })
 	b.syncRows(t)
-	is.True(!admitted(b)) // no other host may
+	is.True(!admitted(b)) // no other host may send the request
 	is.True(!admitted(a)) // and a only once
-	term := until()
-	a.recordTermination(u, 0, []exposedRun{{digest: d, ran: time.Second}})
-	eventually("the verdict holds again", func() bool { return until() > term })
+	previousExpiry := until()
+	a.recordTermination(u, 0, []candidateRun{{digest: d, ran: time.Second}})
+	eventually("the verdict holds again", func() bool { return until() > previousExpiry })
 	is.Equal(until()-a.options.Clock(), time.Hour)
 	is.True(!admitted(a))
 
@@ -441,29 +443,30 @@
 func TestUnusedVerdictsAreRemoved(t *testing.T) {
 	is := is.New(t)
 	table := memory.New()
-	b := guardWithVerdict(t, "h1", table, digest(1))
-	b.verdictRows.writeMissing(t.Context(), true)
-	b.advance(8 * 24 * time.Hour)
+	g := guardWithVerdict(t, "h1", table, digest(1))
+	g.verdictRows.writeMissing(t.Context(), true)
+	g.advance(8 * 24 * time.Hour)
 	t.Cleanup(boottime.SimulateSuspension(2 * cleanupInterval))
-	b.verdictRows.writeMissing(t.Context(), true)
-	is.Equal(b.Len(), 0)
+	g.verdictRows.writeMissing(t.Context(), true)
+	is.Equal(g.Len(), 0)
 	_, err := table.Get(t.Context(), "quarantine/"+digest(1).String())
 	is.True(errors.Is(err, storage.ErrNotFound))
 }
 
-// Rows that aren't verdicts are refused and quarantine nothing.
+// A row that isn't a verdict, or whose key names another request, is refused and quarantines
+// nothing.
 func TestUnreadableRows(t *testing.T) {
 	is := is.New(t)
-	b := newTestGuard("h", memory.New())
-	is.True(b.ApplyRow("quarantine/zz", []byte("{}"), 1) != nil)
-	is.True(b.ApplyRow("quarantine/"+digest(1).String(), []byte("["), 1) != nil)
-	is.True(b.ApplyRow("quarantine/"+digest(1).String(), []byte(`{"digest":"`+digest(2).String()+`","until_ms":1}`), 1) != nil)
-	is.True(b.RowRemoved("quarantine/zz") != nil)
-	is.Equal(b.Len(), 0)
+	g := newTestGuard("h", memory.New())
+	is.True(g.ApplyRow("quarantine/zz", []byte("{}"), 1) != nil)
+	is.True(g.ApplyRow("quarantine/"+digest(1).String(), []byte("["), 1) != nil)
+	is.True(g.ApplyRow("quarantine/"+digest(1).String(), []byte(`{"digest":"`+digest(2).String()+`","until_ms":1}`), 1) != nil)
+	is.True(g.RowRemoved("quarantine/zz") != nil)
+	is.Equal(g.Len(), 0)
 }
 
-// A suspect that the hub sent and that this host saw answered since is cleared, and the hub is
-// told.
+// A suspect that the hub sent isn't one for a host that answered the request after the suspect's
+// first event. The host reports the answer to the hub, where the request stops being a suspect.
 func TestLocallyAnsweredSuspect(t *testing.T) {
 	is := is.New(t)
 	hub, host := newTestGuard("hub", memory.New()), newTestGuard("host", memory.New())
@@ -471,24 +474,26 @@
 	hub.terminateWith(d, 1, 2)
 	host.recordSurvival(d)
 	host.ApplyStatus(hub.currentStatus())
-	is.Equal(host.events(d, boottime.Elapsed()), 0)
+	is.Equal(host.eventCount(d, boottime.Elapsed()), 0)
 	hub.AddSightings(host.Sightings())
-	is.Equal(hub.events(d, boottime.Elapsed()), 0)
+	is.Equal(hub.eventCount(d, boottime.Elapsed()), 0)
 	is.Equal(len(hub.currentStatus().Suspects), 0)
 
-	// A suspect that it didn't see answered since counts for as long as the hub sends it.
+	// A suspect that the host answered only before the first event counts for as long as the hub
+	// sends it.
 	d = digest(2)
 	host.recordSurvival(d)
 	t.Cleanup(boottime.SimulateSuspension(10 * time.Second))
 	hub.terminateWith(d, 10, 2)
 	host.ApplyStatus(hub.currentStatus())
-	is.Equal(host.events(d, boottime.Elapsed()), 2)
+	is.Equal(host.eventCount(d, boottime.Elapsed()), 2)
 	t.Cleanup(boottime.SimulateSuspension(hubSuspectTTL + time.Second))
-	is.Equal(host.events(d, boottime.Elapsed()), 0)
+	is.Equal(host.eventCount(d, boottime.Elapsed()), 0)
 }
 
-// Two hosts that send each other their suspects don't keep them alive.
-func TestSuspectsAreNotEchoed(t *testing.T) {
+// A suspect expires although two hosts send it to each other. Guards against: each host refreshes
+// the suspect's age with every message, so that both keep it forever.
+func TestExchangedSuspectsExpire(t *testing.T) {
 	is := is.New(t)
 	a, b := newTestGuard("a", memory.New()), newTestGuard("b", memory.New())
 	d := digest(1)
@@ -505,83 +510,85 @@
 	is.Equal(len(a.currentStatus().Suspects)+len(b.currentStatus().Suspects), 0)
 }
 
-// The status is built once for all followers, and is recent.
-func TestStatusIsShared(t *testing.T) {
+// The status for followers is cached, and built again after statusCacheTTL.
+func TestStatusIsCached(t *testing.T) {
 	is := is.New(t)
-	b := newTestGuard("h", memory.New())
-	is.True(b.Status().IsZero())
-	b.terminateWith(digest(1), 1, 2)
-	is.True(b.Status().IsZero())
-	t.Cleanup(boottime.SimulateSuspension(statusCacheTime))
-	is.Equal(len(b.Status().Suspects), 1)
+	g := newTestGuard("h", memory.New())
+	is.True(g.Status().IsZero())
+	g.terminateWith(digest(1), 1, 2)
+	is.True(g.Status().IsZero())
+	t.Cleanup(boottime.SimulateSuspension(statusCacheTTL))
+	is.Equal(len(g.Status().Suspects), 1)
 }
 
-// A request in transit to an upstream that terminated isn't counted as lost with it: it never
-// ran there.
-func TestRequestsInTransitAreNotExposed(t *testing.T) {
+// A request in transit to an upstream that terminated isn't reported as lost with it, since it
+// never ran there.
+func TestRequestsInTransitAreNotReportedAsLost(t *testing.T) {
 	is := is.New(t)
-	e := newRecordedRuns()
+	tracker := newRecordingTracker()
 	u, l := listener(t)
-	e.begin(u, digest(1))
+	tracker.begin(u, digest(1))
 	l.Close()
-	e.end(u, digest(1), Interrupted)
-	is.Equal(e.next(t), []quarantine.Digest{digest(1)})
-	e.begin(u, digest(2)) // its connection will be refused
-	e.begin(u, digest(3))
-	e.end(u, digest(3), Interrupted) // its interruption was detected late
-	is.Equal(e.next(t), []quarantine.Digest{digest(3)})
-	e.end(u, digest(2), Unreachable)
-	is.Equal(len(e.terminations), 0)
-	// After a restart under the same name, the record starts anew.
+	tracker.end(u, digest(1), Interrupted)
+	is.Equal(tracker.nextLostDigests(t), []quarantine.Digest{digest(1)})
+	tracker.begin(u, digest(2)) // the connection for it will be refused
+	tracker.begin(u, digest(3))
+	tracker.end(u, digest(3), Interrupted) // it ran there before; its interruption is detected late
+	is.Equal(tracker.nextLostDigests(t), []quarantine.Digest{digest(3)})
+	tracker.end(u, digest(2), Unreachable)
+	is.Equal(len(tracker.lostDigests), 0)
+	// A request sent later than lateResponseWindow shows that the upstream may have restarted
+	// under the same name: it no longer counts as terminated.
 	t.Cleanup(boottime.SimulateSuspension(lateResponseWindow + time.Millisecond))
-	e.begin(u, digest(4))
-	is.True(!e.hasTerminated(u))
+	tracker.begin(u, digest(4))
+	is.True(!tracker.hasTerminated(u))
 }
 
-// A new hub is sent the recent losses again.
+// Losses are sent to a hub once; a new hub is sent the recent ones again. Losses from another
+// host that are recorded already aren't forwarded.
 func TestRecentSightings(t *testing.T) {
 	is := is.New(t)
-	b := newTestGuard("h", memory.New())
-	b.terminateWith(digest(1), 1, 2)
-	is.Equal(len(b.Sightings().Losses), 2)
-	is.Equal(len(b.Sightings().Losses), 0)
-	is.Equal(len(b.RecentSightings().Losses), 2)
-	fresh := b.AddSightings(exchange.Sightings{Losses: exchange.Losses{{Digest: digest(1), Incarnation: 1, Age: 2*200*time.Millisecond + quarantine.SettleDelay}, {Digest: digest(1), Incarnation: 50}}})
+	g := newTestGuard("h", memory.New())
+	g.terminateWith(digest(1), 1, 2)
+	is.Equal(len(g.Sightings().Losses), 2)
+	is.Equal(len(g.Sightings().Losses), 0)
+	is.Equal(len(g.RecentSightings().Losses), 2)
+	fresh := g.AddSightings(exchange.Sightings{Losses: exchange.Losses{{Digest: digest(1), Incarnation: 1, Age: 2*200*time.Millisecond + quarantine.SettleDelay}, {Digest: digest(1), Incarnation: 50}}})
 	is.Equal(len(fresh.Losses), 1)
 	t.Cleanup(boottime.SimulateSuspension(recentRetention + time.Second))
-	is.Equal(len(b.RecentSightings().Losses), 0)
+	is.Equal(len(g.RecentSightings().Losses), 0)
 }
 
-// The termination of an upstream is attributed to its version, unless a poison request is the
-// cause.
-func TestUnexplained(t *testing.T) {
+// An interrupted response is attributed to its upstream's version, unless a poison request
+// terminated the upstream.
+func TestAttributeInterruption(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newTestGuard("h", memory.New())
+		g := newTestGuard("h", memory.New())
 		attributed := make(chan string, 10)
-		lives := Upstream{ID: "lives", Incarnation: 100}
-		b.AttributeInterruption(lives, Attribution{Version: func() { attributed <- "lives" }})
+		alive := Upstream{ID: "lives", Incarnation: 100}
+		g.AttributeInterruption(alive, Attribution{Version: func() { attributed <- "lives" }})
 		time.Sleep(checkDelay + checkTimeout + time.Millisecond)
 		is.Equal(<-attributed, "lives") // the response was interrupted, but the upstream is alive
 
 		d := digest(1)
 		for incarnation := range quarantine.Incarnation(4) {
 			u := Upstream{ID: "ended", Service: "svc", Address: "", Incarnation: incarnation}
-			b.Begin(u, d)
-			b.runs.upstreams[incarnation].terminatedAt = boottime.Now()
-			b.recordTermination(u, 0, []exposedRun{{digest: d, ran: time.Second}})
-			b.AttributeInterruption(u, Attribution{Version: func() { attributed <- "ended" }})
+			g.Begin(u, d)
+			g.runs.upstreams[incarnation].terminatedAt = boottime.Now()
+			g.recordTermination(u, 0, []candidateRun{{digest: d, ran: time.Second}})
+			g.AttributeInterruption(u, Attribution{Version: func() { attributed <- "ended" }})
 			time.Sleep(100 * time.Millisecond)
 		}
 		other := Upstream{ID: "other", Service: "svc", Incarnation: 200}
-		b.Begin(other, digest(2))
-		b.runs.upstreams[200].terminatedAt = boottime.Now()
-		b.recordTermination(other, 0, []exposedRun{{digest: digest(2), ran: time.Second}})
-		b.AttributeInterruption(other, Attribution{Version: func() { attributed <- "other" }})
+		g.Begin(other, digest(2))
+		g.runs.upstreams[200].terminatedAt = boottime.Now()
+		g.recordTermination(other, 0, []candidateRun{{digest: digest(2), ran: time.Second}})
+		g.AttributeInterruption(other, Attribution{Version: func() { attributed <- "other" }})
 		time.Sleep(quarantine.SettleDelay + time.Millisecond)
-		b.makeVerdicts()
+		g.makeVerdicts()
 		time.Sleep(2 * verdictWait)
-		is.Equal(b.Len(), 1)
+		is.Equal(g.Len(), 1)
 		is.Equal(len(attributed), 1)
 		is.Equal(<-attributed, "other")
 	})
--- a/internal/guard/sightings.go
+++ b/internal/guard/hubexchange.go
@@ -10,36 +10,39 @@
 )
 
 const (
-	// hubSuspectTTL is how long a suspect that the hub sent counts: several rounds of the
-	// exchange, of which one may be lost.
+	// hubSuspectTTL is how long a suspect that the hub sent counts: several reports and replies,
+	// of which one may be lost.
 	hubSuspectTTL = time.Second
-	// recentRetention is the maximum age of the losses that are sent to a new hub.
+	// recentRetention is the maximum age of the losses that are sent to hubs.
 	recentRetention = 30 * time.Second
-	// terminationTTL is how long followers are sent the termination of an upstream: several
-	// rounds of the exchange. explainedTTL is the same if a request with a verdict explains it,
-	// which is known later. maxTerminations bounds the number of stored terminations; the newest
-	// are kept.
+	// terminationTTL is how long after this host recorded an upstream's termination it is sent
+	// to followers: several reports and replies. A termination that a request with a verdict
+	// explains is sent until explainedTTL after it happened, since the verdict is made later.
+	// maxTerminations bounds the number of stored terminations; the newest are kept.
 	terminationTTL  = 800 * time.Millisecond
 	explainedTTL    = 5 * time.Second
 	maxTerminations = 128
-	// maxSentSuspects bounds the number of suspects sent to followers.
+	// maxSentSuspects bounds the number of this host's suspects that are sent to followers.
+	// Twice as many suspects from the hub are kept and forwarded.
 	maxSentSuspects = 64
-	// storedVerdictTTL is how long a stored verdict is sent; followers also receive it from the
-	// store's table a moment later.
+	// storedVerdictTTL is how long a host sends a stored verdict to followers after it made or
+	// received it. Followers also receive it from the store's table a moment later.
 	storedVerdictTTL = 4 * time.Second
-	// suspectTTL is how long after its last loss a suspect is sent. Hosts hold back other
-	// requests with its content in that time, and report if they saw it answered.
+	// suspectTTL is how long after its last loss a suspect is sent to followers. In that time
+	// they hold back other requests with its content, and report to the hub if it is answered.
 	suspectTTL = 5 * time.Second
-	// maxSightings bounds the sightings stored for hubs.
+	// maxSightings bounds the number of sightings not yet sent to the hub, and that of recent
+	// losses; the newest are kept.
 	maxSightings = 256
 )
 
-// sightingBuffer holds the sightings not yet sent to the hub, and the recent losses.
+// sightingBuffer holds the sightings not yet sent to the hub, and the recent losses, which are
+// sent to a new hub again.
 type sightingBuffer struct {
-	unsent, recent []sighting
+	unsent, recentLosses []sighting
 }
 
-// sighting is a loss, or a suspect that was answered, with the time when it was observed.
+// sighting is a loss, or the answer to a suspect; loss then has only the digest and the time.
 type sighting struct {
 	loss     quarantine.Loss
 	answered bool
@@ -48,7 +51,7 @@
 func (b *sightingBuffer) add(s sighting) {
 	b.unsent = keepLast(append(b.unsent, s), maxSightings)
 	if !s.answered {
-		b.recent = keepLast(append(b.recent, s), maxSightings)
+		b.recentLosses = keepLast(append(b.recentLosses, s), maxSightings)
 	}
 }
 
@@ -89,15 +92,15 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.sightings.unsent = nil
-	return agedSightings(g.sightings.recent, recentRetention)
+	return agedSightings(g.sightings.recentLosses, recentRetention)
 }
 
-func agedSightings(list []sighting, within time.Duration) exchange.Sightings {
+func agedSightings(list []sighting, maxAge time.Duration) exchange.Sightings {
 	now := boottime.Elapsed()
 	var s exchange.Sightings
 	for _, seen := range list {
 		switch age := now - seen.loss.At; {
-		case age > within:
+		case age > maxAge:
 		case seen.answered:
 			s.Answered = append(s.Answered, seen.loss.Digest)
 		default:
@@ -125,56 +128,56 @@
 	return fresh
 }
 
-// termination records that an upstream terminated, and when this host learned of it.
+// termination holds when an upstream terminated, and when this host recorded that.
 type termination struct {
 	incarnation              quarantine.Incarnation
-	terminatedAt, reportedAt time.Duration
+	terminatedAt, recordedAt time.Duration
 }
 
-// addTermination records that an upstream terminated, and checks for runs that this host
-// abandoned there.
+// addTermination records that an upstream terminated, unless that is recorded already, and has
+// the run tracker report the runs that may be the cause.
 func (g *Guard) addTermination(i quarantine.Incarnation, at time.Duration) {
 	g.mu.Lock()
-	for _, e := range g.terminations {
-		if e.incarnation == i {
+	for _, known := range g.terminations {
+		if known.incarnation == i {
 			g.mu.Unlock()
 			return
 		}
 	}
-	g.terminations = keepLast(append(g.terminations, termination{incarnation: i, terminatedAt: at, reportedAt: boottime.Elapsed()}), maxTerminations)
+	g.terminations = keepLast(append(g.terminations, termination{incarnation: i, terminatedAt: at, recordedAt: boottime.Elapsed()}), maxTerminations)
 	g.mu.Unlock()
 	g.options.OnTermination(i)
-	g.runs.terminatedElsewhere(i, boottime.Elapsed()-at)
+	g.runs.recordRemoteTermination(i, boottime.Elapsed()-at)
 }
 
-// statusCacheTime is how long the status for followers is cached: a hub has up to 64
-// followers, each of which requests it seven times a second.
-const statusCacheTime = 50 * time.Millisecond
+// statusCacheTTL is how long the status for followers is cached. A hub has up to 64 followers,
+// each of which requests the status seven times a second.
+const statusCacheTTL = 50 * time.Millisecond
 
 // Status implements exchange.Quarantine.
 func (g *Guard) Status() exchange.QuarantineStatus {
 	now := boottime.Elapsed()
 	g.mu.Lock()
-	standing, fresh := g.status, now-g.statusAt < statusCacheTime && g.statusAt != 0
+	status, fresh := g.cachedStatus, now-g.cachedStatusAt < statusCacheTTL && g.cachedStatusAt != 0
 	g.mu.Unlock()
 	if fresh {
-		return standing
+		return status
 	}
-	standing = g.buildStatus(now)
+	status = g.buildStatus(now)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.status, g.statusAt = standing, now
-	return standing
+	g.cachedStatus, g.cachedStatusAt = status, now
+	return status
 }
 
 // buildStatus returns the current status for followers.
 func (g *Guard) buildStatus(now time.Duration) exchange.QuarantineStatus {
 	var s exchange.QuarantineStatus
-	for _, suspect := range g.tracker.Suspects(now, suspectTTL, maxSentSuspects) {
-		s.Suspects = append(s.Suspects, exchange.AgedSuspect{Digest: suspect.Digest, Events: suspect.Events, FirstAge: now - suspect.First})
+	for _, tracked := range g.tracker.Suspects(now, suspectTTL, maxSentSuspects) {
+		s.Suspects = append(s.Suspects, exchange.AgedSuspect{Digest: tracked.Digest, Events: tracked.Events, FirstAge: now - tracked.FirstAt})
 	}
 	for _, e := range g.register.All() {
-		if e.Revision == 0 || now-e.Heard < storedVerdictTTL {
+		if e.Revision == 0 || now-e.ReceivedAt < storedVerdictTTL {
 			s.Verdicts = append(s.Verdicts, e.Verdict)
 		}
 	}
@@ -190,13 +193,13 @@
 		})
 	}
 	kept := g.terminations[:0]
-	for _, e := range g.terminations {
-		if now-e.terminatedAt > explainedTTL {
+	for _, known := range g.terminations {
+		if now-known.terminatedAt > explainedTTL {
 			continue
 		}
-		kept = append(kept, e)
-		if explained := g.tracker.Explained(e.incarnation); explained || now-e.reportedAt < terminationTTL {
-			s.Ended = append(s.Ended, exchange.Ending{Incarnation: e.incarnation, Age: now - e.terminatedAt, Explained: explained})
+		kept = append(kept, known)
+		if explained := g.tracker.Explained(known.incarnation); explained || now-known.recordedAt < terminationTTL {
+			s.Ended = append(s.Ended, exchange.Ending{Incarnation: known.incarnation, Age: now - known.terminatedAt, Explained: explained})
 		}
 	}
 	g.terminations = kept
@@ -222,8 +225,8 @@
 	}
 }
 
-// addHubSuspect adds a suspect that the hub sent. If it was answered here, it isn't a suspect,
-// and this is reported to the hub.
+// addHubSuspect adds a suspect that the hub sent. If it was answered at this host after the first
+// termination with it, it isn't a suspect, and the answer is reported to the hub.
 func (g *Guard) addHubSuspect(s exchange.AgedSuspect, now time.Duration) {
 	if g.tracker.SurvivedSince(s.Digest, now-s.FirstAge) {
 		g.addAnswered(s.Digest)
--- a/internal/guard/rows.go
+++ b/internal/guard/verdictrows.go
@@ -18,62 +18,66 @@
 )
 
 const (
-	// verdictWriteTimeout bounds the write of a verdict's row. No request waits for it.
+	// verdictWriteTimeout is the time limit of writing or removing a verdict's row. No request
+	// waits for that.
 	verdictWriteTimeout = time.Second
 	// writeInterval is the mean time between two attempts to write rows. It exceeds the time
-	// that a write takes until the watcher returns it.
+	// from the write of a row until the watcher returns the row to this host.
 	writeInterval = time.Second
-	// takeoverAge is the age from which a host that makes verdicts writes the verdicts of other
-	// hosts, too: the host that made them may be gone.
+	// takeoverAge is the time after which a host that makes verdicts writes the verdicts that it
+	// received from other hosts and that aren't stored: those hosts may have stopped.
 	takeoverAge = 2 * time.Second
 	// cleanupInterval is the time between two searches for unused rows.
 	cleanupInterval = time.Minute
 )
 
-// verdictRows keeps the verdicts in the store, so that they survive the hosts, and lets one host
-// at a time try a request again after its verdict has expired.
+// verdictRows writes the verdicts to the store, so that they outlast the hosts that made them. It
+// also lets one host at a time try a request again after its verdict has expired: the host that
+// writes the row first.
 type verdictRows struct {
 	host     string
 	prefix   string
 	table    storage.Table
 	register *quarantine.Register
 	log      zerolog.Logger
-	// clock is the clock shared by all hosts.
+	// clock returns the time on the clock that all hosts share.
 	clock func() time.Duration
-	// onVerdict is called for a verdict that came from the store, onLift for one whose row was
-	// removed.
-	onVerdict func(v quarantine.Verdict, from string)
-	onLift    func(d quarantine.Digest)
+	// onVerdict is called for a verdict that came from the store, onWithdrawal for one that was
+	// dropped because its row was removed.
+	onVerdict    func(v quarantine.Verdict, source string)
+	onWithdrawal func(d quarantine.Digest)
 
 	mu sync.Mutex
-	// trials holds the requests that this host may try, or has sent as a trial.
-	trials        map[quarantine.Digest]*trial
+	// ownTrials holds this host's trials: those that it claims, may start, or has started.
+	// nextWriteAt is the earliest time of the next attempt to write rows, nextCleanupAt that of
+	// the next search for unused rows.
+	ownTrials     map[quarantine.Digest]*trial
 	nextWriteAt   time.Time
 	nextCleanupAt time.Time
 }
 
 // trial is one send of a request whose verdict has expired.
 type trial struct {
-	// granted says that the store accepted this host's claim of the trial, sent that the request
-	// was sent.
-	granted, sent bool
+	// claimed says that the store accepted this host's claim of the trial, sent that the request
+	// was admitted as the trial.
+	claimed, sent bool
 }
 
 func newVerdictRows(o *Options, register *quarantine.Register) *verdictRows {
 	return &verdictRows{
 		host: o.Host, prefix: o.Prefix, table: o.Table, register: register, log: o.Log, clock: o.Clock,
-		trials:    make(map[quarantine.Digest]*trial),
-		onVerdict: func(quarantine.Verdict, string) {}, onLift: func(quarantine.Digest) {},
+		ownTrials: make(map[quarantine.Digest]*trial),
+		onVerdict: func(quarantine.Verdict, string) {}, onWithdrawal: func(quarantine.Digest) {},
 	}
 }
 
-// errVerdictKey means that a verdict's row has the key of another request.
+// errVerdictKey means that the key of a verdict's row names another request than the verdict.
 var errVerdictKey = errors.New("guard: the verdict is on another request than the key of its row")
 
 // ApplyRow applies a verdict's row from the store.
 func (g *Guard) ApplyRow(key string, data []byte, revision storage.Revision) error {
 	v := g.verdictRows
-	d, err := v.digest(key)
+	d, err := v.digestFromKey(key)
 	if err != nil {
 		return err
 	}
@@ -92,85 +96,86 @@
 
 // RowRemoved processes the removal of a verdict's row from the store.
 func (g *Guard) RowRemoved(key string) error {
-	d, err := g.verdictRows.digest(key)
+	d, err := g.verdictRows.digestFromKey(key)
 	if err != nil {
 		return err
 	}
-	g.verdictRows.lift(d)
+	g.verdictRows.dropVerdict(d)
 	return nil
 }
 
 // MarkRowsUnsaved marks the verdicts as unsaved, after the store was restored from a backup, which
-// may lack rows of verdicts: those that aren't received again are written again.
+// may lack some of their rows. Verdicts whose rows aren't received from the store again are
+// written again.
 func (g *Guard) MarkRowsUnsaved() { g.verdictRows.register.MarkUnsaved() }
 
-// LiftMissingRows lifts the stored verdicts that aren't among the keys, which are those of all rows in
-// the store.
-func (g *Guard) LiftMissingRows(keys map[string]bool) { g.verdictRows.liftMissing(keys) }
+// LiftMissingRows drops the verdicts that were stored and whose row isn't among the keys, which
+// are those of all rows in the store.
+func (g *Guard) LiftMissingRows(keys map[string]bool) { g.verdictRows.dropMissing(keys) }
 
-// digest returns the digest in a row's key.
-func (v *verdictRows) digest(key string) (quarantine.Digest, error) {
+// digestFromKey returns the digest in a row's key.
+func (v *verdictRows) digestFromKey(key string) (quarantine.Digest, error) {
 	return quarantine.ParseDigest(strings.TrimPrefix(key, v.prefix))
 }
 
-// lift removes a verdict from the register.
-func (v *verdictRows) lift(d quarantine.Digest) {
-	if v.register.Lift(d, boottime.Elapsed()) {
-		v.onLift(d)
+// dropVerdict removes a verdict from the register, after its row was removed from the store.
+func (v *verdictRows) dropVerdict(d quarantine.Digest) {
+	if v.register.Withdraw(d, boottime.Elapsed()) {
+		v.onWithdrawal(d)
 	}
 }
 
-// liftMissing lifts the stored verdicts that aren't among the keys.
-func (v *verdictRows) liftMissing(keys map[string]bool) {
+// dropMissing drops the verdicts that were stored and whose row isn't among the keys.
+func (v *verdictRows) dropMissing(keys map[string]bool) {
 	for _, e := range v.register.All() {
 		if e.Revision > 0 && !keys[v.key(e.Digest)] {
-			v.lift(e.Digest)
+			v.dropVerdict(e.Digest)
 		}
 	}
 }
 
 func (v *verdictRows) key(d quarantine.Digest) string { return v.prefix + d.String() }
 
-// permitsTrial reports whether a request with a verdict may be sent now, because the verdict has
-// expired and this host has claimed the trial. The first request after the expiry only starts
-// the claim, which takes a write to the store.
-func (v *verdictRows) permitsTrial(e quarantine.Entry) bool {
+// claimOrStartTrial reports whether a request with a verdict may be sent now as the trial, because
+// the verdict has expired and this host has claimed the trial. The first request after the
+// expiry isn't sent: it only starts the claim, which requires a write to the store.
+func (v *verdictRows) claimOrStartTrial(e quarantine.Entry) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if t := v.trials[e.Digest]; t != nil {
-		if !t.granted || t.sent {
+	if t := v.ownTrials[e.Digest]; t != nil {
+		if !t.claimed || t.sent {
 			return false
 		}
 		t.sent = true
 		v.log.Info().Str("event", "quarantine-trial").Stringer("digest", e.Digest).Int("trial", e.Trials).Msg("")
 		return true
 	}
-	if e.Holds(v.clock()) {
+	if e.InForce(v.clock()) {
 		return false
 	}
 	t := &trial{}
-	v.trials[e.Digest] = t
+	v.ownTrials[e.Digest] = t
 	go v.claim(t, e)
 	return false
 }
 
 // claim claims the trial in the store.
 func (v *verdictRows) claim(t *trial, e quarantine.Entry) {
-	err := v.put(context.Background(), e.Trial(v.clock()), e.Revision)
+	err := v.put(context.Background(), e.ForTrial(v.clock()), e.Revision)
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if err != nil {
-		// Another host claimed it first or the store is unavailable; the next request tries
-		// again.
-		delete(v.trials, e.Digest)
+		// Another host claimed the trial first, or the store is unavailable; this host's next
+		// request with the digest starts another claim.
+		delete(v.ownTrials, e.Digest)
 		return
 	}
-	t.granted = true
+	t.claimed = true
 }
 
-// trialFailed processes the termination of an upstream with the request: if this host tried it,
-// the verdict is renewed with a longer term.
-func (v *verdictRows) trialFailed(d quarantine.Digest) {
+// renewIfTried renews the verdict on a request with which an upstream terminated, with a longer
+// term, if this host had sent the request as a trial.
+func (v *verdictRows) renewIfTried(d quarantine.Digest) {
 	e, ok := v.endTrial(d)
 	if !ok {
 		return
@@ -178,9 +183,9 @@
 	go func() { _ = v.put(context.Background(), e.Renewed(v.clock()), e.Revision) }() // the error is logged in commit
 }
 
-// trialSucceeded processes an answer to the request: if this host tried it, the verdict is
-// withdrawn.
-func (v *verdictRows) trialSucceeded(d quarantine.Digest) {
+// withdrawIfTried withdraws the verdict on a request that was answered, if this host had sent the
+// request as a trial.
+func (v *verdictRows) withdrawIfTried(d quarantine.Digest) {
 	e, ok := v.endTrial(d)
 	if !ok {
 		return
@@ -188,19 +193,20 @@
 	go func() { _ = v.remove(context.Background(), e) }()
 }
 
-// endTrial ends this host's trial of the request, if it was sent.
+// endTrial ends this host's trial, if the request was sent as one, and returns the verdict.
 func (v *verdictRows) endTrial(d quarantine.Digest) (quarantine.Entry, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if t := v.trials[d]; t == nil || !t.sent {
+	if t := v.ownTrials[d]; t == nil || !t.sent {
 		return quarantine.Entry{}, false
 	}
-	delete(v.trials, d)
+	delete(v.ownTrials, d)
 	return v.register.Get(d)
 }
 
-// writeMissing writes the rows of this host's verdicts that the store doesn't have. If this host
-// makes verdicts, it also writes those of other hosts and removes unused rows.
+// writeMissing writes the rows of this host's verdicts that the store may not have. If this host
+// makes verdicts, it also writes those of other hosts, after takeoverAge, and removes unused
+// rows.
 func (v *verdictRows) writeMissing(ctx context.Context, makesVerdicts bool) {
 	now := boottime.Now()
 	if now.Before(v.nextWriteAt) {
@@ -209,10 +215,10 @@
 	wrote := false
 	for _, e := range v.register.All() {
 		own := e.By == v.host
-		takeover := makesVerdicts && boottime.Elapsed()-e.Heard > takeoverAge
+		takeover := makesVerdicts && boottime.Elapsed()-e.ReceivedAt > takeoverAge
 		if e.Unsaved() && (own || takeover) {
 			wrote = true
-			_ = v.put(ctx, e.Verdict, e.Revision) // logged in commit; the next call tries again
+			_ = v.put(ctx, e.Verdict, e.Revision) // the error is logged in commit; a later call tries again
 		}
 	}
 	if wrote {
@@ -224,17 +230,18 @@
 	}
 }
 
-// removeUnused removes the rows of verdicts whose requests weren't received for long after the
-// expiry.
+// removeUnused removes the rows of verdicts that are unused: no request was received for a long
+// time after the expiry.
 func (v *verdictRows) removeUnused(ctx context.Context) {
 	for _, e := range v.register.All() {
 		if e.Revision > 0 && e.Unused(v.clock()) {
-			_ = v.remove(ctx, e) // logged in commit; the next call tries again
+			_ = v.remove(ctx, e) // the error is logged in commit; a later call tries again
 		}
 	}
 }
 
-// put writes a verdict's row in place of the expected revision.
+// put writes a verdict's row, unless the row in the store has another revision than the expected
+// one.
 func (v *verdictRows) put(ctx context.Context, verdict quarantine.Verdict, expected storage.Revision) error {
 	data, err := json.Marshal(verdict)
 	if err != nil {
@@ -251,7 +258,7 @@
 	return err
 }
 
-// remove removes a verdict's row.
+// remove removes a verdict's row, unless it has changed, and drops the verdict.
 func (v *verdictRows) remove(ctx context.Context, e quarantine.Entry) error {
 	key := v.key(e.Digest)
 	_, err := v.commit(ctx, "remove", storage.Txn{
@@ -259,7 +266,7 @@
 		Deletes:    []string{key},
 	})
 	if err == nil {
-		v.lift(e.Digest)
+		v.dropVerdict(e.Digest)
 	}
 	return err
 }
--- a/quarantine/register.go
+++ b/quarantine/register.go
@@ -18,20 +18,21 @@
 	// maxTerm; three trials take more than seven hours.
 	termFactor = 6
 	maxTerm    = 24 * time.Hour
-	// trialTimeout is how long a trial may take; the longest time limits of routes are below
-	// half a minute.
+	// trialTimeout is the time after the start of a trial until another host may claim the next
+	// one. It is longer than any request takes, since the time limits of routes are below half a
+	// minute.
 	trialTimeout = time.Minute
 	// unusedRetention is how long an expired verdict is kept if the request isn't received.
 	unusedRetention = 7 * 24 * time.Hour
-	// MaxVerdicts bounds the number of stored verdicts. Each one took the termination of three
-	// upstreams.
+	// MaxVerdicts bounds the number of stored verdicts. Three upstreams must terminate for each.
 	MaxVerdicts = 1000
 )
 
-// Verdict keeps a request away from upstreams for a time.
+// Verdict keeps a request away from upstreams until the verdict expires.
 type Verdict struct {
 	Digest Digest
-	// By is the host that made the verdict, Events and Upstreams the evidence.
+	// By is the host that made the verdict. Events and Upstreams are the evidence, as in
+	// Finding.
 	By        string
 	Events    int
 	Upstreams int
@@ -39,7 +40,7 @@
 	// hosts share.
 	Judged time.Duration
 	Until  time.Duration
-	// Trials is the number of trials after the verdict's expiry.
+	// Trials is the number of trials so far: sends of the request after the verdict expired.
 	Trials int
 }
 
@@ -51,9 +52,9 @@
 	}
 }
 
-// Trial returns the verdict for the time of a trial: it applies to all hosts but the one that
-// tries the request.
-func (v Verdict) Trial(now time.Duration) Verdict {
+// ForTrial returns the verdict that is in force during a trial. It applies to all hosts but the
+// one that tries the request.
+func (v Verdict) ForTrial(now time.Duration) Verdict {
 	v.Trials++
 	v.Until = now + trialTimeout
 	return v
@@ -69,10 +70,11 @@
 	return v
 }
 
-// Holds reports whether the verdict is in force at the given time.
-func (v Verdict) Holds(now time.Duration) bool { return now < v.Until }
+// InForce reports whether the verdict is in force at the given time.
+func (v Verdict) InForce(now time.Duration) bool { return now < v.Until }
 
-// Unused reports whether the request wasn't received for long after the verdict's expiry.
+// Unused reports whether the verdict expired more than unusedRetention ago. There was no trial
+// since, so the request wasn't received in that time.
 func (v Verdict) Unused(now time.Duration) bool { return now-v.Until > unusedRetention }
 
 // supersedes reports whether the verdict is later than another one on the same request.
@@ -89,7 +91,7 @@
 	By        string `json:"by"`
 	Events    int    `json:"events"`
 	Upstreams int    `json:"upstreams"`
-	JudgedMs  int64  `json:"judged_ms"`
+	MadeAtMs  int64  `json:"judged_ms"`
 	UntilMs   int64  `json:"until_ms"`
 	Trials    int    `json:"trials"`
 }
@@ -98,7 +100,7 @@
 func (v Verdict) MarshalJSON() ([]byte, error) {
 	return json.Marshal(verdictRow{
 		Digest: v.Digest.String(), By: v.By, Events: v.Events, Upstreams: v.Upstreams,
-		JudgedMs: v.Judged.Milliseconds(), UntilMs: v.Until.Milliseconds(), Trials: v.Trials,
+		MadeAtMs: v.Judged.Milliseconds(), UntilMs: v.Until.Milliseconds(), Trials: v.Trials,
 	})
 }
 
@@ -120,7 +122,7 @@
 	}
 	*v = Verdict{
 		Digest: d, By: r.By, Events: r.Events, Upstreams: r.Upstreams,
-		Judged: time.Duration(r.JudgedMs) * time.Millisecond, Until: time.Duration(r.UntilMs) * time.Millisecond,
+		Judged: time.Duration(r.MadeAtMs) * time.Millisecond, Until: time.Duration(r.UntilMs) * time.Millisecond,
 		Trials: r.Trials,
 	}
 	return nil
@@ -132,32 +134,33 @@
 	// Revision is the revision of the verdict's row in the store; 0 if the row isn't known to
 	// exist.
 	Revision storage.Revision
-	// Lost says that the store had the row and may have lost it: it has none, or that of an
-	// earlier verdict.
-	Lost bool
-	// Heard is when the host first received the verdict, on the host's own clock.
-	Heard time.Duration
+	// RowMayBeLost says that the store had the verdict's row and may have lost it in a restore
+	// from a backup: it then has no row, or that of an earlier verdict.
+	RowMayBeLost bool
+	// ReceivedAt is when the host made or first received the verdict, on the host's own clock.
+	ReceivedAt time.Duration
 }
 
-// Unsaved reports whether the store has no row of the verdict, or that of an earlier one.
-func (e *Entry) Unsaved() bool { return e.Revision == 0 || e.Lost }
+// Unsaved reports whether the store may have no row of the verdict, or that of an earlier one.
+func (e *Entry) Unsaved() bool { return e.Revision == 0 || e.RowMayBeLost }
 
 // Register holds the verdicts that a host has received. It is safe for concurrent use.
 type Register struct {
 	mu      sync.RWMutex
 	entries map[Digest]Entry
-	// lifted maps requests whose verdict's row was removed to the time until which verdicts from
-	// other hosts are ignored, since those may not have received the removal yet.
-	lifted map[Digest]time.Duration
+	// withdrawn holds the requests whose verdict was withdrawn, with the time until which
+	// verdicts on them from other hosts are ignored: those hosts may not have received the
+	// withdrawal yet.
+	withdrawn map[Digest]time.Duration
 }
 
-// liftedRetention is how long a lifted verdict may still arrive from other hosts. It exceeds the
-// time for which hosts send a verdict.
-const liftedRetention = time.Minute
+// withdrawnRetention is how long a withdrawn verdict may still arrive from other hosts. It
+// exceeds the time for which hosts send a verdict.
+const withdrawnRetention = time.Minute
 
 // NewRegister returns an empty register.
 func NewRegister() *Register {
-	return &Register{entries: make(map[Digest]Entry), lifted: make(map[Digest]time.Duration)}
+	return &Register{entries: make(map[Digest]Entry), withdrawn: make(map[Digest]time.Duration)}
 }
 
 // Get returns the entry of a request.
@@ -168,18 +171,19 @@
 	return e, ok
 }
 
-// Add adds a verdict made by this or another host. It reports whether the verdict is new.
+// Add adds a verdict that this host made or received from another one. It reports whether the
+// verdict is new.
 func (r *Register) Add(v Verdict, now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if until, ok := r.lifted[v.Digest]; ok && now < until {
+	if until, ok := r.withdrawn[v.Digest]; ok && now < until {
 		return false
 	}
 	known, ok := r.entries[v.Digest]
 	if ok && !v.supersedes(known.Verdict) {
 		return false
 	}
-	r.set(Entry{Verdict: v, Revision: known.Revision, Heard: now})
+	r.set(Entry{Verdict: v, Revision: known.Revision, ReceivedAt: now})
 	return true
 }
 
@@ -188,7 +192,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for d, e := range r.entries {
-		e.Revision, e.Lost = 0, true
+		e.Revision, e.RowMayBeLost = 0, true
 		r.entries[d] = e
 	}
 }
@@ -205,15 +209,15 @@
 	}
 	receivedAt := now
 	if ok {
-		receivedAt = known.Heard
+		receivedAt = known.ReceivedAt
 	}
-	if ok && known.Lost && known.supersedes(v) {
+	if ok && known.RowMayBeLost && known.supersedes(v) {
 		known.Revision = revision
 		r.set(known)
 		return false
 	}
-	delete(r.lifted, v.Digest)
-	r.set(Entry{Verdict: v, Revision: revision, Heard: receivedAt})
+	delete(r.withdrawn, v.Digest)
+	r.set(Entry{Verdict: v, Revision: revision, ReceivedAt: receivedAt})
 	return !ok
 }
 
@@ -233,21 +237,21 @@
 	delete(r.entries, first.Digest)
 }
 
-// Lift removes the verdict, after its row was removed from the store. It reports whether there
-// was one.
-func (r *Register) Lift(d Digest, now time.Duration) bool {
+// Withdraw removes the verdict, after its row was removed from the store. It reports whether
+// there was one.
+func (r *Register) Withdraw(d Digest, now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for other, until := range r.lifted {
+	for other, until := range r.withdrawn {
 		if now >= until {
-			delete(r.lifted, other)
+			delete(r.withdrawn, other)
 		}
 	}
 	if _, ok := r.entries[d]; !ok {
 		return false
 	}
 	delete(r.entries, d)
-	r.lifted[d] = now + liftedRetention
+	r.withdrawn[d] = now + withdrawnRetention
 	return true
 }
 
--- a/ratelease/lease_test.go
+++ b/ratelease/lease_test.go
@@ -14,30 +14,30 @@
 
 func TestBound(t *testing.T) {
 	tests := []struct {
-		bound ratelease.Bound
-		roots int
-		parts int
-		each  int // part
+		bound           ratelease.Bound
+		roots           int
+		parts           int
+		requestsPerPart int // part
 	}{
 		{ratelease.Bound{Rate: 18, Overrun: 1.5, Headroom: 5}, 1, 4, 6},
 		{ratelease.Bound{Rate: 18, Overrun: 1.5, Headroom: 5}, 3, 4, 2},
-		{ratelease.Bound{Rate: 18, Overrun: 1.5, Headroom: 5}, 0, 4, 6}, // a host without seeds
+		{ratelease.Bound{Rate: 18, Overrun: 1.5, Headroom: 5}, 0, 4, 6}, // a host with no root hubs in its settings
 		{ratelease.Bound{Rate: 4, Overrun: 1.5, Headroom: 5}, 3, 1, 2},
-		{ratelease.Bound{Rate: 1, Overrun: 1}, 3, 1, 0}, // too few to be split
-		{ratelease.Bound{Rate: 4}, 1, 1, 3},             // the rate may not be exceeded
+		{ratelease.Bound{Rate: 1, Overrun: 1}, 3, 1, 0}, // less than one request for each of three roots
+		{ratelease.Bound{Rate: 4}, 1, 1, 3},             // an Overrun below 1 counts as 1
 	}
 	for _, test := range tests {
 		is := is.New(t)
 		is.Equal(test.bound.Parts(test.roots), test.parts)
 		share := ratelease.Share{Parts: 1, Of: test.parts, Roots: test.roots}
-		is.Equal(test.bound.RequestsPerSpan(share), test.each)
+		is.Equal(test.bound.RequestsPerSpan(share), test.requestsPerPart)
 		share.Parts = test.parts
-		handedOut := max(1, test.roots) * test.bound.RequestsPerSpan(share)
-		is.True(float64(handedOut) <= 0.75*test.bound.Permitted())
+		leasedRequests := max(1, test.roots) * test.bound.RequestsPerSpan(share)
+		is.True(float64(leasedRequests) <= 0.75*test.bound.Permitted())
 	}
 }
 
-// No position of the window holds more sends than permitted.
+// No interval of WindowSpan contains more sends than permitted, wherever it begins.
 func TestWindow(t *testing.T) {
 	const maxSends = 5
 	is := is.New(t)
@@ -55,11 +55,11 @@
 	}
 }
 
-func TestHoldingEndsByTheHoldersClock(t *testing.T) {
+func TestHoldingExpiresByTheHoldersClock(t *testing.T) {
 	is := is.New(t)
 	h := ratelease.NewHolding(ratelease.Lease{Grants: wholeGrants(1), For: time.Hour, Roots: 3}, start, nil)
 	is.Equal(heldParts(&h, 1, start.Add(ratelease.LeaseDuration-1)), 1)
-	is.Equal(heldParts(&h, 1, start.Add(ratelease.LeaseDuration)), 0) // whatever duration the lease names
+	is.Equal(heldParts(&h, 1, start.Add(ratelease.LeaseDuration)), 0) // although the lease names an hour
 	is.Equal(heldParts(&h, 2, start), 0)
 	is.Equal(h.Lease(start.Add(ratelease.LeaseDuration-time.Millisecond)).For, time.Millisecond)
 	is.Equal(len(h.Lease(start.Add(ratelease.LeaseDuration)).Grants), 0)
@@ -81,8 +81,8 @@
 	return share.Parts
 }
 
-// leaseOf returns the lease that the lessor grants to a reporter.
-func leaseOf(l *ratelease.Lessor, reporter string, now time.Time) ratelease.Lease {
+// requestLease returns the lease that the lessor grants to a reporter, and checks the digest.
+func requestLease(l *ratelease.Lessor, reporter string, now time.Time) ratelease.Lease {
 	lease, digest := l.Lease(reporter, now)
 	if digest != ratelease.Digest(lease.Grants) {
 		panic("the digest isn't that of the grants")
@@ -99,12 +99,13 @@
 	return n
 }
 
-// holdersOf requests a lease for each reporter and returns those that got the upstream.
+// holdersOf assigns the only part of the upstream, requests a lease for each reporter, and returns
+// the reporters that got the part.
 func holdersOf(l *ratelease.Lessor, reporters map[string]int, u ratelease.UpstreamID, now time.Time) []string {
 	var names []string
 	l.Assign(ratelease.RootLease(wholeGrants(u), 1), reporters, now)
 	for name := range reporters {
-		if lease := leaseOf(l, name, now); len(lease.Grants) == 1 {
+		if lease := requestLease(l, name, now); len(lease.Grants) == 1 {
 			names = append(names, name)
 		}
 	}
@@ -138,22 +139,23 @@
 	is.True(next[0] != first[0])
 }
 
-// Reporters get leases in proportion to the number of hosts that each represents.
+// Reporters get leases in proportion to the number of hosts that each represents: here a fifth,
+// or 1,000 of 5,000 upstreams, and four fifths.
 func TestLeasesAreSpreadByHosts(t *testing.T) {
 	is := is.New(t)
 	l := ratelease.NewLessor(start)
 	reporters := map[string]int{"small": 1, "large": 4}
-	held := make(map[string]int)
+	upstreamsHeld := make(map[string]int)
 	for u := range ratelease.UpstreamID(5000) {
 		for _, name := range holdersOf(l, reporters, u, start.Add(ratelease.HandoverDelay)) {
-			held[name]++
+			upstreamsHeld[name]++
 		}
 	}
-	is.Equal(held["small"]+held["large"], 5000)
-	is.True(held["small"] > 800 && held["small"] < 1200)
+	is.Equal(upstreamsHeld["small"]+upstreamsHeld["large"], 5000)
+	is.True(upstreamsHeld["small"] > 800 && upstreamsHeld["small"] < 1200)
 }
 
-// A lease has room for all upstreams of a large installation at once.
+// Two reporters get all parts of all upstreams of a large installation at once.
 func TestLeaseOfManyUpstreams(t *testing.T) {
 	is := is.New(t)
 	const upstreams = 12_000
@@ -163,7 +165,7 @@
 	}
 	l := ratelease.NewLessor(start)
 	l.Assign(ratelease.RootLease(grants, 3), map[string]int{"a": 1, "b": 1}, start.Add(ratelease.HandoverDelay))
-	a, b := leaseOf(l, "a", start.Add(ratelease.HandoverDelay)), leaseOf(l, "b", start.Add(ratelease.HandoverDelay))
+	a, b := requestLease(l, "a", start.Add(ratelease.HandoverDelay)), requestLease(l, "b", start.Add(ratelease.HandoverDelay))
 	is.Equal(countParts(a.Grants)+countParts(b.Grants), 2*upstreams)
 }
 
@@ -173,32 +175,32 @@
 	is := is.New(t)
 	now := start.Add(ratelease.HandoverDelay)
 	root, hub := ratelease.NewLessor(start), ratelease.NewLessor(start)
-	own := ratelease.RootLease([]ratelease.Grant{{Upstream: 7, Parts: 4, Of: 4}}, 3)
+	rootLease := ratelease.RootLease([]ratelease.Grant{{Upstream: 7, Parts: 4, Of: 4}}, 3)
 	reporters := map[string]int{"hub": 3, "host": 1}
-	root.Assign(own, reporters, now)
-	toHub, toHost := leaseOf(root, "hub", now), leaseOf(root, "host", now)
+	root.Assign(rootLease, reporters, now)
+	toHub, toHost := requestLease(root, "hub", now), requestLease(root, "host", now)
 	is.Equal(countParts(toHub.Grants)+countParts(toHost.Grants), 4)
-	held := ratelease.NewHolding(toHub, now, nil)
-	is.Equal(heldParts(&held, 7, now), countParts(toHub.Grants))
+	hubHolding := ratelease.NewHolding(toHub, now, nil)
+	is.Equal(heldParts(&hubHolding, 7, now), countParts(toHub.Grants))
 	total := 0
 	followers := map[string]int{"hub": 1, "a": 1, "b": 1}
-	hub.Assign(held.Lease(now), followers, now)
+	hub.Assign(hubHolding.Lease(now), followers, now)
 	for name := range followers {
-		total += countParts(leaseOf(hub, name, now).Grants)
+		total += countParts(requestLease(hub, name, now).Grants)
 	}
 	is.Equal(total, countParts(toHub.Grants))
-	// A part that the hub no longer holds isn't renewed for anyone.
-	fewer := ratelease.Lease{Grants: []ratelease.Grant{{Upstream: 7, Parts: 1, Of: 4}}, For: ratelease.LeaseDuration, Roots: 3}
+	// The leases of parts that the hub no longer holds aren't renewed.
+	smallerLease := ratelease.Lease{Grants: []ratelease.Grant{{Upstream: 7, Parts: 1, Of: 4}}, For: ratelease.LeaseDuration, Roots: 3}
 	total = 0
-	hub.Assign(fewer, followers, now)
+	hub.Assign(smallerLease, followers, now)
 	for name := range followers {
-		total += countParts(leaseOf(hub, name, now).Grants)
+		total += countParts(requestLease(hub, name, now).Grants)
 	}
 	is.Equal(total, 1)
 }
 
-// When the size of the parts changes, leases on parts of the previous size expire first.
-// Otherwise two halves and a whole could be in use at once.
+// When the size of the parts changes, no part of the new size is leased before the leases of parts
+// of the previous size have expired. Guards against: two halves and a whole are in use at once.
 func TestPartsOfAnotherSize(t *testing.T) {
 	is := is.New(t)
 	now := start.Add(ratelease.HandoverDelay)
@@ -208,7 +210,7 @@
 		l.Assign(ratelease.RootLease([]ratelease.Grant{{Upstream: 7, Parts: of, Of: of}}, 3), reporters, now)
 		n := 0
 		for name := range reporters {
-			n += countParts(leaseOf(l, name, now).Grants)
+			n += countParts(requestLease(l, name, now).Grants)
 		}
 		return n
 	}
--- a/ratelease/lessor.go
+++ b/ratelease/lessor.go
@@ -12,9 +12,10 @@
 // part is leased to one of them at a time. It isn't safe for concurrent use.
 type Lessor struct {
 	startedAt time.Time
-	// assigned holds the lessees of each upstream's parts.
-	assigned map[UpstreamID]*assignment
-	// allotments holds what each reporter is granted, of a holding that expires at expiresAt.
+	// assignments holds the lessees of each upstream's parts.
+	assignments map[UpstreamID]*assignment
+	// allotments holds what each reporter is granted, by its name. The grants are parts of the
+	// holding last assigned, which expires at expiresAt; roots is the number of root hubs.
 	allotments map[string]*allotment
 	expiresAt  time.Time
 	roots      int
@@ -22,8 +23,8 @@
 
 // assignment records the lessees of an upstream's parts.
 type assignment struct {
-	of      int
-	lessees []lessee
+	partCount int
+	lessees   []lessee
 	// lastHeldAt is when this host last held parts of the upstream.
 	lastHeldAt time.Time
 }
@@ -44,18 +45,18 @@
 // allotment is what one reporter is granted.
 type allotment struct {
 	grants []Grant
-	// lessees points to the records of its parts.
+	// lessees points to the records of the parts that the reporter is granted.
 	lessees []*lessee
 	digest  uint64
 }
 
 // NewLessor returns the lessor of a host that started at the given time.
 func NewLessor(startedAt time.Time) *Lessor {
-	return &Lessor{startedAt: startedAt, assigned: make(map[UpstreamID]*assignment)}
+	return &Lessor{startedAt: startedAt, assignments: make(map[UpstreamID]*assignment)}
 }
 
-// Assign assigns the parts of the holding to reporters. The map has the hosts that report now,
-// with the number of hosts that each represents.
+// Assign assigns the parts of the holding to reporters. The map has the names of the hosts that
+// report now, with the number of hosts that each represents: itself and its followers.
 func (l *Lessor) Assign(holding Lease, reporters map[string]int, now time.Time) {
 	l.allotments, l.expiresAt, l.roots = make(map[string]*allotment, len(reporters)), now.Add(min(holding.For, LeaseDuration)), holding.Roots
 	picker := newWeightedPicker(reporters)
@@ -66,7 +67,7 @@
 		}
 		for partIndex := range min(g.Parts, len(a.lessees)) {
 			part := &a.lessees[partIndex]
-			if l.resolveLessee(part, g.Upstream, partIndex, picker, now) {
+			if l.ensureLessee(part, g.Upstream, partIndex, picker, now) {
 				l.allot(part, g)
 			}
 		}
@@ -74,29 +75,31 @@
 	for _, allotted := range l.allotments {
 		allotted.digest = Digest(allotted.grants)
 	}
-	maps.DeleteFunc(l.assigned, func(_ UpstreamID, a *assignment) bool { return now.Sub(a.lastHeldAt) > HandoverDelay && a.expired(now) })
+	maps.DeleteFunc(l.assignments, func(_ UpstreamID, a *assignment) bool {
+		return now.Sub(a.lastHeldAt) > HandoverDelay && a.allAvailable(now)
+	})
 }
 
-// assignmentFor returns the assignment of the grant's upstream, or nil while leases of parts of
-// another size may be in use.
+// assignmentFor returns the assignment of the grant's upstream, and adds it if there is none. It
+// returns nil while leases of parts of another size may be in use.
 func (l *Lessor) assignmentFor(g Grant, now time.Time) *assignment {
-	a := l.assigned[g.Upstream]
-	if a != nil && a.of != g.Of {
-		if !a.expired(now) {
+	a := l.assignments[g.Upstream]
+	if a != nil && a.partCount != g.Of {
+		if !a.allAvailable(now) {
 			return nil
 		}
 		a = nil
 	}
 	if a == nil {
-		a = &assignment{of: g.Of, lessees: make([]lessee, g.Of)}
-		l.assigned[g.Upstream] = a
+		a = &assignment{partCount: g.Of, lessees: make([]lessee, g.Of)}
+		l.assignments[g.Upstream] = a
 	}
 	a.lastHeldAt = now
 	return a
 }
 
-// expired reports whether all parts are available.
-func (a *assignment) expired(now time.Time) bool {
+// allAvailable reports whether all parts may be leased to other hosts.
+func (a *assignment) allAvailable(now time.Time) bool {
 	for i := range a.lessees {
 		if !a.lessees[i].available(now) {
 			return false
@@ -105,9 +108,10 @@
 	return true
 }
 
-// resolveLessee reports whether the part has a current lessee, and assigns an available part to
-// a reporter. It returns false while the part may not be assigned.
-func (l *Lessor) resolveLessee(part *lessee, u UpstreamID, partIndex int, picker weightedPicker, now time.Time) bool {
+// ensureLessee reports whether the part may be leased now. If its lessee no longer reports, it
+// assigns the part to a reporter, once the part is available and HandoverDelay has passed since
+// the host's start.
+func (l *Lessor) ensureLessee(part *lessee, u UpstreamID, partIndex int, picker weightedPicker, now time.Time) bool {
 	if _, reports := picker.hostCounts[part.name]; reports {
 		return true
 	}
@@ -148,17 +152,17 @@
 	return lease, allotted.digest
 }
 
-// weightedPicker picks reporters at random in proportion to their number of hosts; it always
-// picks the same reporter for the same part.
+// weightedPicker picks reporters pseudorandomly, in proportion to the number of hosts that each
+// represents. From the same reporters it always picks the same one for a part.
 type weightedPicker struct {
 	hostCounts map[string]int
-	seeds      map[string]uint64
+	nameHashes map[string]uint64
 }
 
 func newWeightedPicker(reporters map[string]int) weightedPicker {
-	p := weightedPicker{hostCounts: reporters, seeds: make(map[string]uint64, len(reporters))}
+	p := weightedPicker{hostCounts: reporters, nameHashes: make(map[string]uint64, len(reporters))}
 	for name := range reporters {
-		p.seeds[name] = evenhash.Sum(name)
+		p.nameHashes[name] = evenhash.Sum(name)
 	}
 	return p
 }
@@ -166,8 +170,8 @@
 // pick picks a reporter for the part, with a probability in proportion to its number of hosts.
 func (p weightedPicker) pick(u UpstreamID, partIndex int) string {
 	picked, lowest := "", math.Inf(1)
-	for name, seed := range p.seeds {
-		uniform := float64(evenhash.Mix(uint64(u)^seed^uint64(partIndex)*0x9e3779b97f4a7c15)>>11+1) / (1 << 53)
+	for name, nameHash := range p.nameHashes {
+		uniform := float64(evenhash.Mix(uint64(u)^nameHash^uint64(partIndex)*0x9e3779b97f4a7c15)>>11+1) / (1 << 53)
 		// The minimum of exponentially distributed values falls to each reporter in proportion
 		// to its weight.
 		if score := -math.Log(uniform) / float64(max(1, p.hostCounts[name])); score < lowest || score == lowest && name < picked {
