--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -12,21 +12,21 @@
 	writer  http.ResponseWriter
 	request *http.Request
 	control *http.ResponseController
-	// closing is set if the connection is closed after this answer.
+	// closing is set if the connection to the caller is closed after this answer.
 	closing bool
 
 	// started is set when the caller may have received a byte of the answer.
 	started bool
-	// events counts the events that were passed on. lastEventID is the id of the last one,
-	// initially of the one that the caller received earlier.
+	// events is the number of events that were passed on. lastEventID is the id of the last one;
+	// before the first one it is the id that the caller stated to resume a stream, if any.
 	events      int
 	lastEventID string
-	// longestPause is the longest time between two events.
+	// longestPause is the longest time between two events that were passed on.
 	longestPause time.Duration
 	lastEventAt  time.Time
 }
 
-// callerWriteTimeout bounds a write to a caller that doesn't read.
+// callerWriteTimeout bounds the time for writing an event to a caller that doesn't read.
 const callerWriteTimeout = 10 * time.Second
 
 func newAnswerWriter(w http.ResponseWriter, req *http.Request, closing bool, lastEventID string) *answerWriter {
@@ -78,7 +78,7 @@
 		w.longestPause = max(w.longestPause, now.Sub(w.lastEventAt))
 	}
 	w.lastEventAt = now
-	// If the connection doesn't support a write deadline, the write below is merely unbounded.
+	// If the connection doesn't support write deadlines, the time for the write isn't bounded.
 	_ = w.control.SetWriteDeadline(now.Add(callerWriteTimeout))
 	if _, err := w.writer.Write(ev.text); err != nil {
 		return fmt.Errorf("%w: %w", errCallerWrite, err)
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -18,11 +18,11 @@
 	"github.com/quetzalweir/quetzalweir/runstate"
 )
 
-// maxBufferedAnswer bounds an answer that is held in memory, in bytes. A plain service's answers
-// are some kilobytes; longer ones are refused.
+// maxBufferedAnswer bounds the size of an answer that is held in memory, in bytes. Answers of plain
+// services are a few kilobytes; an answer over the bound fails the attempt.
 const maxBufferedAnswer = 16 << 20
 
-// Errors of answers that can't be this request's answer from the upstream.
+// Errors of answers that can't be passed on as the upstream's answer to this request.
 var (
 	errRequestMismatch = errors.New("gateway: the answer belongs to another request")
 	errNoStamp         = errors.New("gateway: success answer without the upstream's stamp")
@@ -30,49 +30,51 @@
 	errAnswerTooLong   = errors.New("gateway: the answer is too long")
 )
 
-// errResponseTimeout ends an attempt whose upstream doesn't respond.
+// errResponseTimeout is the error of an attempt that was given up because its upstream didn't
+// respond.
 var errResponseTimeout = errors.New("gateway: no answer within the upstream's usual time")
 
-// attempt sends the request to one upstream.
+// attempt is one attempt to have the request processed, at one upstream.
 type attempt struct {
 	gateway   *Gateway
 	request   *Request
 	choice    choice
 	startedAt time.Time
-	// largest is set if the request runs on the largest of several models.
-	largest bool
-	// threshold is the least confidence with which the answer is passed on; 0 if any will do.
-	threshold int
-	// pressure is the time that prompts waited for engines when threshold was computed, divided by
-	// their prefill time.
-	pressure float64
-	// headTimeout is the time to wait for the answer's head before the attempt is given up if
-	// mayGiveUp permits it. A longer time without a head counts against the upstream in either
-	// case.
+	// bestModel is set if the request runs on the best of several models.
+	bestModel bool
+	// minConfidence is the minimum confidence with which the answer is passed on; 0 if it is passed
+	// on with any confidence.
+	minConfidence int
+	// queuePressure is the mean queueing time of prompts divided by their mean prefill time, as of
+	// the computation of minConfidence.
+	queuePressure float64
+	// headTimeout is how long the attempt waits for the answer's head. After that it is given up if
+	// mayGiveUp returns true. If it ends later without a head, it counts as a timeout of the
+	// upstream in any case.
 	headTimeout time.Duration
 	mayGiveUp   func() bool
-	// idle enforces headTimeout and the pause limit of streams.
-	idle  *idleTimer
-	call  *sealedconn.Call
-	state runstate.Tracker
-	// headSeen is set when an acceptable head was received.
-	headSeen bool
+	// idleTimer enforces headTimeout and the pause limit of streams.
+	idleTimer  *idleTimer
+	sealedCall *sealedconn.Call
+	runState   runstate.Tracker
+	// headCounted is set when the head of a stream was counted as an answer of its version.
+	headCounted bool
 }
 
-// send sends the request and returns the answer's head after checking that it belongs to the
-// request.
+// send sends the request and returns the upstream's response, whose body isn't read yet, after
+// checking that it belongs to the request.
 func (a *attempt) send(ctx context.Context) (*http.Response, error) {
-	a.call = &sealedconn.Call{OnWrite: func() { a.state.Raise(runstate.MayHaveRun) }}
+	a.sealedCall = &sealedconn.Call{OnWrite: func() { a.runState.Raise(runstate.MayHaveRun) }}
 	headCtx, cancel := context.WithCancelCause(ctx)
-	req, err := a.build(a.call.Trace(headCtx))
+	req, err := a.buildRequest(a.sealedCall.Trace(headCtx))
 	if err != nil {
 		cancel(err)
 		return nil, err
 	}
-	a.idle = newIdleTimer(a.mayGiveUp, cancel)
-	a.idle.start(a.headTimeout)
+	a.idleTimer = newIdleTimer(a.mayGiveUp, cancel)
+	a.idleTimer.start(a.headTimeout)
 	resp, err := a.gateway.transport.RoundTrip(req)
-	a.idle.stop()
+	a.idleTimer.stop()
 	if err != nil {
 		cause := context.Cause(headCtx)
 		cancel(err)
@@ -81,21 +83,21 @@
 		}
 		return nil, err
 	}
-	// The context is canceled when the answer's body is closed, which every reader does.
+	// The context is canceled when the body is closed, which every caller of send does.
 	resp.Body = &cancelOnClose{ReadCloser: resp.Body, cancel: func() { cancel(nil) }}
-	if err := a.check(resp); err != nil {
+	if err := a.checkResponse(resp); err != nil {
 		resp.Body.Close()
 		return nil, err
 	}
 	if !a.misdirected(resp) {
 		names := &a.gateway.settings.Headers
-		a.gateway.fleet.observeLimit(&a.choice, limitHeader{values: resp.Header.Values(names.Limit), ran: resp.Header.Get(names.Stamp) != ""})
+		a.gateway.fleet.observeLimit(&a.choice, limitHeader{values: resp.Header.Values(names.Limit), requestRan: resp.Header.Get(names.Stamp) != ""})
 	}
 	return resp, nil
 }
 
-// build returns the request as it is sent to the upstream.
-func (a *attempt) build(ctx context.Context) (*http.Request, error) {
+// buildRequest returns the request as it is sent to the upstream.
+func (a *attempt) buildRequest(ctx context.Context) (*http.Request, error) {
 	r, names := a.request, &a.gateway.settings.Headers
 	target, err := url.ParseRequestURI(r.Target)
 	if err != nil {
@@ -110,8 +112,8 @@
 		Header:        names.forUpstream(r.Header),
 		ContentLength: int64(len(r.Body)),
 	}).WithContext(ctx)
-	// Without GetBody the transport can't resend a body on its own; for requests without a body
-	// the sealed call refuses the second write.
+	// Without GetBody the transport can't send a body again on its own. If it sends a request
+	// without a body again, the sealed call refuses the second write.
 	req.Body = io.NopCloser(bytes.NewReader(r.Body))
 	if len(r.Body) == 0 {
 		req.Body = http.NoBody
@@ -122,8 +124,8 @@
 
 func (a *attempt) setHeaders(header http.Header) {
 	r, names := a.request, &a.gateway.settings.Headers
-	left := max(1, boottime.Until(r.Deadline).Milliseconds())
-	header.Set(names.Deadline, strconv.FormatInt(left, 10))
+	remaining := max(1, boottime.Until(r.Deadline).Milliseconds())
+	header.Set(names.Deadline, strconv.FormatInt(remaining, 10))
 	header.Set(names.ExpectInstance, a.choice.upstream.ID)
 	if r.Account != nil {
 		header.Set(names.Account, r.Account.Name)
@@ -131,7 +133,7 @@
 	if r.Route.Kind != routing.Stream {
 		return
 	}
-	header.Set(names.Priority, strconv.Itoa(r.priority(a.largest)))
+	header.Set(names.Priority, strconv.Itoa(r.priority(a.bestModel)))
 	if r.model != "" {
 		header.Set(names.Model, r.model)
 	}
@@ -140,8 +142,8 @@
 	}
 }
 
-// check rejects answers that don't belong to this request.
-func (a *attempt) check(resp *http.Response) error {
+// checkResponse returns an error if the response can't be passed on as the answer to this request.
+func (a *attempt) checkResponse(resp *http.Response) error {
 	names := &a.gateway.settings.Headers
 	if got := resp.Header.Get(names.RequestID); got != a.request.ID {
 		return fmt.Errorf("%w: %q", errRequestMismatch, got)
@@ -149,28 +151,29 @@
 	if encoding := resp.Header.Get("Content-Encoding"); encoding != "" {
 		return fmt.Errorf("%w: %q", errContentEncoding, encoding)
 	}
-	if success(resp.StatusCode) && resp.Header.Get(names.Stamp) == "" {
+	if isSuccess(resp.StatusCode) && resp.Header.Get(names.Stamp) == "" {
 		return errNoStamp
 	}
 	return nil
 }
 
-func success(status int) bool { return status >= 200 && status < 300 }
+func isSuccess(status int) bool { return status >= 200 && status < 300 }
 
-// notRun reports whether the answer states that the request didn't run.
+// notRun reports whether the response states that the request didn't run.
 func (a *attempt) notRun(resp *http.Response) bool {
 	return resp.StatusCode == http.StatusMisdirectedRequest ||
 		resp.Header.Get(a.gateway.settings.Headers.NotRun) != ""
 }
 
-// misdirected reports whether another upstream answers at the address. An upstream that doesn't
-// have the model that the caller named responds with the same status.
+// misdirected reports whether the response shows that another upstream listens at the address. An
+// upstream that doesn't have the requested model responds with the same status, so the status
+// counts only if the caller named no model or the gateway chose it.
 func (a *attempt) misdirected(resp *http.Response) bool {
-	own := a.request.Prompt.Model == "" || a.request.model != ""
-	return resp.StatusCode == http.StatusMisdirectedRequest && own
+	modelIsServed := a.request.Prompt.Model == "" || a.request.model != ""
+	return resp.StatusCode == http.StatusMisdirectedRequest && modelIsServed
 }
 
-// parseHead returns a result with the values of the answer's head.
+// parseHead returns a result with the values of the response's head.
 func (a *attempt) parseHead(resp *http.Response) attemptResult {
 	names := &a.gateway.settings.Headers
 	result := attemptResult{
@@ -191,10 +194,10 @@
 	return result
 }
 
-// failureResult returns the result of an attempt without a usable answer.
+// failureResult returns the result of an attempt for which send returned err.
 func (a *attempt) failureResult(ctx context.Context, err error) attemptResult {
 	result := attemptResult{outcome: outcomeUnknown, err: err, confidence: -1}
-	if a.call == nil || a.call.Abandon() != sealedconn.Written {
+	if a.sealedCall == nil || a.sealedCall.Abandon() != sealedconn.Written {
 		result.outcome = outcomeUnsent
 	}
 	switch {
@@ -207,7 +210,7 @@
 	return result
 }
 
-// cancelOnClose is a body that calls cancel when it is closed.
+// cancelOnClose is a response body that calls cancel when it is closed.
 type cancelOnClose struct {
 	io.ReadCloser
 	cancel func()
@@ -220,7 +223,7 @@
 	return err
 }
 
-// runBuffered runs an attempt whose answer is buffered until it is complete.
+// runBuffered runs an attempt whose answer is buffered as a whole before it is passed on.
 func (a *attempt) runBuffered(ctx context.Context) attemptResult {
 	resp, err := a.send(ctx)
 	if err != nil {
@@ -230,7 +233,7 @@
 	return a.readBuffered(ctx, resp)
 }
 
-// readBuffered reads the rest of an answer.
+// readBuffered reads the response's body and returns the attempt's result.
 func (a *attempt) readBuffered(ctx context.Context, resp *http.Response) attemptResult {
 	result := a.parseHead(resp)
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedAnswer+1))
@@ -242,7 +245,7 @@
 		result.misdirected = a.misdirected(resp)
 		return result
 	}
-	a.state.Raise(runstate.Ran)
+	a.runState.Raise(runstate.Ran)
 	if err != nil {
 		result.outcome = outcomeBroken
 		result.err = err
@@ -253,7 +256,7 @@
 	}
 	result.buffered = &bufferedAnswer{status: resp.StatusCode, header: resp.Header, body: body}
 	result.outcome = outcomeDone
-	if !success(resp.StatusCode) {
+	if !isSuccess(resp.StatusCode) {
 		result.outcome = outcomeFailed
 	}
 	return result
--- a/internal/gateway/attemptresult.go
+++ b/internal/gateway/attemptresult.go
@@ -13,7 +13,8 @@
 type outcome int
 
 const (
-	// outcomeDone: the upstream answered with success and the caller has the whole answer.
+	// outcomeDone: the upstream answered with a success status and the whole answer was received. A
+	// stream was also passed on to the caller.
 	outcomeDone outcome = iota
 	// outcomeUnsent: no byte of the request was sent.
 	outcomeUnsent
@@ -21,12 +22,12 @@
 	outcomeRefused
 	// outcomeUnknown: the request was sent and no valid answer was received.
 	outcomeUnknown
-	// outcomeFailed: the upstream ran the request and answered with a failure.
+	// outcomeFailed: the upstream ran the request and answered with another status.
 	outcomeFailed
 	// outcomeBroken: the answer began and was cut off.
 	outcomeBroken
-	// outcomeAbandoned: the gateway ended the attempt because the caller disconnected, the
-	// deadline passed, or another model is to answer.
+	// outcomeAbandoned: the gateway ended the attempt because the caller disconnected, the deadline
+	// passed, or the confidence of the answer was too low.
 	outcomeAbandoned
 	// outcomeSilent: the request was sent and no response arrived within the timeout.
 	outcomeSilent
@@ -40,8 +41,8 @@
 // attemptResult is the result of an attempt.
 type attemptResult struct {
 	outcome outcome
-	// status and confidence are from the answer's head. status is 0 without a head; confidence is
-	// -1 if the answer states none.
+	// status, confidence and load are from the answer's head. status is 0 if no head was received;
+	// confidence is -1 if the answer states none.
 	status     int
 	confidence int
 	load       string
@@ -57,11 +58,11 @@
 	buffered *bufferedAnswer
 }
 
-// notReached reports whether the upstream was no longer running: nothing or another upstream
-// listens at its address.
+// notReached reports whether the attempt didn't reach the chosen upstream: no byte of the request
+// could be sent to its address, or another upstream listens there.
 func (r *attemptResult) notReached() bool { return r.outcome == outcomeUnsent || r.misdirected }
 
-// guardOutcome returns the outcome as the guard counts it.
+// guardOutcome returns the outcome in the terms of package guard.
 func (r *attemptResult) guardOutcome() guard.Outcome {
 	switch r.outcome {
 	case outcomeDone, outcomeFailed:
@@ -77,7 +78,7 @@
 	return guard.NotRun
 }
 
-// bufferedAnswer is an answer with its whole body.
+// bufferedAnswer is a complete answer that is held in memory.
 type bufferedAnswer struct {
 	status int
 	header http.Header
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -7,32 +7,35 @@
 	"github.com/quetzalweir/quetzalweir/internal/boottime"
 )
 
-// retryBudget bounds the retries of one service's requests relative to the requests that callers
-// sent, in every span of a window. Each host keeps the bound for its own traffic, and thereby the
-// sum over all hosts keeps it.
+// retryBudget bounds the retries of a service's requests to a ratio of the requests that callers
+// sent, in every time span as long as a window. Each host applies the ratio to its own traffic,
+// which bounds the retries of all hosts together by the same ratio.
 type retryBudget struct {
 	ratio float64
-	// spare returns the retries per window that are permitted regardless of the number of
-	// requests.
-	spare func() float64
-	mu    sync.Mutex
-	// slots hold the counts of equal parts of the window. slots[i%n] holds the i-th part since
-	// start.
-	slots []budgetSlot
-	span  time.Duration
-	start time.Time
+	// spareRetries returns the number of retries per window that this host may make regardless of
+	// the number of requests.
+	spareRetries func() float64
+	mu           sync.Mutex
+	// slots holds the counts for equal parts of the window, which are slotDuration long.
+	// slots[i%n], where n is the number of slots, holds the counts for the i-th part since start.
+	slots        []budgetSlot
+	slotDuration time.Duration
+	start        time.Time
 }
 
+// budgetSlot holds the counts for one part of the window. number numbers the parts since the start
+// of the budget.
 type budgetSlot struct {
 	number   int64
 	requests int
 	retries  int
 }
 
-// spareRetries returns this host's share of the retries that all hosts together may make
-// regardless of the number of requests. A host that just started has few requests to base its
-// budget on, at a time when many of them are cut off. The share is 0 until the number of hosts is
-// known, and half of all spare retries stay unused, for hosts that aren't known yet.
+// spareRetries returns this host's share of the retries that all hosts together may make regardless
+// of the number of requests. Without them a host that just started could make few retries, since it
+// has received few requests, at a time when many of these are cut off. The share is 0 until the
+// number of hosts is known. Half of the spare retries stay unused, because there may be hosts that
+// aren't counted yet.
 func (g *Gateway) spareRetries() float64 {
 	hosts := g.hostCount.Load()
 	if hosts == 0 {
@@ -42,16 +45,16 @@
 	return used * g.settings.RetryHeadroom / float64(hosts)
 }
 
-// budgetSlots is the number of parts in which a window is counted.
+// budgetSlots is the number of parts of a window that are counted separately.
 const budgetSlots = 20
 
 func newRetryBudget(ratio float64, window time.Duration, spare func() float64) *retryBudget {
 	return &retryBudget{
-		ratio: ratio,
-		spare: spare,
-		slots: make([]budgetSlot, budgetSlots+1),
-		span:  window / budgetSlots,
-		start: boottime.Now(),
+		ratio:        ratio,
+		spareRetries: spare,
+		slots:        make([]budgetSlot, budgetSlots+1),
+		slotDuration: window / budgetSlots,
+		start:        boottime.Now(),
 	}
 }
 
@@ -59,16 +62,15 @@
 func (b *retryBudget) countRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.current().requests++
+	b.currentSlot().requests++
 }
 
-// tryTake counts a retry and reports true if it is within the budget. Retries are counted over the
-// window including the current part, requests over the window without it, so that no span exceeds
-// the ratio.
+// tryTake reports whether a retry is within the budget, and counts it if so. Retries and requests
+// are both counted over the current part of the window and the budgetSlots parts before it.
 func (b *retryBudget) tryTake() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	now := b.current()
+	now := b.currentSlot()
 	requests, retries := 0, 0
 	for i := range b.slots {
 		s := &b.slots[i]
@@ -78,16 +80,17 @@
 		retries += s.retries
 		requests += s.requests
 	}
-	if float64(retries+1) > b.ratio*float64(requests)+b.spare() {
+	if float64(retries+1) > b.ratio*float64(requests)+b.spareRetries() {
 		return false
 	}
 	now.retries++
 	return true
 }
 
-// current returns the slot of the current part, cleared if it held an earlier one.
-func (b *retryBudget) current() *budgetSlot {
-	number := int64(boottime.Since(b.start) / b.span)
+// currentSlot returns the slot for the current part of the window, after clearing it if it held the
+// counts for an earlier part.
+func (b *retryBudget) currentSlot() *budgetSlot {
+	number := int64(boottime.Since(b.start) / b.slotDuration)
 	s := &b.slots[number%int64(len(b.slots))]
 	if s.number != number {
 		*s = budgetSlot{number: number}
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -10,31 +10,32 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// saturatedLoad is the load per slot from which another availability zone is tried; below it the
-// cross-zone latency costs more than it gains.
+// saturatedLoad is the load per slot at which upstreams of other availability zones are considered.
+// Below it, the latency to another zone exceeds the time that a less loaded upstream would save.
 const saturatedLoad = 1.0
 
 // choice is a chosen upstream and the data behind the choice.
 type choice struct {
 	upstream Upstream
-	// entry is the revision of the upstream's entry in the store.
-	entry storage.Revision
-	// among is the number of upstreams that could have been chosen.
-	among int
+	// entryRevision is the revision of the upstream's entry in the store.
+	entryRevision storage.Revision
+	// candidateCount is the number of upstreams from which this one was chosen.
+	candidateCount int
 	// load is the estimated load of the chosen upstream.
 	load float64
-	// loadFrom is the source of the load estimate, loadAge the age of its data.
-	loadFrom loadSource
-	loadAge  time.Duration
-	// prefill is the prompt that the engine has to process; nil once its answer began.
+	// loadSource is the source of the load estimate, loadAge the age of its data.
+	loadSource loadSource
+	loadAge    time.Duration
+	// prefill is the request's prompt while the engine has to process it; nil once the answer began
+	// and for plain services.
 	prefill *prefill
-	// placed is the placement decision for a prompt, ahead the estimated work queued before it at
-	// the engine. cachedParts is the number of the prompt's leading parts that the engine has
-	// cached.
-	placed      placement.Choice
-	ahead       time.Duration
+	// placement is the placement decision for the prompt, workAhead the estimated time for which
+	// the engine processes other prompts first. cachedParts is the number of the prompt's leading
+	// parts that the engine has cached.
+	placement   placement.Choice
+	workAhead   time.Duration
 	cachedParts int
-	// criteria are the criteria of the choice.
+	// criteria are the inputs of the choice.
 	criteria criteria
 	// chosenAt is the time of the choice.
 	chosenAt time.Time
@@ -49,45 +50,48 @@
 	model  string
 	// price is the operators' price of the model; 0 if the document declares none.
 	price float64
-	// keys identify the prompt's leading parts in the engines' caches.
+	// keys identify the prefixes of the prompt, from the shortest to the longest, in the data on
+	// the engines' caches.
 	keys []placement.PrefixKey
-	// priority is the priority that is sent to the upstream, rank the operators' rank.
+	// priority is the priority that is sent to the upstream, rank the rank that the operators
+	// declared for the route or the account. In both, 0 is the most urgent.
 	priority int
 	rank     int
-	// target is the time within which the first event should arrive, bytes the size of the body.
-	target time.Duration
-	bytes  int
+	// target is the time within which the first event should arrive, bodyBytes the size of the
+	// request's body.
+	target    time.Duration
+	bodyBytes int
 	// exclude are the ids of upstreams that were tried already.
 	exclude []string
 	// regions are the regions in which the request may run.
 	regions regionConstraint
-	// admits reports whether a version may run the request.
-	admits func(version string) bool
+	// admitsVersion reports whether upstreams of the version may run the request.
+	admitsVersion func(version string) bool
 }
 
-// choose picks an upstream and counts the request as in flight there. The caller ends it with
-// release.
-func (f *Fleet) choose(w criteria) (choice, bool) {
+// choose chooses an upstream and counts the request as in flight there until the caller calls
+// release. ok is false if no upstream is available.
+func (f *Fleet) choose(crit criteria) (choice, bool) {
 	now := boottime.Now()
-	s := f.shard(w.service)
+	s := f.shard(crit.service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ration.RecordArrival(w.rank, now)
-	list := s.candidates(&w, now, f.removalGrace)
-	if len(list.members) == 0 || s.shedByRank(list, w.rank, now) {
+	s.rankAdmission.RecordArrival(crit.rank, now)
+	list := s.candidates(&crit, now, f.removalGrace)
+	if len(list.members) == 0 || s.shedByRank(list, crit.rank, now) {
 		return choice{}, false
 	}
-	c := choice{chosenAt: now, among: len(list.members), criteria: w}
+	c := choice{chosenAt: now, candidateCount: len(list.members), criteria: crit}
 	picked := s.pick(list, &c, now)
-	c.upstream, c.entry = picked.Upstream, picked.revision
+	c.upstream, c.entryRevision = picked.Upstream, picked.revision
 	c.load = picked.load(now)
-	c.loadFrom, c.loadAge = picked.loadSource(now)
+	c.loadSource, c.loadAge = picked.loadSource(now)
 	picked.startRequest(&c)
 	picked.recordSent(now)
 	return c, true
 }
 
-// pick returns the upstream that suits the request best.
+// pick returns the candidate that suits the request best.
 func (s *shard) pick(list candidateList, c *choice, now time.Time) *member {
 	if c.criteria.prompt == nil {
 		return s.pickNearest(list.members, c.criteria.zone, now)
@@ -95,7 +99,7 @@
 	return s.place(list, c, now)
 }
 
-// release ends a request that choose counted.
+// release records the result of a request and no longer counts it as in flight at the upstream.
 func (f *Fleet) release(c choice, result attemptResult) {
 	s := f.shard(c.upstream.Service)
 	s.mu.Lock()
@@ -107,44 +111,45 @@
 	now := boottime.Now()
 	s.observeRequestTime(now.Sub(c.chosenAt))
 	m.endRequest(&c)
-	m.observe(result, now)
+	m.observeResult(result, now)
 }
 
-// candidates returns upstreams that may run the request, without those that were tried or fail
-// often. For a large service it samples a few. For a small service, or if none of the sample
-// accepts the request, it considers all, and includes those that were tried or fail often if no
-// other is left.
-func (s *shard) candidates(w *criteria, now time.Time, grace time.Duration) candidateList {
+// candidates returns upstreams that may run the request, without those that were tried for it or
+// that fail often. For a service with more than fullScanLimit upstreams it returns a sample. For a
+// smaller service, or if no upstream of the sample accepts the request, it considers all upstreams,
+// and returns those that were tried or fail often if no other is left. The caller holds the shard's
+// lock.
+func (s *shard) candidates(crit *criteria, now time.Time, grace time.Duration) candidateList {
 	if len(s.members) > fullScanLimit {
-		if list := s.sampleCandidates(w, now, grace); len(list.members) > 0 {
+		if list := s.sampleCandidates(crit, now, grace); len(list.members) > 0 {
 			list.members = dropFailing(list.members, now)
 			return list
 		}
 	}
-	return candidateList{members: s.allCandidates(w, now, grace)}
+	return candidateList{members: s.allCandidates(crit, now, grace)}
 }
 
-func (s *shard) allCandidates(w *criteria, now time.Time, grace time.Duration) []*member {
+func (s *shard) allCandidates(crit *criteria, now time.Time, grace time.Duration) []*member {
 	var list []*member
 	for _, m := range s.members {
-		if w.regions.allows(m.Zone) && w.admits(m.Version) && m.acceptsRequests(now, grace) {
+		if crit.regions.allows(m.Zone) && crit.admitsVersion(m.Version) && m.acceptsRequests(now, grace) {
 			list = append(list, m)
 		}
 	}
-	// An upstream whose entry was removed is used only if no listed one is left, for example when
-	// all entries expired during an outage of the store. It may be shutting down, and stops
-	// earlier than its grace ends here, since a host is notified of the removal up to a second
+	// An upstream whose entry was removed is used only if no listed upstream is left, for example
+	// when all entries expired during an outage of the store. It may be shutting down. Then it
+	// stops before its grace ends on this host, which is notified of the removal up to a second
 	// late.
 	list = filterUnlessEmpty(list, func(m *member) bool { return m.removedAt.IsZero() })
-	list = filterUnlessEmpty(list, func(m *member) bool { return !slices.Contains(w.exclude, m.ID) })
+	list = filterUnlessEmpty(list, func(m *member) bool { return !slices.Contains(crit.exclude, m.ID) })
 	list = filterUnlessEmpty(list, func(m *member) bool { return !m.ejected(now) })
 	return dropFailing(list, now)
 }
 
-// dropFailing leaves out the upstreams that fail much more often than the others.
+// dropFailing returns the upstreams without those that fail much more often than the mean.
 func dropFailing(list []*member, now time.Time) []*member {
 	mean := meanFailureRate(list, now)
-	return filterUnlessEmpty(list, func(m *member) bool { return m.currentFailureRate(now) < ejectRate+mean })
+	return filterUnlessEmpty(list, func(m *member) bool { return m.currentFailureRate(now) < maxExcessFailureRate+mean })
 }
 
 func meanFailureRate(list []*member, now time.Time) float64 {
@@ -168,12 +173,13 @@
 	return kept
 }
 
-// pickNearest returns the least loaded upstream of the host's availability zone while that has
-// capacity, then of its region, then of all.
+// pickNearest returns the least loaded upstream of the host's availability zone, unless that is
+// saturated; then the least loaded one of its region, unless that is saturated; then the least
+// loaded one of all.
 func (s *shard) pickNearest(list []*member, zone string, now time.Time) *member {
 	region := filterUnlessEmpty(list, func(m *member) bool { return s.topology.sameRegion(m.Zone) })
 	for _, near := range [][]*member{filterUnlessEmpty(region, func(m *member) bool { return m.Zone == zone }), region} {
-		if best := leastLoaded(near, now); best.relativeLoad(now) < saturatedLoad {
+		if best := leastLoaded(near, now); best.loadPerSlot(now) < saturatedLoad {
 			return best
 		}
 	}
@@ -181,12 +187,12 @@
 }
 
 func leastLoaded(list []*member, now time.Time) *member {
-	// A random start breaks ties evenly.
+	// Starting at a random upstream spreads the requests over equally loaded ones.
 	start := rand.IntN(len(list))
 	best := list[start]
 	for i := range list {
 		m := list[(start+i)%len(list)]
-		if m.relativeLoad(now) < best.relativeLoad(now) {
+		if m.loadPerSlot(now) < best.loadPerSlot(now) {
 			best = m
 		}
 	}
--- a/internal/gateway/cold.go
+++ b/internal/gateway/cold.go
@@ -10,15 +10,16 @@
 	"github.com/quetzalweir/quetzalweir/routing"
 )
 
-// coldState is the state of an upstream that is cold.
+// coldState is the state of an upstream that is or recently was cold.
 type coldState struct {
-	// until is the end of the time for which it counts as cold. logged is set while the log shows
-	// it as cold.
+	// until is the time until which the upstream counts as cold. logged is set while the last log
+	// line on the upstream's cold state states that it is cold.
 	until  time.Time
 	logged bool
 }
 
-// dropExpired drops the cold state and the rate limit of the member once they have ended.
+// dropExpired deletes the member's cold state and limit state if they have expired and their end
+// was logged.
 func (m *member) dropExpired(now time.Time) {
 	if m.coldState != nil && !now.Before(m.coldState.until) && !m.coldState.logged {
 		m.coldState = nil
@@ -27,16 +28,16 @@
 		m.limit = nil
 	}
 	if m.coldState == nil && m.limit == nil {
-		delete(m.shard.leased, m)
+		delete(m.shard.coldOrLimited, m)
 	}
 }
 
-// coldBoundAllows reports whether the bound of a cold upstream leaves this host another request.
+// coldBoundAllows reports whether the bound for cold upstreams permits this host another request.
 func (m *member) coldBoundAllows(now time.Time) bool {
 	if !m.isCold(now) {
 		return true
 	}
-	share, ok := m.shard.policy.leasedShare(m.lease, now)
+	share, ok := m.shard.policy.leasedShare(m.leaseID, now)
 	return ok && m.ensureUsage().sent.Allows(now, m.shard.coldBound.RequestsPerSpan(share))
 }
 
@@ -55,7 +56,7 @@
 		m.coldState = &coldState{}
 	}
 	m.coldState.until = until
-	m.shard.leased[m] = struct{}{}
+	m.shard.coldOrLimited[m] = struct{}{}
 	if m.coldState.logged {
 		return
 	}
@@ -64,33 +65,34 @@
 		Str("reason", reason).Int64("for_ms", duration.Milliseconds()).Msg("")
 }
 
-// Reasons why an upstream counts as cold.
+// The reasons why an upstream counts as cold: its entry states it, or the evacuation of its zone
+// ended.
 const (
-	coldEntry      = "entry"
-	coldEvacuation = "evacuation-ended"
+	coldReasonEntry           = "entry"
+	coldReasonEvacuationEnded = "evacuation-ended"
 )
 
-// SetServices sets what the operators declare about the services' cold upstreams.
+// SetServices applies the settings for cold upstreams that the operators declare for each service.
 func (f *Fleet) SetServices(services []routing.Service) {
 	for i := range services {
-		d := &services[i]
-		s := f.shard(d.Name)
+		service := &services[i]
+		s := f.shard(service.Name)
 		s.mu.Lock()
-		s.coldBound = ratelease.Bound{Rate: d.ColdRate, Overrun: f.policy.coldOverrun, Headroom: f.policy.coldHeadroom}
-		s.coldStart = d.ColdStart
+		s.coldBound = ratelease.Bound{Rate: service.ColdRate, Overrun: f.policy.coldOverrun, Headroom: f.policy.coldHeadroom}
+		s.coldStart = service.ColdStart
 		for _, m := range s.members {
-			m.markCold(m.ColdFor-boottime.Since(m.updatedAt), coldEntry, f.log)
+			m.markCold(m.ColdFor-boottime.Since(m.updatedAt), coldReasonEntry, f.log)
 		}
 		s.mu.Unlock()
 	}
 }
 
-// logEndedRestrictions logs the upstreams that are no longer cold, and rate limits that ended
-// without a further answer.
+// logEndedRestrictions logs which upstreams are no longer cold and which rate limits expired, and
+// deletes their state. Other ends of limits are logged when an answer shows them.
 func (f *Fleet) logEndedRestrictions() {
 	now := boottime.Now()
-	f.each(func(s *shard) {
-		for m := range s.leased {
+	f.eachShard(func(s *shard) {
+		for m := range s.coldOrLimited {
 			m.logLimit(now, f.log)
 			if m.coldState != nil && m.coldState.logged && !m.isCold(now) {
 				m.coldState.logged = false
--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -13,14 +13,15 @@
 	"github.com/matryer/is"
 )
 
-// crashDelay is the time from the start of a fatal request to the upstream's end.
+// crashDelay is the time from the arrival of a poison request to the end of the upstream.
 const crashDelay = 80 * time.Millisecond
 
-// startCrashingUpstream starts an upstream that ends when it gets a request with the body "fatal".
-func (w *testGateway) startCrashingUpstream(id, version string) {
+// startCrashingUpstream starts an upstream that ends when it processes a request with the body
+// "fatal".
+func (tg *testGateway) startCrashingUpstream(id, version string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		w.t.Fatal(err)
+		tg.t.Fatal(err)
 	}
 	server := &http.Server{}
 	server.Handler = http.HandlerFunc(func(rw http.ResponseWriter, req *http.Request) {
@@ -34,32 +35,32 @@
 		respondOK("fine")(rw, req)
 	})
 	go func() { _ = server.Serve(listener) }()
-	w.t.Cleanup(func() { server.Close() })
-	w.gateway.fleet.Set(Upstream{ID: id, Service: "svc", Address: listener.Addr().String(), Zone: "z1", Version: version, Slots: 8}, 1)
+	tg.t.Cleanup(func() { server.Close() })
+	tg.gateway.fleet.Set(Upstream{ID: id, Service: "svc", Address: listener.Addr().String(), Zone: "z1", Version: version, Slots: 8}, 1)
 }
 
-// When one caller's request crashed three upstreams of a new version, these counted as three bad
-// answers and stopped a sound roll-out. An upstream's end counts against its version only if no
-// request caused it.
-func TestRequestThatCrashesUpstreamsStopsNoRollout(t *testing.T) {
+// The ends of upstreams that a poison request caused must not count against their version. An
+// earlier version counted them: one caller's request that ended three upstreams of a new version
+// counted as three bad answers and stopped the roll-out of a sound version.
+func TestPoisonRequestStopsNoRollout(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
+	tg := newTestGateway(t, testDocument())
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go w.gateway.guard.Run(ctx)
+	go tg.gateway.guard.Run(ctx)
 	for i := range 15 {
-		w.startCrashingUpstream(fmt.Sprint("new-", i), "v2")
+		tg.startCrashingUpstream(fmt.Sprint("new-", i), "v2")
 	}
-	w.startCrashingUpstream("old", "v1")
-	m := w.gateway.rollouts
-	m.addOrder(RolloutOrder{Service: "svc", Version: "v2", Duration: time.Minute, Revision: 5}, false)
-	m.mu.Lock()
-	m.active["svc"].share = 1
-	m.mu.Unlock()
+	tg.startCrashingUpstream("old", "v1")
+	ro := tg.gateway.rollouts
+	ro.addOrder(RolloutOrder{Service: "svc", Version: "v2", Duration: time.Minute, Revision: 5}, false)
+	ro.mu.Lock()
+	ro.byService["svc"].requestShare = 1
+	ro.mu.Unlock()
 
 	var last callerAnswer
 	for range 20 {
-		last = w.do(w.newRequest("POST", "/many/x", "fatal"))
+		last = tg.do(tg.newRequest("POST", "/many/x", "fatal"))
 		if strings.Contains(last.body, "request-quarantined") {
 			break
 		}
@@ -70,28 +71,29 @@
 	is.Equal(last.header.Get("Retry-After"), "") // a retry wouldn't help
 	is.Equal(last.header.Get("T-Stamp"), "")     // the refusal is the gateway's
 
-	time.Sleep(4 * time.Second) // until a cut-off answer would be counted against the version
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	is.True(!m.active["svc"].stopped)
-	is.Equal(total(m.active["svc"].evidence.ownCounts()).New.Failed, 0)
+	time.Sleep(4 * time.Second) // a cut-off answer would be counted against its version by then
+	ro.mu.Lock()
+	defer ro.mu.Unlock()
+	is.True(!ro.byService["svc"].stopped)
+	is.Equal(sumRoutes(ro.byService["svc"].evidence.ownCounts()).New.Failed, 0)
 }
 
-// An answer that a live upstream cuts off soon counts against its version.
+// An answer that was cut off counts against the version of its upstream if the upstream is still
+// running.
 func TestAnswersThatLiveUpstreamsCutOffAreCounted(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
-	w.startUpstreamOf(Upstream{ID: "new", Zone: "z1", Version: "v2"}, resetConnection)
-	m := w.gateway.rollouts
-	m.addOrder(RolloutOrder{Service: "svc", Version: "v2", Duration: time.Minute, Revision: 5}, false)
-	m.mu.Lock()
-	m.active["svc"].share = 1
-	m.mu.Unlock()
-	w.do(w.newRequest("POST", "/once/x", "body"))
+	tg := newTestGateway(t, testDocument())
+	tg.startUpstreamOf(Upstream{ID: "new", Zone: "z1", Version: "v2"}, resetConnection)
+	ro := tg.gateway.rollouts
+	ro.addOrder(RolloutOrder{Service: "svc", Version: "v2", Duration: time.Minute, Revision: 5}, false)
+	ro.mu.Lock()
+	ro.byService["svc"].requestShare = 1
+	ro.mu.Unlock()
+	tg.do(tg.newRequest("POST", "/once/x", "body"))
 	for range 100 {
-		m.mu.Lock()
-		failed := total(m.active["svc"].evidence.ownCounts()).New.Failed
-		m.mu.Unlock()
+		ro.mu.Lock()
+		failed := sumRoutes(ro.byService["svc"].evidence.ownCounts()).New.Failed
+		ro.mu.Unlock()
 		if failed == 1 {
 			return
 		}
--- a/internal/gateway/disconnect_test.go
+++ b/internal/gateway/disconnect_test.go
@@ -13,7 +13,7 @@
 // caller disconnected.
 const maxCancelDelay = 500 * time.Millisecond
 
-// A caller may disconnect at any stage; the request to the upstream that is processing it must be
+// When the caller disconnects, at any stage of its request, the request to the upstream must be
 // canceled at once.
 func TestCallerDisconnectsAtAnyStage(t *testing.T) {
 	hang := func(working, ended chan struct{}, req *http.Request) {
@@ -25,7 +25,8 @@
 		desc   string
 		route  string
 		header []string
-		// handle handles the nth request; it hangs at the stage at which the caller disconnects.
+		// handle is the handler of both upstreams for the nth attempt. It hangs at the stage at
+		// which the caller disconnects.
 		handle func(n int, working, ended chan struct{}, w http.ResponseWriter, req *http.Request)
 	}{
 		{"before the head", "/stream/x", nil, func(_ int, working, ended chan struct{}, _ http.ResponseWriter, req *http.Request) {
@@ -60,7 +61,7 @@
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
 			is := is.New(t)
-			w := newTestGateway(t, testDocument())
+			tg := newTestGateway(t, testDocument())
 			working, ended := make(chan struct{}), make(chan struct{})
 			arrivals := make(chan int, 1)
 			arrivals <- 0
@@ -69,12 +70,12 @@
 				arrivals <- n
 				test.handle(n, working, ended, rw, req)
 			}
-			w.startUpstream("a", handler)
-			w.startUpstream("b", handler)
+			tg.startUpstream("a", handler)
+			tg.startUpstream("b", handler)
 			ctx, leave := context.WithCancel(context.Background())
 			done := make(chan callerAnswer)
 			go func() {
-				done <- w.do(w.newRequest("POST", test.route, "body", test.header...).WithContext(ctx))
+				done <- tg.do(tg.newRequest("POST", test.route, "body", test.header...).WithContext(ctx))
 			}()
 			<-working
 			leave()
@@ -93,37 +94,37 @@
 	}
 }
 
-// An upstream accepts connections but never responds: another upstream serves the request, well
-// before the route's timeout.
-func TestUnresponsiveUpstreamIsPassedOver(t *testing.T) {
+// Requests that are first sent to an upstream that accepts connections but never responds are
+// served by another upstream before the route's timeout.
+func TestRequestsToUnresponsiveUpstreamAreServedByAnother(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
+	tg := newTestGateway(t, testDocument())
 	release := make(chan struct{})
 	defer close(release)
-	silent := w.startUpstreamOf(Upstream{ID: "silent", Zone: "z1", Version: "v1"}, func(http.ResponseWriter, *http.Request) { <-release })
-	w.startUpstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, respondOK("b"))
+	silent := tg.startUpstreamOf(Upstream{ID: "silent", Zone: "z1", Version: "v1"}, func(http.ResponseWriter, *http.Request) { <-release })
+	tg.startUpstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, respondOK("b"))
 	for range timeoutsToEject + 3 {
-		got := w.do(w.newRequest("GET", "/many/x", ""))
+		got := tg.do(tg.newRequest("GET", "/many/x", ""))
 		is.Equal(got.body, "b")
 	}
-	is.Equal(silent.count(), timeoutsToEject) // then it counts as unreachable
+	is.Equal(silent.count(), timeoutsToEject) // after these it is ejected
 }
 
-// Prompts with a shared prefix go to the engine that has it cached, in any zone.
+// Prompts with the same shared prefix are sent to the engine that has it cached, in any zone.
 func TestPromptsGoToTheEngineThatCachesThem(t *testing.T) {
 	is := is.New(t)
 	doc := testDocument()
 	for i := range doc.Routes {
 		doc.Routes[i].PrefixAffinity = true
 	}
-	w := newTestGateway(t, doc)
+	tg := newTestGateway(t, doc)
 	logs := []*requestLog{
-		w.startUpstreamOf(Upstream{ID: "a", Zone: "z1", Version: "v1"}, streamEvents(1, 2, false)),
-		w.startUpstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, streamEvents(1, 2, false)),
-		w.startUpstreamOf(Upstream{ID: "c", Zone: "z3", Version: "v1"}, streamEvents(1, 2, false)),
+		tg.startUpstreamOf(Upstream{ID: "a", Zone: "z1", Version: "v1"}, streamEvents(1, 2, false)),
+		tg.startUpstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, streamEvents(1, 2, false)),
+		tg.startUpstreamOf(Upstream{ID: "c", Zone: "z3", Version: "v1"}, streamEvents(1, 2, false)),
 	}
 	for range 20 {
-		got := w.do(w.newRequest("POST", "/stream/x", "body", "T-Tokens", "9000,20", "T-Parts", "shared:8500,own:500"))
+		got := tg.do(tg.newRequest("POST", "/stream/x", "body", "T-Tokens", "9000,20", "T-Parts", "shared:8500,own:500"))
 		is.NoErr(got.err)
 	}
 	most := 0
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -20,47 +20,48 @@
 }
 
 const (
-	// lowestPriority is the last priority that upstreams distinguish.
+	// lowestPriority is the number of the least urgent priority that upstreams distinguish; 0 is
+	// the most urgent one.
 	lowestPriority = 9
-	// levelsPerRank is the number of priorities into which each of the operators' ranks is split.
+	// levelsPerRank is the number of priorities into which each rank of the operators is split.
 	levelsPerRank = 3
 )
 
-// priority returns the priority that is sent to upstreams, 0 to 9. Within each of the operators'
-// ranks, requests for the smaller models go first and long prompts for the largest model last: the
-// prefill of thousands of tokens takes hundreds of milliseconds, in which no later prompt begins.
-// Whole routes are put last rather than single requests, so that it isn't always a route's largest
-// requests that are late.
-func (r *Request) priority(largest bool) int {
+// priority returns the priority that is sent to upstreams, 0 to 9. Within each rank of the
+// operators, requests for the cheaper models go first and long prompts for the best model last: the
+// prefill of thousands of tokens takes hundreds of milliseconds, in which the engine begins no
+// other prompt. Prompts count as long by the mean size on their route, not by their own size, so
+// that it isn't always the largest requests of a route that are late.
+func (r *Request) priority(bestModel bool) int {
 	rank := r.rank()
 	if (r.Table.LowestPriority()+1)*levelsPerRank > lowestPriority+1 {
-		// There aren't enough priorities to split the ranks: the operators' order takes
-		// precedence.
+		// There are too many ranks to split them. The order of the ranks takes precedence.
 		return min(lowestPriority, rank)
 	}
 	level := levelsPerRank * rank
 	switch {
-	case largest && r.relativePromptSize > 1:
+	case bestModel && r.relativePromptSize > 1:
 		level += 2
-	case largest:
+	case bestModel:
 		level++
 	}
 	return level
 }
 
-// rank returns the operators' rank of the request, 0 first.
+// rank returns the rank that the operators declared for the request's account, or else for its
+// route; 0 is the most urgent.
 func (r *Request) rank() int {
 	rank := r.Route.Priority
 	if r.Account != nil && r.Account.Priority != nil {
 		rank = *r.Account.Priority
 	}
-	return max(0, rank) // a document may use negative ranks; work is counted by priority
+	return max(0, rank) // a document may declare negative ranks, and ranks are used as indices
 }
 
-func (d *dispatch) serve(ctx context.Context, r *Request, _ next) error {
+func (d *dispatch) serve(ctx context.Context, r *Request, _ handleFunc) error {
 	g := d.gateway
-	g.budgets.get(r.Service).countRequest()
-	r.relativePromptSize = g.sizes.get(r.Service).observe(r.Route.Name, r.Prompt.TokensIn)
+	g.retryBudgets.get(r.Service).countRequest()
+	r.relativePromptSize = g.promptSizes.get(r.Service).observe(r.Route.Name, r.Prompt.TokensIn)
 	models := g.planModels(r)
 	var result attemptResult
 	for {
@@ -69,7 +70,7 @@
 		result, err = d.tryOnce(ctx, r, models)
 		switch {
 		case err != nil && r.attempts > 0 && errors.Is(err, errNoneAvailable):
-			return d.finalAnswer(ctx, r, previous) // returns the earlier attempt's answer, if there is one
+			return d.finalAnswer(ctx, r, previous) // the answer of the previous attempt, if it had one
 		case err != nil:
 			return err
 		}
@@ -85,8 +86,9 @@
 	}
 }
 
-// tryOnce makes one attempt at the most suitable upstream.
-func (d *dispatch) tryOnce(ctx context.Context, r *Request, models *modelSteps) (attemptResult, error) {
+// tryOnce makes one attempt, at the most suitable upstream. The error means that no attempt was
+// made.
+func (d *dispatch) tryOnce(ctx context.Context, r *Request, models *modelSequence) (attemptResult, error) {
 	if err := d.admit(ctx, r); err != nil {
 		return attemptResult{}, err
 	}
@@ -101,28 +103,29 @@
 	if r.Route.Kind == routing.Stream {
 		result = a.runStream(ctx, func(head attemptResult) bool {
 			d.gateway.rollouts.observeHead(r, &a.choice, head.firstByte)
-			a.headSeen = true
+			a.headCounted = true
 			return d.acceptHead(r, a, models, head)
 		})
 	} else {
 		result = a.runBuffered(ctx)
 	}
 	if result.outcome != outcomeRefused {
-		r.state.Raise(a.state.State())
+		r.runState.Raise(a.runState.State())
 	}
 	d.gateway.guard.End(target, r.Digest, result.guardOutcome())
 	if result.notReached() {
 		r.notReached++
 	}
-	d.observe(r, a, result)
+	d.observeResult(r, a, result)
 	d.logAttempt(r, a, result)
 	return result, nil
 }
 
-// admit reports an error if the request is quarantined or its deadline has passed.
+// admit returns an error if the request is quarantined or its deadline has passed. It may wait
+// until the guard permits another attempt for requests with this digest.
 func (d *dispatch) admit(ctx context.Context, r *Request) error {
 	if boottime.Until(r.Deadline) <= 0 {
-		// The host was suspended since the request arrived, and its timers haven't fired yet.
+		// The host was suspended after the request arrived, and its timers haven't fired yet.
 		return d.refusal(r, resultcode.New(resultcode.DeadlineExpired, "no answer in time"))
 	}
 	switch err := d.gateway.guard.Admit(ctx, r.Digest, r.Service); {
@@ -135,38 +138,39 @@
 	}
 }
 
-// startAttempt chooses the upstream of the next attempt and its timeout.
-func (d *dispatch) startAttempt(r *Request, models *modelSteps) (*attempt, error) {
+// startAttempt chooses the upstream for the next attempt and returns the attempt, which isn't sent
+// yet.
+func (d *dispatch) startAttempt(r *Request, models *modelSequence) (*attempt, error) {
 	g := d.gateway
 	r.model = models.current()
 	r.regions = g.allowedRegions(r)
-	w := d.criteria(r, r.model, models.best())
-	picked, ok := g.fleet.choose(w)
+	crit := d.buildCriteria(r, r.model, models.atBest())
+	picked, ok := g.fleet.choose(crit)
 	if !ok {
 		counts := g.fleet.countUpstreams(r.Service, r.regions)
 		g.log.Warn().Str("event", "no-upstream").Str("request", r.ID).Str("service", r.Service).Int("attempt", r.attempts+1).
 			Int("in_service", counts.inService).Int("cold", counts.cold).Int("evacuated", counts.evacuated).Int("limited", counts.limited).Bool("bound", r.regions.restricted()).Msg("")
-		return nil, d.refusal(r, d.noUpstream(r, counts))
+		return nil, d.refusal(r, d.noUpstreamRefusal(r, counts))
 	}
 	r.attempts++
 	r.tried = append(r.tried, picked.upstream.ID)
-	canRetry := r.Route.Repeatable() && r.attemptsLeft() && picked.among > 1
+	canRetry := r.Route.Repeatable() && r.attemptsLeft() && picked.candidateCount > 1
 	return &attempt{
 		gateway:     g,
 		request:     r,
 		choice:      picked,
 		startedAt:   time.Now(),
-		largest:     models.best(),
-		headTimeout: max(g.responseTimes.get(r.responseTimeKey()).headTimeout(r.Route.Target), expectedFactor*picked.placed.Expected),
-		mayGiveUp:   func() bool { return canRetry && g.budgets.get(r.Service).tryTake() },
+		bestModel:   models.atBest(),
+		headTimeout: max(g.responseTimes.get(r.responseTimeKey()).headTimeout(r.Route.Target), expectedFactor*picked.placement.Expected),
+		mayGiveUp:   func() bool { return canRetry && g.retryBudgets.get(r.Service).tryTake() },
 	}, nil
 }
 
-// errNoneAvailable means that the request may not be sent to any upstream now.
+// errNoneAvailable means that this host may not send the request to any upstream now.
 var errNoneAvailable = errors.New("gateway: no upstream is available")
 
-// noUpstream returns the refusal of a request for which no upstream is available.
-func (d *dispatch) noUpstream(r *Request, counts upstreamCounts) *resultcode.Error {
+// noUpstreamRefusal returns the refusal of a request for which no upstream is available.
+func (d *dispatch) noUpstreamRefusal(r *Request, counts upstreamCounts) *resultcode.Error {
 	if counts.inService == 0 && r.regions.restricted() {
 		return resultcode.Wrap(resultcode.NoUpstream, errNoneAvailable, "no upstream is in service in the regions that the route and the account allow")
 	}
@@ -178,27 +182,29 @@
 	return e
 }
 
-// criteria returns the criteria by which an upstream is chosen for the request.
-func (d *dispatch) criteria(r *Request, model string, largest bool) criteria {
+// buildCriteria returns the criteria by which an upstream is chosen for the request.
+func (d *dispatch) buildCriteria(r *Request, model string, bestModel bool) criteria {
 	g := d.gateway
-	w := criteria{service: r.Service, zone: g.settings.Zone, exclude: r.tried, rank: r.rank(), regions: r.regions, admits: g.rollouts.admits(r)}
+	crit := criteria{service: r.Service, zone: g.settings.Zone, exclude: r.tried, rank: r.rank(), regions: r.regions, admitsVersion: g.rollouts.versionFilter(r)}
 	if r.Prompt.TokensIn > 0 {
-		w.prompt = r.Prompt.placementPrompt(r.Route.PrefixAffinity)
-		w.model = cmp.Or(model, r.Prompt.Model)
-		w.keys = placement.PrefixKeys(w.model, w.prompt)
-		w.price = r.Table.Price(r.Service, w.model)
-		w.priority = r.priority(largest)
-		w.target = r.Route.Target
-		w.bytes = len(r.Body)
+		crit.prompt = r.Prompt.placementPrompt(r.Route.PrefixAffinity)
+		crit.model = cmp.Or(model, r.Prompt.Model)
+		crit.keys = placement.PrefixKeys(crit.model, crit.prompt)
+		crit.price = r.Table.Price(r.Service, crit.model)
+		crit.priority = r.priority(bestModel)
+		crit.target = r.Route.Target
+		crit.bodyBytes = len(r.Body)
 	}
-	return w
+	return crit
 }
 
-// responseTimeKey returns the key under which the request's response times are averaged.
+// responseTimeKey returns the key under which the response times and pauses of requests like this
+// one are averaged.
 func (r *Request) responseTimeKey() string { return r.Service + "/" + r.model + "/" + r.Route.Name }
 
-// observe records what the attempt shows of its upstream, its model and its version.
-func (d *dispatch) observe(r *Request, a *attempt, result attemptResult) {
+// observeResult records the result of the attempt for its upstream, its version and the mean
+// response times.
+func (d *dispatch) observeResult(r *Request, a *attempt, result attemptResult) {
 	g := d.gateway
 	g.fleet.release(a.choice, result)
 	d.observeVersion(r, a, result)
@@ -211,54 +217,56 @@
 	g.responseTimes.get(r.responseTimeKey()).observe(result.firstByte)
 }
 
-// observeVersion counts the attempt's result for or against the upstream's version. An
-// upstream's end that a request caused isn't counted: three of them had stopped roll-outs of
-// sound versions.
+// observeVersion counts the attempt's result as evidence on the upstream's version. If the upstream
+// ended because of a poison request, the result isn't counted: otherwise three upstreams that one
+// poison request ended are enough to stop the roll-out of a sound version.
 func (d *dispatch) observeVersion(r *Request, a *attempt, result attemptResult) {
 	g := d.gateway
 	if result.outcome != outcomeBroken && result.outcome != outcomeUnknown {
-		g.rollouts.observe(r, &a.choice, result, a.headSeen)
+		g.rollouts.observeResult(r, &a.choice, result, a.headCounted)
 		return
 	}
 	if g.rollouts.evaluating(r.Service) {
 		g.guard.AttributeInterruption(a.choice.upstream.guardUpstream(), guard.Attribution{
-			Version: func() { g.rollouts.observe(r, &a.choice, result, a.headSeen) },
+			Version: func() { g.rollouts.observeResult(r, &a.choice, result, a.headCounted) },
 		})
 	}
 }
 
-// acceptHead decides by the head of an answer whether the caller gets it.
-func (d *dispatch) acceptHead(r *Request, a *attempt, models *modelSteps, head attemptResult) bool {
-	if r.answer.started || head.confidence < 0 || models.last() || !r.attemptsLeft() {
+// acceptHead reports, by the head of an answer, whether the answer is passed on to the caller.
+// Otherwise the request is to run on the next model.
+func (d *dispatch) acceptHead(r *Request, a *attempt, models *modelSequence, head attemptResult) bool {
+	if r.answer.started || head.confidence < 0 || models.atLast() || !r.attemptsLeft() {
 		return true
 	}
-	upgrade, ok := d.gateway.fleet.upgrade(d.criteria(r, models.next(), true))
+	escalation, ok := d.gateway.fleet.escalation(d.buildCriteria(r, models.next(), true))
 	if !ok {
-		return true // no upstream could do better now
+		return true // no upstream is available for the better model
 	}
-	upgrade.Threshold = float64(d.gateway.settings.AcceptConfidence)
-	upgrade.Expected += boottime.Since(r.Arrived)
-	upgrade.Target = r.Route.Target
-	a.threshold, a.pressure = int(upgrade.RequiredConfidence()), upgrade.Pressure
-	if head.confidence >= a.threshold {
+	escalation.Threshold = float64(d.gateway.settings.AcceptConfidence)
+	escalation.Expected += boottime.Since(r.Arrived)
+	escalation.Target = r.Route.Target
+	a.minConfidence, a.queuePressure = int(escalation.RequiredConfidence()), escalation.Pressure
+	if head.confidence >= a.minConfidence {
 		return true
 	}
-	return !d.gateway.budgets.get(r.Service).tryTake()
+	return !d.gateway.retryBudgets.get(r.Service).tryTake()
 }
 
 // shouldRetry reports whether another attempt is permitted: the request didn't run or may be
-// repeated, and the attempts, the time and the retry budget aren't used up.
+// repeated, and the attempts, the time and the retry budget aren't used up. If needed, it charges
+// the retry budget.
 func (d *dispatch) shouldRetry(ctx context.Context, r *Request, result attemptResult) bool {
 	if ctx.Err() != nil || !r.attemptsLeft() {
 		return false
 	}
 	if errors.Is(result.err, errLowConfidence) || errors.Is(result.err, errResponseTimeout) {
-		return true // the budget was charged when the attempt was given up
+		return true // the retry budget was charged when the attempt was given up
 	}
 	if result.outcome == outcomeAbandoned || d.gateway.guard.VerdictDue(r.Digest) {
 		return false
 	}
-	if r.state.State() != runstate.NotRun && !r.Route.Repeatable() {
+	if r.runState.State() != runstate.NotRun && !r.Route.Repeatable() {
 		return false
 	}
 	if r.answer.started && !r.Route.Resumable {
@@ -270,20 +278,21 @@
 	if result.outcome == outcomeUnsent {
 		return true // no upstream received the request, so this isn't a repeat
 	}
-	return d.gateway.budgets.get(r.Service).tryTake()
+	return d.gateway.retryBudgets.get(r.Service).tryTake()
 }
 
-// maxNotReached bounds the attempts that aren't counted because their upstream was no longer
-// running. When a quarter of all upstreams end at once, with three attempts one request in 64
-// finds no upstream although the others have capacity.
+// maxNotReached bounds the attempts of a request that aren't counted because they didn't reach
+// their upstream. If they were counted, then after the end of a quarter of all upstreams at once,
+// one request in 64 would use up its three attempts on ended upstreams although the others have
+// capacity.
 const maxNotReached = 4
 
 // attemptsLeft reports whether the request may be sent to another upstream. Operators bound the
-// number of upstreams that may run it.
+// number of upstreams that may run a request of the route (MaxAttempts).
 func (r *Request) attemptsLeft() bool {
 	return r.attempts-min(r.notReached, maxNotReached) < r.Route.MaxAttempts
 }
 
-// minAttemptTime is the least remaining time that is worth another attempt: a round trip and an
-// upstream's shortest processing time.
+// minAttemptTime is the minimum time before the deadline in which another attempt can succeed: a
+// round trip and an upstream's shortest processing time.
 const minAttemptTime = 30 * time.Millisecond
--- a/internal/gateway/dispatch_test.go
+++ b/internal/gateway/dispatch_test.go
@@ -28,14 +28,14 @@
 	_, _ = io.WriteString(w, "not the answer")
 }
 
-// TestFaultsOfOneUpstream checks each fault of one upstream, which is tried first, beside a
-// healthy one.
+// TestFaultsOfOneUpstream checks the answer that a caller gets for each fault of an upstream that
+// is tried first, while another upstream is healthy.
 func TestFaultsOfOneUpstream(t *testing.T) {
 	tests := []struct {
 		desc   string
 		fault  http.HandlerFunc
-		once   int // the caller's status on a route whose requests must run once
-		many   int // and on one whose requests may be repeated
+		once   int // the status that the caller gets on a route whose requests must not run twice
+		many   int // the status on a route whose requests may be repeated
 		unsent bool
 	}{
 		{"refused as not run", respondNotRun, 200, 200, false},
@@ -54,16 +54,16 @@
 		for route, want := range map[string]int{"once": test.once, "many": test.many} {
 			t.Run(test.desc+", "+route, func(t *testing.T) {
 				is := is.New(t)
-				w := newTestGateway(t, testDocument())
+				tg := newTestGateway(t, testDocument())
 				var faulty *requestLog
 				if test.unsent {
-					w.listUnreachable("bad")
+					tg.listUnreachable("bad")
 				} else {
-					faulty = w.startUpstream("bad", test.fault)
+					faulty = tg.startUpstream("bad", test.fault)
 				}
 				// The healthy upstream is in another zone, so the faulty one is tried first.
-				good := w.startUpstreamOf(Upstream{ID: "good", Zone: "z2", Version: "v1"}, respondOK("ok"))
-				got := w.do(w.newRequest("POST", "/"+route+"/x", "body"))
+				good := tg.startUpstreamOf(Upstream{ID: "good", Zone: "z2", Version: "v1"}, respondOK("ok"))
+				got := tg.do(tg.newRequest("POST", "/"+route+"/x", "body"))
 				is.Equal(got.status, want)
 				if want == 200 {
 					is.NoErr(got.err)
@@ -83,28 +83,28 @@
 	}
 }
 
-func TestRefusalClaimsNotRunOnlyIfNothingRan(t *testing.T) {
+func TestRefusalStatesNotRunOnlyIfNothingRan(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
-	w.startUpstream("a", respondNotRun)
-	w.startUpstream("b", respondNotRun)
-	got := w.do(w.newRequest("POST", "/once/x", "body"))
+	tg := newTestGateway(t, testDocument())
+	tg.startUpstream("a", respondNotRun)
+	tg.startUpstream("b", respondNotRun)
+	got := tg.do(tg.newRequest("POST", "/once/x", "body"))
 	is.Equal(got.status, 503)
 	is.True(got.header.Get("Retry-After") != "")
 	is.Equal(got.header.Get("T-Not-Run"), "")
 
-	w = newTestGateway(t, testDocument())
-	w.startUpstream("a", resetConnection)
-	w.startUpstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, respondNotRun)
-	got = w.do(w.newRequest("POST", "/many/x", "body"))
+	tg = newTestGateway(t, testDocument())
+	tg.startUpstream("a", resetConnection)
+	tg.startUpstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, respondNotRun)
+	got = tg.do(tg.newRequest("POST", "/many/x", "body"))
 	is.Equal(got.status, 502) // the first attempt may have run
 }
 
 func TestNoUpstreamIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
+	tg := newTestGateway(t, testDocument())
 	began := time.Now()
-	got := w.do(w.newRequest("POST", "/once/x", "body"))
+	got := tg.do(tg.newRequest("POST", "/once/x", "body"))
 	is.Equal(got.status, 503)
 	is.True(time.Since(began) < time.Second)
 }
@@ -113,9 +113,9 @@
 	is := is.New(t)
 	doc := testDocument()
 	doc.Routes[1].MaxAttempts = 2
-	w := newTestGateway(t, doc)
-	logs := []*requestLog{w.startUpstream("a", respondStatus(500)), w.startUpstream("b", respondStatus(500)), w.startUpstream("c", respondStatus(500))}
-	got := w.do(w.newRequest("GET", "/many/x", ""))
+	tg := newTestGateway(t, doc)
+	logs := []*requestLog{tg.startUpstream("a", respondStatus(500)), tg.startUpstream("b", respondStatus(500)), tg.startUpstream("c", respondStatus(500))}
+	got := tg.do(tg.newRequest("GET", "/many/x", ""))
 	is.Equal(got.status, 500)
 	is.Equal(got.header.Get("T-Stamp"), "stamp") // the upstream's own failure, unchanged
 	is.Equal(logs[0].count()+logs[1].count()+logs[2].count(), 2)
@@ -123,30 +123,30 @@
 
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
-	logs := []*requestLog{w.startUpstream("a", respondStatus(500)), w.startUpstream("b", respondStatus(500))}
+	tg := newTestGateway(t, testDocument())
+	logs := []*requestLog{tg.startUpstream("a", respondStatus(500)), tg.startUpstream("b", respondStatus(500))}
 	const requests = 60
 	for range requests {
-		w.do(w.newRequest("GET", "/many/x", ""))
+		tg.do(tg.newRequest("GET", "/many/x", ""))
 	}
 	arrivals := logs[0].count() + logs[1].count()
-	// The 20 requests that were counted at the start add to the budget of half of all requests,
-	// less the margin.
+	// The budget is half of all requests, including the 20 that newTestGateway counts, less the
+	// margin.
 	permitted := int(retryMargin * 0.5 * (requests + 20))
 	is.True(arrivals-requests <= permitted)
 	is.True(arrivals-requests >= permitted-1) // the budget is used up
 }
 
-func TestFinalAnswerAtTheRoutesTimeout(t *testing.T) {
+func TestRequestIsRefusedAtTheRoutesTimeout(t *testing.T) {
 	is := is.New(t)
 	doc := testDocument()
 	doc.Routes[0].Timeout = 150 * time.Millisecond
-	w := newTestGateway(t, doc)
+	tg := newTestGateway(t, doc)
 	release := make(chan struct{})
 	defer close(release)
-	w.startUpstream("a", func(http.ResponseWriter, *http.Request) { <-release })
+	tg.startUpstream("a", func(http.ResponseWriter, *http.Request) { <-release })
 	began := time.Now()
-	got := w.do(w.newRequest("POST", "/once/x", "body"))
+	got := tg.do(tg.newRequest("POST", "/once/x", "body"))
 	took := time.Since(began)
 	is.Equal(got.status, 504)
 	is.True(took >= 150*time.Millisecond && took < 600*time.Millisecond)
@@ -156,16 +156,16 @@
 	for _, route := range []string{"many", "stream"} {
 		t.Run(route, func(t *testing.T) {
 			is := is.New(t)
-			w := newTestGateway(t, testDocument())
+			tg := newTestGateway(t, testDocument())
 			began, ended := make(chan struct{}), make(chan struct{})
-			w.startUpstream("a", func(_ http.ResponseWriter, req *http.Request) {
+			tg.startUpstream("a", func(_ http.ResponseWriter, req *http.Request) {
 				close(began)
 				<-req.Context().Done()
 				close(ended)
 			})
 			ctx, leave := context.WithCancel(context.Background())
 			done := make(chan callerAnswer)
-			go func() { done <- w.do(w.newRequest("POST", "/"+route+"/x", "body").WithContext(ctx)) }()
+			go func() { done <- tg.do(tg.newRequest("POST", "/"+route+"/x", "body").WithContext(ctx)) }()
 			<-began
 			leave()
 			is.True((<-done).err != nil)
@@ -180,61 +180,62 @@
 
 func TestLeavingUpstreamGetsNoRequests(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
-	leaving := w.startUpstreamOf(Upstream{ID: "a", Zone: "z1", Version: "v1"}, respondOK("a"))
-	w.startUpstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, respondOK("b"))
-	is.Equal(w.do(w.newRequest("GET", "/many/x", "")).body, "a")
+	tg := newTestGateway(t, testDocument())
+	leaving := tg.startUpstreamOf(Upstream{ID: "a", Zone: "z1", Version: "v1"}, respondOK("a"))
+	tg.startUpstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, respondOK("b"))
+	is.Equal(tg.do(tg.newRequest("GET", "/many/x", "")).body, "a")
 	u := Upstream{ID: "a", Service: "svc", Zone: "z1", Version: "v1", Address: "127.0.0.1:1", Leaving: true}
-	w.gateway.fleet.Set(u, 2)
+	tg.gateway.fleet.Set(u, 2)
 	u.Leaving = false
-	w.gateway.fleet.Set(u, 3) // leaving is final within an incarnation
+	tg.gateway.fleet.Set(u, 3) // leaving is final within an incarnation
 	for range 5 {
-		is.Equal(w.do(w.newRequest("GET", "/many/x", "")).body, "b")
+		is.Equal(tg.do(tg.newRequest("GET", "/many/x", "")).body, "b")
 	}
 	is.Equal(leaving.count(), 1)
 }
 
-// An upstream whose entry was removed must not be used for a retry while a listed one is left,
-// even if that one failed: the removed one may be shutting down.
+// An upstream whose entry was removed may be shutting down, so it must not be used for a retry
+// while another upstream is listed, even if that one failed.
 func TestRemovedUpstreamGetsNoRetry(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
-	failing := w.startUpstream("a", respondStatus(500))
-	removed := w.startUpstream("b", respondOK("b"))
-	w.gateway.fleet.Remove("b", 2, false)
+	tg := newTestGateway(t, testDocument())
+	failing := tg.startUpstream("a", respondStatus(500))
+	removed := tg.startUpstream("b", respondOK("b"))
+	tg.gateway.fleet.Remove("b", 2, false)
 	for range 5 {
-		w.do(w.newRequest("GET", "/many/x", ""))
+		tg.do(tg.newRequest("GET", "/many/x", ""))
 	}
 	is.True(failing.count() >= 5)
 	is.Equal(removed.count(), 0)
-	w.gateway.fleet.Remove("a", 3, false) // no listed upstream is left
-	is.Equal(w.do(w.newRequest("GET", "/many/x", "")).body, "b")
+	tg.gateway.fleet.Remove("a", 3, false) // no listed upstream is left
+	is.Equal(tg.do(tg.newRequest("GET", "/many/x", "")).body, "b")
 }
 
 func TestRemovedUpstreamIsUsedForTheGraceOnly(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
-	w.gateway.fleet.removalGrace = 100 * time.Millisecond
-	w.startUpstream("a", respondOK("a"))
-	w.gateway.fleet.Remove("a", 2, false)
-	is.Equal(w.do(w.newRequest("GET", "/many/x", "")).body, "a") // its entry may be restored
+	tg := newTestGateway(t, testDocument())
+	tg.gateway.fleet.removalGrace = 100 * time.Millisecond
+	tg.startUpstream("a", respondOK("a"))
+	tg.gateway.fleet.Remove("a", 2, false)
+	is.Equal(tg.do(tg.newRequest("GET", "/many/x", "")).body, "a") // its entry may be restored
 	time.Sleep(120 * time.Millisecond)
-	is.Equal(w.do(w.newRequest("GET", "/many/x", "")).status, 503)
+	is.Equal(tg.do(tg.newRequest("GET", "/many/x", "")).status, 503)
 }
 
 func TestChunkedBodyArrivesWhole(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
-	log := w.startUpstream("a", respondOK("ok"))
-	req := w.newRequest("POST", "/once/x", "")
+	tg := newTestGateway(t, testDocument())
+	log := tg.startUpstream("a", respondOK("ok"))
+	req := tg.newRequest("POST", "/once/x", "")
 	req.Body = io.NopCloser(strings.NewReader("in chunks"))
 	req.ContentLength = -1
-	is.Equal(w.do(req).status, 200)
+	is.Equal(tg.do(req).status, 200)
 	_, body := log.last()
 	is.Equal(string(body), "in chunks")
 }
 
-// noResponseUntil doesn't respond until release is closed or the request is canceled.
+// noResponseUntil returns a handler that doesn't respond until release is closed or the request is
+// canceled.
 func noResponseUntil(release chan struct{}) http.HandlerFunc {
 	return func(_ http.ResponseWriter, req *http.Request) {
 		select {
@@ -258,13 +259,13 @@
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
 			is := is.New(t)
-			w := newTestGateway(t, testDocument())
+			tg := newTestGateway(t, testDocument())
 			release := make(chan struct{})
 			defer close(release)
-			w.startUpstream("a", noResponseUntil(release))
-			good := w.startUpstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, streamEvents(1, 2, false))
+			tg.startUpstream("a", noResponseUntil(release))
+			good := tg.startUpstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, streamEvents(1, 2, false))
 			began := time.Now()
-			got := w.do(w.newRequest("POST", "/"+test.route+"/x", "body"))
+			got := tg.do(tg.newRequest("POST", "/"+test.route+"/x", "body"))
 			is.Equal(got.status, test.want)
 			is.Equal(good.count(), test.arrivals)
 			if test.want == 200 {
@@ -276,45 +277,46 @@
 
 func TestUnresponsiveUpstreamIsEjected(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
+	tg := newTestGateway(t, testDocument())
 	release := make(chan struct{})
 	defer close(release)
-	silent := w.startUpstream("a", noResponseUntil(release))
-	w.startUpstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, respondOK("ok"))
+	silent := tg.startUpstream("a", noResponseUntil(release))
+	tg.startUpstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, respondOK("ok"))
 	for range 5 {
-		is.Equal(w.do(w.newRequest("GET", "/many/x", "")).body, "ok")
+		is.Equal(tg.do(tg.newRequest("GET", "/many/x", "")).body, "ok")
 	}
 	is.Equal(silent.count(), timeoutsToEject)
 }
 
-// Where every answer is slow, giving up attempts would only add to the load.
-func TestSlowUpstreamsAreWaitedFor(t *testing.T) {
+// If the answers of all upstreams are slow, attempts must not be given up, since that would add to
+// the load.
+func TestAttemptsAreNotGivenUpWhereAllUpstreamsAreSlow(t *testing.T) {
 	is := is.New(t)
 	doc := testDocument()
 	doc.Routes[1].Target = 50 * time.Millisecond
-	w := newTestGateway(t, doc)
+	tg := newTestGateway(t, doc)
 	slow := func(rw http.ResponseWriter, req *http.Request) {
 		time.Sleep(100 * time.Millisecond)
 		respondOK("ok")(rw, req)
 	}
-	logs := []*requestLog{w.startUpstream("a", slow), w.startUpstream("b", slow)}
-	w.gateway.responseTimes.get((&Request{Service: "svc", Route: &doc.Routes[1]}).responseTimeKey()).observe(100 * time.Millisecond)
+	logs := []*requestLog{tg.startUpstream("a", slow), tg.startUpstream("b", slow)}
+	tg.gateway.responseTimes.get((&Request{Service: "svc", Route: &doc.Routes[1]}).responseTimeKey()).observe(100 * time.Millisecond)
 	for range 5 {
-		is.Equal(w.do(w.newRequest("GET", "/many/x", "")).status, 200)
+		is.Equal(tg.do(tg.newRequest("GET", "/many/x", "")).status, 200)
 	}
 	is.Equal(logs[0].count()+logs[1].count(), 5)
 }
 
 func TestHeadTimeout(t *testing.T) {
 	is := is.New(t)
-	var u responseTime
-	is.Equal(u.headTimeout(time.Second), 700*time.Millisecond) // no mean time is known
-	u.observe(50 * time.Millisecond)
-	is.Equal(u.headTimeout(time.Second), 400*time.Millisecond)
-	u = responseTime{}
-	u.observe(200 * time.Millisecond)
-	is.Equal(u.headTimeout(time.Second), 800*time.Millisecond)
-	u.observe(time.Minute)
-	is.True(u.headTimeout(time.Second) > 10*time.Second) // a general slowness raises the timeout
-	is.True(u.headTimeout(0) > 0)
+	var times responseTime
+	is.Equal(times.headTimeout(time.Second), 700*time.Millisecond) // no mean time is known
+	times.observe(50 * time.Millisecond)
+	is.Equal(times.headTimeout(time.Second), 400*time.Millisecond)
+	times = responseTime{}
+	times.observe(200 * time.Millisecond)
+	is.Equal(times.headTimeout(time.Second), 800*time.Millisecond)
+	times.observe(time.Minute)
+	is.True(times.headTimeout(time.Second) > 10*time.Second) // a general slowness raises the timeout
+	is.True(times.headTimeout(0) > 0)
 }
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -1,13 +1,15 @@
-// Package gateway forwards callers' requests to upstreams by the operators' routing document. It
-// matches the route, identifies the client account, chooses a model, a version and an upstream,
-// retries where that is permitted, and reports with each refusal whether the request may have run.
+// Package gateway forwards callers' requests to upstreams as the operators' routing document
+// declares. For each request it matches the route, identifies the client account, chooses a model,
+// a version and an upstream, and retries where that is permitted. Each refusal states whether the
+// request may have run.
 //
-// The data that requests are routed by comes from routing.Table, Fleet and the roll-outs, which
-// are filled from the tables of the store. Header names are configured by Headers.
-// (*Gateway).filters lists the steps of a request in their order.
+// Requests are routed by a routing.Table, a Fleet and the roll-outs, which hold data from the
+// tables of the store. Headers configures the header names. (*Gateway).filters lists the steps of
+// processing a request in their order.
 //
-// Some terms: an engine is an upstream that runs language models and has to process a prompt
-// (prefill) before it answers; the upstreams of plain services don't. Hosts exchange data through
-// hubs, which form a tree; the root hubs grant leases for requests to upstreams that are cold or
+// An engine is an upstream that runs language models and has to process a prompt (prefill) before
+// it answers; an upstream of a plain service doesn't. A host is a process that runs a gateway.
+// Hosts exchange data through hubs, which form a tree. The root hubs grant leases to hosts for
+// requests to upstreams that are cold (just started, so that they tolerate few requests) or
 // rate-limited.
 package gateway
--- a/internal/gateway/entryexpiry_test.go
+++ b/internal/gateway/entryexpiry_test.go
@@ -10,9 +10,10 @@
 	"github.com/quetzalweir/quetzalweir/internal/boottime"
 )
 
-// Entries expire during an outage of the store although their upstreams are alive, and are
-// restored about two seconds after it. Upstreams whose entries were removed used to be kept for
-// 1.5 s only, so that a service whose entries had all expired had no upstream for half a second:
+// Entries expire during an outage of the store although their upstreams are alive, and upstreams
+// write them again about two seconds after the outage. Upstreams whose entries expired must be used
+// until then. In an earlier version they were used for only 1.5 s, so that a service whose entries
+// had all expired had no upstream for half a second:
 //
 //	event=upstream-removed upstream=… at 16.2 s, event=no-upstream at 17.77 s
 func TestUpstreamsWhoseEntriesExpiredInAnOutageAreUsed(t *testing.T) {
@@ -25,7 +26,7 @@
 	f.Remove("lapsed", 2, true)
 	f.Remove("removed", 2, false)
 	chosen := func(service string) bool {
-		c, ok := f.choose(criteria{service: service, zone: "z1", admits: func(string) bool { return true }})
+		c, ok := f.choose(criteria{service: service, zone: "z1", admitsVersion: func(string) bool { return true }})
 		if ok {
 			f.release(c, attemptResult{outcome: outcomeDone})
 		}
@@ -36,7 +37,7 @@
 	is.True(chosen("lapsed"))
 	is.True(!chosen("removed"))
 	t.Cleanup(boottime.SimulateSuspension(time.Second))
-	is.True(!chosen("lapsed")) // what isn't listed again by now is gone
+	is.True(!chosen("lapsed")) // its entry should have been written again by now
 	f.Set(Upstream{ID: "lapsed", Service: "lapsed", Zone: "z1", Version: "v1", Slots: 8}, 3)
 	is.True(chosen("lapsed"))
 	f.Remove("lapsed", 4, false)
--- a/internal/gateway/evacuate.go
+++ b/internal/gateway/evacuate.go
@@ -9,8 +9,8 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// evacuations tracks the operators' rows that evacuate availability zones. The presence of a row
-// counts; its content is ignored and need not be readable.
+// evacuations tracks the operators' rows that evacuate availability zones. A zone is evacuated
+// while its row exists; the row's content is ignored and need not be readable.
 type evacuations struct {
 	prefix string
 	fleet  *Fleet
@@ -25,14 +25,16 @@
 	return &evacuations{prefix: prefix, fleet: fleet, zones: make(map[string]storage.Revision)}
 }
 
-// zone returns the availability zone that the row evacuates.
+// zone returns the availability zone that the row evacuates; ok is false if it is another kind of
+// row.
 func (e *evacuations) zone(row feed.Row) (zone string, ok bool) {
 	zone, ok = strings.CutPrefix(row.Key, e.prefix)
 	return zone, ok && zone != ""
 }
 
-// replace applies the operators' whole table. After the store was restored from a backup that
-// lacks evacuations, zones stay evacuated until operators had time to write the rows again.
+// replace applies the operators' whole table. If the store was restored from a backup that lacks
+// the row of an evacuation, the zone stays evacuated for restoreGrace, so that operators have time
+// to write the row again.
 func (e *evacuations) replace(rows []feed.Row, revision storage.Revision) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -66,7 +68,7 @@
 	e.apply(e.era.newest)
 }
 
-// change applies a changed row. It reports whether the row is an evacuation's.
+// change applies a changed row. It reports whether it is the row of an evacuation.
 func (e *evacuations) change(row feed.Row) bool {
 	zone, ok := e.zone(row)
 	if !ok {
@@ -83,7 +85,7 @@
 	return true
 }
 
-// apply passes the zones to the fleet. The caller holds the lock.
+// apply passes the evacuated zones to the fleet. The caller holds the lock.
 func (e *evacuations) apply(revision storage.Revision) {
 	zones := make(map[string]bool, len(e.zones))
 	for zone := range e.zones {
@@ -92,9 +94,9 @@
 	e.fleet.SetEvacuated(zones, revision)
 }
 
-// SetEvacuated sets the zones whose upstreams get no requests from now on. When an evacuation
-// ends, the zone's upstreams may have become cold meanwhile, which their entries show only with
-// their next heartbeats.
+// SetEvacuated sets the zones whose upstreams get no requests from now on. When an evacuation ends,
+// the zone's upstreams count as cold: they may have become cold in the meantime, which their
+// entries show only after the next heartbeats.
 func (f *Fleet) SetEvacuated(zones map[string]bool, revision storage.Revision) {
 	previous := f.policy.evacuatedZones.Swap(&zones)
 	for zone := range zones {
@@ -114,10 +116,10 @@
 
 func (f *Fleet) endEvacuation(zone string, revision storage.Revision) {
 	f.log.Warn().Str("event", "zone-taken-back").Str("zone", zone).Int("upstreams", f.countInZone(zone)).Stringer("revision", revision).Msg("")
-	f.each(func(s *shard) {
+	f.eachShard(func(s *shard) {
 		for _, m := range s.members {
 			if m.Zone == zone {
-				m.markCold(s.coldStart, coldEvacuation, f.log)
+				m.markCold(s.coldStart, coldReasonEvacuationEnded, f.log)
 			}
 		}
 	})
@@ -126,7 +128,7 @@
 // countInZone returns the number of the zone's upstreams.
 func (f *Fleet) countInZone(zone string) int {
 	n := 0
-	f.each(func(s *shard) {
+	f.eachShard(func(s *shard) {
 		for _, m := range s.members {
 			if m.Zone == zone {
 				n++
--- a/internal/gateway/evidence.go
+++ b/internal/gateway/evidence.go
@@ -9,82 +9,88 @@
 )
 
 const (
-	// failedAlpha and slowAlpha are the probabilities with which a version that equals the old one
-	// is stopped by one of the tests, over all answers or one route's. Failures are independent;
-	// slow answers come in bursts with load.
+	// failedAlpha and slowAlpha are the probabilities with which a single test, over all answers or
+	// over those of one route, stops a new version that is as good as the old one: failedAlpha for
+	// the test of failed answers, slowAlpha for that of slow ones. slowAlpha is smaller because
+	// slow answers occur in bursts with load, while failures are independent.
 	failedAlpha = 2e-3
 	slowAlpha   = 1e-4
-	// failedTolerance and slowTolerance are the fractions of all answers by which a new version
-	// may be worse and still be completed. The smaller they are, the more answers a sound version
-	// needs: 15 for 0.2 where the old version is sound, which a roll-out of 16 s at 19 requests a
-	// second provides within its exposure.
+	// failedTolerance and slowTolerance are the differences between the new and the old version's
+	// fractions of bad answers up to which a new version may still be completed. The smaller they
+	// are, the more answers are needed to complete a sound version: 15 for a tolerance of 0.2 if
+	// the old version is sound. A roll-out of 16 s at 19 requests a second provides that many
+	// within the permitted exposure.
 	failedTolerance = 0.2
 	slowTolerance   = 0.3
-	// completionAlpha is the probability with which a version that is worse by more than the tolerance
-	// passes the test for completion.
+	// completionAlpha is the probability with which a version that is worse by more than the
+	// tolerance passes the test for completion.
 	completionAlpha = 0.05
-	// minBadAnswers is the least number of bad answers that stop a version. Two can coincide by chance
-	// when an upstream ends.
+	// minBadAnswers is the minimum number of bad answers for which a version is stopped. Two can
+	// coincide by chance when an upstream ends.
 	minBadAnswers = 3
-	// minSources is the number of upstreams that must have given bad answers for a version to be
-	// stopped, if it has as many: a bad version is bad on each of its upstreams, while a single
-	// upstream can be bad with any version.
-	minSources = 2
-	// slowFactor is the multiple of the expected time from which an engine's answer counts as
-	// slow, slowExcess the least excess over that time. A fifth to a third of ordinary answers
-	// count as slow because they wait for prompts that are unknown to this host; of a version
-	// that runs a part of its steps eight times as long, three quarters and more. With a factor of
-	// 4 it was one in seven of both.
+	// minBadUpstreams is the number of upstreams of a version that must have given bad answers
+	// before the version is stopped, unless it has fewer upstreams. A bad version gives bad answers
+	// on each of its upstreams, while a single upstream can be bad with any version.
+	minBadUpstreams = 2
+	// An engine's answer counts as slow if it took more than slowFactor times the expected time and
+	// more than slowExcess longer than that. A fifth to a third of ordinary answers count as slow,
+	// because they wait for prompts that this host has no data on. Of a version that takes eight
+	// times as long for a part of its steps, three quarters or more count as slow. With a factor of
+	// 4, one answer in seven counted as slow on both versions, so that they couldn't be told apart.
 	slowFactor = 2
 	slowExcess = 40 * time.Millisecond
-	// plainSlowFactor is the same for a plain service relative to its mean time, plainSlowMin the
-	// least time of a slow answer: shorter ones vary for other reasons, such as an upstream's
-	// queue.
+	// An answer of a plain service counts as slow if it took more than plainSlowFactor times the
+	// mean time on the old version, and more than plainSlowMin. Shorter times vary for other
+	// reasons, such as the queue of an upstream.
 	plainSlowFactor = 4
 	plainSlowMin    = 250 * time.Millisecond
-	// meanGain is the weight of a new time in a mean.
-	meanGain = 0.1
-	// crashSpan is the time within which answers that one upstream cut off count as one: a crash
-	// cuts off all requests in progress.
-	crashSpan = time.Second
+	// oldMeanGain is the weight of a new time in the mean time on the old version.
+	oldMeanGain = 0.1
+	// crashWindow is the time within which the answers that one upstream cut off count as one,
+	// since a crash cuts off all requests in progress.
+	crashWindow = time.Second
 )
 
 // evidence compares two versions of a service by their answers, for each route and in total.
 type evidence struct {
-	// routes are this host's own counts, remote those received from the other hosts.
-	routes map[string]*routeEvidence
-	remote map[string]exchange.Versions
-	// brokenAt is when each upstream last cut off an answer.
-	brokenAt map[string]time.Time
+	// ownRoutes holds the answers that this host counted, by route; remoteRoutes those that the
+	// other hosts counted.
+	ownRoutes    map[string]*routeEvidence
+	remoteRoutes map[string]exchange.Versions
+	// cutOffAt holds for each upstream, by id, the time of the last counted answer that it cut off.
+	cutOffAt map[string]time.Time
 }
 
+// routeEvidence holds the answers that this host counted on one route.
 type routeEvidence struct {
 	exchange.Versions
-	// meanOld is the mean time to the first byte on the old version.
-	meanOld time.Duration
+	// oldMeanTime is the decayed mean time to the first byte on the old version, without slow
+	// answers; it is computed for plain services only.
+	oldMeanTime time.Duration
 }
 
 func newEvidence() evidence {
-	return evidence{routes: make(map[string]*routeEvidence), brokenAt: make(map[string]time.Time)}
+	return evidence{ownRoutes: make(map[string]*routeEvidence), cutOffAt: make(map[string]time.Time)}
 }
 
-// observation describes the attempt that a result belongs to.
+// observation describes the attempt whose answer is counted. isNew is set if its upstream runs the
+// new version.
 type observation struct {
 	route    string
 	upstream string
 	isNew    bool
-	// expected is the time in which an engine was expected to answer; 0 for plain services, which
-	// are compared with the old version's mean time.
+	// expected is the time in which an engine was expected to begin its answer; 0 for plain
+	// services, whose times are compared with the mean time on the old version.
 	expected time.Duration
 	// headCounted is set if the answer's head was already counted as an answer.
 	headCounted bool
 }
 
-// observeHead counts the head of a stream. It is counted on arrival: failures arrive at once, and
-// counting good answers only at their end would make a version look worse than it is.
+// observeHead counts the head of a stream as an answer when it arrives. Failures are counted at
+// once, so counting good answers only at their end would make a version look worse than it is.
 func (e *evidence) observeHead(o observation, took time.Duration) {
 	t := e.route(o.route)
-	t.count(o, false, t.slow(o, took))
+	t.countAnswer(o, false, t.isSlow(o, took))
 }
 
 // observeEnd counts the result of an attempt.
@@ -93,77 +99,78 @@
 	switch result.outcome {
 	case outcomeDone:
 		if !o.headCounted {
-			t.count(o, false, t.slow(o, result.firstByte))
+			t.countAnswer(o, false, t.isSlow(o, result.firstByte))
 		}
 	case outcomeFailed:
-		t.count(o, true, false)
+		t.countAnswer(o, true, false)
 	case outcomeUnknown, outcomeBroken:
-		if now.Sub(e.brokenAt[o.upstream]) > crashSpan {
-			e.brokenAt[o.upstream] = now
-			t.count(o, true, false)
+		if now.Sub(e.cutOffAt[o.upstream]) > crashWindow {
+			e.cutOffAt[o.upstream] = now
+			t.countAnswer(o, true, false)
 		}
 	case outcomeSilent:
 		// The attempt was given up after several times the expected time.
-		t.count(o, false, true)
+		t.countAnswer(o, false, true)
 	}
 }
 
 func (e *evidence) route(route string) *routeEvidence {
-	t := e.routes[route]
+	t := e.ownRoutes[route]
 	if t == nil {
 		t = &routeEvidence{}
-		e.routes[route] = t
+		e.ownRoutes[route] = t
 	}
 	return t
 }
 
-// slow reports whether a time is far above the expected one.
-func (t *routeEvidence) slow(o observation, took time.Duration) bool {
+// isSlow reports whether a time to the first byte is far above the expected one. For a plain
+// service it also adds the times on the old version that aren't slow to oldMeanTime.
+func (re *routeEvidence) isSlow(o observation, took time.Duration) bool {
 	if o.expected > 0 {
 		return took > o.expected+slowExcess && took > slowFactor*o.expected
 	}
-	slow := t.meanOld > 0 && took > plainSlowMin && took > plainSlowFactor*t.meanOld
+	slow := re.oldMeanTime > 0 && took > plainSlowMin && took > plainSlowFactor*re.oldMeanTime
 	if !o.isNew && !slow {
-		if t.meanOld == 0 {
-			t.meanOld = took
+		if re.oldMeanTime == 0 {
+			re.oldMeanTime = took
 		}
-		t.meanOld += time.Duration(meanGain * float64(took-t.meanOld))
+		re.oldMeanTime += time.Duration(oldMeanGain * float64(took-re.oldMeanTime))
 	}
 	return slow
 }
 
-func (t *routeEvidence) count(o observation, failed, slow bool) {
-	side := &t.Old
+func (re *routeEvidence) countAnswer(o observation, failed, slow bool) {
+	tally := &re.Old
 	if o.isNew {
-		side = &t.New
+		tally = &re.New
 	}
 	if !o.headCounted {
-		side.Answers++
+		tally.Answers++
 	}
 	if failed {
-		side.Failed++
+		tally.Failed++
 	}
 	if slow {
-		side.Slow++
+		tally.Slow++
 	}
 	if failed || slow {
-		side.AddSource(o.upstream)
+		tally.AddSource(o.upstream)
 	}
 }
 
-// ownCounts returns this host's counts by route.
+// ownCounts returns the answers that this host counted per version, by route.
 func (e *evidence) ownCounts() map[string]exchange.Versions {
-	routes := make(map[string]exchange.Versions, len(e.routes))
-	for name, t := range e.routes {
+	routes := make(map[string]exchange.Versions, len(e.ownRoutes))
+	for name, t := range e.ownRoutes {
 		routes[name] = t.Versions
 	}
 	return routes
 }
 
-// allCounts returns the counts of all hosts by route.
+// allCounts returns the answers counted per version, by route, summed over all hosts.
 func (e *evidence) allCounts() map[string]exchange.Versions {
 	routes := e.ownCounts()
-	for name, counts := range e.remote {
+	for name, counts := range e.remoteRoutes {
 		sum := routes[name]
 		sum.Add(counts)
 		routes[name] = sum
@@ -171,22 +178,22 @@
 	return routes
 }
 
-// stopReason returns the reason to stop the new version, which has the given number of upstreams;
-// empty if there is none.
+// stopReason returns the reason to stop the new version; empty if there is none. upstreams is the
+// number of upstreams of the new version.
 func (e *evidence) stopReason(upstreams int) string {
 	routes := e.allCounts()
-	if worse(total(routes), upstreams) {
+	if isWorse(sumRoutes(routes), upstreams) {
 		return "all-routes"
 	}
 	for name, counts := range routes {
-		if worse(counts, upstreams) {
+		if isWorse(counts, upstreams) {
 			return "route " + name
 		}
 	}
 	return ""
 }
 
-func total(routes map[string]exchange.Versions) exchange.Versions {
+func sumRoutes(routes map[string]exchange.Versions) exchange.Versions {
 	var sum exchange.Versions
 	for _, counts := range routes {
 		sum.Add(counts)
@@ -194,31 +201,31 @@
 	return sum
 }
 
-// worse reports whether the new version's answers fail or are slow more often than chance and a
-// single bad upstream explain.
-func worse(v exchange.Versions, upstreams int) bool {
-	if v.New.Sources() < min(minSources, upstreams) {
+// isWorse reports whether the new version's answers fail or are slow more often than can be
+// explained by chance or by a single bad upstream.
+func isWorse(v exchange.Versions, upstreams int) bool {
+	if v.New.Sources() < min(minBadUpstreams, upstreams) {
 		return false
 	}
 	return v.New.Failed >= minBadAnswers && rollout.Worse(failureSample(v.Old), failureSample(v.New), failedAlpha) ||
 		v.New.Slow >= minBadAnswers && rollout.Worse(slowSample(v.Old), slowSample(v.New), slowAlpha)
 }
 
-// suspectAlpha is the probability with which a route of a version that equals the old one is
-// suspected at any time.
+// suspectAlpha is the probability with which a route is suspected, at any time during the roll-out,
+// although the new version is as good there as the old one.
 const suspectAlpha = 0.2
 
-// sufficient reports whether there are enough good answers of the new version to complete it, and
-// no route is suspected: a version that is bad on one of several routes may be good enough in
-// total.
-func (e *evidence) sufficient() bool {
+// sufficesToComplete reports whether the evidence suffices to complete the new version: there are
+// enough good answers in total, and no single route is suspected. A version that is bad on one of
+// several routes may be good enough in total.
+func (e *evidence) sufficesToComplete() bool {
 	routes := e.allCounts()
 	for _, v := range routes {
 		if rollout.Worse(failureSample(v.Old), failureSample(v.New), suspectAlpha) {
 			return false
 		}
 	}
-	v := total(routes)
+	v := sumRoutes(routes)
 	return rollout.NotWorse(failureSample(v.Old), failureSample(v.New), failedTolerance, completionAlpha) &&
 		rollout.NotWorse(slowSample(v.Old), slowSample(v.New), slowTolerance, completionAlpha)
 }
@@ -231,10 +238,10 @@
 	return rollout.Sample{Bad: min(t.Slow, t.Answers), Total: t.Answers}
 }
 
-// String returns the counts, failed and slow of all, for the old and the new version: this host's
-// own and those of all hosts.
+// String returns, for log lines, the numbers of failed, slow and all answers of the old and the new
+// version: first as counted by this host, then summed over all hosts.
 func (e *evidence) String() string {
-	return countsText(total(e.ownCounts())) + " of all " + countsText(total(e.allCounts()))
+	return countsText(sumRoutes(e.ownCounts())) + " of all " + countsText(sumRoutes(e.allCounts()))
 }
 
 func countsText(v exchange.Versions) string {
--- a/internal/gateway/evidence_test.go
+++ b/internal/gateway/evidence_test.go
@@ -13,16 +13,16 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// newRolloutInProgress returns the roll-outs of a host with one in progress.
+// newRolloutInProgress returns the roll-outs of a host that has one roll-out in progress.
 func newRolloutInProgress() *rollouts {
-	m := newRollouts(&Settings{CanaryShare: 0.2}, fleetWithTwoNewUpstreams(), zerolog.Nop())
-	m.addOrder(RolloutOrder{Service: "svc", Version: "v2", Duration: time.Minute, Revision: 5}, false)
-	return m
+	ro := newRollouts(&Settings{CanaryShare: 0.2}, newFleetWithTwoNewUpstreams(), zerolog.Nop())
+	ro.addOrder(RolloutOrder{Service: "svc", Version: "v2", Duration: time.Minute, Revision: 5}, false)
+	return ro
 }
 
-// fleetWithTwoNewUpstreams returns a fleet with two upstreams of the new version, so that bad
-// answers of a single one don't stop it.
-func fleetWithTwoNewUpstreams() *Fleet {
+// newFleetWithTwoNewUpstreams returns a fleet with two upstreams of the new version, so that bad
+// answers of only one of them don't stop the version.
+func newFleetWithTwoNewUpstreams() *Fleet {
 	f := NewFleet(time.Second, zerolog.Nop())
 	for id, version := range map[string]string{"a": "v1", "b": "v2", "c": "v2"} {
 		f.Set(Upstream{ID: id, Service: "svc", Version: version}, 1)
@@ -35,57 +35,58 @@
 	return &choice{upstream: Upstream{ID: id, Service: "svc", Version: version}}
 }
 
-func answers(old, bad, newAnswers, newBad int) exchange.Versions {
+func versionCounts(old, bad, newAnswers, newBad int) exchange.Versions {
 	return exchange.Versions{
 		Old: exchange.Tally{Answers: old, Failed: bad},
 		New: exchange.Tally{Answers: newAnswers, Failed: newBad},
 	}
 }
 
-// withBothSources adds both upstreams of the new version as sources of bad answers.
+// withBothSources returns the counts with both upstreams of the new version added as sources of bad
+// answers.
 func withBothSources(v exchange.Versions) exchange.Versions {
 	v.New.AddSource("b")
 	v.New.AddSource("c")
 	return v
 }
 
-// Bad answers on several hosts stop the version although no host has enough by itself.
+// Bad answers that several hosts received stop the version although no single host received enough.
 func TestEvidenceOfSeveralHostsIsCombined(t *testing.T) {
 	is := is.New(t)
 	r := &Request{ID: "x", Service: "svc", Route: &routing.Route{Name: "r"}}
-	m := newRolloutInProgress()
+	ro := newRolloutInProgress()
 	for range 50 {
-		m.observe(r, choiceOf("a", "v1"), attemptResult{outcome: outcomeDone}, false)
+		ro.observeResult(r, choiceOf("a", "v1"), attemptResult{outcome: outcomeDone}, false)
 	}
 	for range minBadAnswers - 1 {
-		m.observe(r, choiceOf("b", "v2"), attemptResult{outcome: outcomeFailed}, false)
+		ro.observeResult(r, choiceOf("b", "v2"), attemptResult{outcome: outcomeFailed}, false)
 	}
-	is.True(!m.active["svc"].stopped)
-	own := answers(50, 0, minBadAnswers-1, minBadAnswers-1)
+	is.True(!ro.byService["svc"].stopped)
+	own := versionCounts(50, 0, minBadAnswers-1, minBadAnswers-1)
 	own.New.AddSource("b")
-	is.Equal(m.ownEvidence(), []exchange.Evidence{{Service: "svc", Order: 5, Routes: map[string]exchange.Versions{"r": own}}})
-	others := answers(100, 0, 1, 1)
+	is.Equal(ro.ownEvidence(), []exchange.Evidence{{Service: "svc", Order: 5, Routes: map[string]exchange.Versions{"r": own}}})
+	others := versionCounts(100, 0, 1, 1)
 	others.New.AddSource("c")
-	m.setRemoteEvidence([]exchange.Evidence{{Service: "svc", Order: 5, Routes: map[string]exchange.Versions{"r": others}}})
-	is.True(m.active["svc"].stopped)
+	ro.setRemoteEvidence([]exchange.Evidence{{Service: "svc", Order: 5, Routes: map[string]exchange.Versions{"r": others}}})
+	is.True(ro.byService["svc"].stopped)
 }
 
-// A bad version is bad on each of its upstreams, while a single upstream can be bad with any
-// version.
+// Bad answers from a single upstream must not stop the version, since a single upstream can be bad
+// with any version.
 func TestOneBadUpstreamStopsNoVersion(t *testing.T) {
 	is := is.New(t)
 	r := &Request{ID: "x", Service: "svc", Route: &routing.Route{Name: "r"}}
-	m := newRolloutInProgress()
+	ro := newRolloutInProgress()
 	for range 50 {
-		m.observe(r, choiceOf("a", "v1"), attemptResult{outcome: outcomeDone}, false)
-		m.observe(r, choiceOf("b", "v2"), attemptResult{outcome: outcomeFailed}, false)
+		ro.observeResult(r, choiceOf("a", "v1"), attemptResult{outcome: outcomeDone}, false)
+		ro.observeResult(r, choiceOf("b", "v2"), attemptResult{outcome: outcomeFailed}, false)
 	}
-	is.True(!m.active["svc"].stopped)
-	m.observe(r, choiceOf("c", "v2"), attemptResult{outcome: outcomeFailed}, false)
-	is.True(m.active["svc"].stopped)
+	is.True(!ro.byService["svc"].stopped)
+	ro.observeResult(r, choiceOf("c", "v2"), attemptResult{outcome: outcomeFailed}, false)
+	is.True(ro.byService["svc"].stopped)
 }
 
-// A crash cuts off all requests that an upstream runs, and counts as one event.
+// The crash of an upstream cuts off all requests that it runs, but counts as one bad answer.
 func TestCrashCountsOnce(t *testing.T) {
 	is := is.New(t)
 	e := newEvidence()
@@ -95,11 +96,12 @@
 		e.observeEnd(o, attemptResult{outcome: outcomeUnknown}, now)
 	}
 	is.Equal(e.ownCounts()["r"].New.Failed, 1)
-	e.observeEnd(o, attemptResult{outcome: outcomeBroken}, now.Add(2*crashSpan))
+	e.observeEnd(o, attemptResult{outcome: outcomeBroken}, now.Add(2*crashWindow))
 	is.Equal(e.ownCounts()["r"].New.Failed, 2)
 }
 
-// The head of a stream is counted once, on arrival: a later failure belongs to the same answer.
+// A stream counts as one answer, when its head arrives. If it fails later, the failure is counted
+// for that answer.
 func TestStreamIsCountedByItsHead(t *testing.T) {
 	is := is.New(t)
 	e := newEvidence()
@@ -114,8 +116,8 @@
 	is.Equal(e.ownCounts()["r"].New.Answers, 1)
 }
 
-// Requests that were given up after a timeout count as slow, not as failed: under load they are
-// frequent on every version and would hide a version that fails.
+// Attempts that were given up after a timeout count as slow, not as failed. Under load they are
+// frequent on every version, so that counting them as failed would hide a version that fails.
 func TestTimeoutsCountAsSlow(t *testing.T) {
 	is := is.New(t)
 	e := newEvidence()
@@ -125,7 +127,8 @@
 	is.Equal(old.Slow, 1)
 }
 
-// An engine's answer is slow relative to the expected time of its prompt, not to other prompts.
+// Whether an engine's answer is slow depends on the time expected for its prompt, not on the times
+// of other prompts.
 func TestSlowByTheExpectedTime(t *testing.T) {
 	tests := []struct {
 		desc     string
@@ -142,15 +145,15 @@
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
 			var counts routeEvidence
-			is.New(t).Equal(counts.slow(observation{expected: test.expected}, test.took), test.want)
+			is.New(t).Equal(counts.isSlow(observation{expected: test.expected}, test.took), test.want)
 		})
 	}
 }
 
-// A version that takes two to four times as long as expected on most answers is stopped, although
-// one in four answers of the old version takes as long, too. The figures were recorded from such a
-// version.
-func TestSlowVersionBesideABusyOne(t *testing.T) {
+// A version whose answers mostly take two to four times as long as expected is stopped, although
+// one in four answers of the old version takes even longer because its engines are busy. The times
+// of the new version were recorded from such a version.
+func TestSlowVersionIsStoppedThoughTheOldOneIsBusy(t *testing.T) {
 	is := is.New(t)
 	e := newEvidence()
 	now := time.Now()
@@ -170,43 +173,44 @@
 	for i, f := range firsts {
 		add(true, fmt.Sprint("new ", i%4), f[0]*time.Millisecond, f[1]*time.Millisecond)
 	}
-	is.True(!e.sufficient())
+	is.True(!e.sufficesToComplete())
 	is.True(e.stopReason(4) != "")
 }
 
-// A sound version is completed on some thirty answers, not on a handful, and not on many of which
-// too many are bad.
+// About thirty good answers suffice to complete a version. A handful don't, and neither do many
+// answers of which too many are bad.
 func TestCompletionNeedsEvidence(t *testing.T) {
 	tests := []struct {
 		desc string
 		seen exchange.Versions
 		want bool
 	}{
-		{"nothing", answers(0, 0, 0, 0), false},
-		{"a handful of good answers", answers(400, 0, 8, 0), false},
-		{"forty good answers", answers(400, 0, 40, 0), true},
-		{"some bad ones", answers(400, 0, 60, 9), false},
-		{"as many as with the old version", answers(400, 80, 120, 20), true},
+		{"nothing", versionCounts(0, 0, 0, 0), false},
+		{"a handful of good answers", versionCounts(400, 0, 8, 0), false},
+		{"forty good answers", versionCounts(400, 0, 40, 0), true},
+		{"some bad ones", versionCounts(400, 0, 60, 9), false},
+		{"as many as with the old version", versionCounts(400, 80, 120, 20), true},
 		{"slow ones", exchange.Versions{Old: exchange.Tally{Answers: 400}, New: exchange.Tally{Answers: 60, Slow: 25}}, false},
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
 			e := newEvidence()
-			e.remote = map[string]exchange.Versions{"r": test.seen}
-			is.New(t).Equal(e.sufficient(), test.want)
+			e.remoteRoutes = map[string]exchange.Versions{"r": test.seen}
+			is.New(t).Equal(e.sufficesToComplete(), test.want)
 		})
 	}
 }
 
-// A version that is bad on one route isn't completed because of the other routes' answers.
+// A version that may be bad on one route must not be completed because the answers on all routes
+// together suffice.
 func TestSuspectedRouteDelaysCompletion(t *testing.T) {
 	is := is.New(t)
 	e := newEvidence()
-	e.remote = map[string]exchange.Versions{"good": answers(400, 0, 60, 0), "poor": answers(100, 0, 4, 2)}
-	is.True(!e.sufficient())
-	is.Equal(e.stopReason(2), "") // too few to stop it
-	e.remote["poor"] = answers(100, 0, 40, 2)
-	is.True(e.sufficient())
+	e.remoteRoutes = map[string]exchange.Versions{"good": versionCounts(400, 0, 60, 0), "poor": versionCounts(100, 0, 4, 2)}
+	is.True(!e.sufficesToComplete())
+	is.Equal(e.stopReason(2), "") // there are too few bad answers to stop it
+	e.remoteRoutes["poor"] = versionCounts(100, 0, 40, 2)
+	is.True(e.sufficesToComplete())
 }
 
 func TestRemoteEvidence(t *testing.T) {
@@ -216,28 +220,29 @@
 		seen  exchange.Versions
 		want  bool
 	}{
-		{"bad", 5, withBothSources(answers(100, 1, 12, 6)), true},
-		{"no worse than the old version", 5, withBothSources(answers(100, 50, 12, 6)), false},
-		{"good", 5, answers(100, 1, 50, 0), false},
-		{"of an earlier order", 4, withBothSources(answers(100, 1, 12, 12)), false},
+		{"bad", 5, withBothSources(versionCounts(100, 1, 12, 6)), true},
+		{"no worse than the old version", 5, withBothSources(versionCounts(100, 50, 12, 6)), false},
+		{"good", 5, versionCounts(100, 1, 50, 0), false},
+		{"of an earlier order", 4, withBothSources(versionCounts(100, 1, 12, 12)), false},
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
 			is := is.New(t)
-			m := newRolloutInProgress()
-			m.setRemoteEvidence([]exchange.Evidence{{Service: "svc", Order: test.order, Routes: map[string]exchange.Versions{"r": test.seen}}})
-			is.Equal(m.active["svc"].stopped, test.want)
-			is.Equal(len(m.ownEvidence()[0].Routes), 0) // the other hosts' counts aren't forwarded
+			ro := newRolloutInProgress()
+			ro.setRemoteEvidence([]exchange.Evidence{{Service: "svc", Order: test.order, Routes: map[string]exchange.Versions{"r": test.seen}}})
+			is.Equal(ro.byService["svc"].stopped, test.want)
+			is.Equal(len(ro.ownEvidence()[0].Routes), 0) // doesn't include what other hosts counted
 		})
 	}
 }
 
-// Each report replaces the previous one, so that counts aren't added twice.
+// Evidence that is received from other hosts replaces what was received before, so that no answer
+// is counted twice.
 func TestRemoteEvidenceIsReplaced(t *testing.T) {
 	is := is.New(t)
-	m := newRolloutInProgress()
+	ro := newRolloutInProgress()
 	for range 10 {
-		m.setRemoteEvidence([]exchange.Evidence{{Service: "svc", Order: 5, Routes: map[string]exchange.Versions{"r": withBothSources(answers(100, 0, 2, 2))}}})
+		ro.setRemoteEvidence([]exchange.Evidence{{Service: "svc", Order: 5, Routes: map[string]exchange.Versions{"r": withBothSources(versionCounts(100, 0, 2, 2))}}})
 	}
-	is.True(!m.active["svc"].stopped)
+	is.True(!ro.byService["svc"].stopped)
 }
--- a/internal/gateway/filters.go
+++ b/internal/gateway/filters.go
@@ -13,13 +13,13 @@
 	"github.com/quetzalweir/quetzalweir/resultcode"
 )
 
-// matchRoute finds the route in the routing table that is in force.
+// matchRoute finds the request's route in the routing table that is in force, and its service.
 type matchRoute struct {
 	gateway *Gateway
 }
 
-func (f *matchRoute) serve(ctx context.Context, r *Request, next next) error {
-	table := f.gateway.table.Load()
+func (f *matchRoute) serve(ctx context.Context, r *Request, next handleFunc) error {
+	table := f.gateway.routingTable.Load()
 	if table == nil {
 		return resultcode.New(resultcode.NoManifest, "no routing document yet")
 	}
@@ -40,7 +40,7 @@
 	return next(ctx, r)
 }
 
-// headerBytes returns the size of a header on the wire.
+// headerBytes returns the size of a header on the wire, in bytes.
 func headerBytes(header http.Header) int {
 	n := 0
 	for name, values := range header {
@@ -51,12 +51,13 @@
 	return n
 }
 
-// identify finds the client account by its key.
-type identify struct {
+// identifyAccount finds the client account by the key in the request's header. It refuses requests
+// without a known key, except on public routes.
+type identifyAccount struct {
 	headers *Headers
 }
 
-func (f *identify) serve(ctx context.Context, r *Request, next next) error {
+func (f *identifyAccount) serve(ctx context.Context, r *Request, next handleFunc) error {
 	key := r.Header.Get(f.headers.AccountKey)
 	r.Account = r.Table.Account(key)
 	if r.Account == nil && r.Table.RequiresKey() && !r.Route.Public {
@@ -65,10 +66,11 @@
 	return next(ctx, r)
 }
 
-// readBody reads the whole body, so that it can be sent again.
+// readBody reads the whole body, so that it can be sent to several upstreams, and computes the
+// digest.
 type readBody struct{}
 
-func (f *readBody) serve(ctx context.Context, r *Request, next next) error {
+func (f *readBody) serve(ctx context.Context, r *Request, next handleFunc) error {
 	body := io.Reader(r.answer.request.Body)
 	if limit := r.Table.Limits.MaxBodyBytes; limit > 0 {
 		body = http.MaxBytesReader(r.answer.writer, r.answer.request.Body, limit)
@@ -86,13 +88,13 @@
 	return next(ctx, r)
 }
 
-// setDeadline sets the request's deadline: the earlier of the caller's deadline and the end of the
-// route's timeout.
+// setDeadline sets the request's deadline to the caller's deadline or the end of the route's
+// timeout, whichever is earlier.
 type setDeadline struct {
 	headers *Headers
 }
 
-func (f *setDeadline) serve(ctx context.Context, r *Request, next next) error {
+func (f *setDeadline) serve(ctx context.Context, r *Request, next handleFunc) error {
 	allowed := r.Route.Timeout
 	if ms, err := strconv.ParseFloat(r.Header.Get(f.headers.Deadline), 64); err == nil && ms > 0 {
 		callerWait := time.Duration(ms * float64(time.Millisecond))
--- a/internal/gateway/dispatchend.go
+++ b/internal/gateway/finalanswer.go
@@ -12,7 +12,8 @@
 	"github.com/quetzalweir/quetzalweir/runstate"
 )
 
-// deliver writes a buffered answer to the caller. A stream was delivered already.
+// deliver writes a buffered answer to the caller. It does nothing for a stream, which was passed on
+// as it arrived.
 func (d *dispatch) deliver(r *Request, result attemptResult) error {
 	if result.buffered == nil {
 		return nil
@@ -20,7 +21,8 @@
 	return r.answer.writeBuffered(result.buffered)
 }
 
-// finalAnswer writes or returns the answer when no further attempt is made.
+// finalAnswer ends a request for which no further attempt is made: it writes the buffered answer of
+// the last attempt, if there is one, or returns the refusal.
 func (d *dispatch) finalAnswer(ctx context.Context, r *Request, result attemptResult) error {
 	if errors.Is(context.Cause(ctx), context.Canceled) {
 		if d.gateway.stopExpired.Load() {
@@ -47,9 +49,9 @@
 	}
 }
 
-// refusal replaces the error's code if it contradicts the run state.
+// refusal returns the error, with another code if its code contradicts the request's run state.
 func (d *dispatch) refusal(r *Request, err *resultcode.Error) error {
-	state := r.state.State()
+	state := r.runState.State()
 	if state == runstate.NotRun && err.Code == resultcode.DeadlineExpired {
 		return &resultcode.Error{Code: resultcode.DeadlineUnmeetable, Detail: err.Detail, Err: err.Err}
 	}
@@ -59,24 +61,24 @@
 	return err
 }
 
-// statusNotRun is the status that guarantees that a request didn't run.
+// statusNotRun is the status of refusals that guarantee that the request didn't run.
 const statusNotRun = http.StatusServiceUnavailable
 
 // logAttempt writes the attempt's log line and updates its metrics.
 func (d *dispatch) logAttempt(r *Request, a *attempt, result attemptResult) {
 	g := d.gateway
-	g.metrics.attempt(r, result, time.Since(a.startedAt))
+	g.metrics.countAttempt(r, result, time.Since(a.startedAt))
 	line := g.log.Info()
 	if result.outcome != outcomeDone {
 		line = g.log.Warn()
 	}
 	line.Str("event", "attempt").Str("request", r.ID).Stringer("digest", r.Digest).Int("attempt", r.attempts).
-		Str("service", r.Service).Str("upstream", a.choice.upstream.ID).Stringer("entry", a.choice.entry).Str("zone", a.choice.upstream.Zone).
+		Str("service", r.Service).Str("upstream", a.choice.upstream.ID).Stringer("entry", a.choice.entryRevision).Str("zone", a.choice.upstream.Zone).
 		Str("version", a.choice.upstream.Version).Str("model", r.model).
-		Int("among", a.choice.among).Float64("load", math.Round(10*a.choice.load)/10).
-		Str("load_from", string(a.choice.loadFrom)).Int64("load_age_ms", a.choice.loadAge.Milliseconds()).
-		Int("tokens", r.Prompt.TokensIn).Int64("ahead_ms", a.choice.ahead.Milliseconds()).Int64("expected_ms", a.choice.placed.Expected.Milliseconds()).
-		Int("missing", a.choice.placed.UncachedTokens).Bool("owner", a.choice.placed.Owner).Int("threshold", a.threshold).Float64("pressure", math.Round(100*a.pressure)/100).
+		Int("among", a.choice.candidateCount).Float64("load", math.Round(10*a.choice.load)/10).
+		Str("load_from", string(a.choice.loadSource)).Int64("load_age_ms", a.choice.loadAge.Milliseconds()).
+		Int("tokens", r.Prompt.TokensIn).Int64("ahead_ms", a.choice.workAhead.Milliseconds()).Int64("expected_ms", a.choice.placement.Expected.Milliseconds()).
+		Int("missing", a.choice.placement.UncachedTokens).Bool("owner", a.choice.placement.Owner).Int("threshold", a.minConfidence).Float64("pressure", math.Round(100*a.queuePressure)/100).
 		Str("outcome", result.outcome.String()).Int("status", result.status).Int("confidence", result.confidence).Str("limit", strings.Join(result.limit, ",")).
 		Int64("first_ms", result.firstByte.Milliseconds()).Int64("took_ms", time.Since(a.startedAt).Milliseconds())
 	if result.err != nil {
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -13,8 +13,8 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// Incarnation is the start time of an upstream in Unix milliseconds; 0 where the platform gives
-// each start a new id and reports no time.
+// Incarnation identifies a start of an upstream by its time in Unix milliseconds; 0 where the
+// platform reports no start time and gives the upstream a new id at each start.
 type Incarnation int64
 
 // Upstream describes one incarnation of an upstream by its entry in the store.
@@ -26,26 +26,28 @@
 	Address     string
 	Zone        string
 	Version     string
-	// Slots is the number of requests that it runs concurrently.
+	// Slots is the number of requests that the upstream runs concurrently.
 	Slots int
-	// Leaving is set if it accepts no new requests.
+	// Leaving is set if the upstream announced that it accepts no new requests.
 	Leaving bool
-	// ColdFor is the remaining time for which the upstream declared itself cold.
+	// ColdFor is the remaining time for which the upstream declared itself cold, counted from the
+	// receipt of the entry.
 	ColdFor time.Duration
 	// Sequence numbers the upstream's entries; 0 where they aren't numbered.
 	Sequence uint64
 }
 
-// Fleet holds this host's data on the upstreams, from the store's entries and from the upstreams'
-// answers. The upstreams of each service are a shard under its own lock.
+// Fleet holds this host's data on all upstreams. The data comes from the upstreams' entries in the
+// store, from their answers and from other hosts. The upstreams of each service form a shard with a
+// lock of its own.
 type Fleet struct {
-	// removalGrace is how long an upstream whose entry was removed is still used. Entries can
-	// expire while the store is unreachable and be restored later.
+	// removalGrace is how long an upstream is still used after its entry was removed, since entries
+	// can expire while the store is unreachable and be written again later.
 	removalGrace time.Duration
 	log          zerolog.Logger
 	policy       *sendPolicy
 	topology     zoneTopology
-	// entryChanges counts the changes that weren't logged yet.
+	// entryChanges counts the changes of entries that weren't logged yet.
 	entryChanges entryChanges
 
 	mu     sync.RWMutex
@@ -56,62 +58,67 @@
 type shard struct {
 	mu      sync.Mutex
 	members map[string]*member
-	// addresses maps each address to the member that was listed there last.
-	addresses map[string]*member
-	// names maps the members by their names in messages between hosts.
-	names map[exchange.IDHash]*member
-	// leases maps the members by their ids in leases. unreportedLimits are those whose rate limits
-	// have to be reported to the hub.
-	leases           map[ratelease.UpstreamID]*member
+	// membersByAddress maps each address to the member that was last listed with it.
+	membersByAddress map[string]*member
+	// membersByHash maps the hashes that identify upstreams in messages between hosts to members.
+	membersByHash map[exchange.IDHash]*member
+	// membersByLease maps the ids that identify upstreams in leases to members. unreportedLimits
+	// are the members whose rate limits have to be reported to the hub.
+	membersByLease   map[ratelease.UpstreamID]*member
 	unreportedLimits map[*member]struct{}
-	// active are the members with requests of this host in flight, leased those that may be cold
-	// or rate-limited. Periodic tasks that run several times a second visit these only.
-	active map[*member]struct{}
-	leased map[*member]struct{}
-	// starts counts the members with a start time.
-	starts startCounts
-	// remoteWork is the other hosts' work in flight by upstream as of remoteWorkAt.
+	// inUse are the members with requests of this host in flight, coldOrLimited those that may be
+	// cold or rate-limited. Tasks that run several times a second visit only these members.
+	inUse         map[*member]struct{}
+	coldOrLimited map[*member]struct{}
+	// startCounts counts all members, and those with a start time.
+	startCounts startCounts
+	// remoteWork is the work in flight of the other hosts for each upstream, as of remoteWorkAt.
 	remoteWork   exchange.Work
 	remoteWorkAt time.Time
-	// index finds members without a scan of all. cachedPrompts are the prompts that the members
-	// are assumed to have cached.
+	// index finds members without a scan of all. cachedPrompts tracks the prompt prefixes that the
+	// members are assumed to have cached.
 	index         memberIndex
 	cachedPrompts *placement.CacheTracker[*member]
-	// policy is the fleet's. coldBound and coldStart are what the operators declared for the
-	// service's cold upstreams.
+	// policy and topology are those of the fleet. coldBound bounds the requests to a cold upstream
+	// of the service, and coldStart is how long an upstream is cold after its start; both are
+	// declared by the operators.
 	policy    *sendPolicy
 	topology  *zoneTopology
 	coldBound ratelease.Bound
 	coldStart time.Duration
-	// base is the version in service without a roll-out; empty before the first upstream is
-	// listed.
-	base string
-	// meanLoad is the decayed mean of the loads per slot that the upstreams reported.
-	meanLoad float64
-	// servesPrompts is set if the upstreams are engines. rates are the prefill rates of their
-	// models, workByPriority is the decayed work of new prompts by priority, meanPrefill the
-	// decayed mean of the longer ones.
+	// baseVersion is the version that serves requests while there is no roll-out; empty before the
+	// first upstream is listed.
+	baseVersion string
+	// meanSlotLoad is the decayed mean, over all reports of upstreams, of the requests per slot.
+	meanSlotLoad float64
+	// servesPrompts is set if the upstreams are engines. prefillRates estimates the prefill rates
+	// of their models. workByPriority is the decayed sum of the prefill times of new prompts for
+	// each priority, meanPrefill the decayed mean prefill time of prompts that take at least half
+	// that mean.
 	servesPrompts bool
-	rates         *placement.PrefillEstimator
-	// remoteTimings are the other hosts' measurements for models that weren't used yet.
+	prefillRates  *placement.PrefillEstimator
+	// remoteTimings are the prefill rates that other hosts measured, for models that this host
+	// hasn't used yet.
 	remoteTimings  exchange.Timings
 	workByPriority [lowestPriority + 1]float64
 	meanPrefill    time.Duration
 	queueStats     queueStats
-	// sentPrefixes are the shared prefixes that upstreams were sent for the first time, as far as
-	// this host knows, since the last report to the other hosts.
+	// sentPrefixes are the shared prefixes that this host sent, since its last report to the other
+	// hosts, to upstreams that didn't have them cached by its own data.
 	sentPrefixes exchange.Reads
-	// ration distributes rate limits that don't suffice by rank. supply is this host's part of the
-	// limits, in requests a second, as of suppliedAt.
-	ration     placement.RankAdmission
-	supply     float64
-	suppliedAt time.Time
-	// meanRequestTime is the decayed mean of the times that requests spend at upstreams.
+	// rankAdmission distributes the permitted requests by rank where the rate limits don't suffice
+	// for all. permittedRate is the sum of this host's parts of the upstreams' limits, in requests
+	// a second, as of permittedRateAt.
+	rankAdmission   placement.RankAdmission
+	permittedRate   float64
+	permittedRateAt time.Time
+	// meanRequestTime is the decayed mean of the time for which a request is in flight at its
+	// upstream.
 	meanRequestTime time.Duration
 }
 
-// NewFleet returns an empty fleet. An upstream whose entry was removed is used for removalGrace
-// longer, unless it had announced that it leaves.
+// NewFleet returns an empty fleet. After the removal of its entry an upstream is still used for
+// removalGrace, unless it had announced that it is leaving.
 func NewFleet(removalGrace time.Duration, log zerolog.Logger) *Fleet {
 	return &Fleet{removalGrace: removalGrace, log: log, policy: newSendPolicy(""), shards: make(map[string]*shard)}
 }
@@ -131,39 +138,39 @@
 	return f.shards[service]
 }
 
-func newShard(a *sendPolicy, g *zoneTopology) *shard {
+func newShard(p *sendPolicy, t *zoneTopology) *shard {
 	return &shard{
-		policy: a, topology: g, members: make(map[string]*member), addresses: make(map[string]*member),
-		names: make(map[exchange.IDHash]*member), leases: make(map[ratelease.UpstreamID]*member),
-		active: make(map[*member]struct{}), leased: make(map[*member]struct{}), unreportedLimits: make(map[*member]struct{}),
-		cachedPrompts: placement.NewCacheTracker[*member](placement.MaxCachedPrefixes), sentPrefixes: make(exchange.Reads), rates: placement.NewPrefillEstimator(),
+		policy: p, topology: t, members: make(map[string]*member), membersByAddress: make(map[string]*member),
+		membersByHash: make(map[exchange.IDHash]*member), membersByLease: make(map[ratelease.UpstreamID]*member),
+		inUse: make(map[*member]struct{}), coldOrLimited: make(map[*member]struct{}), unreportedLimits: make(map[*member]struct{}),
+		cachedPrompts: placement.NewCacheTracker[*member](placement.MaxCachedPrefixes), sentPrefixes: make(exchange.Reads), prefillRates: placement.NewPrefillEstimator(),
 	}
 }
 
-// lapseGrace is how long an upstream is used whose entry was removed during an outage of the
-// store: entries expire then although their upstreams are alive, and are restored about two
-// seconds after the store. With a shorter grace a service had no upstream for the last half second
-// of these.
-const lapseGrace = 2200 * time.Millisecond
+// outageGrace is how long an upstream is still used after its entry was removed because of an
+// outage of the store. Entries expire in an outage although their upstreams are alive, and
+// upstreams write them again within about two seconds after the outage. With a grace of 1.5 s a
+// service had no upstream for the last half second of these two.
+const outageGrace = 2200 * time.Millisecond
 
-// Remove records that an upstream's entry was removed. lapsed is set if the entry may have expired
-// because of an outage of the store.
-func (f *Fleet) Remove(id string, revision storage.Revision, lapsed bool) {
-	f.each(func(s *shard) {
+// Remove records that an upstream's entry was removed. expiredInOutage is set if the entry may have
+// expired because of an outage of the store.
+func (f *Fleet) Remove(id string, revision storage.Revision, expiredInOutage bool) {
+	f.eachShard(func(s *shard) {
 		m := s.members[id]
 		if m == nil || !m.removedAt.IsZero() {
 			return
 		}
 		m.removedAt = boottime.Now()
-		m.lapsed = lapsed
+		m.expiredInOutage = expiredInOutage
 		f.entryChanges.removed.Add(1)
-		f.log.WithLevel(m.logLevel()).Str("event", "upstream-removed").Str("upstream", id).Stringer("revision", revision).Bool("lapsed", lapsed).Int("in_flight", m.inFlight).Msg("")
+		f.log.WithLevel(m.logLevel()).Str("event", "upstream-removed").Str("upstream", id).Stringer("revision", revision).Bool("lapsed", expiredInOutage).Int("in_flight", m.inFlight).Msg("")
 	})
 }
 
-// entry returns the content of the upstream's entry at the revision if that is in use.
-func (f *Fleet) entry(id string, revision storage.Revision) (u Upstream, ok bool) {
-	f.each(func(s *shard) {
+// currentEntry returns the upstream's entry if the fleet uses the one of this revision.
+func (f *Fleet) currentEntry(id string, revision storage.Revision) (u Upstream, ok bool) {
+	f.eachShard(func(s *shard) {
 		if m := s.members[id]; m != nil && m.revision == revision && m.removedAt.IsZero() && !m.withdrawn {
 			u, ok = m.Upstream, true
 		}
@@ -171,10 +178,10 @@
 	return u, ok
 }
 
-// RemoveUnlisted removes all upstreams that aren't in the list.
-func (f *Fleet) RemoveUnlisted(listed map[string]bool, revision storage.Revision, lapsed bool) {
+// RemoveUnlisted records that the entries of all upstreams that aren't in the list were removed.
+func (f *Fleet) RemoveUnlisted(listed map[string]bool, revision storage.Revision, expiredInOutage bool) {
 	var gone []string
-	f.each(func(s *shard) {
+	f.eachShard(func(s *shard) {
 		for id := range s.members {
 			if !listed[id] {
 				gone = append(gone, id)
@@ -182,21 +189,21 @@
 		}
 	})
 	for _, id := range gone {
-		f.Remove(id, revision, lapsed)
+		f.Remove(id, revision, expiredInOutage)
 	}
 }
 
-// Withdraw records that an upstream's entry no longer describes a usable one. The upstream gets no
-// new requests until its entry does again.
+// Withdraw records that an upstream's entry can't be used. The upstream gets no new requests until
+// it has a usable entry.
 func (f *Fleet) Withdraw(id string, revision storage.Revision) {
-	f.each(func(s *shard) {
+	f.eachShard(func(s *shard) {
 		if m := s.members[id]; m != nil {
 			m.withdraw(f.log, revision)
 		}
 	})
 }
 
-func (f *Fleet) each(do func(s *shard)) {
+func (f *Fleet) eachShard(do func(s *shard)) {
 	f.eachService(func(_ string, s *shard) { do(s) })
 }
 
@@ -214,9 +221,10 @@
 // flight there.
 const recordRetention = time.Minute
 
-// Sweep deletes the records of upstreams that were removed longer than recordRetention ago.
+// Sweep deletes the records of upstreams whose entries were removed longer than recordRetention ago
+// and that have no requests in flight.
 func (f *Fleet) Sweep(now time.Time) {
-	f.each(func(s *shard) {
+	f.eachShard(func(s *shard) {
 		for id, m := range s.members {
 			if !m.removedAt.IsZero() && now.Sub(m.removedAt) > recordRetention && m.inFlight == 0 {
 				s.unindex(m)
@@ -226,15 +234,15 @@
 	})
 }
 
-// HasUpstreams reports whether any upstream is listed.
+// HasUpstreams reports whether the fleet has a record of any upstream.
 func (f *Fleet) HasUpstreams() bool {
 	known := false
-	f.each(func(s *shard) { known = known || len(s.members) > 0 })
+	f.eachShard(func(s *shard) { known = known || len(s.members) > 0 })
 	return known
 }
 
-// hasAvailable reports whether this host may now send a request to an upstream in the regions
-// whose version matches.
+// hasAvailable reports whether this host may now send a request to an upstream that is in the
+// regions and whose version matches.
 func (f *Fleet) hasAvailable(service string, regions regionConstraint, matches func(version string) bool) bool {
 	s := f.shard(service)
 	s.mu.Lock()
@@ -254,12 +262,13 @@
 	return false
 }
 
-// maxAvailableProbes bounds the upstreams that hasAvailable checks, in no particular order: when
-// thousands start at once, checking all takes longer than a request has.
+// maxAvailableProbes bounds the number of upstreams that hasAvailable checks, in no particular
+// order. When thousands of upstreams start at once, checking all would take longer than a request
+// can wait.
 const maxAvailableProbes = 256
 
-// hasInService reports whether the service has an upstream in service in the regions whose version
-// matches.
+// hasInService reports whether an upstream of the service that is in the regions and whose version
+// matches is in service.
 func (f *Fleet) hasInService(service string, regions regionConstraint, matches func(version string) bool) bool {
 	s := f.shard(service)
 	s.mu.Lock()
@@ -292,14 +301,15 @@
 	return n
 }
 
-// Base returns the version in service: the most frequent one at the first call, until no upstream
-// of it is in service; then the most frequent of the others. It is empty if there is none.
-func (f *Fleet) Base(service string) string {
+// BaseVersion returns the version that serves requests while there is no roll-out; empty if no
+// upstream is in service. The first call chooses the version with the most upstreams. Another one
+// is chosen, in the same way, only when no upstream of the chosen version is in service.
+func (f *Fleet) BaseVersion(service string) string {
 	s := f.shard(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.base != "" && s.hasInService(regionConstraint{}, func(version string) bool { return version == s.base }, f.removalGrace) {
-		return s.base
+	if s.baseVersion != "" && s.hasInService(regionConstraint{}, func(version string) bool { return version == s.baseVersion }, f.removalGrace) {
+		return s.baseVersion
 	}
 	now := boottime.Now()
 	counts := make(map[string]int)
@@ -314,7 +324,7 @@
 		}
 	}
 	if best != "" {
-		s.base = best
+		s.baseVersion = best
 	}
 	return best
 }
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -61,13 +61,13 @@
 		version = r.Table.Version
 	}
 	elapsed := boottime.Since(r.Arrived)
-	g.metrics.request(route, code.String(), elapsed)
+	g.metrics.countRequest(route, code.String(), elapsed)
 	line := g.log.Info()
 	if err != nil {
 		line = g.log.Warn().AnErr("error", err)
 	}
 	line.Str("event", "answer").Str("request", r.ID).Stringer("digest", r.Digest).Str("route", route).Str("service", service).
-		Int("code", int(code)).Str("result", code.String()).Str("run_state", r.state.State().String()).
+		Int("code", int(code)).Str("result", code.String()).Str("run_state", r.runState.State().String()).
 		Int("attempts", r.attempts).Str("model", r.model).Str("account", r.accountName()).Str("session", r.Session).
 		Uint64("document", version).Int("events", r.answer.events).Int64("pause_ms", r.answer.longestPause.Milliseconds()).
 		Int64("took_ms", elapsed.Milliseconds()).Bool("stopping", r.answer.closing).Msg("")
@@ -83,8 +83,8 @@
 	return r.Account.Name
 }
 
-// refuse writes a refusal. If the answer has begun already, it cuts the connection instead, so
-// that the answer doesn't look complete.
+// refuse writes a refusal. If the answer has begun or the caller has disconnected, it aborts the
+// connection instead, so that the answer doesn't look complete.
 func (g *Gateway) refuse(r *Request, e *resultcode.Error) {
 	if r.answer.started || e.Code == resultcode.CallerGone {
 		panic(http.ErrAbortHandler)
@@ -103,8 +103,8 @@
 	_, _ = r.answer.writer.Write([]byte(e.Code.String() + "\n"))
 }
 
-// retryAfter returns the time after which a caller whose request didn't run should retry; 0 if it
-// shouldn't.
+// retryAfter returns the time after which the caller should send the request again; 0 if the
+// refusal doesn't guarantee that the request didn't run.
 func retryAfter(e *resultcode.Error) time.Duration {
 	if resultcode.Lookup(e.Code).Status != statusNotRun {
 		return 0
@@ -115,6 +115,6 @@
 	return defaultRetryAfter
 }
 
-// defaultRetryAfter is about the time in which an upstream's queue shrinks by some requests, or in
-// which a host that just started receives data from the store.
+// defaultRetryAfter is about the time in which an upstream finishes a few queued requests, or in
+// which a host that just started receives the tables of the store.
 const defaultRetryAfter = 300 * time.Millisecond
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -28,20 +28,23 @@
 	log      zerolog.Logger
 	metrics  *gatewayMetrics
 
-	table    atomic.Pointer[routing.Table]
-	fleet    *Fleet
-	rollouts *rollouts
+	routingTable atomic.Pointer[routing.Table]
+	fleet        *Fleet
+	rollouts     *rollouts
 	// upstreamWatcher follows the table of the upstreams' entries; nil before startWatchers.
+	// peers exchanges data with the other hosts; nil if this host is the only one.
 	upstreamWatcher *feed.Watcher
 	peers           *exchange.Member
-	budgets         lazyValues[retryBudget]
-	sizes           lazyValues[promptSizes]
-	// responseTimes holds the mean response times by service, model and route.
+	retryBudgets    lazyValues[retryBudget]
+	promptSizes     lazyValues[promptSizes]
+	// responseTimes holds the mean time to the first byte of an answer, by service, model and
+	// route.
 	responseTimes lazyValues[responseTime]
-	// pauses holds the mean of the longest pause of each stream, by the same key.
-	pauses   lazyValues[responseTime]
-	pipeline next
-	// guard quarantines requests whose processing ends upstreams.
+	// streamPauses holds, by the same key, the mean over all streams of the longest pause within a
+	// stream.
+	streamPauses lazyValues[responseTime]
+	pipeline     handleFunc
+	// guard quarantines poison requests.
 	guard *guard.Guard
 
 	transport *http.Transport
@@ -54,29 +57,32 @@
 	inFlight atomic.Int64
 	// hostCount is the number of hosts of the installation; 0 while it is unknown.
 	hostCount atomic.Int64
-	// stopping makes the server close keep-alive connections with their next answer.
+	// stopping is set when the host begins to stop. Callers' connections are then closed after
+	// their next answer.
 	stopping atomic.Bool
-	// stopExpired is set when the stop's time limit is over and the remaining answers are cut.
+	// stopExpired is set when the time limit of the stop has passed and the connections of the
+	// answers in progress are closed.
 	stopExpired atomic.Bool
 }
 
 const (
-	// dialTimeout bounds the time to connect to an upstream. Upstreams are some milliseconds away;
-	// a dial that takes longer is to an upstream that is cut off or whose accept queue is full.
+	// dialTimeout bounds the time to connect to an upstream, which usually takes a few
+	// milliseconds. If it takes longer, the upstream is cut off or its accept queue is full.
 	dialTimeout = 250 * time.Millisecond
 	// idleConnTimeout is how long an unused connection to an upstream is kept.
 	idleConnTimeout = 8 * time.Second
-	// idlePerUpstream bounds the unused connections to one upstream.
-	idlePerUpstream = 64
-	// removalMargin is subtracted from the time for which a removed upstream still serves, since a
-	// request spends part of that time in transit.
+	// maxIdlePerUpstream bounds the unused connections to one upstream.
+	maxIdlePerUpstream = 64
+	// removalMargin is subtracted from the time for which an upstream serves after its entry was
+	// removed, since a request spends part of that time in transit.
 	removalMargin = 500 * time.Millisecond
-	// maxHeaderBytes bounds a caller's header, in bytes, before the document's own limit applies.
+	// maxHeaderBytes bounds the header of a caller's request, in bytes; the server enforces it
+	// before the limit of the routing document is applied.
 	maxHeaderBytes = 256 << 10
-	// headerTimeout bounds the time in which a caller sends a header, idleTimeout the time for
-	// which a connection stays unused.
-	headerTimeout = 10 * time.Second
-	idleTimeout   = 60 * time.Second
+	// callerHeaderTimeout bounds the time in which a caller sends a header, callerIdleTimeout the
+	// time for which a caller's connection stays open without a request.
+	callerHeaderTimeout = 10 * time.Second
+	callerIdleTimeout   = 60 * time.Second
 )
 
 // New returns a gateway. Run starts it.
@@ -87,13 +93,13 @@
 	g.fleet = NewFleet(s.DrainTime-removalMargin, log)
 	g.fleet.topology = zoneTopology{zone: s.Zone, regions: s.Regions}
 	g.fleet.policy.singleHost = s.Peers.Listen == ""
-	g.fleet.policy.seed, g.fleet.policy.hosts = s.Host, func() int { return int(g.hostCount.Load()) }
+	g.fleet.policy.seed, g.fleet.policy.hostCount = s.Host, func() int { return int(g.hostCount.Load()) }
 	g.fleet.policy.coldOverrun, g.fleet.policy.coldHeadroom = s.ColdOverrun, s.ColdHeadroom
 	g.rollouts = newRollouts(s, g.fleet, log)
-	g.budgets.make = func() *retryBudget { return newRetryBudget(retryMargin*s.RetryRatio, s.RetryWindow, g.spareRetries) }
+	g.retryBudgets.make = func() *retryBudget { return newRetryBudget(retryMargin*s.RetryRatio, s.RetryWindow, g.spareRetries) }
 	g.responseTimes.make = func() *responseTime { return new(responseTime) }
-	g.pauses.make = func() *responseTime { return new(responseTime) }
-	g.sizes.make = func() *promptSizes { return new(promptSizes) }
+	g.streamPauses.make = func() *responseTime { return new(responseTime) }
+	g.promptSizes.make = func() *promptSizes { return new(promptSizes) }
 	g.guard = guard.New(guard.Options{
 		Host: s.Host, Table: s.Statuses, Prefix: s.Tables.VerdictsPrefix, Clock: g.storeClock, OnEvent: g.metrics.countGuardEvent, Log: log,
 		OnTermination: func(i quarantine.Incarnation) { g.fleet.ejectEnded(exchange.IDHash(i)) },
@@ -107,7 +113,7 @@
 func newTransport() *http.Transport {
 	t := sealedconn.NewTransport(dialTimeout)
 	t.IdleConnTimeout = idleConnTimeout
-	t.MaxIdleConnsPerHost = idlePerUpstream
+	t.MaxIdleConnsPerHost = maxIdlePerUpstream
 	dial := t.DialContext
 	t.DialContext = func(ctx context.Context, network, host string) (net.Conn, error) {
 		return dial(ctx, network, dialAddress(host))
@@ -118,8 +124,8 @@
 // Run serves requests until the context ends, and then stops within StopTimeout.
 func (g *Gateway) Run(ctx context.Context) error {
 	g.log.Info().Str("event", "start").Str("callers", g.settings.CallerAddress).Str("ready", g.settings.ReadyAddress).Msg("")
-	// The watchers outlive the stop request, so that requests that are still in progress are
-	// routed by current data.
+	// The watchers run until the server has stopped, so that requests that are in progress when ctx
+	// ends are routed by current data.
 	watchCtx, stopWatchers := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopWatchers()
 	watchers := g.startWatchers(watchCtx)
@@ -144,36 +150,38 @@
 }
 
 const (
-	// operatorBatchDelay is how long changes of the operators' table are collected before the next
-	// call of the store: a small part of the two seconds within which they have to take effect.
+	// operatorBatchDelay is the time between receiving a change of the operators' table and the
+	// next call to the store, so that one call returns several changes. It is a small part of the
+	// two seconds within which a change has to take effect.
 	operatorBatchDelay = 300 * time.Millisecond
-	// upstreamBatchFraction is the same for the upstreams' entries, as a fraction of DrainTime,
-	// the time for which a leaving upstream still serves. When a service is replaced, dozens of
-	// entries change within seconds, and without the delay each change costs every host one call
-	// of the store.
+	// upstreamBatchFraction is the same delay for the upstreams' entries, as a fraction of
+	// DrainTime, the time for which a leaving upstream still serves. When a service is replaced,
+	// dozens of entries change within seconds, and without the delay every host would make one call
+	// to the store for each change.
 	upstreamBatchFraction = 0.4
 	// operatorPollTimeout is the long-poll timeout for the operators' table. It differs from the
-	// other watchers' timeout, so that a dead link to the store is detected by the earlier of two
-	// calls.
+	// timeout for the upstreams' table, so that the two calls end at different times and the
+	// earlier one detects a dead link to the store.
 	operatorPollTimeout = 6 * time.Second
-	// firstHubUpdateTimeout is how long a host that begins to follow a table waits for its hub's
-	// first update of it. A host finds its hub within half a second of its start.
+	// firstHubUpdateTimeout is how long a host that begins to follow a table waits for the first
+	// update of that table from its hub. A host finds its hub within half a second of its start.
 	firstHubUpdateTimeout = 900 * time.Millisecond
 	// firstTableTimeout is how long a host that starts waits for its hub to send the tables before
 	// it reads them from the store. A hub that is up sends them within 100 ms. The wait is short
 	// because it delays service when all hosts restart at once.
 	firstTableTimeout = 150 * time.Millisecond
-	// firstStartTableTimeout is the same for the first start of the whole installation, which has
-	// no callers yet and whose hubs are found within a second.
+	// firstStartTableTimeout replaces firstTableTimeout when the whole installation starts for the
+	// first time: there are no callers yet, and hosts find their hubs within a second.
 	firstStartTableTimeout = 2 * time.Second
 	// statusPollTimeout is the long-poll timeout for the status table. It is below maxStatusAge
-	// with a margin for the answer: a roll-out's share is raised only while the status data is
-	// recent, and its last rise takes half a second.
+	// with a margin for the store's response: a new version's share is raised only while the status
+	// data is recent, and the last part of the rise takes half a second.
 	statusPollTimeout = 2 * time.Second
-	// sweepInterval is how often the records of removed upstreams are cleaned up.
+	// sweepInterval is how often the records of removed upstreams are deleted.
 	sweepInterval = 10 * time.Second
 	// restrictionLogInterval is how often upstreams are checked for the end of their cold time or
-	// rate limit, to log it. Requests don't depend on it: they compare the times themselves.
+	// rate limit, to log it. The choice of an upstream doesn't depend on this check: it compares
+	// the times itself.
 	restrictionLogInterval = 250 * time.Millisecond
 )
 
@@ -183,7 +191,7 @@
 	tables, store := g.settings.Tables, g.settings.Source
 	link := feed.NewLink()
 	upstreamBatchDelay := time.Duration(upstreamBatchFraction * float64(g.settings.DrainTime))
-	// The notice that an upstream leaves has to take effect as quickly as an operators' document.
+	// An entry that states that its upstream is leaving has to take effect within DrainTime.
 	common := feed.Options{Link: link, ApplyTime: min(g.settings.ApplyTime, g.settings.DrainTime)}
 	if g.settings.Peers.Listen != "" {
 		common.Relays = func() bool { return g.peers.Relays() }
@@ -198,7 +206,7 @@
 		}
 	}
 	statusOptions, operatorOptions, upstreamOptions := common, common, common
-	statusOptions.Hold, statusOptions.Needed = statusPollTimeout, g.needsStatus
+	statusOptions.Hold, statusOptions.Needed = statusPollTimeout, g.needsStatusTable
 	operatorOptions.Hold, operatorOptions.BatchDelay = operatorPollTimeout, operatorBatchDelay
 	upstreamOptions.BatchDelay = upstreamBatchDelay
 	status := feed.NewWatcher(tables.Status, store, newStatusRows(g), statusOptions, g.log)
@@ -214,12 +222,12 @@
 		g.peers = exchange.New(exchange.Options{
 			Host: g.settings.Host, Zone: g.settings.Zone, Listen: peers.Listen, Seeds: peers.Seeds, Keys: peers.Keys,
 			FirstStart: peers.FirstStart, LinkMbps: peers.LinkMbps, Cores: peers.Cores,
-			Tables: watchers, Work: g.fleet.work, OnWork: g.fleet.setRemoteWork,
+			Tables: watchers, Work: g.fleet.workInFlight, OnWork: g.fleet.setRemoteWork,
 			OnHostCount: func(n int) { g.hostCount.Store(int64(n)) },
 			Reads:       g.fleet.takeSentPrefixes, OnReads: g.fleet.addRemotePrefixes,
 			RootGrants: g.fleet.LeaseGrants, OnHolding: g.fleet.SetHolding,
-			Limits: g.fleet.takeLimitReports, KnownLimits: g.fleet.currentLimits, OnLimits: g.fleet.applyLimits,
-			Timings: g.fleet.timings, OnTimings: g.fleet.setRemoteTimings,
+			Limits: g.fleet.takeLimitUpdates, KnownLimits: g.fleet.currentLimits, OnLimits: g.fleet.applyLimits,
+			Timings: g.fleet.ownTimings, OnTimings: g.fleet.setRemoteTimings,
 			Evidence: g.rollouts.ownEvidence, OnEvidence: g.rollouts.setRemoteEvidence, Quarantine: g.guard,
 		}, g.log)
 		group.Go(func() { g.peers.Run(ctx) })
@@ -237,24 +245,26 @@
 	return group
 }
 
-// needsStatus reports whether the status table has to be followed: while a roll-out is in
-// progress, while a quarantine verdict is known, which operators may lift, and while no other host
-// can send verdicts to this one. A host that starts reads the table once.
-func (g *Gateway) needsStatus() bool {
+// needsStatusTable reports whether the status table has to be followed. It has to be while a
+// roll-out is in progress, while a quarantine verdict is in force, which operators may withdraw,
+// and while no other host can send verdicts to this one. A host that starts reads the table once in
+// any case.
+func (g *Gateway) needsStatusTable() bool {
 	if _, received := g.rollouts.statuses.Age(); !received {
 		return true
 	}
 	return g.rollouts.hasUnfinished() || g.guard.Len() > 0 || g.peers == nil || !g.peers.ReceivesVerdicts()
 }
 
-// lapseWindow is the time after an outage of the store in which a removed entry counts as expired
-// by the outage. The next update of the entries arrives only after the delay in which their
-// changes are collected.
-const lapseWindow = 2 * time.Second
+// outageRecoveryWindow is the time after an outage of the store in which the removal of an entry is
+// attributed to the outage. Removals arrive late, since changes of entries are collected before
+// they are received (upstreamBatchFraction).
+const outageRecoveryWindow = 2 * time.Second
 
-// storeRecentlyReturned reports whether an outage of the store ended within lapseWindow.
-func (g *Gateway) storeRecentlyReturned() bool {
-	return g.upstreamWatcher != nil && g.upstreamWatcher.RecoveredWithin(lapseWindow)
+// storeRecentlyRecovered reports whether an outage of the store ended within the last
+// outageRecoveryWindow.
+func (g *Gateway) storeRecentlyRecovered() bool {
+	return g.upstreamWatcher != nil && g.upstreamWatcher.RecoveredWithin(outageRecoveryWindow)
 }
 
 // storeClock returns the store's monotonic clock; 0 while it is unknown.
--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -9,33 +9,35 @@
 type Headers struct {
 	// RequestID identifies the request; upstreams echo it.
 	RequestID string
-	// Deadline is how long the sender waits, in milliseconds.
+	// Deadline carries the time for which the sender waits for the answer, in milliseconds.
 	Deadline string
-	// AccountKey carries the caller's key, Account the account name that upstreams get.
+	// AccountKey carries the caller's key, Account the account name that is sent to upstreams.
 	AccountKey string
 	Account    string
 	// Instance carries an upstream's id on its answers, ExpectInstance the id of the upstream that
 	// a request is meant for.
 	Instance       string
 	ExpectInstance string
-	// Stamp proves that an answer comes from an upstream.
+	// Stamp marks an answer from an upstream that ran the request.
 	Stamp string
 	// NotRun marks an answer to a request that didn't run.
 	NotRun string
-	// Load carries an upstream's load: running, waiting, slots.
+	// Load carries an upstream's numbers of running requests, waiting requests and slots, separated
+	// by commas.
 	Load string
-	// Limit is the rate that an overloaded upstream accepts from all hosts together, a decimal
-	// number of requests a second.
+	// Limit carries the rate that a rate-limited upstream accepts from all hosts together, in
+	// requests a second, as a decimal number.
 	Limit string
-	// Model, TokenCount and PromptParts describe a model request.
+	// Model, TokenCount and PromptParts describe a request to a language model (see Prompt).
 	Model       string
 	TokenCount  string
 	PromptParts string
-	// Priority is the priority that is sent to an upstream, 0 to 9, 0 first.
+	// Priority carries the priority that is sent to an upstream, 0 to 9; 0 is the most urgent.
 	Priority string
-	// Confidence is a model's confidence in its answer, 0 to 100.
+	// Confidence carries a model's confidence in its answer, 0 to 100.
 	Confidence string
-	// LastEventID is the id of the last event that the reader of a stream received.
+	// LastEventID carries the id of the last event of a stream that the sender received, to resume
+	// the stream after it.
 	LastEventID string
 	// Session identifies requests that belong together.
 	Session string
@@ -73,7 +75,7 @@
 		out.Del(name)
 	}
 	out.Del("Content-Length")
-	// Without a key the client library would add its own User-Agent.
+	// Without an entry for User-Agent, the HTTP client would add its own.
 	if _, ok := out["User-Agent"]; !ok {
 		out["User-Agent"] = nil
 	}
--- a/internal/gateway/helpers_test.go
+++ b/internal/gateway/helpers_test.go
@@ -22,8 +22,8 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// testHeaders returns header names that no deployment uses, since the package must not depend on a
-// deployment's names.
+// testHeaders returns header names that no deployment uses, to test that the package doesn't depend
+// on the names of a deployment.
 func testHeaders() Headers {
 	return Headers{
 		RequestID: "T-Id", Deadline: "T-Deadline", AccountKey: "T-Key", Account: "T-Account",
@@ -38,15 +38,16 @@
 
 // testGateway is a gateway between a test's caller and upstreams.
 type testGateway struct {
-	t        *testing.T
-	gateway  *Gateway
-	store    *fakeStore
-	frontend *httptest.Server
-	client   *http.Client
-	next     int
+	t            *testing.T
+	gateway      *Gateway
+	store        *fakeStore
+	frontend     *httptest.Server
+	client       *http.Client
+	requestCount int
 }
 
-// newTestGateway returns a gateway that doesn't follow its store: tests set its data directly.
+// newTestGateway returns a gateway that doesn't follow the tables of its store. Tests set its data
+// directly.
 func newTestGateway(t *testing.T, doc routing.Document) *testGateway {
 	t.Helper()
 	store := newFakeStore()
@@ -59,20 +60,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.table.Store(table)
+	g.routingTable.Store(table)
 	g.rollouts.statuses = feed.NewWatcher("status", store, newStatusRows(g), feed.Options{}, zerolog.Nop())
-	w := &testGateway{t: t, gateway: g, store: store, client: &http.Client{Transport: &http.Transport{}}}
-	w.frontend = httptest.NewServer(g)
+	tg := &testGateway{t: t, gateway: g, store: store, client: &http.Client{Transport: &http.Transport{}}}
+	tg.frontend = httptest.NewServer(g)
 	t.Cleanup(func() {
-		w.client.CloseIdleConnections()
-		w.frontend.Close()
+		tg.client.CloseIdleConnections()
+		tg.frontend.Close()
 		g.transport.CloseIdleConnections()
 	})
-	// The retry budget is a ratio of the requests counted here.
+	// The retry budget is a ratio of the requests that were counted, so without these a test with a
+	// single request would permit no retry.
 	for range 20 {
-		g.budgets.get("svc").countRequest()
+		g.retryBudgets.get("svc").countRequest()
 	}
-	return w
+	return tg
 }
 
 func testTables() Tables {
@@ -146,13 +148,13 @@
 	return l.requests[len(l.requests)-1], l.bodies[len(l.bodies)-1]
 }
 
-// startUpstream starts an upstream of service svc with the handler. The response already echoes
-// the request's id.
-func (w *testGateway) startUpstream(id string, handler http.HandlerFunc) *requestLog {
-	return w.startUpstreamOf(Upstream{ID: id, Zone: "z1", Version: "v1"}, handler)
+// startUpstream starts an upstream of service svc in zone z1 and lists it. The handler needs not
+// set the response header that echoes the request's id.
+func (tg *testGateway) startUpstream(id string, handler http.HandlerFunc) *requestLog {
+	return tg.startUpstreamOf(Upstream{ID: id, Zone: "z1", Version: "v1"}, handler)
 }
 
-func (w *testGateway) startUpstreamOf(u Upstream, handler http.HandlerFunc) *requestLog {
+func (tg *testGateway) startUpstreamOf(u Upstream, handler http.HandlerFunc) *requestLog {
 	log := &requestLog{}
 	server := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, req *http.Request) {
 		body, _ := io.ReadAll(req.Body)
@@ -163,33 +165,33 @@
 		rw.Header().Set("T-Id", req.Header.Get("T-Id"))
 		handler(rw, req)
 	}))
-	w.t.Cleanup(server.Close)
+	tg.t.Cleanup(server.Close)
 	u.Service = "svc"
 	u.Address = server.Listener.Addr().String()
 	u.Slots = 8
-	w.gateway.fleet.Set(u, 1)
+	tg.gateway.fleet.Set(u, 1)
 	return log
 }
 
-// listUnreachable adds an upstream at an address where nothing listens.
-func (w *testGateway) listUnreachable(id string) {
+// listUnreachable lists an upstream with an address where nothing listens.
+func (tg *testGateway) listUnreachable(id string) {
 	address, release, err := freeport.Refused("127.0.0.1")
 	if err != nil {
-		w.t.Fatal(err)
+		tg.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { _ = release() })
-	w.gateway.fleet.Set(Upstream{ID: id, Service: "svc", Address: address, Zone: "z1", Version: "v1", Slots: 8}, 1)
+	tg.t.Cleanup(func() { _ = release() })
+	tg.gateway.fleet.Set(Upstream{ID: id, Service: "svc", Address: address, Zone: "z1", Version: "v1", Slots: 8}, 1)
 }
 
 // newRequest returns a caller's request with a key and a new id.
-func (w *testGateway) newRequest(method, path, body string, header ...string) *http.Request {
-	w.next++
-	req, err := http.NewRequest(method, w.frontend.URL+path, strings.NewReader(body))
+func (tg *testGateway) newRequest(method, path, body string, header ...string) *http.Request {
+	tg.requestCount++
+	req, err := http.NewRequest(method, tg.frontend.URL+path, strings.NewReader(body))
 	if err != nil {
-		w.t.Fatal(err)
+		tg.t.Fatal(err)
 	}
 	req.Host = testHost
-	req.Header.Set("T-Id", "r"+strconv.Itoa(w.next))
+	req.Header.Set("T-Id", "r"+strconv.Itoa(tg.requestCount))
 	req.Header.Set("T-Key", "key-1")
 	req.Header.Set("T-Deadline", "1500")
 	for i := 0; i < len(header); i += 2 {
@@ -203,13 +205,13 @@
 	status int
 	header http.Header
 	body   string
-	// err is set if the answer ended early.
+	// err is set if the request failed or the answer ended early.
 	err error
 }
 
-func (w *testGateway) do(req *http.Request) callerAnswer {
-	w.t.Helper()
-	resp, err := w.client.Do(req)
+func (tg *testGateway) do(req *http.Request) callerAnswer {
+	tg.t.Helper()
+	resp, err := tg.client.Do(req)
 	if err != nil {
 		return callerAnswer{err: err}
 	}
@@ -218,7 +220,7 @@
 	return callerAnswer{status: resp.StatusCode, header: resp.Header, body: string(body), err: err}
 }
 
-// Handlers of upstreams.
+// The functions below are handlers of upstreams, or return them.
 
 func respondOK(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
@@ -243,8 +245,8 @@
 // resetConnection closes the connection without a response.
 func resetConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-// streamEvents streams the events from..to. If cut is set, the connection then breaks within an
-// event.
+// streamEvents streams the events from..to. If cut is set, it then closes the connection within the
+// next event.
 func streamEvents(from, to int, cut bool, header ...string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
@@ -335,7 +337,7 @@
 	s.down = down
 }
 
-// statusTable presents the store as the status table.
+// statusTable is the status table of the store as a storage.Table.
 type statusTable struct{ *fakeStore }
 
 func (statusTable) List(context.Context, string, string, int) ([]storage.Row, error) {
@@ -388,7 +390,7 @@
 	}
 }
 
-// Get and the methods below implement the status table.
+// Get and Commit implement storage.Table for statusTable.
 func (s *fakeStore) Get(context.Context, string) (storage.Row, error) {
 	return storage.Row{}, storage.ErrNotFound
 }
--- a/internal/gateway/idletimer.go
+++ b/internal/gateway/idletimer.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// pauseFactor is multiplied by the permitted pause between two events to give the time after which
-// a stream is continued at another upstream; nothing else detects an upstream that stopped
-// responding for good. Overloaded engines make longer pauses than permitted, and giving up their
+// pauseFactor times the permitted pause between two events is the time after which a stream is
+// resumed at another upstream. Nothing else detects an upstream that stopped responding for good.
+// The factor is above 1 because overloaded engines exceed the permitted pause, and giving up their
 // streams sooner would add to the load.
 const pauseFactor = 1.5
 
-// idleTimer ends an attempt after the limit passed without data from the upstream, if mayGiveUp
-// permits it. Otherwise it asks again after the same time, since retries may be permitted by then.
+// idleTimer ends an attempt when no data was received from the upstream within a limit, if
+// mayGiveUp returns true. Otherwise it calls mayGiveUp again after the same time, since a retry may
+// be permitted by then.
 type idleTimer struct {
 	mayGiveUp func() bool
 	cancel    context.CancelCauseFunc
@@ -21,8 +22,8 @@
 	mu    sync.Mutex
 	timer *time.Timer
 	limit time.Duration
-	// waiting is set while data from the upstream is awaited; ended is set when the attempt was
-	// ended by the timer.
+	// waiting is set while the attempt waits for data from the upstream; ended is set when the
+	// timer ended the attempt.
 	waiting bool
 	ended   bool
 }
@@ -32,7 +33,7 @@
 	return &idleTimer{mayGiveUp: mayGiveUp, cancel: cancel}
 }
 
-// start waits for data from the upstream for at most limit.
+// start starts the timer: the attempt waits for data from the upstream for at most limit.
 func (t *idleTimer) start(limit time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -44,7 +45,7 @@
 	t.timer.Reset(limit)
 }
 
-// stop ends the wait.
+// stop stops the timer.
 func (t *idleTimer) stop() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -52,8 +53,8 @@
 	t.timer.Stop()
 }
 
-// expire handles the end of the limit. The lock is released while mayGiveUp runs, which takes
-// locks of its own.
+// expire is called when the limit has passed. It releases the lock while mayGiveUp runs, since that
+// takes other locks.
 func (t *idleTimer) expire() {
 	t.mu.Lock()
 	waiting := t.waiting
@@ -81,10 +82,11 @@
 	return t.ended
 }
 
-// pauseLimit returns how long a stream may be without an event. Where pauses are usually long
-// because all engines are overloaded, giving up streams would add to the load.
+// pauseLimit returns how long the stream may send no event before it is given up. The limit is
+// higher where long pauses are usual because all engines are overloaded, since giving up streams
+// would add to the load.
 func (a *attempt) pauseLimit() time.Duration {
-	pauses := a.gateway.pauses.get(a.request.responseTimeKey())
+	pauses := a.gateway.streamPauses.get(a.request.responseTimeKey())
 	permitted := a.request.Route.MaxPause
 	if permitted <= 0 {
 		permitted = defaultTarget
--- a/internal/gateway/idletimer_test.go
+++ b/internal/gateway/idletimer_test.go
@@ -13,7 +13,8 @@
 	"github.com/matryer/is"
 )
 
-// eventsThenSilence streams events and then sends nothing more.
+// eventsThenSilence returns a handler that streams the events from..to and then sends nothing until
+// release is closed or the request is canceled.
 func eventsThenSilence(from, to int, release chan struct{}) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
@@ -26,21 +27,21 @@
 	}
 }
 
-// A stream whose upstream stops sending, midway or before its first event, is resumed at another
-// upstream. Such streams used to hang until the caller's deadline.
+// A stream whose upstream stops sending, midway or before the first event, must be resumed at
+// another upstream. In an earlier version such streams hung until the caller's deadline.
 func TestIdleStreamIsResumedAtAnotherUpstream(t *testing.T) {
 	for name, sent := range map[string]int{"midway": 2, "before the first event": 0} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			doc := testDocument()
 			doc.Routes[2].MaxPause = 300 * time.Millisecond
-			w := newTestGateway(t, doc)
+			tg := newTestGateway(t, doc)
 			release := make(chan struct{})
 			defer close(release)
-			silent := w.startUpstream("silent", eventsThenSilence(1, sent, release))
-			w.startUpstreamOf(Upstream{ID: "sound", Zone: "z2", Version: "v1"}, streamEvents(sent+1, 5, false))
+			silent := tg.startUpstream("silent", eventsThenSilence(1, sent, release))
+			tg.startUpstreamOf(Upstream{ID: "sound", Zone: "z2", Version: "v1"}, streamEvents(sent+1, 5, false))
 			began := time.Now()
-			got := w.do(w.newRequest("POST", "/stream/x", "body"))
+			got := tg.do(tg.newRequest("POST", "/stream/x", "body"))
 			is.NoErr(got.err)
 			is.Equal(got.status, http.StatusOK)
 			is.Equal(got.body, eventTexts(1, 5))
@@ -50,52 +51,54 @@
 	}
 }
 
-// A stream that may not be resumed is waited for.
+// A stream that may not be resumed isn't given up however long its upstream pauses.
 func TestIdleStreamThatMayNotBeResumed(t *testing.T) {
 	is := is.New(t)
 	doc := testDocument()
 	doc.Routes[4].MaxPause = 100 * time.Millisecond
-	w := newTestGateway(t, doc)
+	tg := newTestGateway(t, doc)
 	release := make(chan struct{})
 	time.AfterFunc(400*time.Millisecond, func() { close(release) })
-	w.startUpstream("slow", eventsThenSilence(1, 2, release))
-	other := w.startUpstreamOf(Upstream{ID: "other", Zone: "z2", Version: "v1"}, streamEvents(1, 2, false))
-	got := w.do(w.newRequest("POST", "/fixed/x", "body"))
+	tg.startUpstream("slow", eventsThenSilence(1, 2, release))
+	other := tg.startUpstreamOf(Upstream{ID: "other", Zone: "z2", Version: "v1"}, streamEvents(1, 2, false))
+	got := tg.do(tg.newRequest("POST", "/fixed/x", "body"))
 	is.NoErr(got.err)
 	is.Equal(got.body, eventTexts(1, 2))
 	is.Equal(other.count(), 0)
 }
 
-// An attempt that mayGiveUp keeps at first is ended as soon as it is permitted.
+// If mayGiveUp returns false at the limit, it is called again after each further limit, and the
+// attempt ends when it returns true.
 func TestIdleTimerAsksAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancelCause(t.Context())
 		var may atomic.Bool
-		s := newIdleTimer(may.Load, cancel)
+		timer := newIdleTimer(may.Load, cancel)
 		began := time.Now()
-		s.start(time.Second)
+		timer.start(time.Second)
 		time.AfterFunc(2500*time.Millisecond, func() { may.Store(true) })
 		<-ctx.Done()
 		is.True(errors.Is(context.Cause(ctx), errResponseTimeout))
-		is.True(s.expired())
+		is.True(timer.expired())
 		is.Equal(time.Since(began), 3*time.Second)
 	})
 }
 
-// Neither data within the limit nor the time between two waits ends the attempt.
+// The attempt isn't ended if data arrives within the limit, however long the timer is stopped
+// between two waits for data.
 func TestIdleTimerDoesNotExpireWhileStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancelCause(t.Context())
-		s := newIdleTimer(func() bool { return true }, cancel)
+		timer := newIdleTimer(func() bool { return true }, cancel)
 		for range 5 {
-			s.start(time.Second)
+			timer.start(time.Second)
 			time.Sleep(900 * time.Millisecond)
-			s.stop()
+			timer.stop()
 			time.Sleep(2 * time.Second) // the caller reads slowly
 		}
 		is.NoErr(ctx.Err())
-		is.True(!s.expired())
+		is.True(!timer.expired())
 	})
 }
--- a/internal/gateway/incarnation.go
+++ b/internal/gateway/incarnation.go
@@ -16,9 +16,10 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// Set applies an upstream's entry at a revision of the store. An upstream that restarted has none
-// of the state of its former incarnation: cached prompts, failures and leaving are reset. A late
-// entry of a former incarnation is ignored. Within an incarnation, leaving is final.
+// Set applies an upstream's entry of the given revision. If the upstream restarted, the state of
+// its former incarnation is dropped: cached prompts, failures and that it was leaving. An entry of
+// a former incarnation that arrives late is ignored. Within an incarnation, an upstream that is
+// leaving stays so.
 func (f *Fleet) Set(u Upstream, revision storage.Revision) {
 	u.internStrings()
 	f.withdrawFromOtherServices(u, revision)
@@ -40,8 +41,8 @@
 		f.logEntry(m.logLevel(), "upstream-restarted", &u, revision).Int64("former", int64(m.Incarnation)).Int("in_flight", m.inFlight).Msg("")
 		m = s.add(&u)
 	}
-	if !m.removedAt.IsZero() && !m.lapsed && u.Sequence > 0 && u.Sequence <= m.Sequence {
-		// A store that was restored from a backup lists upstreams that are gone.
+	if !m.removedAt.IsZero() && !m.expiredInOutage && u.Sequence > 0 && u.Sequence <= m.Sequence {
+		// A store that was restored from a backup lists upstreams that have ended since the backup.
 		f.logEntry(zerolog.InfoLevel, "upstream-entry-old", &u, revision).Uint64("sequence", u.Sequence).Uint64("known_sequence", m.Sequence).Msg("")
 		return
 	}
@@ -58,13 +59,14 @@
 	}
 	m.Upstream, m.revision = u, revision
 	m.Leaving = leaving
-	m.removedAt, m.lapsed = time.Time{}, false
+	m.removedAt, m.expiredInOutage = time.Time{}, false
 	m.withdrawn = false
 	m.updatedAt = boottime.Now()
-	m.markCold(u.ColdFor, coldEntry, f.log)
+	m.markCold(u.ColdFor, coldReasonEntry, f.log)
 }
 
-// internStrings interns the strings that thousands of upstreams have in common, to save memory.
+// internStrings replaces strings that are equal for thousands of upstreams by shared copies, to
+// save memory.
 func (u *Upstream) internStrings() {
 	for _, text := range []*string{&u.Service, &u.Zone, &u.Version} {
 		*text = unique.Make(*text).Value()
@@ -77,25 +79,26 @@
 		Bool("leaving", u.Leaving).Stringer("revision", revision)
 }
 
-// add adds a member without any state in place of a former one of the same id. The caller holds
-// the shard's lock.
+// add adds a member without any state. It replaces a member with the same id, if there is one. The
+// caller holds the shard's lock.
 func (s *shard) add(u *Upstream) *member {
 	if former := s.members[u.ID]; former != nil {
 		s.unindex(former)
 	}
-	m := &member{Upstream: *u, shard: s, name: u.exchangeName(), lease: ratelease.NewUpstreamID(u.incarnationID()), listedAt: boottime.Now()}
+	m := &member{Upstream: *u, shard: s, idHash: u.exchangeHash(), leaseID: ratelease.NewUpstreamID(u.incarnationID()), listedAt: boottime.Now()}
 	m.Leaving = false
 	s.members[u.ID] = m
-	s.starts.count(u, 1)
-	s.names[m.name] = m
-	s.leases[m.lease] = m
+	s.startCounts.count(u, 1)
+	s.membersByHash[m.idHash] = m
+	s.membersByLease[m.leaseID] = m
 	s.setAddress(m, m.Address)
 	s.index.added = append(s.index.added, m)
 	return m
 }
 
-// incarnationID identifies the incarnation in messages between hosts, so that the work and the
-// cached parts of a former one aren't attributed to this one.
+// incarnationID returns the id of the incarnation in messages between hosts. It differs between the
+// incarnations of an upstream, so that the work and the cached parts of a former incarnation aren't
+// attributed to this one.
 func (u *Upstream) incarnationID() string {
 	if u.Incarnation == 0 {
 		return u.ID
@@ -103,19 +106,20 @@
 	return u.ID + "/" + strconv.FormatInt(int64(u.Incarnation), 10)
 }
 
-// exchangeName returns the name of the incarnation in messages between hosts.
-func (u *Upstream) exchangeName() exchange.IDHash { return exchange.HashID(u.incarnationID()) }
+// exchangeHash returns the hash of the incarnation's id, which identifies it in messages between
+// hosts.
+func (u *Upstream) exchangeHash() exchange.IDHash { return exchange.HashID(u.incarnationID()) }
 
 // guardUpstream returns the incarnation as package guard identifies it.
 func (u *Upstream) guardUpstream() guard.Upstream {
-	return guard.Upstream{ID: u.ID, Service: u.Service, Address: u.Address, Incarnation: quarantine.Incarnation(u.exchangeName())}
+	return guard.Upstream{ID: u.ID, Service: u.Service, Address: u.Address, Incarnation: quarantine.Incarnation(u.exchangeHash())}
 }
 
-// withdrawFromOtherServices withdraws members of other services with the upstream's id: an
-// upstream serves one service, the one in its newest entry.
+// withdrawFromOtherServices withdraws the members of other services that have the upstream's id,
+// since an upstream serves only the service in its newest entry.
 func (f *Fleet) withdrawFromOtherServices(u Upstream, revision storage.Revision) {
 	own := f.shard(u.Service)
-	f.each(func(s *shard) {
+	f.eachShard(func(s *shard) {
 		if m := s.members[u.ID]; s != own && m != nil && m.Incarnation <= u.Incarnation {
 			m.withdraw(f.log, revision)
 		}
@@ -132,15 +136,16 @@
 	log.Warn().Str("event", "upstream-withdrawn").Str("upstream", m.ID).Str("service", m.Service).Stringer("revision", revision).Msg("")
 }
 
-// sameListingWindow is the time within which the entries of one listing are applied. If two
-// upstreams in one listing have the same address, it isn't known which one is there.
+// sameListingWindow is the time within which the entries of one listing of the table are applied.
+// If two upstreams in one listing have the same address, it isn't known which of them listens
+// there.
 const sameListingWindow = 500 * time.Millisecond
 
-// markReplaced excludes the upstream that had the address of a new one: each address belongs to
-// one upstream, and the entry of one that ended remains for seconds. The caller holds the shard's
-// lock.
+// markReplaced excludes the upstream that was listed before with the address of a new upstream from
+// requests. Only one upstream listens at an address, and the entry of an upstream that ended
+// remains for seconds. The caller holds the shard's lock.
 func (s *shard) markReplaced(u *Upstream, log zerolog.Logger) {
-	former := s.addresses[u.Address]
+	former := s.membersByAddress[u.Address]
 	if former == nil || former.replaced || boottime.Since(former.listedAt) <= sameListingWindow {
 		return
 	}
@@ -148,33 +153,33 @@
 	log.WithLevel(former.logLevel()).Str("event", "upstream-replaced").Str("upstream", former.ID).Str("by", u.ID).Str("address", u.Address).Msg("")
 }
 
-// setAddress records the member as the last one listed at the address, and removes it from its
-// former address. An empty address only removes it. The caller holds the shard's lock.
+// setAddress records the member as the last one listed with the address instead of with m.Address.
+// If address is empty, it only removes the record of m.Address. The caller holds the shard's lock.
 func (s *shard) setAddress(m *member, address string) {
-	if s.addresses[m.Address] == m {
-		delete(s.addresses, m.Address)
+	if s.membersByAddress[m.Address] == m {
+		delete(s.membersByAddress, m.Address)
 	}
 	if address != "" {
-		s.addresses[address] = m
+		s.membersByAddress[address] = m
 	}
 }
 
-// endedEjection is how long an upstream that ended is avoided: its entry expires within that time.
+// endedEjection is how long an upstream that ended is ejected. Its entry expires within that time.
 const endedEjection = 4 * time.Second
 
-// ejectEnded ejects an upstream whose process another host found to have ended. Otherwise each
-// host would detect that by failed requests of its own.
-func (f *Fleet) ejectEnded(name exchange.IDHash) {
-	f.each(func(s *shard) {
-		if m := s.names[name]; m != nil {
+// ejectEnded ejects an upstream whose process ended, as this or another host detected. Without
+// this, each host would detect the end only by failed requests of its own.
+func (f *Fleet) ejectEnded(idHash exchange.IDHash) {
+	f.eachShard(func(s *shard) {
+		if m := s.membersByHash[idHash]; m != nil {
 			m.ensureUsage().ejectedUntil = boottime.Now().Add(endedEjection)
 		}
 	})
 }
 
-// chosenMember returns the member that the choice was made of. It is nil if the member was removed
-// or the upstream restarted since: the request's result doesn't apply to the new incarnation. The
-// caller holds the shard's lock.
+// chosenMember returns the member of the chosen upstream. It is nil if the member was deleted since
+// the choice, or if the upstream restarted, since the request's result doesn't apply to the new
+// incarnation. The caller holds the shard's lock.
 func (s *shard) chosenMember(c *choice) *member {
 	m := s.members[c.upstream.ID]
 	if m == nil || m.Incarnation != c.upstream.Incarnation {
@@ -183,10 +188,10 @@
 	return m
 }
 
-// startCounts counts upstreams in total and those with a start time.
+// startCounts holds the number of upstreams in total and of those with a start time.
 type startCounts struct{ withStart, total int }
 
-// count adds the upstream n times.
+// count adds n to the total and, if the upstream has a start time, to withStart.
 func (c *startCounts) count(u *Upstream, n int) {
 	c.total += n
 	if u.Incarnation != 0 {
@@ -197,12 +202,12 @@
 // mostHaveStart reports whether most upstreams have a start time.
 func (c startCounts) mostHaveStart() bool { return 2*c.withStart > c.total }
 
-// starts returns the counts over all services.
-func (f *Fleet) starts() startCounts {
+// startCounts returns the counts over the upstreams of all services.
+func (f *Fleet) startCounts() startCounts {
 	var c startCounts
-	f.each(func(s *shard) {
-		c.withStart += s.starts.withStart
-		c.total += s.starts.total
+	f.eachShard(func(s *shard) {
+		c.withStart += s.startCounts.withStart
+		c.total += s.startCounts.total
 	})
 	return c
 }
@@ -210,9 +215,10 @@
 // incarnationPrefix begins the label that connHost puts before an address.
 const incarnationPrefix = "start-"
 
-// connHost returns the host name under which the upstream's connections are pooled: the address,
-// after a label of the incarnation. A connection to a former incarnation may never answer, and the
-// connection pool distinguishes connections by this name alone.
+// connHost returns the host name under which the transport pools the upstream's connections: a
+// label that identifies the incarnation, followed by the address. The label keeps connections to a
+// former incarnation, on which no response may ever arrive, from being used for this one, since the
+// transport distinguishes connections by this name alone.
 func (u *Upstream) connHost() string {
 	if u.Incarnation == 0 {
 		return u.Address
@@ -220,7 +226,7 @@
 	return incarnationPrefix + strconv.FormatInt(int64(u.Incarnation), 10) + "." + u.Address
 }
 
-// dialAddress returns the address in a name that connHost made.
+// dialAddress returns the address to dial for a host name that connHost returned.
 func dialAddress(host string) string {
 	if !strings.HasPrefix(host, incarnationPrefix) {
 		return host
--- a/internal/gateway/incarnation_test.go
+++ b/internal/gateway/incarnation_test.go
@@ -23,7 +23,7 @@
 	secondStart Incarnation = firstStart + 5_000
 )
 
-func engineAt(start Incarnation) Upstream {
+func engineStartedAt(start Incarnation) Upstream {
 	return Upstream{ID: "e", Incarnation: start, Service: "svc", Address: "127.0.0.1:9", Zone: "z1", Version: "v1", Slots: 8}
 }
 
@@ -34,34 +34,34 @@
 	prompt := &placement.Prompt{Parts: []placement.Part{{ID: "p", Tokens: 1000}}, Tokens: 1200, SharedParts: 1}
 	return criteria{
 		service: "svc", zone: "z1", prompt: prompt, model: "m", keys: placement.PrefixKeys("m", prompt),
-		target: time.Second, admits: func(string) bool { return true },
+		target: time.Second, admitsVersion: func(string) bool { return true },
 	}
 }
 
 func TestRestartedUpstreamHasNoFormerState(t *testing.T) {
 	is := is.New(t)
 	f := NewFleet(time.Second, zerolog.Nop())
-	f.Set(engineAt(firstStart), 1)
+	f.Set(engineStartedAt(firstStart), 1)
 	former, ok := f.choose(promptCriteria())
 	is.True(ok)
 	m := f.memberOf("svc", "e")
 	m.eject(time.Now())
-	m.ensureUsage().failureRate, m.ensureUsage().failureAt = 1, time.Now()
+	m.ensureUsage().failureRate, m.ensureUsage().failureRateAt = 1, time.Now()
 	formerCopy := former
-	leaving := engineAt(firstStart)
+	leaving := engineStartedAt(firstStart)
 	leaving.Leaving = true
 	f.Set(leaving, 2)
 	is.True(!f.hasInService("svc", regionConstraint{}, func(string) bool { return true }))
 
-	f.Set(engineAt(secondStart), 3)
+	f.Set(engineStartedAt(secondStart), 3)
 	now := time.Now()
 	m = f.memberOf("svc", "e")
-	is.True(m.inService(now, 0))                                        // leaving ended with the former incarnation
-	is.Equal(m.inFlight, 0)                                             // so did its requests in flight
-	is.Equal(m.cachedParts(former.criteria.keys), 0)                    // and its cached parts
-	is.Equal(m.currentFailureRate(now), 0.0)                            // and its failures
-	is.True(!m.ejected(now))                                            // and its ejection
-	is.True(m.name != exchange.HashID(former.upstream.incarnationID())) // and its name in messages between hosts
+	is.True(m.inService(now, 0))                                          // it isn't leaving
+	is.Equal(m.inFlight, 0)                                               // it has no requests in flight
+	is.Equal(m.cachedParts(former.criteria.keys), 0)                      // it has nothing cached
+	is.Equal(m.currentFailureRate(now), 0.0)                              // it has no failures
+	is.True(!m.ejected(now))                                              // it isn't ejected
+	is.True(m.idHash != exchange.HashID(former.upstream.incarnationID())) // its id in messages between hosts is another one
 
 	// The result of a request to the former incarnation doesn't affect the new one.
 	f.headReceived(&formerCopy, 100*time.Millisecond)
@@ -72,39 +72,40 @@
 	is.Equal(m.cachedParts(former.criteria.keys), 0)
 }
 
-// Data of other hosts on the former incarnation isn't applied to the new one.
+// Work and prefixes that other hosts reported for a former incarnation aren't applied to the new
+// one.
 func TestRemoteDataOfAFormerIncarnation(t *testing.T) {
 	is := is.New(t)
 	f := NewFleet(time.Second, zerolog.Nop())
-	f.Set(engineAt(firstStart), 1)
-	formerName := f.memberOf("svc", "e").name
-	f.Set(engineAt(secondStart), 2)
+	f.Set(engineStartedAt(firstStart), 1)
+	formerName := f.memberOf("svc", "e").idHash
+	f.Set(engineStartedAt(secondStart), 2)
 	keys := promptCriteria().keys
 	f.setRemoteWork(exchange.Work{formerName: 900}, time.Now())
 	f.addRemotePrefixes(exchange.Reads{formerName: keys})
 	m := f.memberOf("svc", "e")
-	is.Equal(m.remoteRemaining(time.Now()), time.Duration(0))
+	is.Equal(m.remainingRemoteWork(time.Now()), time.Duration(0))
 	is.Equal(m.cachedParts(keys), 0)
 }
 
 func TestLateEntryOfAFormerIncarnation(t *testing.T) {
 	is := is.New(t)
 	f := NewFleet(time.Second, zerolog.Nop())
-	f.Set(engineAt(secondStart), 1)
-	late := engineAt(firstStart)
+	f.Set(engineStartedAt(secondStart), 1)
+	late := engineStartedAt(firstStart)
 	late.Leaving = true
 	late.Address = "127.0.0.1:10"
 	f.Set(late, 2)
 	m := f.memberOf("svc", "e")
 	is.True(m.inService(time.Now(), 0))
-	is.Equal(m.Upstream, engineAt(secondStart))
+	is.Equal(m.Upstream, engineStartedAt(secondStart))
 }
 
 func TestUpstreamThatChangedItsService(t *testing.T) {
 	is := is.New(t)
 	f := NewFleet(time.Second, zerolog.Nop())
-	f.Set(engineAt(firstStart), 1)
-	moved := engineAt(firstStart)
+	f.Set(engineStartedAt(firstStart), 1)
+	moved := engineStartedAt(firstStart)
 	moved.Service = "other"
 	f.Set(moved, 2)
 	any := func(string) bool { return true }
@@ -115,34 +116,35 @@
 // A connection to a former incarnation isn't used for the new one at the same address.
 func TestConnectionsOfAFormerIncarnation(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
+	tg := newTestGateway(t, testDocument())
 	var dialled []string
-	dial := w.gateway.transport.DialContext
-	w.gateway.transport.DialContext = func(ctx context.Context, network, host string) (net.Conn, error) {
+	dial := tg.gateway.transport.DialContext
+	tg.gateway.transport.DialContext = func(ctx context.Context, network, host string) (net.Conn, error) {
 		dialled = append(dialled, host)
 		return dial(ctx, network, host)
 	}
 	u := Upstream{ID: "a", Incarnation: firstStart, Zone: "z1", Version: "v1"}
-	w.startUpstreamOf(u, respondOK("hello"))
+	tg.startUpstreamOf(u, respondOK("hello"))
 	for range 2 {
-		is.Equal(w.do(w.newRequest("GET", "/many/x", "")).body, "hello")
+		is.Equal(tg.do(tg.newRequest("GET", "/many/x", "")).body, "hello")
 	}
 	is.Equal(len(dialled), 1)
-	again := w.gateway.fleet.memberOf("svc", "a").Upstream
+	again := tg.gateway.fleet.memberOf("svc", "a").Upstream
 	again.Incarnation = secondStart
-	w.gateway.fleet.Set(again, 2)
-	is.Equal(w.do(w.newRequest("GET", "/many/x", "")).body, "hello")
+	tg.gateway.fleet.Set(again, 2)
+	is.Equal(tg.do(tg.newRequest("GET", "/many/x", "")).body, "hello")
 	is.Equal(len(dialled), 2)
 }
 
-// Rows that can't be decoded, or that something else wrote, withdraw the upstream of their key;
-// they are logged once for each change, and other rows aren't affected.
+// If the row of an upstream can't be decoded, or lacks the start time that all others have, the
+// upstream is withdrawn. This is logged once for each change of the row, and other upstreams aren't
+// affected.
 func TestEntriesOfAnotherWriter(t *testing.T) {
 	is := is.New(t)
 	var log bytes.Buffer
-	w := newTestGateway(t, testDocument())
-	w.gateway.log = zerolog.New(&log)
-	rows := newUpstreamRows(w.gateway)
+	tg := newTestGateway(t, testDocument())
+	tg.gateway.log = zerolog.New(&log)
+	rows := newUpstreamRows(tg.gateway)
 	any := func(string) bool { return true }
 	good := func(key string, revision storage.Revision) feed.Row {
 		return feed.Row{Key: key, Revision: revision, Data: []byte(`{"Service":"svc","Incarnation":5,"Address":"127.0.0.1:9","Zone":"z1","Version":"v1"}`)}
@@ -150,13 +152,13 @@
 	bad := feed.Row{Key: "a", Revision: 3, Data: []byte("\x00\xff")}
 	rows.Replace([]feed.Row{good("a", 1), good("b", 2)}, 2)
 	rows.Change(bad)
-	f := w.gateway.fleet
+	f := tg.gateway.fleet
 	is.True(!f.memberOf("svc", "a").inService(time.Now(), time.Minute))
 	is.True(f.memberOf("svc", "b").inService(time.Now(), time.Minute))
 	rows.Replace([]feed.Row{bad, good("b", 2)}, 2)
 	is.True(!f.memberOf("svc", "a").inService(time.Now(), time.Minute))
 	is.Equal(bytes.Count(log.Bytes(), []byte("row-unreadable")), 1)
-	is.Equal(w.gateway.metrics.unreadable("upstreams").Get(), uint64(1))
+	is.Equal(tg.gateway.metrics.unreadableRows("upstreams").Get(), uint64(1))
 
 	rows.Change(feed.Row{Key: "c", Revision: 4, Data: []byte(`{"Service":"svc","Address":"127.0.0.1:9"}`)})
 	is.True(f.memberOf("svc", "c") == nil) // all other entries have a start time
@@ -166,40 +168,41 @@
 	is.True(f.hasInService("svc", regionConstraint{}, any))
 }
 
-// A platform that gives each start a new id reports no start time.
+// Entries without a start time are applied where no entry has one: some platforms give an upstream
+// a new id at each start instead.
 func TestEntriesWithoutStartTime(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
-	rows := newUpstreamRows(w.gateway)
+	tg := newTestGateway(t, testDocument())
+	rows := newUpstreamRows(tg.gateway)
 	for i, key := range []string{"a", "b", "c"} {
 		rows.Change(feed.Row{Key: key, Revision: storage.Revision(i + 1), Data: []byte(`{"Service":"svc","Address":"127.0.0.1:9"}`)})
 	}
-	is.Equal(w.gateway.fleet.starts(), startCounts{withStart: 0, total: 3})
+	is.Equal(tg.gateway.fleet.startCounts(), startCounts{withStart: 0, total: 3})
 }
 
-// A status that can't be decoded is replaced by the next one: the write is conditional on the
-// revision of the existing row.
+// The host must record the revision of a status that can't be decoded. The write that replaces the
+// row is conditional on this revision.
 func TestUnreadableStatusIsReplaced(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
-	m := w.gateway.rollouts
-	m.addOrder(RolloutOrder{Service: "svc", Version: "v2", Duration: time.Minute, Revision: 1}, false)
-	rows := newStatusRows(w.gateway)
+	tg := newTestGateway(t, testDocument())
+	ro := tg.gateway.rollouts
+	ro.addOrder(RolloutOrder{Service: "svc", Version: "v2", Duration: time.Minute, Revision: 1}, false)
+	rows := newStatusRows(tg.gateway)
 	for _, data := range []string{"{", `{"Service":"other","Version":"v2"}`} {
-		revision := m.active["svc"].status.Revision + 3
+		revision := ro.byService["svc"].status.Revision + 3
 		rows.Change(feed.Row{Key: "order/svc", Revision: revision, Data: []byte(data)})
-		is.Equal(m.active["svc"].status.Revision, revision)
-		is.True(!m.active["svc"].hasStatus())
+		is.Equal(ro.byService["svc"].status.Revision, revision)
+		is.True(!ro.byService["svc"].hasStatus())
 	}
 }
 
 func TestOrderUnderAnotherKey(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
-	rows := newOperatorRows(w.gateway)
+	tg := newTestGateway(t, testDocument())
+	rows := newOperatorRows(tg.gateway)
 	rows.Change(feed.Row{Key: "order/other", Revision: 3, Data: []byte(`{"Service":"svc","Version":"v2"}`)})
-	is.Equal(len(w.gateway.rollouts.active), 0)
-	is.Equal(w.gateway.metrics.unreadable("operator").Get(), uint64(1))
+	is.Equal(len(tg.gateway.rollouts.byService), 0)
+	is.Equal(tg.gateway.metrics.unreadableRows("operator").Get(), uint64(1))
 }
 
 func TestDialAddress(t *testing.T) {
--- a/internal/gateway/instantcrash_test.go
+++ b/internal/gateway/instantcrash_test.go
@@ -12,15 +12,16 @@
 	"github.com/matryer/is"
 )
 
-// A request that crashes upstreams at once, and is sent to three by one host, crashed nine before
-// it was quarantined: three crashes within milliseconds counted as one event. Each attempt began
-// after the previous crash, so each crash must count.
-func TestRequestThatCrashesUpstreamsAtOnceIsQuarantined(t *testing.T) {
+// A poison request that ends upstreams at once must be quarantined after a few ends. In an earlier
+// version it ended nine upstreams: the host sent it to three, one after the other, and their ends
+// within milliseconds counted as one event. Each attempt began after the previous upstream had
+// ended, so each end must count as an event.
+func TestInstantPoisonRequestIsQuarantined(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
+	tg := newTestGateway(t, testDocument())
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go w.gateway.guard.Run(ctx)
+	go tg.gateway.guard.Run(ctx)
 	ended := make(chan struct{}, 30)
 	for i := range 12 {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -34,10 +35,10 @@
 		})
 		go func() { _ = server.Serve(listener) }()
 		t.Cleanup(func() { server.Close() })
-		w.gateway.fleet.Set(Upstream{ID: fmt.Sprint("u-", i), Service: "svc", Address: listener.Addr().String(), Zone: "z1", Version: "v1", Slots: 8}, 1)
+		tg.gateway.fleet.Set(Upstream{ID: fmt.Sprint("u-", i), Service: "svc", Address: listener.Addr().String(), Zone: "z1", Version: "v1", Slots: 8}, 1)
 	}
 	for range 6 {
-		w.do(w.newRequest("POST", "/many/x", "fatal"))
+		tg.do(tg.newRequest("POST", "/many/x", "fatal"))
 		time.Sleep(1500 * time.Millisecond)
 	}
 	is.True(len(ended) <= 4)
--- a/internal/gateway/lazyvalues.go
+++ b/internal/gateway/lazyvalues.go
@@ -2,16 +2,16 @@
 
 import "sync"
 
-// lazyValues holds a value for each key, created on first use.
+// lazyValues holds a value for each key. make creates the value when it is first used.
 type lazyValues[T any] struct {
 	make   func() *T
 	values sync.Map
 }
 
-func (p *lazyValues[T]) get(key string) *T {
-	if found, ok := p.values.Load(key); ok {
+func (v *lazyValues[T]) get(key string) *T {
+	if found, ok := v.values.Load(key); ok {
 		return found.(*T)
 	}
-	made, _ := p.values.LoadOrStore(key, p.make())
+	made, _ := v.values.LoadOrStore(key, v.make())
 	return made.(*T)
 }
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -14,15 +14,16 @@
 // loggedLimit is the rate limit that was last logged for an upstream.
 type loggedLimit struct {
 	limit ratelease.Limit
-	// since is when the limit began; zero while there is none.
+	// since is when the host logged that the limit began; zero if the last log line states that the
+	// upstream has no limit.
 	since time.Time
 }
 
-// limitState is the state of the rate limit that an upstream's answers announce.
+// limitState is the state of an upstream's rate limit, which the upstream announces in its answers.
 type limitState struct {
 	ratelease.LimitState
 	logged loggedLimit
-	// bucket counts this host's requests against its part of the limit.
+	// bucket is the token bucket by which this host keeps to its part of the limit.
 	bucket ratelease.Bucket
 }
 
@@ -30,34 +31,34 @@
 func (m *member) ensureLimit() *limitState {
 	if m.limit == nil {
 		m.limit = &limitState{}
-		m.shard.leased[m] = struct{}{}
+		m.shard.coldOrLimited[m] = struct{}{}
 	}
 	return m.limit
 }
 
-// logTolerance is the relative change of a limit up to which it isn't logged again.
-const logTolerance = 0.1
+// limitLogTolerance is the largest relative change of a limit that isn't logged.
+const limitLogTolerance = 0.1
 
 // isLimited reports whether the upstream has a rate limit in force.
 func (m *member) isLimited(now time.Time) bool {
 	return m.limit != nil && m.limit.Limited(m.shard.policy.currentContact(), now)
 }
 
-// limitAllows reports whether the rate limit, if any, leaves this host another request.
+// limitAllows reports whether the rate limit, if there is one, permits this host another request.
 func (m *member) limitAllows(now time.Time) bool {
 	return !m.isLimited(now) || m.limit.bucket.Allows(m.allowance(now), now)
 }
 
 // allowance returns this host's part of the upstream's rate limit.
 func (m *member) allowance(now time.Time) ratelease.Allowance {
-	if share, ok := m.shard.policy.leasedShare(m.lease, now); ok {
+	if share, ok := m.shard.policy.leasedShare(m.leaseID, now); ok {
 		return m.limit.Limit().Allowance(share)
 	}
-	return m.shard.policy.disconnectedAllowance(m.lease, now)
+	return m.shard.policy.isolatedAllowance(m.leaseID, now)
 }
 
-// shedByRank reports whether a request of the rank is refused to leave the remaining capacity to
-// more urgent ones; this happens only if all candidates are rate-limited. The caller holds the
+// shedByRank reports whether a request of the rank is refused so that more urgent ones can use what
+// the rate limits permit. It is false unless all candidates are rate-limited. The caller holds the
 // shard's lock.
 func (s *shard) shedByRank(list candidateList, rank int, now time.Time) bool {
 	for _, m := range list.members {
@@ -65,28 +66,29 @@
 			return false
 		}
 	}
-	if now.Sub(s.suppliedAt) >= supplyMaxAge {
-		s.suppliedAt, s.supply = now, 0
-		for m := range s.leased {
+	if now.Sub(s.permittedRateAt) >= permittedRateMaxAge {
+		s.permittedRateAt, s.permittedRate = now, 0
+		for m := range s.coldOrLimited {
 			if m.isLimited(now) {
-				s.supply += m.allowance(now).Rate
+				s.permittedRate += m.allowance(now).Rate
 			}
 		}
 	}
-	return !s.ration.Admits(rank, s.supply, rand.Float64(), now)
+	return !s.rankAdmission.Admits(rank, s.permittedRate, rand.Float64(), now)
 }
 
-// supplyMaxAge is how long the sum of this host's parts of rate limits is reused.
-const supplyMaxAge = 200 * time.Millisecond
+// permittedRateMaxAge is how long permittedRate is used before it is computed again.
+const permittedRateMaxAge = 200 * time.Millisecond
 
-// limitRetryAfter returns the time after which a request that was refused because of rate limits
-// should be retried: when this host has capacity again or another host may have some.
+// limitRetryAfter returns the time after which a request to the service that was refused because of
+// rate limits should be retried: the shortest time until a limit permits this host a request, but
+// at most maxLimitRetryAfter, since another host may be permitted one earlier.
 func (f *Fleet) limitRetryAfter(service string) time.Duration {
 	s := f.shard(service)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now, wait := boottime.Now(), maxLimitRetryAfter
-	for m := range s.leased {
+	for m := range s.coldOrLimited {
 		if !m.isLimited(now) {
 			continue
 		}
@@ -97,7 +99,8 @@
 	return max(wait, minLimitRetryAfter)
 }
 
-// Bounds of the retry time of requests that were refused because of rate limits.
+// minLimitRetryAfter and maxLimitRetryAfter bound the retry time of requests that were refused
+// because of rate limits.
 const (
 	minLimitRetryAfter = 200 * time.Millisecond
 	maxLimitRetryAfter = time.Second
@@ -106,12 +109,13 @@
 // limitHeader holds the rate-limit values of an answer's head.
 type limitHeader struct {
 	values []string
-	// ran is set if the upstream ran the request: only then does a missing limit mean that the
-	// upstream has none.
-	ran bool
+	// requestRan is set if the upstream ran the request. Only then does a head without a limit mean
+	// that the upstream has none.
+	requestRan bool
 }
 
-// observeLimit records the rate limit that an answer's head announces, or that it announces none.
+// observeLimit records the rate limit that the head of the chosen upstream's answer announces, or
+// that it announces none.
 func (f *Fleet) observeLimit(c *choice, header limitHeader) {
 	s := f.shard(c.upstream.Service)
 	s.mu.Lock()
@@ -121,7 +125,8 @@
 	}
 }
 
-// observeLimit records an answer to a request that was sent at sentAt.
+// observeLimit records the rate limit in the answer to a request that was sent at sentAt. The
+// caller holds the shard's lock.
 func (m *member) observeLimit(header limitHeader, sentAt, now time.Time, log zerolog.Logger) {
 	limit, ok := ratelease.ParseLimit(header.values)
 	limited := m.isLimited(now)
@@ -136,7 +141,7 @@
 	switch {
 	case ok && limit.Binds():
 		report = m.ensureLimit().Observe(limit, now)
-	case limited && header.ran:
+	case limited && header.requestRan:
 		report = m.limit.ObserveUnlimited(sentAt, now)
 	}
 	if report {
@@ -145,50 +150,51 @@
 	m.logLimit(now, log)
 }
 
-// takeLimitReports returns the limits to report to the hub since the last call.
-func (f *Fleet) takeLimitReports() []ratelease.LimitUpdate {
+// takeLimitUpdates returns the limit updates that have to be reported to the hub since the last
+// call.
+func (f *Fleet) takeLimitUpdates() []ratelease.LimitUpdate {
 	var reports []ratelease.LimitUpdate
 	now := boottime.Now()
-	f.each(func(s *shard) {
+	f.eachShard(func(s *shard) {
 		for m := range s.unreportedLimits {
-			reports = append(reports, m.ensureLimit().NextUpdate(m.lease, now))
+			reports = append(reports, m.ensureLimit().NextUpdate(m.leaseID, now))
 		}
 		clear(s.unreportedLimits)
 	})
 	return reports
 }
 
-// currentLimits returns all known limits, for a hub that has no data yet.
+// currentLimits returns the limits of all rate-limited upstreams, for a hub that has no data yet.
 func (f *Fleet) currentLimits() []ratelease.LimitUpdate {
 	var reports []ratelease.LimitUpdate
 	now := boottime.Now()
-	f.each(func(s *shard) {
-		for m := range s.leased {
+	f.eachShard(func(s *shard) {
+		for m := range s.coldOrLimited {
 			if m.isLimited(now) {
-				reports = append(reports, m.limit.NextUpdate(m.lease, now))
+				reports = append(reports, m.limit.NextUpdate(m.leaseID, now))
 			}
 		}
 	})
 	return reports
 }
 
-// applyLimits applies the hub's data on upstreams' limits. If whole is set, upstreams that are
-// missing from the reports have no limit at the hub.
-func (f *Fleet) applyLimits(reports []ratelease.LimitUpdate, whole bool) {
+// applyLimits applies limit updates from the hub. complete is set if they contain the limits of all
+// rate-limited upstreams, so that the hub has no limit for the others.
+func (f *Fleet) applyLimits(updates []ratelease.LimitUpdate, complete bool) {
 	now := boottime.Now()
-	reported := make(map[ratelease.UpstreamID]bool, len(reports))
-	f.each(func(s *shard) {
-		for _, report := range reports {
+	reported := make(map[ratelease.UpstreamID]bool, len(updates))
+	f.eachShard(func(s *shard) {
+		for _, report := range updates {
 			reported[report.Upstream] = true
-			if m := s.leases[report.Upstream]; m != nil {
+			if m := s.membersByLease[report.Upstream]; m != nil {
 				m.ensureLimit().Apply(report, now)
 				m.logLimit(now, f.log)
 			}
 		}
-		if !whole {
+		if !complete {
 			return
 		}
-		for u, m := range s.leases {
+		for u, m := range s.membersByLease {
 			if m.limit != nil && m.limit.HasHubLimit() && !reported[u] {
 				m.limit.Apply(ratelease.LimitUpdate{Upstream: u, Ended: true}, now)
 				m.logLimit(now, f.log)
@@ -197,7 +203,7 @@
 	})
 }
 
-// logLimit logs a limit that began, changed or ended.
+// logLimit logs a limit that began, changed by more than limitLogTolerance, or ended.
 func (m *member) logLimit(now time.Time, log zerolog.Logger) {
 	if m.limit == nil {
 		return
@@ -210,7 +216,7 @@
 	case limited && logged.since.IsZero():
 		event("upstream-limited").Float64("limit", float64(limit)).Bool("first", true).Msg("")
 		*logged = loggedLimit{limit: limit, since: now}
-	case limited && math.Abs(float64(limit-logged.limit)) > logTolerance*float64(logged.limit):
+	case limited && math.Abs(float64(limit-logged.limit)) > limitLogTolerance*float64(logged.limit):
 		event("upstream-limited").Float64("limit", float64(limit)).Bool("first", false).Msg("")
 		logged.limit = limit
 	case !limited && !logged.since.IsZero():
