--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -15,7 +15,8 @@
 	"github.com/quetzalweir/quetzalweir/resultcode"
 )
 
-// withLimit adds the current values of limits to the upstream's answers as rate-limit headers.
+// withLimit returns a handler that adds the current values of limits to its answers as rate-limit
+// headers.
 func withLimit(limits *atomic.Pointer[[]string], handler http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		if named := limits.Load(); named != nil {
@@ -32,17 +33,18 @@
 }
 
 // newLimitTest returns a gateway that isn't the only host, with a rate-limited upstream in its
-// zone and another one in another zone.
-func newLimitTest(t *testing.T, limits *atomic.Pointer[[]string]) (w *testGateway, limited, other *requestLog) {
-	w = newTestGateway(t, testDocument())
-	w.gateway.fleet.policy.singleHost = false
-	limited = w.startUpstreamOf(Upstream{ID: "limited", Zone: "z1", Version: "v1"}, withLimit(limits, respondOK("limited")))
-	other = w.startUpstreamOf(Upstream{ID: "other", Zone: "z2", Version: "v1"}, respondOK("other"))
-	return w, limited, other
-}
-
-// lease grants the gateway a share of each of the upstreams, held since a time ago.
-func (w *testGateway) lease(since time.Duration, of, roots int, ids ...string) {
+// zone, and an upstream without a limit in another zone.
+func newLimitTest(t *testing.T, limits *atomic.Pointer[[]string]) (tg *testGateway, limited, other *requestLog) {
+	tg = newTestGateway(t, testDocument())
+	tg.gateway.fleet.policy.singleHost = false
+	limited = tg.startUpstreamOf(Upstream{ID: "limited", Zone: "z1", Version: "v1"}, withLimit(limits, respondOK("limited")))
+	other = tg.startUpstreamOf(Upstream{ID: "other", Zone: "z2", Version: "v1"}, respondOK("other"))
+	return tg, limited, other
+}
+
+// lease sets the gateway's leases to one of the given number of parts of each of the upstreams. The
+// gateway has held them for the duration since.
+func (tg *testGateway) lease(since time.Duration, of, roots int, ids ...string) {
 	var grants []ratelease.Grant
 	for _, id := range ids {
 		grants = append(grants, ratelease.Grant{Upstream: ratelease.NewUpstreamID(id), Parts: 1, Of: of})
@@ -52,18 +54,18 @@
 	for requestedAt := now.Add(-since); !requestedAt.After(now); requestedAt = requestedAt.Add(ratelease.LeaseDuration / 2) {
 		holding = ratelease.NewHolding(ratelease.RootLease(grants, roots), requestedAt, &holding)
 	}
-	w.gateway.fleet.SetHolding(holding, now)
+	tg.gateway.fleet.SetHolding(holding, now)
 }
 
-func (w *testGateway) mustServe(n int) {
-	w.t.Helper()
+func (tg *testGateway) sendServedRequests(n int) {
+	tg.t.Helper()
 	for range n {
-		is.New(w.t).Equal(w.do(w.newRequest("GET", "/many/x", "")).status, http.StatusOK)
+		is.New(tg.t).Equal(tg.do(tg.newRequest("GET", "/many/x", "")).status, http.StatusOK)
 	}
 }
 
-func (w *testGateway) member(id string) *member {
-	s := w.gateway.fleet.shard("svc")
+func (tg *testGateway) member(id string) *member {
+	s := tg.gateway.fleet.shard("svc")
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.members[id]
@@ -71,54 +73,55 @@
 
 func TestLimitedUpstreamWithoutLeaseGetsNoRequests(t *testing.T) {
 	is := is.New(t)
-	w, limited, other := newLimitTest(t, limitValues("1.9"))
-	w.mustServe(10)
+	tg, limited, other := newLimitTest(t, limitValues("1.9"))
+	tg.sendServedRequests(10)
 	is.Equal(limited.count(), 1) // its first answer announced the limit
 	is.Equal(other.count(), 9)
-	reports := w.gateway.fleet.takeLimitReports()
+	reports := tg.gateway.fleet.takeLimitUpdates()
 	is.Equal(len(reports), 1)
 	is.Equal(reports[0].Limit, ratelease.Limit(1.9))
-	is.Equal(w.leasedUpstreams(), []ratelease.UpstreamID{ratelease.NewUpstreamID("limited")}) // a root hub would grant leases for it
+	is.Equal(tg.leasedUpstreams(), []ratelease.UpstreamID{ratelease.NewUpstreamID("limited")}) // a root hub would grant leases for it
 }
 
 func TestLimitedUpstreamGetsTheLeasedShare(t *testing.T) {
 	is := is.New(t)
-	w, limited, _ := newLimitTest(t, limitValues("12"))
-	w.mustServe(1)
-	w.lease(10*time.Second, 2, 3, "limited", "other")
-	w.mustServe(40)
+	tg, limited, _ := newLimitTest(t, limitValues("12"))
+	tg.sendServedRequests(1)
+	tg.lease(10*time.Second, 2, 3, "limited", "other")
+	tg.sendServedRequests(40)
 	// A sixth of three quarters of 29, in one burst.
 	is.True(limited.count() >= 1+3 && limited.count() <= 1+5)
 }
 
-// A limit received from the hub applies on a host that the upstream didn't announce it to.
+// A limit that the host received from its hub is applied although the upstream didn't announce it
+// to this host.
 func TestLimitThatAnotherHostReported(t *testing.T) {
 	is := is.New(t)
-	w, limited, _ := newLimitTest(t, limitValues("1"))
+	tg, limited, _ := newLimitTest(t, limitValues("1"))
 	update := ratelease.LimitUpdate{Upstream: ratelease.NewUpstreamID("limited"), Limit: 1}
-	w.gateway.fleet.applyLimits([]ratelease.LimitUpdate{update, {Upstream: 77, Limit: 3}}, false)
-	w.mustServe(5)
+	tg.gateway.fleet.applyLimits([]ratelease.LimitUpdate{update, {Upstream: 77, Limit: 3}}, false)
+	tg.sendServedRequests(5)
 	is.Equal(limited.count(), 0)
-	w.gateway.fleet.applyLimits(nil, true) // the hub has no limits
-	w.mustServe(1)
+	tg.gateway.fleet.applyLimits(nil, true) // the hub has no limit for any upstream
+	tg.sendServedRequests(1)
 	is.Equal(limited.count(), 1)
 }
 
-// No header value that an upstream sends may lift a limit or crash the process.
-func TestLimitValues(t *testing.T) {
+// An invalid value of the rate-limit header must neither end a limit nor crash the process.
+func TestInvalidLimitValues(t *testing.T) {
 	for _, value := range []string{"", "NaN", "-5", "Inf", "1e9", "2/s", "99999999999999999999999"} {
 		t.Run(value, func(t *testing.T) {
 			is := is.New(t)
 			limits := limitValues(value)
-			w, limited, _ := newLimitTest(t, limits)
-			w.mustServe(5)
+			tg, limited, _ := newLimitTest(t, limits)
+			tg.sendServedRequests(5)
 			is.Equal(limited.count(), 5) // no valid limit was announced yet
 			one := []string{"1"}
 			limits.Store(&one)
-			w.mustServe(1)
+			tg.sendServedRequests(1)
 			unreadable := []string{value}
 			limits.Store(&unreadable)
-			w.mustServe(5)
+			tg.sendServedRequests(5)
 			is.Equal(limited.count(), 6) // the valid limit stays in force
 		})
 	}
@@ -126,63 +129,65 @@
 
 func TestLimitThatChangesInEachAnswer(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument()) // the only host has all leases
+	tg := newTestGateway(t, testDocument()) // as the only host it needs no lease
 	var n atomic.Int64
-	limited := w.startUpstream("limited", func(rw http.ResponseWriter, req *http.Request) {
+	limited := tg.startUpstream("limited", func(rw http.ResponseWriter, req *http.Request) {
 		rw.Header().Set("T-Limit", strconv.FormatFloat(3+float64(n.Add(1)%3)/100, 'f', -1, 64))
 		respondOK("limited")(rw, req)
 	})
-	w.startUpstreamOf(Upstream{ID: "other", Zone: "z2", Version: "v1"}, respondOK("other"))
-	w.mustServe(60)
-	is.True(limited.count() > 1 && limited.count() <= 23) // six times the limit, plus five
-	is.True(len(w.gateway.fleet.takeLimitReports()) <= 1)
+	tg.startUpstreamOf(Upstream{ID: "other", Zone: "z2", Version: "v1"}, respondOK("other"))
+	tg.sendServedRequests(60)
+	is.True(limited.count() > 1 && limited.count() <= 23) // at most six times the limit of 3, plus five
+	is.True(len(tg.gateway.fleet.takeLimitUpdates()) <= 1)
 }
 
-// A limit ends with answers without one to requests that were sent after the last announcement.
+// A limit ends when answers without a limit arrive to requests that were sent after the last
+// announcement.
 func TestLimitThatEnded(t *testing.T) {
 	is := is.New(t)
 	limits := limitValues("1")
-	w, limited, _ := newLimitTest(t, limits)
-	w.mustServe(1)
+	tg, limited, _ := newLimitTest(t, limits)
+	tg.sendServedRequests(1)
 	limits.Store(nil)
-	w.mustServe(3)
+	tg.sendServedRequests(3)
 	is.Equal(limited.count(), 1)
-	w.lease(time.Minute, 1, 1, "limited")
-	w.mustServe(3)
-	is.Equal(limited.count(), 4) // its burst; the limit was announced just now
-	m := w.member("limited")
+	tg.lease(time.Minute, 1, 1, "limited")
+	tg.sendServedRequests(3)
+	is.Equal(limited.count(), 4) // one burst; the limit is still in force, since it was announced just now
+	m := tg.member("limited")
 	is.True(m.isLimited(boottime.Now()))
 	time.Sleep(2 * time.Second)
-	w.lease(time.Minute, 1, 1, "limited")
-	w.mustServe(8)
+	tg.lease(time.Minute, 1, 1, "limited")
+	tg.sendServedRequests(8)
 	is.True(!m.isLimited(boottime.Now()))
 	is.True(limited.count() >= 10)
 }
 
-// A restarted upstream, or another one at its address, has no limit.
+// The limit of a former incarnation doesn't apply to an upstream that restarted.
 func TestNewIncarnationHasNoLimit(t *testing.T) {
 	is := is.New(t)
 	limits := limitValues("1")
-	w, limited, _ := newLimitTest(t, limits)
-	w.mustServe(3)
+	tg, limited, _ := newLimitTest(t, limits)
+	tg.sendServedRequests(3)
 	is.Equal(limited.count(), 1)
 	limits.Store(nil)
-	m := w.member("limited")
-	w.gateway.fleet.Set(Upstream{ID: "limited", Incarnation: 2, Service: "svc", Address: m.Address, Zone: "z1", Version: "v1", Slots: 8}, 2)
-	w.mustServe(3)
+	m := tg.member("limited")
+	tg.gateway.fleet.Set(Upstream{ID: "limited", Incarnation: 2, Service: "svc", Address: m.Address, Zone: "z1", Version: "v1", Slots: 8}, 2)
+	tg.sendServedRequests(3)
 	is.Equal(limited.count(), 4)
-	is.Equal(len(w.leasedUpstreams()), 0)
+	is.Equal(len(tg.leasedUpstreams()), 0)
 }
 
-// Where rate limits don't suffice, requests are refused at once with a Retry-After header.
+// If the rate limits of all upstreams permit no request, requests are refused at once with a
+// Retry-After header.
 func TestAllUpstreamsLimited(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
-	w.gateway.fleet.policy.singleHost = false
-	log := w.startUpstream("limited", withLimit(limitValues("0"), respondOK("limited")))
-	w.mustServe(1)
+	tg := newTestGateway(t, testDocument())
+	tg.gateway.fleet.policy.singleHost = false
+	log := tg.startUpstream("limited", withLimit(limitValues("0"), respondOK("limited")))
+	tg.sendServedRequests(1)
 	began := time.Now()
-	got := w.do(w.newRequest("POST", "/once/x", "body"))
+	got := tg.do(tg.newRequest("POST", "/once/x", "body"))
 	is.Equal(got.status, http.StatusServiceUnavailable)
 	is.Equal(strings.TrimSpace(got.body), resultcode.UpstreamsLimited.String())
 	retry, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
@@ -192,49 +197,50 @@
 	is.Equal(log.count(), 1)
 }
 
-// If no upstream is available for a retry, the caller gets the first attempt's answer.
+// If no upstream is available for a retry, the caller gets the failure of the first attempt.
 func TestFailureIsPassedOnIfNoOtherUpstreamIsAvailable(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
-	w.gateway.fleet.policy.singleHost = false
-	log := w.startUpstream("limited", withLimit(limitValues("0"), respondStatus(http.StatusInternalServerError)))
-	got := w.do(w.newRequest("GET", "/many/x", ""))
+	tg := newTestGateway(t, testDocument())
+	tg.gateway.fleet.policy.singleHost = false
+	log := tg.startUpstream("limited", withLimit(limitValues("0"), respondStatus(http.StatusInternalServerError)))
+	got := tg.do(tg.newRequest("GET", "/many/x", ""))
 	is.Equal(got.status, http.StatusInternalServerError)
 	is.Equal(got.header.Get("T-Stamp"), "stamp")
 	is.Equal(log.count(), 1)
 }
 
-// If no other upstream is available, the caller gets the answer of low confidence.
+// If no upstream is available for a better model, the caller gets the answer with low confidence.
 func TestLowConfidenceIsPassedOnIfNoOtherUpstreamIsAvailable(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
-	w.gateway.fleet.policy.singleHost = false
-	log := w.startUpstream("limited", withLimit(limitValues("0"), func(rw http.ResponseWriter, req *http.Request) {
+	tg := newTestGateway(t, testDocument())
+	tg.gateway.fleet.policy.singleHost = false
+	log := tg.startUpstream("limited", withLimit(limitValues("0"), func(rw http.ResponseWriter, req *http.Request) {
 		rw.Header().Set("T-Confidence", "1")
 		streamEvents(1, 2, false)(rw, req)
 	}))
-	got := w.do(w.newRequest("POST", "/models/x", "body", "T-Model", "*", "T-Tokens", "100,10", "T-Parts", "aa:50,bb:50"))
+	got := tg.do(tg.newRequest("POST", "/models/x", "body", "T-Model", "*", "T-Tokens", "100,10", "T-Parts", "aa:50,bb:50"))
 	is.Equal(got.status, http.StatusOK)
 	is.Equal(got.body, eventTexts(1, 2))
 	is.Equal(log.count(), 1)
 }
 
-// A host that never received the number of hosts has no share of a limit that it could compute:
-// with a guess of a hundred, a thousand such hosts sent ten times the permitted rate.
-func TestDisconnectedHostWithoutHostCount(t *testing.T) {
+// An isolated host that never received the number of hosts can't compute its share of a limit, and
+// must send nothing. In an earlier version such a host assumed a hundred hosts, so that a thousand
+// of them sent ten times the permitted rate.
+func TestIsolatedHostWithoutHostCount(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
-	f := w.gateway.fleet
+	tg := newTestGateway(t, testDocument())
+	f := tg.gateway.fleet
 	f.policy.singleHost = false
 	f.Set(Upstream{ID: "limited", Service: "svc", Zone: "z1", Version: "v1", Slots: 8}, 1)
 	m := f.memberOf("svc", "limited")
 	m.ensureLimit().Observe(50, boottime.Now())
-	long := ratelease.NewHubContact(boottime.Now().Add(-time.Hour)) // the last contact with a root hub
-	f.policy.hubContact.Store(&long)
+	contact := ratelease.NewHubContact(boottime.Now().Add(-time.Hour)) // the last contact with a root hub
+	f.policy.hubContact.Store(&contact)
 	for range 20 {
 		is.True(!m.limitAllows(boottime.Now()))
 		time.Sleep(10 * time.Millisecond)
 	}
-	w.gateway.hostCount.Store(1)
-	eventually(t, "its share is known", func() bool { return m.limitAllows(boottime.Now()) })
+	tg.gateway.hostCount.Store(1)
+	eventually(t, "the host has its share", func() bool { return m.limitAllows(boottime.Now()) })
 }
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -12,7 +12,7 @@
 	listener net.Listener
 }
 
-// listen opens all listeners; the one for callers is first.
+// listen opens all listeners and returns the servers for them; the one for callers is first.
 func (g *Gateway) listen() ([]endpoint, error) {
 	ready := http.NewServeMux()
 	ready.HandleFunc("GET "+g.settings.ReadyPath, g.serveReady)
@@ -26,18 +26,18 @@
 		{g.settings.MetricsAddress, ready},
 	}
 	var endpoints []endpoint
-	for _, p := range specs {
-		if p.address == "" {
+	for _, spec := range specs {
+		if spec.address == "" {
 			continue
 		}
-		listener, err := net.Listen("tcp", p.address)
+		listener, err := net.Listen("tcp", spec.address)
 		if err != nil {
 			return nil, fmt.Errorf("gateway: %w", err)
 		}
 		endpoints = append(endpoints, endpoint{listener: listener, server: &http.Server{
-			Handler:           p.handler,
-			ReadHeaderTimeout: headerTimeout,
-			IdleTimeout:       idleTimeout,
+			Handler:           spec.handler,
+			ReadHeaderTimeout: callerHeaderTimeout,
+			IdleTimeout:       callerIdleTimeout,
 			MaxHeaderBytes:    maxHeaderBytes,
 		}})
 	}
@@ -45,7 +45,7 @@
 }
 
 func (g *Gateway) serveReady(w http.ResponseWriter, _ *http.Request) {
-	// Without the statuses of roll-outs the host can't recognize a withdrawn version.
+	// Without the statuses of roll-outs the host might send requests to a version that was stopped.
 	_, statuses := g.rollouts.statuses.Age()
 	if g.stopping.Load() || !g.hasTables() || !statuses {
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/gateway/member.go
+++ b/internal/gateway/member.go
@@ -12,75 +12,78 @@
 )
 
 const (
-	// loadHalfLife halves the weight of a load that an upstream reported, relative to the mean of
-	// its service. A host among dozens receives a report of an upstream only every other second;
-	// using an old report, or the host's own few requests, as the load makes busy upstreams look
-	// idle.
+	// loadHalfLife is the age at which a load that an upstream reported has half the weight in the
+	// load estimate; the mean load of its service has the other half. With dozens of hosts, each
+	// host receives a report from an upstream only about every two seconds, and an old report or
+	// the host's own few requests alone make busy upstreams look idle.
 	loadHalfLife = time.Second
-	// meanLoadGain is the weight of a new report in the service's mean load.
-	meanLoadGain = 0.03
-	// failureGain is the weight of a new outcome in the failure rate.
+	// meanSlotLoadGain is the weight of a new report in the service's mean load.
+	meanSlotLoadGain = 0.03
+	// failureGain is the weight of a new outcome in an upstream's failure rate.
 	failureGain = 0.15
-	// failureHalfLife halves a failure rate without new outcomes, so that an upstream that
-	// recovered is tried again.
+	// failureHalfLife is the time after which a failure rate halves if there are no new outcomes,
+	// so that an upstream that recovered is tried again.
 	failureHalfLife = 3 * time.Second
-	// ejectUnreachable is how long an unreachable upstream gets no requests.
-	ejectUnreachable = time.Second
-	// timeoutsToEject is the number of consecutive timeouts after which the upstream counts as
-	// unreachable. A single one can be due to an unusually long request.
+	// ejectionTime is how long an unreachable upstream gets no requests after the first ejection.
+	ejectionTime = time.Second
+	// timeoutsToEject is the number of consecutive timeouts after which an upstream counts as
+	// unreachable. A single timeout can be due to an unusually long request.
 	timeoutsToEject = 2
-	// ejectRate is the failure rate above which an upstream is avoided while others of its service
-	// do better.
-	ejectRate = 0.45
+	// maxExcessFailureRate is how far an upstream's failure rate may exceed the mean of the
+	// candidates. Above that the upstream is avoided if another candidate fails less often.
+	maxExcessFailureRate = 0.45
 )
 
 // member holds the state of one upstream. The shard's lock guards it.
 type member struct {
 	Upstream
 	shard *shard
-	// name identifies the upstream in messages between hosts.
-	name exchange.IDHash
-	// revision is the store revision of the newest entry.
+	// idHash identifies the upstream in messages between hosts.
+	idHash exchange.IDHash
+	// revision is the store revision of the newest entry. removedAt is when the host was notified
+	// that the entry was removed; zero while the entry exists.
 	revision  storage.Revision
 	removedAt time.Time
 	// listedAt is when the first entry was received, updatedAt when the newest was.
 	listedAt  time.Time
 	updatedAt time.Time
-	// lease identifies the upstream in leases.
-	lease ratelease.UpstreamID
-	// lapsed is set if the entry may have expired because of an outage of the store.
-	lapsed bool
+	// leaseID identifies the upstream in leases.
+	leaseID ratelease.UpstreamID
+	// expiredInOutage is set if the entry may have expired because of an outage of the store.
+	expiredInOutage bool
 	// withdrawn is set while the entry doesn't describe a usable upstream.
 	withdrawn bool
-	// replaced is set if another upstream took over the address.
+	// replaced is set if another upstream was listed later with the same address. inFlight is the
+	// number of requests of this host that the upstream is processing.
 	replaced bool
 	inFlight int
-	// Most of thousands of upstreams get no request from this host, were never cold and have no
-	// rate limit: these are nil until needed, to save memory.
+	// The fields below are nil until needed, to save memory: of thousands of upstreams, most get no
+	// request from this host, were never cold and have no rate limit.
 	usage     *usage
 	coldState *coldState
 	limit     *limitState
 }
 
-// usage is what this host's own requests show of an upstream.
+// usage holds the data that this host derives from its own requests to an upstream. failureRate is
+// the decayed fraction of failed attempts as of failureRateAt.
 type usage struct {
-	// prefills are this host's prompts that the engine has yet to process, oldest first.
-	// lastPrefillEnd is when it last finished one.
+	// prefills are the prompts from this host whose prefill the engine hasn't finished, oldest
+	// first. lastPrefillEnd is when it last finished the prefill of a prompt from this host.
 	prefills       []*prefill
 	lastPrefillEnd time.Time
-	// sent counts the most recent requests, where cold upstreams are bounded.
+	// sent counts the most recent requests of this host, to keep the bound for cold upstreams.
 	sent ratelease.Window
 
-	// reported is the load that the upstream reported at reportedAt, when ownAtReport requests of
-	// this host were in flight there.
-	reported    int
-	ownAtReport int
-	reportedAt  time.Time
+	// reportedLoad is the number of requests, running and waiting, that the upstream reported at
+	// reportedAt, when ownAtReport requests of this host were in flight there.
+	reportedLoad int
+	ownAtReport  int
+	reportedAt   time.Time
 
-	failureRate  float64
-	failureAt    time.Time
-	ejectedUntil time.Time
-	ejections    int
+	failureRate   float64
+	failureRateAt time.Time
+	ejectedUntil  time.Time
+	ejections     int
 	// timeouts counts the timeouts since the last successful attempt.
 	timeouts int
 }
@@ -101,29 +104,31 @@
 	return *m.usage
 }
 
-// inService reports whether new requests may be sent to the upstream.
+// inService reports whether the upstream's entry permits new requests to it.
 func (m *member) inService(now time.Time, grace time.Duration) bool {
 	if m.Leaving || m.withdrawn || m.replaced {
 		return false
 	}
-	if m.lapsed {
-		grace = max(grace, lapseGrace)
+	if m.expiredInOutage {
+		grace = max(grace, outageGrace)
 	}
 	return m.removedAt.IsZero() || now.Sub(m.removedAt) < grace
 }
 
-// load returns the estimated number of requests at the upstream.
+// load returns the estimated load of the upstream by the requests of all hosts. It is the work in
+// flight (milliseconds of prefill for an engine, requests for a plain service) if totalWork is
+// known, otherwise the number of requests.
 func (m *member) load(now time.Time) float64 {
 	if work, ok := m.totalWork(now); ok {
 		return work
 	}
 	own := float64(m.inFlight)
-	mean := max(own, m.shard.meanLoad*float64(max(1, m.Slots)))
+	mean := max(own, m.shard.meanSlotLoad*float64(max(1, m.Slots)))
 	u := m.usageSnapshot()
 	if u.reportedAt.IsZero() {
 		return mean
 	}
-	reported := max(own, float64(u.reported+m.inFlight-u.ownAtReport))
+	reported := max(own, float64(u.reportedLoad+m.inFlight-u.ownAtReport))
 	weight := math.Exp2(-float64(now.Sub(u.reportedAt)) / float64(loadHalfLife))
 	return weight*reported + (1-weight)*mean
 }
@@ -132,46 +137,46 @@
 type loadSource string
 
 const (
-	// loadExchanged: this host's own work and the work that the other hosts reported.
-	loadExchanged loadSource = "exchange"
-	// loadReported: the load that the upstream reported with an answer.
-	loadReported loadSource = "report"
-	// loadUnknown: the service's mean.
-	loadUnknown loadSource = "mean"
+	// loadFromExchange: this host's own work and the work that the other hosts reported.
+	loadFromExchange loadSource = "exchange"
+	// loadFromReport: the load that the upstream reported with an answer.
+	loadFromReport loadSource = "report"
+	// loadFromMean: the mean load of the service's upstreams.
+	loadFromMean loadSource = "mean"
 )
 
-// loadSource returns the source of load and the age of its data.
+// loadSource returns the source of the load estimate and the age of the data.
 func (m *member) loadSource(now time.Time) (loadSource, time.Duration) {
 	if _, ok := m.totalWork(now); ok {
-		return loadExchanged, now.Sub(m.shard.remoteWorkAt)
+		return loadFromExchange, now.Sub(m.shard.remoteWorkAt)
 	}
 	reportedAt := m.usageSnapshot().reportedAt
 	if reportedAt.IsZero() {
-		return loadUnknown, 0
+		return loadFromMean, 0
 	}
-	return loadReported, now.Sub(reportedAt)
+	return loadFromReport, now.Sub(reportedAt)
 }
 
-// relativeLoad returns the load per slot.
-func (m *member) relativeLoad(now time.Time) float64 {
+// loadPerSlot returns the estimated load of the upstream divided by its slots.
+func (m *member) loadPerSlot(now time.Time) float64 {
 	return m.load(now) / float64(max(1, m.Slots))
 }
 
-// currentFailureRate returns the failure rate decayed to now.
+// currentFailureRate returns the failure rate, decayed to its value now.
 func (m *member) currentFailureRate(now time.Time) float64 {
 	if m.usage == nil {
 		return 0
 	}
-	return m.usage.failureRate * math.Exp2(-float64(now.Sub(m.usage.failureAt))/float64(failureHalfLife))
+	return m.usage.failureRate * math.Exp2(-float64(now.Sub(m.usage.failureRateAt))/float64(failureHalfLife))
 }
 
-// ejected reports whether the upstream gets no requests for now.
+// ejected reports whether the upstream is ejected: it gets no requests for some time.
 func (m *member) ejected(now time.Time) bool {
 	return m.usage != nil && !now.After(m.usage.ejectedUntil)
 }
 
-// observe records the result of an attempt.
-func (m *member) observe(result attemptResult, now time.Time) {
+// observeResult records the result of an attempt.
+func (m *member) observeResult(result attemptResult, now time.Time) {
 	if result.load != "" {
 		m.observeLoad(result.load, now)
 	}
@@ -202,18 +207,19 @@
 	}
 	rate := m.currentFailureRate(now)
 	u.failureRate = rate + failureGain*(bad-rate)
-	u.failureAt = now
+	u.failureRateAt = now
 }
 
-// eject excludes the upstream for a time that doubles with each repetition.
+// eject ejects the upstream. The time doubles with each ejection since the last successful attempt,
+// up to 8 times ejectionTime.
 func (m *member) eject(now time.Time) {
 	const maxDoublings = 3
 	u := m.ensureUsage()
-	u.ejectedUntil = now.Add(ejectUnreachable << min(u.ejections, maxDoublings))
+	u.ejectedUntil = now.Add(ejectionTime << min(u.ejections, maxDoublings))
 	u.ejections++
 }
 
-// observeLoad parses a load header: running, waiting, slots.
+// observeLoad records the load from an answer's load header: running, waiting, slots.
 func (m *member) observeLoad(load string, now time.Time) {
 	fields := strings.Split(load, ",")
 	if len(fields) < 2 {
@@ -225,9 +231,9 @@
 		return
 	}
 	u := m.ensureUsage()
-	u.reported = running + waiting
+	u.reportedLoad = running + waiting
 	u.ownAtReport = m.inFlight
 	u.reportedAt = now
-	relative := float64(u.reported) / float64(max(1, m.Slots))
-	m.shard.meanLoad += meanLoadGain * (relative - m.shard.meanLoad)
+	relative := float64(u.reportedLoad) / float64(max(1, m.Slots))
+	m.shard.meanSlotLoad += meanSlotLoadGain * (relative - m.shard.meanSlotLoad)
 }
--- a/internal/gateway/memberindex.go
+++ b/internal/gateway/memberindex.go
@@ -10,46 +10,50 @@
 	"github.com/quetzalweir/quetzalweir/evenhash"
 )
 
-// For a service with many upstreams the choice considers a few only: those that have parts of the
-// prompt cached, the owners of its shared prefix, and some at random. Considering all takes longer
-// than many requests have on a host with a fifth of a core. It doesn't choose better either: all
-// hosts receive the same delayed load data, and would send the requests of that interval to the
-// same few idle upstreams.
+// For a service with many upstreams, the choice of an upstream considers only a few: those that
+// have parts of the prompt cached, the owners of the prompt's shared prefix, and a few random ones.
+// On a host with a fifth of a core, considering all would take longer than many requests can wait.
+// It wouldn't choose better either: all hosts receive the same delayed load data, so that until the
+// next update all would send their requests to the same few idle upstreams.
 
 const (
-	// fullScanLimit is the number of upstreams up to which all are considered; it is about the
-	// size of the sample.
+	// fullScanLimit is the largest number of upstreams of which all are considered. It is about the
+	// size of a sample.
 	fullScanLimit = 16
-	// sameZoneDraws and otherZoneDraws are the numbers of upstreams of the host's own and of other
-	// availability zones that are drawn at random. With load data that is 150 to 450 ms old, in
-	// which time an engine processes one prompt, a few draws balance best.
+	// sameZoneDraws is the number of upstreams that are drawn at random from the host's own
+	// availability zone, otherZoneDraws the number drawn from all zones of its region. A few draws
+	// balance the load best, since the load data is 150 to 450 ms old and an engine processes one
+	// prompt in that time.
 	sameZoneDraws  = 4
 	otherZoneDraws = 3
-	// otherRegionDraws is the number of otherZoneDraws that may be of another region.
+	// otherRegionDraws is the number of the otherZoneDraws that are made among the zones of all
+	// regions.
 	otherRegionDraws = 1
-	// maxCacheHolders bounds the engines that are considered because they have parts cached: parts
-	// that are in most prompts are cached by many.
+	// maxCacheHolders bounds the number of engines that are considered because they have parts of
+	// the prompt cached. Parts that occur in most prompts are cached by many engines.
 	maxCacheHolders = 8
-	// maxDraws bounds the draws for each random choice, where some upstreams don't accept the
-	// request.
-	maxDraws = 4
-	// ringPoints is the number of points of each upstream in a hash ring: the upstreams' shares of
-	// the prefixes then differ from the mean by up to a half.
-	ringPoints = 4
-	// ringProbes bounds the search of a ring for an upstream that accepts the request.
-	ringProbes = 256
-	// indexMaxAge is how long an index is used although entries changed: when a service is
-	// replaced, thousands change within seconds. Members that are no longer in service are
-	// skipped.
+	// maxTriesPerDraw bounds how often a draw is repeated because the upstream that was drawn
+	// doesn't accept the request.
+	maxTriesPerDraw = 4
+	// pointsPerMember is the number of points of each upstream in a hash ring. With 4 points, the
+	// upstreams' shares of the prefixes differ from the mean by up to a half.
+	pointsPerMember = 4
+	// maxRingProbes bounds the number of points at which the owner of a prefix is searched for
+	// among upstreams that accept the request.
+	maxRingProbes = 256
+	// indexMaxAge is the minimum time between two updates of an index. When a service is replaced,
+	// thousands of entries change within seconds. Members that are no longer in service are skipped
+	// until the update.
 	indexMaxAge = 200 * time.Millisecond
 )
 
-// memberIndex indexes the members of a service for the choice among a sample.
+// memberIndex indexes the members of a service, to draw a sample without a scan of all. builtAt is
+// when it was last updated.
 type memberIndex struct {
 	builtAt time.Time
 	// zones are the indexes of the availability zones with members, ordered by name. added are the
-	// members that aren't in them yet. stale is set if some members in them have left the service
-	// or their zone.
+	// members that aren't in zones yet. stale is set if zones contains members that left the
+	// service or moved to another zone.
 	zones zoneIndexes
 	added []*member
 	stale bool
@@ -58,81 +62,82 @@
 // zoneIndexes are the indexes of several availability zones, ordered by name.
 type zoneIndexes []*zoneIndex
 
-// zoneIndex holds the members of an availability zone.
+// zoneIndex holds the members of an availability zone, in a list and as points of a hash ring.
 type zoneIndex struct {
 	name    string
 	members []*member
 	ring    []ringPoint
 }
 
-// ringPoint is a point of a member in the hash ring that assigns shared prefixes to engines: the
-// same on all hosts that have the same list of upstreams.
+// ringPoint is a point of a member in the hash ring that assigns shared prefixes to engines. All
+// hosts that have the same list of upstreams compute the same ring.
 type ringPoint struct {
 	at     uint64
 	member *member
 }
 
-// currentIndex returns the shard's index, updated if it is older than indexMaxAge. The caller
-// holds the shard's lock.
+// currentIndex returns the shard's index, after updating it if members changed and the last update
+// was at least indexMaxAge ago. The caller holds the shard's lock.
 func (s *shard) currentIndex(now time.Time) *memberIndex {
-	r := &s.index
-	if len(r.added) == 0 && !r.stale || now.Sub(r.builtAt) < indexMaxAge {
-		return r
+	idx := &s.index
+	if len(idx.added) == 0 && !idx.stale || now.Sub(idx.builtAt) < indexMaxAge {
+		return idx
 	}
-	r.builtAt = now
-	if r.stale {
-		r.dropStale(s)
+	idx.builtAt = now
+	if idx.stale {
+		idx.dropStale(s)
 	}
-	r.merge()
-	return r
+	idx.merge()
+	return idx
 }
 
-// dropStale removes the members that left the service or their zone.
-func (r *memberIndex) dropStale(s *shard) {
-	r.stale = false
-	for _, z := range r.zones {
+// dropStale removes the members that left the service. Members that moved to another zone are
+// removed from the former one and added by the next merge.
+func (idx *memberIndex) dropStale(s *shard) {
+	idx.stale = false
+	for _, z := range idx.zones {
 		gone := func(m *member) bool { return s.members[m.ID] != m || m.Zone != z.name }
 		for _, m := range z.members {
 			if s.members[m.ID] == m && m.Zone != z.name {
-				r.added = append(r.added, m)
+				idx.added = append(idx.added, m)
 			}
 		}
 		z.members = slices.DeleteFunc(z.members, gone)
 		z.ring = slices.DeleteFunc(z.ring, func(p ringPoint) bool { return gone(p.member) })
 	}
-	r.zones = slices.DeleteFunc(r.zones, func(z *zoneIndex) bool { return len(z.members) == 0 })
-	r.added = slices.DeleteFunc(r.added, func(m *member) bool { return s.members[m.ID] != m })
+	idx.zones = slices.DeleteFunc(idx.zones, func(z *zoneIndex) bool { return len(z.members) == 0 })
+	idx.added = slices.DeleteFunc(idx.added, func(m *member) bool { return s.members[m.ID] != m })
 }
 
-// merge adds the new members to their zones. It sorts the new points only, and merges them in one
-// pass.
-func (r *memberIndex) merge() {
-	slices.SortStableFunc(r.added, func(a, b *member) int { return cmp.Compare(a.Zone, b.Zone) })
-	for first := 0; first < len(r.added); {
-		name, end := r.added[first].Zone, first
-		for end < len(r.added) && r.added[end].Zone == name {
+// merge adds the new members to the indexes of their zones.
+func (idx *memberIndex) merge() {
+	slices.SortStableFunc(idx.added, func(a, b *member) int { return cmp.Compare(a.Zone, b.Zone) })
+	for first := 0; first < len(idx.added); {
+		name, end := idx.added[first].Zone, first
+		for end < len(idx.added) && idx.added[end].Zone == name {
 			end++
 		}
-		r.zone(name).add(r.added[first:end])
+		idx.zone(name).add(idx.added[first:end])
 		first = end
 	}
-	r.added = nil
+	idx.added = nil
 }
 
 // zone returns the zone's index, creating an empty one if there is none.
-func (r *memberIndex) zone(name string) *zoneIndex {
-	i, found := slices.BinarySearchFunc(r.zones, name, func(z *zoneIndex, name string) int { return cmp.Compare(z.name, name) })
+func (idx *memberIndex) zone(name string) *zoneIndex {
+	i, found := slices.BinarySearchFunc(idx.zones, name, func(z *zoneIndex, name string) int { return cmp.Compare(z.name, name) })
 	if !found {
-		r.zones = slices.Insert(r.zones, i, &zoneIndex{name: name})
+		idx.zones = slices.Insert(idx.zones, i, &zoneIndex{name: name})
 	}
-	return r.zones[i]
+	return idx.zones[i]
 }
 
-// add merges the members' points into the ring.
+// add adds the members and their points in the ring. It sorts only the new points and merges them
+// into the ring in one pass.
 func (z *zoneIndex) add(members []*member) {
-	points := make([]ringPoint, 0, ringPoints*len(members))
+	points := make([]ringPoint, 0, pointsPerMember*len(members))
 	for _, m := range members {
-		for i := range ringPoints {
+		for i := range pointsPerMember {
 			points = append(points, ringPoint{at: evenhash.Sum(m.ID, string(rune('a'+i))), member: m})
 		}
 	}
@@ -151,30 +156,33 @@
 	}
 }
 
-// firstPoint returns the position in the ring of the first point at or after the subject.
+// firstPoint returns the index of the first point at or after the subject, a hash of a prefix; the
+// number of points if there is none.
 func (z *zoneIndex) firstPoint(subject uint64) int {
 	i, _ := slices.BinarySearchFunc(z.ring, subject, func(p ringPoint, at uint64) int { return cmp.Compare(p.at, at) })
 	return i
 }
 
-// owner returns the first usable member at or after the subject in the zones' rings, searched as
-// one ring; nil if ringProbes points have none.
-func (l zoneIndexes) owner(subject uint64, usable func(*member) bool) *member {
-	starts, passed := make([]int, len(l)), make([]int, len(l))
-	for i, z := range l {
+// owner returns the first usable member at or after the subject, a hash of a prefix, in the rings
+// of all zones, which are searched as one ring. It returns nil if none of the first maxRingProbes
+// points belongs to a usable member.
+func (zs zoneIndexes) owner(subject uint64, usable func(*member) bool) *member {
+	starts, passed := make([]int, len(zs)), make([]int, len(zs))
+	for i, z := range zs {
 		starts[i] = z.firstPoint(subject)
 	}
-	for range ringProbes {
+	for range maxRingProbes {
 		var nearest *member
-		zone, least := -1, uint64(0)
-		for i, z := range l {
+		zone, shortest := -1, uint64(0)
+		for i, z := range zs {
 			if passed[i] == len(z.ring) {
 				continue
 			}
-			// The subtraction wraps around: points before the subject come after all others.
+			// The unsigned subtraction wraps around, so that points before the subject come after
+			// all others.
 			p := z.ring[(starts[i]+passed[i])%len(z.ring)]
-			if distance := p.at - subject; zone < 0 || distance < least {
-				nearest, zone, least = p.member, i, distance
+			if distance := p.at - subject; zone < 0 || distance < shortest {
+				nearest, zone, shortest = p.member, i, distance
 			}
 		}
 		if zone < 0 {
@@ -191,10 +199,10 @@
 // candidateList holds the upstreams that a request may be sent to.
 type candidateList struct {
 	members []*member
-	// owner and nearOwner are the engines that own the prompt's shared prefix among all
-	// availability zones and within the host's own. They are nil where the list contains all
-	// members, which are then ordered by hash.
-	owner, nearOwner *member
+	// owner is the engine that owns the prompt's shared prefix among all availability zones of the
+	// host's region, zoneOwner the one among the host's own zone. Both are nil if members contains
+	// all upstreams of the service; these are then ranked by hash.
+	owner, zoneOwner *member
 }
 
 func (l *candidateList) add(m *member) {
@@ -203,22 +211,22 @@
 	}
 }
 
-// sampleCandidates returns candidates of a service with many upstreams; none if no sampled one
-// accepts the request.
-func (s *shard) sampleCandidates(w *criteria, now time.Time, grace time.Duration) candidateList {
-	r := s.currentIndex(now)
-	near, region, all := r.zonesFor(w, s.topology)
+// sampleCandidates returns a sample of the upstreams that accept the request. The sample can be
+// empty although some upstreams accept the request. The caller holds the shard's lock.
+func (s *shard) sampleCandidates(crit *criteria, now time.Time, grace time.Duration) candidateList {
+	idx := s.currentIndex(now)
+	near, region, all := idx.zonesFor(crit, s.topology)
 	usable := func(m *member) bool {
-		return m.removedAt.IsZero() && w.admits(m.Version) && !slices.Contains(w.exclude, m.ID) &&
+		return m.removedAt.IsZero() && crit.admitsVersion(m.Version) && !slices.Contains(crit.exclude, m.ID) &&
 			!m.ejected(now) && m.acceptsRequests(now, grace)
 	}
 	list := candidateList{members: make([]*member, 0, maxCacheHolders+sameZoneDraws+otherZoneDraws+2)}
-	if w.prompt != nil {
-		s.addCacheHolders(&list, w, usable)
-		subject := evenhash.Sum(sharedPrefix(w.prompt))
-		list.owner, list.nearOwner = region.owner(subject, usable), near.owner(subject, usable)
+	if crit.prompt != nil {
+		s.addCacheHolders(&list, crit, usable)
+		subject := evenhash.Sum(sharedPrefix(crit.prompt))
+		list.owner, list.zoneOwner = region.owner(subject, usable), near.owner(subject, usable)
 		list.add(list.owner)
-		list.add(list.nearOwner)
+		list.add(list.zoneOwner)
 	}
 	list.addRandom(sameZoneDraws, near, usable)
 	list.addRandom(otherZoneDraws-otherRegionDraws, region, usable)
@@ -226,34 +234,35 @@
 	return list
 }
 
-// zonesFor returns the zones in which the request may run: the host's own, or none if it is
-// excluded; those of the host's region, or all if it has none; and all.
-func (r *memberIndex) zonesFor(w *criteria, g *zoneTopology) (near, region, all zoneIndexes) {
-	all = r.zones
-	if w.regions.restricted() {
-		all = slices.DeleteFunc(slices.Clone(all), func(z *zoneIndex) bool { return !w.regions.allows(z.name) })
+// zonesFor returns the zones in which the request may run. near is the host's own zone; empty if
+// the request may not run there. region are the zones of the host's region; all zones if none of
+// them is permitted.
+func (idx *memberIndex) zonesFor(crit *criteria, t *zoneTopology) (near, region, all zoneIndexes) {
+	all = idx.zones
+	if crit.regions.restricted() {
+		all = slices.DeleteFunc(slices.Clone(all), func(z *zoneIndex) bool { return !crit.regions.allows(z.name) })
 	}
 	region = all
-	if slices.ContainsFunc(all, func(z *zoneIndex) bool { return !g.sameRegion(z.name) }) {
-		region = slices.DeleteFunc(slices.Clone(all), func(z *zoneIndex) bool { return !g.sameRegion(z.name) })
+	if slices.ContainsFunc(all, func(z *zoneIndex) bool { return !t.sameRegion(z.name) }) {
+		region = slices.DeleteFunc(slices.Clone(all), func(z *zoneIndex) bool { return !t.sameRegion(z.name) })
 	}
 	if len(region) == 0 {
 		region = all
 	}
-	if i := slices.IndexFunc(all, func(z *zoneIndex) bool { return z.name == w.zone }); i >= 0 {
+	if i := slices.IndexFunc(all, func(z *zoneIndex) bool { return z.name == crit.zone }); i >= 0 {
 		near = all[i : i+1]
 	}
 	return near, region, all
 }
 
-// any returns a random member. The zones must have at least one.
-func (l zoneIndexes) any() *member {
+// any returns a random member of the zones, which must have at least one.
+func (zs zoneIndexes) any() *member {
 	n := 0
-	for _, z := range l {
+	for _, z := range zs {
 		n += len(z.members)
 	}
 	n = rand.IntN(n)
-	for _, z := range l {
+	for _, z := range zs {
 		if n < len(z.members) {
 			return z.members[n]
 		}
@@ -262,13 +271,13 @@
 	return nil
 }
 
-// addRandom adds random members of the zones.
-func (l *candidateList) addRandom(choices int, from zoneIndexes, usable func(*member) bool) {
+// addRandom adds up to the given number of random usable members of the zones.
+func (l *candidateList) addRandom(draws int, from zoneIndexes, usable func(*member) bool) {
 	if len(from) == 0 {
 		return
 	}
-	for range choices {
-		for range maxDraws {
+	for range draws {
+		for range maxTriesPerDraw {
 			if m := from.any(); usable(m) {
 				l.add(m)
 				break
@@ -277,11 +286,11 @@
 	}
 }
 
-// addCacheHolders adds engines that have parts of the prompt cached, those of the longest prefixes
-// first and in a random order where many hold the same prefix.
-func (s *shard) addCacheHolders(list *candidateList, w *criteria, usable func(*member) bool) {
-	for i := len(w.keys) - 1; i >= 0; i-- {
-		holders := s.cachedPrompts.Engines(w.keys[i])
+// addCacheHolders adds engines that have parts of the prompt cached: those with the longest cached
+// prefix first, and among those with the same prefix in an order that starts at a random one.
+func (s *shard) addCacheHolders(list *candidateList, crit *criteria, usable func(*member) bool) {
+	for i := len(crit.keys) - 1; i >= 0; i-- {
+		holders := s.cachedPrompts.Engines(crit.keys[i])
 		if len(holders) == 0 {
 			continue
 		}
@@ -297,15 +306,15 @@
 	}
 }
 
-// preference returns a candidate's rank for the prompt's shared prefix: owners rank above all
+// ownerRank returns the rank of a candidate for the prompt's shared prefix. Owners rank above all
 // others.
-func (l *candidateList) preference(m *member, subject string) uint64 {
+func (l *candidateList) ownerRank(m *member, subject string) uint64 {
 	switch {
 	case m == l.owner:
 		return math.MaxUint64
-	case m == l.nearOwner:
+	case m == l.zoneOwner:
 		return math.MaxUint64 - 1
-	case l.owner != nil || l.nearOwner != nil:
+	case l.owner != nil || l.zoneOwner != nil:
 		return 0
 	default:
 		return evenhash.Sum(subject, m.ID)
@@ -314,17 +323,17 @@
 
 // unindex removes the member from the shard's indexes. The caller holds the shard's lock.
 func (s *shard) unindex(m *member) {
-	m.withdrawn = true // the index may still contain it for indexMaxAge
-	s.starts.count(&m.Upstream, -1)
-	delete(s.active, m)
-	delete(s.leased, m)
+	m.withdrawn = true // s.index may contain the member for up to indexMaxAge
+	s.startCounts.count(&m.Upstream, -1)
+	delete(s.inUse, m)
+	delete(s.coldOrLimited, m)
 	s.cachedPrompts.RemoveEngine(m)
 	s.setAddress(m, "")
-	if s.names[m.name] == m {
-		delete(s.names, m.name)
+	if s.membersByHash[m.idHash] == m {
+		delete(s.membersByHash, m.idHash)
 	}
-	if s.leases[m.lease] == m {
-		delete(s.leases, m.lease)
+	if s.membersByLease[m.leaseID] == m {
+		delete(s.membersByLease, m.leaseID)
 	}
 	delete(s.unreportedLimits, m)
 	s.index.stale = true
--- a/internal/gateway/memberindex_test.go
+++ b/internal/gateway/memberindex_test.go
@@ -15,7 +15,7 @@
 	"github.com/quetzalweir/quetzalweir/placement"
 )
 
-// largeFleet returns a fleet with engines in zones z0, z1 and so on.
+// largeFleet returns a fleet with the given number of engines, spread over zones z0, z1 and so on.
 func largeFleet(engines, zones int) *Fleet {
 	f := NewFleet(time.Second, zerolog.Nop())
 	for i := range engines {
@@ -24,45 +24,46 @@
 	return f
 }
 
-// sharedPrefixCriteria returns the criteria of a request in zone z1 whose prompt begins with a
-// shared part.
+// sharedPrefixCriteria returns the criteria of a request to a host in zone z1 whose prompt begins
+// with the given shared part.
 func sharedPrefixCriteria(part string) criteria {
-	w := promptCriteria()
-	w.prompt = &placement.Prompt{Parts: []placement.Part{{ID: part, Tokens: 6000}, {ID: part + "-own", Tokens: 900}}, Tokens: 7000, SharedParts: 1}
-	w.keys = placement.PrefixKeys(w.model, w.prompt)
-	return w
+	crit := promptCriteria()
+	crit.prompt = &placement.Prompt{Parts: []placement.Part{{ID: part, Tokens: 6000}, {ID: part + "-own", Tokens: 900}}, Tokens: 7000, SharedParts: 1}
+	crit.keys = placement.PrefixKeys(crit.model, crit.prompt)
+	return crit
 }
 
 func TestLargeServiceIsSampled(t *testing.T) {
 	is := is.New(t)
 	f := largeFleet(12_000, 32)
-	w := sharedPrefixCriteria("p")
-	c, ok := f.choose(w)
+	crit := sharedPrefixCriteria("p")
+	c, ok := f.choose(crit)
 	is.True(ok)
-	is.True(c.among <= maxCacheHolders+sameZoneDraws+otherZoneDraws+2)
-	again, _ := f.choose(w)
+	is.True(c.candidateCount <= maxCacheHolders+sameZoneDraws+otherZoneDraws+2)
+	again, _ := f.choose(crit)
 	is.Equal(again.upstream.ID, c.upstream.ID) // it has the prefix cached
 	is.Equal(again.cachedParts, 2)
 }
 
-// Hosts with the same list of upstreams compute the same owners of a shared prefix, and send it
-// there first. The prefixes are distributed about evenly.
-func TestHostsAgreeOnOwners(t *testing.T) {
+// Hosts with the same list of upstreams must compute the same owners of a shared prefix and send a
+// prompt that isn't cached yet to one of them. The prefixes are distributed about evenly over the
+// engines.
+func TestHostsComputeTheSameOwners(t *testing.T) {
 	is := is.New(t)
 	const engines, parts = 1000, 4000
 	one, other := largeFleet(engines, 5), largeFleet(engines, 5)
 	now := time.Now()
 	counts := make(map[*member]int)
 	for i := range parts {
-		w := sharedPrefixCriteria(fmt.Sprint("part ", i))
-		a, b := one.shard("svc").sampleCandidates(&w, now, 0), other.shard("svc").sampleCandidates(&w, now, 0)
+		crit := sharedPrefixCriteria(fmt.Sprint("part ", i))
+		a, b := one.shard("svc").sampleCandidates(&crit, now, 0), other.shard("svc").sampleCandidates(&crit, now, 0)
 		is.Equal(a.owner.ID, b.owner.ID)
-		is.Equal(a.nearOwner.ID, b.nearOwner.ID)
-		is.Equal(a.nearOwner.Zone, "z1")
+		is.Equal(a.zoneOwner.ID, b.zoneOwner.ID)
+		is.Equal(a.zoneOwner.Zone, "z1")
 		counts[a.owner]++
 		if i < 50 {
-			c, _ := one.choose(w)
-			is.True(c.upstream.ID == a.owner.ID || c.upstream.ID == a.nearOwner.ID)
+			c, _ := one.choose(crit)
+			is.True(c.upstream.ID == a.owner.ID || c.upstream.ID == a.zoneOwner.ID)
 			one.headReceived(&c, 50*time.Millisecond)
 			one.release(c, attemptResult{outcome: outcomeDone})
 		}
@@ -75,25 +76,27 @@
 	is.True(most < 6*parts/engines)
 }
 
-// An upstream that accepts the request is found even if it is the only one.
-func TestTheOnlyUpstreamIsFound(t *testing.T) {
+// If only one upstream of a large service accepts the request, it must be found although only a
+// sample is considered at first.
+func TestOnlyUsableUpstreamIsFound(t *testing.T) {
 	is := is.New(t)
 	f := largeFleet(500, 5)
 	f.Set(Upstream{ID: "only", Service: "svc", Zone: "z3", Version: "v2", Slots: 8}, 2)
-	for _, w := range []criteria{sharedPrefixCriteria("p"), {service: "svc", zone: "z1"}} {
-		w.admits = func(version string) bool { return version == "v2" }
-		c, ok := f.choose(w)
+	for _, crit := range []criteria{sharedPrefixCriteria("p"), {service: "svc", zone: "z1"}} {
+		crit.admitsVersion = func(version string) bool { return version == "v2" }
+		c, ok := f.choose(crit)
 		is.True(ok)
 		is.Equal(c.upstream.ID, "only")
 	}
 }
 
-// Cached parts of an engine that restarted or is gone must not attract requests.
+// The cached parts recorded for an engine must be dropped when it restarts or its record is
+// deleted, so that they don't affect the choice.
 func TestRemovedCacheHolders(t *testing.T) {
 	is := is.New(t)
 	f := largeFleet(500, 5)
-	w := sharedPrefixCriteria("p")
-	c, _ := f.choose(w)
+	crit := sharedPrefixCriteria("p")
+	c, _ := f.choose(crit)
 	f.headReceived(&c, 50*time.Millisecond)
 	f.release(c, attemptResult{outcome: outcomeDone})
 	restarted := c.upstream
@@ -101,11 +104,11 @@
 	f.Set(restarted, 2)
 	is.Equal(f.shard("svc").cachedPrompts.Len(), 0)
 	for range 2000 {
-		c, _ := f.choose(criteria{service: "svc", zone: restarted.Zone, admits: anyVersion})
+		c, _ := f.choose(criteria{service: "svc", zone: restarted.Zone, admitsVersion: anyVersion})
 		is.True(c.upstream.ID != restarted.ID || c.upstream.Incarnation == firstStart)
 		f.release(c, attemptResult{outcome: outcomeDone})
 	}
-	again, _ := f.choose(w)
+	again, _ := f.choose(crit)
 	f.release(again, attemptResult{outcome: outcomeDone})
 	f.Remove(again.upstream.ID, 3, false)
 	f.Sweep(time.Now().Add(2 * recordRetention))
@@ -113,9 +116,10 @@
 	is.Equal(f.shard("svc").cachedPrompts.Len(), 0)
 }
 
-// All hosts have the same delayed load data, by which three of a hundred busy engines are idle.
-// Until they receive each other's requests, they must not all choose these three. The number of
-// choices determines the share of the busiest engine to within a hundredth.
+// By the load data that all hosts have, three of a hundred engines are idle and the others are
+// busy. Until the next update of the data, the hosts must not all choose these three. The number of
+// hosts is large enough to measure the busiest engine's share of the requests to within a
+// hundredth.
 func TestHostsSpreadRequestsOnStaleLoadData(t *testing.T) {
 	is := is.New(t)
 	const hosts, engines, idle = 10_000, 100, 3
@@ -141,11 +145,11 @@
 		}
 	}
 	t.Logf("the busiest engine gets %.3f of the requests, the idle ones %.3f", float64(most)/hosts, float64(toIdle)/hosts)
-	is.True(float64(most)/hosts < 0.3) // without the sample these get all of them
+	is.True(float64(most)/hosts < 0.3) // without sampling, the idle engines get all requests
 	is.True(float64(toIdle)/hosts < 0.5)
 }
 
-// BenchmarkChoose measures the choice of an engine for a prompt, and its release.
+// BenchmarkChoose measures the choice of an engine for a prompt and the release of the request.
 func BenchmarkChoose(b *testing.B) {
 	for _, engines := range []int{62, 1000, 12_000} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
@@ -167,7 +171,7 @@
 	}
 }
 
-// fullRing returns the points of all zones in the order of one ring.
+// fullRing returns the points of the rings of all zones, sorted as one ring.
 func fullRing(f *Fleet) []ringPoint {
 	var points []ringPoint
 	s := f.shard("svc")
@@ -179,7 +183,8 @@
 	return points
 }
 
-// An index that applied changes one by one equals that of a host that listed the result.
+// An index to which changes were applied one by one must equal the index of a host that received
+// the resulting upstreams in one listing.
 func TestIndexAppliesChanges(t *testing.T) {
 	is := is.New(t)
 	const engines = 300
@@ -205,7 +210,7 @@
 	}
 	changed, relisted := fullRing(f), fullRing(listed)
 	is.Equal(len(changed), len(relisted))
-	is.Equal(len(changed), ringPoints*len(listed.shard("svc").members))
+	is.Equal(len(changed), pointsPerMember*len(listed.shard("svc").members))
 	for i := range changed {
 		is.Equal(changed[i].at, relisted[i].at)
 		is.Equal(changed[i].member.ID, relisted[i].member.ID)
@@ -213,7 +218,8 @@
 	is.Equal(len(f.shard("svc").index.zones), len(listed.shard("svc").index.zones))
 }
 
-// The owner over all zones is the first usable member in one ring of all points.
+// The owner among all zones must be the same as the one found in a single ring with the points of
+// all zones.
 func TestOwnerOverZones(t *testing.T) {
 	is := is.New(t)
 	f := largeFleet(40, 5)
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -14,7 +14,7 @@
 // gatewayMetrics are the counters and histograms of one gateway.
 type gatewayMetrics struct {
 	set *metrics.Set
-	// verdicts counts the quarantine verdicts that this host reached.
+	// verdicts counts the quarantine verdicts that this host made.
 	verdicts *metrics.Counter
 	// startWaits counts the requests that waited for the host's first tables.
 	startWaits *metrics.Counter
@@ -26,7 +26,7 @@
 	m.startWaits = m.set.NewCounter("quetzalweir_gateway_start_waits_total")
 	m.set.NewGauge("quetzalweir_gateway_requests_quarantined", func() float64 { return float64(g.guard.Len()) })
 	m.set.NewGauge("quetzalweir_gateway_document_version", func() float64 {
-		if table := g.table.Load(); table != nil {
+		if table := g.routingTable.Load(); table != nil {
 			return float64(table.Version)
 		}
 		return 0
@@ -62,14 +62,14 @@
 	}
 }
 
-// unreadable returns the counter of a table's changes that couldn't be decoded.
-func (m *gatewayMetrics) unreadable(table string) *metrics.Counter {
+// unreadableRows returns the counter of a table's rows that couldn't be decoded.
+func (m *gatewayMetrics) unreadableRows(table string) *metrics.Counter {
 	return m.set.GetOrCreateCounter(fmt.Sprintf(`quetzalweir_gateway_rows_unreadable_total{table=%q}`, table))
 }
 
-// registerWatcher adds gauges for a followed table: the age of the last confirmation by the store,
-// in seconds, -1 before the first one; how long the host has been behind the revision that its hub
-// announced; and the calls of the store with the bytes received.
+// registerWatcher adds gauges for a followed table: the age of its data in seconds, -1 before the
+// first data; the time in seconds for which the host has lacked a revision that its hub announced;
+// the number of calls to the store; and the bytes received from it.
 func (m *gatewayMetrics) registerWatcher(table string, w *feed.Watcher) {
 	gauge := func(name string, value func() float64) {
 		m.set.NewGauge(fmt.Sprintf(`quetzalweir_gateway_%s{table=%q}`, name, table), value)
@@ -92,8 +92,8 @@
 	calls("failed", func(c feed.Calls) uint64 { return c.Failed })
 }
 
-// attempt counts one attempt.
-func (m *gatewayMetrics) attempt(r *Request, result attemptResult, took time.Duration) {
+// countAttempt counts an attempt and its duration.
+func (m *gatewayMetrics) countAttempt(r *Request, result attemptResult, took time.Duration) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`quetzalweir_gateway_attempts_total{service=%q,outcome=%q}`, r.Service, result.outcome)).Inc()
 	if len(result.limit) > 0 {
 		m.set.GetOrCreateCounter(fmt.Sprintf(`quetzalweir_gateway_limits_named_total{service=%q}`, r.Service)).Inc()
@@ -101,13 +101,13 @@
 	m.set.GetOrCreateHistogram(fmt.Sprintf(`quetzalweir_gateway_attempt_seconds{service=%q}`, r.Service)).Update(took.Seconds())
 }
 
-// request counts one request.
-func (m *gatewayMetrics) request(route, code string, took time.Duration) {
+// countRequest counts a request and its duration.
+func (m *gatewayMetrics) countRequest(route, code string, took time.Duration) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`quetzalweir_gateway_requests_total{route=%q,code=%q}`, route, code)).Inc()
 	m.set.GetOrCreateHistogram(fmt.Sprintf(`quetzalweir_gateway_request_seconds{route=%q}`, route)).Update(took.Seconds())
 }
 
-// write writes all values in the text format.
+// write writes all values in the Prometheus text format.
 func (m *gatewayMetrics) write(w io.Writer) {
 	m.set.WritePrometheus(w)
 	metrics.WriteProcessMetrics(w)
--- a/internal/gateway/models_test.go
+++ b/internal/gateway/models_test.go
@@ -65,13 +65,13 @@
 	is.Equal(new(promptSizes).observe("r", 0), 1.0) // nothing is known
 }
 
-func TestLoadOfAnOldReport(t *testing.T) {
+func TestWeightOfAReportedLoadDecays(t *testing.T) {
 	is := is.New(t)
-	s := &shard{meanLoad: 0.5}
+	s := &shard{meanSlotLoad: 0.5}
 	now := time.Now()
 	m := &member{Upstream: Upstream{Slots: 20}, shard: s}
 	is.Equal(m.load(now), 10.0) // without a report: the service's mean
-	m.ensureUsage().reported, m.ensureUsage().reportedAt = 2, now
+	m.ensureUsage().reportedLoad, m.ensureUsage().reportedAt = 2, now
 	is.Equal(m.load(now), 2.0)
 	is.Equal(m.load(now.Add(loadHalfLife)), 6.0)
 	m.inFlight = 15
@@ -83,12 +83,12 @@
 	is := is.New(t)
 	m := &member{shard: &shard{}}
 	now := time.Now()
-	m.observe(attemptResult{outcome: outcomeUnsent}, now)
+	m.observeResult(attemptResult{outcome: outcomeUnsent}, now)
 	is.True(m.ensureUsage().ejectedUntil.After(now))
 	first := m.ensureUsage().ejectedUntil.Sub(now)
-	m.observe(attemptResult{outcome: outcomeUnsent}, now)
+	m.observeResult(attemptResult{outcome: outcomeUnsent}, now)
 	is.Equal(m.ensureUsage().ejectedUntil.Sub(now), 2*first)
-	m.observe(attemptResult{outcome: outcomeDone}, now)
-	m.observe(attemptResult{outcome: outcomeUnsent}, now)
+	m.observeResult(attemptResult{outcome: outcomeDone}, now)
+	m.observeResult(attemptResult{outcome: outcomeUnsent}, now)
 	is.Equal(m.ensureUsage().ejectedUntil.Sub(now), first)
 }
--- a/internal/gateway/notreached_test.go
+++ b/internal/gateway/notreached_test.go
@@ -15,37 +15,38 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// The load of these tests: a quarter of the upstreams ends at once, and some restart at their
-// addresses under new ids. Their entries change seconds later; until then each request is sent to
-// several upstreams that are gone.
+// These tests cover the end of many upstreams at once, for example of a quarter of them. Their
+// entries are removed only seconds later; until then each request may be sent to several upstreams
+// that have ended. At some of their addresses, new upstreams with other ids start.
 
-// Attempts at upstreams that are gone don't use up the attempts that operators permit.
-func TestGoneUpstreamsUseNoAttempt(t *testing.T) {
+// Attempts that don't reach an upstream, because it has ended, must not count towards MaxAttempts.
+func TestNotReachedAttemptsAreNotCounted(t *testing.T) {
 	for _, route := range []string{"once", "many"} {
 		t.Run(route, func(t *testing.T) {
 			is := is.New(t)
-			w := newTestGateway(t, testDocument()) // MaxAttempts is 3
+			tg := newTestGateway(t, testDocument()) // MaxAttempts is 3
 			for i := range maxNotReached {
-				w.listUnreachable("gone-" + strconv.Itoa(i))
+				tg.listUnreachable("gone-" + strconv.Itoa(i))
 			}
-			w.startUpstreamOf(Upstream{ID: "there", Zone: "z2", Version: "v1"}, respondOK("ok"))
-			got := w.do(w.newRequest("POST", "/"+route+"/x", "body"))
+			tg.startUpstreamOf(Upstream{ID: "there", Zone: "z2", Version: "v1"}, respondOK("ok"))
+			got := tg.do(tg.newRequest("POST", "/"+route+"/x", "body"))
 			is.Equal(got.status, http.StatusOK)
 			is.Equal(got.body, "ok")
 		})
 	}
 }
 
-// However many upstreams are gone, the request is refused after a bounded number of attempts.
-func TestAttemptsAtGoneUpstreamsAreBounded(t *testing.T) {
+// The number of attempts that don't reach an upstream is bounded, too, so that the request is
+// refused however many upstreams have ended.
+func TestNotReachedAttemptsAreBounded(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
+	tg := newTestGateway(t, testDocument())
 	for i := range 40 {
-		w.listUnreachable("gone-" + strconv.Itoa(i))
+		tg.listUnreachable("gone-" + strconv.Itoa(i))
 	}
-	got := w.do(w.newRequest("POST", "/once/x", "body"))
+	got := tg.do(tg.newRequest("POST", "/once/x", "body"))
 	is.Equal(got.status, http.StatusServiceUnavailable)
-	s := w.gateway.fleet.shard("svc")
+	s := tg.gateway.fleet.shard("svc")
 	ejected := 0
 	for _, m := range s.members {
 		if m.ensureUsage().ejections > 0 {
@@ -55,19 +56,20 @@
 	is.Equal(ejected, 3+maxNotReached)
 }
 
-// An upstream at whose address another one answers is tried once, not by each request.
-func TestMisdirectedRequestsAreFew(t *testing.T) {
+// After one attempt that found another upstream at the address of the chosen one, other requests
+// must not be sent there.
+func TestUpstreamThatWasReplacedIsTriedOnce(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
-	former := w.startUpstream("former", respondStatus(http.StatusMisdirectedRequest))
-	w.startUpstreamOf(Upstream{ID: "there", Zone: "z2", Version: "v1"}, respondOK("ok"))
+	tg := newTestGateway(t, testDocument())
+	former := tg.startUpstream("former", respondStatus(http.StatusMisdirectedRequest))
+	tg.startUpstreamOf(Upstream{ID: "there", Zone: "z2", Version: "v1"}, respondOK("ok"))
 	for range 10 {
-		is.Equal(w.do(w.newRequest("GET", "/many/x", "")).body, "ok")
+		is.Equal(tg.do(tg.newRequest("GET", "/many/x", "")).body, "ok")
 	}
 	is.Equal(former.count(), 1)
 }
 
-// An upstream that starts at the address of one that ended replaces it at once.
+// An upstream that is listed with the address of an earlier one replaces that one at once.
 func TestNewUpstreamAtTheAddress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -83,29 +85,29 @@
 		fleet.Set(u("started", "10.0.0.1:80"), 3)
 		is.True(!inService("former"))
 		is.True(inService("started"))
-		is.True(inService("other") && inService("same-table")) // it isn't known which one is there
+		is.True(inService("other") && inService("same-table")) // either may listen at the address
 		fleet.Set(u("former", "10.0.0.1:80"), 4)               // its last heartbeat arrives late
 		is.True(!inService("former") && inService("started"))
 	})
 }
 
-// When one host detected the end of an upstream, the others avoid it without failed requests of
-// their own.
-func TestUpstreamThatEndedElsewhereIsPassedOver(t *testing.T) {
+// When a host is notified that another host detected the end of an upstream, it ejects the upstream
+// without failed requests of its own.
+func TestUpstreamThatAnotherHostReportedEndedGetsNoRequests(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
-	near := w.startUpstream("near", respondOK("near"))
-	w.startUpstreamOf(Upstream{ID: "far", Zone: "z2", Version: "v1"}, respondOK("far"))
+	tg := newTestGateway(t, testDocument())
+	near := tg.startUpstream("near", respondOK("near"))
+	tg.startUpstreamOf(Upstream{ID: "far", Zone: "z2", Version: "v1"}, respondOK("far"))
 	u := Upstream{ID: "near"}
-	w.gateway.guard.ApplyStatus(exchange.QuarantineStatus{Ended: []exchange.Ending{{Incarnation: quarantine.Incarnation(u.exchangeName()), Age: 100 * time.Millisecond}}})
+	tg.gateway.guard.ApplyStatus(exchange.QuarantineStatus{Ended: []exchange.Ending{{Incarnation: quarantine.Incarnation(u.exchangeHash()), Age: 100 * time.Millisecond}}})
 	for range 5 {
-		is.Equal(w.do(w.newRequest("GET", "/many/x", "")).body, "far")
+		is.Equal(tg.do(tg.newRequest("GET", "/many/x", "")).body, "far")
 	}
 	is.Equal(near.count(), 0)
 }
 
-// An upstream that restarted under its id, or that moved, is recorded at its current address: the
-// next one there replaces it, and one at its former address doesn't.
+// An upstream that restarted, or whose address changed, is replaced by the next upstream that is
+// listed with its current address, but not by one with its former address.
 func TestUpstreamThatMoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -128,8 +130,9 @@
 	})
 }
 
-// BenchmarkSetEntries measures how long a host takes to apply the entries of 3,000 upstreams: 301
-// hosts that all restart do it at once, on a fifth of a core each.
+// BenchmarkSetEntries measures how long a host takes to apply the entries of 3,000 upstreams. In an
+// installation of 301 hosts that all restart, each host does so at the same time, on a fifth of a
+// core.
 func BenchmarkSetEntries(b *testing.B) {
 	const upstreams = 3000
 	entries := make([]Upstream, upstreams)
--- a/internal/gateway/operatorrows.go
+++ b/internal/gateway/operatorrows.go
@@ -12,38 +12,38 @@
 
 // operatorRows applies the operators' table.
 type operatorRows struct {
-	gateway    *Gateway
-	unreadable unreadableRows
-	evacuated  *evacuations
+	gateway     *Gateway
+	unreadable  unreadableRows
+	evacuations *evacuations
 }
 
 func newOperatorRows(g *Gateway) *operatorRows {
 	return &operatorRows{
 		gateway: g, unreadable: newUnreadableRows(g, g.settings.Tables.Operator),
-		evacuated: newEvacuations(g.settings.Tables.EvacuationsPrefix, g.fleet),
+		evacuations: newEvacuations(g.settings.Tables.EvacuationsPrefix, g.fleet),
 	}
 }
 
-// Replace implements feed.Handler. A document whose row was removed stays in force, since
-// operators replace documents and don't withdraw them. An evacuation whose row was removed is
-// over, unless the store was restored from a backup that lacks it.
+// Replace implements feed.Handler. If the row of the document was removed, the document stays in
+// force, since operators replace documents and don't withdraw them. If the row of an evacuation was
+// removed, the evacuation ends, unless the store was restored from a backup that lacks the row.
 func (h *operatorRows) Replace(rows []feed.Row, revision storage.Revision) {
-	h.evacuated.replace(rows, revision)
+	h.evacuations.replace(rows, revision)
 	for _, row := range rows {
-		h.change(row, true)
+		h.apply(row, true)
 	}
 }
 
 // Change implements feed.Handler.
 func (h *operatorRows) Change(row feed.Row) {
-	if !h.evacuated.change(row) {
-		h.change(row, false)
+	if !h.evacuations.change(row) {
+		h.apply(row, false)
 	}
 }
 
-// change applies the row of a document or an order. listed is set if it was received with the
+// apply applies the row of a document or an order. listed is set if the row was received with the
 // whole table.
-func (h *operatorRows) change(row feed.Row, listed bool) {
+func (h *operatorRows) apply(row feed.Row, listed bool) {
 	g := h.gateway
 	tables := &g.settings.Tables
 	switch {
@@ -55,8 +55,8 @@
 	}
 }
 
-// recordResult records whether a row could be decoded. If not, the previous content stays in
-// force.
+// recordResult records whether a row could be applied: err is nil if so. If not, the previous
+// content of the row stays in force.
 func (h *operatorRows) recordResult(row feed.Row, err error) {
 	if err != nil {
 		h.unreadable.report(row, err)
@@ -65,7 +65,7 @@
 	h.unreadable.clear(row.Key)
 }
 
-// applyOrder applies the order of a roll-out. listed is set if it was received with the whole
+// applyOrder applies the order of a roll-out. listed is set if the row was received with the whole
 // table.
 func (g *Gateway) applyOrder(row feed.Row, listed bool) error {
 	order, err := g.settings.Codec.Order(row.Data, row.Revision)
@@ -79,14 +79,15 @@
 	return nil
 }
 
-// applyDocument puts a document in force unless one of the same or a newer version is.
+// applyDocument puts a routing document in force, unless one of the same or a newer version is in
+// force.
 func (g *Gateway) applyDocument(row feed.Row) error {
 	start := time.Now()
 	doc, err := g.settings.Codec.Document(row.Data)
 	if err != nil {
 		return err
 	}
-	known := g.table.Load()
+	known := g.routingTable.Load()
 	if known != nil && doc.Version <= known.Version {
 		g.log.Debug().Str("event", "document-known").Uint64("version", doc.Version).Msg("")
 		return nil
@@ -95,7 +96,7 @@
 	if err != nil {
 		return err
 	}
-	g.table.Store(table)
+	g.routingTable.Store(table)
 	g.fleet.SetServices(doc.Services)
 	g.log.Info().Str("event", "document-in-force").Uint64("version", doc.Version).Stringer("revision", row.Revision).
 		Int("routes", table.RouteCount()).Int("accounts", len(doc.Accounts)).
--- a/internal/gateway/promptsizes.go
+++ b/internal/gateway/promptsizes.go
@@ -2,34 +2,35 @@
 
 import "sync"
 
-// sizeGain is the weight of a new prompt in the mean sizes.
+// sizeGain is the weight of a new prompt in the mean prompt sizes.
 const sizeGain = 0.02
 
-// promptSizes keeps the mean prompt sizes of a service and its routes, in tokens, to identify the
-// routes with long prompts.
+// promptSizes holds the decayed mean prompt sizes of a service and of each of its routes, in
+// tokens, by which routes with long prompts are identified.
 type promptSizes struct {
-	mu     sync.Mutex
-	all    float64
-	routes map[string]float64
+	mu          sync.Mutex
+	serviceMean float64
+	routeMeans  map[string]float64
 }
 
-// observe records a prompt's size and returns the mean size of its route's prompts divided by that
-// of the service; 1 while nothing is known.
+// observe records the size of a prompt and returns the mean size of the route's prompts divided by
+// that of the service's prompts; 1 before the first prompt.
 func (p *promptSizes) observe(route string, tokens int) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.routes == nil {
-		p.routes = make(map[string]float64)
+	if p.routeMeans == nil {
+		p.routeMeans = make(map[string]float64)
 	}
-	p.all = movingMean(p.all, tokens)
-	p.routes[route] = movingMean(p.routes[route], tokens)
-	if p.all == 0 {
+	p.serviceMean = movingMean(p.serviceMean, tokens)
+	p.routeMeans[route] = movingMean(p.routeMeans[route], tokens)
+	if p.serviceMean == 0 {
 		return 1
 	}
-	return p.routes[route] / p.all
+	return p.routeMeans[route] / p.serviceMean
 }
 
-// movingMean moves a mean towards a value. A mean of 0 has no values yet.
+// movingMean returns the decayed mean after another value. A mean of 0 means that there was no
+// value.
 func movingMean(mean float64, value int) float64 {
 	if mean == 0 {
 		return float64(value)
--- a/internal/gateway/ramp.go
+++ b/internal/gateway/ramp.go
@@ -3,75 +3,82 @@
 import "math"
 
 const (
-	// sessionsFrom is when requests of sessions begin to take part, as a fraction of the duration:
-	// a session may change its version in the second half only.
+	// sessionsFrom is when requests of sessions begin to run on the new version, as a fraction of
+	// the roll-out's duration. A session may change its version only in the second half.
 	sessionsFrom = 0.51
-	// exposureFraction is the fraction of the permitted exposure that a version without bad results
-	// may use by the end of its roll-out. A version can have a fault that shows late or never, for
-	// example only under a load that doesn't occur. The rest is a margin for uneven traffic.
+	// exposureFraction is the fraction of the permitted exposure that a version may use by the end
+	// of its roll-out if it gives no bad answers. Such a version is bounded too, since it can have
+	// a fault that shows late or only under a load that doesn't occur in the roll-out. The rest of
+	// the exposure is a margin for uneven traffic.
 	exposureFraction = 0.9
-	// trialFraction is the fraction of the exposure before the final rise that is spent at a constant
-	// share from the start. It serves detection: most bad versions show within some ten answers,
-	// and a sound one is completed on about thirty.
-	trialFraction = 0.5
-	// rampFrom is when the share starts to rise and fullAt when it reaches all requests, as
+	// initialFraction is the fraction of the exposure before fullAt that is used at a constant
+	// share from the start of the roll-out, so that bad versions are detected early. Most of them
+	// are detected within about ten answers, and about thirty answers suffice to complete a sound
+	// version.
+	initialFraction = 0.5
+	// riseFrom is when the share starts to rise and fullAt when it reaches all requests, as
 	// fractions of the roll-out's duration.
-	rampFrom = 0.7
+	riseFrom = 0.7
 	fullAt   = 0.935
-	// completeAt is when the roll-out may be reported as completed: after most answers that began
-	// on the old version are over, and early enough for the status to be stored before the
-	// roll-out's time is up, although the order may have been received a second late.
+	// completeAt is when the roll-out may be reported as completed, as a fraction of its duration.
+	// By then, most answers that began on the old version are complete. It is early enough for the
+	// status to be stored before the duration has passed, even if the order was received a second
+	// late.
 	completeAt = 0.95
-	// minExponent and maxExponent bound how steeply the share rises.
+	// minExponent and maxExponent bound the exponent of the rising share.
 	minExponent = 2
 	maxExponent = 200
 )
 
-// ramp defines how a new version's share rises with time. Its fraction of all requests from the
-// order to the end stays below the permitted share even if no fault is ever detected.
+// ramp defines how a new version's share rises with time. Over the whole duration of the roll-out,
+// the new version's fraction of all requests stays below the permitted share even if no fault is
+// detected. Times are fractions of the roll-out's duration.
 type ramp struct {
-	// from is when requests begin to take part, as a fraction of the duration.
-	from float64
-	// trial is the constant share from then until the rise.
-	trial float64
-	// exponent is the power of time by which the share rises.
+	// startsAt is when the new version gets its first requests.
+	startsAt float64
+	// initialShare is the constant share from startsAt until the rising share exceeds it.
+	initialShare float64
+	// exponent is the exponent of the rising share, which is a power of the time since riseFrom.
 	exponent float64
-	// full is when the share reaches all requests, as a fraction of the duration.
-	full float64
+	// fullAt is when the share reaches all requests.
+	fullAt float64
 }
 
-// newRamp returns the ramp for requests that take part from the given fraction of the duration on,
-// for a permitted share of a roll-out's requests.
+// newRamp returns the ramp of a version whose fraction of all requests during the roll-out must not
+// exceed permitted, and that gets requests from the given fraction of the duration on.
 func newRamp(permitted, from float64) ramp {
-	r := ramp{from: from, full: fullAt}
+	r := ramp{startsAt: from, fullAt: fullAt}
 	left := exposureFraction*permitted - (1 - fullAt)
 	if left <= 0 {
-		// The permitted share is too small to reach all requests before the end: keeping the
-		// exposure bound takes precedence over finishing early.
-		r.full = 1
+		// The permitted share is too small for the new version to serve all requests from fullAt
+		// on. Keeping the bound takes precedence over reaching all requests before the end.
+		r.fullAt = 1
 		r.exponent = maxExponent
-		r.trial = trialFraction * exposureFraction * permitted / (1 - from)
+		r.initialShare = initialFraction * exposureFraction * permitted / (1 - from)
 		return r
 	}
-	// The trial's share applies until the rising share exceeds it, at the latest until the end.
-	r.trial = trialFraction * left / (fullAt - from)
-	// The integral of x to the power n from 0 to width, scaled to reach 1, is width / (n + 1).
-	const width = fullAt - rampFrom
-	r.exponent = min(maxExponent, max(minExponent, width/((1-trialFraction)*left)-1))
+	// The initial share applies from startsAt to fullAt at most.
+	r.initialShare = initialFraction * left / (fullAt - from)
+	// A share that rises with the power n from 0 to 1 over a time of width has the integral
+	// width / (n + 1).
+	const width = fullAt - riseFrom
+	r.exponent = min(maxExponent, max(minExponent, width/((1-initialFraction)*left)-1))
 	return r
 }
 
-// share returns the share of requests at a fraction of the roll-out's duration.
-func (r ramp) share(at float64) float64 {
+// share returns the new version's share of requests at the given fraction of the roll-out's
+// duration.
+func (r ramp) share(progress float64) float64 {
 	switch {
-	case at < r.from:
+	case progress < r.startsAt:
 		return 0
-	case at <= rampFrom:
-		return r.trial
+	case progress <= riseFrom:
+		return r.initialShare
 	default:
-		return max(r.trial, math.Pow(min(1, (at-rampFrom)/(r.full-rampFrom)), r.exponent))
+		return max(r.initialShare, math.Pow(min(1, (progress-riseFrom)/(r.fullAt-riseFrom)), r.exponent))
 	}
 }
 
-// done reports whether the roll-out may be reported as completed.
-func (r ramp) done(at float64) bool { return at >= max(completeAt, r.full) }
+// mayComplete reports whether the roll-out may be reported as completed at the given fraction of
+// its duration.
+func (r ramp) mayComplete(progress float64) bool { return progress >= max(completeAt, r.fullAt) }
--- a/internal/gateway/ramp_test.go
+++ b/internal/gateway/ramp_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// A version without bad results stays within the permitted exposure as well, for requests with
-// sessions, without, or both: each kind keeps the bound by itself.
+// The exposure of a version without bad answers must stay within the permitted one. Requests with
+// and without a session keep the bound separately, so that it holds for any mixture of them.
 func TestExposureOfAVersionWithoutBadResults(t *testing.T) {
 	for _, permitted := range []float64{0.01, 0.05, 0.0975, 0.15, 0.3, 0.5} {
 		for _, from := range []float64{0, sessionsFrom} {
@@ -41,8 +41,8 @@
 				if at <= 0.5 && from > 0 {
 					is.Equal(last, 0.0) // sessions keep their version in the first half
 				}
-				if r.done(at) {
-					is.Equal(last, 1.0) // no request is on the old version when it is stopped
+				if r.mayComplete(at) {
+					is.Equal(last, 1.0) // no request runs on the old version any more
 				}
 			}
 		})
--- a/internal/gateway/regions_test.go
+++ b/internal/gateway/regions_test.go
@@ -16,8 +16,8 @@
 // twoRegions maps zones to regions for a host in zone z1.
 var twoRegions = map[string]string{"z1": "south", "z2": "south", "z3": "north", "z4": "north"}
 
-// newRegionTest returns a gateway in region south whose routes and account are restricted to the
-// regions.
+// newRegionTest returns a gateway in region south. Its routes are restricted to the regions in
+// route, its account to those in account; nil means no restriction.
 func newRegionTest(t *testing.T, route, account []string) *testGateway {
 	t.Helper()
 	doc := testDocument()
@@ -25,18 +25,19 @@
 		doc.Routes[i].Regions = route
 	}
 	doc.Accounts[0].Regions = account
-	w := newTestGateway(t, doc)
-	w.gateway.fleet.topology = zoneTopology{zone: "z1", regions: twoRegions}
-	return w
+	tg := newTestGateway(t, doc)
+	tg.gateway.fleet.topology = zoneTopology{zone: "z1", regions: twoRegions}
+	return tg
 }
 
-// startUpstreamsIn starts upstreams in each of the zones.
-func (w *testGateway) startUpstreamsIn(each int, handler http.HandlerFunc, zones ...string) map[string][]*requestLog {
+// startUpstreamsIn starts the given number of upstreams in each of the zones. It returns their logs
+// by zone.
+func (tg *testGateway) startUpstreamsIn(each int, handler http.HandlerFunc, zones ...string) map[string][]*requestLog {
 	logs := make(map[string][]*requestLog)
 	for _, zone := range zones {
 		for i := range each {
 			u := Upstream{ID: fmt.Sprint(zone, "-", i), Zone: zone, Version: "v1"}
-			logs[zone] = append(logs[zone], w.startUpstreamOf(u, handler))
+			logs[zone] = append(logs[zone], tg.startUpstreamOf(u, handler))
 		}
 	}
 	return logs
@@ -50,13 +51,13 @@
 	return n
 }
 
-// A restricted request must not reach an upstream of another region. The restriction was once
-// ignored.
+// A request that is restricted to regions must not reach an upstream of another region. An earlier
+// version ignored the restriction.
 func TestRequestsStayInTheirRegions(t *testing.T) {
 	tests := []struct {
 		desc           string
 		route, account []string
-		served         []string // zones that get requests; none: refused
+		served         []string // the zones that may get the requests; empty if they are refused
 	}{
 		{"no restriction", nil, nil, []string{"z1"}},
 		{"the route, own region", []string{"south"}, nil, []string{"z1"}},
@@ -69,11 +70,11 @@
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
 			is := is.New(t)
-			w := newRegionTest(t, test.route, test.account)
-			logs := w.startUpstreamsIn(6, respondOK("hello"), "z1", "z2", "z3", "z4") // more than fullScanLimit
+			tg := newRegionTest(t, test.route, test.account)
+			logs := tg.startUpstreamsIn(6, respondOK("hello"), "z1", "z2", "z3", "z4") // more than fullScanLimit
 			for range 30 {
 				began := time.Now()
-				got := w.do(w.newRequest("POST", "/once/x", "body"))
+				got := tg.do(tg.newRequest("POST", "/once/x", "body"))
 				if len(test.served) > 0 {
 					is.Equal(got.status, http.StatusOK)
 					continue
@@ -96,31 +97,32 @@
 	}
 }
 
-// Without a mapping no zone is in a named region: restricted requests are refused.
+// Without a mapping from zones to regions, no zone is in a named region, so restricted requests are
+// refused.
 func TestRestrictedRequestWithoutKnownRegions(t *testing.T) {
 	is := is.New(t)
-	w := newRegionTest(t, []string{"south"}, nil)
-	w.gateway.fleet.topology = zoneTopology{zone: "z1"}
-	log := w.startUpstream("a", respondOK("hello"))
-	is.Equal(w.do(w.newRequest("POST", "/once/x", "body")).status, http.StatusServiceUnavailable)
+	tg := newRegionTest(t, []string{"south"}, nil)
+	tg.gateway.fleet.topology = zoneTopology{zone: "z1"}
+	log := tg.startUpstream("a", respondOK("hello"))
+	is.Equal(tg.do(tg.newRequest("POST", "/once/x", "body")).status, http.StatusServiceUnavailable)
 	is.Equal(log.count(), 0)
 }
 
-// The upstreams of the permitted region are all gone and those of the other region are idle: the
-// request must be refused, not run there.
+// If all upstreams of the permitted region are gone, a restricted request must be refused although
+// the upstreams of the other region are idle.
 func TestRestrictedRequestWithoutUpstreams(t *testing.T) {
 	is := is.New(t)
-	w := newRegionTest(t, []string{"south"}, nil)
-	logs := w.startUpstreamsIn(3, respondOK("hello"), "z1", "z3")
+	tg := newRegionTest(t, []string{"south"}, nil)
+	logs := tg.startUpstreamsIn(3, respondOK("hello"), "z1", "z3")
 	for i := range 3 {
-		w.gateway.fleet.Remove(fmt.Sprint("z1-", i), 2, false)
-		w.gateway.fleet.memberOf("svc", fmt.Sprint("z1-", i)).removedAt = time.Now().Add(-time.Minute)
+		tg.gateway.fleet.Remove(fmt.Sprint("z1-", i), 2, false)
+		tg.gateway.fleet.memberOf("svc", fmt.Sprint("z1-", i)).removedAt = time.Now().Add(-time.Minute)
 	}
-	is.Equal(w.do(w.newRequest("POST", "/once/x", "body")).status, http.StatusServiceUnavailable)
+	is.Equal(tg.do(tg.newRequest("POST", "/once/x", "body")).status, http.StatusServiceUnavailable)
 	is.Equal(requestsIn(logs, "z1")+requestsIn(logs, "z3"), 0)
 }
 
-// Retries, resumed streams and larger models are restricted to the regions, too.
+// Retries, resumed streams and attempts on a better model must stay in the permitted regions, too.
 func TestFurtherAttemptsStayInTheirRegions(t *testing.T) {
 	for path, handler := range map[string]http.HandlerFunc{
 		"/many/x":   respondStatus(http.StatusInternalServerError),
@@ -129,12 +131,12 @@
 	} {
 		t.Run(strings.Trim(path, "/x"), func(t *testing.T) {
 			is := is.New(t)
-			w := newRegionTest(t, []string{"south"}, nil)
-			w.gateway.hostCount.Store(1)
-			logs := w.startUpstreamsIn(2, handler, "z1", "z2")
-			otherRegion := w.startUpstreamsIn(10, handler, "z3", "z4")
+			tg := newRegionTest(t, []string{"south"}, nil)
+			tg.gateway.hostCount.Store(1)
+			logs := tg.startUpstreamsIn(2, handler, "z1", "z2")
+			otherRegion := tg.startUpstreamsIn(10, handler, "z3", "z4")
 			for range 20 {
-				w.do(w.newRequest("POST", path, "body", "T-Model", "*", "T-Tokens", "100,10"))
+				tg.do(tg.newRequest("POST", path, "body", "T-Model", "*", "T-Tokens", "100,10"))
 			}
 			is.True(requestsIn(logs, "z1")+requestsIn(logs, "z2") > 20) // further attempts were made
 			is.Equal(requestsIn(otherRegion, "z3")+requestsIn(otherRegion, "z4"), 0)
@@ -142,10 +144,11 @@
 	}
 }
 
-// A route's regions change before a request's retry: the retry is restricted by both documents.
+// If the document changes the regions of a route between two attempts of a request, the second
+// attempt is restricted by both documents.
 func TestRegionsThatChangeDuringARequest(t *testing.T) {
 	is := is.New(t)
-	w := newRegionTest(t, nil, nil)
+	tg := newRegionTest(t, nil, nil)
 	moved := testDocument()
 	moved.Version++
 	for i := range moved.Routes {
@@ -153,36 +156,37 @@
 	}
 	table, err := routing.New(moved)
 	is.NoErr(err)
-	south := w.startUpstreamsIn(4, func(rw http.ResponseWriter, req *http.Request) {
-		w.gateway.table.Store(table)
+	south := tg.startUpstreamsIn(4, func(rw http.ResponseWriter, req *http.Request) {
+		tg.gateway.routingTable.Store(table)
 		respondStatus(http.StatusInternalServerError)(rw, req)
 	}, "z1")
-	north := w.startUpstreamsIn(4, respondOK("hello"), "z3")
-	w.gateway.hostCount.Store(1)
-	got := w.do(w.newRequest("GET", "/many/x", ""))
+	north := tg.startUpstreamsIn(4, respondOK("hello"), "z3")
+	tg.gateway.hostCount.Store(1)
+	got := tg.do(tg.newRequest("GET", "/many/x", ""))
 	is.Equal(got.status, http.StatusOK)
 	is.Equal(requestsIn(south, "z1"), 1)
 	is.Equal(requestsIn(north, "z3"), 1)
 }
 
-// A version that runs in the other region only isn't available to a restricted request.
+// A restricted request stays on the old version if the new version runs only in other regions.
 func TestRolloutOutsideTheRegions(t *testing.T) {
 	is := is.New(t)
-	w := newRegionTest(t, []string{"south"}, nil)
-	f, m := w.gateway.fleet, w.gateway.rollouts
+	tg := newRegionTest(t, []string{"south"}, nil)
+	f, ro := tg.gateway.fleet, tg.gateway.rollouts
 	f.Set(Upstream{ID: "old", Service: "svc", Zone: "z1", Version: "v1"}, 1)
 	f.Set(Upstream{ID: "new", Service: "svc", Zone: "z3", Version: "v2"}, 2)
-	m.addOrder(RolloutOrder{Service: "svc", Version: "v2", Duration: time.Minute, Revision: 3}, false)
-	m.active["svc"].share = 1
-	route, _ := w.gateway.table.Load().Match(testHost, "/once/x")
-	r := &Request{ID: "r", Service: "svc", Table: w.gateway.table.Load(), Route: route, Host: testHost, Target: "/once/x", Header: http.Header{}}
-	is.True(m.admits(r)("v2"))
-	r.regions = w.gateway.allowedRegions(r)
-	is.True(!m.admits(r)("v2"))
-	is.True(m.admits(r)("v1"))
+	ro.addOrder(RolloutOrder{Service: "svc", Version: "v2", Duration: time.Minute, Revision: 3}, false)
+	ro.byService["svc"].requestShare = 1
+	route, _ := tg.gateway.routingTable.Load().Match(testHost, "/once/x")
+	r := &Request{ID: "r", Service: "svc", Table: tg.gateway.routingTable.Load(), Route: route, Host: testHost, Target: "/once/x", Header: http.Header{}}
+	is.True(ro.versionFilter(r)("v2"))
+	r.regions = tg.gateway.allowedRegions(r)
+	is.True(!ro.versionFilter(r)("v2"))
+	is.True(ro.versionFilter(r)("v1"))
 }
 
-// Where a request may run in any region, the upstreams of the host's own region come first.
+// A request that may run in any region runs in the region of its host while that has upstreams in
+// service.
 func TestOwnRegionComesFirst(t *testing.T) {
 	is := is.New(t)
 	f := NewFleet(time.Second, newTestGateway(t, testDocument()).gateway.log)
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -14,11 +14,11 @@
 
 // Request is one caller's request in progress. It must be used by one goroutine at a time.
 type Request struct {
-	// Set on arrival.
+	// The fields from here to Session are set when the request arrives.
 
 	ID string
-	// Arrived and Deadline are times of package boottime, which advance while the host is
-	// suspended: so does the time for which a caller waits.
+	// Arrived and Deadline are times of package boottime, whose clock advances while the host is
+	// suspended, as does the time for which a caller waits.
 	Arrived time.Time
 	Method  string
 	// Target is the request target as the caller sent it: path and query.
@@ -30,7 +30,7 @@
 	// Session is the id shared by requests that belong together; it may be empty.
 	Session string
 
-	// Set by the filters.
+	// The fields from here to Digest are set by the filters.
 
 	Table    *routing.Table
 	Route    *routing.Route
@@ -38,29 +38,30 @@
 	Deadline time.Time
 	Body     []byte
 	Service  string
-	// Digest identifies the request by its content and is the same for each repetition by its
-	// caller.
+	// Digest identifies the request by its content. It is the same if the caller sends the request
+	// again.
 	Digest quarantine.Digest
 
-	// regions are the regions in which the next attempt may be made.
+	// regions are the regions in which the next attempt may run.
 	regions regionConstraint
 	// relativePromptSize is the mean prompt size of the route divided by that of the service.
 	relativePromptSize float64
 
 	answer *answerWriter
-	// state is the highest run state of all attempts.
-	state runstate.Tracker
-	// attempts counts the upstreams that were tried, notReached those of them at whose address the
-	// chosen upstream was no longer running.
+	// runState is the highest run state of all attempts.
+	runState runstate.Tracker
+	// attempts is the number of attempts, notReached the number of those that didn't reach the
+	// chosen upstream.
 	attempts   int
 	notReached int
 	// tried are the ids of the upstreams that were tried.
 	tried []string
-	// model is the model that runs the request; empty for plain services.
+	// model is the model that the gateway chose for the request; empty if the caller chose it and
+	// for plain services.
 	model string
 }
 
-// Prompt describes the sizes of a model request.
+// Prompt describes the prompt of a request to a language model, as its caller stated in the header.
 type Prompt struct {
 	// Model is the model that the caller named.
 	Model string
@@ -72,7 +73,7 @@
 	TokensOut int
 }
 
-// PromptPart is a part of a prompt that other requests may share.
+// PromptPart is a part of a prompt, which the prompts of other requests may contain, too.
 type PromptPart struct {
 	ID     string
 	Tokens int
@@ -84,14 +85,15 @@
 	return path
 }
 
-// content returns what identifies the request: two requests with equal content have equal digests.
+// content returns the content by which the request is identified. Requests with equal content have
+// equal digests.
 func (r *Request) content() *quarantine.Content {
 	return &quarantine.Content{Host: r.Host, Method: r.Method, Target: r.Target, Account: r.accountName(), Body: r.Body}
 }
 
-// placementPrompt returns the prompt as package placement takes it. If shared is set, all parts
-// but the last one are marked as likely to be shared with other requests; the last one belongs to
-// the request or its session.
+// placementPrompt returns the prompt as package placement takes it. If shared is set, all parts but
+// the last one are marked as likely to be shared with other requests; the last one is specific to
+// the request or its session. If it isn't set, the parts are left out.
 func (p *Prompt) placementPrompt(shared bool) *placement.Prompt {
 	prompt := &placement.Prompt{Tokens: p.TokensIn}
 	if !shared {
@@ -118,7 +120,8 @@
 	return p
 }
 
-// parseCount parses a count that callers give as a hint; 0, unknown, if it is malformed.
+// parseCount parses a count that the caller stated. It returns 0, which means unknown, for a
+// malformed one, since the counts are only hints.
 func parseCount(s string) int {
 	n, err := strconv.Atoi(strings.TrimSpace(s))
 	if err != nil || n < 0 {
--- a/internal/gateway/request_test.go
+++ b/internal/gateway/request_test.go
@@ -11,9 +11,9 @@
 
 func TestUpstreamGetsTheCallersRequest(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
-	log := w.startUpstream("u1", respondOK("ok"))
-	got := w.do(w.newRequest("POST", "/once/a%2Fb?q=1&q=2", "the body", "X-Other", "kept", "T-Last-Event", ""))
+	tg := newTestGateway(t, testDocument())
+	log := tg.startUpstream("u1", respondOK("ok"))
+	got := tg.do(tg.newRequest("POST", "/once/a%2Fb?q=1&q=2", "the body", "X-Other", "kept", "T-Last-Event", ""))
 	is.Equal(got.status, 200)
 	is.Equal(got.body, "ok")
 	is.Equal(got.header.Get("T-Stamp"), "stamp")
@@ -33,12 +33,12 @@
 }
 
 func TestSystemHeadersOfCallersAreDropped(t *testing.T) {
-	w := newTestGateway(t, testDocument())
-	log := w.startUpstream("u1", respondOK("ok"))
+	tg := newTestGateway(t, testDocument())
+	log := tg.startUpstream("u1", respondOK("ok"))
 	for _, name := range []string{"T-Account", "T-Pin", "T-Priority", "T-Not-Run", "T-Load", "T-Stamp", "Te", "Upgrade"} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			got := w.do(w.newRequest("GET", "/public/x", "", name, "forged", "T-Key", ""))
+			got := tg.do(tg.newRequest("GET", "/public/x", "", name, "forged", "T-Key", ""))
 			is.Equal(got.status, 200)
 			req, _ := log.last()
 			is.Equal(req.Header.Get(name), "")
@@ -66,9 +66,9 @@
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
 			is := is.New(t)
-			w := newTestGateway(t, testDocument())
-			log := w.startUpstream("u1", respondOK("ok"))
-			got := w.do(w.newRequest("POST", test.path, test.body, test.header...))
+			tg := newTestGateway(t, testDocument())
+			log := tg.startUpstream("u1", respondOK("ok"))
+			got := tg.do(tg.newRequest("POST", test.path, test.body, test.header...))
 			is.Equal(got.status, test.want)
 			is.Equal(got.header.Get("T-Stamp"), "")
 			is.Equal(log.count(), 0)
@@ -78,18 +78,18 @@
 
 func TestNoDocumentYet(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
-	w.gateway.table.Store(nil)
-	got := w.do(w.newRequest("GET", "/many/x", ""))
+	tg := newTestGateway(t, testDocument())
+	tg.gateway.routingTable.Store(nil)
+	got := tg.do(tg.newRequest("GET", "/many/x", ""))
 	is.Equal(got.status, http.StatusServiceUnavailable)
 	is.True(got.header.Get("Retry-After") != "")
 }
 
 func TestPublicRouteNeedsNoKey(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
-	w.startUpstream("u1", respondOK("ok"))
-	is.Equal(w.do(w.newRequest("GET", "/public/x", "", "T-Key", "")).status, 200)
+	tg := newTestGateway(t, testDocument())
+	tg.startUpstream("u1", respondOK("ok"))
+	is.Equal(tg.do(tg.newRequest("GET", "/public/x", "", "T-Key", "")).status, 200)
 }
 
 func TestParsePrompt(t *testing.T) {
--- a/internal/gateway/restore.go
+++ b/internal/gateway/restore.go
@@ -8,39 +8,42 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// restoreGrace is how long after the store was restored from a backup its tables may lack rows
-// that operators and upstreams had written since the backup: they write them again within some
-// seconds. Until then hosts keep the data that they have.
+// restoreGrace is the time after a restore of the store from a backup in which the tables may lack
+// rows that operators and upstreams wrote after the backup was made. They write these rows again
+// within a few seconds. Until then, hosts keep the data that they have.
 const restoreGrace = 5 * time.Second
 
-// eraTracker detects tables of a store that was recently restored from a backup.
+// eraTracker detects by the revisions of a table that the store was restored from a backup. newest
+// is the highest revision that was observed.
 type eraTracker struct {
 	newest storage.Revision
-	// restoredAt is the time at which a table of the current era was first seen; zero in the first
-	// era.
+	// restoredAt is when a revision of the current era was first observed; zero if no restore was
+	// observed.
 	restoredAt time.Time
 }
 
-// observe records a table's revision. It reports whether the store was restored from a backup
-// since the previous one.
-func (w *eraTracker) observe(revision storage.Revision) (restored bool) {
-	restored = w.newest != 0 && revision.Era() > w.newest.Era()
-	w.newest = max(w.newest, revision)
+// observe records a revision of the table. It reports whether the store was restored from a backup
+// since the previously observed revision.
+func (t *eraTracker) observe(revision storage.Revision) (restored bool) {
+	restored = t.newest != 0 && revision.Era() > t.newest.Era()
+	t.newest = max(t.newest, revision)
 	if restored {
-		w.restoredAt = boottime.Now()
+		t.restoredAt = boottime.Now()
 	}
 	return restored
 }
 
-// inRestoreGrace reports whether rows that were written before the restore may still be missing.
-func (w *eraTracker) inRestoreGrace() bool {
-	return !w.restoredAt.IsZero() && boottime.Since(w.restoredAt) < restoreGrace
+// inRestoreGrace reports whether rows that were written before the restore may be missing from the
+// table.
+func (t *eraTracker) inRestoreGrace() bool {
+	return !t.restoredAt.IsZero() && boottime.Since(t.restoredAt) < restoreGrace
 }
 
-// adoptReissuedOrder handles an order that was known before the store was restored from a backup
-// and that operators wrote again: the same roll-out continues under the order's new revision. It
-// also returns true for the previous order, which the backup contains.
-func (m *rollouts) adoptReissuedOrder(current *activeRollout, o RolloutOrder, listed bool) bool {
+// adoptReissuedOrder reports whether an order must not begin a new roll-out because the store was
+// restored from a backup within restoreGrace. That is so if operators wrote the current order
+// again, whose roll-out then continues under the order's new revision, and if the order is an
+// earlier one that the backup contains.
+func (ro *rollouts) adoptReissuedOrder(current *serviceRollout, o RolloutOrder, listed bool) bool {
 	current.era.observe(o.Revision)
 	if !current.era.inRestoreGrace() {
 		return false
@@ -48,7 +51,7 @@
 	if o.Version != current.order.Version || o.Duration != current.order.Duration {
 		return listed && o.Revision.Version() < current.order.Revision.Version()
 	}
-	m.log.Info().Str("event", "rollout-order-again").Str("service", o.Service).Str("version", o.Version).
+	ro.log.Info().Str("event", "rollout-order-again").Str("service", o.Service).Str("version", o.Version).
 		Stringer("revision", o.Revision).Stringer("formerly", current.order.Revision).Msg("")
 	current.earlierRevisions = append(current.earlierRevisions, current.order.Revision)
 	if current.hasStatus() {
@@ -59,20 +62,20 @@
 	return true
 }
 
-// matchesOrder reports whether the revision is that of the order's row, in the current era or an
-// earlier one.
-func (a *activeRollout) matchesOrder(revision storage.Revision) bool {
-	return revision == a.order.Revision || slices.Contains(a.earlierRevisions, revision)
+// matchesOrder reports whether the revision is one that the order's row has, or had in an earlier
+// era.
+func (sr *serviceRollout) matchesOrder(revision storage.Revision) bool {
+	return revision == sr.order.Revision || slices.Contains(sr.earlierRevisions, revision)
 }
 
-// resetStored handles a restore of the store from a backup: the statuses that it holds may be
-// outdated or missing, so the known ones are written again.
-func (m *rollouts) resetStored() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	clear(m.stored)
-	for _, a := range m.active {
-		a.status.Revision = 0
-		a.unsaved = a.hasStatus()
+// resetStoredStatuses handles a restore of the store from a backup. The restored statuses may be
+// outdated or missing, so the statuses that this host has are written again.
+func (ro *rollouts) resetStoredStatuses() {
+	ro.mu.Lock()
+	defer ro.mu.Unlock()
+	clear(ro.storedStatuses)
+	for _, sr := range ro.byService {
+		sr.status.Revision = 0
+		sr.unsaved = sr.hasStatus()
 	}
 }
--- a/internal/gateway/rollout.go
+++ b/internal/gateway/rollout.go
@@ -11,7 +11,7 @@
 	Service  string
 	Version  string
 	Duration time.Duration
-	// Revision is the store revision of the order; a later order has a higher one.
+	// Revision is the store revision of the order. A later order has a higher revision.
 	Revision storage.Revision
 }
 
@@ -39,7 +39,8 @@
 	State   RolloutState
 	// OrderRevision is the revision of the order that the status belongs to.
 	OrderRevision storage.Revision
-	// Started is the store's clock at the time when the first host received the order.
+	// Started is the time, by the store's clock, at which the host that wrote the first status
+	// received the order.
 	Started time.Duration
 	// Revision is the store revision of this status; 0 before it is written.
 	Revision storage.Revision
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -16,30 +16,32 @@
 )
 
 const (
-	// writeSpread is the span over which hosts spread their attempts to write the first status,
-	// which any of them may write: the first one's write is received by the others before most of
-	// them have tried. completeSpread is the same for the last status, which has to be stored
-	// before the roll-out's time is up.
-	writeSpread    = 1200 * time.Millisecond
-	completeSpread = 200 * time.Millisecond
-	// hubSpread is the span over which hosts with followers spread their writes of a status: at
-	// most a few write before they receive the first one's. A follower waits for followerDelay, or
-	// followerUrgentDelay if the status ends the roll-out: it receives a write within half a second.
+	// firstWriteSpread is the time over which hosts spread their attempts to write the first status
+	// of a roll-out, which any host may write. Most hosts receive the status that the first one
+	// wrote before their own attempt. completeSpread is the same for the last status, which has to
+	// be stored before the duration of the roll-out has passed.
+	firstWriteSpread = 1200 * time.Millisecond
+	completeSpread   = 200 * time.Millisecond
+	// hubSpread is the time over which hosts with followers spread their attempts to write a
+	// status. At most a few of them write before they receive the status that the first one wrote.
+	// A follower waits for at least followerDelay, or followerUrgentDelay if the status ends the
+	// roll-out, since it receives a status within half a second of the write.
 	hubSpread           = 200 * time.Millisecond
 	followerDelay       = 1500 * time.Millisecond
 	followerUrgentDelay = 700 * time.Millisecond
-	// maxStatusAge is the greatest age of the status data at which the share is raised: a host
-	// that can't receive that others stopped a version keeps its share.
+	// maxStatusAge is the maximum age of the status data at which a host raises a new version's
+	// share. A host with older data may have missed that another host stopped the version.
 	maxStatusAge = 3 * time.Second
-	// statusTimeout bounds a write of a status.
-	statusTimeout = time.Second
-	// rolloutTick is the interval at which roll-outs are processed.
-	rolloutTick = 100 * time.Millisecond
+	// statusWriteTimeout bounds the time for a write of a status.
+	statusWriteTimeout = time.Second
+	// rolloutInterval is the interval at which roll-outs are processed.
+	rolloutInterval = 100 * time.Millisecond
 )
 
-// rollouts carries out roll-outs. Each host keeps a new version's share for its own requests, and
-// thereby the sum over all hosts keeps it, and stops a version by its own evidence; the other
-// hosts learn of the stop from the store.
+// rollouts carries out the roll-outs that operators order. Each host sends the new version its
+// share of the host's own requests, so that the version gets this share of all hosts' requests.
+// Each host stops the version when the evidence that it has shows that the version is worse, and
+// writes this to the store, from where the other hosts receive it.
 type rollouts struct {
 	settings *Settings
 	fleet    *Fleet
@@ -47,297 +49,310 @@
 	// hasFollowers reports whether other hosts receive the store's tables from this one.
 	hasFollowers func() bool
 	log          zerolog.Logger
-	// single is the ramp of requests without a session, sessions that of requests with one.
-	single   ramp
-	sessions ramp
+	// requestRamp is the ramp for requests without a session, sessionRamp the one for requests of
+	// sessions.
+	requestRamp ramp
+	sessionRamp ramp
 
-	mu     sync.Mutex
-	active map[string]*activeRollout
-	// stored are the statuses that were received before their orders.
-	stored map[string]RolloutStatus
+	mu        sync.Mutex
+	byService map[string]*serviceRollout
+	// storedStatuses are the statuses in the store by service. They are kept because a status can
+	// be received before its order.
+	storedStatuses map[string]RolloutStatus
 }
 
-// activeRollout is a service's newest roll-out.
-type activeRollout struct {
+// serviceRollout is the newest roll-out of a service.
+type serviceRollout struct {
 	order  RolloutOrder
 	status RolloutStatus
-	// stopped is set if this host's evidence shows that the version is worse.
+	// stopped is set when the evidence on this host shows that the new version is worse.
 	stopped bool
-	// share is the new version's share of requests without a session, sessionShare that of
-	// sessions.
-	share        float64
+	// requestShare is the new version's share of requests without a session, sessionShare its share
+	// of sessions.
+	requestShare float64
 	sessionShare float64
-	// seenAt is when this host received the order.
-	seenAt   time.Time
-	evidence evidence
-	// inconclusive is set if the time is up and there is too little evidence for completion.
+	// receivedAt is when this host received the order.
+	receivedAt time.Time
+	evidence   evidence
+	// inconclusive is set if the roll-out could be completed by its time and the evidence doesn't
+	// suffice for that.
 	inconclusive bool
-	// writing is set while a status is being written. writeAt is when this host is to write one;
-	// zero before one is due.
+	// writing is set while this host writes a status and during the pause after the write. writeAt
+	// is when this host is to write the status that is due; zero if none is due.
 	writing bool
 	writeAt time.Time
-	// unsaved is set if the store was restored from a backup and lacks the status, or has it under
-	// another revision of the order.
+	// unsaved is set if the store was restored from a backup and lacks the status, or contains it
+	// with an earlier revision of the order, so that it has to be written again.
 	unsaved bool
 	// earlierRevisions are the revisions of the order's row in earlier eras of the store.
 	earlierRevisions []storage.Revision
 	era              eraTracker
-	// failures counts the consecutive writes that the store refused or didn't answer.
-	failures int
+	// failedWrites counts the consecutive writes that the store refused or didn't answer, up to
+	// maxWriteDoublings.
+	failedWrites int
 }
 
 func newRollouts(settings *Settings, fleet *Fleet, log zerolog.Logger) *rollouts {
 	return &rollouts{
-		settings:     settings,
-		fleet:        fleet,
-		hasFollowers: func() bool { return false },
-		log:          log,
-		single:       newRamp(settings.CanaryShare, 0),
-		sessions:     newRamp(settings.CanaryShare, sessionsFrom),
-		active:       make(map[string]*activeRollout),
-		stored:       make(map[string]RolloutStatus),
+		settings:       settings,
+		fleet:          fleet,
+		hasFollowers:   func() bool { return false },
+		log:            log,
+		requestRamp:    newRamp(settings.CanaryShare, 0),
+		sessionRamp:    newRamp(settings.CanaryShare, sessionsFrom),
+		byService:      make(map[string]*serviceRollout),
+		storedStatuses: make(map[string]RolloutStatus),
 	}
 }
 
-// addOrder applies an operators' order. listed is set if it was received with the whole table.
-func (m *rollouts) addOrder(o RolloutOrder, listed bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if current := m.active[o.Service]; current != nil {
-		if o.Revision <= current.order.Revision || m.adoptReissuedOrder(current, o, listed) {
+// addOrder begins the roll-out that operators ordered, unless it is in progress already. listed is
+// set if the order was received with the whole table.
+func (ro *rollouts) addOrder(o RolloutOrder, listed bool) {
+	ro.mu.Lock()
+	defer ro.mu.Unlock()
+	if current := ro.byService[o.Service]; current != nil {
+		if o.Revision <= current.order.Revision || ro.adoptReissuedOrder(current, o, listed) {
 			return
 		}
 	}
-	a := &activeRollout{order: o, seenAt: boottime.Now(), evidence: newEvidence()}
-	a.era.observe(o.Revision)
-	m.active[o.Service] = a
-	m.log.Info().Str("event", "rollout-ordered").Str("service", o.Service).Str("version", o.Version).
+	sr := &serviceRollout{order: o, receivedAt: boottime.Now(), evidence: newEvidence()}
+	sr.era.observe(o.Revision)
+	ro.byService[o.Service] = sr
+	ro.log.Info().Str("event", "rollout-ordered").Str("service", o.Service).Str("version", o.Version).
 		Dur("duration", o.Duration).Stringer("revision", o.Revision).Msg("")
-	if stored, ok := m.stored[o.Service]; ok {
-		m.apply(a, stored)
+	if stored, ok := ro.storedStatuses[o.Service]; ok {
+		ro.applyStatus(sr, stored)
 	}
 }
 
-// setStatus applies a stored status of a roll-out.
-func (m *rollouts) setStatus(s RolloutStatus) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.stored[s.Service] = s
-	if a := m.active[s.Service]; a != nil {
-		m.apply(a, s)
+// setStatus stores the status of a roll-out as it was received from the store, and applies it.
+func (ro *rollouts) setStatus(s RolloutStatus) {
+	ro.mu.Lock()
+	defer ro.mu.Unlock()
+	ro.storedStatuses[s.Service] = s
+	if sr := ro.byService[s.Service]; sr != nil {
+		ro.applyStatus(sr, s)
 	}
 }
 
-// apply applies a status if it belongs to the order. The states of one order only advance: a
-// completed or reverted roll-out isn't run again.
-func (m *rollouts) apply(a *activeRollout, s RolloutStatus) {
-	if s.Revision <= a.status.Revision {
+// applyStatus applies a status if it belongs to the order. The state of an order only advances: a
+// completed or reverted roll-out doesn't run again.
+func (ro *rollouts) applyStatus(sr *serviceRollout, s RolloutStatus) {
+	if s.Revision <= sr.status.Revision {
 		return
 	}
-	if !a.matchesOrder(s.OrderRevision) {
-		// The status belongs to an earlier order. Its revision is needed to replace the row.
-		a.status.Revision = s.Revision
+	if !sr.matchesOrder(s.OrderRevision) {
+		// The status belongs to an earlier order. The write that replaces its row is conditional on
+		// its revision.
+		sr.status.Revision = s.Revision
 		return
 	}
-	if a.hasStatus() && s.State < a.status.State {
-		// The status is an earlier one, from a store that was restored from a backup.
-		a.status.Revision = s.Revision
-		a.unsaved = true
+	if sr.hasStatus() && s.State < sr.status.State {
+		// The store was restored from a backup, which contained an earlier status.
+		sr.status.Revision = s.Revision
+		sr.unsaved = true
 		return
 	}
-	a.unsaved = s.OrderRevision != a.order.Revision
-	s.OrderRevision = a.order.Revision
-	a.status = s
-	a.writeAt = time.Time{}
-	m.log.Info().Str("event", "rollout-status").Str("service", s.Service).Str("version", s.Version).
+	sr.unsaved = s.OrderRevision != sr.order.Revision
+	s.OrderRevision = sr.order.Revision
+	sr.status = s
+	sr.writeAt = time.Time{}
+	ro.log.Info().Str("event", "rollout-status").Str("service", s.Service).Str("version", s.Version).
 		Str("state", s.State.String()).Stringer("revision", s.Revision).Msg("")
 }
 
-// hasStatus reports whether the store has a status of the order.
-func (a *activeRollout) hasStatus() bool { return a.status.OrderRevision == a.order.Revision }
+// hasStatus reports whether a status of the order was received.
+func (sr *serviceRollout) hasStatus() bool { return sr.status.OrderRevision == sr.order.Revision }
 
 // running reports whether the roll-out is neither completed nor reverted.
-func (a *activeRollout) running() bool { return !a.hasStatus() || a.status.State == RolloutRunning }
+func (sr *serviceRollout) running() bool { return !sr.hasStatus() || sr.status.State == RolloutRunning }
 
-// admits returns a function that reports whether a version may run the request. A version without
-// an order isn't used beside the one in service: its upstreams' entries can reach a host before
-// the order does.
-func (m *rollouts) admits(r *Request) func(version string) bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	a := m.active[r.Service]
-	if a == nil {
-		base := m.fleet.Base(r.Service)
-		return func(version string) bool { return base == "" || version == base }
+// versionFilter returns a function that reports whether a version may run the request. While a
+// service has no roll-out, only its base version may: the entries of a new version's upstreams can
+// reach a host before the order of its roll-out does.
+func (ro *rollouts) versionFilter(r *Request) func(version string) bool {
+	ro.mu.Lock()
+	defer ro.mu.Unlock()
+	sr := ro.byService[r.Service]
+	if sr == nil {
+		baseVersion := ro.fleet.BaseVersion(r.Service)
+		return func(version string) bool { return baseVersion == "" || version == baseVersion }
 	}
-	to := a.order.Version
-	canary := m.canary(a, r)
-	if canary && !m.canReach(r, func(version string) bool { return version == to }) {
+	newVersion := sr.order.Version
+	canary := ro.isCanary(sr, r)
+	if canary && !ro.hasUpstreamFor(r, func(version string) bool { return version == newVersion }) {
 		canary = false
-	} else if !canary && !m.withdrawn(a) && !m.fleet.hasInService(r.Service, r.regions, func(version string) bool { return version != to }) {
+	} else if !canary && !ro.versionWithdrawn(sr) && !ro.fleet.hasInService(r.Service, r.regions, func(version string) bool { return version != newVersion }) {
 		canary = true
 	}
-	return func(version string) bool { return (version == to) == canary }
+	return func(version string) bool { return (version == newVersion) == canary }
 }
 
-// canReach reports whether the request can be run by a matching version. A session's request waits
-// for its version while that version's upstreams are cold or in an evacuated zone; other requests
-// run on the old version meanwhile.
-func (m *rollouts) canReach(r *Request, matches func(version string) bool) bool {
+// hasUpstreamFor reports whether the request can run on an upstream of a matching version. For a
+// session's request it ignores that upstreams are cold, rate-limited or in an evacuated zone: such
+// a request is refused rather than run on another version than the session's. Other requests run on
+// the old version in that case.
+func (ro *rollouts) hasUpstreamFor(r *Request, matches func(version string) bool) bool {
 	if r.Session != "" {
-		return m.fleet.hasInService(r.Service, r.regions, matches)
+		return ro.fleet.hasInService(r.Service, r.regions, matches)
 	}
-	return m.fleet.hasAvailable(r.Service, r.regions, matches)
+	return ro.fleet.hasAvailable(r.Service, r.regions, matches)
 }
 
-// withdrawn reports whether the version must not get requests.
-func (m *rollouts) withdrawn(a *activeRollout) bool {
-	return a.stopped || a.hasStatus() && a.status.State == RolloutReverted
+// versionWithdrawn reports whether the new version must not get requests, because this host stopped
+// it or the roll-out was reverted.
+func (ro *rollouts) versionWithdrawn(sr *serviceRollout) bool {
+	return sr.stopped || sr.hasStatus() && sr.status.State == RolloutReverted
 }
 
-// canary reports whether the request runs on the new version, by a hash that is the same on all
-// hosts. A session's requests may reach several hosts, so in the first half, in which no session
-// may change its version, requests of sessions stay on the old one. Later the share only rises, so
-// that no session returns to the old version.
-func (m *rollouts) canary(a *activeRollout, r *Request) bool {
+// isCanary reports whether the request belongs to the new version's share, by a hash that is the
+// same on all hosts. The requests of a session may reach several hosts, which raise the shares at
+// different times. In the first half of a roll-out no session may change its version, so
+// sessionShare is 0; later it only rises, so that no session returns to the old version.
+func (ro *rollouts) isCanary(sr *serviceRollout, r *Request) bool {
 	switch {
-	case m.withdrawn(a):
+	case ro.versionWithdrawn(sr):
 		return false
-	case a.hasStatus() && a.status.State == RolloutCompleted:
+	case sr.hasStatus() && sr.status.State == RolloutCompleted:
 		return true
 	case r.Session != "":
-		return evenhash.Point("canary", a.order.Version, r.Session) < a.sessionShare
+		return evenhash.Point("canary", sr.order.Version, r.Session) < sr.sessionShare
 	default:
-		return evenhash.Point("canary", a.order.Version, r.ID) < a.share
+		return evenhash.Point("canary", sr.order.Version, r.ID) < sr.requestShare
 	}
 }
 
-// observeHead counts the head of a stream.
-func (m *rollouts) observeHead(r *Request, c *choice, took time.Duration) {
-	m.addObservation(r, c, func(e *evidence, o observation) { e.observeHead(o, took) })
+// observeHead counts the head of a stream as an answer of its version.
+func (ro *rollouts) observeHead(r *Request, c *choice, took time.Duration) {
+	ro.addObservation(r, c, func(e *evidence, o observation) { e.observeHead(o, took) })
 }
 
-// observe counts the result of an attempt; counted is set if its head was counted.
-func (m *rollouts) observe(r *Request, c *choice, result attemptResult, counted bool) {
-	m.addObservation(r, c, func(e *evidence, o observation) {
-		o.headCounted = counted
+// observeResult counts the result of an attempt for its version. headCounted is set if observeHead
+// counted the head of its answer.
+func (ro *rollouts) observeResult(r *Request, c *choice, result attemptResult, headCounted bool) {
+	ro.addObservation(r, c, func(e *evidence, o observation) {
+		o.headCounted = headCounted
 		e.observeEnd(o, result, boottime.Now())
 	})
 }
 
-// evaluating reports whether a roll-out of the service is being evaluated by its answers.
-func (m *rollouts) evaluating(service string) bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	a := m.active[service]
-	return a != nil && a.running() && !a.stopped
+// evaluating reports whether a roll-out of the service is in progress and wasn't stopped by this
+// host, so that answers are counted.
+func (ro *rollouts) evaluating(service string) bool {
+	ro.mu.Lock()
+	defer ro.mu.Unlock()
+	sr := ro.byService[service]
+	return sr != nil && sr.running() && !sr.stopped
 }
 
-// addObservation adds to the evidence of the service's running roll-out, if any, and evaluates it.
-func (m *rollouts) addObservation(r *Request, c *choice, add func(e *evidence, o observation)) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	a := m.active[r.Service]
-	if a == nil || !a.running() || a.stopped {
+// addObservation adds an observation to the evidence of the service's roll-out and evaluates it, if
+// a roll-out is in progress.
+func (ro *rollouts) addObservation(r *Request, c *choice, add func(e *evidence, o observation)) {
+	ro.mu.Lock()
+	defer ro.mu.Unlock()
+	sr := ro.byService[r.Service]
+	if sr == nil || !sr.running() || sr.stopped {
 		return
 	}
-	add(&a.evidence, observation{
+	add(&sr.evidence, observation{
 		route:    r.Route.Name,
 		upstream: c.upstream.ID,
-		isNew:    c.upstream.Version == a.order.Version,
-		expected: c.placed.Expected,
+		isNew:    c.upstream.Version == sr.order.Version,
+		expected: c.placement.Expected,
 	})
-	m.evaluate(a)
+	ro.evaluate(sr)
 }
 
-// ownEvidence returns this host's evidence of the running roll-outs.
-func (m *rollouts) ownEvidence() []exchange.Evidence {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+// ownEvidence returns the answers that this host counted for each roll-out in progress.
+func (ro *rollouts) ownEvidence() []exchange.Evidence {
+	ro.mu.Lock()
+	defer ro.mu.Unlock()
 	var list []exchange.Evidence
-	for _, a := range m.active {
-		if a.running() {
-			list = append(list, exchange.Evidence{Service: a.order.Service, Order: a.order.Revision, Routes: a.evidence.ownCounts()})
+	for _, sr := range ro.byService {
+		if sr.running() {
+			list = append(list, exchange.Evidence{Service: sr.order.Service, Order: sr.order.Revision, Routes: sr.evidence.ownCounts()})
 		}
 	}
 	return list
 }
 
-// setRemoteEvidence sets the evidence of the other hosts.
-func (m *rollouts) setRemoteEvidence(list []exchange.Evidence) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+// setRemoteEvidence sets the answers that the other hosts counted for roll-outs in progress.
+func (ro *rollouts) setRemoteEvidence(list []exchange.Evidence) {
+	ro.mu.Lock()
+	defer ro.mu.Unlock()
 	for _, e := range list {
-		a := m.active[e.Service]
-		if a == nil || a.order.Revision != e.Order || !a.running() || a.stopped {
+		sr := ro.byService[e.Service]
+		if sr == nil || sr.order.Revision != e.Order || !sr.running() || sr.stopped {
 			continue
 		}
-		a.evidence.remote = e.Routes
-		m.evaluate(a)
+		sr.evidence.remoteRoutes = e.Routes
+		ro.evaluate(sr)
 	}
 }
 
-// evaluate stops the version if the evidence shows that it is worse.
-func (m *rollouts) evaluate(a *activeRollout) {
-	upstreams := m.fleet.countVersion(a.order.Service, a.order.Version)
-	if reason := a.evidence.stopReason(upstreams); reason != "" {
-		a.stopped = true
-		m.log.Warn().Str("event", "rollout-stopped").Str("service", a.order.Service).Str("version", a.order.Version).
-			Str("reason", reason).Str("evidence", a.evidence.String()).Msg("")
+// evaluate stops the new version if the evidence shows that it is worse.
+func (ro *rollouts) evaluate(sr *serviceRollout) {
+	upstreams := ro.fleet.countVersion(sr.order.Service, sr.order.Version)
+	if reason := sr.evidence.stopReason(upstreams); reason != "" {
+		sr.stopped = true
+		ro.log.Warn().Str("event", "rollout-stopped").Str("service", sr.order.Service).Str("version", sr.order.Version).
+			Str("reason", reason).Str("evidence", sr.evidence.String()).Msg("")
 	}
 }
 
-// progress returns the elapsed fraction of the roll-out's duration, by the store's clock if a
-// status states when it began.
-func (m *rollouts) progress(a *activeRollout) float64 {
-	elapsed := boottime.Since(a.seenAt)
-	if a.hasStatus() && m.statuses != nil {
-		elapsed = m.statuses.StoreClock() - a.status.Started
+// progress returns the fraction of the roll-out's duration that has passed. It is measured by the
+// store's clock once a status states when the roll-out began.
+func (ro *rollouts) progress(sr *serviceRollout) float64 {
+	elapsed := boottime.Since(sr.receivedAt)
+	if sr.hasStatus() && ro.statuses != nil {
+		elapsed = ro.statuses.StoreClock() - sr.status.Started
 	}
-	return float64(elapsed) / float64(max(a.order.Duration, time.Millisecond))
+	return float64(elapsed) / float64(max(sr.order.Duration, time.Millisecond))
 }
 
 // run processes the roll-outs until the context ends.
-func (m *rollouts) run(ctx context.Context) { wait.Every(ctx, rolloutTick, func() { m.tick(ctx) }) }
+func (ro *rollouts) run(ctx context.Context) {
+	wait.Every(ctx, rolloutInterval, func() { ro.tick(ctx) })
+}
 
-func (m *rollouts) tick(ctx context.Context) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	for _, a := range m.active {
-		if !a.running() && !a.unsaved {
+func (ro *rollouts) tick(ctx context.Context) {
+	ro.mu.Lock()
+	defer ro.mu.Unlock()
+	for _, sr := range ro.byService {
+		if !sr.running() && !sr.unsaved {
 			continue
 		}
-		m.raiseShares(a)
-		next, due := m.due(a)
-		if !due || a.writing || !m.isTurn(a, next) {
+		ro.raiseShares(sr)
+		next, due := ro.dueStatus(sr)
+		if !due || sr.writing || !ro.isTurn(sr, next) {
 			continue
 		}
-		a.writing = true
-		go m.write(ctx, a, next)
+		sr.writing = true
+		go ro.writeStatus(ctx, sr, next)
 	}
 }
 
-// raiseShares sets the shares for the current time. They only rise, and only while the status data
-// is recent.
-func (m *rollouts) raiseShares(a *activeRollout) {
-	if !a.hasStatus() {
+// raiseShares raises the shares to those of the current time, if the status data is recent.
+func (ro *rollouts) raiseShares(sr *serviceRollout) {
+	if !sr.hasStatus() {
 		return
 	}
-	age, ok := m.statuses.Age()
-	if !ok || age > maxStatusAge || m.statuses.Unreachable() {
+	age, ok := ro.statuses.Age()
+	if !ok || age > maxStatusAge || ro.statuses.Unreachable() {
 		return
 	}
-	at := m.progress(a)
-	a.sessionShare = max(a.sessionShare, m.sessions.share(at))
-	a.share = max(a.share, m.single.share(at))
+	progress := ro.progress(sr)
+	sr.sessionShare = max(sr.sessionShare, ro.sessionRamp.share(progress))
+	sr.requestShare = max(sr.requestShare, ro.requestRamp.share(progress))
 }
 
-// hasUnfinished reports whether a roll-out is running or its final status isn't stored.
-func (m *rollouts) hasUnfinished() bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	for _, a := range m.active {
-		if a.running() || a.unsaved {
+// hasUnfinished reports whether, for any service, a roll-out is in progress or its final status has
+// to be written again.
+func (ro *rollouts) hasUnfinished() bool {
+	ro.mu.Lock()
+	defer ro.mu.Unlock()
+	for _, sr := range ro.byService {
+		if sr.running() || sr.unsaved {
 			return true
 		}
 	}
--- a/internal/gateway/rollouts_test.go
+++ b/internal/gateway/rollouts_test.go
@@ -13,7 +13,7 @@
 	"github.com/quetzalweir/quetzalweir/routing"
 )
 
-// rolloutHosts are hosts that follow one store.
+// rolloutHosts are hosts that follow the tables of one store.
 type rolloutHosts struct {
 	store *fakeStore
 	hosts []*Gateway
@@ -45,12 +45,12 @@
 	h.store.put("operator", "order/svc", RolloutOrder{Service: "svc", Version: version, Duration: duration})
 }
 
-// shorten reduces the roll-out's duration. Checks before the call are independent of how long they
-// take.
+// shorten reduces the duration of the roll-out. A test that begins with a long duration and calls
+// shorten after its first checks doesn't depend on how long these take.
 func (h *rolloutHosts) shorten(duration time.Duration) {
 	for _, g := range h.hosts {
 		g.rollouts.mu.Lock()
-		g.rollouts.active["svc"].order.Duration = duration
+		g.rollouts.byService["svc"].order.Duration = duration
 		g.rollouts.mu.Unlock()
 	}
 }
@@ -76,7 +76,7 @@
 // runsNew reports whether the host would run a request on the new version.
 func runsNew(g *Gateway, id, session string) bool {
 	r := &Request{ID: id, Session: session, Service: "svc"}
-	return g.rollouts.admits(r)("v2")
+	return g.rollouts.versionFilter(r)("v2")
 }
 
 func (h *rolloutHosts) share(sessions bool) float64 {
@@ -99,10 +99,10 @@
 func observeBadVersion(g *Gateway) {
 	r := &Request{ID: "x", Service: "svc", Route: &routing.Route{Name: "r"}}
 	for range 50 {
-		g.rollouts.observe(r, choiceOf("old", "v1"), attemptResult{outcome: outcomeDone}, false)
+		g.rollouts.observeResult(r, choiceOf("old", "v1"), attemptResult{outcome: outcomeDone}, false)
 	}
 	for range 2 * minBadAnswers {
-		g.rollouts.observe(r, choiceOf("new", "v2"), attemptResult{outcome: outcomeFailed}, false)
+		g.rollouts.observeResult(r, choiceOf("new", "v2"), attemptResult{outcome: outcomeFailed}, false)
 	}
 }
 
@@ -111,8 +111,8 @@
 	r := &Request{ID: "x", Service: "svc", Route: &routing.Route{Name: "r"}}
 	for _, g := range h.hosts {
 		for range 50 {
-			g.rollouts.observe(r, choiceOf("old", "v1"), attemptResult{outcome: outcomeDone}, false)
-			g.rollouts.observe(r, choiceOf("new", "v2"), attemptResult{outcome: outcomeDone}, false)
+			g.rollouts.observeResult(r, choiceOf("old", "v1"), attemptResult{outcome: outcomeDone}, false)
+			g.rollouts.observeResult(r, choiceOf("new", "v2"), attemptResult{outcome: outcomeDone}, false)
 		}
 	}
 }
@@ -120,7 +120,7 @@
 func TestGoodVersionIsCompleted(t *testing.T) {
 	is := is.New(t)
 	h := newRolloutHosts(t, 3)
-	is.Equal(h.share(false), 0.0) // there is no order for the version
+	is.Equal(h.share(false), 0.0) // no roll-out of the version was ordered
 	h.order("v2", time.Minute)
 	eventually(t, "reported as running", h.stateIs(RolloutRunning))
 	eventually(t, "canaries", func() bool { return h.share(false) > 0.05 })
@@ -132,41 +132,41 @@
 	eventually(t, "all requests", func() bool { return h.share(true) == 1 && h.share(false) == 1 })
 }
 
-// A version isn't completed by time alone: without enough evidence it serves all requests while
-// the old one stays ready, until there are enough answers.
+// A roll-out must not be completed only because its duration has passed. Until there are enough
+// answers, the new version serves all requests, while the old one stays ready.
 func TestInconclusiveVersionIsNotCompleted(t *testing.T) {
 	is := is.New(t)
 	h := newRolloutHosts(t, 1)
-	m := h.hosts[0].rollouts
+	ro := h.hosts[0].rollouts
 	h.order("v2", time.Minute)
 	eventually(t, "reported as running", h.stateIs(RolloutRunning))
 	r := &Request{ID: "x", Service: "svc", Route: &routing.Route{Name: "r"}}
 	for range minConclusiveAnswers {
-		m.observe(r, choiceOf("old", "v1"), attemptResult{outcome: outcomeDone}, false)
+		ro.observeResult(r, choiceOf("old", "v1"), attemptResult{outcome: outcomeDone}, false)
 	}
-	m.observe(r, choiceOf("new", "v2"), attemptResult{outcome: outcomeDone}, false)
+	ro.observeResult(r, choiceOf("new", "v2"), attemptResult{outcome: outcomeDone}, false)
 	h.shorten(time.Second)
 	eventually(t, "doubted", func() bool {
-		m.mu.Lock()
-		defer m.mu.Unlock()
-		return m.active["svc"].inconclusive
+		ro.mu.Lock()
+		defer ro.mu.Unlock()
+		return ro.byService["svc"].inconclusive
 	})
 	time.Sleep(2 * time.Second)
 	is.True(h.stateIs(RolloutRunning)())
 	is.Equal(h.share(true), 1.0)
 	h.observeGoodVersion()
-	eventually(t, "completed on its answers", h.stateIs(RolloutCompleted))
+	eventually(t, "completed after enough answers", h.stateIs(RolloutCompleted))
 }
 
-// A service with hardly any requests is completed as well.
+// The roll-out of a service that gets hardly any requests is completed, too.
 func TestIdleServiceIsCompleted(t *testing.T) {
 	h := newRolloutHosts(t, 1)
 	h.order("v2", 2*time.Second)
 	eventually(t, "completed", h.stateIs(RolloutCompleted))
 }
 
-// The last part of the share rises within half a second, so the status data of an unchanging table
-// must always be recent enough for that.
+// The age of the status data must stay below maxStatusAge even if the status table doesn't change.
+// Otherwise the share isn't raised in time: the last part of the rise takes only half a second.
 func TestStatusIsRecentEnoughToRaise(t *testing.T) {
 	is := is.New(t)
 	h := newRolloutHosts(t, 1)
@@ -186,7 +186,7 @@
 	for done := h.stateIs(RolloutCompleted); !done(); time.Sleep(5 * time.Millisecond) {
 		for i := range 200 {
 			session := fmt.Sprint("s", i)
-			// The session's requests reach different hosts over time.
+			// The sessions are spread over the hosts.
 			isNew := runsNew(h.hosts[i%3], "r", session)
 			if seen[session] && !isNew {
 				t.Fatal("a session returned to the old version")
@@ -202,12 +202,12 @@
 	h.order("v2", 20*time.Second)
 	eventually(t, "canaries", func() bool { return h.share(false) > 0.05 })
 	observeBadVersion(h.hosts[1])
-	is.True(!runsNew(h.hosts[1], "any", "")) // at once on the host with the evidence
+	is.True(!runsNew(h.hosts[1], "any", "")) // the host with the evidence stops the version at once
 	eventually(t, "reported as reverted", h.stateIs(RolloutReverted))
 	eventually(t, "stopped everywhere", func() bool { return h.share(false) == 0 })
 }
 
-func TestBadVersionIsStoppedWhileTheStoreIsAway(t *testing.T) {
+func TestBadVersionIsStoppedWhileTheStoreIsUnavailable(t *testing.T) {
 	is := is.New(t)
 	h := newRolloutHosts(t, 2)
 	h.order("v2", 20*time.Second)
@@ -220,20 +220,21 @@
 	eventually(t, "stopped everywhere", func() bool { return h.share(false) == 0 })
 }
 
-// A host that can't receive whether others stopped the version keeps its share, and raises it once
-// it is connected again.
-func TestShareIsHeldWhileTheStoreIsAway(t *testing.T) {
+// While a host can't receive whether other hosts stopped the version, it doesn't raise the
+// version's share. It does so once the store is available again.
+func TestShareIsKeptWhileTheStoreIsUnavailable(t *testing.T) {
 	is := is.New(t)
 	h := newRolloutHosts(t, 1)
-	m := h.hosts[0].rollouts
+	ro := h.hosts[0].rollouts
 	h.order("v2", time.Minute)
 	eventually(t, "canaries", func() bool { return h.share(false) > 0.05 })
 	h.store.setDown(true)
 	h.store.put("other", "wakes", 1) // ends the pending calls
-	eventually(t, "the outage is noticed", m.statuses.Unreachable)
-	// The roll-out's time is over at once, so the test's duration doesn't matter.
+	eventually(t, "the outage is detected", ro.statuses.Unreachable)
+	// The duration passes at once, so that the share would be raised to 1 if the store were
+	// available.
 	h.shorten(time.Millisecond)
-	time.Sleep(10 * rolloutTick)
+	time.Sleep(10 * rolloutInterval)
 	is.True(h.share(false) < 0.2)
 	is.Equal(h.share(true), 0.0)
 	h.store.setDown(false)
@@ -262,29 +263,29 @@
 	}
 }
 
-// No roll-out starts before the store's clock is known: one with a wrong start time would be
-// raised to all requests at once.
+// No host must write that a roll-out began before it has received the store's clock. With a wrong
+// start time the share would be raised to all requests at once.
 func TestRolloutWaitsForTheStoresClock(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
-	m := w.gateway.rollouts
-	m.addOrder(RolloutOrder{Service: "svc", Version: "v2", Duration: time.Minute, Revision: 5}, false)
+	tg := newTestGateway(t, testDocument())
+	ro := tg.gateway.rollouts
+	ro.addOrder(RolloutOrder{Service: "svc", Version: "v2", Duration: time.Minute, Revision: 5}, false)
 	for range 20 {
-		m.tick(t.Context())
-		time.Sleep(writeSpread / 10)
+		ro.tick(t.Context())
+		time.Sleep(firstWriteSpread / 10)
 	}
-	is.Equal(w.store.calls["commit"], 0)
+	is.Equal(tg.store.calls["commit"], 0)
 }
 
-// Without an order, a version is used as an ordinary one.
+// If no roll-out was ordered, the only version of a service runs its requests.
 func TestNoOrderAdmitsAllVersions(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
-	w.startUpstreamOf(Upstream{ID: "a", Zone: "z1", Version: "v3"}, respondOK("ok"))
-	is.Equal(w.do(w.newRequest("GET", "/many/x", "")).status, 200)
+	tg := newTestGateway(t, testDocument())
+	tg.startUpstreamOf(Upstream{ID: "a", Zone: "z1", Version: "v3"}, respondOK("ok"))
+	is.Equal(tg.do(tg.newRequest("GET", "/many/x", "")).status, 200)
 }
 
-// The statistical tests are covered in package rollout; this checks that all answers are counted.
+// Package rollout tests the statistics. This test checks that the evidence contains all answers.
 func TestEvidence(t *testing.T) {
 	tests := []struct {
 		desc                            string
@@ -313,7 +314,7 @@
 				}
 			}
 			add(false, test.oldBad, test.old)
-			// Good answers first: the order must not affect the result.
+			// The good answers come first. The order must not affect the result.
 			add(true, 0, test.newAnswers-test.newBad)
 			add(true, test.newBad, test.newBad)
 			is.New(t).Equal(e.stopReason(2) != "", test.want)
@@ -329,7 +330,8 @@
 			e.observeEnd(observation{route: route, upstream: fmt.Sprint("u", i), isNew: isNew}, attemptResult{outcome: outcome}, time.Now())
 		}
 	}
-	// The failures of the other route on the old version hide those of this route in the total.
+	// In the total over both routes, the failures of the old version on route good hide the
+	// failures of the new version on route poor.
 	add("good", false, outcomeFailed, 40)
 	add("good", false, outcomeDone, 160)
 	add("good", true, outcomeDone, 200)
@@ -350,21 +352,21 @@
 	is.True(e.stopReason(2) != "")
 }
 
-func TestOlderDocumentIsNotTaken(t *testing.T) {
+func TestOlderDocumentIsIgnored(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
-	rows := newOperatorRows(w.gateway)
+	tg := newTestGateway(t, testDocument())
+	rows := newOperatorRows(tg.gateway)
 	store := newFakeStore()
 	doc := testDocument()
 	doc.Version = 6
 	store.put("operator", "document", doc)
 	rows.Change(store.rows["operator"]["document"])
-	is.Equal(w.gateway.table.Load().Version, uint64(7))
+	is.Equal(tg.gateway.routingTable.Load().Version, uint64(7))
 	doc.Version = 9
 	store.put("operator", "document", doc)
 	rows.Replace([]feed.Row{store.rows["operator"]["document"]}, 1)
-	is.Equal(w.gateway.table.Load().Version, uint64(9))
+	is.Equal(tg.gateway.routingTable.Load().Version, uint64(9))
 	rows.Change(feed.Row{Key: "document", Data: []byte("{"), Revision: 10})
 	rows.Change(feed.Row{Key: "document", Deleted: true, Revision: 11})
-	is.Equal(w.gateway.table.Load().Version, uint64(9)) // neither an invalid row nor a removal ends it
+	is.Equal(tg.gateway.routingTable.Load().Version, uint64(9)) // the document stays in force after an invalid row and a removal
 }
--- a/internal/gateway/rolloutstatus.go
+++ b/internal/gateway/rolloutstatus.go
@@ -11,152 +11,154 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// due returns the status that should be written now.
-func (m *rollouts) due(a *activeRollout) (RolloutState, bool) {
+// dueStatus returns the state of the roll-out that has to be written to the store now; ok is false
+// if there is none.
+func (ro *rollouts) dueStatus(sr *serviceRollout) (RolloutState, bool) {
 	switch {
-	case a.unsaved && a.hasStatus():
-		return a.status.State, true
-	case a.stopped:
+	case sr.unsaved && sr.hasStatus():
+		return sr.status.State, true
+	case sr.stopped:
 		return RolloutReverted, true
-	case !a.hasStatus():
-		// Before the first answer of the store its clock isn't known, and a roll-out with a wrong
-		// start time would be raised at once.
-		_, received := m.statuses.Age()
+	case !sr.hasStatus():
+		// Before the first response from the store its clock isn't known. With a wrong start time
+		// the shares would be raised at once.
+		_, received := ro.statuses.Age()
 		return RolloutRunning, received
-	case a.sessionShare >= 1 && a.share >= 1 && m.sessions.done(m.progress(a)):
-		return RolloutCompleted, m.conclusive(a)
+	case sr.sessionShare >= 1 && sr.requestShare >= 1 && ro.sessionRamp.mayComplete(ro.progress(sr)):
+		return RolloutCompleted, ro.conclusive(sr)
 	default:
 		return RolloutRunning, false
 	}
 }
 
-// conclusive reports whether the evidence suffices to complete the version. With completion the
-// old version's upstreams stop for good, so a bad version would fail its share of all requests
-// from then on, while completing a sound one late costs an overdue roll-out. In doubt the roll-out
-// continues, with all requests on the new version and the old one ready, until there are enough
-// answers. Where answers are too few for that, none may be bad.
-func (m *rollouts) conclusive(a *activeRollout) bool {
-	if a.evidence.sufficient() || m.fewAnswersNoneBad(a) {
+// conclusive reports whether the evidence suffices to complete the roll-out. On completion the old
+// version's upstreams stop for good, so that a bad version would fail requests from then on, while
+// the only cost of completing a sound version late is an overdue roll-out. If the evidence doesn't
+// suffice, the roll-out continues until there are enough answers, with all requests on the new
+// version and the old one ready to take over. For a service that gets too few answers for that, it
+// suffices that none of them is bad.
+func (ro *rollouts) conclusive(sr *serviceRollout) bool {
+	if sr.evidence.sufficesToComplete() || ro.fewAnswersNoneBad(sr) {
 		return true
 	}
-	if !a.inconclusive {
-		a.inconclusive = true
-		m.log.Warn().Str("event", "rollout-doubted").Str("service", a.order.Service).Str("version", a.order.Version).
-			Str("evidence", a.evidence.String()).Msg("")
+	if !sr.inconclusive {
+		sr.inconclusive = true
+		ro.log.Warn().Str("event", "rollout-doubted").Str("service", sr.order.Service).Str("version", sr.order.Version).
+			Str("evidence", sr.evidence.String()).Msg("")
 	}
 	return false
 }
 
-// minConclusiveAnswers is the number of answers of all versions below which a service gives too
-// few during a roll-out for a verdict.
+// minConclusiveAnswers is the minimum number of answers of both versions during a roll-out. With
+// fewer, a statistical test can't be conclusive, and fewAnswersNoneBad decides.
 const minConclusiveAnswers = 60
 
-// fewAnswersNoneBad reports whether the service had few answers while this host followed half of the
-// roll-out, and no bad one of the new version.
-func (m *rollouts) fewAnswersNoneBad(a *activeRollout) bool {
-	v := total(a.evidence.allCounts())
-	return boottime.Since(a.seenAt) >= a.order.Duration/2 &&
+// fewAnswersNoneBad reports whether, in at least half of the roll-out's duration, the service gave
+// fewer answers than minConclusiveAnswers and none of the new version's was bad.
+func (ro *rollouts) fewAnswersNoneBad(sr *serviceRollout) bool {
+	v := sumRoutes(sr.evidence.allCounts())
+	return boottime.Since(sr.receivedAt) >= sr.order.Duration/2 &&
 		v.Old.Answers+v.New.Answers < minConclusiveAnswers && v.New.Failed == 0 && v.New.Slow == 0
 }
 
-// isTurn reports whether this host should now write the status that is due, which every host finds
-// due at about the same time. During an outage of the store none should.
-func (m *rollouts) isTurn(a *activeRollout, next RolloutState) bool {
-	if m.statuses.Unreachable() {
+// isTurn reports whether this host should write the due status now. The status becomes due on all
+// hosts at about the same time. During an outage of the store no host should write.
+func (ro *rollouts) isTurn(sr *serviceRollout, next RolloutState) bool {
+	if ro.statuses.Unreachable() {
 		return false
 	}
-	if a.writeAt.IsZero() {
-		a.writeAt = boottime.Now().Add(m.delay(next))
+	if sr.writeAt.IsZero() {
+		sr.writeAt = boottime.Now().Add(ro.writeDelay(next))
 	}
-	return !boottime.Now().Before(a.writeAt)
+	return !boottime.Now().Before(sr.writeAt)
 }
 
-// delay returns the time until this host should write. Hosts with followers are few and receive
-// each other's writes first, so they write first; a follower waits until the write of its hub
-// should have reached it. Without that, 195 hosts wrote the first status of a roll-out 92 times
-// within a second.
-func (m *rollouts) delay(next RolloutState) time.Duration {
+// writeDelay returns the time until this host should write a status that is due. Hosts with
+// followers are few and receive each other's writes first, so they write first. A follower waits
+// until a status that its hub wrote should have reached it. Without this order, 195 hosts wrote the
+// first status of a roll-out 92 times within a second.
+func (ro *rollouts) writeDelay(next RolloutState) time.Duration {
 	urgent := next != RolloutRunning
 	switch {
-	case m.hasFollowers():
+	case ro.hasFollowers():
 		return rand.N(hubSpread)
-	case m.statuses.UsesRelay() && urgent:
+	case ro.statuses.UsesRelay() && urgent:
 		return followerUrgentDelay + rand.N(followerUrgentDelay)
-	case m.statuses.UsesRelay():
-		return followerDelay + rand.N(writeSpread)
+	case ro.statuses.UsesRelay():
+		return followerDelay + rand.N(firstWriteSpread)
 	case next == RolloutReverted:
-		return 0 // without a hub the other hosts may not have detected the failure
+		return 0 // without a hub, the other hosts may not have the evidence to stop the version
 	case next == RolloutCompleted:
 		return rand.N(completeSpread)
 	default:
-		return rand.N(writeSpread)
+		return rand.N(firstWriteSpread)
 	}
 }
 
-// write writes a status on the condition that no other host wrote one. The result is received by
-// the watcher of the statuses.
-func (m *rollouts) write(ctx context.Context, a *activeRollout, state RolloutState) {
-	m.mu.Lock()
+// writeStatus writes a status on the condition that no other host wrote one since the last one that
+// was received. The watcher of the status table then receives the status that was written.
+func (ro *rollouts) writeStatus(ctx context.Context, sr *serviceRollout, state RolloutState) {
+	ro.mu.Lock()
 	next := RolloutStatus{
-		Service:       a.order.Service,
-		Version:       a.order.Version,
+		Service:       sr.order.Service,
+		Version:       sr.order.Version,
 		State:         state,
-		OrderRevision: a.order.Revision,
-		Started:       m.statuses.StoreClock() - boottime.Since(a.seenAt),
+		OrderRevision: sr.order.Revision,
+		Started:       ro.statuses.StoreClock() - boottime.Since(sr.receivedAt),
 	}
-	if a.hasStatus() {
-		next.Started = a.status.Started
+	if sr.hasStatus() {
+		next.Started = sr.status.Started
 	}
-	expected := a.status.Revision
-	m.mu.Unlock()
+	expected := sr.status.Revision
+	ro.mu.Unlock()
 
-	err := m.commit(ctx, next, expected)
-	line := m.log.Info()
+	err := ro.commitStatus(ctx, next, expected)
+	line := ro.log.Info()
 	if err != nil && !errors.Is(err, storage.ErrConflict) {
-		line = m.log.Warn()
+		line = ro.log.Warn()
 	}
 	line.Str("event", "rollout-write").Str("service", next.Service).Str("state", state.String()).AnErr("error", err).Msg("")
-	// A conflict means that another host wrote first. Its status arrives shortly, so a short pause
-	// avoids useless calls.
-	_ = wait.For(ctx, m.pause(a, err)) // only a host that is stopping skips the pause
-	m.mu.Lock()
-	a.writing = false
-	a.writeAt = time.Time{}
-	m.mu.Unlock()
+	// A conflict means that another host wrote first. Its status is received shortly, so a short
+	// pause avoids useless calls.
+	_ = wait.For(ctx, ro.retryPause(sr, err)) // only a host that is stopping skips the pause
+	ro.mu.Lock()
+	sr.writing = false
+	sr.writeAt = time.Time{}
+	ro.mu.Unlock()
 }
 
 const (
-	// writePause is the time between two attempts to write a status: longer than a change needs to
-	// be received by the watcher.
+	// writePause is the time between two attempts to write a status. It is longer than the watcher
+	// needs to receive a change.
 	writePause = 300 * time.Millisecond
-	// maxWriteDoublings bounds the pause after writes that the store refuses or doesn't answer; it
-	// doubles with each, up to 4.8 s. Without this, hosts that were cut off from the store tried
-	// 300 times in 12 s.
+	// maxWriteDoublings bounds how often the pause doubles. It doubles with each consecutive write
+	// that the store refuses or doesn't answer, up to 4.8 s. With a constant pause, hosts that were
+	// cut off from the store tried 300 times in 12 s.
 	maxWriteDoublings = 4
 )
 
-// pause returns the time until the next attempt after a write that ended with err.
-func (m *rollouts) pause(a *activeRollout, err error) time.Duration {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+// retryPause returns the time until the next attempt after a write that ended with err.
+func (ro *rollouts) retryPause(sr *serviceRollout, err error) time.Duration {
+	ro.mu.Lock()
+	defer ro.mu.Unlock()
 	if err == nil || errors.Is(err, storage.ErrConflict) {
-		a.failures = 0
+		sr.failedWrites = 0
 		return writePause
 	}
-	pause := writePause << a.failures
-	a.failures = min(a.failures+1, maxWriteDoublings)
+	pause := writePause << sr.failedWrites
+	sr.failedWrites = min(sr.failedWrites+1, maxWriteDoublings)
 	return pause/2 + rand.N(pause)
 }
 
-func (m *rollouts) commit(ctx context.Context, next RolloutStatus, expected storage.Revision) error {
-	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
+func (ro *rollouts) commitStatus(ctx context.Context, next RolloutStatus, expected storage.Revision) error {
+	ctx, cancel := context.WithTimeout(ctx, statusWriteTimeout)
 	defer cancel()
-	data, err := m.settings.Codec.EncodeStatus(next)
+	data, err := ro.settings.Codec.EncodeStatus(next)
 	if err != nil {
 		return err
 	}
-	key := m.settings.Tables.OrdersPrefix + next.Service
-	_, err = m.settings.Statuses.Commit(ctx, storage.Txn{
+	key := ro.settings.Tables.OrdersPrefix + next.Service
+	_, err = ro.settings.Statuses.Commit(ctx, storage.Txn{
 		Conditions: []storage.Condition{{Key: key, Version: uint64(expected)}},
 		Puts:       []storage.Put{{Key: key, Value: data}},
 	})
--- a/internal/gateway/scale_test.go
+++ b/internal/gateway/scale_test.go
@@ -20,47 +20,50 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// With 10,000 engines, periodic tasks visited all of them about 40 times a second, although the
-// host had requests at one or two.
+// Periodic tasks must visit only the upstreams that the host uses or that are cold or rate-limited.
+// An earlier version visited all: with 10,000 engines about 40 times a second, although the host
+// had requests in flight at one or two of them.
 func TestPeriodicTasksVisitUpstreamsInUseOnly(t *testing.T) {
 	is := is.New(t)
 	f := largeFleet(12_000, 5)
 	s := f.shard("svc")
-	is.Equal(len(s.active)+len(s.leased), 0)
+	is.Equal(len(s.inUse)+len(s.coldOrLimited), 0)
 
 	c, ok := f.choose(sharedPrefixCriteria("p"))
 	is.True(ok)
-	is.Equal(len(s.active), 1)
-	is.Equal(len(f.work()), 1)
+	is.Equal(len(s.inUse), 1)
+	is.Equal(len(f.workInFlight()), 1)
 	f.release(c, attemptResult{outcome: outcomeDone})
-	is.Equal(len(s.active), 0)
+	is.Equal(len(s.inUse), 0)
 
 	m := f.memberOf("svc", c.upstream.ID)
 	s.coldBound = ratelease.Bound{Rate: 10, Overrun: 1.5}
-	m.markCold(time.Minute, coldEntry, f.log)
-	is.Equal(len(s.leased), 1)
+	m.markCold(time.Minute, coldReasonEntry, f.log)
+	is.Equal(len(s.coldOrLimited), 1)
 	f.logEndedRestrictions()
-	is.Equal(len(s.leased), 1)
+	is.Equal(len(s.coldOrLimited), 1)
 	is.Equal(len(f.LeaseGrants(1)), 1)
 	m.coldState.until = boottime.Now()
 	f.logEndedRestrictions()
-	is.Equal(len(s.leased), 0)
+	is.Equal(len(s.coldOrLimited), 0)
 
 	f.observeLimit(&c, limitHeader{values: []string{"5"}})
-	is.Equal(len(s.leased), 1)
+	is.Equal(len(s.coldOrLimited), 1)
 	is.Equal(len(f.currentLimits()), 1)
 	f.Remove(c.upstream.ID, 2, false)
 	f.Sweep(boottime.Now().Add(2 * recordRetention))
-	is.Equal(len(s.leased), 0)
-	is.Equal(s.starts, startCounts{total: 11_999})
+	is.Equal(len(s.coldOrLimited), 0)
+	is.Equal(s.startCounts, startCounts{total: 11_999})
 }
 
-// upstreamBudget bounds the memory that a host keeps for an upstream that it doesn't use, in
-// bytes: a quarter of the 32 MB of the control plane, for 12,000 upstreams. The garbage collector
-// lets the heap double, and the rest is for what doesn't grow with the upstreams.
-const upstreamBudget = 32 << 20 / 4 / 12_000
+// maxUpstreamBytes bounds the memory that a host keeps for an upstream that it doesn't use, in
+// bytes. 12,000 upstreams may use a quarter of the 32 MB that a host may use for the control plane.
+// Another quarter is needed because the garbage collector lets the heap double, and the rest is for
+// memory that doesn't grow with the number of upstreams.
+const maxUpstreamBytes = 32 << 20 / 4 / 12_000
 
-// With 10,000 engines hosts used 57 MB, which made memory their scarcest resource.
+// Guards against records of upstreams that are too large: with 10,000 engines, hosts once used 57
+// MB, which made memory their scarcest resource.
 func TestMemoryOfAnUpstream(t *testing.T) {
 	if testing.CoverMode() != "" || underRace {
 		t.Skip("the instrumentation distorts the heap size")
@@ -74,9 +77,9 @@
 		f.Set(decodeEntry(t, row), storage.Revision(i+1))
 	}
 	f.shard("svc").currentIndex(boottime.Now().Add(indexMaxAge))
-	each := int(heapInUse()-before) / upstreams
-	t.Logf("%d B per upstream", each)
-	is.True(each <= upstreamBudget)
+	bytesPerUpstream := int(heapInUse()-before) / upstreams
+	t.Logf("%d B per upstream", bytesPerUpstream)
+	is.True(bytesPerUpstream <= maxUpstreamBytes)
 	is.Equal(len(f.shard("svc").members), upstreams)
 	runtime.KeepAlive(rows)
 }
@@ -89,7 +92,7 @@
 	return stats.HeapAlloc
 }
 
-// entryRows returns rows with entries as upstreams write them, each with strings of its own.
+// entryRows returns rows with entries as upstreams write them. No two rows share memory.
 func entryRows(n int) []feed.Row {
 	rows := make([]feed.Row, n)
 	for i := range rows {
@@ -108,14 +111,15 @@
 	return u
 }
 
-// With 10,000 upstreams a host wrote a line for each at its start, and for each change of one: ten
-// million lines of 985 hosts in a second.
+// The number of log lines must not grow with the number of upstreams. An earlier version logged a
+// line for each upstream at the start of a host and for each change of an entry: with 10,000
+// upstreams, 985 hosts together wrote ten million lines in a second.
 func TestLogLinesDontGrowWithUpstreams(t *testing.T) {
 	is := is.New(t)
 	var log bytes.Buffer
-	w := newTestGateway(t, testDocument())
-	w.gateway.fleet.log = zerolog.New(&log).Level(zerolog.InfoLevel)
-	f := w.gateway.fleet
+	tg := newTestGateway(t, testDocument())
+	tg.gateway.fleet.log = zerolog.New(&log).Level(zerolog.InfoLevel)
+	f := tg.gateway.fleet
 	const upstreams = 1000
 	change := func(do func(i int, id string)) {
 		for i := range upstreams {
@@ -128,7 +132,7 @@
 	}
 	change(func(_ int, id string) { f.Set(entry(id, firstStart, false), 1) })
 	change(func(_ int, id string) { f.Set(entry(id, secondStart, false), 2) })
-	used, ok := f.choose(criteria{service: "svc", admits: anyVersion})
+	used, ok := f.choose(criteria{service: "svc", admitsVersion: anyVersion})
 	is.True(ok)
 	change(func(_ int, id string) { f.Set(entry(id, secondStart, true), 3) })
 	change(func(_ int, id string) { f.Remove(id, 4, false) })
@@ -147,17 +151,18 @@
 	is.Equal(len(lines), changeLines+2)
 }
 
-// In a whole table, only rows whose revision isn't known yet are decoded.
+// When a host receives the whole table, it decodes only the rows whose revision it hasn't applied
+// yet.
 func TestKnownEntriesAreNotDecodedAgain(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
+	tg := newTestGateway(t, testDocument())
 	decoded := 0
-	decode := w.gateway.settings.Codec.Upstream
-	w.gateway.settings.Codec.Upstream = func(id string, data []byte) (Upstream, error) {
+	decode := tg.gateway.settings.Codec.Upstream
+	tg.gateway.settings.Codec.Upstream = func(id string, data []byte) (Upstream, error) {
 		decoded++
 		return decode(id, data)
 	}
-	rows := newUpstreamRows(w.gateway)
+	rows := newUpstreamRows(tg.gateway)
 	table := make([]feed.Row, 100)
 	for i := range table {
 		table[i] = feed.Row{Key: fmt.Sprint("i-", i), Revision: storage.Revision(i + 1), Data: []byte(`{"Service":"svc","Incarnation":5,"Address":"127.0.0.1:9"}`)}
@@ -167,12 +172,13 @@
 	table[3].Revision, table[3].Data = 101, []byte(`{"Service":"svc","Incarnation":5,"Address":"127.0.0.1:9","Leaving":true}`)
 	rows.Change(feed.Row{Key: table[4].Key, Revision: 102, Deleted: true})
 	rows.Replace(table, 102)
-	is.Equal(decoded, 102) // the changed row, and the one that was removed meanwhile
-	is.True(w.gateway.fleet.memberOf("svc", "i-3").Leaving)
-	is.True(w.gateway.fleet.memberOf("svc", "i-4").removedAt.IsZero())
+	is.Equal(decoded, 102) // the changed row, and the one that was removed in the meantime
+	is.True(tg.gateway.fleet.memberOf("svc", "i-3").Leaving)
+	is.True(tg.gateway.fleet.memberOf("svc", "i-4").removedAt.IsZero())
 }
 
-// The prefixes that other hosts send to engines are recorded without a record for each engine.
+// The number of recorded prefixes that other hosts sent is bounded, and recording them creates no
+// usage record for an engine that this host doesn't use.
 func TestRemotePrefixesAreBounded(t *testing.T) {
 	is := is.New(t)
 	f := largeFleet(12_000, 5)
--- a/internal/gateway/sendpolicy.go
+++ b/internal/gateway/sendpolicy.go
@@ -8,18 +8,19 @@
 	"github.com/quetzalweir/quetzalweir/ratelease"
 )
 
-// sendPolicy holds what restricts this host's requests to upstreams that are in service: leases
-// for upstreams that are cold or rate-limited, and the evacuated availability zones.
+// sendPolicy holds the restrictions of this host's requests to upstreams that are in service: its
+// leases for upstreams that are cold or rate-limited, and the evacuated availability zones.
 type sendPolicy struct {
-	// singleHost is set if there is no other host: this one then holds all leases.
+	// singleHost is set if there is no other host, so that this one may send all requests.
 	singleHost bool
-	// hosts returns the number of hosts, 0 while it is unknown. seed makes this host's random
-	// draws differ from the other hosts'.
-	hosts func() int
-	seed  string
-	// coldOverrun and coldHeadroom are the operators' bounds for cold upstreams.
+	// hostCount returns the number of hosts, 0 while it is unknown. seed makes this host's random
+	// draws differ from those of the other hosts.
+	hostCount func() int
+	seed      string
+	// coldOverrun and coldHeadroom bound the requests to cold upstreams (Settings.ColdOverrun).
 	coldOverrun, coldHeadroom float64
-	// holding are the leases of this host: the parts of upstreams' requests that it may send.
+	// holding contains the leases of this host: for each leased upstream, the part of the requests
+	// of all hosts that this one may send. It is nil before the first reply from a hub.
 	holding atomic.Pointer[ratelease.Holding]
 	// hubContact is the state of this host's contact with its hub.
 	hubContact atomic.Pointer[ratelease.HubContact]
@@ -28,58 +29,59 @@
 }
 
 func newSendPolicy(seed string) *sendPolicy {
-	a := &sendPolicy{singleHost: true, seed: seed, hosts: func() int { return 0 }}
+	p := &sendPolicy{singleHost: true, seed: seed, hostCount: func() int { return 0 }}
 	c := ratelease.NewHubContact(boottime.Now())
-	a.hubContact.Store(&c)
-	return a
+	p.hubContact.Store(&c)
+	return p
 }
 
 // SetHolding sets the leases of this host and the time at which a root hub last confirmed them. It
-// is called for each answer of a hub.
+// is called for each reply from a hub.
 func (f *Fleet) SetHolding(h ratelease.Holding, confirmedAt time.Time) {
 	c := f.policy.currentContact().Answered(boottime.Now(), confirmedAt)
 	f.policy.holding.Store(&h)
 	f.policy.hubContact.Store(&c)
 }
 
-func (a *sendPolicy) currentContact() ratelease.HubContact { return *a.hubContact.Load() }
+func (p *sendPolicy) currentContact() ratelease.HubContact { return *p.hubContact.Load() }
 
-// leasedShare returns the share of an upstream's requests that this host may send; ok is false if
-// it holds no lease.
-func (a *sendPolicy) leasedShare(u ratelease.UpstreamID, now time.Time) (leasedShare ratelease.Share, ok bool) {
-	if a.singleHost {
+// leasedShare returns the share of all hosts' requests to an upstream that this host may send; ok
+// is false if it holds no lease for the upstream.
+func (p *sendPolicy) leasedShare(u ratelease.UpstreamID, now time.Time) (leasedShare ratelease.Share, ok bool) {
+	if p.singleHost {
 		return ratelease.FullShare(1, time.Time{}), true
 	}
-	holding := a.holding.Load()
+	holding := p.holding.Load()
 	if holding == nil {
 		return ratelease.Share{}, false
 	}
 	return holding.Share(u, now)
 }
 
-// disconnectedAllowance returns what this host may send to a rate-limited upstream while no root
-// hub grants leases.
-func (a *sendPolicy) disconnectedAllowance(u ratelease.UpstreamID, now time.Time) ratelease.Allowance {
-	since, disconnected := a.currentContact().Isolated(now)
-	if !disconnected {
+// isolatedAllowance returns the requests that this host may send to a rate-limited upstream while
+// it is isolated, which means that it can't receive leases from a root hub; none while it isn't
+// isolated.
+func (p *sendPolicy) isolatedAllowance(u ratelease.UpstreamID, now time.Time) ratelease.Allowance {
+	since, isolated := p.currentContact().Isolated(now)
+	if !isolated {
 		return ratelease.Allowance{}
 	}
-	hosts := a.hosts()
+	hosts := p.hostCount()
 	if hosts == 0 {
-		// This host's share isn't known, and a guess below the number of hosts would exceed the
-		// limit.
+		// The share of this host is 1 divided by the number of hosts, which isn't known. If it
+		// assumed too small a number, the hosts together would exceed the limit.
 		return ratelease.Allowance{}
 	}
-	return ratelease.IsolatedAllowance(hosts, u.Point(a.seed), since)
+	return ratelease.IsolatedAllowance(hosts, u.Point(p.seed), since)
 }
 
 // isEvacuated reports whether the zone's upstreams get no requests.
-func (a *sendPolicy) isEvacuated(zone string) bool {
-	zones := a.evacuatedZones.Load()
+func (p *sendPolicy) isEvacuated(zone string) bool {
+	zones := p.evacuatedZones.Load()
 	return zones != nil && (*zones)[zone]
 }
 
-// acceptsRequests reports whether this host may send the upstream new requests now.
+// acceptsRequests reports whether this host may send a new request to the upstream now.
 func (m *member) acceptsRequests(now time.Time, grace time.Duration) bool {
 	if !m.inService(now, grace) || m.shard.policy.isEvacuated(m.Zone) {
 		return false
@@ -97,24 +99,24 @@
 	}
 }
 
-// LeaseGrants returns the leased upstreams in service, each with the number of parts that one of
-// the given number of root hubs grants.
+// LeaseGrants returns a grant for each upstream in service that is cold or rate-limited. Each
+// consists of all parts that one root hub grants if there is the given number of root hubs.
 func (f *Fleet) LeaseGrants(roots int) []ratelease.Grant {
 	var grants []ratelease.Grant
 	now := boottime.Now()
-	f.each(func(s *shard) {
-		for m := range s.leased {
+	f.eachShard(func(s *shard) {
+		for m := range s.coldOrLimited {
 			parts := m.leaseParts(roots, now)
 			if parts > 0 && m.inService(now, f.removalGrace) && !f.policy.isEvacuated(m.Zone) {
-				grants = append(grants, ratelease.Grant{Upstream: m.lease, Parts: parts, Of: parts})
+				grants = append(grants, ratelease.Grant{Upstream: m.leaseID, Parts: parts, Of: parts})
 			}
 		}
 	})
 	return grants
 }
 
-// leaseParts returns the number of parts into which a root hub splits the requests for the
-// upstream; 0 if they aren't leased.
+// leaseParts returns the number of parts into which a root hub splits the requests to the upstream;
+// 0 if the upstream is neither cold nor rate-limited.
 func (m *member) leaseParts(roots int, now time.Time) int {
 	switch cold, limited := m.isCold(now), m.isLimited(now); {
 	case cold && limited:
@@ -127,8 +129,9 @@
 	return 0
 }
 
-// upstreamCounts counts upstreams that are in service, and those of them that are cold, in
-// evacuated zones, or rate-limited.
+// upstreamCounts holds the number of upstreams that are in service, and the numbers of those among
+// them that are cold, in an evacuated zone, or rate-limited. Upstreams in evacuated zones aren't
+// counted as cold.
 type upstreamCounts struct{ inService, cold, evacuated, limited int }
 
 // countUpstreams counts a service's upstreams in the regions.
@@ -144,7 +147,7 @@
 // countAllUpstreams counts the upstreams of all services.
 func (f *Fleet) countAllUpstreams() upstreamCounts {
 	var n upstreamCounts
-	f.each(func(s *shard) { n.add(s, regionConstraint{}, f.removalGrace) })
+	f.eachShard(func(s *shard) { n.add(s, regionConstraint{}, f.removalGrace) })
 	return n
 }
 
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -14,13 +14,14 @@
 	Host string
 	Zone string
 	// Regions maps availability zones to regions; empty if there is only one region. A zone that
-	// is missing is in a region of its own.
+	// isn't in a non-empty map is in a region of its own.
 	Regions map[string]string
-	// CallerAddress, ReadyAddress and MetricsAddress are addresses to listen on, IP and port; MetricsAddress may be empty.
+	// CallerAddress, ReadyAddress and MetricsAddress are addresses to listen on, IP and port.
+	// MetricsAddress may be empty.
 	CallerAddress  string
 	ReadyAddress   string
 	MetricsAddress string
-	// ReadyPath responds with 200 while the host accepts new connections.
+	// ReadyPath is the path that responds with status 200 while the host accepts new connections.
 	ReadyPath string
 
 	// Source reads the tables that the gateway follows; Statuses is the table to which it writes
@@ -33,34 +34,36 @@
 	// AnyModel is the model name by which callers leave the choice of the model to the gateway.
 	AnyModel string
 
-	// Peers configures the exchange with other hosts. Without an address to listen on the host
-	// uses only its own data.
+	// Peers configures the exchange with other hosts. If Peers.Listen is empty, the host uses only
+	// its own data.
 	Peers Peers
 
-	// StopTimeout is the time from the stop request to the kill.
+	// StopTimeout is the time after which a process that was asked to stop is killed.
 	StopTimeout time.Duration
-	// DrainTime is how long a leaving upstream still serves.
+	// DrainTime is how long an upstream still serves after it announced that it is leaving.
 	DrainTime time.Duration
 	// ApplyTime is the time within which operators' documents have to take effect.
 	ApplyTime time.Duration
-	// RetryRatio bounds a service's retries relative to its requests, in each span of RetryWindow.
+	// RetryRatio bounds the retries of a service's requests as a fraction of the requests, in each
+	// time span of RetryWindow.
 	RetryRatio  float64
 	RetryWindow time.Duration
 	// RetryHeadroom is the number of additional retries that all hosts together may make in each
 	// window.
 	RetryHeadroom float64
-	// CanaryShare bounds a new version's share of a roll-out's requests.
+	// CanaryShare bounds the fraction of a service's requests that a new version serves, over the
+	// whole duration of its roll-out.
 	CanaryShare float64
-	// ColdOverrun times the rate that a cold upstream tolerates, plus ColdHeadroom requests, is the
-	// number of requests of all hosts together that may reach it in one second.
+	// ColdOverrun and ColdHeadroom bound the requests that all hosts together may send to a cold
+	// upstream in one second: ColdOverrun times the rate that it tolerates, plus ColdHeadroom.
 	ColdOverrun  float64
 	ColdHeadroom float64
 
-	// FirstModelIndex is the index of the model at which a request with a choice of models starts, 0
-	// for the cheapest.
+	// FirstModelIndex is the index of the model that is tried first for a request with a choice of
+	// models; 0 is the cheapest.
 	FirstModelIndex int
-	// AcceptConfidence is the confidence, 0 to 100, from which a cheaper model's answer is passed
-	// on.
+	// AcceptConfidence is the minimum confidence, 0 to 100, with which the answer of a cheaper
+	// model is passed on.
 	AcceptConfidence int
 }
 
@@ -68,7 +71,7 @@
 type Peers struct {
 	// Listen is this host's address for the other hosts, IP and port.
 	Listen string
-	// Seeds are the addresses of the hosts that collect the other hosts' data.
+	// Seeds are the addresses of the hosts that may act as hubs.
 	Seeds []string
 	// FirstStart is set if the whole installation starts for the first time.
 	FirstStart bool
@@ -81,10 +84,10 @@
 }
 
 const (
-	// retryMargin is the fraction of the permitted retries that is used: hosts count over other
-	// intervals than upstreams do.
+	// retryMargin is the fraction of the permitted retries that is used. The rest is a margin for
+	// upstreams, which count requests over other intervals than hosts do.
 	retryMargin = 0.9
-	// Defaults of settings that a deployment doesn't set.
+	// These are the defaults of settings that a deployment doesn't set.
 	defaultRetryRatio  = 0.2
 	defaultRetryWindow = 10 * time.Second
 	defaultStopTimeout = 10 * time.Second
--- a/internal/gateway/start_memory_test.go
+++ b/internal/gateway/start_memory_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// emptyStore lists an empty table and never answers a call for changes.
+// emptyStore is a store whose table is empty and never changes.
 type emptyStore struct{}
 
 func (emptyStore) List(context.Context, string, string, feed.Received) (feed.Page, error) {
@@ -44,28 +44,29 @@
 	return feed.Page{}, ctx.Err()
 }
 
-type noRows struct{}
+type discardRows struct{}
 
-func (noRows) Replace([]feed.Row, storage.Revision) {}
-func (noRows) Change(feed.Row)                      {}
+func (discardRows) Replace([]feed.Row, storage.Revision) {}
+func (discardRows) Change(feed.Row)                      {}
 
 // maxControlMemory is the memory that a host may use for the control plane, in bytes; a quarter of
 // it is for memory outside the heap.
 const maxControlMemory = 32 << 20
 
-// Hosts that received 10,000 upstreams page by page used 42 MB for copies of rows, tables that
-// were compressed again with each page, and decompressed bytes.
+// Guards against using too much memory while a host receives the entries of all upstreams page by
+// page. With 10,000 upstreams, hosts once used 42 MB for copies of rows, for tables that were
+// compressed again with each page, and for decompressed bytes.
 func TestMemoryOfAHostThatReceivesAllUpstreams(t *testing.T) {
 	if testing.CoverMode() != "" || underRace {
 		t.Skip("the instrumentation distorts the heap size")
 	}
 	is := is.New(t)
 	const upstreams, page = 12_000, 400
-	w := newTestGateway(t, testDocument())
+	tg := newTestGateway(t, testDocument())
 	store := &pagedStore{pages: make(chan []feed.Row)}
 	options := feed.Options{Relays: func() bool { return true }, BatchDelay: time.Millisecond}
-	hub := feed.NewWatcher("upstreams", store, noRows{}, options, zerolog.Nop())
-	host := feed.NewWatcher("upstreams", emptyStore{}, newUpstreamRows(w.gateway), feed.Options{FirstUpdateWait: 5 * time.Second}, zerolog.Nop())
+	hub := feed.NewWatcher("upstreams", store, discardRows{}, options, zerolog.Nop())
+	host := feed.NewWatcher("upstreams", emptyStore{}, newUpstreamRows(tg.gateway), feed.Options{FirstUpdateWait: 5 * time.Second}, zerolog.Nop())
 	var running sync.WaitGroup
 	ctx, stop := context.WithCancel(t.Context())
 	running.Go(func() { hub.Run(ctx) })
@@ -88,7 +89,7 @@
 	grown := int(after.HeapSys-after.HeapReleased) - int(before.HeapSys-before.HeapReleased)
 	t.Logf("the heap of hub and host grew by %d kB", grown>>10)
 	is.True(grown <= maxControlMemory*3/4)
-	is.Equal(len(w.gateway.fleet.shard("svc").members), upstreams)
+	is.Equal(len(tg.gateway.fleet.shard("svc").members), upstreams)
 	runtime.KeepAlive(table)
 	stop()
 	running.Wait()
--- a/internal/gateway/startwait.go
+++ b/internal/gateway/startwait.go
@@ -9,25 +9,25 @@
 )
 
 const (
-	// startupPeriod is the time after a host's start in which its first tables are expected. If
-	// they are missing later, the store is unavailable.
+	// startupPeriod is the time after the start of a host within which its first tables should
+	// arrive. If they are missing after that, the store is unavailable.
 	startupPeriod = time.Second
-	// maxStartWait is how long a request waits for the first tables at most.
+	// maxStartWait is the maximum time for which a request waits for the first tables.
 	maxStartWait = 400 * time.Millisecond
-	// startPoll is the interval at which the tables are checked for while requests may wait for
-	// them, latePoll the interval after that.
-	startPoll = 5 * time.Millisecond
-	latePoll  = 250 * time.Millisecond
+	// startPollInterval is the interval at which the host checks whether it has its first tables,
+	// while requests may wait for them; latePollInterval is the interval after that.
+	startPollInterval = 5 * time.Millisecond
+	latePollInterval  = 250 * time.Millisecond
 )
 
-// awaitStart delays requests to a host that is just starting until its first document and
-// upstreams have arrived. When all hosts restart at once, callers reach them as soon as they
-// listen, and a refusal would use up the callers' retries.
+// awaitStart delays requests to a host that just started until the host has a routing document and
+// an upstream. When all hosts restart at once, requests arrive as soon as the hosts listen, and
+// refusing these would use up the callers' retries.
 type awaitStart struct {
 	gateway *Gateway
 }
 
-func (f *awaitStart) serve(ctx context.Context, r *Request, next next) error {
+func (f *awaitStart) serve(ctx context.Context, r *Request, next handleFunc) error {
 	g := f.gateway
 	if boottime.Since(g.startedAt) < startupPeriod && !g.isInitialized() {
 		g.metrics.startWaits.Inc()
@@ -42,7 +42,8 @@
 	return next(ctx, r)
 }
 
-// isInitialized returns hasTables without taking its locks once that was true.
+// isInitialized reports whether the host can serve requests. Unlike hasTables, it takes no locks
+// once initialized is closed.
 func (g *Gateway) isInitialized() bool {
 	select {
 	case <-g.initialized:
@@ -52,15 +53,16 @@
 	}
 }
 
-// hasTables reports whether the host has the document and an upstream, which it needs to serve.
-func (g *Gateway) hasTables() bool { return g.table.Load() != nil && g.fleet.HasUpstreams() }
+// hasTables reports whether the host has a routing document and an upstream, which it needs to
+// serve requests.
+func (g *Gateway) hasTables() bool { return g.routingTable.Load() != nil && g.fleet.HasUpstreams() }
 
-// awaitTables closes g.initialized once the host can serve.
+// awaitTables closes g.initialized once the host can serve requests.
 func (g *Gateway) awaitTables(ctx context.Context) {
 	for !g.hasTables() {
-		pause := startPoll
+		pause := startPollInterval
 		if boottime.Since(g.startedAt) > startupPeriod+maxStartWait {
-			pause = latePoll // an outage of the store may last long
+			pause = latePollInterval // an outage of the store may last long
 		}
 		if wait.For(ctx, pause) != nil {
 			return
--- a/internal/gateway/startwait_test.go
+++ b/internal/gateway/startwait_test.go
@@ -12,31 +12,33 @@
 	"github.com/quetzalweir/quetzalweir/routing"
 )
 
-// All hosts restart at once, and callers reach them before their first tables arrive.
+// When all hosts restart at once, callers' requests reach them before their first tables do. These
+// requests must wait for the tables rather than be refused.
 func TestRequestsAtTheStartWaitForTheFirstTables(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
-	table := w.gateway.table.Swap(nil)
-	go w.gateway.awaitTables(t.Context())
+	tg := newTestGateway(t, testDocument())
+	table := tg.gateway.routingTable.Swap(nil)
+	go tg.gateway.awaitTables(t.Context())
 	var group sync.WaitGroup
 	answers := make([]callerAnswer, 20)
 	for i := range answers {
-		req := w.newRequest("POST", "/once/x", "body")
-		group.Go(func() { answers[i] = w.do(req) })
+		req := tg.newRequest("POST", "/once/x", "body")
+		group.Go(func() { answers[i] = tg.do(req) })
 	}
 	time.Sleep(100 * time.Millisecond)
-	w.gateway.table.Store(table)
+	tg.gateway.routingTable.Store(table)
 	time.Sleep(50 * time.Millisecond) // requests can't be served with the document alone
-	w.startUpstream("a", respondOK("ok"))
+	tg.startUpstream("a", respondOK("ok"))
 	group.Wait()
 	for _, got := range answers {
 		is.NoErr(got.err)
 		is.Equal(got.status, http.StatusOK)
 	}
-	is.Equal(w.gateway.metrics.startWaits.Get(), uint64(len(answers)))
+	is.Equal(tg.gateway.metrics.startWaits.Get(), uint64(len(answers)))
 }
 
-// Requests don't wait for tables that don't arrive in time or are missing later.
+// Requests are refused after maxStartWait if the first tables don't arrive, and at once if they are
+// missing after startupPeriod.
 func TestRequestsWithoutTablesAreRefused(t *testing.T) {
 	tests := []struct {
 		desc        string
@@ -49,11 +51,11 @@
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
 			is := is.New(t)
-			w := newTestGateway(t, routing.Document{})
-			w.gateway.table.Store(nil)
-			w.gateway.startedAt = boottime.Now().Add(-test.started)
+			tg := newTestGateway(t, routing.Document{})
+			tg.gateway.routingTable.Store(nil)
+			tg.gateway.startedAt = boottime.Now().Add(-test.started)
 			began := time.Now()
-			got := w.do(w.newRequest("POST", "/once/x", "body"))
+			got := tg.do(tg.newRequest("POST", "/once/x", "body"))
 			took := time.Since(began)
 			is.Equal(got.status, http.StatusServiceUnavailable)
 			is.True(got.header.Get("Retry-After") != "")
--- a/internal/gateway/statusrows.go
+++ b/internal/gateway/statusrows.go
@@ -19,11 +19,11 @@
 	return &statusRows{gateway: g, unreadable: newUnreadableRows(g, g.settings.Tables.Status)}
 }
 
-// Replace implements feed.Handler. After a restore of the store from a backup, hosts write the
-// rows that the backup lacks again.
+// Replace implements feed.Handler. After a restore of the store from a backup, hosts write the rows
+// again that the backup lacks.
 func (h *statusRows) Replace(rows []feed.Row, revision storage.Revision) {
 	if h.era.observe(revision) {
-		h.gateway.rollouts.resetStored()
+		h.gateway.rollouts.resetStoredStatuses()
 		h.gateway.guard.MarkRowsUnsaved()
 	}
 	keys := make(map[string]bool, len(rows))
@@ -34,9 +34,8 @@
 	h.gateway.guard.LiftMissingRows(keys)
 }
 
-// changeVerdict applies the row of a quarantine verdict. A row that can't be decoded quarantines
-// nothing.
-func (h *statusRows) changeVerdict(row feed.Row) {
+// applyVerdict applies the row of a quarantine verdict. A row that can't be decoded is ignored.
+func (h *statusRows) applyVerdict(row feed.Row) {
 	var err error
 	if row.Deleted {
 		err = h.gateway.guard.RowRemoved(row.Key)
@@ -50,12 +49,12 @@
 	h.unreadable.clear(row.Key)
 }
 
-// Change implements feed.Handler. Of a status that can't be decoded only the revision is used:
-// without it no host could ever replace the row.
+// Change implements feed.Handler. If a status can't be decoded, its revision is still applied,
+// since writes are conditional on it and no host could replace the row without it.
 func (h *statusRows) Change(row feed.Row) {
 	g := h.gateway
 	if strings.HasPrefix(row.Key, g.settings.Tables.VerdictsPrefix) {
-		h.changeVerdict(row)
+		h.applyVerdict(row)
 		return
 	}
 	service, ok := strings.CutPrefix(row.Key, g.settings.Tables.OrdersPrefix)
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -8,15 +8,17 @@
 )
 
 const (
-	// balancerLag is how long the load balancer still sends new connections after the host
-	// reported that it isn't ready: two checks a second apart, and one in transit.
+	// balancerLag is how long the load balancer still sends new connections after the host began to
+	// report that it isn't ready. The balancer makes two checks, a second apart, and another check
+	// may be in transit.
 	balancerLag = 2500 * time.Millisecond
-	// killMargin is the part of the stop's time limit that is left for the process to exit.
+	// killMargin is the part of StopTimeout that is left for the process to exit.
 	killMargin = 400 * time.Millisecond
 )
 
-// stop ends the service: first it accepts no new connections, then no new requests, then it waits
-// for the answers in progress.
+// stop stops the server for callers. It first reports that the host isn't ready, so that the load
+// balancer sends no new connections, and then accepts no new connections or requests and waits for
+// the answers in progress. Those that aren't complete by the deadline are cut off.
 func (g *Gateway) stop(callers *http.Server) {
 	deadline := time.Now().Add(g.settings.StopTimeout - killMargin)
 	g.stopping.Store(true)
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -15,7 +15,7 @@
 	"github.com/rs/zerolog"
 )
 
-// lockedBuffer is a log that can be read while it is written.
+// lockedBuffer is a buffer for log lines that can be read while a gateway writes to it.
 type lockedBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -33,7 +33,7 @@
 	return b.buf.String()
 }
 
-// slowStream sends an event after each pause.
+// slowStream streams the events from 1 to last, with a pause after each.
 func slowStream(pause time.Duration, last int) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		w.Header().Set("T-Stamp", "stamp")
@@ -59,8 +59,8 @@
 	return listener.Addr().String()
 }
 
-// A planned stop waits for answers in progress; those that outlast its time limit are cut, and the
-// log states that the stop was the cause.
+// A planned stop waits for answers in progress. An answer that isn't complete by the time limit of
+// the stop is cut off, and the log states the stop as the cause rather than the caller.
 func TestPlannedStop(t *testing.T) {
 	tests := []struct {
 		desc   string
@@ -78,10 +78,10 @@
 			for i := range doc.Routes {
 				doc.Routes[i].Timeout = time.Minute
 			}
-			w := newTestGateway(t, doc)
-			w.startUpstream("a", slowStream(100*time.Millisecond, test.events))
+			tg := newTestGateway(t, doc)
+			tg.startUpstream("a", slowStream(100*time.Millisecond, test.events))
 			var log lockedBuffer
-			g := w.gateway
+			g := tg.gateway
 			g.log = zerolog.New(&log)
 			g.settings.CallerAddress, g.settings.ReadyAddress = freePort(t), freePort(t)
 			ctx, stop := context.WithCancel(context.Background())
@@ -94,10 +94,10 @@
 				}
 				return err == nil
 			})
-			req := w.newRequest("POST", "/stream/x", "body", "T-Deadline", "60000")
+			req := tg.newRequest("POST", "/stream/x", "body", "T-Deadline", "60000")
 			req.URL.Host = g.settings.CallerAddress
 			answered := make(chan callerAnswer)
-			go func() { answered <- w.do(req) }()
+			go func() { answered <- tg.do(req) }()
 			time.Sleep(150 * time.Millisecond)
 			stop()
 			got := <-answered
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -20,7 +20,7 @@
 // errEventOrder means that the ids of a stream's events aren't consecutive.
 var errEventOrder = errors.New("gateway: events out of order")
 
-// errCallerWrite means that the caller no longer accepts the answer.
+// errCallerWrite means that the answer couldn't be written to the caller.
 var errCallerWrite = errors.New("gateway: writing to the caller")
 
 // event is one event of a stream including the blank line that ends it.
@@ -34,12 +34,12 @@
 	reader *bufio.Reader
 }
 
-// next returns the next whole event. At the end of the stream it returns
-// io.EOF; if that comes within an event, io.ErrUnexpectedEOF.
-func (e *eventReader) next() (event, error) {
+// next returns the next whole event. It returns io.EOF if the stream ended after an event, and
+// io.ErrUnexpectedEOF if it ended within one.
+func (r *eventReader) next() (event, error) {
 	var ev event
 	for {
-		line, err := e.reader.ReadSlice('\n')
+		line, err := r.reader.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
 			ev.text = append(ev.text, line...)
 			if len(ev.text) > maxEvent {
@@ -64,17 +64,18 @@
 	}
 }
 
-// runStream runs an attempt whose answer is passed on event by event.
+// runStream runs an attempt whose answer is passed on event by event. accept decides by the
+// answer's head whether the answer is passed on at all.
 func (a *attempt) runStream(ctx context.Context, accept func(attemptResult) bool) attemptResult {
 	resp, err := a.send(ctx)
 	if err != nil {
 		return a.failureResult(ctx, err)
 	}
 	defer resp.Body.Close()
-	if !success(resp.StatusCode) || a.notRun(resp) {
+	if !isSuccess(resp.StatusCode) || a.notRun(resp) {
 		return a.readBuffered(ctx, resp)
 	}
-	a.state.Raise(runstate.Ran)
+	a.runState.Raise(runstate.Ran)
 	result := a.parseHead(resp)
 	a.gateway.fleet.headReceived(&a.choice, result.firstByte)
 	if !accept(result) {
@@ -86,7 +87,7 @@
 	switch {
 	case result.err == nil:
 		result.outcome = outcomeDone
-	case a.idle.expired():
+	case a.idleTimer.expired():
 		result.outcome, result.err = outcomeSilent, errResponseTimeout
 	case ctx.Err() != nil || errors.Is(result.err, errCallerWrite):
 		result.outcome = outcomeAbandoned
@@ -97,20 +98,21 @@
 }
 
 // errLowConfidence means that the answer was dropped before any of it was sent to the caller,
-// because another model is likely to give a better one.
+// because its confidence was too low and the request is to run on a better model.
 var errLowConfidence = errors.New("gateway: confidence below the threshold")
 
-// relay passes events on to the caller until the stream ends.
+// relay passes the stream's events on to the caller until the stream ends, without those that the
+// caller has received from an earlier attempt. It sets result.firstByte.
 func (a *attempt) relay(resp *http.Response, result *attemptResult) error {
 	events := eventReader{reader: bufio.NewReader(resp.Body)}
 	out := a.request.answer
 	limit, longest := a.pauseLimit(), time.Duration(0)
-	defer func() { a.gateway.pauses.get(a.request.responseTimeKey()).observe(longest) }()
+	defer func() { a.gateway.streamPauses.get(a.request.responseTimeKey()).observe(longest) }()
 	for {
 		waitStart := time.Now()
-		a.idle.start(limit)
+		a.idleTimer.start(limit)
 		ev, err := events.next()
-		a.idle.stop() // the caller's read time doesn't count as the upstream's idle time
+		a.idleTimer.stop() // the caller's read time doesn't count as the upstream's idle time
 		longest = max(longest, time.Since(waitStart))
 		if errors.Is(err, io.EOF) {
 			// A stream without events is a valid answer.
@@ -134,7 +136,8 @@
 	}
 }
 
-// timeToFirstEvent returns the time to the first event; current if an event was already sent.
+// timeToFirstEvent returns the time since the attempt began, or current if an event of the answer
+// was passed on already.
 func (a *attempt) timeToFirstEvent(current time.Duration, out *answerWriter) time.Duration {
 	if out.events > 0 {
 		return current
@@ -148,14 +151,15 @@
 	return n, err == nil
 }
 
-// alreadySent reports whether the caller has received the event.
+// alreadySent reports whether the event was passed on to the caller already.
 func (w *answerWriter) alreadySent(ev event) bool {
 	n, ok := eventNumber(ev.id)
 	last, known := eventNumber(w.lastEventID)
 	return ok && known && n <= last
 }
 
-// checkSequence returns an error if an event is missing before this one.
+// checkSequence returns an error if events are missing between the last one that was passed on and
+// this one.
 func (w *answerWriter) checkSequence(ev event) error {
 	n, ok := eventNumber(ev.id)
 	last, known := eventNumber(w.lastEventID)
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -13,10 +13,10 @@
 
 func TestBrokenStreamIsResumedAtAnotherUpstream(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
-	w.startUpstream("a", streamEvents(1, 3, true, "T-First", "yes"))
-	second := w.startUpstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, streamEvents(4, 6, false))
-	got := w.do(w.newRequest("POST", "/stream/x", "body"))
+	tg := newTestGateway(t, testDocument())
+	tg.startUpstream("a", streamEvents(1, 3, true, "T-First", "yes"))
+	second := tg.startUpstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, streamEvents(4, 6, false))
+	got := tg.do(tg.newRequest("POST", "/stream/x", "body"))
 	is.NoErr(got.err)
 	is.Equal(got.status, 200)
 	is.Equal(got.body, eventTexts(1, 6)) // each event once, none truncated
@@ -27,16 +27,16 @@
 
 func TestRepeatedEventsAreSkipped(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
-	w.startUpstream("a", streamEvents(1, 3, true))
-	w.startUpstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, streamEvents(2, 5, false))
-	got := w.do(w.newRequest("POST", "/stream/x", "body"))
+	tg := newTestGateway(t, testDocument())
+	tg.startUpstream("a", streamEvents(1, 3, true))
+	tg.startUpstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, streamEvents(2, 5, false))
+	got := tg.do(tg.newRequest("POST", "/stream/x", "body"))
 	is.NoErr(got.err)
 	is.Equal(got.body, eventTexts(1, 5))
 }
 
-// A stream that can't be completed must not look complete, whatever the results of the later
-// attempts.
+// A stream that can't be completed must not look complete to the caller, whatever the result of the
+// next attempt.
 func TestUnfinishedStreamDoesNotLookComplete(t *testing.T) {
 	tests := []struct {
 		desc, route string
@@ -55,12 +55,12 @@
 			for i := range doc.Routes {
 				doc.Routes[i].MaxAttempts = 2
 			}
-			w := newTestGateway(t, doc)
-			w.startUpstream("a", streamEvents(1, 3, true))
+			tg := newTestGateway(t, doc)
+			tg.startUpstream("a", streamEvents(1, 3, true))
 			if test.then != nil {
-				w.startUpstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, test.then)
+				tg.startUpstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, test.then)
 			}
-			got := w.do(w.newRequest("POST", "/"+test.route+"/x", "body"))
+			got := tg.do(tg.newRequest("POST", "/"+test.route+"/x", "body"))
 			is.True(errors.Is(got.err, io.ErrUnexpectedEOF))
 			is.True(strings.HasPrefix(got.body, eventTexts(1, 3)))
 			is.True(!strings.Contains(got.body, "ha")) // no part of an event
@@ -70,27 +70,27 @@
 
 func TestStreamThatFailsBeforeItsFirstEvent(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
-	w.startUpstream("a", resetConnection)
-	w.startUpstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, streamEvents(1, 2, false))
-	got := w.do(w.newRequest("POST", "/stream/x", "body"))
+	tg := newTestGateway(t, testDocument())
+	tg.startUpstream("a", resetConnection)
+	tg.startUpstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, streamEvents(1, 2, false))
+	got := tg.do(tg.newRequest("POST", "/stream/x", "body"))
 	is.Equal(got.body, eventTexts(1, 2))
-	got = requestToResettingStream(t)
+	got = requestWithoutRetryAfterReset(t)
 	is.Equal(got.status, 502) // it may have run, and the route permits no retry
 }
 
-func requestToResettingStream(t *testing.T) callerAnswer {
-	w := newTestGateway(t, testDocument())
-	w.startUpstream("a", resetConnection)
-	w.startUpstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, streamEvents(1, 2, false))
-	return w.do(w.newRequest("POST", "/fixed/x", "body"))
+func requestWithoutRetryAfterReset(t *testing.T) callerAnswer {
+	tg := newTestGateway(t, testDocument())
+	tg.startUpstream("a", resetConnection)
+	tg.startUpstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, streamEvents(1, 2, false))
+	return tg.do(tg.newRequest("POST", "/fixed/x", "body"))
 }
 
 func TestResumptionByTheCaller(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
-	log := w.startUpstream("a", streamEvents(8, 9, false))
-	got := w.do(w.newRequest("POST", "/stream/x", "body", "T-Last-Event", "7"))
+	tg := newTestGateway(t, testDocument())
+	log := tg.startUpstream("a", streamEvents(8, 9, false))
+	got := tg.do(tg.newRequest("POST", "/stream/x", "body", "T-Last-Event", "7"))
 	is.Equal(got.body, eventTexts(8, 9))
 	req, _ := log.last()
 	is.Equal(req.Header.Get("T-Last-Event"), "7")
@@ -120,12 +120,12 @@
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
 			is := is.New(t)
-			w := newTestGateway(t, testDocument())
-			logs := []*requestLog{w.startUpstream("a", answerBy(test.confidence))}
+			tg := newTestGateway(t, testDocument())
+			logs := []*requestLog{tg.startUpstream("a", answerBy(test.confidence))}
 			if test.upstreams > 1 {
-				logs = append(logs, w.startUpstream("b", answerBy(test.confidence)))
+				logs = append(logs, tg.startUpstream("b", answerBy(test.confidence)))
 			}
-			got := w.do(w.newRequest("POST", "/models/x", "body", "T-Model", "*"))
+			got := tg.do(tg.newRequest("POST", "/models/x", "body", "T-Model", "*"))
 			is.NoErr(got.err)
 			is.Equal(got.body, eventTexts(1, 2)) // from one answer only
 			arrivals, last := 0, ""
@@ -143,22 +143,22 @@
 	}
 }
 
-func TestLowConfidenceIsPassedOnWhenTheBudgetIsSpent(t *testing.T) {
+func TestLowConfidenceIsPassedOnWhenTheRetryBudgetIsUsedUp(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
-	log := w.startUpstream("a", streamEvents(1, 2, false, "T-Confidence", "1"))
-	for w.gateway.budgets.get("svc").tryTake() {
+	tg := newTestGateway(t, testDocument())
+	log := tg.startUpstream("a", streamEvents(1, 2, false, "T-Confidence", "1"))
+	for tg.gateway.retryBudgets.get("svc").tryTake() {
 	}
-	got := w.do(w.newRequest("POST", "/models/x", "body", "T-Model", "*"))
+	got := tg.do(tg.newRequest("POST", "/models/x", "body", "T-Model", "*"))
 	is.Equal(got.body, eventTexts(1, 2))
 	is.Equal(log.count(), 1)
 }
 
 func TestNamedModelIsKept(t *testing.T) {
 	is := is.New(t)
-	w := newTestGateway(t, testDocument())
-	log := w.startUpstream("a", streamEvents(1, 1, false, "T-Confidence", "1"))
-	w.do(w.newRequest("POST", "/models/x", "body", "T-Model", "middle"))
+	tg := newTestGateway(t, testDocument())
+	log := tg.startUpstream("a", streamEvents(1, 1, false, "T-Confidence", "1"))
+	tg.do(tg.newRequest("POST", "/models/x", "body", "T-Model", "middle"))
 	req, _ := log.last()
 	is.Equal(req.Header.Get("T-Model"), "middle")
 	is.Equal(log.count(), 1)
--- a/internal/gateway/suspend_test.go
+++ b/internal/gateway/suspend_test.go
@@ -16,26 +16,27 @@
 // suspensions are the durations for which hosts are suspended.
 var suspensions = []time.Duration{time.Second, 5 * time.Second, 20 * time.Second}
 
-// The caller's deadline advances while the host is suspended, which the host's timers don't show:
-// a request whose deadline has passed isn't sent, and others get the remaining time.
+// The time in which the host is suspended counts against a request's deadline, although the host's
+// timers don't advance in it. A request whose deadline has passed must not be sent, and the
+// deadline that is sent to an upstream must be the remaining time.
 func TestSuspensionCountsAgainstDeadlines(t *testing.T) {
 	for _, d := range suspensions {
 		is := is.New(t)
-		w := newTestGateway(t, testDocument())
-		log := w.startUpstream("a", respondOK("fine"))
-		undo := func() {}
+		tg := newTestGateway(t, testDocument())
+		log := tg.startUpstream("a", respondOK("fine"))
+		endSuspension := func() {}
 		sent := make(chan struct{})
-		// The suspension falls between the request's head and the end of its body.
-		req := w.newRequest("POST", "/many/x", "")
+		// The host is suspended after it has received the request's head and before the body.
+		req := tg.newRequest("POST", "/many/x", "")
 		req.Body, req.ContentLength = &slowBody{Reader: strings.NewReader("body"), before: func() {
 			time.Sleep(50 * time.Millisecond)
-			undo = boottime.SimulateSuspension(d)
+			endSuspension = boottime.SimulateSuspension(d)
 			close(sent)
 		}}, 4
 		req.Header.Set("T-Deadline", "4000")
-		a := w.do(req)
+		a := tg.do(req)
 		<-sent
-		undo()
+		endSuspension()
 		if d > 4*time.Second {
 			is.Equal(a.status, http.StatusServiceUnavailable) // it didn't run, and a retry can't meet the deadline either
 			is.Equal(strings.TrimSpace(a.body), resultcode.DeadlineUnmeetable.String())
@@ -48,7 +49,7 @@
 	}
 }
 
-// slowBody calls before ahead of its first byte.
+// slowBody is a request body that calls before when its first byte is read.
 type slowBody struct {
 	*strings.Reader
 	before func()
@@ -64,31 +65,33 @@
 
 func (b *slowBody) Close() error { return nil }
 
-// The retry budget's window advances during a suspension: requests before it don't count after it.
+// The time in which the host is suspended counts for the window of the retry budget, so that
+// requests from before a long suspension permit no retry after it.
 func TestSuspensionEndsTheBudgetsWindow(t *testing.T) {
 	is := is.New(t)
 	b := newRetryBudget(0.5, 10*time.Second, func() float64 { return 0 })
 	for range 10 {
 		b.countRequest()
 	}
-	time.Sleep(600 * time.Millisecond) // requests count once their part of the window is over
+	time.Sleep(600 * time.Millisecond) // longer than one part of the window
 	is.True(b.tryTake())
 	t.Cleanup(boottime.SimulateSuspension(20 * time.Second))
 	is.True(!b.tryTake())
 }
 
-// Status data from before a suspension is too old to raise a roll-out's share.
-func TestSuspensionAgesTheStatusData(t *testing.T) {
+// The time in which the host is suspended counts for the age of the status data, and the store's
+// clock advances in it. Otherwise the host would raise a roll-out's share by outdated data.
+func TestStatusDataAgesDuringASuspension(t *testing.T) {
 	for _, d := range suspensions {
 		is := is.New(t)
-		w := newTestGateway(t, testDocument())
-		statuses := w.gateway.rollouts.statuses
+		tg := newTestGateway(t, testDocument())
+		statuses := tg.gateway.rollouts.statuses
 		statuses.Offer(feed.Update{Revision: 1, Complete: true, Clock: time.Minute}, boottime.Now())
 		is.True(statuses.UsesRelay())
 		clock := statuses.StoreClock()
-		undo := boottime.SimulateSuspension(d + time.Second)
+		endSuspension := boottime.SimulateSuspension(d + time.Second)
 		is.True(!statuses.UsesRelay())
 		is.True(statuses.StoreClock()-clock >= d) // the store's clock advanced
-		undo()
+		endSuspension()
 	}
 }
--- a/internal/gateway/tables.go
+++ b/internal/gateway/tables.go
@@ -5,20 +5,20 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// Tables are the names of the tables and keys in the store that the gateway follows.
+// Tables holds the names of the store's tables that the gateway follows, and of the keys in them.
 type Tables struct {
 	// Operator holds the routing document under DocumentKey, and roll-out orders under
 	// OrdersPrefix followed by the service's name.
 	Operator     string
 	DocumentKey  string
 	OrdersPrefix string
-	// EvacuationsPrefix precedes the name of an availability zone in the operators' table: while
-	// the row exists, the zone's upstreams get no requests.
+	// EvacuationsPrefix, followed by the name of an availability zone, is the key of a row in the
+	// operators' table. While the row exists, the zone's upstreams get no requests.
 	EvacuationsPrefix string
 	// Upstreams holds the upstreams' entries under their ids.
 	Upstreams string
-	// Status holds the statuses of roll-outs under the keys of their orders, and the quarantined
-	// requests under VerdictsPrefix followed by their digests.
+	// Status holds the statuses of roll-outs under the keys of their orders, and the quarantine
+	// verdicts under VerdictsPrefix followed by the digest of the request.
 	Status         string
 	VerdictsPrefix string
 }
