--- a/internal/gateway/upstreamrows.go
+++ b/internal/gateway/upstreamrows.go
@@ -18,16 +18,17 @@
 	return &upstreamRows{gateway: g, unreadable: newUnreadableRows(g, g.settings.Tables.Upstreams)}
 }
 
-// Replace implements feed.Handler. After a restore of the store from a backup, upstreams that the
-// backup lacks write their entries again.
+// Replace implements feed.Handler. After a restore of the store from a backup, upstreams whose
+// entries the backup lacks write them again, so missing entries count as expired because of an
+// outage.
 func (h *upstreamRows) Replace(rows []feed.Row, revision storage.Revision) {
-	lapsed := h.era.observe(revision) || h.era.inRestoreGrace() || h.gateway.storeRecentlyReturned()
+	expiredInOutage := h.era.observe(revision) || h.era.inRestoreGrace() || h.gateway.storeRecentlyRecovered()
 	keys := make(map[string]bool, len(rows))
 	entries := make([]entry, 0, len(rows))
 	var starts startCounts
 	for _, row := range rows {
 		keys[row.Key] = true
-		u, known := h.gateway.fleet.entry(row.Key, row.Revision)
+		u, known := h.gateway.fleet.currentEntry(row.Key, row.Revision)
 		if !known {
 			var ok bool
 			if u, ok = h.decode(row); !ok {
@@ -43,10 +44,10 @@
 		h.set(e, starts.mostHaveStart())
 	}
 	h.unreadable.retain(keys)
-	h.gateway.fleet.RemoveUnlisted(keys, revision, lapsed)
+	h.gateway.fleet.RemoveUnlisted(keys, revision, expiredInOutage)
 }
 
-// entry is an upstream's row and its decoded content.
+// entry is a row of an upstream and its decoded content.
 type entry struct {
 	upstream Upstream
 	row      feed.Row
@@ -56,15 +57,15 @@
 func (h *upstreamRows) Change(row feed.Row) {
 	if row.Deleted {
 		h.unreadable.clear(row.Key)
-		h.gateway.fleet.Remove(row.Key, row.Revision, h.gateway.storeRecentlyReturned())
+		h.gateway.fleet.Remove(row.Key, row.Revision, h.gateway.storeRecentlyRecovered())
 		return
 	}
 	if u, ok := h.decode(row); ok {
-		h.set(entry{upstream: u, row: row}, u.Incarnation == 0 && h.gateway.fleet.starts().mostHaveStart())
+		h.set(entry{upstream: u, row: row}, u.Incarnation == 0 && h.gateway.fleet.startCounts().mostHaveStart())
 	}
 }
 
-// decode decodes an entry. If it can't be decoded, the key's upstream is withdrawn.
+// decode decodes the row of an upstream. If it can't be decoded, the upstream is withdrawn.
 func (h *upstreamRows) decode(row feed.Row) (Upstream, bool) {
 	u, err := h.gateway.settings.Codec.Upstream(row.Key, row.Data)
 	if err != nil {
@@ -74,11 +75,12 @@
 	return u, true
 }
 
-// errNoStart means that an entry has no start time where most other upstreams' have one.
+// errNoStart means that an entry has no start time although the entries of most other upstreams
+// have one.
 var errNoStart = errors.New("gateway: the entry has no start time of the upstream")
 
-// set applies an entry. Where most upstreams have a start time, an entry without one was written
-// by something else and is rejected.
+// set applies an entry. Where most upstreams have a start time, it rejects an entry without one,
+// which something other than an upstream must have written.
 func (h *upstreamRows) set(e entry, mostHaveStart bool) {
 	if mostHaveStart && e.upstream.Incarnation == 0 {
 		h.reject(e.row, errNoStart)
--- a/internal/gateway/work.go
+++ b/internal/gateway/work.go
@@ -11,63 +11,68 @@
 	"github.com/quetzalweir/quetzalweir/placement"
 )
 
-// Work is the load of an upstream by requests in flight: for an engine the milliseconds of prefill
-// of their prompts, for a plain service the number of requests. Requests of one service differ by
-// a factor of a hundred: the prefill of thousands of tokens keeps an engine busy for as long as
+// In this file, work is the load of an upstream by requests in flight: for an engine the time in
+// milliseconds that it still needs for the prefill of their prompts, for an upstream of a plain
+// service the number of requests. Counting an engine's requests would not do, since their work
+// differs by a factor of a hundred: the prefill of thousands of tokens takes as long as that of
 // dozens of short prompts.
 
 const (
 	// requestTimeGain is the weight of a new request in the mean request time.
 	requestTimeGain = 0.05
-	// prefillGain is the weight of a new prompt in the distribution of work by priority.
+	// prefillGain is the weight of a new prompt in the distribution of work by priority and in the
+	// mean prefill time.
 	prefillGain = 0.02
 )
 
-// prefill is a prompt that was sent to an engine and isn't answered yet.
+// prefill is a prompt that was sent to an engine whose answer hasn't begun. work is the estimated
+// time that the engine needs for the prefill, priority the priority that was sent to the engine.
 type prefill struct {
 	work     time.Duration
 	priority int
-	// beginsAt is when the engine is expected to begin with it: the time at which it was sent plus
-	// the work queued ahead of it.
+	// beginsAt is when the engine is expected to begin the prefill: the time at which the request
+	// was sent plus the work queued ahead of it.
 	beginsAt time.Time
 }
 
-// startRequest counts a request as in flight at the upstream.
+// startRequest counts the request as in flight at the upstream. For an engine it also counts the
+// prompt as queued and cached there.
 func (m *member) startRequest(c *choice) {
 	m.inFlight++
-	m.shard.active[m] = struct{}{}
+	m.shard.inUse[m] = struct{}{}
 	if c.criteria.prompt == nil {
 		return
 	}
-	c.prefill = &prefill{work: c.placed.PrefillTime, priority: c.criteria.priority, beginsAt: c.chosenAt.Add(c.ahead)}
+	c.prefill = &prefill{work: c.placement.PrefillTime, priority: c.criteria.priority, beginsAt: c.chosenAt.Add(c.workAhead)}
 	m.ensureUsage().prefills = append(m.ensureUsage().prefills, c.prefill)
 	m.shard.servesPrompts = true
 	m.shard.observePrefill(c.prefill)
 	m.recordCached(c)
 }
 
-// endRequest reverts what startRequest counted.
+// endRequest no longer counts the request as in flight. If the answer never began, it no longer
+// counts its prompt as cached either.
 func (m *member) endRequest(c *choice) {
 	if m.inFlight--; m.inFlight == 0 {
-		delete(m.shard.active, m)
+		delete(m.shard.inUse, m)
 	}
 	if c.prefill != nil {
-		// The answer never began.
+		// The answer never began, so the prompt may not be cached.
 		m.removePrefill(c)
 		m.shard.cachedPrompts.Remove(m, c.criteria.keys[c.cachedParts:]...)
 	}
 }
 
-// removePrefill removes the choice's prompt from the engine's outstanding prompts.
+// removePrefill removes the choice's prompt from those that the engine has yet to process.
 func (m *member) removePrefill(c *choice) {
 	u := m.ensureUsage()
-	u.prefills = slices.DeleteFunc(u.prefills, func(r *prefill) bool { return r == c.prefill })
+	u.prefills = slices.DeleteFunc(u.prefills, func(p *prefill) bool { return p == c.prefill })
 	c.prefill = nil
 }
 
-// headReceived records that the upstream has begun its answer, so that the prefill, which took the
-// given time, is over. The rest, a step of the batch for each token, doesn't delay other prompts
-// noticeably.
+// headReceived records that the answer's head was received after the given time, which means that
+// the engine has finished the prefill. Generating the answer, one step of the batch for each token,
+// hardly delays the prefill of other prompts.
 func (f *Fleet) headReceived(c *choice, took time.Duration) {
 	if c.prefill == nil {
 		return
@@ -80,26 +85,27 @@
 		m.ensureUsage().lastPrefillEnd = boottime.Now()
 	}
 	c.prefill = nil
-	s.queueStats.observe(took, c.placed.ExpectedUnqueued)
-	if c.ahead < c.placed.PrefillTime/paceSampleDivisor {
-		s.rates.Observe(c.criteria.model, c.placed.UncachedTokens, took, boottime.Now())
+	s.queueStats.observe(took, c.placement.ExpectedUnqueued)
+	if c.workAhead < c.placement.PrefillTime/rateSampleDivisor {
+		s.prefillRates.Observe(c.criteria.model, c.placement.UncachedTokens, took, boottime.Now())
 	}
 }
 
-// paceSampleDivisor: an answer is used as a sample of its model's prefill rate if the estimated
-// work ahead of it was less than a fourth of its own.
-const paceSampleDivisor = 4
+// rateSampleDivisor limits which answers are used as samples of their model's prefill rate: those
+// of prompts for which the estimated work ahead was less than a fourth of their own prefill time.
+const rateSampleDivisor = 4
 
-// minRemainingFraction is the least fraction of a prefill that counts as remaining while its answer
-// hasn't begun: an engine that is late is slower or has more work than is known.
+// minRemainingFraction is the minimum fraction of a prefill that counts as remaining until the
+// answer begins. If the answer is late, the engine is slower than estimated or has more work than
+// this host has data on.
 const minRemainingFraction = 0.25
 
-// remaining returns the engine's remaining work for the i-th prompt of this host. The first prompt
-// is in progress from the time at which the engine was expected to begin with it, or from the end
-// of the previous one. When each host assumed its own prompt to be in progress at once, although
-// the engine processes one after the other, hosts reported a third of the engine's work to each
-// other.
-func (m *member) remaining(i int, now time.Time) time.Duration {
+// remainingWork returns the engine's remaining work for the i-th prompt from this host. The first
+// prompt counts as in progress from the time at which the engine was expected to begin it, or from
+// the end of the previous one if that is later. It must not count as in progress from the time at
+// which it was sent: engines process one prompt after the other, and when each host assumed that
+// its own was in progress at once, the hosts together reported only a third of the engine's work.
+func (m *member) remainingWork(i int, now time.Time) time.Duration {
 	u := m.usageSnapshot()
 	r := u.prefills[i]
 	if i > 0 {
@@ -109,41 +115,42 @@
 	if u.lastPrefillEnd.After(since) {
 		since = u.lastPrefillEnd
 	}
-	least := time.Duration(minRemainingFraction * float64(r.work))
-	return min(r.work, max(least, r.work-now.Sub(since)))
+	minimum := time.Duration(minRemainingFraction * float64(r.work))
+	return min(r.work, max(minimum, r.work-now.Sub(since)))
 }
 
-// remoteRemaining returns the engine's remaining work for the other hosts: what they reported less
-// the time since then.
-func (m *member) remoteRemaining(now time.Time) time.Duration {
+// remainingRemoteWork returns the engine's remaining work for prompts from the other hosts: the
+// work that they reported, less the time since the report.
+func (m *member) remainingRemoteWork(now time.Time) time.Duration {
 	s := m.shard
 	age := now.Sub(s.remoteWorkAt)
 	if age > exchange.WorkAge {
 		return 0
 	}
-	return max(0, time.Duration(s.remoteWork[m.name]*float64(time.Millisecond))-age)
+	return max(0, time.Duration(s.remoteWork[m.idHash]*float64(time.Millisecond))-age)
 }
 
-// workAhead returns the time for which an engine processes other prompts before one of the
-// priority: those of the same or a higher priority, and the rest of the one in progress. Of other
-// hosts' work only the sum is known; it is assumed to have the same distribution of priorities as
-// this host's own.
+// workAhead returns the time for which the engine processes other prompts before a new one with the
+// priority: the prompts with the same or a higher priority, and the rest of the one in progress.
+// Other hosts report only the sum of their work; it is assumed to have the same distribution over
+// priorities as this host's own work.
 func (m *member) workAhead(priority int, now time.Time) time.Duration {
-	urgent, rest := time.Duration(0), time.Duration(0)
+	urgent, other := time.Duration(0), time.Duration(0)
 	for i, r := range m.usageSnapshot().prefills {
 		if r.priority <= priority {
-			urgent += m.remaining(i, now)
+			urgent += m.remainingWork(i, now)
 		} else {
-			rest += m.remaining(i, now)
+			other += m.remainingWork(i, now)
 		}
 	}
-	remote := m.remoteRemaining(now)
+	remote := m.remainingRemoteWork(now)
 	urgentRemote := time.Duration(m.shard.urgentShare(priority) * float64(remote))
-	rest += remote - urgentRemote
-	return urgent + urgentRemote + min(rest, m.shard.meanPrefill/2)
+	other += remote - urgentRemote
+	return urgent + urgentRemote + min(other, m.shard.meanPrefill/2)
 }
 
-// observePrefill adds a new prompt's work to the distribution by priority and to the mean.
+// observePrefill adds a new prompt's work to the distribution by priority, and to the mean unless
+// it is much shorter.
 func (s *shard) observePrefill(r *prefill) {
 	for p := range s.workByPriority {
 		s.workByPriority[p] *= 1 - prefillGain
@@ -154,7 +161,8 @@
 	}
 }
 
-// urgentShare returns the fraction of the service's work that has the priority or a higher one.
+// urgentShare returns the fraction of this host's work at the service that has the priority or a
+// higher one.
 func (s *shard) urgentShare(priority int) float64 {
 	sum, urgent := 0.0, 0.0
 	for p, work := range s.workByPriority {
@@ -169,52 +177,53 @@
 	return urgent / sum
 }
 
-// work returns this host's work in flight by upstream.
-func (f *Fleet) work() exchange.Work {
+// workInFlight returns the work of this host's requests in flight, by upstream.
+func (f *Fleet) workInFlight() exchange.Work {
 	now := boottime.Now()
 	work := make(exchange.Work)
-	f.each(func(s *shard) {
-		for m := range s.active {
-			if w := math.Round(m.work(now)); w >= minReportedWork {
-				work[m.name] = w
+	f.eachShard(func(s *shard) {
+		for m := range s.inUse {
+			if w := math.Round(m.ownWork(now)); w >= minReportedWork {
+				work[m.idHash] = w
 			}
 		}
 	})
 	return work
 }
 
-// work returns the load of the upstream by this host's requests in flight.
-func (m *member) work(now time.Time) float64 {
+// ownWork returns the work of this host's requests in flight at the upstream.
+func (m *member) ownWork(now time.Time) float64 {
 	if !m.shard.servesPrompts {
 		return float64(m.inFlight)
 	}
 	left := time.Duration(0)
 	for i := range m.usageSnapshot().prefills {
-		left += m.remaining(i, now)
+		left += m.remainingWork(i, now)
 	}
 	return float64(left) / float64(time.Millisecond)
 }
 
-// recordCached records that the upstream will have the prompt cached. Shared parts that weren't
-// cached there before are reported to the other hosts.
+// recordCached records that the engine will have the prompt cached. If it didn't have the prompt's
+// shared prefix cached before, the prefix is reported to the other hosts.
 func (m *member) recordCached(c *choice) {
 	w := &c.criteria
 	m.shard.cachedPrompts.Add(m, w.keys...)
 	if shared := w.prompt.SharedParts; c.cachedParts < shared {
-		m.shard.sentPrefixes[m.name] = append(m.shard.sentPrefixes[m.name], w.keys[shared-1])
+		m.shard.sentPrefixes[m.idHash] = append(m.shard.sentPrefixes[m.idHash], w.keys[shared-1])
 	}
 }
 
-// cachedParts returns the number of a prompt's leading parts that the engine has cached.
+// cachedParts returns the number of leading parts, of the prompt with the keys, that the engine has
+// cached.
 func (m *member) cachedParts(keys []placement.PrefixKey) int {
 	return m.shard.cachedPrompts.CachedParts(m, keys)
 }
 
-// takeSentPrefixes returns the shared prefixes that upstreams were sent for the first time since
-// the last call.
+// takeSentPrefixes returns the shared prefixes that this host sent for the first time to each
+// upstream since the last call.
 func (f *Fleet) takeSentPrefixes() exchange.Reads {
 	prefixes := make(exchange.Reads)
-	f.each(func(s *shard) {
+	f.eachShard(func(s *shard) {
 		maps.Copy(prefixes, s.sentPrefixes)
 		clear(s.sentPrefixes)
 	})
@@ -223,25 +232,25 @@
 
 // addRemotePrefixes records the prefixes that other hosts sent to the upstreams.
 func (f *Fleet) addRemotePrefixes(prefixes exchange.Reads) {
-	f.each(func(s *shard) {
+	f.eachShard(func(s *shard) {
 		for name, keys := range prefixes {
-			if m := s.names[name]; m != nil {
+			if m := s.membersByHash[name]; m != nil {
 				s.cachedPrompts.Add(m, keys...)
 			}
 		}
 	})
 }
 
-// minReportedWork is the least work that is reported to other hosts.
+// minReportedWork is the minimum work that is reported to other hosts.
 const minReportedWork = 1
 
-// setRemoteWork sets the other hosts' work in flight as of a time. The map must not be modified
-// afterwards.
+// setRemoteWork sets the other hosts' work in flight as of the given time. The map must not be
+// modified afterwards.
 func (f *Fleet) setRemoteWork(work exchange.Work, at time.Time) {
-	f.each(func(s *shard) { s.remoteWork, s.remoteWorkAt = work, at })
+	f.eachShard(func(s *shard) { s.remoteWork, s.remoteWorkAt = work, at })
 }
 
-// observeRequestTime adds the time that a request spent at its upstream to the mean.
+// observeRequestTime adds the time for which a request was in flight to the mean.
 func (s *shard) observeRequestTime(took time.Duration) {
 	if s.meanRequestTime == 0 {
 		s.meanRequestTime = took
@@ -249,13 +258,13 @@
 	s.meanRequestTime += time.Duration(requestTimeGain * float64(took-s.meanRequestTime))
 }
 
-// totalWork returns the work of all hosts at the upstream; ok is false if it isn't known. Where
-// requests finish faster than hosts exchange their work, the load that upstreams report with their
-// answers is more accurate.
+// totalWork returns the work in flight of all hosts at the upstream; ok is false if it isn't known.
+// It counts as unknown where requests finish faster than hosts exchange their work, since the load
+// that upstreams report with their answers is more accurate then.
 func (m *member) totalWork(now time.Time) (float64, bool) {
 	s := m.shard
 	if s.meanRequestTime < exchange.Interval || now.Sub(s.remoteWorkAt) > exchange.WorkAge {
 		return 0, false
 	}
-	return m.work(now) + s.remoteWork[m.name], true
+	return m.ownWork(now) + s.remoteWork[m.idHash], true
 }
--- a/internal/gateway/work_test.go
+++ b/internal/gateway/work_test.go
@@ -12,7 +12,7 @@
 	"github.com/quetzalweir/quetzalweir/placement"
 )
 
-// engineFleet returns a fleet with engines a and b in the host's zone and c in another.
+// engineFleet returns a fleet with the engines a and b in the host's zone and c in another zone.
 func engineFleet() *Fleet {
 	f := NewFleet(time.Second, zerolog.Nop())
 	for id, zone := range map[string]string{"a": "z1", "b": "z1", "c": "z2"} {
@@ -23,11 +23,11 @@
 
 func anyVersion(string) bool { return true }
 
-// promptOf returns the criteria of a request whose prompt has the number of tokens and no shared
-// part.
-func promptOf(tokens int, exclude ...string) criteria {
+// unsharedPromptCriteria returns the criteria of a request whose prompt has the given number of
+// tokens and no shared part.
+func unsharedPromptCriteria(tokens int, exclude ...string) criteria {
 	return criteria{
-		service: "svc", zone: "z1", admits: anyVersion, exclude: exclude, model: "m", priority: 5,
+		service: "svc", zone: "z1", admitsVersion: anyVersion, exclude: exclude, model: "m", priority: 5,
 		prompt: &placement.Prompt{Tokens: tokens},
 	}
 }
@@ -35,21 +35,21 @@
 func TestWorkInFlight(t *testing.T) {
 	is := is.New(t)
 	f := engineFleet()
-	c, ok := f.choose(promptOf(10_000, "a", "c"))
+	c, ok := f.choose(unsharedPromptCriteria(10_000, "a", "c"))
 	is.True(ok)
 	is.Equal(c.upstream.ID, "b")
-	is.Equal(len(f.work()), 1)
-	is.True(math.Abs(f.work()[exchange.HashID("b")]-float64(c.placed.PrefillTime.Milliseconds())) < 100) // the prefill has progressed
+	is.Equal(len(f.workInFlight()), 1)
+	is.True(math.Abs(f.workInFlight()[exchange.HashID("b")]-float64(c.placement.PrefillTime.Milliseconds())) < 100) // the prefill has progressed
 	f.headReceived(&c, time.Second)
-	is.Equal(len(f.work()), 0) // the prefill is over
+	is.Equal(len(f.workInFlight()), 0) // the prefill is over
 	f.headReceived(&c, time.Second)
-	is.Equal(len(f.work()), 0) // a second call changes nothing
+	is.Equal(len(f.workInFlight()), 0) // a second call changes nothing
 	f.release(c, attemptResult{})
-	is.Equal(len(f.work()), 0)
+	is.Equal(len(f.workInFlight()), 0)
 }
 
-// An engine processes one prompt after the other, so the prompts of several hosts take the sum of
-// their prefill times, however long ago each was sent.
+// An engine processes one prompt after the other, so the work that several hosts report must add up
+// to the sum of the prefill times, except for the prompt in progress.
 func TestWorkOfSeveralHosts(t *testing.T) {
 	is := is.New(t)
 	const hosts = 5
@@ -58,66 +58,67 @@
 	for i := range hosts {
 		f := engineFleet()
 		f.setRemoteWork(exchange.Work{exchange.HashID("b"): float64(work.Milliseconds())}, now)
-		c, ok := f.choose(promptOf(10_000, "a", "c"))
+		c, ok := f.choose(unsharedPromptCriteria(10_000, "a", "c"))
 		is.True(ok)
-		work += c.placed.PrefillTime
+		work += c.placement.PrefillTime
 		m := f.memberOf("svc", "b")
-		later := now.Add(c.placed.PrefillTime) // the first host's prefill is over
-		reported += m.work(later)
+		later := now.Add(c.placement.PrefillTime) // the first host's prefill is over
+		reported += m.ownWork(later)
 		if i == 0 {
-			is.True(m.work(later) >= minRemainingFraction*float64(c.placed.PrefillTime.Milliseconds())-1) // its answer is late
+			is.True(m.ownWork(later) >= minRemainingFraction*float64(c.placement.PrefillTime.Milliseconds())-1) // its answer is late
 		}
 	}
 	is.True(reported >= 0.75*float64(work.Milliseconds()))
 }
 
-// A request whose answer never begins leaves neither work nor cached parts at the engine.
+// A request whose answer never began must leave neither work nor cached parts recorded for the
+// engine.
 func TestFailedPrefillIsRemoved(t *testing.T) {
 	is := is.New(t)
 	f := engineFleet()
-	w := promptOf(10_000, "a", "c")
-	w.prompt = &placement.Prompt{Tokens: 10_000, SharedParts: 1, Parts: []placement.Part{{ID: "p", Tokens: 9_000}, {ID: "q", Tokens: 1_000}}}
-	w.keys = placement.PrefixKeys(w.model, w.prompt)
-	c, _ := f.choose(w)
-	is.Equal(f.shard("svc").members["b"].cachedParts(w.keys), 2)
+	crit := unsharedPromptCriteria(10_000, "a", "c")
+	crit.prompt = &placement.Prompt{Tokens: 10_000, SharedParts: 1, Parts: []placement.Part{{ID: "p", Tokens: 9_000}, {ID: "q", Tokens: 1_000}}}
+	crit.keys = placement.PrefixKeys(crit.model, crit.prompt)
+	c, _ := f.choose(crit)
+	is.Equal(f.shard("svc").members["b"].cachedParts(crit.keys), 2)
 	f.release(c, attemptResult{outcome: outcomeUnknown})
-	is.Equal(f.shard("svc").members["b"].cachedParts(w.keys), 0)
+	is.Equal(f.shard("svc").members["b"].cachedParts(crit.keys), 0)
 	is.Equal(f.shard("svc").members["b"].workAhead(9, time.Now()), time.Duration(0))
 }
 
-// Other hosts' work counts in the choice like the host's own.
+// The work of other hosts at an engine counts in the choice like the host's own work.
 func TestRemoteWorkIsAvoided(t *testing.T) {
 	is := is.New(t)
 	f := engineFleet()
 	f.setRemoteWork(exchange.Work{exchange.HashID("a"): 3000, exchange.HashID("c"): 3000}, time.Now())
 	for range 4 {
-		c, _ := f.choose(promptOf(1000))
+		c, _ := f.choose(unsharedPromptCriteria(1000))
 		is.Equal(c.upstream.ID, "b")
 	}
 }
 
-// The prefixes that other hosts sent are known to be cached at their engines.
+// A host records which shared prefixes engines have cached because of other hosts' requests.
 func TestRemotePrefixesAreKnown(t *testing.T) {
 	is := is.New(t)
 	prompt := &placement.Prompt{Tokens: 10_000, SharedParts: 1, Parts: []placement.Part{{ID: "p", Tokens: 9_000}, {ID: "q", Tokens: 1_000}}}
-	w := promptOf(0)
-	w.prompt, w.keys = prompt, placement.PrefixKeys("m", prompt)
+	crit := unsharedPromptCriteria(0)
+	crit.prompt, crit.keys = prompt, placement.PrefixKeys("m", prompt)
 	one, other := engineFleet(), engineFleet()
-	c, _ := one.choose(w)
+	c, _ := one.choose(crit)
 	other.addRemotePrefixes(one.takeSentPrefixes())
 	is.Equal(len(one.takeSentPrefixes()), 0) // reported once
-	is.Equal(other.shard("svc").members[c.upstream.ID].cachedParts(w.keys), 1)
-	again, _ := other.choose(w)
+	is.Equal(other.shard("svc").members[c.upstream.ID].cachedParts(crit.keys), 1)
+	again, _ := other.choose(crit)
 	is.Equal(again.upstream.ID, c.upstream.ID)
-	is.Equal(again.placed.UncachedTokens, 1_000)
+	is.Equal(again.placement.UncachedTokens, 1_000)
 }
 
-// A prompt waits for those of the same or a higher priority and for the one in progress.
-func TestUrgentPromptsOvertakeOthers(t *testing.T) {
+// A prompt waits for the prompts with the same or a higher priority, and for the one in progress.
+func TestWorkAheadDependsOnPriority(t *testing.T) {
 	is := is.New(t)
 	f := engineFleet()
 	for range 5 {
-		_, _ = f.choose(promptOf(10_000, "a", "c"))
+		_, _ = f.choose(unsharedPromptCriteria(10_000, "a", "c"))
 	}
 	m := f.shard("svc").members["b"]
 	now := time.Now()
@@ -149,7 +150,7 @@
 			work, known := m.totalWork(now)
 			is.Equal(known, test.known)
 			from, _ := m.loadSource(now)
-			is.Equal(from == loadExchanged, test.known)
+			is.Equal(from == loadFromExchange, test.known)
 			if known {
 				is.Equal(work, 3.0)
 			}
@@ -157,17 +158,17 @@
 	}
 }
 
-// A host that just started has few requests to base its retries on; its share of the spare retries
-// is known once it has received the number of hosts.
+// A host that just started has counted few requests, so that its budget permits few retries. It may
+// also make its share of the spare retries once it has received the number of hosts.
 func TestSpareRetries(t *testing.T) {
 	is := is.New(t)
 	g := New(Settings{RetryRatio: 0.5, RetryWindow: 10 * time.Second, RetryHeadroom: 40}, zerolog.Nop())
-	is.True(!g.budgets.get("svc").tryTake()) // the number of hosts is unknown
+	is.True(!g.retryBudgets.get("svc").tryTake()) // the number of hosts is unknown
 	g.hostCount.Store(4)
 	for range 5 {
-		is.True(g.budgets.get("svc").tryTake()) // half of 40 over four hosts
+		is.True(g.retryBudgets.get("svc").tryTake()) // half of 40 over four hosts
 	}
-	is.True(!g.budgets.get("svc").tryTake())
-	g.budgets.get("svc").countRequest()
-	is.True(!g.budgets.get("svc").tryTake()) // one request permits less than one retry
+	is.True(!g.retryBudgets.get("svc").tryTake())
+	g.retryBudgets.get("svc").countRequest()
+	is.True(!g.retryBudgets.get("svc").tryTake()) // one request permits less than one retry
 }
