--- a/internal/gateway/attemptresult.go
+++ b/internal/gateway/attemptresult.go
@@ -22,7 +22,7 @@
 	outcomeRefused
 	// outcomeUnknown: the request was sent and no valid answer was received.
 	outcomeUnknown
-	// outcomeFailed: the upstream ran the request and answered with another status.
+	// outcomeFailed: the upstream ran the request and answered with a status other than success.
 	outcomeFailed
 	// outcomeBroken: the answer began and was cut off.
 	outcomeBroken
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -50,8 +50,8 @@
 	model  string
 	// price is the operators' price of the model; 0 if the document declares none.
 	price float64
-	// keys identify the prefixes of the prompt, from the shortest to the longest, in the data on
-	// the engines' caches.
+	// keys are the keys of the prompt's prefixes, the shortest first, by which the data on the
+	// engines' caches is looked up.
 	keys []placement.PrefixKey
 	// priority is the priority that is sent to the upstream, rank the rank that the operators
 	// declared for the route or the account. In both, 0 is the most urgent.
@@ -70,7 +70,7 @@
 }
 
 // choose chooses an upstream and counts the request as in flight there until the caller calls
-// release. ok is false if no upstream is available.
+// release. It returns false if no upstream is available.
 func (f *Fleet) choose(crit criteria) (choice, bool) {
 	now := boottime.Now()
 	s := f.shard(crit.service)
--- a/internal/gateway/cold.go
+++ b/internal/gateway/cold.go
@@ -12,16 +12,16 @@
 
 // coldState is the state of an upstream that is or recently was cold.
 type coldState struct {
-	// until is the time until which the upstream counts as cold. logged is set while the last log
-	// line on the upstream's cold state states that it is cold.
-	until  time.Time
-	logged bool
+	// until is the time until which the upstream counts as cold. loggedCold is set while the last
+	// log line on the upstream's cold state states that it is cold.
+	until      time.Time
+	loggedCold bool
 }
 
 // dropExpired deletes the member's cold state and limit state if they have expired and their end
 // was logged.
 func (m *member) dropExpired(now time.Time) {
-	if m.coldState != nil && !now.Before(m.coldState.until) && !m.coldState.logged {
+	if m.coldState != nil && !now.Before(m.coldState.until) && !m.coldState.loggedCold {
 		m.coldState = nil
 	}
 	if _, unreported := m.shard.unreportedLimits[m]; !unreported && m.limit != nil && m.limit.IsEmpty() && m.limit.logged.since.IsZero() {
@@ -57,10 +57,10 @@
 	}
 	m.coldState.until = until
 	m.shard.coldOrLimited[m] = struct{}{}
-	if m.coldState.logged {
+	if m.coldState.loggedCold {
 		return
 	}
-	m.coldState.logged = true
+	m.coldState.loggedCold = true
 	log.WithLevel(m.logLevel()).Str("event", "upstream-cold").Str("upstream", m.ID).Str("service", m.Service).Str("zone", m.Zone).
 		Str("reason", reason).Int64("for_ms", duration.Milliseconds()).Msg("")
 }
@@ -94,8 +94,8 @@
 	f.eachShard(func(s *shard) {
 		for m := range s.coldOrLimited {
 			m.logLimit(now, f.log)
-			if m.coldState != nil && m.coldState.logged && !m.isCold(now) {
-				m.coldState.logged = false
+			if m.coldState != nil && m.coldState.loggedCold && !m.isCold(now) {
+				m.coldState.loggedCold = false
 				f.log.WithLevel(m.logLevel()).Str("event", "upstream-warm").Str("upstream", m.ID).Str("service", m.Service).Str("zone", m.Zone).Msg("")
 			}
 			m.dropExpired(now)
--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -36,7 +36,7 @@
 	})
 	go func() { _ = server.Serve(listener) }()
 	tg.t.Cleanup(func() { server.Close() })
-	tg.gateway.fleet.Set(Upstream{ID: id, Service: "svc", Address: listener.Addr().String(), Zone: "z1", Version: version, Slots: 8}, 1)
+	tg.gateway.fleet.ApplyEntry(Upstream{ID: id, Service: "svc", Address: listener.Addr().String(), Zone: "z1", Version: version, Slots: 8}, 1)
 }
 
 // The ends of upstreams that a poison request caused must not count against their version. An
--- a/internal/gateway/dispatch_test.go
+++ b/internal/gateway/dispatch_test.go
@@ -185,9 +185,9 @@
 	tg.startUpstreamOf(Upstream{ID: "b", Zone: "z2", Version: "v1"}, respondOK("b"))
 	is.Equal(tg.do(tg.newRequest("GET", "/many/x", "")).body, "a")
 	u := Upstream{ID: "a", Service: "svc", Zone: "z1", Version: "v1", Address: "127.0.0.1:1", Leaving: true}
-	tg.gateway.fleet.Set(u, 2)
+	tg.gateway.fleet.ApplyEntry(u, 2)
 	u.Leaving = false
-	tg.gateway.fleet.Set(u, 3) // leaving is final within an incarnation
+	tg.gateway.fleet.ApplyEntry(u, 3) // leaving is final within an incarnation
 	for range 5 {
 		is.Equal(tg.do(tg.newRequest("GET", "/many/x", "")).body, "b")
 	}
@@ -201,13 +201,13 @@
 	tg := newTestGateway(t, testDocument())
 	failing := tg.startUpstream("a", respondStatus(500))
 	removed := tg.startUpstream("b", respondOK("b"))
-	tg.gateway.fleet.Remove("b", 2, false)
+	tg.gateway.fleet.RemoveEntry("b", 2, false)
 	for range 5 {
 		tg.do(tg.newRequest("GET", "/many/x", ""))
 	}
 	is.True(failing.count() >= 5)
 	is.Equal(removed.count(), 0)
-	tg.gateway.fleet.Remove("a", 3, false) // no listed upstream is left
+	tg.gateway.fleet.RemoveEntry("a", 3, false) // no listed upstream is left
 	is.Equal(tg.do(tg.newRequest("GET", "/many/x", "")).body, "b")
 }
 
@@ -216,7 +216,7 @@
 	tg := newTestGateway(t, testDocument())
 	tg.gateway.fleet.removalGrace = 100 * time.Millisecond
 	tg.startUpstream("a", respondOK("a"))
-	tg.gateway.fleet.Remove("a", 2, false)
+	tg.gateway.fleet.RemoveEntry("a", 2, false)
 	is.Equal(tg.do(tg.newRequest("GET", "/many/x", "")).body, "a") // its entry may be restored
 	time.Sleep(120 * time.Millisecond)
 	is.Equal(tg.do(tg.newRequest("GET", "/many/x", "")).status, 503)
@@ -309,11 +309,11 @@
 
 func TestHeadTimeout(t *testing.T) {
 	is := is.New(t)
-	var times responseTime
+	var times meanTime
 	is.Equal(times.headTimeout(time.Second), 700*time.Millisecond) // no mean time is known
 	times.observe(50 * time.Millisecond)
 	is.Equal(times.headTimeout(time.Second), 400*time.Millisecond)
-	times = responseTime{}
+	times = meanTime{}
 	times.observe(200 * time.Millisecond)
 	is.Equal(times.headTimeout(time.Second), 800*time.Millisecond)
 	times.observe(time.Minute)
--- a/internal/gateway/entryexpiry_test.go
+++ b/internal/gateway/entryexpiry_test.go
@@ -21,10 +21,10 @@
 	const grace = 1500 * time.Millisecond
 	f := NewFleet(grace, zerolog.Nop())
 	for _, id := range []string{"lapsed", "removed"} {
-		f.Set(Upstream{ID: id, Service: id, Zone: "z1", Version: "v1", Slots: 8}, 1)
+		f.ApplyEntry(Upstream{ID: id, Service: id, Zone: "z1", Version: "v1", Slots: 8}, 1)
 	}
-	f.Remove("lapsed", 2, true)
-	f.Remove("removed", 2, false)
+	f.RemoveEntry("lapsed", 2, true)
+	f.RemoveEntry("removed", 2, false)
 	chosen := func(service string) bool {
 		c, ok := f.choose(criteria{service: service, zone: "z1", admitsVersion: func(string) bool { return true }})
 		if ok {
@@ -38,9 +38,9 @@
 	is.True(!chosen("removed"))
 	t.Cleanup(boottime.SimulateSuspension(time.Second))
 	is.True(!chosen("lapsed")) // its entry should have been written again by now
-	f.Set(Upstream{ID: "lapsed", Service: "lapsed", Zone: "z1", Version: "v1", Slots: 8}, 3)
+	f.ApplyEntry(Upstream{ID: "lapsed", Service: "lapsed", Zone: "z1", Version: "v1", Slots: 8}, 3)
 	is.True(chosen("lapsed"))
-	f.Remove("lapsed", 4, false)
+	f.RemoveEntry("lapsed", 4, false)
 	t.Cleanup(boottime.SimulateSuspension(2 * time.Second))
 	is.True(!chosen("lapsed"))
 }
--- a/internal/gateway/evidence.go
+++ b/internal/gateway/evidence.go
@@ -89,38 +89,38 @@
 // observeHead counts the head of a stream as an answer when it arrives. Failures are counted at
 // once, so counting good answers only at their end would make a version look worse than it is.
 func (e *evidence) observeHead(o observation, took time.Duration) {
-	t := e.route(o.route)
-	t.countAnswer(o, false, t.isSlow(o, took))
+	re := e.route(o.route)
+	re.countAnswer(o, false, re.isSlow(o, took))
 }
 
 // observeEnd counts the result of an attempt.
 func (e *evidence) observeEnd(o observation, result attemptResult, now time.Time) {
-	t := e.route(o.route)
+	re := e.route(o.route)
 	switch result.outcome {
 	case outcomeDone:
 		if !o.headCounted {
-			t.countAnswer(o, false, t.isSlow(o, result.firstByte))
+			re.countAnswer(o, false, re.isSlow(o, result.firstByte))
 		}
 	case outcomeFailed:
-		t.countAnswer(o, true, false)
+		re.countAnswer(o, true, false)
 	case outcomeUnknown, outcomeBroken:
 		if now.Sub(e.cutOffAt[o.upstream]) > crashWindow {
 			e.cutOffAt[o.upstream] = now
-			t.countAnswer(o, true, false)
+			re.countAnswer(o, true, false)
 		}
 	case outcomeSilent:
 		// The attempt was given up after several times the expected time.
-		t.countAnswer(o, false, true)
+		re.countAnswer(o, false, true)
 	}
 }
 
 func (e *evidence) route(route string) *routeEvidence {
-	t := e.ownRoutes[route]
-	if t == nil {
-		t = &routeEvidence{}
-		e.ownRoutes[route] = t
+	re := e.ownRoutes[route]
+	if re == nil {
+		re = &routeEvidence{}
+		e.ownRoutes[route] = re
 	}
-	return t
+	return re
 }
 
 // isSlow reports whether a time to the first byte is far above the expected one. For a plain
@@ -161,8 +161,8 @@
 // ownCounts returns the answers that this host counted per version, by route.
 func (e *evidence) ownCounts() map[string]exchange.Versions {
 	routes := make(map[string]exchange.Versions, len(e.ownRoutes))
-	for name, t := range e.ownRoutes {
-		routes[name] = t.Versions
+	for name, re := range e.ownRoutes {
+		routes[name] = re.Versions
 	}
 	return routes
 }
--- a/internal/gateway/evidence_test.go
+++ b/internal/gateway/evidence_test.go
@@ -25,7 +25,7 @@
 func newFleetWithTwoNewUpstreams() *Fleet {
 	f := NewFleet(time.Second, zerolog.Nop())
 	for id, version := range map[string]string{"a": "v1", "b": "v2", "c": "v2"} {
-		f.Set(Upstream{ID: id, Service: "svc", Version: version}, 1)
+		f.ApplyEntry(Upstream{ID: id, Service: "svc", Version: version}, 1)
 	}
 	return f
 }
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -153,9 +153,9 @@
 // service had no upstream for the last half second of these two.
 const outageGrace = 2200 * time.Millisecond
 
-// Remove records that an upstream's entry was removed. expiredInOutage is set if the entry may have
-// expired because of an outage of the store.
-func (f *Fleet) Remove(id string, revision storage.Revision, expiredInOutage bool) {
+// RemoveEntry records that an upstream's entry was removed. expiredInOutage is set if the entry may
+// have expired because of an outage of the store.
+func (f *Fleet) RemoveEntry(id string, revision storage.Revision, expiredInOutage bool) {
 	f.eachShard(func(s *shard) {
 		m := s.members[id]
 		if m == nil || !m.removedAt.IsZero() {
@@ -178,8 +178,9 @@
 	return u, ok
 }
 
-// RemoveUnlisted records that the entries of all upstreams that aren't in the list were removed.
-func (f *Fleet) RemoveUnlisted(listed map[string]bool, revision storage.Revision, expiredInOutage bool) {
+// RemoveUnlistedEntries records that the entries of all upstreams that aren't in the list were
+// removed.
+func (f *Fleet) RemoveUnlistedEntries(listed map[string]bool, revision storage.Revision, expiredInOutage bool) {
 	var gone []string
 	f.eachShard(func(s *shard) {
 		for id := range s.members {
@@ -189,13 +190,13 @@
 		}
 	})
 	for _, id := range gone {
-		f.Remove(id, revision, expiredInOutage)
+		f.RemoveEntry(id, revision, expiredInOutage)
 	}
 }
 
-// Withdraw records that an upstream's entry can't be used. The upstream gets no new requests until
-// it has a usable entry.
-func (f *Fleet) Withdraw(id string, revision storage.Revision) {
+// WithdrawUpstream records that an upstream's entry can't be used. The upstream gets no new
+// requests until it has a usable entry.
+func (f *Fleet) WithdrawUpstream(id string, revision storage.Revision) {
 	f.eachShard(func(s *shard) {
 		if m := s.members[id]; m != nil {
 			m.withdraw(f.log, revision)
@@ -221,9 +222,9 @@
 // flight there.
 const recordRetention = time.Minute
 
-// Sweep deletes the records of upstreams whose entries were removed longer than recordRetention ago
-// and that have no requests in flight.
-func (f *Fleet) Sweep(now time.Time) {
+// DeleteOldRecords deletes the records of upstreams whose entries were removed longer than
+// recordRetention ago and that have no requests in flight.
+func (f *Fleet) DeleteOldRecords(now time.Time) {
 	f.eachShard(func(s *shard) {
 		for id, m := range s.members {
 			if !m.removedAt.IsZero() && now.Sub(m.removedAt) > recordRetention && m.inFlight == 0 {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -39,10 +39,10 @@
 	promptSizes     lazyValues[promptSizes]
 	// responseTimes holds the mean time to the first byte of an answer, by service, model and
 	// route.
-	responseTimes lazyValues[responseTime]
+	responseTimes lazyValues[meanTime]
 	// streamPauses holds, by the same key, the mean over all streams of the longest pause within a
 	// stream.
-	streamPauses lazyValues[responseTime]
+	streamPauses lazyValues[meanTime]
 	pipeline     handleFunc
 	// guard quarantines poison requests.
 	guard *guard.Guard
@@ -97,8 +97,8 @@
 	g.fleet.policy.coldOverrun, g.fleet.policy.coldHeadroom = s.ColdOverrun, s.ColdHeadroom
 	g.rollouts = newRollouts(s, g.fleet, log)
 	g.retryBudgets.make = func() *retryBudget { return newRetryBudget(retryMargin*s.RetryRatio, s.RetryWindow, g.spareRetries) }
-	g.responseTimes.make = func() *responseTime { return new(responseTime) }
-	g.streamPauses.make = func() *responseTime { return new(responseTime) }
+	g.responseTimes.make = func() *meanTime { return new(meanTime) }
+	g.streamPauses.make = func() *meanTime { return new(meanTime) }
 	g.promptSizes.make = func() *promptSizes { return new(promptSizes) }
 	g.guard = guard.New(guard.Options{
 		Host: s.Host, Table: s.Statuses, Prefix: s.Tables.VerdictsPrefix, Clock: g.storeClock, OnEvent: g.metrics.countGuardEvent, Log: log,
@@ -177,8 +177,8 @@
 	// with a margin for the store's response: a new version's share is raised only while the status
 	// data is recent, and the last part of the rise takes half a second.
 	statusPollTimeout = 2 * time.Second
-	// sweepInterval is how often the records of removed upstreams are deleted.
-	sweepInterval = 10 * time.Second
+	// recordCleanupInterval is how often the records of removed upstreams are deleted.
+	recordCleanupInterval = 10 * time.Second
 	// restrictionLogInterval is how often upstreams are checked for the end of their cold time or
 	// rate limit, to log it. The choice of an upstream doesn't depend on this check: it compares
 	// the times itself.
@@ -241,7 +241,7 @@
 	group.Go(func() { wait.Every(ctx, entryChangesInterval, g.fleet.logEntryChanges) })
 	group.Go(func() { g.rollouts.run(ctx) })
 	group.Go(func() { g.guard.Run(ctx) })
-	group.Go(func() { wait.Every(ctx, sweepInterval, func() { g.fleet.Sweep(boottime.Now()) }) })
+	group.Go(func() { wait.Every(ctx, recordCleanupInterval, func() { g.fleet.DeleteOldRecords(boottime.Now()) }) })
 	return group
 }
 
--- a/internal/gateway/helpers_test.go
+++ b/internal/gateway/helpers_test.go
@@ -169,7 +169,7 @@
 	u.Service = "svc"
 	u.Address = server.Listener.Addr().String()
 	u.Slots = 8
-	tg.gateway.fleet.Set(u, 1)
+	tg.gateway.fleet.ApplyEntry(u, 1)
 	return log
 }
 
@@ -180,7 +180,7 @@
 		tg.t.Fatal(err)
 	}
 	tg.t.Cleanup(func() { _ = release() })
-	tg.gateway.fleet.Set(Upstream{ID: id, Service: "svc", Address: address, Zone: "z1", Version: "v1", Slots: 8}, 1)
+	tg.gateway.fleet.ApplyEntry(Upstream{ID: id, Service: "svc", Address: address, Zone: "z1", Version: "v1", Slots: 8}, 1)
 }
 
 // newRequest returns a caller's request with a key and a new id.
--- a/internal/gateway/idletimer.go
+++ b/internal/gateway/idletimer.go
@@ -91,5 +91,5 @@
 	if permitted <= 0 {
 		permitted = defaultTarget
 	}
-	return max(time.Duration(pauseFactor*float64(permitted)), pauses.multiple(timeoutFactor))
+	return max(time.Duration(pauseFactor*float64(permitted)), pauses.scaledMean(timeoutFactor))
 }
--- a/internal/gateway/incarnation_test.go
+++ b/internal/gateway/incarnation_test.go
@@ -41,7 +41,7 @@
 func TestRestartedUpstreamHasNoFormerState(t *testing.T) {
 	is := is.New(t)
 	f := NewFleet(time.Second, zerolog.Nop())
-	f.Set(engineStartedAt(firstStart), 1)
+	f.ApplyEntry(engineStartedAt(firstStart), 1)
 	former, ok := f.choose(promptCriteria())
 	is.True(ok)
 	m := f.memberOf("svc", "e")
@@ -50,10 +50,10 @@
 	formerCopy := former
 	leaving := engineStartedAt(firstStart)
 	leaving.Leaving = true
-	f.Set(leaving, 2)
+	f.ApplyEntry(leaving, 2)
 	is.True(!f.hasInService("svc", regionConstraint{}, func(string) bool { return true }))
 
-	f.Set(engineStartedAt(secondStart), 3)
+	f.ApplyEntry(engineStartedAt(secondStart), 3)
 	now := time.Now()
 	m = f.memberOf("svc", "e")
 	is.True(m.inService(now, 0))                                          // it isn't leaving
@@ -77,9 +77,9 @@
 func TestRemoteDataOfAFormerIncarnation(t *testing.T) {
 	is := is.New(t)
 	f := NewFleet(time.Second, zerolog.Nop())
-	f.Set(engineStartedAt(firstStart), 1)
+	f.ApplyEntry(engineStartedAt(firstStart), 1)
 	formerName := f.memberOf("svc", "e").idHash
-	f.Set(engineStartedAt(secondStart), 2)
+	f.ApplyEntry(engineStartedAt(secondStart), 2)
 	keys := promptCriteria().keys
 	f.setRemoteWork(exchange.Work{formerName: 900}, time.Now())
 	f.addRemotePrefixes(exchange.Reads{formerName: keys})
@@ -91,11 +91,11 @@
 func TestLateEntryOfAFormerIncarnation(t *testing.T) {
 	is := is.New(t)
 	f := NewFleet(time.Second, zerolog.Nop())
-	f.Set(engineStartedAt(secondStart), 1)
+	f.ApplyEntry(engineStartedAt(secondStart), 1)
 	late := engineStartedAt(firstStart)
 	late.Leaving = true
 	late.Address = "127.0.0.1:10"
-	f.Set(late, 2)
+	f.ApplyEntry(late, 2)
 	m := f.memberOf("svc", "e")
 	is.True(m.inService(time.Now(), 0))
 	is.Equal(m.Upstream, engineStartedAt(secondStart))
@@ -104,10 +104,10 @@
 func TestUpstreamThatChangedItsService(t *testing.T) {
 	is := is.New(t)
 	f := NewFleet(time.Second, zerolog.Nop())
-	f.Set(engineStartedAt(firstStart), 1)
+	f.ApplyEntry(engineStartedAt(firstStart), 1)
 	moved := engineStartedAt(firstStart)
 	moved.Service = "other"
-	f.Set(moved, 2)
+	f.ApplyEntry(moved, 2)
 	any := func(string) bool { return true }
 	is.True(!f.hasInService("svc", regionConstraint{}, any))
 	is.True(f.hasInService("other", regionConstraint{}, any))
@@ -131,7 +131,7 @@
 	is.Equal(len(dialled), 1)
 	again := tg.gateway.fleet.memberOf("svc", "a").Upstream
 	again.Incarnation = secondStart
-	tg.gateway.fleet.Set(again, 2)
+	tg.gateway.fleet.ApplyEntry(again, 2)
 	is.Equal(tg.do(tg.newRequest("GET", "/many/x", "")).body, "hello")
 	is.Equal(len(dialled), 2)
 }
--- a/internal/gateway/instantcrash_test.go
+++ b/internal/gateway/instantcrash_test.go
@@ -35,7 +35,7 @@
 		})
 		go func() { _ = server.Serve(listener) }()
 		t.Cleanup(func() { server.Close() })
-		tg.gateway.fleet.Set(Upstream{ID: fmt.Sprint("u-", i), Service: "svc", Address: listener.Addr().String(), Zone: "z1", Version: "v1", Slots: 8}, 1)
+		tg.gateway.fleet.ApplyEntry(Upstream{ID: fmt.Sprint("u-", i), Service: "svc", Address: listener.Addr().String(), Zone: "z1", Version: "v1", Slots: 8}, 1)
 	}
 	for range 6 {
 		tg.do(tg.newRequest("POST", "/many/x", "fatal"))
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -172,7 +172,7 @@
 	is.Equal(limited.count(), 1)
 	limits.Store(nil)
 	m := tg.member("limited")
-	tg.gateway.fleet.Set(Upstream{ID: "limited", Incarnation: 2, Service: "svc", Address: m.Address, Zone: "z1", Version: "v1", Slots: 8}, 2)
+	tg.gateway.fleet.ApplyEntry(Upstream{ID: "limited", Incarnation: 2, Service: "svc", Address: m.Address, Zone: "z1", Version: "v1", Slots: 8}, 2)
 	tg.sendServedRequests(3)
 	is.Equal(limited.count(), 4)
 	is.Equal(len(tg.leasedUpstreams()), 0)
@@ -232,7 +232,7 @@
 	tg := newTestGateway(t, testDocument())
 	f := tg.gateway.fleet
 	f.policy.singleHost = false
-	f.Set(Upstream{ID: "limited", Service: "svc", Zone: "z1", Version: "v1", Slots: 8}, 1)
+	f.ApplyEntry(Upstream{ID: "limited", Service: "svc", Zone: "z1", Version: "v1", Slots: 8}, 1)
 	m := f.memberOf("svc", "limited")
 	m.ensureLimit().Observe(50, boottime.Now())
 	contact := ratelease.NewHubContact(boottime.Now().Add(-time.Hour)) // the last contact with a root hub
--- a/internal/gateway/memberindex.go
+++ b/internal/gateway/memberindex.go
@@ -17,8 +17,8 @@
 // next update all would send their requests to the same few idle upstreams.
 
 const (
-	// fullScanLimit is the largest number of upstreams of which all are considered. It is about the
-	// size of a sample.
+	// fullScanLimit is the largest number of upstreams of a service for which all are considered.
+	// It is about the size of a sample.
 	fullScanLimit = 16
 	// sameZoneDraws is the number of upstreams that are drawn at random from the host's own
 	// availability zone, otherZoneDraws the number drawn from all zones of its region. A few draws
--- a/internal/gateway/memberindex_test.go
+++ b/internal/gateway/memberindex_test.go
@@ -19,7 +19,7 @@
 func largeFleet(engines, zones int) *Fleet {
 	f := NewFleet(time.Second, zerolog.Nop())
 	for i := range engines {
-		f.Set(Upstream{ID: fmt.Sprintf("i-%05d", i), Service: "svc", Zone: fmt.Sprint("z", i%zones), Version: "v1", Slots: 32}, 1)
+		f.ApplyEntry(Upstream{ID: fmt.Sprintf("i-%05d", i), Service: "svc", Zone: fmt.Sprint("z", i%zones), Version: "v1", Slots: 32}, 1)
 	}
 	return f
 }
@@ -81,7 +81,7 @@
 func TestOnlyUsableUpstreamIsFound(t *testing.T) {
 	is := is.New(t)
 	f := largeFleet(500, 5)
-	f.Set(Upstream{ID: "only", Service: "svc", Zone: "z3", Version: "v2", Slots: 8}, 2)
+	f.ApplyEntry(Upstream{ID: "only", Service: "svc", Zone: "z3", Version: "v2", Slots: 8}, 2)
 	for _, crit := range []criteria{sharedPrefixCriteria("p"), {service: "svc", zone: "z1"}} {
 		crit.admitsVersion = func(version string) bool { return version == "v2" }
 		c, ok := f.choose(crit)
@@ -101,7 +101,7 @@
 	f.release(c, attemptResult{outcome: outcomeDone})
 	restarted := c.upstream
 	restarted.Incarnation = firstStart
-	f.Set(restarted, 2)
+	f.ApplyEntry(restarted, 2)
 	is.Equal(f.shard("svc").cachedPrompts.Len(), 0)
 	for range 2000 {
 		c, _ := f.choose(criteria{service: "svc", zone: restarted.Zone, admitsVersion: anyVersion})
@@ -110,8 +110,8 @@
 	}
 	again, _ := f.choose(crit)
 	f.release(again, attemptResult{outcome: outcomeDone})
-	f.Remove(again.upstream.ID, 3, false)
-	f.Sweep(time.Now().Add(2 * recordRetention))
+	f.RemoveEntry(again.upstream.ID, 3, false)
+	f.DeleteOldRecords(time.Now().Add(2 * recordRetention))
 	is.Equal(f.memberOf("svc", again.upstream.ID) == nil, true)
 	is.Equal(f.shard("svc").cachedPrompts.Len(), 0)
 }
@@ -193,12 +193,12 @@
 		id := fmt.Sprintf("i-%05d", i*7%engines)
 		switch i % 3 {
 		case 0:
-			f.Remove(id, 2, false)
-			f.Sweep(time.Now().Add(2 * recordRetention))
+			f.RemoveEntry(id, 2, false)
+			f.DeleteOldRecords(time.Now().Add(2 * recordRetention))
 		case 1:
-			f.Set(Upstream{ID: id, Service: "svc", Zone: fmt.Sprint("z", i%6), Version: "v1", Slots: 32}, 2)
+			f.ApplyEntry(Upstream{ID: id, Service: "svc", Zone: fmt.Sprint("z", i%6), Version: "v1", Slots: 32}, 2)
 		default:
-			f.Set(Upstream{ID: fmt.Sprint("new-", i), Service: "svc", Zone: "z9", Version: "v1", Slots: 32}, 2)
+			f.ApplyEntry(Upstream{ID: fmt.Sprint("new-", i), Service: "svc", Zone: "z9", Version: "v1", Slots: 32}, 2)
 		}
 		if i%10 == 0 {
 			fullRing(f)
@@ -206,7 +206,7 @@
 	}
 	listed := NewFleet(time.Second, zerolog.Nop())
 	for _, m := range f.shard("svc").members {
-		listed.Set(m.Upstream, 3)
+		listed.ApplyEntry(m.Upstream, 3)
 	}
 	changed, relisted := fullRing(f), fullRing(listed)
 	is.Equal(len(changed), len(relisted))
@@ -245,7 +245,7 @@
 	s, now := f.shard("svc"), time.Now()
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		f.Set(Upstream{ID: fmt.Sprint("new-", i), Service: "svc", Zone: "z1", Version: "v1", Slots: 32}, 2)
+		f.ApplyEntry(Upstream{ID: fmt.Sprint("new-", i), Service: "svc", Zone: "z1", Version: "v1", Slots: 32}, 2)
 		now = now.Add(indexMaxAge)
 		s.currentIndex(now)
 	}
--- a/internal/gateway/notreached_test.go
+++ b/internal/gateway/notreached_test.go
@@ -77,16 +77,16 @@
 		u := func(id, address string) Upstream {
 			return Upstream{ID: id, Service: "svc", Address: address, Zone: "z1", Version: "v1", Slots: 8}
 		}
-		fleet.Set(u("former", "10.0.0.1:80"), 1)
-		fleet.Set(u("other", "10.0.0.2:80"), 2)
-		fleet.Set(u("same-table", "10.0.0.2:80"), 2)
+		fleet.ApplyEntry(u("former", "10.0.0.1:80"), 1)
+		fleet.ApplyEntry(u("other", "10.0.0.2:80"), 2)
+		fleet.ApplyEntry(u("same-table", "10.0.0.2:80"), 2)
 		inService := func(id string) bool { return fleet.shard("svc").members[id].inService(time.Now(), time.Second) }
 		time.Sleep(2 * sameListingWindow)
-		fleet.Set(u("started", "10.0.0.1:80"), 3)
+		fleet.ApplyEntry(u("started", "10.0.0.1:80"), 3)
 		is.True(!inService("former"))
 		is.True(inService("started"))
 		is.True(inService("other") && inService("same-table")) // either may listen at the address
-		fleet.Set(u("former", "10.0.0.1:80"), 4)               // its last heartbeat arrives late
+		fleet.ApplyEntry(u("former", "10.0.0.1:80"), 4)        // its last heartbeat arrives late
 		is.True(!inService("former") && inService("started"))
 	})
 }
@@ -116,15 +116,15 @@
 			return Upstream{ID: id, Incarnation: incarnation, Service: "svc", Address: address, Zone: "z1", Version: "v1", Slots: 8}
 		}
 		inService := func(id string) bool { return fleet.shard("svc").members[id].inService(time.Now(), time.Second) }
-		fleet.Set(u("restarted", "10.0.0.1:80", 1), 1)
-		fleet.Set(u("moved", "10.0.0.2:80", 1), 2)
-		fleet.Set(u("restarted", "10.0.0.1:80", 2), 3)
-		fleet.Set(u("moved", "10.0.0.3:80", 1), 4)
+		fleet.ApplyEntry(u("restarted", "10.0.0.1:80", 1), 1)
+		fleet.ApplyEntry(u("moved", "10.0.0.2:80", 1), 2)
+		fleet.ApplyEntry(u("restarted", "10.0.0.1:80", 2), 3)
+		fleet.ApplyEntry(u("moved", "10.0.0.3:80", 1), 4)
 		time.Sleep(2 * sameListingWindow)
-		fleet.Set(u("at-the-former", "10.0.0.2:80", 1), 5)
+		fleet.ApplyEntry(u("at-the-former", "10.0.0.2:80", 1), 5)
 		is.True(inService("moved") && inService("restarted"))
-		fleet.Set(u("next", "10.0.0.1:80", 1), 6)
-		fleet.Set(u("next-to-move", "10.0.0.3:80", 1), 7)
+		fleet.ApplyEntry(u("next", "10.0.0.1:80", 1), 6)
+		fleet.ApplyEntry(u("next-to-move", "10.0.0.3:80", 1), 7)
 		is.True(!inService("restarted") && !inService("moved"))
 		is.True(inService("at-the-former") && inService("next") && inService("next-to-move"))
 	})
@@ -143,7 +143,7 @@
 	for b.Loop() {
 		fleet := NewFleet(time.Second, zerolog.Nop())
 		for i, u := range entries {
-			fleet.Set(u, storage.Revision(i+1))
+			fleet.ApplyEntry(u, storage.Revision(i+1))
 		}
 	}
 }
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -23,18 +23,18 @@
 )
 
 // place chooses an engine for a prompt among the candidates of all availability zones: the latency
-// to another zone is a millisecond, while processing a part that isn't cached takes hundreds. The
-// caller holds the shard's lock.
+// to another zone is a millisecond, while processing a part that isn't cached takes hundreds of
+// milliseconds. The caller holds the shard's lock.
 func (s *shard) place(list candidateList, c *choice, now time.Time) *member {
-	w := &c.criteria
-	s.prefillRates.SetPrice(w.model, w.price)
-	s.applyRemoteTimings(w.service, w.model)
-	candidates := s.placementCandidates(list, w, now)
+	crit := &c.criteria
+	s.prefillRates.SetPrice(crit.model, crit.price)
+	s.applyRemoteTimings(crit.service, crit.model)
+	candidates := s.placementCandidates(list, crit, now)
 	c.placement = placement.Place(s.prefillRates, &placement.Request{
-		Model:    w.model,
-		Prompt:   w.prompt,
-		Target:   w.target,
-		ZoneCost: crossZoneLatency + time.Duration(w.bodyBytes)*crossZoneCostPerKB/1024,
+		Model:    crit.model,
+		Prompt:   crit.prompt,
+		Target:   crit.target,
+		ZoneCost: crossZoneLatency + time.Duration(crit.bodyBytes)*crossZoneCostPerKB/1024,
 
 		RegionCost: crossRegionLatency,
 		Random:     rand.Float64(),
@@ -83,14 +83,14 @@
 	prefill float64
 }
 
-// queueGain is the weight of a new answer in the means of queueStats.
-const queueGain = 0.03
+// queueStatsGain is the weight of a new answer in the means of queueStats.
+const queueStatsGain = 0.03
 
 // observe records the time to an answer's head. prefillTime is the part of it that the engine
 // needed, by estimate, without queueing.
 func (q *queueStats) observe(took, prefillTime time.Duration) {
-	q.queued += queueGain * (float64(max(0, took-prefillTime)) - q.queued)
-	q.prefill += queueGain * (float64(prefillTime) - q.prefill)
+	q.queued += queueStatsGain * (float64(max(0, took-prefillTime)) - q.queued)
+	q.prefill += queueStatsGain * (float64(prefillTime) - q.prefill)
 }
 
 // pressure returns the mean queueing time divided by the mean prefill time; 0 before any answer.
@@ -101,7 +101,7 @@
 	return q.queued / q.prefill
 }
 
-// placementCandidates returns the candidates as package placement takes them.
+// placementCandidates returns the candidates in the form that package placement takes.
 func (s *shard) placementCandidates(list candidateList, crit *criteria, now time.Time) []placement.Candidate {
 	subject := sharedPrefix(crit.prompt)
 	candidates := make([]placement.Candidate, len(list.members))
--- a/internal/gateway/promptsizes.go
+++ b/internal/gateway/promptsizes.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// sizeGain is the weight of a new prompt in the mean prompt sizes.
-const sizeGain = 0.02
+// promptSizeGain is the weight of a new prompt in the mean prompt sizes.
+const promptSizeGain = 0.02
 
 // promptSizes holds the decayed mean prompt sizes of a service and of each of its routes, in
 // tokens, by which routes with long prompts are identified.
@@ -35,5 +35,5 @@
 	if mean == 0 {
 		return float64(value)
 	}
-	return mean + sizeGain*(float64(value)-mean)
+	return mean + promptSizeGain*(float64(value)-mean)
 }
--- a/internal/gateway/regions_test.go
+++ b/internal/gateway/regions_test.go
@@ -115,7 +115,7 @@
 	tg := newRegionTest(t, []string{"south"}, nil)
 	logs := tg.startUpstreamsIn(3, respondOK("hello"), "z1", "z3")
 	for i := range 3 {
-		tg.gateway.fleet.Remove(fmt.Sprint("z1-", i), 2, false)
+		tg.gateway.fleet.RemoveEntry(fmt.Sprint("z1-", i), 2, false)
 		tg.gateway.fleet.memberOf("svc", fmt.Sprint("z1-", i)).removedAt = time.Now().Add(-time.Minute)
 	}
 	is.Equal(tg.do(tg.newRequest("POST", "/once/x", "body")).status, http.StatusServiceUnavailable)
@@ -173,8 +173,8 @@
 	is := is.New(t)
 	tg := newRegionTest(t, []string{"south"}, nil)
 	f, ro := tg.gateway.fleet, tg.gateway.rollouts
-	f.Set(Upstream{ID: "old", Service: "svc", Zone: "z1", Version: "v1"}, 1)
-	f.Set(Upstream{ID: "new", Service: "svc", Zone: "z3", Version: "v2"}, 2)
+	f.ApplyEntry(Upstream{ID: "old", Service: "svc", Zone: "z1", Version: "v1"}, 1)
+	f.ApplyEntry(Upstream{ID: "new", Service: "svc", Zone: "z3", Version: "v2"}, 2)
 	ro.addOrder(RolloutOrder{Service: "svc", Version: "v2", Duration: time.Minute, Revision: 3}, false)
 	ro.byService["svc"].requestShare = 1
 	route, _ := tg.gateway.routingTable.Load().Match(testHost, "/once/x")
@@ -192,7 +192,7 @@
 	f := NewFleet(time.Second, newTestGateway(t, testDocument()).gateway.log)
 	f.topology = zoneTopology{zone: "z1", regions: map[string]string{"z0": "south", "z1": "south", "z2": "north", "z3": "north"}}
 	for i := range 400 {
-		f.Set(Upstream{ID: fmt.Sprintf("i-%05d", i), Service: "svc", Zone: fmt.Sprint("z", i%4), Version: "v1", Slots: 32}, storage.Revision(i+1))
+		f.ApplyEntry(Upstream{ID: fmt.Sprintf("i-%05d", i), Service: "svc", Zone: fmt.Sprint("z", i%4), Version: "v1", Slots: 32}, storage.Revision(i+1))
 	}
 	otherRegion := 0
 	for i := range 200 {
--- a/internal/gateway/responsetime.go
+++ b/internal/gateway/responsetime.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// responseTimeGain is the weight of a new answer in a mean response time.
-	responseTimeGain = 0.05
+	// meanTimeGain is the weight of a new time in a mean.
+	meanTimeGain = 0.05
 	// timeoutFactor times the mean response time is how long an attempt waits for an answer's head
 	// before the request is sent to another upstream. In a service that queues requests, one answer
 	// in a hundred takes that long.
@@ -27,35 +27,36 @@
 	defaultTarget = time.Second
 )
 
-// responseTime is the decayed mean of the times to the first byte of answers. An attempt that was
-// given up is included with the time until then, so that the mean rises if all upstreams are slow.
-type responseTime struct {
+// meanTime is a decayed mean of times: those to the first byte of answers, or the longest pauses of
+// streams. An attempt that was given up is included with the time until then, so that the mean
+// rises if all upstreams are slow.
+type meanTime struct {
 	mu   sync.Mutex
 	mean time.Duration
 }
 
-func (t *responseTime) observe(took time.Duration) {
+func (t *meanTime) observe(took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.mean == 0 {
 		t.mean = took
 		return
 	}
-	t.mean += time.Duration(responseTimeGain * float64(took-t.mean))
+	t.mean += time.Duration(meanTimeGain * float64(took-t.mean))
 }
 
 // observeTimeout records an attempt that was given up after the given time. It is ignored before
 // the first answer, since it doesn't show how long answers take.
-func (t *responseTime) observeTimeout(waited time.Duration) {
+func (t *meanTime) observeTimeout(waited time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.mean > 0 {
-		t.mean += time.Duration(responseTimeGain * float64(waited-t.mean))
+		t.mean += time.Duration(meanTimeGain * float64(waited-t.mean))
 	}
 }
 
-// multiple returns the mean time multiplied by the factor.
-func (t *responseTime) multiple(factor int) time.Duration {
+// scaledMean returns the mean time multiplied by the factor.
+func (t *meanTime) scaledMean(factor int) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return time.Duration(factor) * t.mean
@@ -63,7 +64,7 @@
 
 // headTimeout returns how long an attempt waits for the answer's head, for a route with the given
 // target; a target of 0 means defaultTarget.
-func (t *responseTime) headTimeout(target time.Duration) time.Duration {
+func (t *meanTime) headTimeout(target time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if target <= 0 {
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -18,17 +18,17 @@
 const (
 	// firstWriteSpread is the time over which hosts spread their attempts to write the first status
 	// of a roll-out, which any host may write. Most hosts receive the status that the first one
-	// wrote before their own attempt. completeSpread is the same for the last status, which has to
-	// be stored before the duration of the roll-out has passed.
-	firstWriteSpread = 1200 * time.Millisecond
-	completeSpread   = 200 * time.Millisecond
-	// hubSpread is the time over which hosts with followers spread their attempts to write a
+	// wrote before their own attempt. completionWriteSpread is the same for the last status, which
+	// has to be stored before the duration of the roll-out has passed.
+	firstWriteSpread      = 1200 * time.Millisecond
+	completionWriteSpread = 200 * time.Millisecond
+	// hubWriteSpread is the time over which hosts with followers spread their attempts to write a
 	// status. At most a few of them write before they receive the status that the first one wrote.
-	// A follower waits for at least followerDelay, or followerUrgentDelay if the status ends the
-	// roll-out, since it receives a status within half a second of the write.
-	hubSpread           = 200 * time.Millisecond
-	followerDelay       = 1500 * time.Millisecond
-	followerUrgentDelay = 700 * time.Millisecond
+	// A follower waits for at least followerWriteDelay, or followerFinalWriteDelay if the status
+	// ends the roll-out, since it receives a status within half a second of the write.
+	hubWriteSpread          = 200 * time.Millisecond
+	followerWriteDelay      = 1500 * time.Millisecond
+	followerFinalWriteDelay = 700 * time.Millisecond
 	// maxStatusAge is the maximum age of the status data at which a host raises a new version's
 	// share. A host with older data may have missed that another host stopped the version.
 	maxStatusAge = 3 * time.Second
@@ -88,7 +88,7 @@
 	earlierRevisions []storage.Revision
 	era              eraTracker
 	// failedWrites counts the consecutive writes that the store refused or didn't answer, up to
-	// maxWriteDoublings.
+	// maxPauseDoublings.
 	failedWrites int
 }
 
@@ -324,7 +324,7 @@
 		}
 		ro.raiseShares(sr)
 		next, due := ro.dueStatus(sr)
-		if !due || sr.writing || !ro.isTurn(sr, next) {
+		if !due || sr.writing || !ro.shouldWriteNow(sr, next) {
 			continue
 		}
 		sr.writing = true
--- a/internal/gateway/rolloutstatus.go
+++ b/internal/gateway/rolloutstatus.go
@@ -11,8 +11,8 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// dueStatus returns the state of the roll-out that has to be written to the store now; ok is false
-// if there is none.
+// dueStatus returns the state of the roll-out that has to be written to the store now. The second
+// result is false if there is none.
 func (ro *rollouts) dueStatus(sr *serviceRollout) (RolloutState, bool) {
 	switch {
 	case sr.unsaved && sr.hasStatus():
@@ -25,19 +25,19 @@
 		_, received := ro.statuses.Age()
 		return RolloutRunning, received
 	case sr.sessionShare >= 1 && sr.requestShare >= 1 && ro.sessionRamp.mayComplete(ro.progress(sr)):
-		return RolloutCompleted, ro.conclusive(sr)
+		return RolloutCompleted, ro.isConclusive(sr)
 	default:
 		return RolloutRunning, false
 	}
 }
 
-// conclusive reports whether the evidence suffices to complete the roll-out. On completion the old
-// version's upstreams stop for good, so that a bad version would fail requests from then on, while
-// the only cost of completing a sound version late is an overdue roll-out. If the evidence doesn't
-// suffice, the roll-out continues until there are enough answers, with all requests on the new
-// version and the old one ready to take over. For a service that gets too few answers for that, it
-// suffices that none of them is bad.
-func (ro *rollouts) conclusive(sr *serviceRollout) bool {
+// isConclusive reports whether the evidence suffices to complete the roll-out. On completion the
+// old version's upstreams stop for good, so that a bad version would fail requests from then on,
+// while the only cost of completing a sound version late is an overdue roll-out. If the evidence
+// doesn't suffice, the roll-out continues until there are enough answers, with all requests on the
+// new version and the old one ready to take over. For a service that gets too few answers for that,
+// it suffices that none of them is bad.
+func (ro *rollouts) isConclusive(sr *serviceRollout) bool {
 	if sr.evidence.sufficesToComplete() || ro.fewAnswersNoneBad(sr) {
 		return true
 	}
@@ -61,9 +61,9 @@
 		v.Old.Answers+v.New.Answers < minConclusiveAnswers && v.New.Failed == 0 && v.New.Slow == 0
 }
 
-// isTurn reports whether this host should write the due status now. The status becomes due on all
-// hosts at about the same time. During an outage of the store no host should write.
-func (ro *rollouts) isTurn(sr *serviceRollout, next RolloutState) bool {
+// shouldWriteNow reports whether this host should write the due status now. The status becomes due
+// on all hosts at about the same time. During an outage of the store no host should write.
+func (ro *rollouts) shouldWriteNow(sr *serviceRollout, next RolloutState) bool {
 	if ro.statuses.Unreachable() {
 		return false
 	}
@@ -78,18 +78,18 @@
 // until a status that its hub wrote should have reached it. Without this order, 195 hosts wrote the
 // first status of a roll-out 92 times within a second.
 func (ro *rollouts) writeDelay(next RolloutState) time.Duration {
-	urgent := next != RolloutRunning
+	final := next != RolloutRunning
 	switch {
 	case ro.hasFollowers():
-		return rand.N(hubSpread)
-	case ro.statuses.UsesRelay() && urgent:
-		return followerUrgentDelay + rand.N(followerUrgentDelay)
+		return rand.N(hubWriteSpread)
+	case ro.statuses.UsesRelay() && final:
+		return followerFinalWriteDelay + rand.N(followerFinalWriteDelay)
 	case ro.statuses.UsesRelay():
-		return followerDelay + rand.N(firstWriteSpread)
+		return followerWriteDelay + rand.N(firstWriteSpread)
 	case next == RolloutReverted:
 		return 0 // without a hub, the other hosts may not have the evidence to stop the version
 	case next == RolloutCompleted:
-		return rand.N(completeSpread)
+		return rand.N(completionWriteSpread)
 	default:
 		return rand.N(firstWriteSpread)
 	}
@@ -131,10 +131,10 @@
 	// writePause is the time between two attempts to write a status. It is longer than the watcher
 	// needs to receive a change.
 	writePause = 300 * time.Millisecond
-	// maxWriteDoublings bounds how often the pause doubles. It doubles with each consecutive write
+	// maxPauseDoublings bounds how often the pause doubles. It doubles with each consecutive write
 	// that the store refuses or doesn't answer, up to 4.8 s. With a constant pause, hosts that were
 	// cut off from the store tried 300 times in 12 s.
-	maxWriteDoublings = 4
+	maxPauseDoublings = 4
 )
 
 // retryPause returns the time until the next attempt after a write that ended with err.
@@ -146,7 +146,7 @@
 		return writePause
 	}
 	pause := writePause << sr.failedWrites
-	sr.failedWrites = min(sr.failedWrites+1, maxWriteDoublings)
+	sr.failedWrites = min(sr.failedWrites+1, maxPauseDoublings)
 	return pause/2 + rand.N(pause)
 }
 
--- a/internal/gateway/scale_test.go
+++ b/internal/gateway/scale_test.go
@@ -50,8 +50,8 @@
 	f.observeLimit(&c, limitHeader{values: []string{"5"}})
 	is.Equal(len(s.coldOrLimited), 1)
 	is.Equal(len(f.currentLimits()), 1)
-	f.Remove(c.upstream.ID, 2, false)
-	f.Sweep(boottime.Now().Add(2 * recordRetention))
+	f.RemoveEntry(c.upstream.ID, 2, false)
+	f.DeleteOldRecords(boottime.Now().Add(2 * recordRetention))
 	is.Equal(len(s.coldOrLimited), 0)
 	is.Equal(s.startCounts, startCounts{total: 11_999})
 }
@@ -74,7 +74,7 @@
 	before := heapInUse()
 	f := NewFleet(time.Second, zerolog.Nop())
 	for i, row := range rows {
-		f.Set(decodeEntry(t, row), storage.Revision(i+1))
+		f.ApplyEntry(decodeEntry(t, row), storage.Revision(i+1))
 	}
 	f.shard("svc").currentIndex(boottime.Now().Add(indexMaxAge))
 	bytesPerUpstream := int(heapInUse()-before) / upstreams
@@ -130,12 +130,12 @@
 	entry := func(id string, start Incarnation, leaving bool) Upstream {
 		return Upstream{ID: id, Service: "svc", Incarnation: start, Address: "127.0.0.1:9", Version: "v1", Leaving: leaving}
 	}
-	change(func(_ int, id string) { f.Set(entry(id, firstStart, false), 1) })
-	change(func(_ int, id string) { f.Set(entry(id, secondStart, false), 2) })
+	change(func(_ int, id string) { f.ApplyEntry(entry(id, firstStart, false), 1) })
+	change(func(_ int, id string) { f.ApplyEntry(entry(id, secondStart, false), 2) })
 	used, ok := f.choose(criteria{service: "svc", admitsVersion: anyVersion})
 	is.True(ok)
-	change(func(_ int, id string) { f.Set(entry(id, secondStart, true), 3) })
-	change(func(_ int, id string) { f.Remove(id, 4, false) })
+	change(func(_ int, id string) { f.ApplyEntry(entry(id, secondStart, true), 3) })
+	change(func(_ int, id string) { f.RemoveEntry(id, 4, false) })
 	f.logEntryChanges() // nothing changed
 
 	lines := bytes.Split(bytes.TrimSpace(log.Bytes()), []byte("\n"))
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -145,7 +145,7 @@
 	return time.Since(a.startedAt)
 }
 
-// eventNumber parses an event's id; ok is false if it isn't a number.
+// eventNumber parses an event's id. The second result is false if it isn't a number.
 func eventNumber(id string) (uint64, bool) {
 	n, err := strconv.ParseUint(id, 10, 64)
 	return n, err == nil
--- a/internal/gateway/upstreamrows.go
+++ b/internal/gateway/upstreamrows.go
@@ -44,7 +44,7 @@
 		h.set(e, starts.mostHaveStart())
 	}
 	h.unreadable.retain(keys)
-	h.gateway.fleet.RemoveUnlisted(keys, revision, expiredInOutage)
+	h.gateway.fleet.RemoveUnlistedEntries(keys, revision, expiredInOutage)
 }
 
 // entry is a row of an upstream and its decoded content.
@@ -57,7 +57,7 @@
 func (h *upstreamRows) Change(row feed.Row) {
 	if row.Deleted {
 		h.unreadable.clear(row.Key)
-		h.gateway.fleet.Remove(row.Key, row.Revision, h.gateway.storeRecentlyRecovered())
+		h.gateway.fleet.RemoveEntry(row.Key, row.Revision, h.gateway.storeRecentlyRecovered())
 		return
 	}
 	if u, ok := h.decode(row); ok {
@@ -87,10 +87,10 @@
 		return
 	}
 	h.unreadable.clear(e.row.Key)
-	h.gateway.fleet.Set(e.upstream, e.row.Revision)
+	h.gateway.fleet.ApplyEntry(e.upstream, e.row.Revision)
 }
 
 func (h *upstreamRows) reject(row feed.Row, err error) {
 	h.unreadable.report(row, err)
-	h.gateway.fleet.Withdraw(row.Key, row.Revision)
+	h.gateway.fleet.WithdrawUpstream(row.Key, row.Revision)
 }
--- a/internal/gateway/work.go
+++ b/internal/gateway/work.go
@@ -13,9 +13,9 @@
 
 // In this file, work is the load of an upstream by requests in flight: for an engine the time in
 // milliseconds that it still needs for the prefill of their prompts, for an upstream of a plain
-// service the number of requests. Counting an engine's requests would not do, since their work
-// differs by a factor of a hundred: the prefill of thousands of tokens takes as long as that of
-// dozens of short prompts.
+// service the number of requests. The load of an engine isn't measured by its number of requests,
+// because the work of the requests of one service differs by a factor of a hundred: the prefill of
+// thousands of tokens takes as long as that of dozens of short prompts.
 
 const (
 	// requestTimeGain is the weight of a new request in the mean request time.
@@ -107,16 +107,16 @@
 // its own was in progress at once, the hosts together reported only a third of the engine's work.
 func (m *member) remainingWork(i int, now time.Time) time.Duration {
 	u := m.usageSnapshot()
-	r := u.prefills[i]
+	p := u.prefills[i]
 	if i > 0 {
-		return r.work
+		return p.work
 	}
-	since := r.beginsAt
+	since := p.beginsAt
 	if u.lastPrefillEnd.After(since) {
 		since = u.lastPrefillEnd
 	}
-	minimum := time.Duration(minRemainingFraction * float64(r.work))
-	return min(r.work, max(minimum, r.work-now.Sub(since)))
+	minimum := time.Duration(minRemainingFraction * float64(p.work))
+	return min(p.work, max(minimum, p.work-now.Sub(since)))
 }
 
 // remainingRemoteWork returns the engine's remaining work for prompts from the other hosts: the
@@ -136,8 +136,8 @@
 // priorities as this host's own work.
 func (m *member) workAhead(priority int, now time.Time) time.Duration {
 	urgent, other := time.Duration(0), time.Duration(0)
-	for i, r := range m.usageSnapshot().prefills {
-		if r.priority <= priority {
+	for i, p := range m.usageSnapshot().prefills {
+		if p.priority <= priority {
 			urgent += m.remainingWork(i, now)
 		} else {
 			other += m.remainingWork(i, now)
@@ -151,13 +151,13 @@
 
 // observePrefill adds a new prompt's work to the distribution by priority, and to the mean unless
 // it is much shorter.
-func (s *shard) observePrefill(r *prefill) {
+func (s *shard) observePrefill(prompt *prefill) {
 	for p := range s.workByPriority {
 		s.workByPriority[p] *= 1 - prefillGain
 	}
-	s.workByPriority[r.priority] += prefillGain * float64(r.work)
-	if r.work > s.meanPrefill/2 {
-		s.meanPrefill += time.Duration(prefillGain * float64(r.work-s.meanPrefill))
+	s.workByPriority[prompt.priority] += prefillGain * float64(prompt.work)
+	if prompt.work > s.meanPrefill/2 {
+		s.meanPrefill += time.Duration(prefillGain * float64(prompt.work-s.meanPrefill))
 	}
 }
 
@@ -206,10 +206,10 @@
 // recordCached records that the engine will have the prompt cached. If it didn't have the prompt's
 // shared prefix cached before, the prefix is reported to the other hosts.
 func (m *member) recordCached(c *choice) {
-	w := &c.criteria
-	m.shard.cachedPrompts.Add(m, w.keys...)
-	if shared := w.prompt.SharedParts; c.cachedParts < shared {
-		m.shard.sentPrefixes[m.idHash] = append(m.shard.sentPrefixes[m.idHash], w.keys[shared-1])
+	crit := &c.criteria
+	m.shard.cachedPrompts.Add(m, crit.keys...)
+	if shared := crit.prompt.SharedParts; c.cachedParts < shared {
+		m.shard.sentPrefixes[m.idHash] = append(m.shard.sentPrefixes[m.idHash], crit.keys[shared-1])
 	}
 }
 
@@ -258,9 +258,9 @@
 	s.meanRequestTime += time.Duration(requestTimeGain * float64(took-s.meanRequestTime))
 }
 
-// totalWork returns the work in flight of all hosts at the upstream; ok is false if it isn't known.
-// It counts as unknown where requests finish faster than hosts exchange their work, since the load
-// that upstreams report with their answers is more accurate then.
+// totalWork returns the work in flight of all hosts at the upstream. The second result is false if
+// it isn't known. It counts as unknown where requests finish faster than hosts exchange their work,
+// since the load that upstreams report with their answers is more accurate then.
 func (m *member) totalWork(now time.Time) (float64, bool) {
 	s := m.shard
 	if s.meanRequestTime < exchange.Interval || now.Sub(s.remoteWorkAt) > exchange.WorkAge {
--- a/internal/gateway/work_test.go
+++ b/internal/gateway/work_test.go
@@ -16,7 +16,7 @@
 func engineFleet() *Fleet {
 	f := NewFleet(time.Second, zerolog.Nop())
 	for id, zone := range map[string]string{"a": "z1", "b": "z1", "c": "z2"} {
-		f.Set(Upstream{ID: id, Service: "svc", Zone: zone, Version: "v1", Slots: 8}, 1)
+		f.ApplyEntry(Upstream{ID: id, Service: "svc", Zone: zone, Version: "v1", Slots: 8}, 1)
 	}
 	return f
 }
