--- a/rollout/answers.go
+++ b/rollout/answers.go
@@ -38,8 +38,8 @@
 	return taken
 }
 
-// assignEqualPart sets the host's part of the budget to an equal share, once
-// for each epoch, unless parts are granted.
+// assignEqualPart sets the host's part of the budget to the budget divided by
+// the number of hosts, once for each epoch, unless Options.GrantedOnly is set.
 func (t *Tracker) assignEqualPart(e *entry) {
 	if t.options.GrantedOnly || e.own.Granted > 0 || e.rule.Budget <= 0 {
 		return
@@ -71,7 +71,7 @@
 func (t *Tracker) Observe(model, version string, outcome Outcome) {
 	t.withEntry(Key{model, version}, func(s *shard, e *entry, now time.Time) {
 		e.endInFlight()
-		t.count(s, e, outcomeCounters(outcome, e.rule.MaxLatencyMs), now)
+		t.addObservation(s, e, outcomeCounters(outcome, e.rule.MaxLatencyMs), now)
 	}, nil)
 }
 
@@ -80,12 +80,12 @@
 	t.withEntry(Key{model, version}, func(s *shard, e *entry, now time.Time) {
 		var delta Counters
 		delta.addRatings(ratingBucket(rating), 1)
-		t.count(s, e, &delta, now)
+		t.addObservation(s, e, &delta, now)
 	}, nil)
 }
 
-func (t *Tracker) count(s *shard, e *entry, delta *Counters, now time.Time) {
-	e.count(delta, now)
+func (t *Tracker) addObservation(s *shard, e *entry, delta *Counters, now time.Time) {
+	e.addObservation(delta, now)
 	t.recordChange(e, e.own.Host)
 	t.evaluate(s, e, now)
 }
@@ -113,7 +113,7 @@
 	return min(RatingBuckets-1, max(0, int(rating*RatingBuckets)))
 }
 
-// Cleared reports whether the evidence showed that the version keeps its
+// Cleared reports whether the evidence has shown that the version keeps all its
 // limits. A version without a rule counts as cleared. A cleared version can
 // still be stopped.
 func (t *Tracker) Cleared(model, version string) bool {
--- a/rollout/bench_test.go
+++ b/rollout/bench_test.go
@@ -11,9 +11,9 @@
 	clock := newClock()
 	for i := range n {
 		host := New(Options{Host: fmt.Sprint("host-", i), Clock: clock.Now, GrantedOnly: true})
-		host.SetVersions([]VersionRule{rule})
+		host.SetVersions([]VersionRule{testRule})
 		for range 20 {
-			host.Observe("m", "2", good)
+			host.Observe("m", "2", goodOutcome)
 		}
 		list = append(list, host.Export()...)
 	}
@@ -21,17 +21,17 @@
 }
 
 func BenchmarkTakeAndObserve(b *testing.B) {
-	tracker := newTracker("a", newClock(), rule)
+	tracker := newTracker("a", newClock(), testRule)
 	for b.Loop() {
 		tracker.Take("m", "2")
-		tracker.Observe("m", "2", good)
+		tracker.Observe("m", "2", goodOutcome)
 	}
 }
 
 func BenchmarkMerge(b *testing.B) {
 	for _, hosts := range []int{7, 440} {
 		b.Run(fmt.Sprint(hosts, "hosts"), func(b *testing.B) {
-			tracker := newTracker("a", newClock(), rule)
+			tracker := newTracker("a", newClock(), testRule)
 			tracker.Merge(peersEvidence(hosts))
 			update := peersEvidence(1)
 			for b.Loop() { // one peer's evidence changes
@@ -44,7 +44,7 @@
 }
 
 func BenchmarkExport440Hosts(b *testing.B) {
-	tracker := newTracker("a", newClock(), rule)
+	tracker := newTracker("a", newClock(), testRule)
 	tracker.Merge(peersEvidence(440))
 	for b.Loop() {
 		tracker.Export()
--- a/rollout/budget_test.go
+++ b/rollout/budget_test.go
@@ -24,22 +24,23 @@
 }
 
 // cluster simulates hosts that exchange evidence in any order, with loss and
-// repetition, and that are replaced by new incarnations.
+// repetition, and that restart with a new ID.
 type cluster struct {
-	clock    *fakeClock
-	granted  bool
-	size     int
-	hosts    []*Tracker
-	granters []*Granter
-	table    *faulty.Table
-	// exports may be delivered at any time and repeatedly.
+	clock       *fakeClock
+	grantedOnly bool
+	size        int
+	hosts       []*Tracker
+	granters    []*Granter
+	table       *faulty.Table
+	// exports are exported evidence, which may be delivered at any time and
+	// repeatedly.
 	exports    [][]Evidence
 	taken      int
 	nextHostID int
 }
 
-func newCluster(n int, granted bool) *cluster {
-	c := &cluster{clock: newClock(), granted: granted, size: n, table: faulty.New(memory.New())}
+func newCluster(n int, grantedOnly bool) *cluster {
+	c := &cluster{clock: newClock(), grantedOnly: grantedOnly, size: n, table: faulty.New(memory.New())}
 	for range n {
 		c.hosts = append(c.hosts, nil)
 		c.granters = append(c.granters, nil)
@@ -48,11 +49,11 @@
 	return c
 }
 
-// replace starts a new incarnation of a host, without any evidence.
+// replace replaces a host by one with a new ID and without any evidence.
 func (c *cluster) replace(i int) {
 	name := fmt.Sprint("host-", c.nextHostID)
 	c.nextHostID++
-	c.hosts[i] = New(Options{Host: name, Clock: c.clock.Now, GrantedOnly: c.granted, Pacing: Pacing{Off: true}})
+	c.hosts[i] = New(Options{Host: name, Clock: c.clock.Now, GrantedOnly: c.grantedOnly, Pacing: Pacing{Off: true}})
 	c.hosts[i].SetHosts(c.size)
 	c.hosts[i].SetVersions([]VersionRule{smallRule})
 	c.granters[i] = NewGranter(c.table, name)
@@ -78,15 +79,15 @@
 		},
 		"send":    func(t *rapid.T) { c.exports = append(c.exports, c.hosts[pick(t)].Export()) },
 		"deliver": func(t *rapid.T) { c.deliver(t, pick(t)) },
-		"leave and come back": func(t *rapid.T) {
+		"remove and restore the rule": func(t *rapid.T) {
 			host := c.hosts[pick(t)]
 			host.SetVersions(nil)
 			host.SetVersions([]VersionRule{smallRule})
 		},
 	}
-	if c.granted {
+	if c.grantedOnly {
 		actions["replace"] = func(t *rapid.T) { c.replace(pick(t)) }
-		actions["refill"] = func(t *rapid.T) { c.refill(t, pick(t)) }
+		actions["refill"] = func(t *rapid.T) { c.claimGrants(t, pick(t)) }
 	}
 	return actions
 }
@@ -97,7 +98,7 @@
 	}
 }
 
-func (c *cluster) refill(t *rapid.T, i int) {
+func (c *cluster) claimGrants(t *rapid.T, i int) {
 	c.table.Heal()
 	switch rapid.SampledFrom([]string{"", "", "down", "lost", "dropped"}).Draw(t, "fault") {
 	case "down":
@@ -111,11 +112,11 @@
 }
 
 func TestBudgetIsNeverExceeded(t *testing.T) {
-	for _, granted := range []bool{false, true} {
-		t.Run(fmt.Sprint("granted=", granted), func(t *testing.T) {
+	for _, grantedOnly := range []bool{false, true} {
+		t.Run(fmt.Sprint("granted=", grantedOnly), func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
 				n := rapid.IntRange(1, 7).Draw(t, "hosts")
-				c := newCluster(n, granted)
+				c := newCluster(n, grantedOnly)
 				actions := c.actions(n)
 				actions[""] = func(t *rapid.T) {
 					if c.taken > smallRule.Budget {
@@ -139,7 +140,7 @@
 	is.Equal(c.takeUntilRefused(busy), 19/transferDivisor)
 	idle.Merge(busy.Export())
 	busy.Merge(idle.Export())
-	is.True(c.takeUntilRefused(busy) > 0) // a further denial causes a further transfer
+	is.True(c.takeUntilRefused(busy) > 0) // the second refusal caused a second transfer
 }
 
 func (c *cluster) takeUntilRefused(t *Tracker) (n int) {
@@ -149,19 +150,19 @@
 	return n
 }
 
-func TestGrantSurvivesALostAnswer(t *testing.T) {
+func TestGrantSurvivesALostResponse(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(1, true)
 	is.True(!c.hosts[0].Take("m", "2")) // nothing granted yet
 	c.table.LoseNext(1)
 	is.True(c.hosts[0].ClaimGrants(t.Context(), c.granters[0]) != nil)
 	is.NoErr(c.hosts[0].ClaimGrants(t.Context(), c.granters[0]))
-	row, _, err := c.granters[0].read(t.Context(), grantName(Claim{Key: smallRule.Key(), Epoch: smallRule.Epoch}))
+	row, _, err := c.granters[0].read(t.Context(), grantKey(Claim{Key: smallRule.Key(), Epoch: smallRule.Epoch}))
 	is.NoErr(err)
-	is.Equal(uint64(c.takeUntilRefused(c.hosts[0])), row.sum()) // both claims are counted
+	is.Equal(uint64(c.takeUntilRefused(c.hosts[0])), row.sum()) // includes the grant whose response was lost
 }
 
-func TestGrantsStayNearTheEvidence(t *testing.T) {
+func TestGrantsAreBoundedByGoodAnswers(t *testing.T) {
 	is := is.New(t)
 	claim := Claim{Budget: 1000, Hosts: 4}
 	is.Equal(claim.nextGrant(0), uint64(4))
@@ -176,31 +177,32 @@
 	is := is.New(t)
 	c := newCluster(1, true)
 	host := c.hosts[0]
-	refill := func() {
+	takeAllAndClaim := func() {
 		c.takeUntilRefused(host)
 		is.NoErr(host.ClaimGrants(t.Context(), c.granters[0]))
 	}
 	for range 3 * GrantInitial { // all that is granted without evidence
-		refill()
+		takeAllAndClaim()
 	}
 	before := c.table.Counts().Gets
 	for range 10 {
-		refill()
+		takeAllAndClaim()
 	}
 	is.Equal(c.table.Counts().Gets, before)
 	host.Observe("m", "2", Outcome{})
-	refill()
+	takeAllAndClaim()
 	is.True(host.TakeUnpaced("m", "2"))
 }
 
-// A request that finds the host's part of a budget used up or not yet granted signals GrantNeeded.
-// A host that waited for its next periodic refill instead refused sessions that another host
-// had bound to the version, although budget was left.
-func TestPartThatRunsLowIsWantedAtOnce(t *testing.T) {
+// Guards against refused sessions: if a request that finds the host's part of the budget used up
+// or not yet granted didn't signal GrantNeeded, the host would make no claim until the next
+// periodic one. Until then it would refuse requests of sessions that another host bound to the
+// version, although budget is left.
+func TestLowPartSignalsGrantNeeded(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(2, true)
 	host, ctx := c.hosts[0], context.Background()
-	wanted := func() bool {
+	signalled := func() bool {
 		select {
 		case <-host.GrantNeeded():
 			return true
@@ -209,11 +211,11 @@
 		}
 	}
 	is.True(!host.TakeUnpaced("m", "2"))
-	is.True(wanted())
+	is.True(signalled())
 	is.NoErr(host.ClaimGrants(ctx, c.granters[0]))
 	taken := 0
-	for !wanted() {
-		is.True(host.TakeUnpaced("m", "2")) // half of the part is left when the next one is requested
+	for !signalled() {
+		is.True(host.TakeUnpaced("m", "2")) // the signal comes while half of the grant is left
 		taken++
 	}
 	is.True(taken > 1)
--- a/rollout/compare.go
+++ b/rollout/compare.go
@@ -2,14 +2,15 @@
 
 import "math"
 
-// Sample counts the answers of one version and the bad ones among them.
+// Sample holds the number of answers of one version and of the bad ones among
+// them.
 type Sample struct {
 	Bad   int
 	Total int
 }
 
-// counts returns the numbers of good and of bad answers, as a meanTest of binaryValues
-// expects them.
+// counts returns the numbers of good and of bad answers, in the order that a meanTest with
+// binaryValues expects.
 func (s Sample) counts() []uint64 {
 	return []uint64{uint64(max(0, s.Total-s.Bad)), uint64(s.Bad)}
 }
@@ -20,49 +21,51 @@
 // answer. It depends on sums only, so the counts of many hosts can be added. The baseline's
 // rate is an estimate, so a standard error is added to it.
 //
-// A candidate that is as good as the baseline is ever stopped with a probability of about
-// alpha; where both have equally many answers and half of all are bad, of up to two percent.
-// With an alpha of 0.002, a candidate with 50% bad answers is stopped after 7 to 16 of them
-// beside a healthy baseline, and after 30 to 40 beside one with 20% bad answers (seeded
-// runs, see the tests).
+// For a candidate that is as good as the baseline, Worse ever returns true with a probability
+// of about alpha. The probability is higher if both versions have the same number of answers
+// and half of these are bad: up to two percent with an alpha of 0.002. With this alpha, a
+// candidate with 50% bad answers is found worse after 7 to 16 of its answers if the baseline
+// is healthy, and after 30 to 40 if the baseline has 20% bad answers (seeded runs, see the
+// tests).
 func Worse(baseline, candidate Sample, alpha float64) bool {
-	test := newMeanTest(above, min(maxLimit, upperRate(baseline)), binaryValues)
+	test := newMeanTest(above, min(maxTestedRate, upperRate(baseline)), binaryValues)
 	return test.logWealth(candidate.counts()) >= math.Log(1/alpha)
 }
 
 // NotWorse reports whether the candidate's rate of bad answers exceeds the baseline's by less
-// than tolerance. A candidate that exceeds it by more is ever cleared with a probability of
-// at most alpha. It is the sequential probability ratio test of the baseline's rate against
-// one that is higher by the tolerance: with a tolerance of 0.2 and an alpha of 0.05, a
-// healthy candidate is cleared after 15 answers, and after about 45 where the baseline has
-// 20% bad answers.
+// than tolerance. For a candidate whose rate exceeds it by more, NotWorse ever returns true
+// with a probability of at most alpha. It is the sequential probability ratio test of the
+// baseline's rate against one that is higher by the tolerance. With a tolerance of 0.2 and an
+// alpha of 0.05, it returns true for a healthy candidate after 15 answers, and for one as good
+// as the baseline after about 45 if the baseline has 20% bad answers.
 func NotWorse(baseline, candidate Sample, tolerance, alpha float64) bool {
-	limit := min(maxLimit, lowerRate(baseline)+tolerance)
+	limit := min(maxTestedRate, lowerRate(baseline)+tolerance)
 	healthyRate := max(minHealthyRate, lowerRate(baseline))
 	good, bad := float64(candidate.Total-candidate.Bad), float64(candidate.Bad)
 	ratio := good*math.Log((1-healthyRate)/(1-limit)) + bad*math.Log(healthyRate/limit)
 	return ratio >= math.Log(1/alpha)
 }
 
-// minHealthyRate is the lowest rate of bad answers that NotWorse assumes of a healthy
+// minHealthyRate is the lowest rate of bad answers that NotWorse assumes for a healthy
 // candidate.
 const minHealthyRate = 0.01
 
-// maxLimit is the highest rate of bad answers that is tested against: with a limit of 1, no
-// version could be above it.
-const maxLimit = 0.95
+// maxTestedRate caps the rate of bad answers that a candidate is tested against: no candidate
+// could be above a rate of 1.
+const maxTestedRate = 0.95
 
-// upperRate returns the estimated rate of bad answers plus a standard error. One bad answer
-// in five is added to the sample, so that there is an estimate where the baseline has no
-// answers, and so that a few good baseline answers don't make a single failure significant.
+// upperRate returns the estimated rate of bad answers plus a standard error. Five answers, one
+// of them bad, are added to the sample, so that there is an estimate if the baseline has no
+// answers, and so that a single failure of the candidate isn't significant after only a few
+// good answers of the baseline.
 func upperRate(s Sample) float64 {
 	total := float64(s.Total + 5)
 	rate := float64(s.Bad+1) / total
 	return rate + math.Sqrt(rate*(1-rate)/total)
 }
 
-// lowerRate returns the rate of bad answers, estimated low for small samples: the first bad
-// answers of the baseline don't justify clearing a bad candidate.
+// lowerRate returns the rate of bad answers, estimated low for small samples, so that a few
+// early bad answers of the baseline don't clear a bad candidate.
 func lowerRate(s Sample) float64 {
 	const priorGoodAnswers = 10
 	return float64(s.Bad) / float64(s.Total+priorGoodAnswers)
--- a/rollout/compare_test.go
+++ b/rollout/compare_test.go
@@ -9,6 +9,7 @@
 )
 
 // simulatedVersions are two versions whose answers are drawn at random.
+// baselineRate and candidateRate are the probabilities of a bad answer.
 type simulatedVersions struct {
 	baselineRate, candidateRate float64
 	// share is the proportion of the answers that the candidate gives.
@@ -19,36 +20,37 @@
 type comparisonResult struct {
 	stopped bool
 	cleared bool
-	// answers is the number of the candidate's answers up to the end.
-	answers int
+	// candidateAnswers is the number of the candidate's answers until it was
+	// stopped, or maxCandidateAnswers.
+	candidateAnswers int
 }
 
 const (
-	testAlpha      = 0.002
-	testTolerance  = 0.2
-	testClearAlpha = 0.05
-	maxAnswers     = 150
+	testAlpha           = 0.002
+	testTolerance       = 0.2
+	testClearAlpha      = 0.05
+	maxCandidateAnswers = 150
 )
 
-// compare draws answers until the candidate is stopped or has given maxAnswers. The result is
-// cleared if the candidate was cleared at any time before.
-func (d simulatedVersions) compare(rng *rand.Rand) comparisonResult {
+// compare draws answers until the candidate is stopped or has given maxCandidateAnswers. The
+// result is cleared if the candidate was cleared at any time before.
+func (versions simulatedVersions) compare(rng *rand.Rand) comparisonResult {
 	var baseline, candidate Sample
-	var e comparisonResult
-	for candidate.Total < maxAnswers {
-		if rng.Float64() >= d.share {
-			baseline.add(rng.Float64() < d.baselineRate)
+	var result comparisonResult
+	for candidate.Total < maxCandidateAnswers {
+		if rng.Float64() >= versions.share {
+			baseline.add(rng.Float64() < versions.baselineRate)
 			continue
 		}
-		candidate.add(rng.Float64() < d.candidateRate)
+		candidate.add(rng.Float64() < versions.candidateRate)
 		if Worse(baseline, candidate, testAlpha) {
-			e.stopped = true
+			result.stopped = true
 			break
 		}
-		e.cleared = e.cleared || NotWorse(baseline, candidate, testTolerance, testClearAlpha)
+		result.cleared = result.cleared || NotWorse(baseline, candidate, testTolerance, testClearAlpha)
 	}
-	e.answers = candidate.Total
-	return e
+	result.candidateAnswers = candidate.Total
+	return result
 }
 
 func (s *Sample) add(bad bool) {
@@ -60,23 +62,24 @@
 
 // repeat returns the proportions of runs that were stopped and cleared, and the mean number of
 // the candidate's answers in the runs that were stopped.
-func (d simulatedVersions) repeat(runs int) (stopped, cleared, answers float64) {
+func (versions simulatedVersions) repeat(runs int) (stopped, cleared, answers float64) {
 	rng := rand.New(rand.NewPCG(7, 11))
 	for range runs {
-		e := d.compare(rng)
-		if e.stopped {
+		result := versions.compare(rng)
+		if result.stopped {
 			stopped++
-			answers += float64(e.answers)
+			answers += float64(result.candidateAnswers)
 		}
-		if e.cleared {
+		if result.cleared {
 			cleared++
 		}
 	}
 	return stopped / float64(runs), cleared / float64(runs), answers / max(1, stopped)
 }
 
-// Candidates with the baseline's rate are rarely stopped, though tested after every answer.
-func TestComparisonOfLikeVersions(t *testing.T) {
+// Candidates with the baseline's rate of bad answers are rarely stopped, although they are tested
+// after every answer.
+func TestComparisonOfEqualVersions(t *testing.T) {
 	for _, rate := range []float64{0, 0.005, 0.02, 0.2, 0.5} {
 		for _, share := range []float64{0.03, 0.18, 0.5} {
 			t.Run(fmt.Sprint(rate, share), func(t *testing.T) {
@@ -95,18 +98,19 @@
 	}
 }
 
-// Worse candidates are stopped, sooner the worse they are, and rarely cleared.
+// Candidates that are worse than the baseline are stopped, the sooner the worse they are, and are
+// rarely cleared.
 func TestComparisonOfWorseVersions(t *testing.T) {
 	tests := []struct {
 		simulatedVersions
-		answers float64
+		maxMeanAnswers float64
 	}{
 		{simulatedVersions{0, 0.5, 0.03}, 7},
 		{simulatedVersions{0, 0.5, 0.18}, 11},
 		{simulatedVersions{0.02, 0.5, 0.18}, 13},
 		{simulatedVersions{0.02, 0.5, 0.5}, 20},
 		{simulatedVersions{0.2, 0.55, 0.18}, 40},
-		{simulatedVersions{0, 0.2, 0.18}, 30}, // at the tolerance: cleared in less than testClear
+		{simulatedVersions{0, 0.2, 0.18}, 30}, // worse by exactly testTolerance
 		{simulatedVersions{0, 1, 0.18}, 5},
 	}
 	for _, test := range tests {
@@ -114,7 +118,7 @@
 			is := is.New(t)
 			stopped, cleared, answers := test.repeat(1000)
 			is.True(stopped > 0.99)
-			is.True(answers <= test.answers)
+			is.True(answers <= test.maxMeanAnswers)
 			is.True(cleared <= 1.4*testClearAlpha) // allows for the variance of 1000 runs
 		})
 	}
@@ -130,11 +134,11 @@
 		{"nothing yet", Sample{}, Sample{}, false},
 		{"two failures can be chance", Sample{0, 30}, Sample{2, 2}, false},
 		{"four failures of ten", Sample{0, 100}, Sample{4, 10}, true},
-		{"as bad as the old version", Sample{20, 100}, Sample{4, 20}, false},
-		{"far worse than a poor old version", Sample{14, 100}, Sample{11, 16}, true},
+		{"as bad as the baseline", Sample{20, 100}, Sample{4, 20}, false},
+		{"far worse than a poor baseline", Sample{14, 100}, Sample{11, 16}, true},
 		{"rare failures", Sample{0, 100}, Sample{3, 100}, false},
-		{"no answers of the old version", Sample{}, Sample{3, 3}, false},
-		{"many failures without answers of the old version", Sample{}, Sample{10, 10}, true},
+		{"no answers of the baseline", Sample{}, Sample{3, 3}, false},
+		{"many failures without answers of the baseline", Sample{}, Sample{10, 10}, true},
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
--- a/rollout/criteria.go
+++ b/rollout/criteria.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// criterion is one limit of a rule with its two tests. counts returns the number
-// of occurrences of each value that the tests take.
+// criterion is one limit of a rule with its two tests. counts returns how often
+// each value that the tests were created with was observed.
 type criterion struct {
 	reason Reason
 	counts func(c *Counters) []uint64
@@ -12,13 +12,13 @@
 	clear *meanTest
 }
 
-// criteria are the limits of one rule that are tested.
+// criteria holds the limits of one rule that are tested.
 type criteria struct {
 	list       []criterion
 	confidence Confidence
 }
 
-// binaryValues are the values of a Boolean observation.
+// binaryValues are the values of an observation that is bad (1) or not (0).
 var binaryValues = []float64{0, 1}
 
 func newCriteria(rule VersionRule, confidence Confidence) criteria {
@@ -43,7 +43,8 @@
 	return []uint64{c.Timed - min(c.Slow, c.Timed), c.Slow}
 }
 
-// addProportion adds a limit that a proportion must stay below.
+// addProportion adds a limit that a proportion must stay below. counts returns
+// the numbers of observations without and with the property.
 func (c *criteria) addProportion(reason Reason, limit float64, counts func(*Counters) []uint64) {
 	c.list = append(c.list, criterion{
 		reason: reason,
@@ -53,15 +54,15 @@
 	})
 }
 
-// maxMinRating is the highest limit of the mean rating that is tested: with a
-// limit of 1, no rating could be above it.
-const maxMinRating = 0.999
+// maxTestedRating caps the limit of the mean rating: no rating could be above a
+// limit of 1.
+const maxTestedRating = 0.999
 
 // addMeanRating adds a limit that the mean rating must stay above. Both tests
-// are conservative: each uses the edge of a bucket that makes its own finding
-// less likely.
+// are conservative: the stop test takes each rating as the upper edge of its
+// bucket, the clear test as the lower edge.
 func (c *criteria) addMeanRating(limit float64) {
-	limit = min(limit, maxMinRating)
+	limit = min(limit, maxTestedRating)
 	low := make([]float64, RatingBuckets)
 	high := make([]float64, RatingBuckets)
 	for b := range RatingBuckets {
@@ -76,14 +77,15 @@
 	})
 }
 
-// violated returns the first limit that the evidence shows to be violated, at
-// the error probability alpha for all limits together.
-func (c *criteria) violated(counters *Counters, alpha float64) (reason Reason, strength float64, ok bool) {
+// violatedLimit returns the first limit that the evidence shows to be violated,
+// and the e-value of its test. For a version that keeps all limits, the
+// probability that any of the tests ever shows a violation is at most alpha.
+func (c *criteria) violatedLimit(counters *Counters, alpha float64) (reason Reason, strength float64, ok bool) {
 	threshold := math.Log(float64(len(c.list)) / alpha)
 	for i := range c.list {
-		k := &c.list[i]
-		if s := k.stop.logWealth(k.counts(counters)); s >= threshold {
-			return k.reason, math.Exp(s), true
+		limit := &c.list[i]
+		if s := limit.stop.logWealth(limit.counts(counters)); s >= threshold {
+			return limit.reason, math.Exp(s), true
 		}
 	}
 	return "", 0, false
@@ -95,8 +97,8 @@
 func (c *criteria) satisfied(counters *Counters) bool {
 	threshold := math.Log(1 / c.confidence.FalseClear)
 	for i := range c.list {
-		k := &c.list[i]
-		if k.clear.logWealth(k.counts(counters)) < threshold {
+		limit := &c.list[i]
+		if limit.clear.logWealth(limit.counts(counters)) < threshold {
 			return false
 		}
 	}
--- a/rollout/doc.go
+++ b/rollout/doc.go
@@ -8,7 +8,8 @@
 // transports evidence and stops between hosts. Only Granter does I/O: it claims
 // parts of the budget from the platform's table.
 //
-// The entry host embeds both. Without a Granter, the budget holds only as long
-// as no more hosts take part than SetHosts was given. A version that is only
-// slightly worse than its limits can use up its budget before it is stopped.
+// The entry host embeds a Tracker and a Granter. Without a Granter, the answers
+// stay within the budget only if the number of hosts that take part is at most
+// the one passed to SetHosts. A version that is only slightly worse than its
+// limits can use up its budget before it is stopped.
 package rollout
--- a/rollout/entry.go
+++ b/rollout/entry.go
@@ -3,46 +3,50 @@
 import "time"
 
 const (
-	// SegmentLength is the length of the periods by which evidence is counted
-	// besides the total. Without them, a long record of good answers would hide
-	// that a version has become bad.
+	// SegmentLength is the length of the segments of time for which evidence is
+	// counted separately, besides the total of the epoch. With the total alone,
+	// a long record of good answers would hide that a version has become bad.
 	SegmentLength = 15 * time.Second
 	maxSegments   = 8
 )
 
-// spans are the numbers of periods, up to the current one, that are tested
-// together: short spans detect a sudden change, long ones a small change.
+// spans are the numbers of segments, up to the current one, whose evidence is
+// tested together: short spans detect a sudden change, long ones a small change.
 var spans = [...]int64{1, 2, 4, maxSegments}
 
-// entry is the state of one version in one epoch. It is guarded by the lock
-// of its shard.
+// entry is this host's state of one version in one epoch. own is this host's
+// evidence, peers holds the evidence received from other hosts, by host ID. The
+// lock of its shard guards an entry.
 type entry struct {
 	rule     VersionRule
 	criteria criteria
 	pacing   Pacing
 	own      Evidence
 	peers    map[string]*Evidence
-	// sum is the total of all hosts, recent the total for each of the spans
-	// that end with the period recentNumber.
-	sum          Counters
-	recent       [len(spans)]Counters
-	recentNumber int64
-	// peersInFlight is the number of answers of all peers that haven't ended.
+	// epochSum holds the counters of the whole epoch, summed over all hosts.
+	// spanSums holds the same sums for each of the spans that end with the
+	// segment of the number lastSegment.
+	epochSum    Counters
+	spanSums    [len(spans)]Counters
+	lastSegment int64
+	// peersInFlight is the number of answers in flight on all peers, according
+	// to their evidence.
 	peersInFlight uint64
-	// inFlightSince holds the times at which the answers in flight were taken,
-	// oldest first.
+	// inFlightSince holds the times at which this host's answers in flight were
+	// taken, oldest first.
 	inFlightSince []time.Time
 	cleared       bool
-	// lastGrant is the size of the last grant.
+	// lastGrant is the number of answers that the last grant added.
 	lastGrant uint64
-	// minGoodForClaim is the number of good answers below which no further
-	// claim is made, because the last claim was granted nothing.
+	// minGoodForClaim is the number of good answers on all hosts below which
+	// this host makes no further claim, because its last one was granted
+	// nothing.
 	minGoodForClaim uint64
-	// lastChanges holds, for each host, the tracker's change number of the last
-	// change of its evidence.
+	// lastChanges holds, by host ID, the tracker's change number of the last
+	// change of that host's evidence.
 	lastChanges map[string]uint64
-	// servedDenials holds, for each peer, the count of denials for which this
-	// host last considered a transfer.
+	// servedDenials holds, by host ID of a peer, the peer's Evidence.Denied for
+	// which this host last considered a transfer.
 	servedDenials map[string]uint64
 }
 
@@ -58,17 +62,18 @@
 	}
 }
 
-// remaining returns the number of answers that this host may still take.
+// remaining returns the number of answers that this host's part of the budget
+// still allows.
 func (e *entry) remaining() uint64 {
-	in := e.own.Granted + e.own.Returned
+	credit := e.own.Granted + e.own.Returned
 	for _, p := range e.peers {
-		in += p.givenTo(e.own.Host)
+		credit += p.transferredTo(e.own.Host)
 	}
-	out := e.own.Taken + e.own.givenTotal()
-	if out >= in {
+	debit := e.own.Taken + e.own.transferredTotal()
+	if debit >= credit {
 		return 0
 	}
-	return in - out
+	return credit - debit
 }
 
 // take takes one answer if the version is cleared, or if the budget and, with
@@ -89,13 +94,13 @@
 	return true
 }
 
-// pacingAllows reports whether one more answer may be in flight. Answers in
-// flight for longer than the timeout are abandoned first.
+// pacingAllows reports whether one more answer may be in flight. It first
+// abandons answers that have been in flight for Pacing.ObserveTimeout.
 func (e *entry) pacingAllows(now time.Time, hosts int) bool {
 	for len(e.inFlightSince) > 0 && now.Sub(e.inFlightSince[0]) >= e.pacing.ObserveTimeout {
 		e.abandon()
 	}
-	if len(e.inFlightSince) >= maxInFlight(e.pacing.Initial, e.pacing.Growth, e.sum.good(), hosts) {
+	if len(e.inFlightSince) >= hostPacingBound(e.pacing.Initial, e.pacing.Growth, e.epochSum.good(), hosts) {
 		return false
 	}
 	if e.rule.MinRating <= 0 {
@@ -104,7 +109,7 @@
 	taken := e.own.Taken - e.own.Returned
 	rated := e.own.Total.Rated()
 	unrated := int(taken) - int(rated)
-	return unrated < maxInFlight(e.pacing.InitialUnrated, e.pacing.UnratedGrowth, e.sum.Rated(), hosts)
+	return unrated < hostPacingBound(e.pacing.InitialUnrated, e.pacing.UnratedGrowth, e.epochSum.Rated(), hosts)
 }
 
 // returnUnsent refunds an answer that was taken and whose request was never
@@ -117,7 +122,7 @@
 	e.endInFlight()
 }
 
-// abandon ends an answer without an observation.
+// abandon ends the oldest answer in flight without an observation.
 func (e *entry) abandon() {
 	if len(e.inFlightSince) == 0 {
 		return
@@ -133,27 +138,29 @@
 	}
 }
 
-// count adds an observation to the total, the sums and the current period.
-func (e *entry) count(delta *Counters, now time.Time) {
+// addObservation adds the counters of one observation to this host's evidence
+// and to the sums over all hosts.
+func (e *entry) addObservation(delta *Counters, now time.Time) {
 	e.own.Total.add(delta)
-	e.sum.add(delta)
+	e.epochSum.add(delta)
 	if segment := e.own.segment(segmentNumber(now)); segment != nil {
 		segment.add(delta)
 	}
-	if segmentNumber(now) == e.recentNumber {
-		for i := range e.recent {
-			e.recent[i].add(delta)
+	if segmentNumber(now) == e.lastSegment {
+		for i := range e.spanSums {
+			e.spanSums[i].add(delta)
 		}
 		return
 	}
-	e.sumRecent(now)
+	e.recomputeSpanSums(now)
 }
 
 func segmentNumber(now time.Time) int64 {
 	return now.UnixNano() / int64(SegmentLength)
 }
 
-// merge merges a peer's evidence and reports whether it changed.
+// merge merges a peer's evidence into the stored one and reports whether that
+// changed.
 func (e *entry) merge(peer *Evidence) bool {
 	stored := e.peers[peer.Host]
 	if stored == nil {
@@ -168,29 +175,30 @@
 
 // recomputeSums recomputes the sums over all hosts.
 func (e *entry) recomputeSums(now time.Time) {
-	e.sum = e.own.Total.clone()
+	e.epochSum = e.own.Total.clone()
 	e.peersInFlight = 0
 	for _, p := range e.peers {
-		e.sum.add(&p.Total)
+		e.epochSum.add(&p.Total)
 		e.peersInFlight += p.inFlight()
 	}
-	e.sumRecent(now)
+	e.recomputeSpanSums(now)
 }
 
-// sumRecent recomputes the sums of the spans over all hosts.
-func (e *entry) sumRecent(now time.Time) {
-	e.recentNumber = segmentNumber(now)
+// recomputeSpanSums recomputes the sums over all hosts for each of the spans
+// that end with the current segment.
+func (e *entry) recomputeSpanSums(now time.Time) {
+	e.lastSegment = segmentNumber(now)
 	for i, span := range spans {
-		e.recent[i] = Counters{}
-		oldest := e.recentNumber - span + 1
-		addRecent(&e.recent[i], &e.own, oldest)
+		e.spanSums[i] = Counters{}
+		oldest := e.lastSegment - span + 1
+		addSegmentsFrom(&e.spanSums[i], &e.own, oldest)
 		for _, p := range e.peers {
-			addRecent(&e.recent[i], p, oldest)
+			addSegmentsFrom(&e.spanSums[i], p, oldest)
 		}
 	}
 }
 
-func addRecent(sum *Counters, evidence *Evidence, oldest int64) {
+func addSegmentsFrom(sum *Counters, evidence *Evidence, oldest int64) {
 	for i := range evidence.Segments {
 		if evidence.Segments[i].Number >= oldest {
 			sum.add(&evidence.Segments[i].Counters)
@@ -206,27 +214,27 @@
 	return e.own.inFlight() + e.peersInFlight
 }
 
-// violated tests whether the version violates a limit. Answers in flight count
-// as good: failures often end sooner than good answers, and their rate would
+// violatedLimit is criteria.violatedLimit with the answers in flight counted as
+// good: failures often end sooner than good answers, so their rate would
 // otherwise be overestimated.
-func (e *entry) violated(counters *Counters, alpha float64) (Reason, float64, bool) {
+func (e *entry) violatedLimit(counters *Counters, alpha float64) (Reason, float64, bool) {
 	withInFlight := *counters
 	withInFlight.Answers += e.inFlight()
-	return e.criteria.violated(&withInFlight, alpha)
+	return e.criteria.violatedLimit(&withInFlight, alpha)
 }
 
 // runTests tests the evidence of the epoch and of each span. It returns a stop
-// if a limit is violated, and otherwise marks the entry as cleared if all limits
-// are shown to be kept.
+// and true if a limit is violated. Otherwise it marks the entry as cleared if
+// the evidence of the epoch shows that all limits are kept.
 func (e *entry) runTests(now time.Time) (Stop, bool) {
-	counters := &e.sum
-	reason, strength, bad := e.violated(counters, e.criteria.confidence.FalseStop)
-	for i := 0; i < len(e.recent) && !bad; i++ {
-		counters = &e.recent[i]
-		reason, strength, bad = e.violated(counters, e.criteria.confidence.FalseStopSpan)
+	counters := &e.epochSum
+	reason, strength, violated := e.violatedLimit(counters, e.criteria.confidence.FalseStop)
+	for i := 0; i < len(e.spanSums) && !violated; i++ {
+		counters = &e.spanSums[i]
+		reason, strength, violated = e.violatedLimit(counters, e.criteria.confidence.FalseStopSpan)
 	}
-	if !bad {
-		e.cleared = e.cleared || e.criteria.satisfied(&e.sum)
+	if !violated {
+		e.cleared = e.cleared || e.criteria.satisfied(&e.epochSum)
 		return Stop{}, false
 	}
 	return Stop{
@@ -252,22 +260,23 @@
 	}
 }
 
-// transferDivisor is the divisor of the remaining budget that gives the part
-// transferred to a peer that was denied answers.
+// transferDivisor determines the size of a transfer to a peer that was denied
+// answers: this host's remaining part of the budget, divided by it.
 const transferDivisor = 4
 
-// transfer transfers part of the remaining budget to a peer that was denied
-// answers since the last transfer. It reports whether anything was transferred.
+// transfer transfers some of this host's remaining part of the budget to a peer
+// if the peer's count of denied answers has grown since the last call. It
+// reports whether anything was transferred.
 func (e *entry) transfer(peer string) bool {
 	evidence := e.peers[peer]
 	if evidence == nil || evidence.Denied <= e.servedDenials[peer] {
 		return false
 	}
 	e.servedDenials[peer] = evidence.Denied
-	give := e.remaining() / transferDivisor
-	if give == 0 {
+	amount := e.remaining() / transferDivisor
+	if amount == 0 {
 		return false
 	}
-	e.own.mergeTransfer(Transfer{To: peer, Answers: e.own.givenTo(peer) + give})
+	e.own.mergeTransfer(Transfer{To: peer, Answers: e.own.transferredTo(peer) + amount})
 	return true
 }
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -13,21 +13,22 @@
 	Answers uint64 `json:"answers"`
 	Errors  uint64 `json:"errors,omitempty"`
 	// Timed counts the answers whose time to first token was measured, Slow
-	// those that were above the limit.
+	// those of them that exceeded the latency limit.
 	Timed   uint64  `json:"timed,omitempty"`
 	Slow    uint64  `json:"slow,omitempty"`
 	Ratings Ratings `json:"ratings,omitempty"`
 }
 
-// Segment holds the counters of one period of SegmentLength.
+// Segment holds the counters of one segment of time, of SegmentLength.
 type Segment struct {
-	// Number is the period's start in units of SegmentLength since the Unix
+	// Number is the segment's start in units of SegmentLength since the Unix
 	// epoch (1970).
 	Number   int64    `json:"number"`
 	Counters Counters `json:"counters"`
 }
 
-// Transfer is the total part of its budget that a host transferred to another.
+// Transfer holds the total number of answers of its part of the budget that a
+// host transferred to the host with the ID To.
 type Transfer struct {
 	To      string `json:"to"`
 	Answers uint64 `json:"answers"`
@@ -40,19 +41,21 @@
 	Model   string `json:"model"`
 	Version string `json:"version"`
 	Epoch   uint64 `json:"epoch"`
-	// Granted is the host's part of the budget, Transfers the parts of it that
-	// the host transferred to others.
+	// Granted is the number of answers that the host was granted of the budget,
+	// Transfers what it transferred of them to other hosts.
 	Granted   uint64     `json:"granted"`
 	Transfers []Transfer `json:"given,omitempty"`
-	// Taken counts the answers charged to the budget, Returned those refunded
-	// because the request was never sent to an upstream.
+	// Taken counts the answers charged to the budget, Returned those of them
+	// that were refunded because the request was never sent to an upstream.
 	Taken    uint64 `json:"taken"`
 	Returned uint64 `json:"returned,omitempty"`
 	// Abandoned counts the answers that ended without an observation.
 	Abandoned uint64 `json:"abandoned,omitempty"`
-	// Denied counts the answers refused because the host's part was used up.
+	// Denied counts the calls of Take and TakeUnpaced that were refused because
+	// the host's part of the budget was used up.
 	Denied uint64 `json:"denied,omitempty"`
-	// Total covers the whole epoch, Segments its last periods.
+	// Total covers the whole epoch, Segments the last segments that have
+	// observations, at most maxSegments of them.
 	Total    Counters  `json:"total"`
 	Segments []Segment `json:"segments,omitempty"`
 }
@@ -83,7 +86,8 @@
 	return sum / float64(n)
 }
 
-// good returns the number of answers that neither failed nor were slow.
+// good returns the number of answers that neither failed nor were slow, or a
+// lower one if answers did both.
 func (c *Counters) good() uint64 {
 	return c.Answers - min(c.Answers, c.Errors+c.Slow)
 }
@@ -174,12 +178,12 @@
 func (e *Evidence) counterSum() uint64 {
 	c := &e.Total
 	total := c.Answers + c.Errors + c.Timed + c.Slow + c.Rated()
-	return e.Granted + e.givenTotal() + e.Taken + e.Returned + e.Abandoned + e.Denied + total
+	return e.Granted + e.transferredTotal() + e.Taken + e.Returned + e.Abandoned + e.Denied + total
 }
 
-// givenTo returns the total part of the budget that the host transferred to
-// another.
-func (e *Evidence) givenTo(host string) uint64 {
+// transferredTo returns the number of answers of its part of the budget that the
+// host transferred to another.
+func (e *Evidence) transferredTo(host string) uint64 {
 	for _, t := range e.Transfers {
 		if t.To == host {
 			return t.Answers
@@ -188,7 +192,7 @@
 	return 0
 }
 
-func (e *Evidence) givenTotal() uint64 {
+func (e *Evidence) transferredTotal() uint64 {
 	sum := uint64(0)
 	for _, t := range e.Transfers {
 		sum += t.Answers
@@ -196,8 +200,9 @@
 	return sum
 }
 
-// segment returns the counters of a period, creating them if needed, or nil if
-// the period is older than all stored ones.
+// segment returns the counters of the segment with this number. If there are
+// none, it adds them, in place of the oldest segment if maxSegments are stored,
+// or returns nil if the number is older than all of these.
 func (e *Evidence) segment(number int64) *Counters {
 	for i := range e.Segments {
 		if e.Segments[i].Number == number {
@@ -221,7 +226,7 @@
 	return &e.Segments[oldest].Counters
 }
 
-// keepLastSegments removes all but the last n periods.
+// keepLastSegments removes all but the last n segments.
 func (e *Evidence) keepLastSegments(n int) {
 	slices.SortFunc(e.Segments, func(a, b Segment) int { return cmp.Compare(b.Number, a.Number) })
 	e.Segments = e.Segments[:min(n, len(e.Segments))]
--- a/rollout/exchange.go
+++ b/rollout/exchange.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Export returns all evidence that this host stores, for other hosts to merge.
+// Export returns all evidence, of this host and of others, for the rules that
+// this host has. Other hosts pass it to Merge.
 func (t *Tracker) Export() []Evidence {
 	evidence, _ := t.ExportSince(0)
 	return evidence
@@ -27,26 +28,28 @@
 	return evidence, next
 }
 
-// ownExportSegments is the number of last periods that ExportOwn includes: the
+// ownExportSegments is the number of last segments that ExportOwn includes: the
 // earlier ones were exported when they were current.
 const ownExportSegments = 2
 
-// ExportOwn is ExportSince for this host's own evidence and its last periods
-// only. It suits a full mesh of hosts; a host that missed messages or joined
-// late needs the result of Export from time to time.
+// ExportOwn is ExportSince restricted to this host's own evidence and to the last
+// segments of it. It is enough if every host sends it to every other host, but a
+// host that missed messages or joined late also needs the result of Export from
+// time to time.
 func (t *Tracker) ExportOwn(since uint64) (evidence []Evidence, next uint64) {
-	all, next := t.ExportSince(since)
-	for i := range all {
-		if all[i].Host == t.options.Host {
-			all[i].keepLastSegments(ownExportSegments)
-			evidence = append(evidence, all[i])
+	changed, next := t.ExportSince(since)
+	for i := range changed {
+		if changed[i].Host == t.options.Host {
+			changed[i].keepLastSegments(ownExportSegments)
+			evidence = append(evidence, changed[i])
 		}
 	}
 	return evidence, next
 }
 
-// Merge merges evidence of other hosts. It may be received repeatedly and out
-// of order. Evidence for a rule that this host doesn't have yet is stored.
+// Merge merges evidence that other hosts exported. The same evidence may be
+// merged repeatedly, and older evidence after newer. Evidence for a rule that
+// this host doesn't have yet is stored until the rule is set.
 func (t *Tracker) Merge(evidence []Evidence) {
 	now := t.options.Clock()
 	changedKeys := make(map[Key]bool)
--- a/rollout/grant.go
+++ b/rollout/grant.go
@@ -31,13 +31,15 @@
 	Good uint64
 }
 
-// Limits of the part of a budget that is granted ahead of the evidence.
+// All hosts together are granted at most GrantInitial answers before there are
+// good answers, and GrantGrowth more for each good answer.
 const (
 	GrantInitial = 32
 	GrantGrowth  = 3
 )
 
-// grantRow is the value of a row: the total granted to each host incarnation.
+// grantRow is the value of the table row for one version and epoch: the number of
+// answers granted to each host, by host ID. A restarted host has a new ID.
 type grantRow struct {
 	Granted map[string]uint64 `json:"granted"`
 }
@@ -73,8 +75,8 @@
 }
 
 func (g *Granter) tryClaim(ctx context.Context, claim Claim) (uint64, error) {
-	name := grantName(claim)
-	row, version, err := g.read(ctx, name)
+	key := grantKey(claim)
+	row, version, err := g.read(ctx, key)
 	if err != nil {
 		return 0, err
 	}
@@ -88,8 +90,8 @@
 		return 0, fmt.Errorf("encode grants: %w", err)
 	}
 	_, err = g.table.Commit(ctx, storage.Txn{
-		Conditions: []storage.Condition{{Key: name, Version: version}},
-		Puts:       []storage.Put{{Key: name, Value: value}},
+		Conditions: []storage.Condition{{Key: key, Version: version}},
+		Puts:       []storage.Put{{Key: key, Value: value}},
 	})
 	if err != nil {
 		return 0, err
@@ -97,9 +99,9 @@
 	return row.Granted[g.host], nil
 }
 
-func (g *Granter) read(ctx context.Context, name string) (grantRow, uint64, error) {
+func (g *Granter) read(ctx context.Context, key string) (grantRow, uint64, error) {
 	row := grantRow{Granted: make(map[string]uint64)}
-	stored, err := g.table.Get(ctx, name)
+	stored, err := g.table.Get(ctx, key)
 	if errors.Is(err, storage.ErrNotFound) {
 		return row, 0, nil
 	}
@@ -112,7 +114,7 @@
 	return row, stored.Version, nil
 }
 
-func grantName(claim Claim) string {
+func grantKey(claim Claim) string {
 	return fmt.Sprintf("%s%s/%s/%d", GrantPrefix, claim.Key.Model, claim.Key.Version, claim.Epoch)
 }
 
@@ -124,20 +126,21 @@
 	return sum
 }
 
-// nextGrant returns how much is granted by one claim: a fraction of what is
-// left, so that the last answers are spread over many hosts, and at least one;
-// 0 if nothing is left.
+// nextGrant returns the number of answers granted for the claim, if all hosts
+// were granted the given number before. It is at least 1, and only a fraction of
+// what is left, so that the last answers are spread over many hosts; it is 0 if
+// nothing is left.
 func (c Claim) nextGrant(granted uint64) uint64 {
 	limit := min(uint64(max(0, c.Budget)), GrantInitial+GrantGrowth*c.Good)
 	if granted >= limit {
 		return 0
 	}
-	rest := limit - granted
-	return max(1, rest/uint64(2*max(1, c.Hosts)))
+	remaining := limit - granted
+	return max(1, remaining/uint64(2*max(1, c.Hosts)))
 }
 
-// GrantNeeded returns a channel that receives an element when Take or TakeUnpaced finds that this
-// host needs a further part of a budget.
+// GrantNeeded returns a channel that receives an element when Take or
+// TakeUnpaced finds that this host needs a further part of a budget.
 func (t *Tracker) GrantNeeded() <-chan struct{} { return t.grantNeeded }
 
 func (t *Tracker) signalGrantNeeded() {
@@ -149,7 +152,8 @@
 
 // Claims returns the claims that this host should make: for the versions that
 // are neither stopped nor cleared, have been requested on this host, and have
-// at most half of the last grant left.
+// at most half of the last grant left. After a claim that was granted nothing,
+// it omits the version until another good answer is observed.
 func (t *Tracker) Claims() []Claim {
 	var claims []Claim
 	for i := range t.shards {
@@ -167,8 +171,9 @@
 }
 
 // Grant sets the total that this host was granted for a version in an epoch.
-// The total of another epoch is ignored. If it isn't higher than before, nothing
-// was left, and no further claim is made until there is more evidence.
+// The total of another epoch is ignored. If the total isn't higher than before,
+// nothing was left to grant, and Claims omits the version until another good
+// answer is observed.
 func (t *Tracker) Grant(key Key, epoch, total uint64) {
 	s := t.shard(key)
 	s.mu.Lock()
@@ -178,7 +183,7 @@
 		return
 	}
 	if total <= e.own.Granted {
-		e.minGoodForClaim = e.sum.good() + 1
+		e.minGoodForClaim = e.epochSum.good() + 1
 		return
 	}
 	e.lastGrant = total - e.own.Granted
@@ -186,10 +191,10 @@
 	t.recordChange(e, e.own.Host)
 }
 
-// ClaimGrants makes the claims that Claims returns and applies the grants. On hosts
-// with Options.GrantedOnly it is called about every second and whenever GrantNeeded
-// receives an element. If one claim fails, it continues with the other versions
-// and returns the joined errors.
+// ClaimGrants makes the claims that Claims returns and applies the grants. Hosts
+// with Options.GrantedOnly call it about every second and whenever the channel
+// of GrantNeeded receives an element. If one claim fails, it continues with the
+// other versions and returns the joined errors.
 func (t *Tracker) ClaimGrants(ctx context.Context, granter *Granter) error {
 	var errs error
 	for _, claim := range t.Claims() {
@@ -207,7 +212,7 @@
 	if e.cleared || e.rule.Budget <= 0 {
 		return false
 	}
-	if e.sum.good() < e.minGoodForClaim {
+	if e.epochSum.good() < e.minGoodForClaim {
 		return false
 	}
 	used := e.own.Taken > 0 || e.own.Denied > 0
@@ -220,6 +225,6 @@
 		Epoch:  e.rule.Epoch,
 		Budget: e.rule.Budget,
 		Hosts:  hosts,
-		Good:   e.sum.good(),
+		Good:   e.epochSum.good(),
 	}
 }
--- a/rollout/helpers_test.go
+++ b/rollout/helpers_test.go
@@ -7,7 +7,7 @@
 
 var start = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// fakeClock is a clock that only Advance moves.
+// fakeClock is a clock whose time changes only by Advance.
 type fakeClock struct {
 	mu  sync.Mutex
 	now time.Time
@@ -27,7 +27,7 @@
 	c.now = c.now.Add(d)
 }
 
-var rule = VersionRule{
+var testRule = VersionRule{
 	Model:        "m",
 	Version:      "2",
 	Epoch:        5,
@@ -37,7 +37,7 @@
 	MaxLatencyMs: 1000,
 }
 
-var good = Outcome{Rated: true, Rating: 0.9, FirstToken: 100 * time.Millisecond}
+var goodOutcome = Outcome{Rated: true, Rating: 0.9, FirstToken: 100 * time.Millisecond}
 
 func newTracker(host string, clock *fakeClock, rules ...VersionRule) *Tracker {
 	t := New(Options{Host: host, Clock: clock.Now})
--- a/rollout/pacing.go
+++ b/rollout/pacing.go
@@ -14,8 +14,8 @@
 	DefaultObserveTimeout = 2 * time.Minute
 )
 
-// Pacing bounds the answers in flight, since answers that were already taken
-// can't be recalled when the version proves bad. The bounds are for all hosts
+// Pacing bounds the answers in flight, because answers in flight can't be
+// recalled when the version turns out to be bad. The bounds are for all hosts
 // together; each host uses an equal part of them. Zero fields mean the
 // defaults.
 type Pacing struct {
@@ -28,7 +28,8 @@
 	// InitialUnrated is the number of answers that may be unrated at first,
 	// UnratedGrowth the number by which each rated answer increases it. Both
 	// apply only to rules with a MinRating. If fewer than one answer in
-	// UnratedGrowth is rated, the version is slowed to the rate of ratings.
+	// UnratedGrowth is rated, the arrival of ratings limits the rate of
+	// answers.
 	InitialUnrated float64
 	UnratedGrowth  float64
 	// ObserveTimeout is the time after which an answer that was never observed
@@ -45,8 +46,9 @@
 	return p
 }
 
-// maxInFlight returns one host's part of initial + growth*observed, at least 1.
-func maxInFlight(initial, growth float64, observed uint64, hosts int) int {
-	all := initial + growth*float64(observed)
-	return max(1, int(all/float64(hosts)))
+// hostPacingBound returns one host's part of the bound initial + growth*observed,
+// at least 1.
+func hostPacingBound(initial, growth float64, observed uint64, hosts int) int {
+	bound := initial + growth*float64(observed)
+	return max(1, int(bound/float64(hosts)))
 }
--- a/rollout/ratings.go
+++ b/rollout/ratings.go
@@ -6,9 +6,9 @@
 	"fmt"
 )
 
-// Ratings counts ratings by bucket; it is nil or has RatingBuckets elements. In
-// JSON it is a list of alternating bucket numbers and counts, without the empty
-// buckets.
+// Ratings holds the number of ratings in each bucket; it is nil or has
+// RatingBuckets elements. In JSON it is a list of alternating bucket numbers and
+// counts, without the empty buckets.
 type Ratings []uint64
 
 var errOddRatings = errors.New("rollout: ratings: last bucket has no count")
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -16,9 +16,9 @@
 type VersionRule struct {
 	Model   string
 	Version string
-	// Epoch is the manifest epoch that set or last renewed this rule, not the
-	// epoch of every manifest that contains it: a higher epoch starts with a
-	// full budget, no evidence and no stop.
+	// Epoch is the manifest epoch that set or last renewed this rule. Later
+	// manifests that contain the rule unchanged keep this epoch, because a
+	// higher one starts with a full budget, no evidence and no stop.
 	Epoch uint64
 	// Budget is the number of answers that all hosts together may give before
 	// the version is cleared; 0 means no limit.
@@ -39,7 +39,7 @@
 
 // Outcome is the observed result of one answer.
 type Outcome struct {
-	// Err is true if the version failed the request.
+	// Failed is true if the version failed the request.
 	Failed bool
 	// Rating is from 0 to 1; it is used only if Rated is true. A rating that
 	// arrives later is passed to Tracker.Rate.
@@ -49,7 +49,7 @@
 	FirstToken time.Duration
 }
 
-// Reason is the limit for which a version was stopped.
+// Reason names the limit that a stopped version violated.
 type Reason string
 
 const (
@@ -62,7 +62,9 @@
 	ReasonRating Reason = "rating"
 )
 
-// Summary is the evidence for a stop, for operators and auditors.
+// Summary is the evidence for a stop, for operators and auditors. Timed is the
+// number of answers whose time to first token was measured, Slow the number of
+// those that exceeded the latency limit.
 type Summary struct {
 	Answers    uint64  `json:"answers"`
 	Errors     uint64  `json:"errors"`
@@ -75,16 +77,16 @@
 	Strength float64 `json:"strength"`
 }
 
-// Stop records that a version takes no new requests in an epoch. It stays in
-// force until a rule with a higher epoch is set.
+// Stop records that a version takes no new requests. It stays in force until a
+// rule of the version with a higher epoch is set.
 type Stop struct {
 	Model   string  `json:"model"`
 	Version string  `json:"version"`
 	Epoch   uint64  `json:"epoch"`
 	Reason  Reason  `json:"reason"`
 	Summary Summary `json:"summary"`
-	// Host is the entry host that stopped the version, At the time at which it
-	// did.
+	// Host is the ID of the entry host that stopped the version, and At is the
+	// time at which it did.
 	Host string    `json:"host"`
 	At   time.Time `json:"at"`
 }
@@ -92,8 +94,9 @@
 // Key returns the version that the stop applies to.
 func (s Stop) Key() Key { return Key{Model: s.Model, Version: s.Version} }
 
-// before orders stops of one version and epoch, so that all hosts converge on
-// the same one.
+// before reports whether s takes precedence over t, a stop of the same version
+// and epoch from another host. All hosts keep the stop that is first in this
+// order, so they converge on the same one.
 func (s Stop) before(t Stop) bool {
 	if !s.At.Equal(t.At) {
 		return s.At.Before(t.At)
@@ -103,7 +106,8 @@
 
 // Options are the settings of a Tracker.
 type Options struct {
-	// Host is this host's ID; an ID is never used by two incarnations.
+	// Host is this host's ID. A restarted host needs a new ID, because its
+	// counters start from 0 again and counters are merged by their maximum.
 	Host string
 	// Clock is the source of time; nil means time.Now.
 	Clock storage.Clock
--- a/rollout/rules.go
+++ b/rollout/rules.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// maxVersionsWithoutRule bounds, for each shard, the versions without a rule
-// whose evidence and stops are stored.
+// maxVersionsWithoutRule bounds, for each shard, the number of versions for
+// which evidence, and the number for which stops, are stored before a rule is
+// set.
 const maxVersionsWithoutRule = 256
 
 // SetVersions replaces the rules. A rule with the same epoch keeps its state, a
@@ -12,11 +13,11 @@
 // in force, keep the rule. A version with budget 0 is tested but not bounded.
 func (t *Tracker) SetVersions(rules []VersionRule) {
 	for i := range t.shards {
-		t.setShard(&t.shards[i], rules)
+		t.setShardRules(&t.shards[i], rules)
 	}
 }
 
-func (t *Tracker) setShard(s *shard, rules []VersionRule) {
+func (t *Tracker) setShardRules(s *shard, rules []VersionRule) {
 	now := t.options.Clock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -31,7 +32,7 @@
 	// list restores the version at the same epoch.
 	for key, e := range previous {
 		if s.entries[key] == nil {
-			s.storeRetired(key, e)
+			s.storeEvidenceOfRemovedRule(key, e)
 		}
 	}
 }
@@ -72,17 +73,17 @@
 	t.evaluate(s, e, now)
 }
 
-// storeRetired stores the evidence of an entry whose rule was removed, as if it
-// had been received before the rule.
-func (s *shard) storeRetired(key Key, e *entry) {
+// storeEvidenceOfRemovedRule stores the evidence of an entry whose rule was
+// removed, as if it had been received before the rule.
+func (s *shard) storeEvidenceOfRemovedRule(key Key, e *entry) {
 	s.storePendingEvidence(&e.own)
 	for _, p := range e.peers {
 		s.storePendingEvidence(p)
 	}
 }
 
-// storePendingEvidence stores evidence of a version without a rule, for at most
-// maxVersionsWithoutRule versions.
+// storePendingEvidence stores evidence of an epoch for which this host has no
+// rule, for at most maxVersionsWithoutRule versions.
 func (s *shard) storePendingEvidence(evidence *Evidence) {
 	key := evidence.Key()
 	hosts := s.pendingEvidence[key]
--- a/rollout/sequential_test.go
+++ b/rollout/sequential_test.go
@@ -25,7 +25,7 @@
 		t.Run(tt.desc, func(t *testing.T) {
 			is := is.New(t)
 			test := newMeanTest(tt.side, tt.limit, binaryValues)
-			for _, row := range test.logFactors { // the expected factor at the limit is 1
+			for _, row := range test.logFactors { // if the mean is at the limit, the expected factor is 1
 				mean := (1-tt.limit)*math.Exp(row[0]) + tt.limit*math.Exp(row[1])
 				is.True(math.Abs(mean-1) < 1e-9)
 			}
@@ -34,20 +34,20 @@
 	}
 }
 
-// TestFalseVerdictsAreRare tests versions that are exactly on a limit, the
-// hardest case, after every answer, as trackers do.
-func TestFalseVerdictsAreRare(t *testing.T) {
+// TestFalseStopsAndClearsAreRare tests versions whose error rate is exactly the
+// limit, the hardest case, after every answer, as trackers do.
+func TestFalseStopsAndClearsAreRare(t *testing.T) {
 	const runs, answers, limit = 1000, 600, 0.05
 	is := is.New(t)
 	c := newCriteria(VersionRule{MaxErrorRate: limit}, Confidence{})
 	rnd := rand.New(rand.NewPCG(1, 1))
 	stopped, cleared := 0, 0
 	for range runs {
-		s, k := stoppedOrCleared(&c, rnd, answers, limit)
-		stopped += s
-		cleared += k
+		wasStopped, wasCleared := stoppedOrCleared(&c, rnd, answers, limit)
+		stopped += wasStopped
+		cleared += wasCleared
 	}
-	t.Logf("of %d runs on the limit: %d stopped, %d cleared", runs, stopped, cleared)
+	t.Logf("of %d runs with an error rate at the limit: %d stopped, %d cleared", runs, stopped, cleared)
 	is.True(stopped <= runs*2*DefaultFalseStop)
 	is.True(cleared <= runs*2*DefaultFalseClear)
 }
@@ -59,7 +59,7 @@
 		if rnd.Float64() < errorRate {
 			counters.Errors++
 		}
-		if _, _, bad := c.violated(counters, DefaultFalseStop); bad {
+		if _, _, bad := c.violatedLimit(counters, DefaultFalseStop); bad {
 			stopped = 1
 		}
 		if c.satisfied(counters) {
@@ -79,7 +79,7 @@
 	return e
 }
 
-func TestMergeIsIdempotentAndOrderless(t *testing.T) {
+func TestMergeIsIdempotentAndCommutative(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawEvidence(t, "h"), drawEvidence(t, "h"), drawEvidence(t, "h")
 		left, right := a.clone(), c.clone()
@@ -100,7 +100,7 @@
 	evidence := peersEvidence(1)
 	data, err := json.Marshal(evidence)
 	is.NoErr(err)
-	t.Logf("%d bytes a record with one period", len(data))
+	t.Logf("%d bytes for the evidence of one host with one segment", len(data))
 	var decoded []Evidence
 	is.NoErr(json.Unmarshal(data, &decoded))
 	is.Equal(decoded, evidence)
--- a/rollout/stops.go
+++ b/rollout/stops.go
@@ -80,7 +80,8 @@
 	return cmp.Or(compareKeys(a.Key(), b.Key()), cmp.Compare(a.Host, b.Host))
 }
 
-// export appends the records whose last change number is above since.
+// export appends to list the evidence of each host whose last change number is
+// above since.
 func (e *entry) export(list []Evidence, since uint64) []Evidence {
 	if e.lastChanges[e.own.Host] > since {
 		list = append(list, e.own.clone())
--- a/rollout/tracker.go
+++ b/rollout/tracker.go
@@ -12,18 +12,19 @@
 const trackerShards = 16
 
 // Tracker holds the rules, the evidence and the stops on one host. It is safe
-// for concurrent use; no method does I/O.
+// for concurrent use; no method but ClaimGrants does I/O.
 type Tracker struct {
 	options Options
 	hosts   atomic.Int64
 	// lastChange is the number of the last change of evidence, for ExportSince.
 	lastChange atomic.Uint64
 	shards     [trackerShards]shard
-	// grantNeeded holds an element while a part of a budget is to be claimed.
+	// grantNeeded has a buffer of one element, which is sent when this host
+	// needs a further part of a budget.
 	grantNeeded chan struct{}
 }
 
-// shard holds the versions whose keys hash to it.
+// shard holds the state of the versions whose keys hash to it.
 type shard struct {
 	mu      sync.Mutex
 	entries map[Key]*entry
@@ -62,21 +63,22 @@
 // SetHosts sets the number of entry hosts, at least 1. The pacing bounds are
 // divided by it and, unless Options.GrantedOnly is set, the budgets too: a host
 // computes its part of a budget once, when it first uses the rule, and later
-// numbers don't change it. The sum of the parts then stays within the budget
-// only if no more than n incarnations of hosts take part in the epoch. With
-// Options.GrantedOnly it always does.
+// calls of SetHosts don't change it. The sum of the parts then stays within the
+// budget only if no more than n hosts take part in the epoch, a restarted host
+// counted again. With Options.GrantedOnly the sum always stays within it.
 func (t *Tracker) SetHosts(n int) {
 	t.hosts.Store(int64(max(1, n)))
 }
 
 func (t *Tracker) hostCount() int { return int(t.hosts.Load()) }
 
-// evaluate runs the tests and stores the stop if one of them fails.
+// evaluate runs the tests unless the version is stopped, and stores the stop if
+// a limit is violated.
 func (t *Tracker) evaluate(s *shard, e *entry, now time.Time) {
 	if _, stopped := s.stopped(e.rule.Key()); stopped {
 		return
 	}
-	if stop, bad := e.runTests(now); bad {
+	if stop, violated := e.runTests(now); violated {
 		s.addStop(stop)
 	}
 }
--- a/rollout/tracker_test.go
+++ b/rollout/tracker_test.go
@@ -11,7 +11,7 @@
 
 func TestVersionsWithoutARuleAreUnrestricted(t *testing.T) {
 	is := is.New(t)
-	tracker := newTracker("a", newClock(), rule)
+	tracker := newTracker("a", newClock(), testRule)
 	is.True(tracker.Take("m", "1"))
 	is.True(tracker.Cleared("m", "1"))
 	is.True(!tracker.Cleared("m", "2"))
@@ -30,7 +30,7 @@
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
 			is := is.New(t)
-			tracker := newTracker("a", newClock(), rule)
+			tracker := newTracker("a", newClock(), testRule)
 			n := takeAndObserve(tracker, 700, tt.outcome)
 			t.Logf("stopped after %d answers", n)
 			is.True(n < 40)
@@ -46,18 +46,18 @@
 
 func TestClearing(t *testing.T) {
 	is := is.New(t)
-	tracker := newTracker("a", newClock(), rule)
-	n := takeAndObserve(tracker, 5000, good)
+	tracker := newTracker("a", newClock(), testRule)
+	n := takeAndObserve(tracker, 5000, goodOutcome)
 	is.Equal(n, 5000) // the budget doesn't apply after clearing
 	is.True(tracker.Cleared("m", "2"))
-	is.True(tracker.Export()[0].Taken < uint64(rule.Budget))
+	is.True(tracker.Export()[0].Taken < uint64(testRule.Budget))
 }
 
 func TestClearedVersionCanTurnBad(t *testing.T) {
 	is := is.New(t)
 	clock := newClock()
-	tracker := newTracker("a", clock, rule)
-	takeAndObserve(tracker, 20000, good)
+	tracker := newTracker("a", clock, testRule)
+	takeAndObserve(tracker, 20000, goodOutcome)
 	clock.Advance(maxSegments * SegmentLength)
 	n := takeAndObserve(tracker, 500, Outcome{Failed: true})
 	is.True(n < 10) // the earlier good answers don't hide the failures
@@ -68,7 +68,7 @@
 func TestPacingWaitsForEvidence(t *testing.T) {
 	is := is.New(t)
 	clock := newClock()
-	tracker := newTracker("a", clock, rule)
+	tracker := newTracker("a", clock, testRule)
 	takeOnly := func() (n int) {
 		for tracker.Take("m", "2") {
 			n++
@@ -76,7 +76,7 @@
 		return n
 	}
 	is.Equal(takeOnly(), DefaultInitial)
-	tracker.Observe("m", "2", good)
+	tracker.Observe("m", "2", goodOutcome)
 	is.Equal(takeOnly(), 2) // one answer ended, and its evidence allows one more
 	tracker.Return("m", "2")
 	is.Equal(takeOnly(), 1)
@@ -86,7 +86,7 @@
 
 func TestPacingWaitsForRatings(t *testing.T) {
 	is := is.New(t)
-	tracker := newTracker("a", newClock(), rule)
+	tracker := newTracker("a", newClock(), testRule)
 	unrated := Outcome{FirstToken: time.Millisecond}
 	is.Equal(takeAndObserve(tracker, 700, unrated), DefaultInitialUnrated)
 	tracker.Rate("m", "2", 0.9)
@@ -95,32 +95,32 @@
 
 func TestStopHoldsUntilANewEpoch(t *testing.T) {
 	is := is.New(t)
-	tracker := newTracker("a", newClock(), rule)
-	stop := Stop{Model: "m", Version: "2", Epoch: rule.Epoch, Reason: ReasonErrors, Host: "b", At: start}
+	tracker := newTracker("a", newClock(), testRule)
+	stop := Stop{Model: "m", Version: "2", Epoch: testRule.Epoch, Reason: ReasonErrors, Host: "b", At: start}
 	is.True(tracker.AdoptStop(stop))
 	is.True(!tracker.AdoptStop(stop)) // already stored
 	is.True(!tracker.Take("m", "2"))
-	tracker.SetVersions([]VersionRule{rule}) // the same epoch
+	tracker.SetVersions([]VersionRule{testRule}) // the same epoch
 	is.True(!tracker.Take("m", "2"))
 	tracker.SetVersions(nil)
-	tracker.SetVersions([]VersionRule{rule}) // removed and restored
+	tracker.SetVersions([]VersionRule{testRule}) // removed and restored
 	is.True(!tracker.Take("m", "2"))
 
-	renewed := rule
+	renewed := testRule
 	renewed.Epoch++
 	tracker.SetVersions([]VersionRule{renewed})
 	is.True(tracker.Take("m", "2"))
 	is.True(!tracker.AdoptStop(stop)) // outdated
-	tracker.SetVersions([]VersionRule{rule})
+	tracker.SetVersions([]VersionRule{testRule})
 	is.True(tracker.Take("m", "2")) // a lower epoch is ignored
 }
 
-func TestStopOfAFutureEpochWaitsForItsRule(t *testing.T) {
+func TestStopReceivedBeforeItsRuleApplies(t *testing.T) {
 	is := is.New(t)
 	tracker := newTracker("a", newClock())
-	tracker.AdoptStop(Stop{Model: "m", Version: "2", Epoch: rule.Epoch, At: start})
+	tracker.AdoptStop(Stop{Model: "m", Version: "2", Epoch: testRule.Epoch, At: start})
 	is.Equal(len(tracker.Stops()), 1) // exported before its rule is set
-	tracker.SetVersions([]VersionRule{rule})
+	tracker.SetVersions([]VersionRule{testRule})
 	is.True(!tracker.Take("m", "2"))
 }
 
@@ -128,7 +128,7 @@
 	is := is.New(t)
 	first := Stop{Model: "m", Version: "2", Epoch: 5, Reason: ReasonErrors, Host: "b", At: start}
 	second := Stop{Model: "m", Version: "2", Epoch: 5, Reason: ReasonRating, Host: "a", At: start.Add(1)}
-	a, b := newTracker("a", newClock(), rule), newTracker("b", newClock(), rule)
+	a, b := newTracker("a", newClock(), testRule), newTracker("b", newClock(), testRule)
 	a.AdoptStop(first)
 	a.AdoptStop(second)
 	b.AdoptStop(second)
@@ -139,7 +139,7 @@
 func TestSharedEvidenceStopsSooner(t *testing.T) {
 	is := is.New(t)
 	clock := newClock()
-	a, b := newTracker("a", clock, rule), newTracker("b", clock, rule)
+	a, b := newTracker("a", clock, testRule), newTracker("b", clock, testRule)
 	for range 2 { // too few for a stop on either host alone
 		a.Observe("m", "2", Outcome{Failed: true})
 		b.Observe("m", "2", Outcome{Failed: true})
@@ -151,69 +151,71 @@
 	is.True(stopped)
 }
 
-func TestEvidenceBeforeTheRuleIsKept(t *testing.T) {
+func TestEvidenceReceivedBeforeItsRuleCounts(t *testing.T) {
 	is := is.New(t)
 	clock := newClock()
-	a, b := newTracker("a", clock, rule), newTracker("b", clock)
+	a, b := newTracker("a", clock, testRule), newTracker("b", clock)
 	for range 4 {
 		a.Observe("m", "2", Outcome{Failed: true})
 	}
 	b.Merge(a.Export())
-	b.SetVersions([]VersionRule{rule})
+	b.SetVersions([]VersionRule{testRule})
 	is.True(!b.Take("m", "2"))
 }
 
 func TestExportSinceSendsChangesOnly(t *testing.T) {
 	is := is.New(t)
 	clock := newClock()
-	a, b := newTracker("a", clock, rule), newTracker("b", clock, rule)
-	a.Observe("m", "2", good)
-	evidence, mark := a.ExportSince(0)
+	a, b := newTracker("a", clock, testRule), newTracker("b", clock, testRule)
+	a.Observe("m", "2", goodOutcome)
+	evidence, next := a.ExportSince(0)
 	is.Equal(len(evidence), 1)
 	b.Merge(evidence)
 	echoed, _ := b.ExportSince(0)
-	a.Merge(echoed) // its own evidence comes back
-	evidence, _ = a.ExportSince(mark)
+	a.Merge(echoed) // a ignores its own evidence
+	evidence, _ = a.ExportSince(next)
 	is.Equal(len(evidence), 0)
 	b.Merge(echoed)
-	_, mark = b.ExportSince(0)
+	_, next = b.ExportSince(0)
 	b.Merge(a.Export()) // nothing new
-	evidence, _ = b.ExportSince(mark)
+	evidence, _ = b.ExportSince(next)
 	is.Equal(len(evidence), 0)
 }
 
-func TestEarlyFailuresAreNotComparedWithTooFewAnswers(t *testing.T) {
+func TestAnswersInFlightCountAsGood(t *testing.T) {
 	is := is.New(t)
 	clock := newClock()
 	tracker := New(Options{Host: "a", Clock: clock.Now, Pacing: Pacing{Off: true}})
-	tracker.SetVersions([]VersionRule{rule})
+	tracker.SetVersions([]VersionRule{testRule})
 	for range 60 {
 		tracker.Take("m", "2")
 	}
-	for range 3 { // 5% of those in flight, which is within the limit
+	// Failures often end before good answers: 3 of 3 ended answers failed, but
+	// these are 5% of the 60 taken, which is within the limit.
+	for range 3 {
 		tracker.Observe("m", "2", Outcome{Failed: true})
 	}
 	_, stopped := tracker.Stopped("m", "2")
 	is.True(!stopped)
 	for range 57 {
-		tracker.Observe("m", "2", good)
+		tracker.Observe("m", "2", goodOutcome)
 	}
 	_, stopped = tracker.Stopped("m", "2")
 	is.True(!stopped)
 }
 
-func TestBoundRequestsAreNotPaced(t *testing.T) {
+func TestTakeUnpacedEnforcesOnlyTheBudget(t *testing.T) {
 	is := is.New(t)
 	tracker := newTracker("a", newClock(), smallRule)
 	for range smallRule.Budget {
 		is.True(tracker.TakeUnpaced("m", "2"))
 	}
-	is.True(!tracker.TakeUnpaced("m", "2")) // the budget is enforced
+	is.True(!tracker.TakeUnpaced("m", "2")) // the budget is used up
 }
 
 func TestAbandonedAnswersEnd(t *testing.T) {
 	is := is.New(t)
-	tracker := newTracker("a", newClock(), rule)
+	tracker := newTracker("a", newClock(), testRule)
 	for tracker.Take("m", "2") {
 	}
 	tracker.Abandon("m", "2")
@@ -224,11 +226,12 @@
 	is.Equal(evidence.Taken, uint64(DefaultInitial+1)) // still charged to the budget
 }
 
-// TestSizeOfEvidence observes 1.4 rated answers a second, a seventh of 10.
-func TestSizeOfEvidence(t *testing.T) {
+// TestExportOwnIsSmallerThanExport observes 1.4 rated answers a second, one
+// host's part of 10 a second over seven hosts.
+func TestExportOwnIsSmallerThanExport(t *testing.T) {
 	is := is.New(t)
 	clock := newClock()
-	a, b := newTracker("entry-1", clock, rule), newTracker("entry-2", clock, rule)
+	a, b := newTracker("entry-1", clock, testRule), newTracker("entry-2", clock, testRule)
 	rnd := rand.New(rand.NewPCG(1, 1))
 	for range 300 {
 		clock.Advance(700 * time.Millisecond)
@@ -239,10 +242,10 @@
 	is.NoErr(err)
 	long, err := json.Marshal(a.Export())
 	is.NoErr(err)
-	t.Logf("%d bytes with the last periods, %d with all", len(short), len(long))
+	t.Logf("%d bytes with the last segments, %d with all", len(short), len(long))
 	is.True(len(short) < len(long))
 	b.Merge(own)
 	relayed, _ := b.ExportOwn(0)
-	is.Equal(len(relayed), 0) // b has none of its own
+	is.Equal(len(relayed), 0) // b has no evidence of its own
 	is.Equal(len(b.Export()), 1)
 }
