--- a/quota/adjust.go
+++ b/quota/adjust.go
@@ -14,22 +14,22 @@
 // adjust applies an account's row and commits the holding that decide returns.
 // A commit that failed with a conflict is retried by the next reconciliation.
 func (l *Limiter) adjust(ctx context.Context, b *bucket, row storage.Row, period time.Duration) error {
-	full, err := parseAccountRow(row)
+	stored, err := parseAccountRow(row)
 	if err != nil {
 		return err
 	}
 	own := l.lease.Load()
-	current, expired := full.withoutExpired(l.isExpired)
+	current, expired := stored.withoutExpired(l.isExpired)
 	l.applyRow(b, current, own.id)
-	v := decisionInput{
+	input := decisionInput{
 		demandStats: b.measureDemand(l.opts.Clock(), period),
 		held:        b.state.held,
 		free:        current.free(),
 		hosts:       len(l.hostRows),
 	}
-	v.othersShortage, v.othersEntitled, v.othersExcess = current.sumOthers(own.id, v.fairShare())
-	d := decide(v)
-	b.state.short = v.refused && d.slots <= b.state.held
+	input.othersShortage, input.othersEntitled, input.othersExcess = current.sumOthers(own.id, input.fairShare())
+	d := decide(input)
+	b.state.short = input.refused && d.slots <= b.state.held
 	if d.slots == b.state.held && !shortageChanged(current.shortageOf(own.id), d.shortage) && b.state.unresolved == nil {
 		return nil
 	}
@@ -54,38 +54,38 @@
 }
 
 // applyRow updates the account's state from its row. While this host is
-// registered, no other host changes its holding, so a slightly stale row is
-// correct.
+// registered, no other host changes this host's holding, so the holding in a
+// slightly stale row is still correct.
 func (l *Limiter) applyRow(b *bucket, row accountRow, id string) {
-	c := &b.state
-	c.held = row.heldBy(id)
-	if c.unresolved != nil && c.unresolved.baseVersion != row.version {
-		c.unresolved = nil
+	state := &b.state
+	state.held = row.heldBy(id)
+	if state.unresolved != nil && state.unresolved.baseVersion != row.version {
+		state.unresolved = nil
 	}
-	confirmed := c.held
-	if c.unresolved != nil {
-		confirmed = min(confirmed, c.unresolved.held)
+	confirmed := state.held
+	if state.unresolved != nil {
+		confirmed = min(confirmed, state.unresolved.held)
 	}
 	now := l.opts.Clock()
 	b.setOwnSlots(now, l.leaseEnd(), confirmed, 0)
-	c.holders = c.holders[:0]
+	state.holders = state.holders[:0]
 	for _, h := range row.Holdings {
 		if h.Holder != id {
-			c.holders = append(c.holders, h)
+			state.holders = append(state.holders, h)
 		}
 	}
-	sort.Slice(c.holders, func(i, j int) bool { return c.holders[i].Slots > c.holders[j].Slots })
+	sort.Slice(state.holders, func(i, j int) bool { return state.holders[i].Slots > state.holders[j].Slots })
 }
 
-// commitHolding commits a decision. Slots that are given back are no longer used
-// from before the commit; slots that are taken are used only after it.
+// commitHolding commits a decision. The host stops using slots that it gives back
+// before the commit, and starts using slots that it takes after it.
 func (l *Limiter) commitHolding(ctx context.Context, b *bucket, row accountRow, expired []string, d decision) error {
-	c := &b.state
+	state := &b.state
 	now := l.opts.Clock()
-	if d.slots < c.held {
+	if d.slots < state.held {
 		confirmed := d.slots
-		if c.unresolved != nil {
-			confirmed = min(confirmed, c.unresolved.held)
+		if state.unresolved != nil {
+			confirmed = min(confirmed, state.unresolved.held)
 		}
 		d.slots = max(d.slots, b.setOwnSlots(now, l.leaseEnd(), confirmed, 0))
 	}
@@ -95,8 +95,8 @@
 	now = l.opts.Clock()
 	switch {
 	case err == nil:
-		c.unresolved = nil
-		c.held = d.slots
+		state.unresolved = nil
+		state.held = d.slots
 		b.setOwnSlots(now, l.leaseEnd(), d.slots, neverHeld)
 		return nil
 	case errors.Is(err, storage.ErrConflict):
@@ -108,17 +108,17 @@
 	return err
 }
 
-// recordUnresolved records a commit whose outcome is unknown and limits the host
-// to the slots that it holds whether or not this commit, and any earlier
-// unresolved one, takes effect.
+// recordUnresolved records a commit whose outcome is unknown, which would set the
+// holding to held. It limits the host to the slots that it holds whether or not
+// this commit, or an earlier unresolved one, takes effect.
 func (l *Limiter) recordUnresolved(b *bucket, baseVersion uint64, held int) {
-	c := &b.state
-	if c.unresolved != nil && c.unresolved.baseVersion == baseVersion {
-		held = min(held, c.unresolved.held)
+	state := &b.state
+	if state.unresolved != nil && state.unresolved.baseVersion == baseVersion {
+		held = min(held, state.unresolved.held)
 	}
-	c.unresolved = &unresolvedCommit{baseVersion: baseVersion, held: held}
+	state.unresolved = &unresolvedCommit{baseVersion: baseVersion, held: held}
 	now := l.opts.Clock()
-	b.setOwnSlots(now, l.leaseEnd(), min(c.held, held), 0)
+	b.setOwnSlots(now, l.leaseEnd(), min(state.held, held), 0)
 }
 
 func (l *Limiter) commitRow(ctx context.Context, account string, row accountRow, expired []string) (uint64, error) {
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// defaultRetryAfter is returned when the current slots can never allow the
-// request.
+// defaultRetryAfter is the time to wait that is returned for a request that the
+// current slots can never allow.
 const defaultRetryAfter = time.Second
 
-// Refusals up to a ratio of the requests plus a constant are attributed to
-// random variation, not to a lack of slots.
+// Up to toleratedRefusalRatio times the requests plus toleratedRefusals refused
+// requests in a measurement period are attributed to random variation, not to a
+// lack of slots.
 const (
 	toleratedRefusalRatio = 0.02
 	toleratedRefusals     = 2
@@ -21,8 +22,9 @@
 // average of the demand.
 const demandWeight = 0.25
 
-// demandJumpFactor is the ratio between recent and average demand above which
-// the recent demand is used.
+// demandJumpFactor is the ratio between recent and average demand, whichever is
+// higher, above which the recent demand is used. A smaller difference is
+// attributed to random variation.
 const demandJumpFactor = 2
 
 // timedSlots is a number of slots that is valid until a time.
@@ -44,18 +46,19 @@
 	// ownSlots is the number of slots that the row certainly assigns to this
 	// host, whatever the outcome of an unresolved commit.
 	ownSlots int
-	// lentSlots are own slots lent to other hosts, borrowedSlots slots of other
-	// hosts.
+	// lentSlots holds the slots of this host lent to other hosts, borrowedSlots
+	// those borrowed from other hosts.
 	lentSlots, borrowedSlots []timedSlots
 	tokens                   float64
 	filledAt                 time.Time
-	// requested and refused count requests since the last measurement.
+	// requested and refused count requests since the measurement period began.
 	requested, refused float64
-	// newlyRefused is true if requests were refused since demand was last
-	// measured, also by an urgent reconciliation.
+	// newlyRefused is true if requests were refused since the last call of
+	// measureDemand, whether or not that call ended the measurement period.
 	newlyRefused bool
-	// demand is the moving average of the requested rate, in requests per
-	// second, recentDemand the requested rate of the last few seconds.
+	// demand is the moving average of the requested rate over the measurement
+	// periods, in requests per second. recentDemand measures the requested rate
+	// in the current and the previous window of rateWindow.
 	demand       float64
 	recentDemand recentRate
 
@@ -104,7 +107,7 @@
 }
 
 func (b *bucket) retryAfter(now, leaseEnd time.Time, n float64) time.Duration {
-	slots := b.spendable(now, leaseEnd)
+	slots := b.usableSlots(now, leaseEnd)
 	rate := b.rate(slots)
 	if rate <= 0 || n > b.depth(slots) {
 		return defaultRetryAfter
@@ -115,8 +118,8 @@
 func (b *bucket) rate(slots float64) float64  { return b.limit.Rate * slots / Slots }
 func (b *bucket) depth(slots float64) float64 { return b.limit.Burst * slots / Slots }
 
-// spendable returns the number of slots that the host may use at a time.
-func (b *bucket) spendable(at, leaseEnd time.Time) float64 {
+// usableSlots returns the number of slots that the host may use at a time.
+func (b *bucket) usableSlots(at, leaseEnd time.Time) float64 {
 	slots := b.unleasedSlots
 	if at.Before(leaseEnd) {
 		slots = float64(b.ownSlots - validSlots(b.lentSlots, at))
@@ -124,9 +127,9 @@
 	return slots + float64(validSlots(b.borrowedSlots, at))
 }
 
-func validSlots(terms []timedSlots, at time.Time) int {
+func validSlots(timed []timedSlots, at time.Time) int {
 	n := 0
-	for _, t := range terms {
+	for _, t := range timed {
 		if at.Before(t.until) {
 			n += t.slots
 		}
@@ -139,18 +142,18 @@
 func (b *bucket) refill(now, leaseEnd time.Time) {
 	for b.filledAt.Before(now) {
 		next := b.nextExpiry(now, leaseEnd)
-		slots := b.spendable(b.filledAt, leaseEnd)
+		slots := b.usableSlots(b.filledAt, leaseEnd)
 		b.tokens += b.rate(slots) * next.Sub(b.filledAt).Seconds()
 		b.tokens = min(b.tokens, b.depth(slots))
 		b.filledAt = next
 	}
-	b.tokens = min(b.tokens, b.depth(b.spendable(b.filledAt, leaseEnd)))
+	b.tokens = min(b.tokens, b.depth(b.usableSlots(b.filledAt, leaseEnd)))
 	b.lentSlots = unexpired(b.lentSlots, b.filledAt)
 	b.borrowedSlots = unexpired(b.borrowedSlots, b.filledAt)
 }
 
-// nextExpiry returns when the next loan or the lease expires after filledAt, but
-// at most now.
+// nextExpiry returns the first time after filledAt at which the lease or a
+// borrowed loan expires, but at most now.
 func (b *bucket) nextExpiry(now, leaseEnd time.Time) time.Time {
 	next := now
 	if b.filledAt.Before(leaseEnd) && leaseEnd.Before(next) {
@@ -164,9 +167,9 @@
 	return next
 }
 
-func unexpired(terms []timedSlots, at time.Time) []timedSlots {
-	kept := terms[:0]
-	for _, t := range terms {
+func unexpired(timed []timedSlots, at time.Time) []timedSlots {
+	kept := timed[:0]
+	for _, t := range timed {
 		if at.Before(t.until) {
 			kept = append(kept, t)
 		}
@@ -174,19 +177,21 @@
 	return kept
 }
 
-// setOwnSlots sets the host's own slots, but not below those lent out, and
-// returns the number set. Slots that no host ever held start with full depth.
+// setOwnSlots sets the number of the host's own slots, but not below the number
+// lent out, and returns the number set. It adds the full depth of tokens for
+// neverHeld slots, which no host has held before.
 func (b *bucket) setOwnSlots(now, leaseEnd time.Time, slots, neverHeld int) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refill(now, leaseEnd)
 	b.ownSlots = max(slots, validSlots(b.lentSlots, now))
 	b.tokens += b.depth(float64(neverHeld))
-	b.tokens = min(b.tokens, b.depth(b.spendable(now, leaseEnd)))
+	b.tokens = min(b.tokens, b.depth(b.usableSlots(now, leaseEnd)))
 	return b.ownSlots
 }
 
-// dropHoldings drops the own slots and tokens after the host lost its lease.
+// dropHoldings drops the host's own slots and all tokens after the host lost its
+// lease.
 func (b *bucket) dropHoldings() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -196,7 +201,8 @@
 	b.state = reconcileState{}
 }
 
-// demandStats holds an account's demand on this host and the slots to meet it.
+// demandStats holds an account's demand on this host and the slots that the host
+// has to meet it.
 type demandStats struct {
 	// demandSlots is the number of slots whose rate equals the demand.
 	demandSlots float64
@@ -209,15 +215,15 @@
 	ownSlots, lentSlots, borrowedSlots int
 }
 
-// measureDemand returns the demand. A positive period ends the measurement
-// period, which had that length.
+// measureDemand returns the demand. If period is positive, it is the length of
+// the measurement period, which this call ends.
 func (b *bucket) measureDemand(now time.Time, period time.Duration) demandStats {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if period > 0 {
 		b.demand += (b.requested/period.Seconds() - b.demand) * demandWeight
 	}
-	n := demandStats{
+	stats := demandStats{
 		demandSlots:   b.slotsForRate(b.expectedDemand(now)),
 		refused:       b.exceedsToleratedRefusals(),
 		minSlots:      b.minSlots(),
@@ -230,12 +236,11 @@
 		b.requested = 0
 		b.refused = 0
 	}
-	return n
+	return stats
 }
 
 // expectedDemand returns the expected demand in requests per second: the moving
-// average, or the recent rate if the two differ by more than random variation
-// explains.
+// average, or the recent rate if the two differ by more than demandJumpFactor.
 func (b *bucket) expectedDemand(now time.Time) float64 {
 	recent := b.recentDemand.rate(now)
 	if recent > demandJumpFactor*b.demand || recent < b.demand/demandJumpFactor {
--- a/quota/doc.go
+++ b/quota/doc.go
@@ -5,13 +5,14 @@
 // "quota/<account>" of the platform's table records how many slots each host
 // holds. Each host has a local token bucket per account, whose rate and depth
 // are proportional to its slots, and changes its holding in the background as
-// demand moves. Holdings are valid while the host's own row, "quotahost/<id>",
-// is leased: the host counts its lease from before it started to renew it, and
-// other hosts delete the row only after they saw it unchanged for longer than
-// the lease. Slots of a host without a row are free.
+// demand moves. Holdings are valid while the host holds the lease that its own
+// row, "quotahost/<id>", records. The host counts the lease from the time before
+// it sent the renewal, and other hosts delete the row only after they have seen
+// it unchanged for longer than the lease. Slots held by a host without a row are
+// free.
 //
 // While the table is unreachable, hosts lend each other slots for a few seconds
-// (Peers).
+// (see Peers).
 //
 // The entry host calls a Limiter before it sends a request. Full use of the
 // limit at every moment isn't guaranteed: slots follow demand within seconds,
--- a/quota/lease.go
+++ b/quota/lease.go
@@ -15,7 +15,7 @@
 	id string
 	// version is the version of the host row.
 	version uint64
-	// start is the time at which the last confirmed renewal started.
+	// start is the time just before the last confirmed renewal was sent.
 	start time.Time
 	ttl   time.Duration
 }
@@ -41,15 +41,15 @@
 // renew registers the host, or renews its lease if that is due.
 func (l *Limiter) renew(ctx context.Context) error {
 	now := l.opts.Clock()
-	held := l.lease.Load()
-	if held != nil && now.Sub(held.start) < l.opts.renewalAge() {
+	current := l.lease.Load()
+	if current != nil && now.Sub(current.start) < l.opts.renewalAge() {
 		return nil
 	}
 	next := lease{start: now, ttl: l.opts.TTL}
 	var version uint64
-	if held != nil {
-		next.id = held.id
-		version = held.version
+	if current != nil {
+		next.id = current.id
+		version = current.version
 	} else {
 		next.id = l.holderID()
 	}
@@ -64,7 +64,7 @@
 	if errors.Is(err, storage.ErrUnavailable) {
 		return err
 	}
-	return l.resolveRenewal(ctx, next, held)
+	return l.resolveRenewal(ctx, next, current)
 }
 
 // holderID returns the ID for the next registration. It keeps one ID until it
@@ -88,12 +88,12 @@
 	})
 }
 
-// resolveRenewal reads the host row to determine the outcome of a renewal that
-// failed or whose outcome is unknown.
-func (l *Limiter) resolveRenewal(ctx context.Context, next lease, held *lease) error {
+// resolveRenewal reads the host row to determine whether a renewal took effect
+// that was refused or whose outcome is unknown.
+func (l *Limiter) resolveRenewal(ctx context.Context, next lease, current *lease) error {
 	row, err := l.get(ctx, hostKey(next.id))
 	if errors.Is(err, storage.ErrNotFound) {
-		if held != nil {
+		if current != nil {
 			l.dropLease()
 		}
 		return nil
@@ -107,11 +107,13 @@
 	}
 	next.version = row.Version
 	if value.Attempt != l.renewalAttempt {
-		// An earlier attempt took effect late; its start time wasn't stored.
-		if held == nil {
+		// The row was written by an earlier attempt that took effect late. The
+		// time at which that attempt was sent isn't stored, so the lease counts
+		// from the last confirmed renewal, or has expired if there is none.
+		if current == nil {
 			next.start = time.Time{}
 		} else {
-			next.start = held.start
+			next.start = current.start
 		}
 	}
 	l.lease.Store(&next)
@@ -129,14 +131,15 @@
 	}
 }
 
-// observedVersion is a version of another host's row and when this host first
-// read it.
+// observedVersion is the version of a host row as last read, and the time at
+// which this host first read that version.
 type observedVersion struct {
 	version uint64
 	at      time.Time
 }
 
-// refreshHosts reads the host rows and deletes those whose lease has expired.
+// refreshHosts reads the host rows and deletes those of other hosts whose lease
+// has expired. If this host's own row is gone, it drops the lease.
 func (l *Limiter) refreshHosts(ctx context.Context) error {
 	rows, err := l.list(ctx, hostPrefix)
 	if err != nil {
@@ -145,35 +148,36 @@
 	// The clock is read after the rows, so each row was written before now.
 	now := l.opts.Clock()
 	own := l.lease.Load()
-	seen := make(map[string]observedVersion, len(rows))
+	remaining := make(map[string]observedVersion, len(rows))
 	for _, row := range rows {
 		id := hostID(row.Key)
-		s, known := l.hostRows[id]
-		if !known || s.version != row.Version {
-			s = observedVersion{version: row.Version, at: now}
+		observed, known := l.hostRows[id]
+		if !known || observed.version != row.Version {
+			observed = observedVersion{version: row.Version, at: now}
 		}
-		if own != nil && id == own.id || !l.leaseExpired(row, s, now) || l.deleteHostRow(ctx, row) != nil {
-			seen[id] = s
+		if own != nil && id == own.id || !l.leaseExpired(row, observed, now) || l.deleteHostRow(ctx, row) != nil {
+			remaining[id] = observed
 		}
 	}
-	l.hostRows = seen
+	l.hostRows = remaining
 	if own != nil {
-		if _, registered := seen[own.id]; !registered {
+		if _, registered := remaining[own.id]; !registered {
 			l.dropLease()
 		}
 	}
 	return nil
 }
 
-// leaseExpired reports whether the lease of a row has certainly expired by its
-// holder's clock too. A row that can't be decoded never expires.
-func (l *Limiter) leaseExpired(row storage.Row, s observedVersion, now time.Time) bool {
+// leaseExpired reports whether the lease of a host row has certainly expired,
+// also by the clock of the host that holds it. The lease of a row that can't be
+// decoded never expires.
+func (l *Limiter) leaseExpired(row storage.Row, observed observedVersion, now time.Time) bool {
 	var value hostRow
 	if json.Unmarshal(row.Value, &value) != nil {
 		return false
 	}
 	ttl := time.Duration(value.TTLMillis) * time.Millisecond
-	return now.Sub(s.at) > withClockMargin(ttl)
+	return now.Sub(observed.at) > withClockMargin(ttl)
 }
 
 // deleteHostRow deletes a host's row unless it was renewed since it was read.
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -33,9 +33,9 @@
 	buckets atomic.Pointer[buckets]
 	leaving atomic.Bool
 	epoch   atomic.Uint64
-	// refusalSignal wakes Run after Take refused a request.
+	// refusalSignal signals Run that Take refused a request.
 	refusalSignal chan struct{}
-	// limitSignal wakes Run after an account without a limit got one.
+	// limitSignal signals Run that an account without a limit got one.
 	limitSignal chan struct{}
 
 	// The fields below are used only by the goroutine of Run.
@@ -133,8 +133,8 @@
 		case <-l.limitSignal:
 			failed = l.reconcile(ctx) != nil
 		case <-l.refusalSignal:
-			// After a failure the table isn't called until the next
-			// reconciliation.
+			// After a failed reconciliation, the table isn't called until the
+			// next regular one.
 			if failed {
 				l.requestLoans(ctx)
 			} else {
@@ -146,9 +146,9 @@
 }
 
 // Leave refuses all further requests and releases the host's slots, for a
-// planned shutdown. Run must have returned. Leave first waits until all slots
-// lent out have expired, and retries until it succeeds or ctx is done; in the
-// latter case the lease expires after its TTL.
+// planned shutdown. Run must have returned. Leave first waits until all loans
+// to other hosts have expired. It retries until it succeeds or ctx is done; in
+// the latter case the lease expires after its TTL.
 func (l *Limiter) Leave(ctx context.Context) error {
 	l.leaving.Store(true)
 	now := l.opts.Clock()
@@ -167,11 +167,11 @@
 
 // endLease deletes the host's row, which frees all its slots.
 func (l *Limiter) endLease(ctx context.Context) error {
-	held := l.lease.Load()
-	if held == nil {
+	current := l.lease.Load()
+	if current == nil {
 		return nil
 	}
-	row, err := l.get(ctx, hostKey(held.id))
+	row, err := l.get(ctx, hostKey(current.id))
 	if errors.Is(err, storage.ErrNotFound) {
 		return nil
 	}
@@ -181,7 +181,8 @@
 	return l.deleteHostRow(ctx, row)
 }
 
-// lastLoanEnd returns when the last of the slots lent out expire, at least now.
+// lastLoanEnd returns when the last loan to another host expires, or now if that
+// is later.
 func (l *Limiter) lastLoanEnd(now time.Time) time.Time {
 	last := now
 	for _, b := range l.allBuckets() {
--- a/quota/limiter_test.go
+++ b/quota/limiter_test.go
@@ -14,28 +14,29 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// twoHosts returns a simulation with one account. The first host holds all slots.
-// takeMany takes all requests that a limiter allows at the moment.
-func twoHosts(t *testing.T) (s *sim, m *limitChecker, takeMany func(l *Limiter)) {
+// twoHosts returns a simulation of two hosts with one account. The first host holds
+// all slots. takeMany takes as many of 1000 requests as a limiter allows and spends
+// them in checker.
+func twoHosts(t *testing.T) (s *sim, checker *limitChecker, takeMany func(l *Limiter)) {
 	limit := Limit{Account: "acme", Rate: 100, Burst: 100}
 	s = newSim(1, []Limit{limit})
-	m = newLimitChecker(limit.Rate*(1+clockError), limit.Burst)
+	checker = newLimitChecker(limit.Rate*(1+clockError), limit.Burst)
 	takeMany = func(l *Limiter) {
 		for range 1000 {
 			if ok, _ := l.Take("acme", 1); ok {
-				m.spend(s.now, 1)
+				checker.spend(s.now, 1)
 			}
 		}
 	}
 	takeMany(s.hosts[0])
 	is.New(t).NoErr(s.hosts[0].reconcile(t.Context()))
 	s.hosts = append(s.hosts, s.newHost(1))
-	return s, m, takeMany
+	return s, checker, takeMany
 }
 
 func TestLeaseCountsFromTheStartOfARenewal(t *testing.T) {
 	is := is.New(t)
-	s, m, takeMany := twoHosts(t)
+	s, checker, takeMany := twoHosts(t)
 	first, second := s.hosts[0], s.hosts[1]
 	s.now = s.now.Add(simTTL / 2)
 	s.table.SetHooks(nil, func() {
@@ -52,13 +53,13 @@
 		is.NoErr(second.reconcile(t.Context()))
 		takeMany(second)
 	}
-	is.True(m.overshoot < 1e-6)
+	is.True(checker.overshoot < 1e-6)
 	is.Equal(second.allBuckets()["acme"].ownSlots, Slots) // the second host took over all slots
 }
 
-func TestLateReleaseIsNotSpent(t *testing.T) {
+func TestSlotsOfAnUnresolvedReleaseAreNotUsed(t *testing.T) {
 	is := is.New(t)
-	s, m, takeMany := twoHosts(t)
+	s, checker, takeMany := twoHosts(t)
 	first, second := s.hosts[0], s.hosts[1]
 	bucket := first.allBuckets()["acme"]
 	for range 20 {
@@ -69,12 +70,12 @@
 		s.table.HoldNext(1)
 		_ = first.reconcile(t.Context())
 	}
-	is.True(bucket.state.unresolved != nil) // the commit gives back half, now or later
+	is.True(bucket.state.unresolved != nil) // a commit that gives back half of the slots and may still take effect
 	s.table.HoldNext(0)
 	s.now = s.now.Add(time.Second)
 	takeMany(first)
 	s.table.DropNext(1)
-	_ = first.reconcile(t.Context()) // demand has risen, so it decides to keep all
+	_ = first.reconcile(t.Context()) // demand has risen, so the host decides to keep all slots
 	is.Equal(bucket.state.held, Slots)
 	s.table.Heal()
 	s.table.Deliver()
@@ -85,11 +86,11 @@
 		takeMany(second)
 		takeMany(first)
 	}
-	is.True(m.overshoot < 1e-6)
-	is.True(second.allBuckets()["acme"].ownSlots > 0) // the second host took what was given back
+	is.True(checker.overshoot < 1e-6)
+	is.True(second.allBuckets()["acme"].ownSlots > 0) // the late commit freed slots, and the second host took them
 }
 
-func TestLoanHasOneSpenderAtATime(t *testing.T) {
+func TestLentSlotsAreUsedByOneHostAtATime(t *testing.T) {
 	is := is.New(t)
 	limit := Limit{Account: "acme", Rate: 10, Burst: 10}
 	at := func(d time.Duration) time.Time { return simStart.Add(d) }
@@ -102,16 +103,16 @@
 		is.NoErr(err)
 		borrower.addLoan(at(0), at(2*delay), leaseEnd, loan)
 		for now := 2 * delay; now < time.Minute; now += 100 * time.Millisecond {
-			lent := lender.spendable(at(now), leaseEnd)
-			borrowed := borrower.spendable(at(now), time.Time{})
-			is.True(lent+borrowed <= Slots)
-			is.True(now < DefaultLoanTerm || borrowed == 0) // the term counts from the request
+			byLender := lender.usableSlots(at(now), leaseEnd)
+			byBorrower := borrower.usableSlots(at(now), time.Time{})
+			is.True(byLender+byBorrower <= Slots)
+			is.True(now < DefaultLoanTerm || byBorrower == 0) // the term counts from the request
 		}
-		is.Equal(lender.spendable(at(withClockMargin(delay+DefaultLoanTerm)), leaseEnd), float64(Slots))
+		is.Equal(lender.usableSlots(at(withClockMargin(delay+DefaultLoanTerm)), leaseEnd), float64(Slots))
 	}
 }
 
-func TestBucketFillsUpToEachEnd(t *testing.T) {
+func TestRefillStopsSlotsAtTheirExpiry(t *testing.T) {
 	is := is.New(t)
 	at := func(s int) time.Time { return simStart.Add(time.Duration(s) * time.Second) }
 	b := newBucket(Limit{Account: "acme", Rate: 8, Burst: 8000}, 0, at(0))
@@ -119,7 +120,7 @@
 	b.addLoan(at(0), at(0), at(10), Loan{Slots: Slots / 4, Term: 20 * time.Second})
 	b.addLoan(at(0), at(0), at(10), Loan{Slots: Slots / 8, Term: 5 * time.Second})
 	b.refill(at(15), at(10))
-	// Ten seconds at 4/s, fifteen at 2/s, five at 1/s.
+	// Own slots for ten seconds at 4/s, the loans for fifteen at 2/s and five at 1/s.
 	is.Equal(b.tokens, 40.0+30+5)
 	b.refill(at(25), at(10))
 	is.Equal(b.tokens, 0.0) // without slots there are no tokens
@@ -135,20 +136,20 @@
 	for i := range hosts {
 		s.hosts = append(s.hosts, s.newHost(i))
 	}
-	m := newLimitChecker(limit.Rate*hosts*share*(1+clockError), limit.Burst*hosts*share)
+	checker := newLimitChecker(limit.Rate*hosts*share*(1+clockError), limit.Burst*hosts*share)
 	for range 600 {
 		s.now = s.now.Add(100 * time.Millisecond)
 		for _, l := range s.hosts {
 			_ = l.reconcile(t.Context())
 			for range 3 {
 				if ok, _ := l.Take("acme", 1); ok {
-					m.spend(s.now, 1)
+					checker.spend(s.now, 1)
 				}
 			}
 		}
 	}
-	is.True(m.overshoot < 1e-6)
-	is.True(m.spent > 0.9*60*limit.Rate*hosts*share) // the share is usable without a lease
+	is.True(checker.overshoot < 1e-6)
+	is.True(checker.spent > 0.9*60*limit.Rate*hosts*share) // the share is usable without a lease
 }
 
 func TestTakeWithoutSlots(t *testing.T) {
@@ -169,7 +170,7 @@
 	is.True(!ok)
 	s.now = s.now.Add(retryAfter + 20*time.Millisecond)
 	ok, _ = l.Take("acme", 1)
-	is.True(ok) // retryAfter was right
+	is.True(ok) // allowed after retryAfter
 }
 
 func TestSetLimits(t *testing.T) {
@@ -219,7 +220,7 @@
 				granted++
 			}
 		}
-		is.True(granted > 250) // of 300 at 100 a second; before, the host had about half of that
+		is.True(granted > 250) // of 300 requested at 100 a second; before, the host held about half of the slots
 		cancel()
 		synctest.Wait()
 	})
--- a/quota/loan.go
+++ b/quota/loan.go
@@ -35,8 +35,8 @@
 	Borrow(ctx context.Context, holder string, request LoanRequest) (Loan, error)
 }
 
-// Lend handles another host's loan request. It lends no more slots than this
-// host doesn't need itself, and returns ErrNoLoan if there are none.
+// Lend handles another host's loan request. It lends only slots that this host
+// doesn't need itself, and returns ErrNoLoan if there are none.
 func (l *Limiter) Lend(request LoanRequest) (Loan, error) {
 	b := l.bucketOf(request.Account)
 	if b == nil || l.leaving.Load() {
@@ -60,7 +60,7 @@
 	if slots <= 0 {
 		return Loan{}, ErrNoLoan
 	}
-	tokens := b.tokens * float64(slots) / b.spendable(now, leaseEnd)
+	tokens := b.tokens * float64(slots) / b.usableSlots(now, leaseEnd)
 	b.tokens -= tokens
 	b.lentSlots = append(b.lentSlots, timedSlots{slots: slots, until: until})
 	return Loan{Slots: slots, Term: term, Tokens: tokens}, nil
@@ -77,7 +77,7 @@
 	b.refill(now, leaseEnd)
 	b.borrowedSlots = append(b.borrowedSlots, timedSlots{slots: loan.Slots, until: until})
 	b.tokens += max(0, loan.Tokens)
-	b.tokens = min(b.tokens, b.depth(b.spendable(now, leaseEnd)))
+	b.tokens = min(b.tokens, b.depth(b.usableSlots(now, leaseEnd)))
 }
 
 // requestLoans requests a loan for each account that is short of slots.
@@ -92,24 +92,24 @@
 	}
 }
 
-// requestLoan requests the missing slots of an account from one other holder.
+// requestLoan requests the slots that an account lacks from one other holder.
 // After a success the next request goes to the same holder, after a failure to
-// the next largest.
+// the one with the next largest holding.
 func (l *Limiter) requestLoan(ctx context.Context, b *bucket) {
-	c := &b.state
+	state := &b.state
 	requestedAt := l.opts.Clock()
-	n := b.measureDemand(requestedAt, 0)
-	missing := int(scarceHeadroom*n.demandSlots) - (n.ownSlots - n.lentSlots + n.borrowedSlots)
-	if len(c.holders) == 0 || missing <= 0 {
+	stats := b.measureDemand(requestedAt, 0)
+	missing := int(scarceHeadroom*stats.demandSlots) - (stats.ownSlots - stats.lentSlots + stats.borrowedSlots)
+	if len(state.holders) == 0 || missing <= 0 {
 		return
 	}
-	holder := c.holders[c.nextLender%len(c.holders)].Holder
-	request := LoanRequest{Account: b.account, Slots: max(n.minSlots, missing)}
+	holder := state.holders[state.nextLender%len(state.holders)].Holder
+	request := LoanRequest{Account: b.account, Slots: max(stats.minSlots, missing)}
 	ctx, cancel := context.WithTimeout(ctx, l.opts.Timeout)
 	defer cancel()
 	loan, err := l.opts.Peers.Borrow(ctx, holder, request)
 	if err != nil {
-		c.nextLender++
+		state.nextLender++
 		return
 	}
 	now := l.opts.Clock()
--- a/quota/measure_test.go
+++ b/quota/measure_test.go
@@ -22,7 +22,7 @@
 	measureTime  = flag.Duration("time", 30*time.Second, "virtual time of each run")
 )
 
-// loadPattern is a pattern of demand over hosts and time.
+// loadPattern describes how demand is distributed over hosts and time.
 type loadPattern struct {
 	desc string
 	// factor is the ratio of the demand to the limit.
@@ -32,8 +32,8 @@
 	// downFrom and downUntil bound a table outage, counted from the end of the
 	// warm-up.
 	downFrom, downUntil time.Duration
-	// replaceEvery is the time between crashes; one host after another crashes
-	// and is replaced.
+	// replaceEvery is the time between crashes. One host after another crashes
+	// and is replaced; 0 means that none does.
 	replaceEvery time.Duration
 }
 
@@ -57,10 +57,11 @@
 	return p
 }
 
-// result holds the figures of one run.
+// result holds the figures of one run. commits, reads and loans are per second.
 type result struct {
 	requested, granted int
-	// grantedBySingleBucket is what one bucket with the whole limit grants.
+	// grantedBySingleBucket is the number of requests that one bucket with the
+	// whole limit grants.
 	grantedBySingleBucket int
 	overshoot             float64
 	commits, reads, loans float64
@@ -80,14 +81,15 @@
 	result        result
 }
 
-func measure(hosts, accounts int, l loadPattern, seed uint64) result {
+func measure(hosts, accounts int, load loadPattern, seed uint64) result {
 	var limits []Limit
 	for i := range accounts {
-		// The limit per host is the same for each number of hosts.
-		part := float64(hosts) / 7
-		limits = append(limits, Limit{Account: fmt.Sprint("account-", i), Rate: 100 * part, Burst: 50 * part})
+		// The limit grows with the number of hosts, so that each host's part of it
+		// is always the same.
+		scale := float64(hosts) / 7
+		limits = append(limits, Limit{Account: fmt.Sprint("account-", i), Rate: 100 * scale, Burst: 50 * scale})
 	}
-	m := &measurement{sim: newSim(0, limits), rng: rand.New(rand.NewPCG(seed, 2)), load: l}
+	m := &measurement{sim: newSim(0, limits), rng: rand.New(rand.NewPCG(seed, 2)), load: load}
 	m.ttl = DefaultTTL
 	for i := range hosts {
 		m.hosts = append(m.hosts, m.newHost(i))
@@ -110,7 +112,7 @@
 		since := at - measureWarmUp
 		if since == 0 {
 			counts = m.table.Counts()
-			m.loans = 0
+			m.loansGranted = 0
 			m.result = result{}
 		}
 		m.table.SetDown(since >= m.load.downFrom && since < m.load.downUntil)
@@ -127,7 +129,7 @@
 	seconds := measureTime.Seconds()
 	m.result.commits = float64(after.Commits-counts.Commits) / seconds
 	m.result.reads = float64(after.Gets+after.Lists-counts.Gets-counts.Lists) / seconds
-	m.result.loans = float64(m.loans) / seconds
+	m.result.loans = float64(m.loansGranted) / seconds
 	for _, checker := range m.checkers {
 		m.result.overshoot = max(m.result.overshoot, checker.overshoot)
 	}
@@ -137,15 +139,15 @@
 	ctx := context.Background()
 	l := m.hosts[host]
 	if m.now.Sub(m.lastReconcile[host]) >= DefaultInterval {
-		// The hosts' starts are spread over an interval.
+		// The first reconciliations of the hosts are spread over an interval.
 		if at >= time.Duration(host)*DefaultInterval/time.Duration(len(m.hosts)) {
 			m.failed[host] = l.reconcile(ctx) != nil
 			m.lastReconcile[host] = m.now
 		}
 	}
 	for account, limit := range m.limits {
-		part := m.load.share(account, host, len(m.hosts), at)
-		mean := m.load.factor * limit.Rate * part * measureStep.Seconds()
+		share := m.load.share(account, host, len(m.hosts), at)
+		mean := m.load.factor * limit.Rate * share * measureStep.Seconds()
 		for range poisson(m.rng, mean) {
 			m.request(l, account, limit.Account)
 		}
@@ -193,10 +195,10 @@
 		{desc: "moving, 0.8, table down for 8 min", factor: 0.8, share: movingLoad, downFrom: time.Second, downUntil: 8 * time.Minute},
 		{desc: "even, 0.8, a host killed each 2 min", factor: 0.8, share: evenLoad, replaceEvery: 2 * time.Minute},
 	}
-	for _, l := range loads {
-		t.Run(l.desc, func(t *testing.T) {
+	for _, load := range loads {
+		t.Run(load.desc, func(t *testing.T) {
 			for seed := range *measureSeeds {
-				report(t, measure(7, 10, l, seed+1))
+				report(t, measure(7, 10, load, seed+1))
 			}
 		})
 	}
--- a/quota/options.go
+++ b/quota/options.go
@@ -54,8 +54,8 @@
 	// LoanTerm is the duration of a loan; default 5 s.
 	LoanTerm time.Duration
 	// UnleasedShare is the part of each limit, from 0 to 1, that the host allows
-	// while it holds no lease; default 0. Each host without a lease can raise
-	// the total allowed by this part.
+	// while it holds no lease; default 0. Each host without a lease can add this
+	// part to what all hosts together allow, beyond the limit.
 	UnleasedShare float64
 	// NewID returns the random suffix of the holder ID, without dots; default
 	// a UUID.
@@ -81,8 +81,8 @@
 	return o.TTL / 4
 }
 
-// withClockMargin lengthens a duration that another host's clock also measures
-// by 2% and a second, since clocks run at different speeds.
+// withClockMargin lengthens a duration by 2% and a second, because another host
+// measures it too and clocks run at different speeds.
 func withClockMargin(d time.Duration) time.Duration {
 	return d + d/50 + time.Second
 }
--- a/quota/property_test.go
+++ b/quota/property_test.go
@@ -12,7 +12,7 @@
 	"github.com/quetzalweir/quetzalweir/storage/storagetest"
 )
 
-func TestMeterRejectsOverspending(t *testing.T) {
+func TestLimitCheckerDetectsOverspending(t *testing.T) {
 	cases := []struct {
 		desc string
 		// spends are numbers of requests, one second apart.
@@ -26,17 +26,18 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.desc, func(t *testing.T) {
-			m := newLimitChecker(2, 5)
+			checker := newLimitChecker(2, 5)
 			for i, n := range tc.spends {
-				m.spend(simStart.Add(time.Duration(i)*time.Second), n)
+				checker.spend(simStart.Add(time.Duration(i)*time.Second), n)
 			}
-			is.New(t).Equal(m.overshoot, tc.want)
+			is.New(t).Equal(checker.overshoot, tc.want)
 		})
 	}
 }
 
-// TestNeverOverTheLimit drives hosts through random faults. Over any window, the
-// requests that all hosts allow stay within rate times time plus burst.
+// TestNeverOverTheLimit subjects hosts to random faults. In any window of time,
+// the requests that all hosts together allow are at most the limit's rate times
+// the length of the window plus its burst.
 func TestNeverOverTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := Limit{
@@ -82,11 +83,11 @@
 				_ = l.reconcile(ctx)
 			}
 		},
-		"short time":       func(t *rapid.T) { s.now = s.now.Add(drawTime(t, time.Millisecond, 1, 3000)) },
-		"long time":        func(t *rapid.T) { s.now = s.now.Add(drawTime(t, time.Second, 5, 75)) },
-		"replace":          func(t *rapid.T) { i := s.drawHost(t); s.hosts[i] = s.newHost(i) },
-		"leave":            s.leave,
-		"freeze in a pass": s.suspendDuringReconcile,
+		"short time":                func(t *rapid.T) { s.now = s.now.Add(drawDuration(t, time.Millisecond, 1, 3000)) },
+		"long time":                 func(t *rapid.T) { s.now = s.now.Add(drawDuration(t, time.Second, 5, 75)) },
+		"replace":                   func(t *rapid.T) { i := s.drawHost(t); s.hosts[i] = s.newHost(i) },
+		"leave":                     s.leave,
+		"suspend while reconciling": s.suspendDuringReconcile,
 	}
 }
 
@@ -95,13 +96,13 @@
 		"late commits": func(t *rapid.T) { s.table.HoldNext(rapid.IntRange(1, 3).Draw(t, "n")) },
 		"deliver":      func(*rapid.T) { s.table.Deliver() },
 		"cut":          func(t *rapid.T) { s.partitioned = rapid.Bool().Draw(t, "cut") },
-		"slow loans":   func(t *rapid.T) { s.loanDelay = drawTime(t, time.Second, 0, 6) },
+		"slow loans":   func(t *rapid.T) { s.loanDelay = drawDuration(t, time.Second, 0, 6) },
 		"lose loans":   func(t *rapid.T) { s.loseLoans = rapid.Bool().Draw(t, "lose") },
 	}
 }
 
-func drawTime(t *rapid.T, unit time.Duration, least, most int) time.Duration {
-	return time.Duration(rapid.IntRange(least, most).Draw(t, "time")) * unit
+func drawDuration(t *rapid.T, unit time.Duration, minUnits, maxUnits int) time.Duration {
+	return time.Duration(rapid.IntRange(minUnits, maxUnits).Draw(t, "time")) * unit
 }
 
 func (s *spendingSim) drawHost(t *rapid.T) int {
@@ -128,7 +129,7 @@
 	}
 }
 
-// leave releases a host's slots, after which the host tries to spend.
+// leave makes a host release its slots and then try to spend, and replaces it.
 func (s *spendingSim) leave(t *rapid.T) {
 	i := s.drawHost(t)
 	l := s.hosts[i]
@@ -144,24 +145,24 @@
 // suspendDuringReconcile suspends a host during a reconciliation, before or after the
 // effect of a table call, while the other hosts continue.
 func (s *spendingSim) suspendDuringReconcile(t *rapid.T) {
-	d := drawTime(t, time.Second, 1, 80)
-	left := rapid.IntRange(0, 3).Draw(t, "calls before")
+	d := drawDuration(t, time.Second, 1, 80)
+	callsBefore := rapid.IntRange(0, 3).Draw(t, "calls before")
 	i := s.drawHost(t)
 	suspended := s.hosts[i]
-	others := func() {
-		if left--; left != -1 {
+	runOthersOnce := func() {
+		if callsBefore--; callsBefore != -1 {
 			return
 		}
 		s.table.SetHooks(nil, nil)
 		s.runOthers(suspended, d)
 	}
 	if rapid.Bool().Draw(t, "before the effect") {
-		s.table.SetHooks(others, nil)
+		s.table.SetHooks(runOthersOnce, nil)
 	} else {
-		s.table.SetHooks(nil, others)
+		s.table.SetHooks(nil, runOthersOnce)
 	}
-	// A substitute runs meanwhile, so that the suspended host's reconcile isn't
-	// called recursively.
+	// A substitute takes the suspended host's place meanwhile, so that runOthers
+	// doesn't call the suspended host's reconcile recursively.
 	s.hosts[i] = s.newHost(i)
 	_ = suspended.reconcile(context.Background())
 	s.table.SetHooks(nil, nil)
@@ -169,8 +170,8 @@
 	s.hosts[i] = suspended
 }
 
-// runOthers advances the time twice and reconciles the other hosts, while other
-// goroutines of the suspended host go on spending.
+// runOthers advances the time twice by d and reconciles the other hosts, while
+// other goroutines of the suspended host continue to spend.
 func (s *spendingSim) runOthers(suspended *Limiter, d time.Duration) {
 	s.spend(suspended, 100)
 	for range 2 {
--- a/quota/recent.go
+++ b/quota/recent.go
@@ -2,10 +2,12 @@
 
 import "time"
 
-// rateWindow is the length of the windows in which recentRate counts.
+// rateWindow is the length of the windows in which recentRate counts. A window
+// lasts longer if there are no calls at its end.
 const rateWindow = 2 * time.Second
 
-// recentRate measures the rate of the last complete and the current window.
+// recentRate measures the rate in the current window, which began at start and
+// has the given count so far, and in the previous one.
 type recentRate struct {
 	start    time.Time
 	count    float64
@@ -17,8 +19,8 @@
 	r.count += n
 }
 
-// rate returns the higher of the rates of the last complete and the current
-// window, in units per second.
+// rate returns the higher of the rates in the previous and the current window,
+// in units per second.
 func (r *recentRate) rate(now time.Time) float64 {
 	r.advanceWindow(now)
 	return max(r.previous, r.count/rateWindow.Seconds())
--- a/quota/pass.go
+++ b/quota/reconcile.go
@@ -24,16 +24,18 @@
 	short bool
 }
 
-// unresolvedCommit is a commit whose outcome is unknown. It may still take
-// effect, but only while the row has the version baseVersion.
+// unresolvedCommit is a commit whose outcome is unknown and that would set this
+// host's holding to held. It may still take effect, but only while the row has
+// the version baseVersion. If several such commits are unresolved, held is the
+// lowest of theirs.
 type unresolvedCommit struct {
 	baseVersion uint64
 	held        int
 }
 
 // reconcile renews the lease and adjusts the holdings of all accounts. Loans are
-// requested only if that fails: while the table is reachable, lent slots would
-// only be slower to reassign.
+// requested only if that fails. While the table is reachable they would do harm:
+// slots that are lent out can't be reassigned until the loan expires.
 func (l *Limiter) reconcile(ctx context.Context) error {
 	err := l.reconcileAll(ctx)
 	if err != nil {
@@ -120,8 +122,8 @@
 	return list
 }
 
-// hasNewShortage reports whether requests were refused since the last
-// measurement, and more than tolerated.
+// hasNewShortage reports whether requests were refused since the last call of
+// measureDemand, and more than tolerated in the current measurement period.
 func (b *bucket) hasNewShortage() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/quota/row.go
+++ b/quota/row.go
@@ -25,13 +25,14 @@
 	Slots  int    `json:"slots"`
 }
 
-// accountRow is the value of an account's row. Its version is that of the table
-// row, 0 for a row that doesn't exist.
+// accountRow is the value of an account's row. version is that of the table row;
+// it is 0 if the row doesn't exist.
 type accountRow struct {
 	// NeverHeld is the number of slots that no host ever held.
 	NeverHeld int       `json:"fresh,omitempty"`
 	Holdings  []holding `json:"holdings,omitempty"`
-	// Shortages holds the hosts that need more slots, with the number missing.
+	// Shortages holds the number of slots that each host is short of; hosts
+	// that aren't short are omitted.
 	Shortages []holding `json:"wanting,omitempty"`
 
 	version uint64
@@ -70,9 +71,9 @@
 
 // shortageOf returns the number of slots that a host is short of.
 func (r accountRow) shortageOf(id string) int {
-	for _, w := range r.Shortages {
-		if w.Holder == id {
-			return w.Slots
+	for _, s := range r.Shortages {
+		if s.Holder == id {
+			return s.Slots
 		}
 	}
 	return 0
@@ -81,11 +82,11 @@
 // sumOthers compares all hosts but one with the fair share and returns three
 // sums: the slots that they are short of, the part of these that brings them up
 // to the fair share, and the slots that they hold above it.
-func (r accountRow) sumOthers(id string, fair int) (wanted, entitled, excess int) {
-	for _, w := range r.Shortages {
-		if w.Holder != id {
-			wanted += w.Slots
-			entitled += min(w.Slots, max(0, fair-r.heldBy(w.Holder)))
+func (r accountRow) sumOthers(id string, fair int) (shortage, entitled, excess int) {
+	for _, s := range r.Shortages {
+		if s.Holder != id {
+			shortage += s.Slots
+			entitled += min(s.Slots, max(0, fair-r.heldBy(s.Holder)))
 		}
 	}
 	for _, h := range r.Holdings {
@@ -93,10 +94,10 @@
 			excess += max(0, h.Slots-fair)
 		}
 	}
-	return wanted, entitled, excess
+	return shortage, entitled, excess
 }
 
-// withoutExpired returns the row without expired holders, and those of them
+// withoutExpired returns the row without expired holders, and the IDs of those
 // that held slots.
 func (r accountRow) withoutExpired(expired func(id string) bool) (accountRow, []string) {
 	var removed []string
@@ -108,9 +109,9 @@
 		}
 		kept.Holdings = append(kept.Holdings, h)
 	}
-	for _, w := range r.Shortages {
-		if !expired(w.Holder) {
-			kept.Shortages = append(kept.Shortages, w)
+	for _, s := range r.Shortages {
+		if !expired(s.Holder) {
+			kept.Shortages = append(kept.Shortages, s)
 		}
 	}
 	return kept, removed
@@ -129,8 +130,8 @@
 	return next, neverHeld
 }
 
-// withSlots returns the list with a holder's number of slots set; 0 removes the
-// holder.
+// withSlots returns a copy of the list with a holder's number of slots set; 0
+// removes the holder.
 func withSlots(list []holding, id string, slots int) []holding {
 	next := slices.DeleteFunc(slices.Clone(list), func(h holding) bool { return h.Holder == id })
 	if slots > 0 {
--- a/quota/sim_test.go
+++ b/quota/sim_test.go
@@ -21,8 +21,9 @@
 
 var simStart = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 
-// limitChecker checks that spending stays within a limit over every window: it
-// is a token bucket of the whole limit, which must never be overdrawn.
+// limitChecker measures by how much spending exceeds a limit in any window of
+// time. It is a token bucket for the whole limit; a negative balance means that
+// the limit was exceeded.
 type limitChecker struct {
 	rate, burst float64
 	tokens      float64
@@ -37,25 +38,25 @@
 	return &limitChecker{rate: rate, burst: burst, tokens: burst, last: simStart}
 }
 
-func (m *limitChecker) refill(now time.Time) {
-	m.tokens = min(m.burst, m.tokens+m.rate*now.Sub(m.last).Seconds())
-	m.last = now
+func (c *limitChecker) refill(now time.Time) {
+	c.tokens = min(c.burst, c.tokens+c.rate*now.Sub(c.last).Seconds())
+	c.last = now
 }
 
-func (m *limitChecker) spend(now time.Time, n float64) {
-	m.refill(now)
-	m.tokens -= n
-	m.spent += n
-	m.overshoot = max(m.overshoot, -m.tokens)
+func (c *limitChecker) spend(now time.Time, n float64) {
+	c.refill(now)
+	c.tokens -= n
+	c.spent += n
+	c.overshoot = max(c.overshoot, -c.tokens)
 }
 
-// allows reports whether the whole limit allows n more requests.
-func (m *limitChecker) allows(now time.Time, n float64) bool {
-	m.refill(now)
-	return m.tokens >= n
+// allows reports whether the limit allows n more requests.
+func (c *limitChecker) allows(now time.Time, n float64) bool {
+	c.refill(now)
+	return c.tokens >= n
 }
 
-// sim runs limiters of several hosts in one goroutine and virtual time.
+// sim runs the limiters of several hosts in one goroutine and in virtual time.
 type sim struct {
 	now           time.Time
 	table         *faulty.Table
@@ -66,9 +67,9 @@
 	// partitioned makes loan requests fail; loseLoans drops their responses.
 	partitioned, loseLoans bool
 	// loanDelay is the delay of a loan's request and of its response.
-	loanDelay time.Duration
-	lastID    int
-	loans     int
+	loanDelay        time.Duration
+	lastHolderSuffix int
+	loansGranted     int
 }
 
 func newSim(hosts int, limits []Limit) *sim {
@@ -89,7 +90,7 @@
 		TTL:           s.ttl,
 		Interval:      simInterval,
 		UnleasedShare: s.unleasedShare,
-		NewID:         func() string { s.lastID++; return fmt.Sprint(s.lastID) },
+		NewID:         func() string { s.lastHolderSuffix++; return fmt.Sprint(s.lastHolderSuffix) },
 		Clock: func() time.Time {
 			return simStart.Add(time.Duration(float64(s.now.Sub(simStart)) * speed))
 		},
@@ -115,14 +116,15 @@
 			return Loan{}, errPartitioned
 		}
 		if err == nil {
-			s.loans++
+			s.loansGranted++
 		}
 		return loan, err
 	}
 	return Loan{}, errPartitioned
 }
 
-// checkRows decodes all account rows and checks that no slot is held twice.
+// checkRows decodes all account rows and checks that no slot is held twice and
+// that each holder is one of the hosts.
 func (s *sim) checkRows() error {
 	rows, err := memoryRows(s)
 	if err != nil {
