--- a/cascade/learner.go
+++ b/cascade/learner.go
@@ -24,10 +24,11 @@
 	Clock storage.Clock
 	// Seed seeds the random exploration, which makes it reproducible.
 	Seed uint64
-	// Policy is the policy that decides.
+	// Policy holds the parameters of the decisions.
 	Policy Policy
 	// Groups is the maximum number of request groups whose statistics are
-	// kept; 0 means DefaultGroups. A group takes about 400 bytes a step.
+	// kept; 0 means DefaultGroups. The statistics of a group take about 400
+	// bytes for each step.
 	Groups int
 }
 
@@ -48,7 +49,7 @@
 	Latency time.Duration
 }
 
-// Learner keeps statistics and decides by them. It is safe for concurrent use.
+// Learner keeps statistics and decides from them. It is safe for concurrent use.
 // Its state needn't be persisted.
 type Learner struct {
 	policy Policy
@@ -69,8 +70,8 @@
 	rnd *rand.Rand
 }
 
-// group identifies a group of requests. An empty account or class means all of
-// them, as does sizeClass 0.
+// group identifies a group of requests. An empty account means all accounts, an
+// empty class all classes, and sizeClass 0 all prompt lengths.
 type group struct {
 	cascade   string
 	account   string
@@ -79,7 +80,7 @@
 }
 
 // groupsOf returns the groups that a request belongs to, the widest first. The
-// estimate of each group is the prior of the next one's.
+// estimate from each group is the prior of the estimate from the next group.
 func groupsOf(cascade, account, class string, promptTokens int) []group {
 	groups := []group{
 		{cascade: cascade},
@@ -91,8 +92,8 @@
 	return groups
 }
 
-// sizeClass returns the class of a prompt length, from 1 up; each class covers a
-// factor of four.
+// sizeClass returns the size class of a prompt length, from 1 up. The upper bound
+// of each size class is four times its lower bound.
 func sizeClass(tokens int) int { return (bits.Len(uint(tokens)) + 1) / 2 }
 
 // NewLearner returns a Learner without statistics.
@@ -117,7 +118,8 @@
 }
 
 // Learn records an answer of a step. It is Observe for callers that don't
-// distinguish cascades and prompt lengths; a step above 0 counts as escalated.
+// distinguish cascades and prompt lengths. An answer of a step above 0 counts as
+// escalated.
 func (l *Learner) Learn(account, class string, step int, rating float64, latency time.Duration) {
 	l.Observe(Sample{
 		Account:   account,
@@ -133,7 +135,7 @@
 func (l *Learner) Observe(s Sample) {
 	now := l.clock()
 	for _, g := range groupsOf(s.Cascade, s.Account, s.Class, s.PromptTokens) {
-		l.withGroup(g, now, func(stats *groupRecord) { stats.record(s) })
+		l.withGroup(g, now, func(r *groupRecord) { r.record(s) })
 	}
 }
 
@@ -143,13 +145,13 @@
 	shard := l.shard(g)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
-	stats, ok := shard.groups.Get(g)
+	record, ok := shard.groups.Get(g)
 	if !ok {
-		stats = &groupRecord{decayedAt: now}
-		shard.groups.Add(g, stats)
+		record = &groupRecord{decayedAt: now}
+		shard.groups.Add(g, record)
 	}
-	stats.decay(now)
-	f(stats)
+	record.decay(now)
+	f(record)
 }
 
 func (l *Learner) shard(g group) *shard {
@@ -163,7 +165,8 @@
 	return &l.shards[d.Sum64()%learnerShards]
 }
 
-// ObserveRater records how long a rating took, and whether it succeeded in time.
+// ObserveRater records how long a rating took, and whether the rater returned it
+// within the timeout.
 func (l *Learner) ObserveRater(took time.Duration, ok bool) {
 	l.rater.observe(took, ok, l.clock())
 }
@@ -177,25 +180,25 @@
 	return l.policy.Decide(v, l.random.rnd)
 }
 
-// stats returns the estimates of each step from the narrowest group, with the
-// wider groups as priors.
+// stats returns the estimates for each step from the narrowest group of the
+// request, with the estimates from wider groups as priors.
 func (l *Learner) stats(v *View) []StepStats {
 	estimates := make([]StepStats, len(v.Steps))
 	for i := range estimates {
-		estimates[i] = StepStats{AcceptProbability: defaultAccept, EscalatedAcceptProbability: defaultAccept}
+		estimates[i] = StepStats{AcceptProbability: defaultAcceptProbability, EscalatedAcceptProbability: defaultAcceptProbability}
 	}
 	now := l.clock()
 	for _, g := range groupsOf(v.Cascade, v.Account, v.Class, v.PromptTokens) {
-		l.withGroup(g, now, func(stats *groupRecord) { stats.refineEstimates(estimates, v.Target) })
+		l.withGroup(g, now, func(r *groupRecord) { r.refineEstimates(estimates, v.Target) })
 	}
 	return estimates
 }
 
-// refineEstimates replaces the estimates by those of this narrower group, with
-// the previous ones as priors.
-func (g *groupRecord) refineEstimates(estimates []StepStats, target float64) {
-	for i := range min(len(estimates), len(g.steps)) {
-		step, estimate := &g.steps[i], &estimates[i]
+// refineEstimates replaces the estimates by those from this group, with the
+// previous ones, which are from the next wider group, as priors.
+func (r *groupRecord) refineEstimates(estimates []StepStats, target float64) {
+	for i := range min(len(estimates), len(r.steps)) {
+		step, estimate := &r.steps[i], &estimates[i]
 		estimate.AcceptProbability = step.first.probability(target, estimate.AcceptProbability)
 		estimate.EscalatedAcceptProbability = step.escalated.probability(target, estimate.EscalatedAcceptProbability)
 		estimate.Samples = step.first.total
--- a/cascade/learner_test.go
+++ b/cascade/learner_test.go
@@ -35,8 +35,8 @@
 	observeMany(l, "hard", 0.2, 200)
 	is.True(statsOf(l, "easy", 0.7).AcceptProbability > 0.9)
 	is.True(statsOf(l, "hard", 0.7).AcceptProbability < 0.1)
-	unknown := statsOf(l, "new", 0.7).AcceptProbability // the estimate over all accounts
-	is.True(unknown > 0.2 && unknown < 0.8)
+	ofUnknownAccount := statsOf(l, "new", 0.7).AcceptProbability // from the ratings of all accounts
+	is.True(ofUnknownAccount > 0.2 && ofUnknownAccount < 0.8)
 	is.True(statsOf(l, "hard", 0.1).AcceptProbability > 0.9) // a lower target
 	is.Equal(statsOf(l, "easy", 0.7).Latency, time.Second)
 }
@@ -80,9 +80,9 @@
 	for range 50 {
 		l.ObserveRater(time.Second, false)
 	}
-	is.True(l.rater.stats(*now).FailureRate > raterDownFailureShare)
+	is.True(l.rater.stats(*now).FailureRate > raterDownFailureRate)
 	*now = now.Add(raterHalfLife)
-	is.True(l.rater.stats(*now).FailureRate < raterDownFailureShare)
+	is.True(l.rater.stats(*now).FailureRate < raterDownFailureRate)
 }
 
 func TestGroupsAreBounded(t *testing.T) {
--- a/cascade/policy.go
+++ b/cascade/policy.go
@@ -9,14 +9,14 @@
 	"github.com/quetzalweir/quetzalweir/manifest"
 )
 
-// Unrated is the value of a rating that stands for an answer without one.
+// Unrated is the value that stands for the rating of an answer that wasn't rated.
 const Unrated = -1.0
 
 // Accept reports whether a rating reaches the target.
 func Accept(rating, target float64) bool { return rating >= target }
 
-// StepInfo holds the cost and latency of a step that are expected before the
-// request runs.
+// StepInfo holds the cost and latency that are expected of a step before there
+// are statistics.
 type StepInfo struct {
 	// Cost is the expected cost of an answer, in any unit common to all steps.
 	Cost float64
@@ -70,15 +70,15 @@
 	Rater RaterStats
 }
 
-// Reason is the reason for a plan's start.
+// Reason says why a plan starts at its step.
 type Reason string
 
 const (
-	// ReasonCheapest means that the start has the lowest expected cost, with
-	// the delay weighted in.
+	// ReasonCheapest means that the start has the lowest expected cost, which
+	// includes a cost for the expected delay.
 	ReasonCheapest Reason = "lowest-expected-cost"
-	// ReasonExplore means that an earlier step is tried to update its
-	// statistics.
+	// ReasonExplore means that the request starts one step before the best
+	// start, to update the statistics of that step.
 	ReasonExplore Reason = "explore"
 	// ReasonDeadline means that the deadline leaves no time to escalate from
 	// an earlier step.
@@ -90,7 +90,8 @@
 	// Start is the index of the first step to run.
 	Start  int
 	Reason Reason
-	// Cost and Delay are expected values, including escalations.
+	// Cost and Delay are the expected cost and time to the accepted answer,
+	// including escalations.
 	Cost  float64
 	Delay time.Duration
 	// RaterTimeout is how long to wait for a rating; it is shortened while the
@@ -118,14 +119,15 @@
 	// steps from the start may be expected to take.
 	DeadlineShare float64
 	// ExploreMin and ExploreMax bound the probability of starting one step
-	// before the best one. It falls from ExploreMax to ExploreMin as the
-	// samples of that step approach ExploreUntil.
+	// before the best start. The probability falls from ExploreMax to ExploreMin
+	// as StepStats.Samples of that earlier step rises to ExploreUntil.
 	ExploreMin   float64
 	ExploreMax   float64
 	ExploreUntil float64
-	// MaxUnratedMiss bounds the probability that an answer is accepted without a
-	// rating and is below the target, if OnRaterFailure is manifest.Accept. A
-	// step above it isn't used as the start.
+	// MaxUnratedMiss bounds the probability that an answer of the first step is
+	// accepted without a rating although it is below the target, which can
+	// happen if OnRaterFailure is manifest.Accept. A step with a higher
+	// probability isn't used as the start, unless it is the last one.
 	MaxUnratedMiss float64
 }
 
@@ -169,18 +171,19 @@
 	return best
 }
 
-// earliestStart returns the first step from which running all later ones is
-// expected to meet the deadline.
+// earliestStart returns the first step for which running it and all later steps
+// is expected to take at most DeadlineShare of the remaining time, or the last
+// step if there is none.
 func (p Policy) earliestStart(v *View) int {
 	last := len(v.Steps) - 1
 	if v.Remaining <= 0 {
 		return 0
 	}
 	limit := time.Duration(p.DeadlineShare * float64(v.Remaining))
-	longest := v.expectedLatency(last)
+	latency := v.expectedLatency(last)
 	for start := last - 1; start >= 0; start-- {
-		longest += v.expectedLatency(start) + v.effectiveRaterTimeout()
-		if longest > limit {
+		latency += v.expectedLatency(start) + v.effectiveRaterTimeout()
+		if latency > limit {
 			return start + 1
 		}
 	}
@@ -211,9 +214,9 @@
 	last := len(v.Steps) - 1
 	plan := Plan{Start: last, Cost: v.Steps[last].Cost, Delay: v.expectedLatency(last)}
 	for i := last - 1; i >= start; i-- {
-		escalate := 1 - v.acceptProbability(i, i > start)
-		plan.Cost = v.Steps[i].Cost + escalate*plan.Cost
-		plan.Delay = v.expectedLatency(i) + v.expectedRaterLatency() + time.Duration(escalate*float64(plan.Delay))
+		escalationProbability := 1 - v.acceptProbability(i, i > start)
+		plan.Cost = v.Steps[i].Cost + escalationProbability*plan.Cost
+		plan.Delay = v.expectedLatency(i) + v.expectedRaterLatency() + time.Duration(escalationProbability*float64(plan.Delay))
 	}
 	plan.Start = start
 	return plan
@@ -234,8 +237,8 @@
 	return (1 - v.Rater.FailureRate) * accept
 }
 
-// missProbability returns the probability that the answer of the first step is
-// accepted without a rating and is below the target.
+// missProbability returns the probability that the answer of the step start is
+// accepted without a rating although it is below the target.
 func (v *View) missProbability(start int) float64 {
 	if v.OnRaterFailure != manifest.Accept {
 		return 0
@@ -243,15 +246,15 @@
 	return v.Rater.FailureRate * (1 - v.stepStats(start).AcceptProbability)
 }
 
-// defaultAccept is the acceptance probability assumed for a step without
-// statistics.
-const defaultAccept = 0.5
+// defaultAcceptProbability is the acceptance probability assumed for a step
+// without statistics.
+const defaultAcceptProbability = 0.5
 
 func (v *View) stepStats(step int) StepStats {
 	if step < len(v.Stats) {
 		return v.Stats[step]
 	}
-	return StepStats{AcceptProbability: defaultAccept, EscalatedAcceptProbability: defaultAccept}
+	return StepStats{AcceptProbability: defaultAcceptProbability, EscalatedAcceptProbability: defaultAcceptProbability}
 }
 
 func (v *View) expectedLatency(step int) time.Duration {
@@ -266,16 +269,16 @@
 }
 
 const (
-	// raterDownFailureShare is the proportion of failures from which on the
-	// rater counts as down.
-	raterDownFailureShare = 0.8
+	// raterDownFailureRate is the lowest failure rate at which the rater counts
+	// as down.
+	raterDownFailureRate = 0.8
 	// raterDownTimeoutShare is the proportion of the timeout that is used while
 	// the rater is down.
 	raterDownTimeoutShare = 0.1
 )
 
 func (v *View) effectiveRaterTimeout() time.Duration {
-	if v.Rater.FailureRate < raterDownFailureShare {
+	if v.Rater.FailureRate < raterDownFailureRate {
 		return v.RaterTimeout
 	}
 	return time.Duration(raterDownTimeoutShare * float64(v.RaterTimeout))
--- a/cascade/policy_test.go
+++ b/cascade/policy_test.go
@@ -12,8 +12,8 @@
 	"github.com/quetzalweir/quetzalweir/manifest"
 )
 
-// view returns a view of a cascade with a cheap and an expensive step and 70%
-// acceptance, changed by change.
+// view returns a view of a cascade with a cheap and an expensive step, in which
+// 70% of the cheap step's answers are accepted. It calls change on the view.
 func view(change func(v *View)) View {
 	v := View{
 		Steps: []StepInfo{
@@ -38,8 +38,8 @@
 		reason Reason
 	}{
 		{"the saving exceeds the escalations", func(*View) {}, 0, ReasonCheapest},
-		{"hardly ever accepted", func(v *View) { v.Stats[0].AcceptProbability = 0.05 }, 1, ReasonCheapest},
-		{"no saving", func(v *View) { v.Steps[0].Cost = 9 }, 1, ReasonCheapest},
+		{"answers are hardly ever accepted", func(v *View) { v.Stats[0].AcceptProbability = 0.05 }, 1, ReasonCheapest},
+		{"the saving is less than the escalations cost", func(v *View) { v.Steps[0].Cost = 9 }, 1, ReasonCheapest},
 		{"ample time", func(v *View) { v.Remaining = time.Minute }, 0, ReasonCheapest},
 		{"no time to escalate", func(v *View) { v.Remaining = 4 * time.Second }, 1, ReasonDeadline},
 		{"the rater is down and answers escalate", func(v *View) { v.Rater.FailureRate = 1 }, 1, ReasonCheapest},
@@ -48,7 +48,7 @@
 			v.OnRaterFailure = manifest.Accept
 			v.Stats[0].AcceptProbability = 0.95
 		}, 0, ReasonCheapest},
-		{"the rater is down and too many would miss", func(v *View) {
+		{"the rater is down and too many accepted answers would be below the target", func(v *View) {
 			v.Rater.FailureRate = 1
 			v.OnRaterFailure = manifest.Accept
 		}, 1, ReasonCheapest},
@@ -94,9 +94,9 @@
 	}
 	is.True(explored > 0)
 	is.True(float64(explored) < 2*DefaultExploreMin*requests)
-	late := view(func(v *View) { v.Remaining = time.Second })
+	urgent := view(func(v *View) { v.Remaining = time.Second })
 	for range requests { // an earlier step would miss the deadline
-		is.Equal(Policy{}.Decide(late, rnd).Start, 1)
+		is.Equal(Policy{}.Decide(urgent, rnd).Start, 1)
 	}
 }
 
--- a/cascade/stats.go
+++ b/cascade/stats.go
@@ -9,13 +9,14 @@
 	// ratingBuckets is the number of equal buckets of the rating histograms.
 	// With a histogram, statistics stay valid when the target changes.
 	ratingBuckets = 40
-	// ratingWindow is the number of further ratings after which a rating's
-	// weight has decayed to about a third.
+	// ratingWindow is the number of later ratings after which a rating's weight
+	// has decayed to about a third.
 	ratingWindow = 300
-	// statsHalfLife is the time in which the weight of ratings halves.
+	// statsHalfLife is the time in which the weight of a rating halves if no
+	// later ones arrive.
 	statsHalfLife = 30 * time.Minute
-	// priorWeight is the weight, in ratings, of the estimate of the wider
-	// group.
+	// priorWeight is the weight of the estimate from the next wider group: as
+	// much as that of so many ratings.
 	priorWeight = 8
 	// latencySampleWeight is the weight of a new measurement in the moving
 	// average of the latency.
@@ -57,17 +58,19 @@
 }
 
 // probability estimates the probability that a rating reaches the target. The
-// prior counts like priorWeight ratings.
+// prior probability has the weight of priorWeight ratings.
 func (h *histogram) probability(target, prior float64) float64 {
 	return (h.acceptedWeight(target) + priorWeight*prior) / (h.total + priorWeight)
 }
 
-// stepRecord holds the statistics of one step, for requests that started there
-// and for escalated ones.
+// stepRecord holds the statistics of one step. first counts the ratings of answers
+// to requests that started at the step, escalated those of requests that were
+// escalated to it.
 type stepRecord struct {
 	first     histogram
 	escalated histogram
-	// latency is the moving average in seconds; 0 if not measured.
+	// latency is the moving average of the time to the complete answer, in
+	// seconds; 0 if not measured.
 	latency float64
 }
 
@@ -77,35 +80,35 @@
 	decayedAt time.Time
 }
 
-// decay reduces the weight of old ratings.
-func (g *groupRecord) decay(now time.Time) {
-	elapsed := now.Sub(g.decayedAt)
+// decay reduces the weight of the ratings by the time since the last decay.
+func (r *groupRecord) decay(now time.Time) {
+	elapsed := now.Sub(r.decayedAt)
 	if elapsed < statsHalfLife/16 {
 		return
 	}
-	g.decayedAt = now
+	r.decayedAt = now
 	factor := math.Exp2(-float64(elapsed) / float64(statsHalfLife))
-	for i := range g.steps {
-		g.steps[i].first.scale(factor)
-		g.steps[i].escalated.scale(factor)
+	for i := range r.steps {
+		r.steps[i].first.scale(factor)
+		r.steps[i].escalated.scale(factor)
 	}
 }
 
 // maxSteps is the maximum number of steps of a cascade that are recorded.
 const maxSteps = 8
 
-func (g *groupRecord) stepAt(i int) *stepRecord {
+func (r *groupRecord) stepAt(i int) *stepRecord {
 	if i < 0 || i >= maxSteps {
 		return &stepRecord{}
 	}
-	for len(g.steps) <= i {
-		g.steps = append(g.steps, stepRecord{})
+	for len(r.steps) <= i {
+		r.steps = append(r.steps, stepRecord{})
 	}
-	return &g.steps[i]
+	return &r.steps[i]
 }
 
-func (g *groupRecord) record(s Sample) {
-	step := g.stepAt(s.Step)
+func (r *groupRecord) record(s Sample) {
+	step := r.stepAt(s.Step)
 	if s.Latency > 0 {
 		step.observeLatency(s.Latency.Seconds())
 	}
