--- a/admission/class.go
+++ b/admission/class.go
@@ -9,10 +9,11 @@
 	minShare float64
 	// rank is the position in strict order; 0 is the highest class.
 	rank int
-	// credit is the service time that the class may use before higher classes.
+	// credit is the unused service time from the minimum share, for which the
+	// class is served before higher classes.
 	credit time.Duration
-	// arrivals is the decayed rate of arriving service time, in seconds per
-	// second.
+	// arrivals is the decayed rate at which entries arrive, measured by their
+	// expected service time, in seconds per second.
 	arrivals decayedRate
 
 	flows map[string]*flow
@@ -120,8 +121,8 @@
 	return c.startOrder.min().head()
 }
 
-// chargeStart advances the virtual time to an entry that starts to run and
-// charges its cost to its flow.
+// chargeStart advances the class's virtual time to the virtual start time of an
+// entry that starts to run, and charges the entry's cost to its flow.
 func (c *class) chargeStart(f *flow, e *Entry) {
 	c.virtualTime = f.virtualStart
 	f.virtualFinish = f.virtualStart + e.cost()/f.weight
@@ -134,8 +135,8 @@
 	c.removeIdleFlows()
 }
 
-// chargeUnqueued is chargeStart for an entry that never waited.
-func (c *class) chargeUnqueued(e *Entry) {
+// chargeImmediateStart is chargeStart for an entry that never waited.
+func (c *class) chargeImmediateStart(e *Entry) {
 	e.flow.virtualStart = max(c.virtualTime, e.flow.virtualFinish)
 	c.chargeStart(e.flow, e)
 }
--- a/admission/dispatch.go
+++ b/admission/dispatch.go
@@ -36,8 +36,9 @@
 	return highest
 }
 
-// start assigns a slot to an entry and credits each class with its minimum share
-// of the service time.
+// start assigns a slot to an entry. It credits each class with its minimum share
+// of the entry's expected service time, and charges that time to the credit of
+// the entry's own class.
 func (s *Scheduler) start(now time.Duration, e *Entry) {
 	e.state = Running
 	e.startedAt = now
@@ -59,8 +60,8 @@
 	s.byExpectedEnd.remove(e)
 }
 
-// maxCredit returns the limit of a class's credit: its minimum share over
-// creditWindow, but enough for at least one entry.
+// maxCredit returns the limit of a class's credit: its minimum share of the
+// capacity over creditWindow, but enough for at least one entry.
 func (s *Scheduler) maxCredit(c *class) time.Duration {
 	limit := time.Duration(c.minShare * float64(s.capacity) * float64(creditWindow))
 	if c.waiting > 0 {
--- a/admission/doc.go
+++ b/admission/doc.go
@@ -12,7 +12,7 @@
 // locks or timers; the caller passes the time. Queue adds blocking callers and a
 // timer. RetryBudget limits retries to a ratio of first attempts.
 //
-// The entry host has a Queue before its upstreams. A Queue accounts only for
-// requests that it admitted itself: it guarantees nothing about other hosts'
-// load, and it doesn't cancel running requests.
+// On the entry host, requests pass a Queue before they are sent to upstreams. A
+// Queue counts only the requests that it admitted itself, so it can't limit the
+// load from other hosts. It doesn't cancel running requests.
 package admission
--- a/admission/entry.go
+++ b/admission/entry.go
@@ -33,7 +33,8 @@
 	startedAt time.Duration
 
 	flow *flow
-	// predictedStart is the virtual start time as last predicted.
+	// predictedStart is the virtual start time as last predicted by
+	// inServiceOrder.
 	predictedStart float64
 	// prev and next link the entries of one level of a flow.
 	prev, next *Entry
@@ -55,7 +56,7 @@
 // *FullError or ErrUnknownClass; nil if it wasn't refused.
 func (e *Entry) Err() error { return e.err }
 
-// cost returns the work charged to the account.
+// cost returns the work that fair queueing charges to the account.
 func (e *Entry) cost() float64 {
 	if e.Ticket.Cost > 0 {
 		return e.Ticket.Cost
--- a/admission/errors.go
+++ b/admission/errors.go
@@ -25,7 +25,7 @@
 // FullError means that a request was refused because the queue is full. The
 // request did not run.
 type FullError struct {
-	// RetryAfter is the time after which the queue is expected to have room.
+	// RetryAfter is the time in which the current queue is expected to drain.
 	RetryAfter time.Duration
 }
 
--- a/admission/evict.go
+++ b/admission/evict.go
@@ -7,11 +7,11 @@
 	maxRetryAfter = 5 * time.Second
 )
 
-// evictFor refuses a waiting entry in favour of a new one when the queue is
-// full: of the lowest class, below that of the new entry, that has more than its
-// minimum share of the queue, else of the account of the same class with the
-// largest weighted backlog. It returns false if the new entry is the one to
-// refuse.
+// evictFor refuses a waiting entry in favour of the new entry e when the queue is
+// full. Of the classes below that of e, it chooses the lowest one that has more
+// than its minimum share of the queue, and if there is none, the class of e. In
+// that class it refuses the last entry of the account with the largest weighted
+// backlog. It returns false if e is the entry to refuse.
 func (s *Scheduler) evictFor(e *Entry) bool {
 	evicted := s.evictionCandidate(e)
 	if evicted == nil {
@@ -41,7 +41,8 @@
 	return largest.tail()
 }
 
-// drainTime returns the time in which the current queue is expected to drain.
+// drainTime returns the time in which the current queue is expected to drain, as
+// a retry-after within its bounds.
 func (s *Scheduler) drainTime() time.Duration {
 	if s.capacity == 0 {
 		return maxRetryAfter
--- a/admission/flow.go
+++ b/admission/flow.go
@@ -15,16 +15,16 @@
 	waiting int
 	// waitingWork is the expected service time of all waiting entries.
 	waitingWork time.Duration
-	// virtualStart is the virtual start time of the first entry. Backlogged
-	// flows are served in its order.
+	// virtualStart is the virtual start time of the first entry. The flow with
+	// the lowest one is served first.
 	virtualStart float64
-	// virtualFinish is the virtual finish time of the entry served last.
+	// virtualFinish is the virtual finish time of the last entry that started.
 	virtualFinish float64
 
 	startIndex, backlogIndex, idleIndex int
 }
 
-// level is a list of the entries of one priority in order of arrival.
+// level is a list of a flow's entries of one priority, in order of arrival.
 type level struct {
 	priority    int
 	first, last *Entry
@@ -41,8 +41,8 @@
 	}
 }
 
-// weightedBacklog returns the waiting work divided by the weight. The flow with
-// the largest one gives way when the queue is full.
+// weightedBacklog returns the waiting work divided by the weight. When the queue
+// is full, the flow with the largest weighted backlog loses its last entry.
 func (f *flow) weightedBacklog() float64 {
 	return f.waitingWork.Seconds() / f.weight
 }
--- a/admission/heap.go
+++ b/admission/heap.go
@@ -14,7 +14,8 @@
 
 func (h *indexedHeap[T]) len() int { return len(h.items) }
 
-// min returns the first item. The heap must not be empty.
+// min returns the item that less orders before all others. The heap must not be
+// empty.
 func (h *indexedHeap[T]) min() T { return h.items[0] }
 
 func (h *indexedHeap[T]) push(item T) {
--- a/admission/predict.go
+++ b/admission/predict.go
@@ -36,9 +36,9 @@
 	s.correction += sampleWeight * (ratio - s.correction)
 }
 
-// workAhead returns the service time in the class that fair queueing serves
-// before a new entry of the flow: the flow's own work, and that of the other
-// flows in proportion to their weights.
+// workAhead returns the expected service time of the entries of the flow's class
+// that fair queueing serves before a new entry of the flow: the flow's own waiting
+// work, and that of the other flows in proportion to their weights.
 func (s *Scheduler) workAhead(f *flow) time.Duration {
 	c := f.class
 	if f.waiting == 0 {
@@ -48,23 +48,24 @@
 	return min(fairWork, c.waitingWork)
 }
 
-// forecast is the capacity that a class can expect to get, as of one time.
+// forecast holds what determines the waits of a class's entries at one time.
 type forecast struct {
 	// higherWork is the waiting work of higher classes.
 	higherWork time.Duration
-	// slots is the capacity left after the higher classes' expected arrivals
-	// and the lower classes' minimum shares.
+	// slots is the part of the capacity, in slots, that is left for the class
+	// after the expected arrivals of higher classes and the minimum shares of
+	// lower classes.
 	slots float64
 	// minShareSlots is the class's minimum share of the capacity, in slots.
 	minShareSlots float64
-	// credit is the unused minimum share, in service time.
+	// credit is the unused service time from the minimum share.
 	credit time.Duration
 	// untilSlotFree is the expected time until a slot becomes free.
 	untilSlotFree time.Duration
 }
 
 func (s *Scheduler) forecast(now time.Duration, c *class) forecast {
-	o := forecast{
+	result := forecast{
 		slots:         float64(s.capacity),
 		minShareSlots: c.minShare * float64(s.capacity),
 		credit:        c.credit,
@@ -73,26 +74,27 @@
 	for _, other := range s.classes {
 		switch {
 		case other.rank < c.rank:
-			o.higherWork += other.waitingWork
-			o.slots -= other.arrivals.valueAt(now)
+			result.higherWork += other.waitingWork
+			result.slots -= other.arrivals.valueAt(now)
 		case other.rank > c.rank && other.waiting > 0:
-			o.slots -= other.minShare * float64(s.capacity)
+			result.slots -= other.minShare * float64(s.capacity)
 		}
 	}
-	return o
+	return result
 }
 
-// wait returns the expected wait of an entry with the given work of its own
-// class ahead: the shorter of the waits in strict order, after the higher
-// classes, and by the class's minimum share. It returns unbounded if both are.
-func (o forecast) wait(ahead, estimate time.Duration) time.Duration {
-	inStrictOrder := timeFor(o.higherWork+ahead, o.slots)
-	byMinShare := timeFor(max(0, ahead+estimate-o.credit), o.minShareSlots)
+// wait returns the expected wait of an entry if the work ahead of it in its own
+// class is ahead. It is the shorter of two waits: the wait in strict order, after
+// all higher classes, and the wait if the class gets only its minimum share. It is
+// unbounded if both are.
+func (f forecast) wait(ahead, estimate time.Duration) time.Duration {
+	inStrictOrder := timeToServe(f.higherWork+ahead, f.slots)
+	byMinShare := timeToServe(max(0, ahead+estimate-f.credit), f.minShareSlots)
 	wait := min(inStrictOrder, byMinShare)
 	if wait == unbounded {
 		return unbounded
 	}
-	return wait + o.untilSlotFree
+	return wait + f.untilSlotFree
 }
 
 // predictWait returns the expected wait of a new entry.
@@ -103,9 +105,10 @@
 	return s.forecast(now, f.class).wait(s.workAhead(f), estimate)
 }
 
-// untilSlotFree returns the expected time until a slot becomes free: the time to
-// the first expected end, but at most the interval between ends that are evenly
-// spread, since any of several running entries may end early.
+// untilSlotFree returns the expected time until a slot becomes free: the time until
+// the first expected end of a running entry, but at most the interval at which the
+// running entries would end if their ends were evenly spread, since any of them
+// may end early.
 func (s *Scheduler) untilSlotFree(now time.Duration) time.Duration {
 	if s.running < s.capacity || s.running == 0 {
 		return 0
@@ -115,7 +118,7 @@
 	return min(untilFirstEnd, evenlySpread)
 }
 
-func timeFor(work time.Duration, slots float64) time.Duration {
+func timeToServe(work time.Duration, slots float64) time.Duration {
 	if slots <= 0 {
 		return unbounded
 	}
@@ -135,7 +138,8 @@
 	return wait == unbounded || now+wait > e.latestStart
 }
 
-// unmeetableError returns the error that refuses an entry with a predicted wait.
+// unmeetableError returns the error for refusing an entry whose predicted wait is
+// wait.
 func (s *Scheduler) unmeetableError(now time.Duration, e *Entry, wait time.Duration) error {
 	untilDeadline := e.Ticket.Deadline.Sub(s.epoch) - now
 	if wait == unbounded {
@@ -157,9 +161,9 @@
 			continue
 		}
 		var ahead time.Duration
-		o := s.forecast(now, c)
+		classForecast := s.forecast(now, c)
 		for _, e := range s.inServiceOrder(c) {
-			wait := o.wait(ahead, e.estimate)
+			wait := classForecast.wait(ahead, e.estimate)
 			if e.missesDeadline(now, wait) {
 				s.dequeue(e)
 				s.refuseWaiting(e, s.unmeetableError(now, e, wait))
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -9,8 +9,8 @@
 )
 
 // Queue admits requests of concurrent callers. All methods are safe for
-// concurrent use. Each holds one lock for O(log n) steps, except SetCapacity and
-// a check every 20 ms while requests wait, which iterate over the whole queue.
+// concurrent use. Each holds the Queue's lock for O(log n) steps. SetCapacity, and
+// a check every 20 ms while requests wait, instead iterate over the whole queue.
 type Queue struct {
 	clock func() time.Time
 
@@ -34,9 +34,10 @@
 	return &Queue{clock: options.Clock, scheduler: NewScheduler(options)}
 }
 
-// Admit waits for a slot. It returns *UnmeetableError as soon as the deadline is
-// predicted to be missed, *FullError if the queue is full, ErrUnknownClass, or
-// the context's error. If it returns an error, the request holds no slot.
+// Admit waits for a slot. It returns *UnmeetableError as soon as the request is
+// predicted to miss its deadline, *FullError if the queue is full,
+// ErrUnknownClass, or the context's error, wrapped. If it returns an error, the
+// request holds no slot.
 func (q *Queue) Admit(ctx context.Context, ticket Ticket) (*Grant, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, fmt.Errorf("admission: %w", err)
@@ -63,9 +64,9 @@
 	g.queue.apply(func(now time.Time) []*Entry { return g.queue.scheduler.Finish(now, &g.entry) })
 }
 
-// SetCapacity changes the number of concurrent requests, for example after load
-// reports. Running requests continue; waiting ones that can no longer meet their
-// deadlines are refused immediately.
+// SetCapacity changes the maximum number of concurrent requests, for example when
+// upstreams report their load. Running requests continue; waiting ones that can no
+// longer meet their deadlines are refused immediately.
 func (q *Queue) SetCapacity(n int) {
 	q.apply(func(now time.Time) []*Entry { return q.scheduler.SetCapacity(now, n) })
 }
@@ -76,15 +77,15 @@
 	q.apply(func(now time.Time) []*Entry { return q.scheduler.SetClasses(now, classes) })
 }
 
-// Stats returns the current numbers.
+// Stats returns the current numbers of slots, running and waiting requests.
 func (q *Queue) Stats() Stats {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.scheduler.Stats()
 }
 
-// submit reports whether the entry was started or refused. If not, it waits, and
-// its ready channel is set.
+// submit submits an entry and reports whether it was started or refused
+// immediately. If not, the entry waits, and its ready channel is set.
 func (q *Queue) submit(e *Entry) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -101,8 +102,8 @@
 	q.apply(func(now time.Time) []*Entry { return q.scheduler.Cancel(now, e) })
 }
 
-// result returns the result of Admit. The entry was started or refused before,
-// so its state doesn't change concurrently.
+// result returns the result of Admit for an entry that was started or refused.
+// Other goroutines no longer change such an entry's state.
 func (g *Grant) result() (*Grant, error) {
 	if g.entry.err != nil {
 		return nil, g.entry.err
@@ -110,7 +111,8 @@
 	return g, nil
 }
 
-// apply runs one step of the scheduler and notifies the callers of its entries.
+// apply runs one step of the scheduler and unblocks the callers of the entries
+// that it started or refused.
 func (q *Queue) apply(step func(now time.Time) []*Entry) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -118,7 +120,7 @@
 	q.setTimer()
 }
 
-// notify unblocks the callers of entries that were started or refused.
+// notify unblocks the callers of the entries, which were started or refused.
 func (q *Queue) notify(decided []*Entry) {
 	for _, e := range decided {
 		if e.ready != nil {
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 )
 
-func TestQueueAnswersAtOnce(t *testing.T) {
+func TestQueueRefusesBeforeTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		q := New(Options{Capacity: 1, Classes: testClasses})
@@ -20,7 +20,8 @@
 		is.NoErr(err)
 		begin := time.Now()
 		var unmeetable *UnmeetableError
-		// The running request exceeds its estimate, so the wait is longer than predicted.
+		// The running request exceeds its estimate, so the second one waits longer than was
+		// predicted on its arrival.
 		_, err = q.Admit(t.Context(), Ticket{Class: "report", Estimate: second, Deadline: begin.Add(4 * second)})
 		is.True(errors.As(err, &unmeetable))
 		is.True(time.Since(begin) < 4*second) // refused before its deadline
@@ -30,7 +31,7 @@
 	})
 }
 
-func TestQueueCancelledCallersHoldNothing(t *testing.T) {
+func TestCancelledCallersLeaveTheQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		q := New(Options{Capacity: 1, Classes: testClasses})
@@ -54,12 +55,12 @@
 		q := New(Options{Capacity: capacity, Classes: testClasses})
 		var mu sync.Mutex
 		running, maxRunning, admitted := 0, 0, 0
-		enter := func(by int) {
+		addRunning := func(change int) {
 			mu.Lock()
 			defer mu.Unlock()
-			running += by
+			running += change
 			maxRunning = max(maxRunning, running)
-			admitted += max(0, by)
+			admitted += max(0, change)
 		}
 		var wg sync.WaitGroup
 		for i := range callers {
@@ -69,9 +70,9 @@
 					return
 				}
 				defer g.Done()
-				enter(1)
+				addRunning(1)
 				time.Sleep(50 * time.Millisecond)
-				enter(-1)
+				addRunning(-1)
 			})
 		}
 		wg.Wait()
@@ -111,7 +112,7 @@
 	}
 }
 
-// BenchmarkRecheck measures one pass over 900 waiting entries.
+// BenchmarkRecheck measures one call of recheck with 900 waiting entries.
 func BenchmarkRecheck(b *testing.B) {
 	s, _ := newLoadedScheduler(900, 1000)
 	b.ReportAllocs()
--- a/admission/rate.go
+++ b/admission/rate.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// rateWindow is the time constant of the decay.
+// rateWindow is the time constant with which a decayedRate decays.
 const rateWindow = 2 * time.Second
 
 // decayedRate is an exponentially decayed rate, in units per second.
--- a/admission/retry.go
+++ b/admission/retry.go
@@ -9,8 +9,8 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// budgetWindow is the time constant with which unused retries expire, so that a
-// long quiet period doesn't pay for a retry storm.
+// budgetWindow is the time constant with which unused retries expire, so that the
+// retries left over from a long quiet period can't cause a retry storm.
 const budgetWindow = 10 * time.Second
 
 // RetryBudget limits retries to a ratio of first attempts plus a small constant
@@ -61,8 +61,8 @@
 	return true
 }
 
-// decayBalance decays the balance towards its equilibrium under the constant
-// rate.
+// decayBalance moves the balance towards the value at which the constant rate of
+// new retries equals the decay.
 func (b *RetryBudget) decayBalance() {
 	now := b.clock()
 	elapsed := now.Sub(b.updatedAt)
--- a/admission/retry_test.go
+++ b/admission/retry_test.go
@@ -9,13 +9,14 @@
 )
 
 // retryStorm simulates callers that retry every failure a second later, up to
-// maxTries times, against a service whose useful work falls as load rises above
-// its capacity. An outage from 10 s to 20 s starts the retry storm.
+// maxTries attempts, against a service whose number of successes falls as load
+// rises above its capacity. An outage from 10 s to 20 s starts the retry storm.
 type retryStorm struct {
 	budget *RetryBudget
 	rng    *rand.Rand
 	now    time.Time
-	// scheduled counts the attempts of each step by the number of earlier tries.
+	// scheduled holds the number of attempts scheduled for each step of time, by
+	// the number of attempts that each request made before.
 	scheduled [][maxTries]int
 }
 
@@ -27,7 +28,7 @@
 	stormSeconds     = 90
 )
 
-// run returns the attempts and successes of each second.
+// run returns the numbers of attempts and successes in each second.
 func (s *retryStorm) run() (attempts, successes [stormSeconds]int) {
 	s.scheduled = make([][maxTries]int, (stormSeconds+2)*stepsPerSecond)
 	for step := range stormSeconds * stepsPerSecond {
@@ -42,18 +43,18 @@
 				}
 			}
 		}
-		chance := s.successRate(step/stepsPerSecond, float64(load*stepsPerSecond))
+		successRate := s.successRate(step/stepsPerSecond, float64(load*stepsPerSecond))
 		second := step / stepsPerSecond
 		attempts[second] += load
-		successes[second] += s.runAttempts(step, chance)
+		successes[second] += s.runAttempts(step, successRate)
 	}
 	return attempts, successes
 }
 
-func (s *retryStorm) runAttempts(step int, chance float64) (successes int) {
+func (s *retryStorm) runAttempts(step int, successRate float64) (successes int) {
 	for try, n := range s.scheduled[step] {
 		for range n {
-			if s.rng.Float64() < chance {
+			if s.rng.Float64() < successRate {
 				successes++
 				continue
 			}
@@ -65,8 +66,10 @@
 	return successes
 }
 
-// successRate returns 1 up to the capacity. Above it, useful work falls as load
-// rises, since failing attempts use capacity too.
+// successRate returns the probability that an attempt succeeds: 0 during the
+// outage, and 1 if the load is within the capacity. Above the capacity, even the
+// number of successes falls as load rises, since failing attempts use capacity
+// too.
 func (s *retryStorm) successRate(second int, load float64) float64 {
 	if second >= 10 && second < 20 {
 		return 0
@@ -77,14 +80,14 @@
 	return (stormCapacity / load) * (stormCapacity / load)
 }
 
-func TestRetryStormDiesOut(t *testing.T) {
+func TestRetryBudgetEndsRetryStorm(t *testing.T) {
 	for seed := range uint64(5) {
 		is := is.New(t)
 		without := &retryStorm{rng: rand.New(rand.NewPCG(seed, 0))}
 		attempts, successes := without.run()
 		t.Logf("seed %d without budget: attempts/s at 15 s %d, at 30 s %d, at 89 s %d; successes/s at 89 s %d",
 			seed, attempts[15], attempts[30], attempts[89], successes[89])
-		is.True(successes[89] < stormOfferedLoad/2) // the storm sustains itself long after the outage
+		is.True(successes[89] < stormOfferedLoad/2) // retries still cause overload long after the outage
 
 		with := &retryStorm{rng: rand.New(rand.NewPCG(seed, 0))}
 		with.budget = NewRetryBudget(0.1, 1, func() time.Time { return with.now })
--- a/admission/scheduler.go
+++ b/admission/scheduler.go
@@ -11,15 +11,16 @@
 	recheckInterval = 20 * time.Millisecond
 	// unbounded is an infinite wait, and the latest start without a deadline.
 	unbounded = time.Duration(math.MaxInt64)
-	// creditWindow is the time over which a class can accumulate its unused
-	// minimum share.
+	// creditWindow is the time over which a class can accumulate the unused part
+	// of its minimum share.
 	creditWindow = time.Second
 	// initialEstimate is the mean service time assumed before the first sample.
 	initialEstimate = 100 * time.Millisecond
 	// sampleWeight is the weight of a new sample in the mean service time and
 	// in the correction of estimates.
 	sampleWeight = 1.0 / 64
-	// minCorrection and maxCorrection bound the correction of estimates.
+	// minCorrection and maxCorrection bound each sample of the ratio of actual to
+	// estimated service time.
 	minCorrection = 0.25
 	maxCorrection = 4
 )
@@ -30,12 +31,14 @@
 type Scheduler struct {
 	maxQueue int
 	capacity int
-	// classes are in strict order; removed ones stay at the end until a later
-	// change of classes finds them empty.
+	// classes are in strict order, the highest first. Removed ones with waiting
+	// entries stay at the end, until a later call of SetClasses finds them
+	// empty.
 	classes []*class
 	byName  map[string]*class
 
-	// epoch is the time of the first call; durations since it represent times.
+	// epoch is the time of the first call. Times are stored as durations since
+	// epoch.
 	epoch   time.Time
 	started bool
 
@@ -102,7 +105,7 @@
 	}
 	if s.running < s.capacity && s.queued == 0 {
 		c.arrivals.add(now, e.estimate.Seconds())
-		c.chargeUnqueued(e)
+		c.chargeImmediateStart(e)
 		s.start(now, e)
 		return s.decided
 	}
@@ -146,7 +149,7 @@
 	return s.decided
 }
 
-// SetCapacity changes the number of concurrent entries. Running entries
+// SetCapacity changes the maximum number of running entries. Running entries
 // continue; waiting ones that can no longer meet their deadlines are refused.
 func (s *Scheduler) SetCapacity(at time.Time, capacity int) []*Entry {
 	now := s.startCall(at)
@@ -166,8 +169,8 @@
 	return s.decided
 }
 
-// Advance moves the time on and refuses waiting entries that can't meet their
-// deadlines.
+// Advance refuses the waiting entries that can't meet their deadlines, as of the
+// given time.
 func (s *Scheduler) Advance(at time.Time) []*Entry {
 	now := s.startCall(at)
 	s.refuseExpired(now)
@@ -197,13 +200,13 @@
 	Queued   int
 }
 
-// Stats returns the current numbers.
+// Stats returns the current numbers of slots, running and waiting entries.
 func (s *Scheduler) Stats() Stats {
 	return Stats{Capacity: s.capacity, Running: s.running, Queued: s.queued}
 }
 
-// startCall resets the result of the last call and returns the time since the
-// epoch.
+// startCall begins a method call: it clears the entries that the last call
+// returned, and returns the time since the epoch.
 func (s *Scheduler) startCall(at time.Time) time.Duration {
 	if !s.started {
 		s.epoch = at
--- a/admission/scheduler_test.go
+++ b/admission/scheduler_test.go
@@ -27,8 +27,8 @@
 	return t
 }
 
-// newBusyScheduler returns a scheduler with one slot, and the entry that holds it
-// since start.
+// newBusyScheduler returns a scheduler with one slot, and the entry that has held
+// it since start.
 func newBusyScheduler(t *testing.T, options Options) (*Scheduler, *Entry) {
 	t.Helper()
 	options.Capacity = 1
@@ -130,7 +130,7 @@
 		s := NewScheduler(Options{Capacity: 1, Classes: testClasses})
 		e := submit(s, 0, ticket("a", "report", 2*second, second))
 		is.True(errors.As(e.Err(), &unmeetable))
-		is.Equal(unmeetable.RetryAfter, time.Duration(0)) // a retry can't succeed either
+		is.Equal(unmeetable.RetryAfter, time.Duration(0)) // 0 means that a retry can't succeed either
 	})
 	t.Run("predicted wait past the deadline", func(t *testing.T) {
 		is := is.New(t)
@@ -151,7 +151,7 @@
 		}
 		is.True(errors.As(e.Err(), &unmeetable)) // a second before its deadline
 	})
-	t.Run("capacity lost while it waits", func(t *testing.T) {
+	t.Run("capacity falls while it waits", func(t *testing.T) {
 		is := is.New(t)
 		s := NewScheduler(Options{Capacity: 4, Classes: testClasses})
 		for range 4 {
@@ -162,11 +162,11 @@
 			waiting = append(waiting, submit(s, 0, ticket("a", "report", second, 2500*time.Millisecond)))
 		}
 		decided := s.SetCapacity(start, 1)
-		is.True(len(decided) >= 2) // the last ones are refused immediately
+		is.True(len(decided) >= 2) // at least the last two are refused immediately
 		is.Equal(waiting[0].State(), Waiting)
 		is.True(errors.As(waiting[3].Err(), &unmeetable))
 		s.SetCapacity(start, 0)
-		is.True(errors.As(waiting[0].Err(), &unmeetable)) // there is no capacity left
+		is.True(errors.As(waiting[0].Err(), &unmeetable)) // without capacity, no deadline can be met
 	})
 	t.Run("a request without a deadline keeps waiting without any capacity", func(t *testing.T) {
 		is := is.New(t)
@@ -177,7 +177,7 @@
 		s.SetCapacity(start.Add(time.Hour), 1)
 		is.Equal(e.State(), Running)
 	})
-	t.Run("a full queue drops the lowest class first, then the largest backlog", func(t *testing.T) {
+	t.Run("a full queue refuses entries of the lowest class first, then of the largest backlog", func(t *testing.T) {
 		is := is.New(t)
 		s, _ := newBusyScheduler(t, Options{Classes: testClasses, MaxQueue: 3})
 		lowest := submit(s, 0, ticket("a", "narration", second, 0))
@@ -198,7 +198,7 @@
 	})
 }
 
-func TestRetiredClassIsServedLast(t *testing.T) {
+func TestRemovedClassIsServedLast(t *testing.T) {
 	is := is.New(t)
 	s, holder := newBusyScheduler(t, Options{Classes: testClasses})
 	submit(s, 0, ticket("old", "report", second, 0))
--- a/admission/ticket.go
+++ b/admission/ticket.go
@@ -11,14 +11,15 @@
 type ClassOptions struct {
 	Name string
 	// MinShare is the proportion of the capacity, from 0 to 1, that the class
-	// gets under load of higher classes; default 0. The sum over all classes is
-	// at most 1.
+	// gets even if requests of higher classes wait; default 0. The sum over all
+	// classes must be at most 1.
 	MinShare float64
 }
 
 // Options configures a Queue or Scheduler.
 type Options struct {
-	// Capacity is the number of concurrent requests; 0 or less runs none.
+	// Capacity is the maximum number of concurrent requests; with 0 or less, no
+	// request runs.
 	Capacity int
 	// Classes are the classes, highest priority first.
 	Classes []ClassOptions
