--- a/admission/predict.go
+++ b/admission/predict.go
@@ -83,13 +83,13 @@
 	return result
 }
 
-// wait returns the expected wait of an entry if the work ahead of it in its own
-// class is ahead. It is the shorter of two waits: the wait in strict order, after
-// all higher classes, and the wait if the class gets only its minimum share. It is
-// unbounded if both are.
-func (f forecast) wait(ahead, estimate time.Duration) time.Duration {
-	inStrictOrder := timeToServe(f.higherWork+ahead, f.slots)
-	byMinShare := timeToServe(max(0, ahead+estimate-f.credit), f.minShareSlots)
+// wait returns the expected wait of an entry, given the expected service time of
+// the entries of its class that are served before it. It is the shorter of two
+// waits: the wait in strict order, after all higher classes, and the wait if the
+// class gets only its minimum share. It is unbounded if both are.
+func (f forecast) wait(workAhead, estimate time.Duration) time.Duration {
+	inStrictOrder := timeToServe(f.higherWork+workAhead, f.slots)
+	byMinShare := timeToServe(max(0, workAhead+estimate-f.credit), f.minShareSlots)
 	wait := min(inStrictOrder, byMinShare)
 	if wait == unbounded {
 		return unbounded
@@ -160,16 +160,16 @@
 		if c.waiting == 0 {
 			continue
 		}
-		var ahead time.Duration
+		var workAhead time.Duration
 		classForecast := s.forecast(now, c)
 		for _, e := range s.inServiceOrder(c) {
-			wait := classForecast.wait(ahead, e.estimate)
+			wait := classForecast.wait(workAhead, e.estimate)
 			if e.missesDeadline(now, wait) {
 				s.dequeue(e)
 				s.refuseWaiting(e, s.unmeetableError(now, e, wait))
 				continue
 			}
-			ahead += e.estimate
+			workAhead += e.estimate
 		}
 	}
 	clear(s.serviceOrder[:cap(s.serviceOrder)])
--- a/admission/scheduler.go
+++ b/admission/scheduler.go
@@ -57,6 +57,10 @@
 	// correction is the decayed ratio of actual to estimated service times.
 	correction float64
 
+	// The slices below are reused by each call: decided holds the entries that
+	// waited and that the call started or refused, serviceOrder holds the result
+	// of inServiceOrder.
+
 	decided      []*Entry
 	serviceOrder []*Entry
 }
--- a/quota/decide.go
+++ b/quota/decide.go
@@ -26,8 +26,8 @@
 	// othersShortage is the number of slots that other hosts are short of,
 	// othersEntitled the part of it that brings them up to the fair share.
 	othersShortage, othersEntitled int
-	// othersExcess is the number of slots that other hosts hold above their
-	// fair share.
+	// othersExcess is the number of slots that other hosts hold above the fair
+	// share, summed over these hosts.
 	othersExcess int
 }
 
--- a/quota/lease.go
+++ b/quota/lease.go
@@ -10,7 +10,8 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// lease is the host's lease on its holdings. It is immutable.
+// lease is the host's lease on its holdings, which are recorded under the holder
+// ID id. It is immutable.
 type lease struct {
 	id string
 	// version is the version of the host row.
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -41,7 +41,8 @@
 	// The fields below are used only by the goroutine of Run.
 
 	// renewalAttempt numbers renewals. pendingID is a holder ID that isn't
-	// registered yet.
+	// registered yet. hostRows holds the versions of all host rows, by holder
+	// ID. lastMeasured is when the current measurement period began.
 	renewalAttempt uint64
 	pendingID      string
 	hostRows       map[string]observedVersion
--- a/quota/limiter_test.go
+++ b/quota/limiter_test.go
@@ -15,8 +15,8 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // twoHosts returns a simulation of two hosts with one account. The first host holds
-// all slots. takeMany takes as many of 1000 requests as a limiter allows and spends
-// them in checker.
+// all slots. takeMany sends 1000 requests to a limiter and records in checker those
+// that it allows.
 func twoHosts(t *testing.T) (s *sim, checker *limitChecker, takeMany func(l *Limiter)) {
 	limit := Limit{Account: "acme", Rate: 100, Burst: 100}
 	s = newSim(1, []Limit{limit})
--- a/quota/measure_test.go
+++ b/quota/measure_test.go
@@ -188,12 +188,12 @@
 func TestMeasure(t *testing.T) {
 	loads := []loadPattern{
 		{desc: "even, 0.8 of the limit", factor: 0.8, share: evenLoad},
-		{desc: "even, 1.5", factor: 1.5, share: evenLoad},
-		{desc: "uneven, 0.8", factor: 0.8, share: unevenLoad},
-		{desc: "uneven, 1.5", factor: 1.5, share: unevenLoad},
-		{desc: "moving each minute, 0.8", factor: 0.8, share: movingLoad},
-		{desc: "moving, 0.8, table down for 8 min", factor: 0.8, share: movingLoad, downFrom: time.Second, downUntil: 8 * time.Minute},
-		{desc: "even, 0.8, a host killed each 2 min", factor: 0.8, share: evenLoad, replaceEvery: 2 * time.Minute},
+		{desc: "even, 1.5 of the limit", factor: 1.5, share: evenLoad},
+		{desc: "uneven, 0.8 of the limit", factor: 0.8, share: unevenLoad},
+		{desc: "uneven, 1.5 of the limit", factor: 1.5, share: unevenLoad},
+		{desc: "moving each minute, 0.8 of the limit", factor: 0.8, share: movingLoad},
+		{desc: "moving each minute, 0.8 of the limit, table down for 8 min", factor: 0.8, share: movingLoad, downFrom: time.Second, downUntil: 8 * time.Minute},
+		{desc: "even, 0.8 of the limit, a host crashes each 2 min", factor: 0.8, share: evenLoad, replaceEvery: 2 * time.Minute},
 	}
 	for _, load := range loads {
 		t.Run(load.desc, func(t *testing.T) {
--- a/rollout/budget_test.go
+++ b/rollout/budget_test.go
@@ -181,7 +181,7 @@
 		c.takeUntilRefused(host)
 		is.NoErr(host.ClaimGrants(t.Context(), c.granters[0]))
 	}
-	for range 3 * GrantInitial { // all that is granted without evidence
+	for range 3 * GrantInitial { // uses up all that is granted without good answers
 		takeAllAndClaim()
 	}
 	before := c.table.Counts().Gets
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -16,9 +16,10 @@
 type VersionRule struct {
 	Model   string
 	Version string
-	// Epoch is the manifest epoch that set or last renewed this rule. Later
-	// manifests that contain the rule unchanged keep this epoch, because a
-	// higher one starts with a full budget, no evidence and no stop.
+	// Epoch numbers the roll-outs of the version. It isn't the epoch of the
+	// manifest: a new manifest with the same number keeps the budget, the
+	// evidence and the stop, a higher number starts with a full budget, no
+	// evidence and no stop.
 	Epoch uint64
 	// Budget is the number of answers that all hosts together may give before
 	// the version is cleared; 0 means no limit.
--- a/rollout/tracker_test.go
+++ b/rollout/tracker_test.go
@@ -44,23 +44,23 @@
 	}
 }
 
-func TestClearing(t *testing.T) {
+func TestClearedVersionIsNotBoundByTheBudget(t *testing.T) {
 	is := is.New(t)
 	tracker := newTracker("a", newClock(), testRule)
 	n := takeAndObserve(tracker, 5000, goodOutcome)
-	is.Equal(n, 5000) // the budget doesn't apply after clearing
+	is.Equal(n, 5000) // more than the budget of 700
 	is.True(tracker.Cleared("m", "2"))
 	is.True(tracker.Export()[0].Taken < uint64(testRule.Budget))
 }
 
-func TestClearedVersionCanTurnBad(t *testing.T) {
+func TestClearedVersionCanBeStopped(t *testing.T) {
 	is := is.New(t)
 	clock := newClock()
 	tracker := newTracker("a", clock, testRule)
 	takeAndObserve(tracker, 20000, goodOutcome)
 	clock.Advance(maxSegments * SegmentLength)
 	n := takeAndObserve(tracker, 500, Outcome{Failed: true})
-	is.True(n < 10) // the earlier good answers don't hide the failures
+	is.True(n < 10) // the segments show the failures despite 20,000 earlier good answers
 	stop, _ := tracker.Stopped("m", "2")
 	is.Equal(stop.Reason, ReasonErrors)
 }
