--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,5 +1,5 @@
-// Package boottime provides a clock that continues while the host is suspended. It is for the
-// ages of leases, documents, budgets, pauses and observations of other hosts.
+// Package boottime provides a clock that continues while the host is suspended. Use it for the
+// ages of leases, documents and observations of other hosts, and for budgets and pauses.
 //
 // Go's own monotonic clock stops during a suspension: a host that uses it treats data from
 // before the suspension as recent after resuming. Timers, and the measurement of single calls,
@@ -14,11 +14,11 @@
 )
 
 const (
-	// refreshInterval is how long a reading of the suspended time is cached: suspensions last
+	// refreshInterval is how long a reading of the suspended time is cached. Suspensions last
 	// seconds, and a reading takes two system calls.
 	refreshInterval = 10 * time.Millisecond
-	// maxReadError is the maximum difference between two readings without a suspension in
-	// between.
+	// maxReadError is the maximum difference between two readings of the suspended time if
+	// there was no suspension between them.
 	maxReadError = 5 * time.Millisecond
 )
 
@@ -27,12 +27,12 @@
 	// suspended by then.
 	start         = time.Now()
 	initialOffset = clockOffset(0)
-	// suspended is the time for which the host has been suspended since start, in nanoseconds;
-	// refreshedAt is when it was last read, in nanoseconds since start.
-	suspended   atomic.Int64
-	refreshedAt atomic.Int64
-	// simulated is added to suspended, for SimulateSuspension.
-	simulated atomic.Int64
+	// suspendedNanos is the time for which the host has been suspended since start;
+	// refreshedAtNanos is when it was last read, as the time since start.
+	suspendedNanos   atomic.Int64
+	refreshedAtNanos atomic.Int64
+	// simulatedNanos is the time that SimulateSuspension adds to suspendedNanos.
+	simulatedNanos atomic.Int64
 )
 
 // Now returns the current time. Compare it only with other times of this clock: after a
@@ -42,10 +42,10 @@
 	return now.Add(suspension(now))
 }
 
-// Since returns the time since a time of this clock.
+// Since returns the time since t, which must be a time of this clock.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until returns the time until a time of this clock.
+// Until returns the time until t, which must be a time of this clock.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
 // Elapsed returns the time since the start of the process.
@@ -53,20 +53,20 @@
 
 // suspension returns the time for which the host has been suspended since start.
 func suspension(now time.Time) time.Duration {
-	// A test's clock may be earlier than start.
+	// The virtual clock of a test may be earlier than start.
 	since := max(1, now.Sub(start).Abs().Nanoseconds())
-	if lastRefresh := refreshedAt.Load(); lastRefresh == 0 || since-lastRefresh > int64(refreshInterval) || since < lastRefresh {
-		refreshedAt.Store(since)
+	if lastRefresh := refreshedAtNanos.Load(); lastRefresh == 0 || since-lastRefresh > int64(refreshInterval) || since < lastRefresh {
+		refreshedAtNanos.Store(since)
 		updateSuspended(clockOffset(initialOffset) - initialOffset)
 	}
-	return time.Duration(suspended.Load() + simulated.Load())
+	return time.Duration(suspendedNanos.Load() + simulatedNanos.Load())
 }
 
-// updateSuspended applies a new reading. Readings may differ by the time between their two
-// system calls.
+// updateSuspended stores a new reading of the suspended time if it shows a suspension. Readings
+// without one may differ by the time between the two system calls of a reading.
 func updateSuspended(offset int64) {
-	if current := suspended.Load(); offset-current > int64(maxReadError) {
-		suspended.CompareAndSwap(current, offset)
+	if current := suspendedNanos.Load(); offset-current > int64(maxReadError) {
+		suspendedNanos.CompareAndSwap(current, offset)
 	}
 }
 
@@ -80,8 +80,9 @@
 	return boot.Nano() - monotonic.Nano()
 }
 
-// SimulateSuspension advances the clock as a suspension of the host would, for tests; undo reverts that.
+// SimulateSuspension advances the clock as a suspension of the host would, for tests; undo
+// reverts that.
 func SimulateSuspension(d time.Duration) (undo func()) {
-	simulated.Add(int64(d))
-	return func() { simulated.Add(-int64(d)) }
+	simulatedNanos.Add(int64(d))
+	return func() { simulatedNanos.Add(-int64(d)) }
 }
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// After a suspension the clock is ahead by its duration.
+// A suspension advances the clock by its duration.
 func TestSuspensionCounts(t *testing.T) {
 	for _, d := range []time.Duration{time.Second, 5 * time.Second, 20 * time.Second} {
 		is := is.New(t)
@@ -16,7 +16,7 @@
 		undo := SimulateSuspension(d)
 		passed, monotonicElapsed := Since(before), time.Since(monotonicStart)
 		is.True(passed >= d)
-		is.True(passed < d+monotonicElapsed+time.Second) // nothing else is added
+		is.True(passed < d+monotonicElapsed+time.Second) // the clock advances by nothing else
 		is.True(before.Before(Now()))
 		is.True(Until(before) <= -d)
 		undo()
@@ -34,18 +34,18 @@
 	})
 }
 
-// A reading that differs by no more than the time between its system calls isn't a suspension; a
-// greater difference is one.
+// A reading that differs from the last one by no more than maxReadError isn't taken for a
+// suspension; one that exceeds it by more is.
 func TestJitterIsNoSuspension(t *testing.T) {
 	is := is.New(t)
-	current := suspended.Load()
-	defer suspended.Store(current)
+	current := suspendedNanos.Load()
+	defer suspendedNanos.Store(current)
 	updateSuspended(current + int64(maxReadError))
-	is.Equal(suspended.Load(), current)
+	is.Equal(suspendedNanos.Load(), current)
 	updateSuspended(current - int64(time.Second))
-	is.Equal(suspended.Load(), current) // it never decreases
+	is.Equal(suspendedNanos.Load(), current) // it never decreases
 	updateSuspended(current + int64(2*time.Second))
-	is.Equal(suspended.Load(), current+int64(2*time.Second))
+	is.Equal(suspendedNanos.Load(), current+int64(2*time.Second))
 }
 
 func BenchmarkNow(b *testing.B) {
--- a/internal/logline/bounded.go
+++ b/internal/logline/bounded.go
@@ -7,18 +7,18 @@
 	"sync/atomic"
 )
 
-// queueLines is the number of lines queued for a slow output: about what a busy host logs in a
-// second.
+// queueLines is the maximum number of lines that wait for a slow output, about as many as a
+// busy host logs in a second.
 const queueLines = 4096
 
-// Bounded is an asynchronous writer with a bounded queue. If the queue is full, a line is
-// dropped and counted, so that Write never blocks.
+// Bounded is a writer that queues lines and writes them to its output in the background. If the
+// queue is full, it drops and counts further lines, so that Write never blocks.
 type Bounded struct {
-	out     io.Writer
-	lines   chan []byte
-	dropped atomic.Uint64
-	closed  sync.Once
-	drained chan struct{}
+	out       io.Writer
+	lines     chan []byte
+	dropped   atomic.Uint64
+	closeOnce sync.Once
+	drained   chan struct{}
 }
 
 // NewBounded returns a writer to out. Close stops it.
@@ -41,21 +41,21 @@
 // Dropped returns the number of dropped lines.
 func (b *Bounded) Dropped() uint64 { return b.dropped.Load() }
 
-// Close writes the queued lines. Write must not be called after it.
+// Close writes the queued lines and stops the writer. Write must not be called after it.
 func (b *Bounded) Close() {
-	b.closed.Do(func() { close(b.lines) })
+	b.closeOnce.Do(func() { close(b.lines) })
 	<-b.drained
 }
 
 func (b *Bounded) run() {
 	defer close(b.drained)
-	reported := uint64(0)
+	reportedDrops := uint64(0)
 	for line := range b.lines {
-		// A failure to write the log can't be reported anywhere else.
+		// There is no other place to report that the log can't be written.
 		_, _ = b.out.Write(line)
-		if dropped := b.dropped.Load(); dropped != reported {
-			_, _ = fmt.Fprintf(b.out, "level=warn event=log-lines-left-out count=%d total=%d\n", dropped-reported, dropped)
-			reported = dropped
+		if dropped := b.dropped.Load(); dropped != reportedDrops {
+			_, _ = fmt.Fprintf(b.out, "level=warn event=log-lines-left-out count=%d total=%d\n", dropped-reportedDrops, dropped)
+			reportedDrops = dropped
 		}
 	}
 }
--- a/internal/logline/logline.go
+++ b/internal/logline/logline.go
@@ -1,7 +1,7 @@
 // Package logline provides loggers that write one line of key=value pairs for each event.
 //
-// The command line creates the loggers of hosts; library packages don't log. The lines are meant
-// for reading and searching, and the names of pairs aren't a stable interface.
+// The command line creates the loggers of hosts; library packages don't log. The lines are
+// meant for reading and searching, and their keys aren't a stable interface.
 package logline
 
 import (
--- a/internal/logline/logline_test.go
+++ b/internal/logline/logline_test.go
@@ -10,7 +10,7 @@
 	"github.com/rs/zerolog"
 )
 
-func TestOneLineOfPairsAnEvent(t *testing.T) {
+func TestEachEventIsOneLineOfPairs(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	log := New(&out, zerolog.InfoLevel)
--- a/internal/logline/pairs.go
+++ b/internal/logline/pairs.go
@@ -18,8 +18,8 @@
 
 // Write implements io.Writer. It takes one event and writes one line.
 func (w *pairWriter) Write(event []byte) (int, error) {
-	l := lines.Get().(*line)
-	defer lines.Put(l)
+	l := linePool.Get().(*line)
+	defer linePool.Put(l)
 	l.format(event)
 	if _, err := w.out.Write(l.text); err != nil {
 		return 0, err
@@ -28,7 +28,7 @@
 }
 
 // leading lists the fields at the start of a line.
-var leading = [...]string{
+var leadingFields = [...]string{
 	zerolog.TimestampFieldName,
 	zerolog.LevelFieldName,
 	zerolog.MessageFieldName,
@@ -42,13 +42,14 @@
 	text []byte
 	// leadingPairs holds the pairs of the leading fields, otherPairs those of all others, each
 	// pair followed by a space.
-	leadingPairs [len(leading)][]byte
+	leadingPairs [len(leadingFields)][]byte
 	otherPairs   []byte
-	// add is the line's addPair method, bound once to avoid an allocation per event.
+	// add is the line's addPair method as a function value, created once because creating it
+	// for each event would allocate memory.
 	add func(key, value []byte, kind jsonparser.ValueType, offset int) error
 }
 
-var lines = sync.Pool{New: func() any {
+var linePool = sync.Pool{New: func() any {
 	l := &line{}
 	l.add = l.addPair
 	return l
@@ -79,9 +80,9 @@
 	}
 }
 
-// addPair adds one field of an event.
+// addPair adds one field of an event to the line's pairs.
 func (l *line) addPair(key, value []byte, kind jsonparser.ValueType, _ int) error {
-	for i, name := range leading {
+	for i, name := range leadingFields {
 		if string(key) == name {
 			l.leadingPairs[i] = appendPair(l.leadingPairs[i][:0], key, value, kind)
 			return nil
@@ -103,7 +104,8 @@
 	return append(dst, ' ')
 }
 
-// appendKey appends a key and replaces the characters that could be taken for its end.
+// appendKey appends a key, with _ in place of each character that could be taken for the end of
+// the key.
 func appendKey(dst, key []byte) []byte {
 	for _, c := range key {
 		if !isPlain(c) {
@@ -114,8 +116,8 @@
 	return dst
 }
 
-// appendString appends the value of a JSON string. Printable ASCII without escapes is the same
-// in JSON and in Go syntax.
+// appendString appends the value of a JSON string, in quotes if necessary. Printable ASCII
+// without escapes is the same in JSON and in Go syntax.
 func appendString(dst, escaped []byte) []byte {
 	switch {
 	case allBytes(escaped, isPlain) && len(escaped) > 0:
--- a/internal/logline/pairs_test.go
+++ b/internal/logline/pairs_test.go
@@ -14,8 +14,8 @@
 	_ "github.com/quetzalweir/quetzalweir/internal/rapidseed"
 )
 
-// parseLine is a strict parser of lines. It returns the keys and values alternately, and false
-// if the text isn't one line of pairs.
+// parseLine parses a line strictly. It returns the keys and values alternately; ok is false if
+// the text isn't exactly one line of pairs.
 func parseLine(text string) (parts []string, ok bool) {
 	text, ok = strings.CutSuffix(text, "\n")
 	for ok && text != "" {
@@ -42,7 +42,7 @@
 	return parts, ok
 }
 
-func TestValuesComeBackAndForgeNoPair(t *testing.T) {
+func TestValuesRoundTripAndForgeNoPair(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first := rapid.String().Draw(t, "first")
 		second := rapid.StringOf(rapid.SampledFrom([]rune("ab =\"\\\n\t\x00\x7fé\u2028"))).Draw(t, "second")
--- a/internal/stall/stall_test.go
+++ b/internal/stall/stall_test.go
@@ -75,9 +75,10 @@
 	return n, nil
 }
 
-// io.ReadAll reads into buffers that grow with the data. A reader that fills them returned
-// nothing for seconds although data arrived all the time, so an answer of 750 kB at 160 kB a
-// second was canceled after 490 kB at each attempt: received_bytes=492097 took_ms=3117.
+// Guards against a Reader that fills large buffers before it reports progress. io.ReadAll reads
+// into buffers that grow with the data; an earlier version returned nothing for seconds while
+// it filled them, although data arrived all the time. An answer of 750 kB at 160 kB a second
+// was therefore canceled after 490 kB at each attempt: received_bytes=492097 took_ms=3117.
 func TestReaderReportsProgressWhileALargeBufferFills(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// Every calls do once per interval, first after one interval, until ctx ends. A call that takes
-// longer than the interval delays the next one.
+// Every calls do once per interval until ctx ends; the first call is made after one interval. A
+// call that takes longer than the interval delays the next one.
 func Every(ctx context.Context, interval time.Duration, do func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/internal/wait/wait_test.go
+++ b/internal/wait/wait_test.go
@@ -16,7 +16,8 @@
 	tests := []struct {
 		desc string
 		d    time.Duration
-		// timeout is when the context ends; took is how long the wait must take.
+		// timeout is the time until the context ends; took is the duration that the wait must
+		// have.
 		timeout, took time.Duration
 		want          error
 	}{
