--- a/internal/exchange/assign.go
+++ b/internal/exchange/assign.go
@@ -10,38 +10,39 @@
 )
 
 // A hub that serves hosts of another availability zone causes cross-zone traffic, which
-// operators pay for, and it serves the hosts of several zones. If a zone has enough hosts, the
-// seed that they report to therefore names the strongest of them as their hub. That host keeps
-// reporting to the seed, on behalf of all its followers. Hosts beyond the capacity of one hub
-// get another hub of their zone in the same way.
+// operators pay for, and it may have to serve the hosts of several zones. If a zone has enough
+// hosts, the seed that they report to therefore appoints the strongest of them as their hub.
+// The appointed host keeps reporting to the seed, on behalf of all its followers. Hosts beyond
+// the capacity of one hub get further hubs in their zone in the same way.
 
 const (
-	// electionDelay is the time from a zone's first report to the election of its hub. It lets
-	// the zone's stronger hosts report too: when all hosts start at once, they all report
-	// within 300 ms.
-	electionDelay = 500 * time.Millisecond
-	// failedHubBackoff is how long a host isn't assigned again to a hub that failed to answer
-	// it. The hub's last report to the seed may still count for WorkAge.
+	// appointmentDelay is the time from the first report of a zone's hosts to the appointment
+	// of its hub. It allows stronger hosts of the zone to report too: when all hosts start at
+	// once, all of them report within 300 ms.
+	appointmentDelay = 500 * time.Millisecond
+	// failedHubBackoff is how long a host accepts no assignment to a hub that failed to answer
+	// it. The seed may still assign hosts to that hub, since the hub's last report counts for
+	// WorkAge.
 	failedHubBackoff = 2 * time.Second
 )
 
-// zoneHubs holds the hubs that this hub has named for one zone.
+// zoneHubs holds the hubs that this hub has appointed for one zone.
 type zoneHubs struct {
-	// firstReportAt is when the zone's first host reported here.
+	// firstReportAt is when the first host of the zone reported here.
 	firstReportAt time.Time
-	// named holds the hubs' names, in the order in which they were elected.
-	named []string
-	// assigned counts the hosts that were assigned to each hub since assignedSince. The hubs'
-	// own reports include these hosts only a moment later.
-	assigned      map[string]int
-	assignedSince time.Time
-	// reassignedAt holds when each host was assigned to another hub. Its last report here still
-	// counts for a while.
+	// appointed holds the names of the hubs in the order of their appointment.
+	appointed []string
+	// recentAssignments counts the hosts that were assigned to each hub since
+	// recentAssignmentsSince. The hubs' own reports include these hosts only a moment later.
+	recentAssignments      map[string]int
+	recentAssignmentsSince time.Time
+	// reassignedAt is when each host was assigned to another hub. Its last report here still
+	// counts for a while after that.
 	reassignedAt map[string]time.Time
 }
 
-// assign returns the address of the hub that a host should report to instead of this one, or ""
-// if the host should stay.
+// assign returns the address of the hub to which the host should report instead of this one, or
+// "" if the host should stay.
 func (h *hub) assign(from string, r Report) string {
 	if r.Address == "" || r.Hosts > 1 {
 		return "" // a hub itself, or a host that can't be one
@@ -50,36 +51,36 @@
 	defer h.mu.Unlock()
 	h.dropExpired()
 	z := h.currentZoneHubs(r.Zone)
-	if slices.Contains(z.named, from) {
+	if slices.Contains(z.appointed, from) {
 		return ""
 	}
 	delete(z.reassignedAt, from) // the host still reports here
 	direct := h.directHosts(r.Zone)
-	if r.Zone == h.zone && len(direct) <= h.directLimit() {
+	if r.Zone == h.zone && len(direct) <= h.maxDirectHosts() {
 		return ""
 	}
-	if r.Zone != h.zone && len(z.named) == 0 && len(direct) < minFollowers {
+	if r.Zone != h.zone && len(z.appointed) == 0 && len(direct) < minHostsPerHub {
 		return ""
 	}
 	hub := h.leastLoadedHub(z)
-	if hub == "" && boottime.Since(z.firstReportAt) >= electionDelay {
-		hub = h.electHubs(z, r.Zone, direct)
+	if hub == "" && boottime.Since(z.firstReportAt) >= appointmentDelay {
+		hub = h.appointHubs(z, r.Zone, direct)
 	}
 	if hub == "" || hub == from {
 		return ""
 	}
-	z.assigned[hub]++
+	z.recentAssignments[hub]++
 	z.reassignedAt[from] = boottime.Now()
 	return h.reports[hub].report.Address
 }
 
-// directLimit returns how many hosts of its own zone this hub serves directly, besides the hubs
-// that report here. With more than maxFollowers in all, the hub relays tables to some of them
-// only. The caller holds the lock.
-func (h *hub) directLimit() int { return max(0, maxFollowers-h.reporters().hubs) }
+// maxDirectHosts returns how many hosts of its own zone this hub serves directly: what
+// maxHostsPerHub leaves beside the hubs that report here. With more reporters than that, the
+// hub would relay tables to some of them only. The caller holds the lock.
+func (h *hub) maxDirectHosts() int { return max(0, maxHostsPerHub-h.countReporters().hubs) }
 
-// currentZoneHubs returns the zone's entry, without hubs and assignments that have expired. The
-// caller holds the lock.
+// currentZoneHubs drops the zone's hubs that no longer report and the assignments that have
+// expired, and returns the zone's record. The caller holds the lock.
 func (h *hub) currentZoneHubs(zone string) *zoneHubs {
 	z := h.zones[zone]
 	now := boottime.Now()
@@ -87,73 +88,74 @@
 		z = &zoneHubs{firstReportAt: now, reassignedAt: make(map[string]time.Time)}
 		h.zones[zone] = z
 	}
-	z.named = slices.DeleteFunc(z.named, func(name string) bool { _, ok := h.reports[name]; return !ok })
+	z.appointed = slices.DeleteFunc(z.appointed, func(name string) bool { _, ok := h.reports[name]; return !ok })
 	maps.DeleteFunc(z.reassignedAt, func(_ string, at time.Time) bool { return now.Sub(at) > WorkAge })
-	if z.assigned == nil || now.Sub(z.assignedSince) > WorkAge {
-		z.assigned, z.assignedSince = make(map[string]int), now
+	if z.recentAssignments == nil || now.Sub(z.recentAssignmentsSince) > WorkAge {
+		z.recentAssignments, z.recentAssignmentsSince = make(map[string]int), now
 	}
 	return z
 }
 
-// directHosts returns the names of the zone's hosts that report here for themselves alone,
-// except those that were just assigned to another hub. The caller holds the lock.
+// directHosts returns the names of the zone's hosts that report here on their own behalf alone
+// and can be reached by other hosts, except those that were just assigned to another hub. The
+// caller holds the lock.
 func (h *hub) directHosts(zone string) []string {
 	var names []string
 	z := h.zones[zone]
-	for name, got := range h.reports {
-		if _, sent := z.reassignedAt[name]; sent {
+	for name, received := range h.reports {
+		if _, reassigned := z.reassignedAt[name]; reassigned {
 			continue
 		}
-		if got.report.Zone == zone && got.hosts == 1 && !got.fromHub && got.report.Address != "" {
+		if received.report.Zone == zone && received.hosts == 1 && !received.fromHub && received.report.Address != "" {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// leastLoadedHub returns the zone's hub that serves the fewest hosts, or "" if all of them are
-// full. The caller holds the lock.
+// leastLoadedHub returns the name of the zone's appointed hub that serves the fewest hosts, or
+// "" if each of them serves maxHostsPerHub. The caller holds the lock.
 func (h *hub) leastLoadedHub(z *zoneHubs) string {
-	hub, fewest := "", maxFollowers
-	for _, name := range z.named {
-		if n := h.reports[name].hosts + z.assigned[name]; n < fewest {
+	hub, fewest := "", maxHostsPerHub
+	for _, name := range z.appointed {
+		if n := h.reports[name].hosts + z.recentAssignments[name]; n < fewest {
 			hub, fewest = name, n
 		}
 	}
 	return hub
 }
 
-// electHubs names as many hubs as the zone needs, at least one, and returns one of them, or ""
-// if there is no candidate. It picks the strongest hosts that aren't hubs yet. All are named at
-// once: a strong host that has been assigned to the first hub no longer reports here and can't
-// be named later. The caller holds the lock.
-func (h *hub) electHubs(z *zoneHubs, zone string, direct []string) string {
+// appointHubs appoints as many hubs as the zone needs, at least one, and returns the name of
+// one of them, or "" if there is no candidate. It picks the strongest hosts that aren't hubs
+// yet. It appoints all of them at once, because a strong host that has been assigned to the
+// first hub no longer reports here and can't be appointed later. The caller holds the lock.
+func (h *hub) appointHubs(z *zoneHubs, zone string, direct []string) string {
 	hosts := len(direct)
-	for _, name := range z.named {
+	for _, name := range z.appointed {
 		hosts += h.reports[name].hosts
 	}
 	if zone == h.zone {
-		hosts -= h.directLimit()
+		hosts -= h.maxDirectHosts()
 	}
-	need := (hosts + maxFollowers - 1) / maxFollowers
-	direct = slices.DeleteFunc(direct, func(name string) bool { return name == h.self || slices.Contains(z.named, name) })
+	needed := (hosts + maxHostsPerHub - 1) / maxHostsPerHub
+	direct = slices.DeleteFunc(direct, func(name string) bool { return name == h.self || slices.Contains(z.appointed, name) })
 	slices.SortFunc(direct, func(a, b string) int {
 		return -cmp.Or(cmp.Compare(h.reports[a].report.Strength, h.reports[b].report.Strength), cmp.Compare(a, b))
 	})
 	for i, name := range direct {
-		if i > 0 && len(z.named) >= need {
+		if i > 0 && len(z.appointed) >= needed {
 			break
 		}
-		z.named = append(z.named, name)
+		z.appointed = append(z.appointed, name)
 		h.log.Info().Str("event", "hub-named").Str("hub", name).Str("zone", zone).
-			Float64("strength", h.reports[name].report.Strength).Int("among", len(direct)).Int("need", need).Msg("")
+			Float64("strength", h.reports[name].report.Strength).Int("among", len(direct)).Int("need", needed).Msg("")
 	}
 	return h.leastLoadedHub(z)
 }
 
-// awaitsHub reports whether the host's zone will get a hub of its own soon. The caller holds
-// the lock.
-func (h *hub) awaitsHub(r Report) bool {
+// awaitsZoneHub reports whether the host's zone will get a hub of its own soon. The caller
+// holds the lock.
+func (h *hub) awaitsZoneHub(r Report) bool {
 	z := h.zones[r.Zone]
-	return r.Zone != h.zone && z != nil && len(z.named) == 0 && len(h.directHosts(r.Zone)) >= minFollowers
+	return r.Zone != h.zone && z != nil && len(z.appointed) == 0 && len(h.directHosts(r.Zone)) >= minHostsPerHub
 }
--- a/internal/exchange/assign_test.go
+++ b/internal/exchange/assign_test.go
@@ -12,23 +12,24 @@
 	"github.com/rs/zerolog"
 )
 
-// reportAll sends a report of each named host to the hub, and returns the hub that each is
-// assigned to.
+// reportAll sends the hub a report from each named host, and returns the address of the hub to
+// which each was assigned, "" if it stayed. The host "strong" has 40 times the strength of the
+// others.
 func reportAll(t *testing.T, h *hub, zone string, names ...string) map[string]string {
 	t.Helper()
-	sent := make(map[string]string)
+	assigned := make(map[string]string)
 	for _, name := range names {
 		strength := 4.0
 		if name == "strong" {
 			strength = 160
 		}
-		reply, err := h.exchange(t.Context(), name, Report{Zone: zone, Address: "to " + name, Strength: strength})
+		reply, err := h.handleReport(t.Context(), name, Report{Zone: zone, Address: "to " + name, Strength: strength})
 		if err != nil {
 			t.Fatal(err)
 		}
-		sent[name] = reply.Assigned
+		assigned[name] = reply.Assigned
 	}
-	return sent
+	return assigned
 }
 
 func hostNames(n int, more ...string) []string {
@@ -42,27 +43,28 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		h := newHub(Options{Host: "seed", Zone: "z1"}, zerolog.Nop())
-		names := hostNames(minFollowers, "strong")
+		names := hostNames(minHostsPerHub, "strong")
 		for _, to := range reportAll(t, h, "z2", names...) {
-			is.Equal(to, "") // stronger hosts may still report
+			is.Equal(to, "") // the hub waits for reports from stronger hosts
 		}
-		time.Sleep(electionDelay)
+		time.Sleep(appointmentDelay)
 		for name, to := range reportAll(t, h, "z2", names...) {
 			if name == "strong" {
-				is.Equal(to, "") // it keeps reporting here
+				is.Equal(to, "") // the appointed hub keeps reporting to the seed
 			} else {
 				is.Equal(to, "to strong")
 			}
 		}
 		is.Equal(reportAll(t, h, "z1", "host of this zone")["host of this zone"], "")
 
-		// The hub reports for all; the seed counts them and assigns new hosts to it.
+		// The appointed hub reports for nine hosts. The seed counts them, and assigns a new host
+		// to it.
 		time.Sleep(WorkAge + time.Millisecond)
-		_, err := h.exchange(t.Context(), "strong", Report{Zone: "z2", Address: "to strong", Hosts: 9})
+		_, err := h.handleReport(t.Context(), "strong", Report{Zone: "z2", Address: "to strong", Hosts: 9})
 		is.NoErr(err)
 		is.Equal(reportAll(t, h, "z2", "newcomer")["newcomer"], "to strong")
 		is.Equal(h.hostCount(toHost), 10)
-		is.Equal(h.followers(), 2)
+		is.Equal(h.reporterCount(), 2)
 	})
 }
 
@@ -70,9 +72,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		h := newHub(Options{Host: "seed", Zone: "z1"}, zerolog.Nop())
-		names := hostNames(minFollowers - 1)
+		names := hostNames(minHostsPerHub - 1)
 		reportAll(t, h, "z2", names...)
-		time.Sleep(electionDelay)
+		time.Sleep(appointmentDelay)
 		for _, to := range reportAll(t, h, "z2", names...) {
 			is.Equal(to, "")
 		}
@@ -83,38 +85,39 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		h := newHub(Options{Host: "seed", Zone: "z1"}, zerolog.Nop())
-		names := hostNames(minFollowers)
+		names := hostNames(minHostsPerHub)
 		reportAll(t, h, "z2", append(names, "strong")...)
-		time.Sleep(electionDelay)
+		time.Sleep(appointmentDelay)
 		is.Equal(reportAll(t, h, "z2", append(names, "strong")...)["host-0"], "to strong")
-		time.Sleep(WorkAge + time.Millisecond) // the hub no longer reports, its hosts return
+		time.Sleep(WorkAge + time.Millisecond) // the hub's report expires; its hosts report here again
 		reportAll(t, h, "z2", names...)
 		to := reportAll(t, h, "z2", names...)["host-0"]
 		is.True(to != "" && to != "to strong")
 	})
 }
 
-// Hosts beyond the capacity of one hub get another one, also in the hub's own zone.
-func TestMoreHostsThanOneHubServes(t *testing.T) {
+// Hosts beyond the capacity of one hub are assigned to another one, also in the seed's own
+// zone.
+func TestLargeZoneGetsSeveralHubs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		h := newHub(Options{Host: "seed", Zone: "z1"}, zerolog.Nop())
-		names := hostNames(3*maxFollowers, "strong")
+		names := hostNames(3*maxHostsPerHub, "strong")
 		reportAll(t, h, "z1", names...)
-		time.Sleep(electionDelay)
+		time.Sleep(appointmentDelay)
 		counts := make(map[string]int)
 		for _, to := range reportAll(t, h, "z1", names...) {
 			counts[to]++
 		}
 		is.True(len(counts) >= 3)
 		for to, n := range counts {
-			is.True(to == "" || n <= maxFollowers)
+			is.True(to == "" || n <= maxHostsPerHub)
 		}
 	})
 }
 
-// Two hosts that report to each other don't count each other's sums repeatedly.
-func TestHostsThatReportToEachOther(t *testing.T) {
+// If two hosts report to each other, neither includes the other's sums in its own report.
+func TestHostsThatReportToEachOtherAreCountedOnce(t *testing.T) {
 	is := is.New(t)
 	h := newHub(Options{Host: "one", Zone: "z1"}, zerolog.Nop())
 	h.record("one", Report{Zone: "z1", Address: "to one", Work: Work{1: 10}})
@@ -124,9 +127,10 @@
 	is.Equal(report.Work, Work{1: 10})
 }
 
-// In a zone with more hosts than one hub serves, the seed's own hub keeps as many as it can
-// serve, and relays table updates to the zone's other hubs. Without followers of its own it
-// relayed nothing to them, and each of their followers read the store.
+// In a zone with more hosts than one hub serves, the seed keeps as many followers as it can
+// serve, and relays table updates to the zone's other hubs. Guards against a seed that assigns
+// all of its hosts to other hubs: without followers of its own it relays nothing, and every
+// follower of those hubs queries the store.
 func TestSeedOfALargeZoneRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -138,30 +142,32 @@
 			switch {
 			case slices.Contains(f.seeds, h.address):
 				seeds++
-				is.True(n > maxFollowers/2)
+				is.True(n > maxHostsPerHub/2)
 				is.True(h.member.Relays())
 			case n > 1:
 				hubs++
-				is.True(h.member.hub.receivesTables.Load())
+				is.True(h.member.ownHub.receivesTables.Load())
 			}
 		}
 		is.True(seeds > 0 && hubs > 0)
 	})
 }
 
-// A seed whose only followers are hubs relays to them: they report for many hosts.
+// A seed whose only followers are hubs relays table updates to them, since they report for many
+// hosts.
 func TestSeedOfHubsRelays(t *testing.T) {
 	is := is.New(t)
 	h := newHub(Options{Host: "seed", Zone: "z1"}, zerolog.Nop())
 	h.record("seed", Report{Zone: "z1"})
-	h.record("hub", Report{Zone: "z2", Hosts: minFollowers - 2})
+	h.record("hub", Report{Zone: "z2", Hosts: minHostsPerHub - 2})
 	is.True(!h.relays())
-	h.record("hub", Report{Zone: "z2", Hosts: minFollowers - 1})
+	h.record("hub", Report{Zone: "z2", Hosts: minHostsPerHub - 1})
 	is.True(h.relays())
 	is.True(h.relaysTo("hub"))
 }
 
-// All hubs of a zone are among its strongest hosts, including the second and third one.
+// All hubs that a seed appoints for a zone, not only the first one, are among its strongest
+// hosts.
 func TestHubsAreTheStrongestHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -173,14 +179,14 @@
 			if i < strong {
 				strength = 1600
 			}
-			reply, err := h.exchange(t.Context(), names[i], Report{Zone: "z2", Address: "to " + names[i], Strength: strength})
+			reply, err := h.handleReport(t.Context(), names[i], Report{Zone: "z2", Address: "to " + names[i], Strength: strength})
 			is.NoErr(err)
 			return reply.Assigned
 		}
 		for i := range names {
 			report(i)
 		}
-		time.Sleep(electionDelay)
+		time.Sleep(appointmentDelay)
 		followers := make(map[string]int)
 		for i := range names {
 			if to := report(len(names) - 1 - i); to != "" {
@@ -189,14 +195,15 @@
 		}
 		is.Equal(len(followers), 4)
 		for to, n := range followers {
-			is.True(n < maxFollowers)
+			is.True(n < maxHostsPerHub)
 			is.True(slices.Contains(names[:strong], strings.TrimPrefix(to, "to ")))
 		}
 	})
 }
 
-// A seed with many hubs below it relays to all that report to it. When it also served 64 hosts
-// of its own zone, it relayed nothing to some of them for as long as they stayed.
+// A seed to which many hubs report relays table updates to all of them and to all hosts of its
+// own zone that it keeps. Guards against a seed that keeps 64 hosts of its own zone besides the
+// hubs, and then relays nothing to some of them for as long as they report to it.
 func TestSeedOfManyHubsRelaysToAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -218,7 +225,7 @@
 					stayed = append(stayed, name)
 					continue
 				}
-				reply, err := h.exchange(t.Context(), name, Report{Zone: "z1", Address: "to " + name, Strength: 4})
+				reply, err := h.handleReport(t.Context(), name, Report{Zone: "z1", Address: "to " + name, Strength: 4})
 				is.NoErr(err)
 				if reply.Assigned == "" {
 					stayed = append(stayed, name)
@@ -229,12 +236,12 @@
 			names = stayed
 			time.Sleep(Interval)
 		}
-		is.True(h.followers() <= maxFollowers)
+		is.True(h.reporterCount() <= maxHostsPerHub)
 		for _, name := range names {
 			is.True(h.relaysTo(name))
 		}
 		for hub, n := range hubHosts {
-			is.True(n < maxFollowers)
+			is.True(n < maxHostsPerHub)
 			is.True(h.relaysTo(hub))
 		}
 	})
--- a/internal/exchange/choosehub.go
+++ b/internal/exchange/choosehub.go
@@ -14,74 +14,76 @@
 )
 
 // findHub chooses this host's hub among the seeds that answer: the first seed of this host's
-// zone in the configured order, which may be this host itself. Without one, all hosts of the
-// zone choose the same seed of another zone. A seed's zone isn't known before it has answered.
+// zone in the configured order, which may be this host itself. If there is none, all hosts of
+// the zone choose the same seed of another zone. A seed's zone is unknown until the seed has
+// answered once.
 func (m *Member) findHub(ctx context.Context, net network) {
 	reached := m.probeSeeds(ctx, net)
 	m.nextProbeAt = boottime.Now().Add(m.nextProbeDelay(len(reached) > 0))
-	found := m.chooseHub(reached)
-	if found == m.current {
+	chosen := m.chooseHub(reached)
+	if chosen == m.hubAddress {
 		return
 	}
-	m.switchHub(found)
-	m.homeSeed = found
-	if found == "" {
+	m.switchHub(chosen)
+	m.chosenSeed = chosen
+	if chosen == "" {
 		return
 	}
-	m.log.Info().Str("event", "hub-found").Str("hub", m.current).Str("zone", m.seedZones[m.current]).Int("reached", len(reached)).Msg("")
+	m.log.Info().Str("event", "hub-found").Str("hub", m.hubAddress).Str("zone", m.seedZones[m.hubAddress]).Int("reached", len(reached)).Msg("")
 }
 
-// nextProbeDelay returns the time until the next probe of the seeds. It grows with each probe
-// that no seed answered.
-func (m *Member) nextProbeDelay(found bool) time.Duration {
-	if found {
+// nextProbeDelay returns the time until the next probe of the seeds. While no seed answers, it
+// grows with each probe.
+func (m *Member) nextProbeDelay(anyAnswered bool) time.Duration {
+	if anyAnswered {
 		m.failedProbes = 0
 		return hubRetryInterval
 	}
-	pause := min(noHubRetryInterval<<m.failedProbes, hubRetryInterval)
+	delay := min(noHubRetryInterval<<m.failedProbes, hubRetryInterval)
 	m.failedProbes = min(m.failedProbes+1, maxProbeDoublings)
-	return pause/2 + rand.N(pause)
+	return delay/2 + rand.N(delay)
 }
 
-// switchHub makes the address the hub that this host reports to.
+// switchHub makes the hub at the address the one that this host reports to; "" stands for none.
 func (m *Member) switchHub(address string) {
-	m.hub.forgetHub(m.current)
-	m.current = address
-	m.currentHub.Store(&address)
-	m.hubSince = boottime.Now()
-	m.hubReadsSeq, m.forwardedReadsSeq = 0, 0
-	m.limits, m.granted = ratelease.LogReader{}, nil
-	m.resendSightings()
+	m.ownHub.dropHubData(m.hubAddress)
+	m.hubAddress = address
+	m.publishedHubAddress.Store(&address)
+	m.hubChosenAt = boottime.Now()
+	m.hubPrefixSeq, m.forwardedPrefixSeq = 0, 0
+	m.hubLimitReader, m.hubGrants = ratelease.LogReader{}, nil
+	m.requeueSightings()
 }
 
-// acceptAssignment switches to the hub that the current one assigned.
+// acceptAssignment switches to the hub that the current one assigned, unless that hub recently
+// failed to answer this host.
 func (m *Member) acceptAssignment(assigned string) {
-	if assigned == "" || assigned == m.options.Listen || assigned == m.current || boottime.Now().Before(m.avoidUntil[assigned]) {
+	if assigned == "" || assigned == m.options.Listen || assigned == m.hubAddress || boottime.Now().Before(m.avoidUntil[assigned]) {
 		return
 	}
-	m.log.Info().Str("event", "hub-assigned").Str("hub", assigned).Str("by", m.current).Msg("")
+	m.log.Info().Str("event", "hub-assigned").Str("hub", assigned).Str("by", m.hubAddress).Msg("")
 	m.switchHub(assigned)
 }
 
-// hubFailed handles a hub that doesn't answer. A host that had been assigned to it returns to
-// the seed that assigned it; any other host looks for another seed.
+// hubFailed handles a failed report to the hub. A host that had been assigned to the hub
+// returns to the seed that assigned it; any other host looks for another seed.
 func (m *Member) hubFailed(net network, err error) {
-	lost := m.current
-	m.log.Warn().Str("event", "hub-lost").Str("hub", lost).Err(err).Msg("")
-	net.forget(lost)
-	if lost != m.homeSeed {
-		m.avoidUntil[lost] = boottime.Now().Add(failedHubBackoff)
-		m.switchHub(m.homeSeed)
+	failed := m.hubAddress
+	m.log.Warn().Str("event", "hub-lost").Str("hub", failed).Err(err).Msg("")
+	net.disconnect(failed)
+	if failed != m.chosenSeed {
+		m.avoidUntil[failed] = boottime.Now().Add(failedHubBackoff)
+		m.switchHub(m.chosenSeed)
 		return
 	}
 	m.switchHub("")
 	m.nextProbeAt = time.Time{}
 }
 
-// probeSeeds queries all seeds at once, so that several dead ones take no longer than one, and
-// returns those that answered, in the configured order. Once a seed of this host's zone has
-// answered, it waits for the others only for otherSeedsWait: when all hosts restart at once,
-// some seeds answer later than the one that is needed.
+// probeSeeds queries all seeds concurrently, so that several dead ones take no longer than one,
+// and returns those that answered, in the configured order. Once a seed of this host's zone has
+// answered, probeSeeds waits for the others only for otherSeedsWait: when all hosts restart at
+// once, some seeds start to answer later than the one that this host needs.
 func (m *Member) probeSeeds(ctx context.Context, net network) []string {
 	type answer struct{ seed, zone string }
 	answers := make(chan answer, len(m.options.Seeds))
@@ -93,12 +95,12 @@
 		go func() {
 			reply, err := callWithTimeout(ctx, net, seed, Report{Zone: m.options.Zone, Probe: true})
 			if err != nil {
-				net.forget(seed) // the seed may be gone for good; the next probe dials again
+				net.disconnect(seed) // the seed may be gone for good; the next probe dials again
 			}
 			answers <- answer{seed, reply.Zone}
 		}()
 	}
-	var enough <-chan time.Time
+	var waitedForOthers <-chan time.Time
 	reached := make(map[string]bool)
 	for range m.options.Seeds {
 		select {
@@ -108,22 +110,22 @@
 			}
 			reached[a.seed] = true
 			m.seedZones[a.seed] = a.zone
-			if a.zone == m.options.Zone && enough == nil {
-				enough = time.After(otherSeedsWait)
+			if a.zone == m.options.Zone && waitedForOthers == nil {
+				waitedForOthers = time.After(otherSeedsWait)
 			}
 			continue
-		case <-enough:
+		case <-waitedForOthers:
 		}
 		break
 	}
 	return slices.DeleteFunc(slices.Clone(m.options.Seeds), func(seed string) bool { return !reached[seed] })
 }
 
-// otherSeedsWait is how long probeSeeds waits for the other seeds after one of its own zone has
-// answered: several round trips between zones.
+// otherSeedsWait is how long probeSeeds waits for the other seeds after a seed of this host's
+// zone has answered. It covers several round trips between zones.
 const otherSeedsWait = 50 * time.Millisecond
 
-// chooseHub returns the hub among the seeds that answered, or "" if none did.
+// chooseHub returns the seed to use as the hub among those that answered, or "" if none did.
 func (m *Member) chooseHub(reached []string) string {
 	if i := slices.IndexFunc(reached, func(seed string) bool { return m.seedZones[seed] == m.options.Zone }); i >= 0 {
 		return reached[i]
@@ -131,16 +133,16 @@
 	if len(reached) == 0 {
 		return ""
 	}
-	return slices.MaxFunc(reached, func(a, b string) int { return cmp.Compare(m.seedWeight(a), m.seedWeight(b)) })
+	return slices.MaxFunc(reached, func(a, b string) int { return cmp.Compare(m.seedRank(a), m.seedRank(b)) })
 }
 
-// hubIsFinal reports whether no better hub can be found: all seeds before the current one are
-// known to be in other zones.
-func (m *Member) hubIsFinal() bool {
-	if m.current == "" {
+// hasBestHub reports whether no probe can find a better hub: this host was assigned to its hub,
+// or its hub is the first seed of its zone, or all seeds are known to be in other zones.
+func (m *Member) hasBestHub() bool {
+	if m.hubAddress == "" {
 		return false
 	}
-	if m.current != m.homeSeed {
+	if m.hubAddress != m.chosenSeed {
 		return true // assigned by a seed
 	}
 	for _, seed := range m.options.Seeds {
@@ -149,14 +151,15 @@
 		case !known:
 			return false
 		case zone == m.options.Zone:
-			return seed == m.current
+			return seed == m.hubAddress
 		}
 	}
 	return true
 }
 
-// seedWeight ranks the seeds of other zones in the same order on all hosts of this zone.
-func (m *Member) seedWeight(seed string) uint64 { return hash(m.options.Zone, seed) }
+// seedRank returns the rank of a seed of another zone. All hosts of this host's zone rank the
+// seeds alike.
+func (m *Member) seedRank(seed string) uint64 { return hash(m.options.Zone, seed) }
 
 // hash maps the strings to an evenly distributed number that is the same on all hosts.
 func hash(parts ...string) uint64 {
--- a/internal/exchange/evidence.go
+++ b/internal/exchange/evidence.go
@@ -6,14 +6,15 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// Tally counts the answers of one version.
+// Tally counts the answers by one version of a service on one route, and how many of them count
+// as failed and as slow.
 type Tally struct {
 	Answers int `json:"answers"`
 	Failed  int `json:"failed,omitempty"`
 	Slow    int `json:"slow,omitempty"`
-	// From marks the upstreams that gave bad answers: each sets the bit hash(upstream) modulo
-	// 64.
-	From uint64 `json:"from,omitempty"`
+	// BadUpstreamBits has the bit hash(upstream) modulo 64 set for each upstream that gave a
+	// failed or slow answer.
+	BadUpstreamBits uint64 `json:"from,omitempty"`
 }
 
 // Add adds another host's counts.
@@ -21,19 +22,20 @@
 	t.Answers += o.Answers
 	t.Failed += o.Failed
 	t.Slow += o.Slow
-	t.From |= o.From
+	t.BadUpstreamBits |= o.BadUpstreamBits
 }
 
-// AddSource records the upstream of a bad answer.
+// AddSource records the upstream that gave a failed or slow answer.
 func (t *Tally) AddSource(upstream string) {
-	t.From |= 1 << (hash(upstream) % 64)
+	t.BadUpstreamBits |= 1 << (hash(upstream) % 64)
 }
 
-// Sources returns a lower bound of the number of upstreams that gave bad answers: two upstreams
-// may share a bit.
-func (t *Tally) Sources() int { return bits.OnesCount64(t.From) }
+// Sources returns a lower bound of the number of upstreams that gave failed or slow answers.
+// Two upstreams may have the same bit.
+func (t *Tally) Sources() int { return bits.OnesCount64(t.BadUpstreamBits) }
 
-// Versions holds the counts of the version that is being rolled out and of the previous one.
+// Versions holds, for one route, the counts of the version that is being rolled out and of the
+// previous one.
 type Versions struct {
 	Old Tally `json:"old"`
 	New Tally `json:"new"`
@@ -45,11 +47,12 @@
 	v.New.Add(o.New)
 }
 
-// Evidence holds the answers that hosts counted during a roll-out.
+// Evidence holds the answers that one host or several hosts counted during the roll-out of a
+// service.
 type Evidence struct {
 	Service string `json:"service"`
-	// Order is the store's revision of the operators' roll-out order. Counts of different
-	// orders aren't added up.
+	// Order is the revision, in the store, of the operator's order for the roll-out. Counts
+	// that belong to different orders aren't added up.
 	Order storage.Revision `json:"order"`
 	// Routes holds the counts by route.
 	Routes map[string]Versions `json:"routes"`
@@ -61,7 +64,8 @@
 	order   storage.Revision
 }
 
-// addEvidence adds the counts in list to sums.
+// addEvidence adds the counts in the list to sums, which holds the counts of each roll-out by
+// route.
 func addEvidence(sums map[evidenceKey]map[string]Versions, list []Evidence) {
 	for _, e := range list {
 		key := evidenceKey{e.Service, e.Order}
@@ -76,15 +80,15 @@
 	}
 }
 
-// otherEvidence returns the sums over all hosts of any zone, except self, for the roll-outs in
-// progress.
+// otherEvidence returns the counts for the roll-outs in progress, summed over all hosts of any
+// zone except self.
 func (h *hub) otherEvidence(self string, to audience) []Evidence {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	sums := make(map[evidenceKey]map[string]Versions)
-	for host, got := range h.reports {
-		if host != self && to.includes(got) {
-			addEvidence(sums, got.report.Evidence)
+	for host, received := range h.reports {
+		if host != self && to.includes(received) {
+			addEvidence(sums, received.report.Evidence)
 		}
 	}
 	var list []Evidence
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -27,24 +27,24 @@
 		is := is.New(t)
 		h := newHub(Options{Zone: "z1"}, zerolog.Nop())
 		report := func(host, zone string, work Work) Reply {
-			reply, err := h.exchange(t.Context(), host, Report{Zone: zone, Work: work})
+			reply, err := h.handleReport(t.Context(), host, Report{Zone: zone, Work: work})
 			is.NoErr(err)
 			return reply
 		}
 		report("a", "z1", Work{HashID("u1"): 2, HashID("u2"): 1})
 		report("far", "z2", Work{HashID("u1"): 50})
 		report("b", "z1", Work{HashID("u1"): 3})
-		reply := report("b", "z1", Work{HashID("u1"): 4}) // the host's own work isn't counted
+		reply := report("b", "z1", Work{HashID("u1"): 4}) // a host's own work isn't in its reply
 		is.Equal(reply.Zone, "z1")
 		is.Equal(reply.Work, Work{HashID("u1"): 52, HashID("u2"): 1})
-		is.Equal(report("a", "z1", nil).Work, Work{HashID("u1"): 54}) // the newest report
+		is.Equal(report("a", "z1", nil).Work, Work{HashID("u1"): 54}) // only b's newest report counts
 
 		time.Sleep(WorkAge + time.Millisecond) // the others' reports expire
 		is.Equal(len(report("a", "z1", nil).Work), 0)
 	})
 }
 
-// Each hub's followers are counted once, however many hubs query each other.
+// Each hub's followers are counted once, however often the hubs query each other.
 func TestHubsAddEachOthersFollowers(t *testing.T) {
 	is := is.New(t)
 	one, two, three := newHub(Options{Zone: "z1"}, zerolog.Nop()), newHub(Options{Zone: "z2"}, zerolog.Nop()), newHub(Options{Zone: "z3"}, zerolog.Nop())
@@ -59,23 +59,23 @@
 				if asked == asker {
 					continue
 				}
-				reply, err := asked.exchange(t.Context(), "another hub", Report{Hub: true})
+				reply, err := asked.handleReport(t.Context(), "another hub", Report{HubQuery: true})
 				is.NoErr(err)
-				asker.recordHub(name, reply, reply.Hosts)
+				asker.recordHubReply(name, reply, reply.Hosts)
 			}
 		}
 	}
 	for _, h := range hubs {
-		is.Equal(h.followers(), 1) // a hub that queries isn't a follower
+		is.Equal(h.reporterCount(), 1) // a hub that queries isn't a follower
 		is.Equal(h.hostCount(toHost), 3)
-		reply, err := h.exchange(t.Context(), "me", Report{})
+		reply, err := h.handleReport(t.Context(), "me", Report{})
 		is.NoErr(err)
 		is.Equal(reply.Work, Work{HashID("u"): 30})
 		is.Equal(reply.Evidence[0].Routes["r"].New, Tally{Answers: 6, Failed: 3})
 	}
 }
 
-// If the upstreams are too many for a short message, the busiest ones are sent.
+// If there are more upstreams than a reply may hold, the reply holds those with the most work.
 func TestBusiestUpstreamsAreReported(t *testing.T) {
 	is := is.New(t)
 	h := newHub(Options{Zone: "z1"}, zerolog.Nop())
@@ -89,17 +89,17 @@
 	is.Equal(reported[HashID(fmt.Sprint("u", 10*maxReportedUpstreams-1))], float64(10*maxReportedUpstreams-1))
 }
 
-// A host that switches its hub sends the new one no evidence until the old one's copy has
+// A host that switches to another hub sends it no evidence until the previous hub's copy has
 // expired.
 func TestEvidenceIsNotCountedTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		seen := []Evidence{{Service: "s", Order: 7}}
-		m := New(Options{Zone: "z1", Work: func() Work { return nil }, Evidence: func() []Evidence { return seen }}, zerolog.Nop())
-		m.hubSince = time.Now()
+		counted := []Evidence{{Service: "s", Order: 7}}
+		m := New(Options{Zone: "z1", Work: func() Work { return nil }, Evidence: func() []Evidence { return counted }}, zerolog.Nop())
+		m.hubChosenAt = time.Now()
 		is.Equal(len(m.ownReport().Evidence), 0)
 		time.Sleep(WorkAge + time.Millisecond)
-		is.Equal(m.ownReport().Evidence, seen)
+		is.Equal(m.ownReport().Evidence, counted)
 	})
 }
 
@@ -117,13 +117,13 @@
 func TestHubAddsEvidence(t *testing.T) {
 	is := is.New(t)
 	h := newHub(Options{Zone: "z1"}, zerolog.Nop())
-	of := func(service string, order storage.Revision, failed int) Evidence {
+	evidence := func(service string, order storage.Revision, failed int) Evidence {
 		return Evidence{Service: service, Order: order, Routes: map[string]Versions{"r": {New: Tally{Answers: 2 * failed, Failed: failed}}}}
 	}
-	h.record("a", Report{Zone: "z1", Evidence: []Evidence{of("s", 7, 1)}})
-	h.record("b", Report{Zone: "z2", Evidence: []Evidence{of("s", 7, 2)}}) // the sums include all zones
-	h.record("c", Report{Zone: "z1", Evidence: []Evidence{of("s", 8, 4)}}) // another order
-	reply, err := h.exchange(t.Context(), "me", Report{Zone: "z1", Evidence: []Evidence{of("s", 7, 100)}})
+	h.record("a", Report{Zone: "z1", Evidence: []Evidence{evidence("s", 7, 1)}})
+	h.record("b", Report{Zone: "z2", Evidence: []Evidence{evidence("s", 7, 2)}}) // the sums include all zones
+	h.record("c", Report{Zone: "z1", Evidence: []Evidence{evidence("s", 8, 4)}}) // counts for another order aren't added
+	reply, err := h.handleReport(t.Context(), "me", Report{Zone: "z1", Evidence: []Evidence{evidence("s", 7, 100)}})
 	is.NoErr(err)
 	sums := make(map[storage.Revision]Tally)
 	for _, e := range reply.Evidence {
@@ -133,16 +133,16 @@
 	is.Equal(sums, map[storage.Revision]Tally{7: {Answers: 6, Failed: 3}, 8: {Answers: 8, Failed: 4}})
 }
 
-func TestHubRelaysToSome(t *testing.T) {
+func TestNumberOfHostsRelayedTo(t *testing.T) {
 	tests := []struct {
-		desc           string
-		followers      int
-		least, highest int
+		desc                   string
+		followers              int
+		minRelayed, maxRelayed int
 	}{
-		{"too few to spare calls", minFollowers - 1, 0, 0},
-		{"enough", minFollowers, minFollowers, minFollowers},
-		{"as many as it can take", maxFollowers, maxFollowers, maxFollowers},
-		{"too many", 4 * maxFollowers, maxFollowers / 2, maxFollowers * 3 / 2},
+		{"fewer hosts than a hub must have to relay", minHostsPerHub - 1, 0, 0},
+		{"enough", minHostsPerHub, minHostsPerHub, minHostsPerHub},
+		{"as many hosts as a hub relays to", maxHostsPerHub, maxHostsPerHub, maxHostsPerHub},
+		{"more hosts than a hub relays to", 4 * maxHostsPerHub, maxHostsPerHub / 2, maxHostsPerHub * 3 / 2},
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
@@ -157,17 +157,18 @@
 					relayed++
 				}
 			}
-			is.True(relayed >= test.least && relayed <= test.highest)
+			is.True(relayed >= test.minRelayed && relayed <= test.maxRelayed)
 		})
 	}
 }
 
-// A hub that no longer has followers stops querying the store for them.
+// A hub whose followers no longer report stops relaying, so it no longer queries the store more
+// often on their behalf.
 func TestRelayEndsWithItsFollowers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		h := newHub(Options{Zone: "z1"}, zerolog.Nop())
-		for i := range minFollowers {
+		for i := range minHostsPerHub {
 			h.record(fmt.Sprint(i), Report{Zone: "z1"})
 		}
 		is.True(h.relays())
@@ -185,10 +186,10 @@
 		want    string
 	}{
 		{"none answers", "z1", nil, ""},
-		{"the one of its own zone", "z1", []string{"s1", "s2", "s3"}, "s1"},
-		{"the first of its own zone", "z2", []string{"s1", "s2", "s3"}, "s2"},
-		{"the second while the first is gone", "z2", []string{"s1", "s3"}, "s3"},
-		{"another zone's, the only one", "z3", []string{"s2"}, "s2"},
+		{"the seed of its own zone", "z1", []string{"s1", "s2", "s3"}, "s1"},
+		{"the first seed of its own zone", "z2", []string{"s1", "s2", "s3"}, "s2"},
+		{"the second seed of its own zone while the first is gone", "z2", []string{"s1", "s3"}, "s3"},
+		{"the only seed, of another zone", "z3", []string{"s2"}, "s2"},
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
@@ -205,7 +206,7 @@
 	})
 }
 
-// installation runs hosts on loopback addresses.
+// installation runs hosts that communicate over loopback addresses.
 type installation struct {
 	t     *testing.T
 	keys  storage.Table
@@ -221,7 +222,7 @@
 	at   time.Time
 }
 
-func (h *host) others() (Work, time.Time) {
+func (h *host) otherWork() (Work, time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.work, h.at
@@ -244,7 +245,7 @@
 	return address
 }
 
-// start runs a host with the given work in flight until the test ends or the host is stopped.
+// start runs a host with the given work in flight until the test ends or stop is called.
 func (in *installation) start(name, listen string, work Work, tables map[string]*feed.Watcher) *host {
 	h := &host{}
 	h.member = New(Options{
@@ -270,7 +271,7 @@
 	return h
 }
 
-// eventually waits until the condition holds; the timeout is generous.
+// eventually waits until the condition holds, and fails the test after 20 s.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -287,7 +288,7 @@
 	second := in.start("hub-2", in.seeds[1], Work{HashID("u"): 2}, nil)
 	third := in.start("host", freeAddress(t), Work{HashID("u"): 4}, nil)
 	otherWorkIs := func(h *host, want float64) func() bool {
-		return func() bool { work, _ := h.others(); return work[HashID("u")] == want }
+		return func() bool { work, _ := h.otherWork(); return work[HashID("u")] == want }
 	}
 	eventually(t, "the hub has the work of both others", otherWorkIs(first, 6))
 	eventually(t, "the other seed has the work of both others", otherWorkIs(second, 5))
@@ -298,18 +299,18 @@
 	eventually(t, "the other seed is the hub now", otherWorkIs(second, 4))
 }
 
-// Several dead seeds delay the connection to the living one no longer than a single dead seed
-// would.
+// Several dead seeds delay the contact to the one that answers no longer than a single dead
+// seed would.
 func TestDeadSeedsAreProbedConcurrently(t *testing.T) {
 	is := is.New(t)
 	in := newInstallation(t, 1)
 	in.start("hub", in.seeds[0], nil, nil)
-	living := in.seeds[0]
+	answeringSeed := in.seeds[0]
 	for range 4 {
-		silent, err := net.Listen("tcp", "127.0.0.1:0") // accepts and sends nothing
+		deadSeed, err := net.Listen("tcp", "127.0.0.1:0") // accepts and sends nothing
 		is.NoErr(err)
-		t.Cleanup(func() { silent.Close() })
-		in.seeds = append([]string{silent.Addr().String()}, in.seeds...)
+		t.Cleanup(func() { deadSeed.Close() })
+		in.seeds = append([]string{deadSeed.Addr().String()}, in.seeds...)
 	}
 	m := New(Options{Host: "host", Zone: "z1", Listen: freeAddress(t), Seeds: in.seeds, Keys: in.keys, Work: func() Work { return nil }}, zerolog.Nop())
 	var key peer.Key
@@ -324,24 +325,25 @@
 	eventually(t, "the living seed answers", func() bool {
 		began := time.Now()
 		reached := m.probeSeeds(t.Context(), peerNetwork{client})
-		return len(reached) == 1 && reached[0] == living && time.Since(began) < 3*callTimeout
+		return len(reached) == 1 && reached[0] == answeringSeed && time.Since(began) < 3*callTimeout
 	})
 }
 
-// Without a hub, the last received work grows old and isn't replaced.
+// While no hub answers, OnWork isn't called: the work received last remains, with its growing
+// age.
 func TestWorkAgesWithoutHub(t *testing.T) {
 	is := is.New(t)
 	in := newInstallation(t, 1)
 	hub := in.start("hub", in.seeds[0], nil, nil)
-	alone := in.start("host", freeAddress(t), nil, nil)
-	eventually(t, "the host receives work from the hub", func() bool { _, at := alone.others(); return !at.IsZero() })
+	follower := in.start("host", freeAddress(t), nil, nil)
+	eventually(t, "the host receives work from the hub", func() bool { _, at := follower.otherWork(); return !at.IsZero() })
 	hub.stop()
-	eventually(t, "the received work is too old to count", func() bool { _, at := alone.others(); return time.Since(at) > 2*WorkAge })
-	_, at := alone.others()
+	eventually(t, "the received work is too old to count", func() bool { _, at := follower.otherWork(); return time.Since(at) > 2*WorkAge })
+	_, at := follower.otherWork()
 	is.True(!at.IsZero())
 }
 
-// fixedTable is a source whose table never changes.
+// fixedTable is a source whose table never changes. It counts the calls for changes.
 type fixedTable struct {
 	mu    sync.Mutex
 	calls int
@@ -374,11 +376,11 @@
 func (discardHandler) Replace([]feed.Row, storage.Revision) {}
 func (discardHandler) Change(feed.Row)                      {}
 
-// With enough followers, the hub's table updates replace the followers' own calls of the store.
+// If enough hosts report to a hub, its table updates replace their own calls of the store.
 func TestHubRelaysTableUpdates(t *testing.T) {
 	is := is.New(t)
 	in := newInstallation(t, 1)
-	sources := make([]*fixedTable, minFollowers+1)
+	sources := make([]*fixedTable, minHostsPerHub+1)
 	var members []*Member
 	for i := range sources {
 		sources[i] = &fixedTable{}
@@ -424,7 +426,7 @@
 	is := is.New(t)
 	table := memory.New()
 	_, err := sharedKey(t.Context(), table, false)
-	is.True(errors.Is(err, storage.ErrNotFound)) // only seeds create the key
+	is.True(errors.Is(err, storage.ErrNotFound)) // without mayCreate the key isn't created
 	keys := make([]peer.Key, 8)
 	var group sync.WaitGroup
 	for i := range keys {
@@ -438,7 +440,7 @@
 	}
 	group.Wait()
 	for _, key := range keys {
-		is.Equal(key.Secret, keys[0].Secret) // all use the first one's
+		is.Equal(key.Secret, keys[0].Secret) // all use the key that was written first
 	}
 	is.Equal(len(keys[0].Secret), peer.MinSecretBytes)
 	later, err := sharedKey(t.Context(), table, false)
@@ -446,13 +448,13 @@
 	is.Equal(later.Secret, keys[0].Secret)
 }
 
-// The reports and replies of a host of a large installation stay within its budget for control
-// traffic, 7 KB a second, even while all engines have work.
+// The reports and replies of one host in a large installation stay within the host's budget for
+// control traffic, 7 KB a second, even while all engines have work.
 func TestExchangeStaysWithinItsTrafficBudget(t *testing.T) {
 	tests := []struct {
 		hosts, engines int
-		// reads is the number of shared prompt prefixes that engines process for the first time
-		// in a second.
+		// reads is the number of shared prompt prefixes per second that are sent to an engine
+		// for the first time.
 		reads int
 	}{
 		{9, 9, 10},
@@ -464,14 +466,14 @@
 			const exchanges = float64(time.Second) / float64(Interval)
 			h := newHub(Options{Zone: "z1"}, zerolog.Nop())
 			total, since := 0, uint64(0)
-			for range 7 { // a second
+			for range 7 { // the exchanges of about one second
 				for i := range test.hosts {
-					r := Report{Zone: "z1", Work: make(Work), Reads: make(Reads)}
+					r := Report{Zone: "z1", Work: make(Work), SentPrefixes: make(Reads)}
 					for j := range max(1, test.engines/test.hosts*2) {
 						r.Work[HashID(fmt.Sprintf("i-%010d", (i+j*7)%test.engines))] = 1234
 					}
 					if i < test.reads/7 {
-						r.Reads[HashID(fmt.Sprintf("i-%010d", i))] = []placement.PrefixKey{4123456789}
+						r.SentPrefixes[HashID(fmt.Sprintf("i-%010d", i))] = []placement.PrefixKey{4123456789}
 					}
 					h.record(fmt.Sprint("host-", i), r)
 					if i == 0 {
@@ -481,8 +483,8 @@
 					}
 				}
 				reply := Reply{Zone: "z1", Hosts: test.hosts, Work: h.otherWork("host-0", toHost)}
-				reply.Reads, reply.ReadsLast = h.readsSince(since, "host-0", toHost)
-				since = reply.ReadsLast
+				reply.SentPrefixes, reply.SentPrefixesLast = h.sentPrefixesSince(since, "host-0", toHost)
+				since = reply.SentPrefixesLast
 				received, err := json.Marshal(reply)
 				is.NoErr(err)
 				total += len(received)
@@ -497,15 +499,15 @@
 func TestWorkAndReadsOnTheWire(t *testing.T) {
 	is := is.New(t)
 	report := Report{
-		Work:  Work{HashID("a"): 12.4, HashID("b"): 1e9},
-		Reads: Reads{HashID("a"): {1, 4123456789}, HashID("b"): {7}},
+		Work:         Work{HashID("a"): 12.4, HashID("b"): 1e9},
+		SentPrefixes: Reads{HashID("a"): {1, 4123456789}, HashID("b"): {7}},
 	}
 	data, err := json.Marshal(report)
 	is.NoErr(err)
 	var got Report
 	is.NoErr(json.Unmarshal(data, &got))
 	is.Equal(got.Work, Work{HashID("a"): 12, HashID("b"): maxWork}) // rounded to milliseconds, capped at about a minute
-	is.Equal(got.Reads, report.Reads)
+	is.Equal(got.SentPrefixes, report.SentPrefixes)
 	for _, bad := range []string{`{"work":"AAA"}`, `{"work":"!"}`, `{"work":7}`, `{"reads":"AAAAAAA"}`} {
 		is.True(json.Unmarshal([]byte(bad), &got) != nil)
 	}
--- a/internal/exchange/exchangeloop.go
+++ b/internal/exchange/exchangeloop.go
@@ -8,12 +8,12 @@
 	"github.com/quetzalweir/quetzalweir/ratelease"
 )
 
-// follow exchanges reports with the hub until the context ends.
-func (m *Member) follow(ctx context.Context, net network) {
+// exchangeLoop makes one exchange with the hub per Interval until the context ends.
+func (m *Member) exchangeLoop(ctx context.Context, net network) {
 	ticker := time.NewTicker(Interval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
-		m.step(ctx, net)
+		m.exchangeStep(ctx, net)
 		select {
 		case <-ctx.Done():
 		case <-ticker.C:
@@ -21,81 +21,84 @@
 	}
 }
 
-// step makes one exchange, after a probe for a better hub if one is due.
-func (m *Member) step(ctx context.Context, net network) {
-	if !m.hubIsFinal() && boottime.Now().After(m.nextProbeAt) {
+// exchangeStep makes one exchange with the hub, which may be this host's own. If a probe for a
+// better hub is due, it makes that first.
+func (m *Member) exchangeStep(ctx context.Context, net network) {
+	if !m.hasBestHub() && boottime.Now().After(m.nextProbeAt) {
 		m.findHub(ctx, net)
 	}
-	m.updateJudging()
-	switch m.current {
+	m.updateMakesVerdicts()
+	switch m.hubAddress {
 	case "":
 		m.hubAnswered.Store(false)
 	case m.options.Listen:
-		report := m.report()
+		report := m.nextReport()
 		m.setHasFollowers(true)
-		m.hub.setHasAllLimits(true)
+		m.ownHub.setHasAllLimits(true)
 		m.recordOwnReport(report)
 		m.unsentLimits = m.unsentLimits[len(report.Limits):]
-		m.applyOwnHub(report.WantTimings)
-		m.assignRootLease()
-		m.applyOwnLease()
-		m.askHubs(ctx, net)
+		m.deliverOwnHubData(report.WantTimings)
+		m.renewRootLease()
+		m.updateHolding()
+		m.querySeeds(ctx, net)
 	default:
-		m.exchange(ctx, net)
+		m.exchangeWithHub(ctx, net)
 	}
 }
 
-// exchange makes one exchange with the hub, on behalf of this host and its followers.
-func (m *Member) exchange(ctx context.Context, net network) {
-	hasFollowers := m.hub.hasFollowers()
+// exchangeWithHub sends the hub a report on behalf of this host and its followers, and
+// processes the reply.
+func (m *Member) exchangeWithHub(ctx context.Context, net network) {
+	hasFollowers := m.ownHub.hasFollowers()
 	m.setHasFollowers(hasFollowers)
-	report, upTo := m.report(), forwarded{}
+	report, upTo := m.nextReport(), forwardedPositions{}
 	sentLimits := len(report.Limits)
-	report.ReadsSince, report.LimitsCursor, report.GrantsDigest = m.hubReadsSeq, m.limits.Cursor(), ratelease.Digest(m.granted)
+	report.SentPrefixesSince, report.LimitsCursor, report.GrantsDigest = m.hubPrefixSeq, m.hubLimitReader.Cursor(), ratelease.Digest(m.hubGrants)
 	if hasFollowers {
 		report, upTo = m.aggregateReport(report)
 	}
 	requestedAt := boottime.Now()
-	reply, err := callWithTimeout(ctx, net, m.current, report)
+	reply, err := callWithTimeout(ctx, net, m.hubAddress, report)
 	m.hubAnswered.Store(err == nil)
-	m.hub.receivesTables.Store(err == nil && reply.Relays)
+	m.ownHub.receivesTables.Store(err == nil && reply.Relays)
 	if err != nil {
 		m.hubFailed(net, err)
 		return
 	}
-	m.applyQuarantineStatus(reply.QuarantineStatus)
+	m.deliverQuarantineStatus(reply.QuarantineStatus)
 	m.acceptLease(reply, requestedAt)
 	m.unsentLimits = m.unsentLimits[sentLimits:]
 	m.applyHubLimits(reply.Limits, hasFollowers)
 	if hasFollowers {
-		m.forwardedReadsSeq, m.forwardedSightingsSeq, m.hubReadsSeq, m.forwardedLimitsMark = upTo.reads, upTo.sightings, reply.ReadsLast, upTo.limits
-		m.hub.recordHub(m.current, reply, max(0, reply.Hosts-report.Hosts))
-		m.applyOwnHub(report.WantTimings)
+		m.forwardedPrefixSeq, m.forwardedSightingSeq, m.hubPrefixSeq, m.forwardedLimitsCursor = upTo.prefixes, upTo.sightings, reply.SentPrefixesLast, upTo.limits
+		m.ownHub.recordHubReply(m.hubAddress, reply, max(0, reply.Hosts-report.Hosts))
+		m.deliverOwnHubData(report.WantTimings)
 	} else {
 		m.unsentSightings = Sightings{} // the hub has them
-		m.hubReadsSeq, m.ownHubReadsSeq = reply.ReadsLast, 0
-		m.apply(reply, requestedAt)
+		m.hubPrefixSeq, m.ownHubPrefixSeq = reply.SentPrefixesLast, 0
+		m.deliver(reply, requestedAt)
 	}
 	m.offerTables(reply, requestedAt)
 	m.acceptAssignment(reply.Assigned)
 }
 
-// forwarded holds the positions in this host's own hub up to which a report forwards its data
-// to the hub above.
-type forwarded struct {
-	reads, sightings uint64
-	limits           ratelease.LogCursor
+// forwardedPositions holds the positions up to which a report forwards the logs of this host's
+// own hub to the hub that it reports to: sequence numbers in the prefix log and the sighting
+// log, and a cursor in the limit log.
+type forwardedPositions struct {
+	prefixes, sightings uint64
+	limits              ratelease.LogCursor
 }
 
 // aggregateReport returns the report on behalf of this host and its followers, and the
-// positions up to which it forwards. Evidence is left out until the previous hub's copy has
-// expired.
-func (m *Member) aggregateReport(own Report) (report Report, upTo forwarded) {
+// positions up to which it forwards data. It leaves out evidence until the previous hub's copy
+// has expired.
+func (m *Member) aggregateReport(own Report) (report Report, upTo forwardedPositions) {
 	m.recordOwnReport(own)
-	m.unsentReads = make(Reads) // this host's own hub has them
-	report, upTo.reads = m.hub.subtreeReport(own, m.forwardedReadsSeq, m.current)
-	report.Sightings, upTo.sightings = m.hub.sightingsSince(m.forwardedSightingsSeq, m.current)
-	limits := m.hub.limitsSince(m.forwardedLimitsMark, toHub)
+	m.unsentPrefixes = make(Reads) // this host's own hub has them
+	report, upTo.prefixes = m.ownHub.subtreeReport(own, m.forwardedPrefixSeq, m.hubAddress)
+	report.Sightings, upTo.sightings = m.ownHub.sightingsSince(m.forwardedSightingSeq, m.hubAddress)
+	limits := m.ownHub.limitsSince(m.forwardedLimitsCursor, toHub)
 	report.Limits, upTo.limits = limits.Updates, limits.Cursor
 	if !m.previousHubExpired() {
 		report.Evidence = nil
@@ -105,18 +108,18 @@
 
 // recordOwnReport passes this host's report to its own hub.
 func (m *Member) recordOwnReport(own Report) {
-	m.hub.record(m.options.Host, own)
-	m.hub.recordLimits(false, own.Limits, false)
+	m.ownHub.record(m.options.Host, own)
+	m.ownHub.recordLimits(false, own.Limits, false)
 	m.recordOwnSightings(own.Sightings)
 }
 
 // recordOwnSightings passes this host's sightings to its own hub.
 func (m *Member) recordOwnSightings(s Sightings) {
-	m.hub.recordSightings(m.options.Host, s)
+	m.ownHub.recordSightings(m.options.Host, s)
 	m.unsentSightings = Sightings{}
 }
 
-// offerTables passes the hub's table updates to the tables' watchers.
+// offerTables passes the table updates in the hub's reply to the tables' watchers.
 func (m *Member) offerTables(reply Reply, requestedAt time.Time) {
 	for name, w := range m.options.Tables {
 		update, ok := reply.Tables[name]
@@ -124,51 +127,51 @@
 		case ok:
 			w.Offer(update.decode(), requestedAt)
 		case !reply.Relays && !reply.TablePending && reply.Assigned == "":
-			w.OfferNothing()
+			w.SetNotRelayed()
 		}
 	}
 }
 
-// applyOwnHub applies the other hosts' data that this host's own hub has, including their
-// timings if requested.
-func (m *Member) applyOwnHub(withTimings bool) {
-	sums := m.hub.otherSums(m.options.Host, m.ownHubReadsSeq, toHost)
+// deliverOwnHubData passes the other hosts' data that this host's own hub has to the callbacks
+// in Options; withTimings includes their timings.
+func (m *Member) deliverOwnHubData(withTimings bool) {
+	sums := m.ownHub.otherSums(m.options.Host, m.ownHubPrefixSeq, toHost)
 	if withTimings {
-		sums.Timings = m.hub.otherTimings(m.options.Host, toHost)
+		sums.Timings = m.ownHub.otherTimings(m.options.Host, toHost)
 	}
-	m.ownHubReadsSeq = sums.ReadsLast
+	m.ownHubPrefixSeq = sums.SentPrefixesLast
 	m.applyOwnHubLimits()
-	m.apply(sums, boottime.Now())
+	m.deliver(sums, boottime.Now())
 }
 
-// apply passes the other hosts' data in a reply, as of the given time, to the callbacks in
+// deliver passes the other hosts' data in a reply, as of the given time, to the callbacks in
 // Options.
-func (m *Member) apply(reply Reply, at time.Time) {
+func (m *Member) deliver(reply Reply, at time.Time) {
 	m.options.OnWork(reply.Work, at)
-	m.applyHostCount(reply.Hosts)
-	m.applyEvidence(reply.Evidence)
-	m.applyReads(reply.Reads)
+	m.deliverHostCount(reply.Hosts)
+	m.deliverEvidence(reply.Evidence)
+	m.deliverPrefixes(reply.SentPrefixes)
 	if m.options.OnTimings != nil && len(reply.Timings) > 0 {
 		m.options.OnTimings(reply.Timings)
 	}
 }
 
-// applyReads passes on the other hosts' reads. It also drops this host's unsent reads, which
-// the hub has received.
-func (m *Member) applyReads(reads Reads) {
-	m.unsentReads = make(Reads)
-	if m.options.OnReads != nil && len(reads) > 0 {
-		m.options.OnReads(reads)
+// deliverPrefixes passes the prefixes that other hosts sent to upstreams to OnReads. It also
+// drops this host's unsent prefixes, which the hub has received by then.
+func (m *Member) deliverPrefixes(prefixes Reads) {
+	m.unsentPrefixes = make(Reads)
+	if m.options.OnReads != nil && len(prefixes) > 0 {
+		m.options.OnReads(prefixes)
 	}
 }
 
-func (m *Member) applyHostCount(n int) {
+func (m *Member) deliverHostCount(n int) {
 	if m.options.OnHostCount != nil && n > 0 {
 		m.options.OnHostCount(n)
 	}
 }
 
-func (m *Member) applyEvidence(list []Evidence) {
+func (m *Member) deliverEvidence(list []Evidence) {
 	if m.options.OnEvidence != nil && len(list) > 0 {
 		m.options.OnEvidence(list)
 	}
--- a/internal/exchange/fleet_test.go
+++ b/internal/exchange/fleet_test.go
@@ -27,7 +27,7 @@
 type fleetStore struct {
 	mu       sync.Mutex
 	rows     map[string]feed.Row
-	log      []feed.Row
+	changes  []feed.Row
 	revision storage.Revision
 	changed  chan struct{}
 	calls    int
@@ -43,7 +43,7 @@
 	return s
 }
 
-// put writes a row of about the size of an upstream's entry.
+// put writes a row of about the size of an upstream's row, and returns its revision.
 func (s *fleetStore) put(key string) storage.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,7 +51,7 @@
 	data := fmt.Sprintf(`{"service":"svc","address":"10.1.2.%d:8080","zone":"zone-%d","version":"v1","slots":32,"state":"available","sequence":%d}`, s.revision%256, s.revision%5, s.revision)
 	row := feed.Row{Key: key, Revision: s.revision, Data: []byte(data)}
 	s.rows[key] = row
-	s.log = append(s.log, row)
+	s.changes = append(s.changes, row)
 	close(s.changed)
 	s.changed = make(chan struct{})
 	return s.revision
@@ -92,7 +92,7 @@
 	for {
 		s.mu.Lock()
 		page := feed.Page{Revision: s.revision, Clock: time.Since(s.start)}
-		for _, row := range s.log {
+		for _, row := range s.changes {
 			if row.Revision > since {
 				page.Rows = append(page.Rows, row)
 			}
@@ -124,8 +124,8 @@
 	return s.calls, s.lists
 }
 
-// fleetHost is a host of the installation, with its copy of the table's revisions and its
-// traffic.
+// fleetHost is a host of the simulated installation. It records the revisions of the table's
+// rows that it received, and its traffic.
 type fleetHost struct {
 	name, zone, address string
 	member              *Member
@@ -135,12 +135,12 @@
 
 	mu        sync.Mutex
 	revisions map[string]storage.Revision
-	// receivedAt is when each revision's row arrived.
+	// receivedAt is when the host first received the row of each revision.
 	receivedAt map[storage.Revision]time.Time
 	work       Work
 	bytes      int
-	// holding holds the grants for leased upstreams, contact the state of the contact to the
-	// hub, limits the upstreams' limits that the host has.
+	// holding holds the grants for leased upstreams, contact records the contact to the hub,
+	// and limits holds the host's records of upstreams' limits.
 	holding ratelease.Holding
 	contact ratelease.HubContact
 	limits  map[ratelease.UpstreamID]*hostLimit
@@ -167,13 +167,13 @@
 	return len(h.revisions)
 }
 
-func (h *fleetHost) others() Work {
+func (h *fleetHost) otherWork() Work {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.work
 }
 
-func (h *fleetHost) count(bytes int) {
+func (h *fleetHost) addTraffic(bytes int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.bytes += bytes
@@ -192,19 +192,20 @@
 	hosts []*fleetHost
 	seeds []string
 
-	// running waits for the hosts' goroutines.
+	// running counts the hosts' goroutines.
 	running sync.WaitGroup
 
 	mu        sync.Mutex
 	byAddress map[string]*fleetHost
 	// cold lists the upstreams that all hosts treat as cold. disconnected reports whether two
-	// hosts can't reach each other; nil if all can.
+	// hosts can't reach each other; nil means that all can.
 	cold         []ratelease.UpstreamID
 	disconnected func(from, to *fleetHost) bool
 }
 
-// newFleet starts hosts in zones. The first hosts of the first three zones are seeds, and the
-// first three hosts of each zone have a fast link.
+// newFleet starts the given number of hosts, spread over the zones, and a store whose table has
+// the given number of rows. The first hosts of the first three zones are seeds, and the first
+// three hosts of each zone have a fast link.
 func newFleet(t *testing.T, hosts, zones, rows int) *fleet {
 	f := &fleet{t: t, store: newFleetStore(rows), byAddress: make(map[string]*fleetHost)}
 	for i := range hosts {
@@ -228,12 +229,12 @@
 	return f
 }
 
-// startInterval is the time between the starts of two hosts: 440 start within 138 ms. Hosts
-// that start at the same instant have timers that expire together, which makes the race
+// startInterval is the time between the starts of two hosts; 440 hosts start within 138 ms. If
+// hosts started at the same instant, their timers would expire together, which makes the race
 // detector itself crash (see the note on membership).
 const startInterval = 313 * time.Microsecond
 
-// start starts a host without any data.
+// start starts a host without any data; strong gives it a fast link.
 func (f *fleet) start(h *fleetHost, strong bool) {
 	h.revisions, h.receivedAt = make(map[string]storage.Revision), make(map[storage.Revision]time.Time)
 	h.mu.Lock()
@@ -261,7 +262,7 @@
 		Tables:     map[string]*feed.Watcher{"t": h.watcher},
 		Work:       func() Work { return Work{HashID("u"): 1} },
 		RootGrants: func(roots int) []ratelease.Grant { return append(f.coldGrants(roots), h.limitGrants(roots)...) },
-		Limits:     h.newLimits, KnownLimits: h.knownLimits, OnLimits: h.takeLimits,
+		Limits:     h.newLimits, KnownLimits: h.knownLimits, OnLimits: h.applyLimits,
 		OnHolding: func(holding ratelease.Holding, rooted time.Time) {
 			h.mu.Lock()
 			defer h.mu.Unlock()
@@ -286,10 +287,10 @@
 	f.byAddress[h.address] = h
 	f.mu.Unlock()
 	f.running.Go(func() { h.watcher.Run(ctx) })
-	f.running.Go(func() { member.follow(ctx, &fleetNetwork{fleet: f, from: h}) })
+	f.running.Go(func() { member.exchangeLoop(ctx, &fleetNetwork{fleet: f, from: h}) })
 }
 
-// coldGrants returns a root's grants for the cold upstreams.
+// coldGrants returns the grants that one root hub holds for the cold upstreams.
 func (f *fleet) coldGrants(roots int) []ratelease.Grant {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -301,7 +302,8 @@
 	return grants
 }
 
-// fleetNetwork carries one host's reports. A host that is gone doesn't answer.
+// fleetNetwork carries the reports of one host. Calls to a stopped or disconnected host time
+// out.
 type fleetNetwork struct {
 	fleet *fleet
 	from  *fleetHost
@@ -309,7 +311,7 @@
 
 var errNoHost = errors.New("no host at the address")
 
-func (n *fleetNetwork) forget(string) {}
+func (n *fleetNetwork) disconnect(string) {}
 
 func (n *fleetNetwork) call(ctx context.Context, address string, report Report) (Reply, error) {
 	n.fleet.mu.Lock()
@@ -331,7 +333,7 @@
 		return Reply{}, err
 	}
 	time.Sleep(delay)
-	reply, err := to.member.hub.exchange(ctx, n.from.name, report)
+	reply, err := to.member.ownHub.handleReport(ctx, n.from.name, report)
 	if err != nil {
 		return Reply{}, err
 	}
@@ -341,21 +343,22 @@
 	}
 	time.Sleep(delay)
 	for _, h := range []*fleetHost{n.from, to} {
-		h.count(len(sent) + len(received))
+		h.addTraffic(len(sent) + len(received))
 	}
 	return reply, nil
 }
 
-// allHosts reports whether every host fulfils the condition.
-func (f *fleet) allHosts(condition func(h *fleetHost) bool) bool {
+// allHostsMatch reports whether every host satisfies the condition.
+func (f *fleet) allHostsMatch(condition func(h *fleetHost) bool) bool {
 	return !slices.ContainsFunc(f.hosts, func(h *fleetHost) bool { return !condition(h) })
 }
 
-// waitAll waits until every host fulfils the condition, or the timeout expires.
-func (f *fleet) waitAll(timeout time.Duration, condition func(h *fleetHost) bool) (took time.Duration, ok bool) {
+// waitForAllHosts waits until every host satisfies the condition, or the timeout expires. It
+// returns the time that this took, and whether all hosts satisfy the condition.
+func (f *fleet) waitForAllHosts(timeout time.Duration, condition func(h *fleetHost) bool) (took time.Duration, ok bool) {
 	start := time.Now()
 	for time.Since(start) < timeout {
-		if f.allHosts(condition) {
+		if f.allHostsMatch(condition) {
 			return time.Since(start), true
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -363,12 +366,13 @@
 	return timeout, false
 }
 
-// fleetSize is the size of an installation.
+// fleetSize is the size of a simulated installation.
 type fleetSize struct{ hosts, zones int }
 
-// fleetSizes returns the installations that the budgets hold for. The race detector itself
-// crashes when many timers of a bubble expire at once (see the note on membership), more often
-// the larger the fleet is. It therefore runs only the smallest one, which uses the same code.
+// fleetSizes returns the sizes of the installations for which the budgets of the tests hold.
+// The race detector itself crashes when many timers of a synctest bubble expire at once (see
+// the note on membership), and more often the larger the fleet is. With the race detector, only
+// the smallest installation therefore runs; it uses the same code.
 func fleetSizes() []fleetSize {
 	if raceEnabled {
 		return []fleetSize{{30, 3}}
@@ -376,14 +380,16 @@
 	return []fleetSize{{30, 3}, {195, 5}, {440, 32}}
 }
 
-// In steady state only a few hosts query the store, whatever the installation's size. The mean
-// traffic of a host stays within its budget, and a change reaches all hosts soon.
+// In steady state only a few hosts query the store, whatever the size of the installation. The
+// mean traffic of a host stays within its budget, and a change of the table reaches all hosts
+// soon.
 func TestFleetInSteadyState(t *testing.T) {
 	const (
 		span = 10 * time.Second
-		// callsPerSecond: three seeds query every 0.7 s.
+		// callsPerSecond is the budget for calls of the store, which three seeds query every
+		// 0.7 s.
 		callsPerSecond = 6
-		// bytesPerSecond is a host's budget for control traffic. What a hub sends to its
+		// bytesPerSecond is the budget of a host for control traffic. What a hub sends to its
 		// followers counts for the hub as well.
 		bytesPerSecond = 7_000
 		changeWithin   = time.Second
@@ -412,20 +418,21 @@
 				}
 				mean := float64(sum) / 2 / float64(len(traffic)) / span.Seconds() // each byte is counted at both ends
 				revision := f.store.put("i-000007")
-				took, ok := f.waitAll(5*time.Second, func(h *fleetHost) bool { return h.watcher.Revision() >= revision })
+				took, ok := f.waitForAllHosts(5*time.Second, func(h *fleetHost) bool { return h.watcher.Revision() >= revision })
 				t.Logf("%d hosts: %.1f calls of the store a second, bytes a second: mean %.0f, busiest %d; a change reaches all hosts after %v",
 					size.hosts, rate, mean, traffic[len(traffic)-1]/int(span.Seconds()), took)
 				is.True(rate <= callsPerSecond)
 				is.True(mean <= bytesPerSecond)
 				is.True(ok && took <= changeWithin)
-				// Each host is counted once.
-				is.True(f.allHosts(func(h *fleetHost) bool { return h.others()[HashID("u")] == float64(size.hosts-1) }))
+				// The sum that each host receives counts every other host once.
+				is.True(f.allHostsMatch(func(h *fleetHost) bool { return h.otherWork()[HashID("u")] == float64(size.hosts-1) }))
 			})
 		})
 	}
 }
 
-// All hosts start at once. Most get the table from a hub, not from the store.
+// If all hosts start at once, most receive the table from a hub and don't read it from the
+// store.
 func TestFleetStarts(t *testing.T) {
 	const rows = 3000
 	for _, size := range fleetSizes() {
@@ -433,18 +440,18 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				f := newFleet(t, size.hosts, size.zones, rows)
-				took, ok := f.waitAll(10*time.Second, func(h *fleetHost) bool { return h.rows() == rows })
+				took, ok := f.waitForAllHosts(10*time.Second, func(h *fleetHost) bool { return h.rows() == rows })
 				_, lists := f.store.count()
 				t.Logf("%d hosts have the table after %v; %d pages were read from the store", size.hosts, took, lists)
 				is.True(ok && took < 2*time.Second)
-				is.True(lists < 2*size.hosts) // six pages each without hubs
+				is.True(lists < 2*size.hosts) // without hubs, each host would read six pages
 			})
 		})
 	}
 }
 
-// All upstreams start within two seconds, after the hosts. The hubs once stopped relaying
-// meanwhile, and each of their followers read the store's changes page by page.
+// All upstreams start within two seconds, after the hosts. Guards against hubs that stop
+// relaying meanwhile, so that each of their followers reads the store's changes page by page.
 func TestFleetWhoseUpstreamsAllStart(t *testing.T) {
 	const upstreamsPerHost, span = 10, 2 * time.Second
 	sizes := []fleetSize{{195, 5}, {440, 5}}
@@ -463,7 +470,7 @@
 					f.store.put(fmt.Sprintf("i-%06d", i))
 					time.Sleep(span / time.Duration(upstreams))
 				}
-				took, ok := f.waitAll(10*time.Second, func(h *fleetHost) bool { return h.rows() == upstreams })
+				took, ok := f.waitForAllHosts(10*time.Second, func(h *fleetHost) bool { return h.rows() == upstreams })
 				after, _ := f.store.count()
 				t.Logf("%d hosts have %d upstreams %v after the last one started; %d calls of the store", size.hosts, upstreams, took, after-calls)
 				is.True(ok && took < 2*time.Second) // the default of feed.Options.ApplyTime
@@ -474,8 +481,8 @@
 	}
 }
 
-// The hub of a zone fails. Its hosts find another one within two seconds and receive table
-// updates there, without all calling the store at once.
+// After the hub of a zone fails, its hosts find another one within two seconds and receive
+// table updates from it, without all of them calling the store at once.
 func TestFleetLosesAHub(t *testing.T) {
 	for _, size := range fleetSizes() {
 		t.Run(fmt.Sprint(size.hosts), func(t *testing.T) {
@@ -495,9 +502,9 @@
 				lost.stop()
 				f.hosts = slices.DeleteFunc(f.hosts, func(h *fleetHost) bool { return h == lost })
 				time.Sleep(2 * time.Second)
-				is.True(f.allHosts(func(h *fleetHost) bool { return h.member.Hub() != "" && h.member.Hub() != lost.address }))
+				is.True(f.allHostsMatch(func(h *fleetHost) bool { return h.member.Hub() != "" && h.member.Hub() != lost.address }))
 				revision := f.store.put("i-000007")
-				took, ok := f.waitAll(5*time.Second, func(h *fleetHost) bool { return h.watcher.Revision() >= revision })
+				took, ok := f.waitForAllHosts(5*time.Second, func(h *fleetHost) bool { return h.watcher.Revision() >= revision })
 				time.Sleep(time.Second)
 				after, _ := f.store.count()
 				t.Logf("%d calls in the three seconds after the loss; a change reaches all hosts after %v", after-calls, took)
@@ -508,8 +515,8 @@
 	}
 }
 
-// All seeds fail for good. The zones' hubs keep serving their hosts, and changes still reach
-// all hosts.
+// After all seeds fail for good, the hubs of the zones keep serving their hosts, and changes of
+// the table still reach all hosts.
 func TestFleetLosesItsSeeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -522,7 +529,7 @@
 		f.hosts = f.hosts[3:]
 		time.Sleep(3 * time.Second)
 		revision := f.store.put("i-000007")
-		took, ok := f.waitAll(10*time.Second, func(h *fleetHost) bool { return h.watcher.Revision() >= revision })
+		took, ok := f.waitForAllHosts(10*time.Second, func(h *fleetHost) bool { return h.watcher.Revision() >= revision })
 		t.Logf("a change reaches all hosts after %v", took)
 		is.True(ok && took < 2*time.Second)
 	})
--- a/internal/exchange/hub.go
+++ b/internal/exchange/hub.go
@@ -16,9 +16,11 @@
 	"github.com/quetzalweir/quetzalweir/ratelease"
 )
 
-// hub answers the reports of other hosts.
+// hub receives the reports of other hosts, and of this one, and returns the replies. Every host
+// runs one, whether or not other hosts report to it.
 type hub struct {
-	// self is this host's name; linkMbps is the bandwidth of its network link.
+	// self is this host's name; linkMbps is the bandwidth of its network link in Mbit/s. tables
+	// holds the watchers of the store's tables by table name.
 	self     string
 	zone     string
 	linkMbps float64
@@ -27,59 +29,62 @@
 	quarantine Quarantine
 	log        zerolog.Logger
 
-	// wasRelaying is the last result of relays.
+	// wasRelaying is the result of relays when updateRelaying last called it.
 	wasRelaying atomic.Bool
-	// receivesTables reports whether another hub relays table updates to this one.
+	// receivesTables reports whether another hub relays table updates to this host.
 	receivesTables atomic.Bool
 
-	mu      sync.Mutex
-	reports map[string]receivedReport
-	reads   readLog
-	timings map[string]Timings
-	// sightings holds the received sightings, for other hubs.
+	mu           sync.Mutex
+	reports      map[string]receivedReport
+	sentPrefixes prefixLog
+	timings      map[string]Timings
+	// sightings holds the sightings received from hosts and other hubs, to be sent to other
+	// hubs.
 	sightings sightingLog
-	// zones holds the hubs that this one has named, by zone.
+	// zones holds, by zone, the hubs that this one has appointed.
 	zones map[string]*zoneHubs
 	// lessor divides the parts of the upstreams' limits that this host holds among the hosts
 	// that report here.
 	lessor *ratelease.Lessor
 	// limits holds the upstreams' limits that this hub has received.
 	limits *ratelease.LimitLog
-	// hasAllLimits reports whether the hub that this one reports to has sent all its limits, or
-	// this host is a root.
+	// hasAllLimits reports whether the hub that this host reports to has sent its whole limit
+	// log, or this host is a root hub.
 	hasAllLimits bool
 	startedAt    time.Time
-	// lastRootedAt is when this host's grants last derived from a root of the hub tree.
+	// lastRootedAt is when this host last held grants that derived from a root hub.
 	lastRootedAt time.Time
 }
 
-// receivedReport is a host's latest report, or another hub's data on its followers.
+// receivedReport is a host's latest report, or the data about other hosts in a reply from
+// another hub. The map of reports has it under the host's name or the hub's hubKey, and the
+// timings are under the same keys.
 type receivedReport struct {
 	report Report
 	at     time.Time
-	// fromHub marks data from another hub's reply, to a query or to a report. hosts is the
-	// number of hosts that the data cover.
+	// fromHub marks the data from another hub's reply, either to this hub's query or to this
+	// host's report. hosts is the number of hosts that the data cover.
 	fromHub bool
 	hosts   int
 }
 
-// audience is the kind of host that data are sent to.
+// audience is the kind of receiver that data are sent to.
 type audience int
 
 const (
-	// toHost: a host receives the data of all others.
+	// toHost stands for a host that reports here. It receives the data of all other hosts.
 	toHost audience = iota
-	// toHub: another hub receives only the data of this hub's own followers. It adds up the
-	// hubs' sums itself, so nothing is counted twice.
+	// toHub stands for another hub. It receives only the data of this hub's own followers, and
+	// adds up the sums of all hubs itself, so that no host is counted twice.
 	toHub
 )
 
-// includes reports whether the report is sent to the audience.
+// includes reports whether the report's data are sent to the audience.
 func (a audience) includes(r receivedReport) bool { return a == toHost || !r.fromHub }
 
-// maxReportedUpstreams bounds the upstreams whose work is sent to a host, the busiest first.
-// With 8 bytes for each upstream in each reply, this keeps a host within the 7 KB a second
-// allowed for control traffic.
+// maxReportedUpstreams bounds the upstreams in a reply; those with the most work are kept. With
+// 8 bytes for each upstream in each reply, this keeps a host within the 7 KB a second allowed
+// for control traffic.
 const maxReportedUpstreams = 100
 
 func newHub(options Options, log zerolog.Logger) *hub {
@@ -90,13 +95,14 @@
 	}
 }
 
-// exchange records a host's report and answers it, or answers another hub's query.
-func (h *hub) exchange(_ context.Context, from string, r Report) (Reply, error) {
+// handleReport stores a host's report and returns the reply. It also answers probes, and
+// queries by other hubs.
+func (h *hub) handleReport(_ context.Context, from string, r Report) (Reply, error) {
 	switch {
 	case r.Probe:
 		return Reply{Zone: h.zone}, nil
-	case r.Hub:
-		reply := h.otherSums(from, r.ReadsSince, toHub)
+	case r.HubQuery:
+		reply := h.otherSums(from, r.SentPrefixesSince, toHub)
 		if r.WantTimings {
 			reply.Timings = h.otherTimings(from, toHub)
 		}
@@ -112,7 +118,7 @@
 	h.recordSightings(from, r.Sightings)
 	h.recordLimits(false, r.Limits, false)
 	h.updateRelaying()
-	reply := h.otherSums(from, r.ReadsSince, toHost)
+	reply := h.otherSums(from, r.SentPrefixesSince, toHost)
 	if r.WantTimings {
 		reply.Timings = h.otherTimings(from, toHost)
 	}
@@ -125,75 +131,77 @@
 	return reply, nil
 }
 
-// otherSums returns the part of a reply that sums up the other hosts' data.
-func (h *hub) otherSums(self string, readsSince uint64, to audience) Reply {
+// otherSums returns the part of a reply that holds the sums over all hosts except self, and the
+// entries of the prefix log after the sequence number prefixesSince.
+func (h *hub) otherSums(self string, prefixesSince uint64, to audience) Reply {
 	reply := Reply{Zone: h.zone, Hosts: h.hostCount(to), Work: h.otherWork(self, to), Evidence: h.otherEvidence(self, to)}
-	reply.Reads, reply.ReadsLast = h.readsSince(readsSince, self, to)
+	reply.SentPrefixes, reply.SentPrefixesLast = h.sentPrefixesSince(prefixesSince, self, to)
 	return reply
 }
 
-// record replaces a host's last report.
+// record stores a host's report in place of its previous one.
 func (h *hub) record(from string, r Report) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.reports[from] = receivedReport{report: r, at: boottime.Now(), hosts: max(1, r.Hosts)}
-	h.reads.add(from, false, r.Reads)
+	h.sentPrefixes.add(from, false, r.SentPrefixes)
 	h.recordTimings(from, r.Timings)
 }
 
-// readsSince returns the reads of hosts other than self after the sequence number, and the last
-// sequence number.
-func (h *hub) readsSince(number uint64, self string, to audience) (Reads, uint64) {
+// sentPrefixesSince returns the entries of the prefix log after the sequence number that came
+// from hosts other than self, and the last sequence number.
+func (h *hub) sentPrefixesSince(seq uint64, self string, to audience) (Reads, uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.reads.since(number, self, to), h.reads.last
+	return h.sentPrefixes.since(seq, self, to), h.sentPrefixes.lastSeq
 }
 
-// otherWork sums the work of all hosts except self, of any zone: a host may send requests to
-// upstreams of any zone.
+// otherWork returns the sum of the work in flight of all hosts except self, by upstream. It
+// includes hosts of all zones, since a host may send requests to upstreams of any zone.
 func (h *hub) otherWork(self string, to audience) Work {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.dropExpired()
 	sum := make(Work)
-	for host, got := range h.reports {
-		if host == self || !to.includes(got) {
+	for host, received := range h.reports {
+		if host == self || !to.includes(received) {
 			continue
 		}
-		for upstream, work := range got.report.Work {
+		for upstream, work := range received.report.Work {
 			sum[upstream] += work
 		}
 	}
 	return busiest(sum, maxReportedUpstreams)
 }
 
-// busiest keeps the upstreams with the most work.
+// busiest returns the entries of the upstreams with the most work: limit entries, or more if
+// several have the same work as the last of these.
 func busiest(work Work, limit int) Work {
 	if len(work) <= limit {
 		return work
 	}
 	amounts := slices.Sorted(maps.Values(work))
-	least := amounts[len(amounts)-limit]
+	smallestKept := amounts[len(amounts)-limit]
 	kept := make(Work, limit)
 	for id, w := range work {
-		if w >= least {
+		if w >= smallestKept {
 			kept[id] = w
 		}
 	}
 	return kept
 }
 
-// relays reports whether enough hosts depend on this one to relay table updates. It counts
-// hosts that report here and those behind hubs that do.
+// relays reports whether enough hosts depend on this hub for it to relay table updates. It
+// counts the hosts that report here and those that they report for.
 func (h *hub) relays() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.reporters().hosts >= minFollowers
+	return h.countReporters().represented >= minHostsPerHub
 }
 
 // updateRelaying makes the tables' watchers query the store more often as soon as this hub
-// starts to relay. Otherwise a call that the store holds for a long time would delay the first
-// update.
+// starts to relay. Without it, a call that the store may hold for a long time would delay the
+// first update.
 func (h *hub) updateRelaying() {
 	relays := h.relays()
 	if relays == h.wasRelaying.Swap(relays) || !relays {
@@ -204,43 +212,43 @@
 	}
 }
 
-// followers returns the number of hosts that report here, including this one. A hub that
+// reporterCount returns the number of hosts that report here, including this one. A hub that
 // reports on behalf of others counts as one.
-func (h *hub) followers() int {
+func (h *hub) reporterCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.reporters().all
+	return h.countReporters().reporters
 }
 
-// reporters holds the number of hosts that report here, the number of hubs among them, and the
-// number of hosts that all of them report for.
-type reporters struct{ all, hubs, hosts int }
+// reporterCounts holds the number of hosts that report here, the number of hubs among them, and
+// the number of hosts that all of them report for.
+type reporterCounts struct{ reporters, hubs, represented int }
 
-// reporters counts the current reports. The caller holds the lock.
-func (h *hub) reporters() (n reporters) {
+// countReporters counts the reports that haven't expired. The caller holds the lock.
+func (h *hub) countReporters() (counts reporterCounts) {
 	h.dropExpired()
-	for _, got := range h.reports {
-		if got.fromHub {
+	for _, received := range h.reports {
+		if received.fromHub {
 			continue
 		}
-		n.all++
-		n.hosts += got.hosts
-		if got.hosts > 1 {
-			n.hubs++
+		counts.reporters++
+		counts.represented += received.hosts
+		if received.hosts > 1 {
+			counts.hubs++
 		}
 	}
-	return n
+	return counts
 }
 
-// hostCount returns the number of hosts whose data the audience receives.
+// hostCount returns the number of hosts whose data are sent to the audience.
 func (h *hub) hostCount(to audience) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.dropExpired()
 	n := 0
-	for _, got := range h.reports {
-		if to.includes(got) {
-			n += got.hosts
+	for _, received := range h.reports {
+		if to.includes(received) {
+			n += received.hosts
 		}
 	}
 	return n
@@ -248,8 +256,8 @@
 
 // dropExpired drops the reports that are older than WorkAge. The caller holds the lock.
 func (h *hub) dropExpired() {
-	for host, got := range h.reports {
-		if boottime.Since(got.at) > WorkAge {
+	for host, received := range h.reports {
+		if boottime.Since(received.at) > WorkAge {
 			delete(h.reports, host)
 		}
 	}
--- a/internal/exchange/key.go
+++ b/internal/exchange/key.go
@@ -15,27 +15,28 @@
 )
 
 const (
-	// keyRow is the row that holds the key, in a table of its own.
+	// keyRow is the row that holds the key. Its table has no other row.
 	keyRow = "hosts"
 	// keyID is the key's ID in the handshake between hosts.
 	keyID = "installation"
 	// keyTimeout bounds one read or creation of the key in the store.
 	keyTimeout = time.Second
-	// keyDelay is how long other hosts wait before they read the key when a whole installation
-	// starts. The seeds create it meanwhile, which saves the others a second call.
-	keyDelay = 300 * time.Millisecond
-	// keyRetry is the time between two attempts to read the key. Only the exchange depends on
-	// it.
-	keyRetry = time.Second
+	// keyReadDelay is how long hosts other than seeds wait before they read the key when a
+	// whole installation starts. The seeds create the key meanwhile, which saves the other
+	// hosts a second call.
+	keyReadDelay = 300 * time.Millisecond
+	// keyRetryInterval is the time between two attempts to read the key, and between two checks
+	// whether a seed must write it again. Only the exchange depends on the key.
+	keyRetryInterval = time.Second
 )
 
 // errShortKey means that the key's row doesn't hold a usable key.
 var errShortKey = errors.New("exchange: the key is too short")
 
-// sharedKey reads the hosts' common key. If it is missing or unusable, and mayMake is set,
-// sharedKey creates it. Every host with access to the store belongs to the installation, so
-// hosts need no other shared secret. If two hosts create the key at the same time, the second
-// one uses the first one's.
+// sharedKey reads the hosts' common key. If the key is missing or unusable and mayCreate is
+// set, it creates one. Every host with access to the store belongs to the installation, so
+// hosts need no other shared secret. If two hosts create the key at the same time, both use the
+// one that was written first.
 func sharedKey(ctx context.Context, table storage.Table, mayCreate bool) (peer.Key, error) {
 	ctx, cancel := context.WithTimeout(ctx, keyTimeout)
 	defer cancel()
@@ -71,19 +72,20 @@
 	return err
 }
 
-// restoreKey writes the key again after the store was restored from a backup that lacks it.
-// Otherwise a host that starts would create a different one. Only the seeds do so.
+// restoreKey writes the key again whenever the store was restored from a backup that lacks it,
+// until the context ends. Otherwise the next host that starts would create a different key.
+// Only seeds restore it.
 func (m *Member) restoreKey(ctx context.Context, key peer.Key) {
 	if !slices.Contains(m.options.Seeds, m.options.Listen) {
 		return
 	}
 	writtenEra := m.storeEra()
-	wait.Every(ctx, keyRetry, func() {
+	wait.Every(ctx, keyRetryInterval, func() {
 		era := m.storeEra()
 		if era == writtenEra {
 			return
 		}
-		if err := m.writeKey(ctx, key); err != nil {
+		if err := m.writeKeyIfMissing(ctx, key); err != nil {
 			m.log.Warn().Str("event", "key-unsaved").Uint64("era", era).Err(err).Msg("")
 			return
 		}
@@ -91,8 +93,8 @@
 	})
 }
 
-// writeKey writes the key if the row is missing.
-func (m *Member) writeKey(ctx context.Context, key peer.Key) error {
+// writeKeyIfMissing writes the key unless the row exists, and logs a row with another key.
+func (m *Member) writeKeyIfMissing(ctx context.Context, key peer.Key) error {
 	ctx, cancel := context.WithTimeout(ctx, keyTimeout)
 	defer cancel()
 	row, err := m.options.Keys.Get(ctx, keyRow)
@@ -106,7 +108,7 @@
 	return putKey(ctx, m.options.Keys, key.Secret, 0)
 }
 
-// storeEra returns the newest era of the store among its tables' revisions.
+// storeEra returns the newest era among the revisions of the store's tables.
 func (m *Member) storeEra() uint64 {
 	newest := uint64(0)
 	for _, w := range m.options.Tables {
@@ -115,11 +117,12 @@
 	return newest
 }
 
-// awaitKey reads the hosts' common key, and retries until it exists. A seed creates it.
+// awaitKey reads the hosts' common key, and retries until it has been read or the context ends.
+// A seed creates the key if it is missing.
 func (m *Member) awaitKey(ctx context.Context) (peer.Key, error) {
 	mayCreate := slices.Contains(m.options.Seeds, m.options.Listen)
 	if m.options.FirstStart && !mayCreate {
-		if err := wait.For(ctx, keyDelay); err != nil {
+		if err := wait.For(ctx, keyReadDelay); err != nil {
 			return peer.Key{}, err
 		}
 	}
@@ -131,7 +134,7 @@
 		if !errors.Is(err, storage.ErrNotFound) {
 			m.log.Warn().Str("event", "key-unknown").Err(err).Msg("")
 		}
-		if err := wait.For(ctx, keyRetry); err != nil {
+		if err := wait.For(ctx, keyRetryInterval); err != nil {
 			return peer.Key{}, err
 		}
 	}
--- a/internal/exchange/key_test.go
+++ b/internal/exchange/key_test.go
@@ -15,18 +15,18 @@
 	"github.com/quetzalweir/quetzalweir/storage/memory"
 )
 
-// returningTable is a table of a store that is restored from a backup.
-type returningTable struct{ era atomic.Uint64 }
+// restoredTable is a table of a store that is restored from a backup whenever era increases.
+type restoredTable struct{ era atomic.Uint64 }
 
-func (r *returningTable) page() feed.Page {
+func (r *restoredTable) page() feed.Page {
 	return feed.Page{Revision: storage.NewRevision(r.era.Load(), 5)}
 }
 
-func (r *returningTable) List(context.Context, string, string, feed.Received) (feed.Page, error) {
+func (r *restoredTable) List(context.Context, string, string, feed.Received) (feed.Page, error) {
 	return r.page(), nil
 }
 
-func (r *returningTable) Changes(ctx context.Context, _ string, since storage.Revision, _ time.Duration, _ feed.Received) (feed.Page, error) {
+func (r *restoredTable) Changes(ctx context.Context, _ string, since storage.Revision, _ time.Duration, _ feed.Received) (feed.Page, error) {
 	time.Sleep(100 * time.Millisecond)
 	if since.Era() < r.era.Load() {
 		return feed.Page{}, feed.ErrHistoryLost
@@ -34,11 +34,11 @@
 	return r.page(), ctx.Err()
 }
 
-// If the restored backup lacks the hosts' key, the seeds alone write it again, and once.
+// If the restored backup lacks the hosts' key, only the seeds write it again, and only once.
 func TestKeyIsWrittenAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		source, keys := &returningTable{}, memory.New()
+		source, keys := &restoredTable{}, memory.New()
 		key, err := sharedKey(t.Context(), keys, true)
 		is.NoErr(err)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -51,14 +51,14 @@
 			go w.Run(ctx)
 			go m.restoreKey(ctx, key)
 		}
-		time.Sleep(2 * keyRetry)
+		time.Sleep(2 * keyRetryInterval)
 		_, err = keys.Commit(ctx, storage.Txn{Deletes: []string{keyRow}})
 		is.NoErr(err)
-		time.Sleep(2 * keyRetry)
+		time.Sleep(2 * keyRetryInterval)
 		_, err = keys.Get(ctx, keyRow)
-		is.True(err != nil) // the seeds check only after a change of era
+		is.True(err != nil) // the seeds write it again only after a change of era
 		source.era.Store(1)
-		time.Sleep(3 * keyRetry)
+		time.Sleep(3 * keyRetryInterval)
 		row, err := keys.Get(ctx, keyRow)
 		is.NoErr(err)
 		is.Equal(row.Value, key.Secret)
--- a/internal/exchange/lease.go
+++ b/internal/exchange/lease.go
@@ -13,8 +13,9 @@
 // Lease is ratelease.Lease on the wire.
 type Lease struct {
 	Grants Grants `json:"grants,omitempty"`
-	// Unchanged reports that the grants are those whose digest the host sent; Grants is empty
-	// then.
+	// Unchanged reports that the grants are those whose digest the host sent with its report;
+	// Grants is empty then. ForMs is the duration of the lease in milliseconds, Roots the
+	// number of root hubs.
 	Unchanged bool  `json:"same,omitempty"`
 	ForMs     int64 `json:"for_ms"`
 	Roots     int   `json:"roots"`
@@ -23,8 +24,8 @@
 // Grants lists the granted parts of the upstreams' request limits.
 type Grants []ratelease.Grant
 
-// grantSize is the size of an encoded grant in bytes, before base64: the upstream and two
-// counts.
+// grantSize is the size of an encoded grant in bytes, before base64: the upstream, and the
+// numbers of parts granted and of all parts.
 const grantSize = 8 + 1 + 1
 
 // MarshalJSON implements json.Marshaler.
@@ -50,8 +51,8 @@
 	return nil
 }
 
-// leaseFor returns the host's part of this host's lease. knownDigest is the digest of the
-// grants that the host already has.
+// leaseFor returns the part of this host's lease that the host with the name is granted.
+// knownDigest is the digest of the grants that it already has.
 func (h *hub) leaseFor(host string, knownDigest uint64) Lease {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -66,7 +67,8 @@
 	return wire
 }
 
-// decode returns the lease. previous are the grants whose digest the host sent.
+// decode returns the lease. previous holds the grants whose digest the host sent, which are
+// granted again if Unchanged is set.
 func (l Lease) decode(previous Grants) ratelease.Lease {
 	grants := l.Grants
 	if l.Unchanged {
@@ -75,82 +77,86 @@
 	return ratelease.Lease{Grants: grants, For: time.Duration(l.ForMs) * time.Millisecond, Roots: l.Roots}
 }
 
-// assignLease starts a lease that was granted to a request sent at requestedAt, and divides it
-// among the hosts that report here. This host always counts as one of them, even if no other
-// host reports here any more: hosts that did may still hold a lease for a moment.
-func (h *hub) assignLease(l ratelease.Lease, requestedAt time.Time) {
+// divideLease starts the lease that this host was granted with a reply to a report sent at
+// requestedAt, and divides it among the hosts that report here. This host always counts as one
+// of them, even after the last other host has stopped reporting here: that host may still hold
+// a lease for a moment.
+func (h *hub) divideLease(l ratelease.Lease, requestedAt time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.dropExpired()
 	now := boottime.Now()
 	reporters := map[string]int{h.self: 1}
-	for name, got := range h.reports {
-		if !got.fromHub {
-			reporters[name] = got.hosts
+	for name, received := range h.reports {
+		if !received.fromHub {
+			reporters[name] = received.hosts
 		}
 	}
 	holding := ratelease.NewHolding(l, requestedAt, nil)
 	h.lessor.Assign(holding.Lease(now), reporters, now)
 }
 
-// rooted reports whether this host's grants derive from a root of the hub tree, or it is a
-// root.
+// rooted reports whether this host is a root hub or holds grants that derive from one.
 func (h *hub) rooted() bool { return boottime.Since(h.lastRooted()) < ratelease.LeaseDuration }
 
-// lastRooted returns when this host's grants last derived from a root of the hub tree.
+// lastRooted returns when this host last held grants that derived from a root hub.
 func (h *hub) lastRooted() time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.lastRootedAt
 }
 
-// setRootedAt records that this host's grants derived from a root at the given time.
+// setRootedAt records that this host held grants that derived from a root hub at the given
+// time.
 func (h *hub) setRootedAt(at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.lastRootedAt = at
 }
 
-// acceptLease takes over the lease that the hub granted to this host and its followers.
+// acceptLease starts the lease that the hub granted to this host and its followers, and divides
+// it among them.
 func (m *Member) acceptLease(reply Reply, requestedAt time.Time) {
-	lease := reply.Lease.decode(m.granted)
-	m.granted = lease.Grants
+	lease := reply.Lease.decode(m.hubGrants)
+	m.hubGrants = lease.Grants
 	if reply.Rooted {
-		m.hub.setRootedAt(requestedAt)
+		m.ownHub.setRootedAt(requestedAt)
 	}
-	m.hub.assignLease(lease, requestedAt)
-	m.applyOwnLease()
+	m.ownHub.divideLease(lease, requestedAt)
+	m.updateHolding()
 }
 
-// assignRootLease makes a root of the hub tree hold its own part of all leased upstreams.
-func (m *Member) assignRootLease() {
+// renewRootLease renews the lease that a root hub holds by itself, on its own part of all
+// leased upstreams.
+func (m *Member) renewRootLease() {
 	if m.options.RootGrants == nil {
 		return
 	}
 	roots := len(m.options.Seeds)
-	m.hub.setRootedAt(boottime.Now())
-	m.hub.assignLease(ratelease.RootLease(m.options.RootGrants(roots), roots), boottime.Now())
+	m.ownHub.setRootedAt(boottime.Now())
+	m.ownHub.divideLease(ratelease.RootLease(m.options.RootGrants(roots), roots), boottime.Now())
 }
 
-// applyOwnLease takes over this host's part of the lease that its own hub divides.
-func (m *Member) applyOwnLease() {
+// updateHolding passes this host's own part of the lease that its own hub divides to OnHolding.
+func (m *Member) updateHolding() {
 	if m.options.OnHolding == nil {
 		return
 	}
 	now := boottime.Now()
-	lease := m.hub.leaseFor(m.options.Host, 0).decode(nil)
-	if own := m.unusedRootGrants(); len(own) > 0 {
+	lease := m.ownHub.leaseFor(m.options.Host, 0).decode(nil)
+	if own := m.ownRootGrants(); len(own) > 0 {
 		lease = ratelease.RootLease(ratelease.Merge(own, lease.Grants), len(m.options.Seeds))
 	}
 	m.holding = ratelease.NewHolding(lease, now, &m.holding)
-	m.options.OnHolding(m.holding, m.hub.lastRooted())
+	m.options.OnHolding(m.holding, m.ownHub.lastRooted())
 }
 
-// unusedRootGrants returns the root's part of a seed that reports to another seed of its zone.
-// The seed uses this part alone: no other host has it.
-func (m *Member) unusedRootGrants() []ratelease.Grant {
+// ownRootGrants returns the grants that a seed holds as a root hub while it reports to another
+// seed of its zone, or none. The seed uses them itself instead of dividing them, and no other
+// host has them.
+func (m *Member) ownRootGrants() []ratelease.Grant {
 	seeds, self := m.options.Seeds, m.options.Listen
-	if m.options.RootGrants == nil || m.current == self || !slices.Contains(seeds, self) || boottime.Since(m.hub.startedAt) < ratelease.HandoverDelay {
+	if m.options.RootGrants == nil || m.hubAddress == self || !slices.Contains(seeds, self) || boottime.Since(m.ownHub.startedAt) < ratelease.HandoverDelay {
 		return nil
 	}
 	return m.options.RootGrants(len(seeds))
--- a/internal/exchange/lease_test.go
+++ b/internal/exchange/lease_test.go
@@ -20,24 +20,25 @@
 // would send all its requests to them. Hosts always send as much as their leases permit, so the
 // greatest number of requests that reaches an upstream in a second is what the leases permit.
 
-// coldBound permits 32 requests a second.
+// coldBound permits 32 requests a second to a cold upstream.
 var coldBound = ratelease.Bound{Rate: 18, Overrun: 1.5, Headroom: 5}
 
-// coldSends records the requests sent to cold upstreams.
-type coldSends struct {
+// coldRequests records the requests that hosts send to cold upstreams.
+type coldRequests struct {
 	at map[ratelease.UpstreamID][]time.Time
-	// windows holds the hosts' own counts; a host that restarts begins without any.
+	// windows holds each host's own counts of the requests that it sent; a host that restarts
+	// begins without any.
 	windows map[string]map[ratelease.UpstreamID]*ratelease.Window
-	// nonCompliant is a host that ignores its leases; empty for none.
+	// nonCompliant is the name of a host that ignores its leases; empty for none.
 	nonCompliant string
 }
 
-func newColdSends() *coldSends {
-	return &coldSends{at: make(map[ratelease.UpstreamID][]time.Time), windows: make(map[string]map[ratelease.UpstreamID]*ratelease.Window)}
+func newColdRequests() *coldRequests {
+	return &coldRequests{at: make(map[ratelease.UpstreamID][]time.Time), windows: make(map[string]map[ratelease.UpstreamID]*ratelease.Window)}
 }
 
-// send makes each host send as much as it may.
-func (s *coldSends) send(f *fleet) {
+// send makes each host send all the requests that its leases permit now.
+func (s *coldRequests) send(f *fleet) {
 	now := time.Now()
 	for _, h := range f.hosts {
 		h.mu.Lock()
@@ -68,32 +69,32 @@
 	}
 }
 
-// run sends for the span.
-func (s *coldSends) run(f *fleet, span time.Duration) {
+// run makes the hosts send requests for the span.
+func (s *coldRequests) run(f *fleet, span time.Duration) {
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		s.send(f)
 	}
 }
 
-// most returns the greatest number of requests sent to one upstream in any second, and the mean
-// rate.
-func (s *coldSends) most() (most int, rate float64) {
+// maxPerSecond returns the maximum number of requests sent to one upstream in any second, and
+// the mean rate per upstream in requests a second.
+func (s *coldRequests) maxPerSecond() (maxPerSecond int, meanRate float64) {
 	for _, at := range s.at {
 		from := 0
 		for i := range at {
 			for at[i].Sub(at[from]) >= time.Second {
 				from++
 			}
-			most = max(most, i-from+1)
+			maxPerSecond = max(maxPerSecond, i-from+1)
 		}
 		if span := at[len(at)-1].Sub(at[0]).Seconds(); span > 0 {
-			rate += float64(len(at)) / span / float64(len(s.at))
+			meanRate += float64(len(at)) / span / float64(len(s.at))
 		}
 	}
-	return most, rate
+	return maxPerSecond, meanRate
 }
 
-// coldFleet starts an installation with cold upstreams.
+// coldFleet starts an installation with the given number of cold upstreams.
 func coldFleet(t *testing.T, size fleetSize, cold int) *fleet {
 	f := newFleet(t, size.hosts, size.zones, 10)
 	for i := range cold {
@@ -102,14 +103,14 @@
 	return f
 }
 
-// restart stops the hosts and starts them again a moment later.
-func (f *fleet) restart(s *coldSends, hosts ...*fleetHost) {
+// restart stops the hosts, and starts them again without their data 50 ms later.
+func (f *fleet) restart(requests *coldRequests, hosts ...*fleetHost) {
 	for _, h := range hosts {
 		h.stop()
 		h.mu.Lock()
 		h.holding = ratelease.Holding{}
 		h.mu.Unlock()
-		delete(s.windows, h.name)
+		delete(requests.windows, h.name)
 	}
 	time.Sleep(50 * time.Millisecond)
 	for _, h := range hosts {
@@ -118,8 +119,8 @@
 	}
 }
 
-// isolate disconnects the hosts that match from all others. A nil function reconnects all
-// hosts.
+// isolate disconnects the hosts for which isolated returns true from all others. A nil function
+// reconnects all hosts.
 func (f *fleet) isolate(isolated func(h *fleetHost) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -133,14 +134,14 @@
 // coldScenarios are faults that occur while upstreams are cold.
 var coldScenarios = []struct {
 	name string
-	run  func(f *fleet, s *coldSends, rnd *rand.Rand)
+	run  func(f *fleet, s *coldRequests, rnd *rand.Rand)
 }{
-	{"nothing", func(f *fleet, s *coldSends, _ *rand.Rand) { s.run(f, 3*time.Second) }},
-	{"all hosts start again", func(f *fleet, s *coldSends, _ *rand.Rand) {
+	{"nothing", func(f *fleet, s *coldRequests, _ *rand.Rand) { s.run(f, 3*time.Second) }},
+	{"all hosts restart", func(f *fleet, s *coldRequests, _ *rand.Rand) {
 		f.restart(s, f.hosts...)
 		s.run(f, 6*time.Second)
 	}},
-	{"hosts start again one after the other, hubs among them", func(f *fleet, s *coldSends, rnd *rand.Rand) {
+	{"hosts restart one after the other, hubs among them", func(f *fleet, s *coldRequests, rnd *rand.Rand) {
 		for range 12 {
 			n := len(f.hosts)
 			if rnd.IntN(2) == 0 {
@@ -150,7 +151,7 @@
 			s.run(f, time.Duration(rnd.IntN(800))*time.Millisecond)
 		}
 	}},
-	{"a zone is cut off, and joined again", func(f *fleet, s *coldSends, rnd *rand.Rand) {
+	{"a zone is isolated and reconnected", func(f *fleet, s *coldRequests, rnd *rand.Rand) {
 		zone := f.hosts[rnd.IntN(len(f.hosts))].zone
 		for range 3 {
 			f.isolate(func(h *fleetHost) bool { return h.zone == zone })
@@ -159,16 +160,16 @@
 			s.run(f, time.Duration(rnd.IntN(1500))*time.Millisecond)
 		}
 	}},
-	{"single hosts are cut off", func(f *fleet, s *coldSends, rnd *rand.Rand) {
+	{"single hosts are isolated", func(f *fleet, s *coldRequests, rnd *rand.Rand) {
 		for range 8 {
-			apart := f.hosts[rnd.IntN(len(f.hosts))]
-			f.isolate(func(h *fleetHost) bool { return h == apart })
+			isolated := f.hosts[rnd.IntN(len(f.hosts))]
+			f.isolate(func(h *fleetHost) bool { return h == isolated })
 			s.run(f, time.Duration(rnd.IntN(1500))*time.Millisecond)
 		}
 		f.isolate(nil)
 		s.run(f, time.Second)
 	}},
-	{"other upstreams become cold every moment", func(f *fleet, s *coldSends, rnd *rand.Rand) {
+	{"the set of cold upstreams changes often", func(f *fleet, s *coldRequests, rnd *rand.Rand) {
 		all := f.cold
 		for range 10 {
 			f.mu.Lock()
@@ -179,8 +180,8 @@
 	}},
 }
 
-// scenarioSizes returns the installations that scenarios run on; scenarioSeeds returns the
-// number of random seeds for each.
+// scenarioSizes returns the sizes of the installations that the scenarios run on. scenarioSeeds
+// returns the number of random seeds for a size.
 func scenarioSizes() []fleetSize {
 	if raceEnabled {
 		return []fleetSize{{7, 3}, {30, 3}}
@@ -195,8 +196,8 @@
 	return 1
 }
 
-// Whatever stale data the hosts have of each other, no cold upstream gets more requests in any
-// second than the bound permits.
+// However outdated the hosts' data about each other are, no cold upstream receives more
+// requests in any second than coldBound permits.
 func TestColdUpstreamsOfAFleet(t *testing.T) {
 	for _, size := range scenarioSizes() {
 		seeds := scenarioSeeds(size)
@@ -207,31 +208,32 @@
 					synctest.Test(t, func(t *testing.T) {
 						rnd := rand.New(rand.NewPCG(seed, 1))
 						f := coldFleet(t, size, 20+rnd.IntN(81))
-						s := newColdSends()
+						s := newColdRequests()
 						s.run(f, 5*time.Second)
 						scenario.run(f, s, rnd)
 						s.run(f, 2*time.Second)
-						most, rate := s.most()
+						most, rate := s.maxPerSecond()
 						greatest, mean = max(greatest, most), mean+rate/float64(seeds)
 					})
 				}
-				t.Logf("%d in a second at most, %.0f permitted; %.1f a second in the mean", greatest, coldBound.Permitted(), mean)
+				t.Logf("at most %d requests in a second, %.0f permitted; mean rate %.1f a second", greatest, coldBound.Permitted(), mean)
 				is := is.New(t)
 				is.True(greatest <= int(coldBound.Permitted()))
-				is.True(mean > coldBound.Rate/4) // the upstreams aren't left idle
+				is.True(mean > coldBound.Rate/4) // the hosts use a part of what is permitted
 			})
 		}
 	}
 }
 
-// A single host that ignores its leases exceeds the bound, and the test's count detects it.
+// A single host that ignores its leases makes upstreams receive more requests than the bound
+// permits, and the count of these tests shows it.
 func TestNonCompliantHostExceedsTheBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := coldFleet(t, fleetSize{30, 3}, 20)
-		s := newColdSends()
+		s := newColdRequests()
 		s.nonCompliant = f.hosts[20].name
 		s.run(f, 5*time.Second)
-		most, _ := s.most()
+		most, _ := s.maxPerSecond()
 		is.New(t).True(most > int(coldBound.Permitted()))
 	})
 }
@@ -250,25 +252,25 @@
 	}
 }
 
-// A host isn't sent grants again that it already has.
+// A host that already has the grants of its new lease isn't sent them again.
 func TestUnchangedLeaseIsNotSentAgain(t *testing.T) {
 	is := is.New(t)
 	h := newHub(Options{Host: "hub"}, zerolog.Nop())
 	h.lessor = ratelease.NewLessor(boottime.Now().Add(-time.Minute))
 	h.reports["host"] = receivedReport{at: boottime.Now(), hosts: 1}
 	grants := []ratelease.Grant{{Upstream: 1, Parts: 4, Of: 4}, {Upstream: 2, Parts: 4, Of: 4}, {Upstream: 3, Parts: 4, Of: 4}}
-	h.assignLease(ratelease.RootLease(grants, 3), boottime.Now())
+	h.divideLease(ratelease.RootLease(grants, 3), boottime.Now())
 	first := h.leaseFor("host", 0)
 	is.True(len(first.Grants) > 0 && !first.Unchanged)
 	again := h.leaseFor("host", ratelease.Digest(first.Grants))
 	is.Equal(again, Lease{Unchanged: true, ForMs: again.ForMs, Roots: 3})
 	is.Equal(again.decode(first.Grants).Grants, []ratelease.Grant(first.Grants))
-	h.assignLease(ratelease.RootLease(grants[:1], 3), boottime.Now())
+	h.divideLease(ratelease.RootLease(grants[:1], 3), boottime.Now())
 	is.True(!h.leaseFor("host", ratelease.Digest(first.Grants)).Unchanged)
 }
 
-// A seed that reports to another seed of its zone uses its own root's part, which no other host
-// has.
+// A seed that reports to another seed of its zone uses the part that it holds as a root hub
+// itself, since no other host is granted it.
 func TestSeedThatReportsToAnotherUsesItsPart(t *testing.T) {
 	is := is.New(t)
 	grant := ratelease.Grant{Upstream: 1, Parts: 1, Of: 1}
@@ -278,14 +280,14 @@
 		RootGrants: func(int) []ratelease.Grant { return []ratelease.Grant{grant} },
 		OnHolding:  func(h ratelease.Holding, _ time.Time) { held = h },
 	}, zerolog.Nop())
-	m.current = "a"
+	m.hubAddress = "a"
 	share := func() ratelease.Share {
-		m.applyOwnLease()
+		m.updateHolding()
 		s, _ := held.Share(1, boottime.Now())
 		return s
 	}
-	is.Equal(share().Parts, 0) // leases from before its restart may still be valid
-	m.hub.startedAt = boottime.Now().Add(-ratelease.HandoverDelay)
+	is.Equal(share().Parts, 0) // leases that it granted before a restart may still be valid
+	m.ownHub.startedAt = boottime.Now().Add(-ratelease.HandoverDelay)
 	is.Equal(share().Part(), 1.0/3)
 	m.options.Listen = "d"
 	is.Equal(share().Parts, 0) // the host isn't a seed
--- a/internal/exchange/limits.go
+++ b/internal/exchange/limits.go
@@ -11,24 +11,24 @@
 	"github.com/quetzalweir/quetzalweir/ratelease"
 )
 
-// LimitUpdates are changes of upstreams' limits on the wire.
+// LimitUpdates is a list of limit updates on the wire.
 type LimitUpdates []ratelease.LimitUpdate
 
 const (
 	// limitEntrySize is the size of an encoded update in bytes, before base64: the upstream,
-	// the limit, and the age up to maxLimitAge.
+	// the limit, and the age in milliseconds up to maxLimitAge.
 	limitEntrySize = 8 + 4 + 2
 	maxLimitAge    = math.MaxUint16 * time.Millisecond
-	// noLimitValue encodes that the upstream no longer has a limit.
+	// noLimitValue is encoded in place of a limit that has ended.
 	noLimitValue = -1
-	// maxLimitUpdates bounds the updates in one message to 4 KB.
+	// maxLimitUpdates bounds the updates in one message, so that they take at most 4 KB.
 	maxLimitUpdates = 224
 )
 
 // MarshalJSON implements json.Marshaler.
-func (w LimitUpdates) MarshalJSON() ([]byte, error) {
-	packed := make([]byte, 0, limitEntrySize*len(w))
-	for _, update := range w {
+func (l LimitUpdates) MarshalJSON() ([]byte, error) {
+	packed := make([]byte, 0, limitEntrySize*len(l))
+	for _, update := range l {
 		limit := float32(update.Limit)
 		if update.Ended {
 			limit = noLimitValue
@@ -41,12 +41,12 @@
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
-func (w *LimitUpdates) UnmarshalJSON(data []byte) error {
+func (l *LimitUpdates) UnmarshalJSON(data []byte) error {
 	packed, err := unmarshalPacked(data, limitEntrySize)
 	if err != nil {
 		return err
 	}
-	*w = make(LimitUpdates, 0, len(packed)/limitEntrySize)
+	*l = make(LimitUpdates, 0, len(packed)/limitEntrySize)
 	for entry := range slices.Chunk(packed, limitEntrySize) {
 		update := ratelease.LimitUpdate{Upstream: ratelease.UpstreamID(binary.BigEndian.Uint64(entry)), Age: time.Duration(binary.BigEndian.Uint16(entry[12:])) * time.Millisecond}
 		limit := math.Float32frombits(binary.BigEndian.Uint32(entry[8:]))
@@ -55,7 +55,7 @@
 		} else {
 			update.Ended = true // negative or NaN
 		}
-		*w = append(*w, update)
+		*l = append(*l, update)
 	}
 	return nil
 }
@@ -67,60 +67,61 @@
 	Complete bool                `json:"whole,omitempty"`
 }
 
-func (n LimitBatch) decode() ratelease.LimitBatch {
-	return ratelease.LimitBatch{Updates: n.Updates, Cursor: n.Cursor, Complete: n.Complete}
+func (b LimitBatch) decode() ratelease.LimitBatch {
+	return ratelease.LimitBatch{Updates: b.Updates, Cursor: b.Cursor, Complete: b.Complete}
 }
 
-// limitsSince returns the limits after the mark that are sent to the audience.
-func (h *hub) limitsSince(known ratelease.LogCursor, to audience) LimitBatch {
+// limitsSince returns the limit updates after the cursor that are sent to the audience.
+func (h *hub) limitsSince(cursor ratelease.LogCursor, to audience) LimitBatch {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	batch := h.limits.Since(known, maxLimitUpdates, to == toHub, boottime.Now())
-	whole := batch.Complete && h.hasAllLimits && boottime.Since(h.startedAt) >= limitRelearnTime
-	return LimitBatch{Updates: batch.Updates, Cursor: batch.Cursor, Complete: whole}
+	batch := h.limits.Since(cursor, maxLimitUpdates, to == toHub, boottime.Now())
+	complete := batch.Complete && h.hasAllLimits && boottime.Since(h.startedAt) >= limitRelearnDelay
+	return LimitBatch{Updates: batch.Updates, Cursor: batch.Cursor, Complete: complete}
 }
 
-// limitRelearnTime is how long a hub that has started waits for its followers and other hubs to
-// send their limits again, before it claims to have all of them.
-const limitRelearnTime = 3 * time.Second
+// limitRelearnDelay is how long a hub that has started waits for its followers and other hubs
+// to send their limits again. Until then it doesn't mark a batch as complete.
+const limitRelearnDelay = 3 * time.Second
 
-// recordLimits records limits that a host or another hub sent. whole means that they are all
-// the limits of the hub that this one reports to.
-func (h *hub) recordLimits(fromHub bool, updates []ratelease.LimitUpdate, whole bool) {
+// recordLimits stores limit updates from a host or another hub. complete reports that they are
+// all limits of the hub that this host reports to, so that its other limits have ended.
+func (h *hub) recordLimits(fromHub bool, updates []ratelease.LimitUpdate, complete bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := boottime.Now()
 	h.limits.Add(fromHub, updates, now)
-	if whole {
+	if complete {
 		h.limits.EndMissing(updates, now)
 	}
 }
 
-// applyHubLimits applies the limits in the hub's reply. A host with followers passes them on
-// through its own hub.
+// applyHubLimits processes the limit batch in the hub's reply. A host with followers passes the
+// updates to its own hub, from which its followers receive them; any other host passes them to
+// OnLimits.
 func (m *Member) applyHubLimits(batch LimitBatch, hasFollowers bool) {
-	updates, reset, whole := m.limits.Apply(batch.decode())
-	if reset {
-		m.resendLimits()
+	updates, restarted, complete := m.hubLimitReader.Apply(batch.decode())
+	if restarted {
+		m.requeueLimits()
 	}
-	m.hub.setHasAllLimits(m.limits.Complete())
+	m.ownHub.setHasAllLimits(m.hubLimitReader.Complete())
 	if hasFollowers {
-		m.hub.recordLimits(true, updates, whole)
+		m.ownHub.recordLimits(true, updates, complete)
 		return
 	}
-	m.deliverLimits(updates, whole)
+	m.deliverLimits(updates, complete)
 }
 
-// resendLimits makes the next reports repeat all limits of this host and its followers, for a
-// hub that may have none.
-func (m *Member) resendLimits() {
-	m.forwardedLimitsMark = ratelease.LogCursor{}
+// requeueLimits makes the next reports repeat all limits of this host and its followers. It is
+// called for a hub that may have none of them.
+func (m *Member) requeueLimits() {
+	m.forwardedLimitsCursor = ratelease.LogCursor{}
 	if m.options.KnownLimits != nil && !m.hasFollowers {
 		m.unsentLimits = m.options.KnownLimits()
 	}
 }
 
-// nextLimitUpdates returns the limit updates for the next report.
+// nextLimitUpdates returns the limit updates for the next report, at most maxLimitUpdates.
 func (m *Member) nextLimitUpdates() []ratelease.LimitUpdate {
 	if m.options.Limits == nil {
 		return nil
@@ -129,32 +130,33 @@
 	return m.unsentLimits[:min(maxLimitUpdates, len(m.unsentLimits))]
 }
 
-// setHasAllLimits records whether the hub that this one reports to has sent all its limits, or
-// this host is a root.
+// setHasAllLimits records whether the hub that this host reports to has sent its whole limit
+// log, or this host is a root hub.
 func (h *hub) setHasAllLimits(hasAll bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.hasAllLimits = hasAll
 }
 
-// applyOwnHubLimits applies the limits that this host's own hub has.
+// applyOwnHubLimits passes the new limit updates of this host's own hub to OnLimits.
 func (m *Member) applyOwnHubLimits() {
-	updates, _, whole := m.ownLimits.Apply(m.hub.limitsSince(m.ownLimits.Cursor(), toHost).decode())
-	m.deliverLimits(updates, whole)
+	updates, _, complete := m.ownHubLimitReader.Apply(m.ownHub.limitsSince(m.ownHubLimitReader.Cursor(), toHost).decode())
+	m.deliverLimits(updates, complete)
 }
 
-func (m *Member) deliverLimits(updates []ratelease.LimitUpdate, whole bool) {
-	if m.options.OnLimits != nil && (whole || len(updates) > 0) {
-		m.options.OnLimits(updates, whole)
+func (m *Member) deliverLimits(updates []ratelease.LimitUpdate, complete bool) {
+	if m.options.OnLimits != nil && (complete || len(updates) > 0) {
+		m.options.OnLimits(updates, complete)
 	}
 }
 
-// setHasFollowers records whether this host has followers. When that changes, it requests all
-// limits again: this host's own hub has them only while it has followers.
+// setHasFollowers records whether this host has followers. When that changes, the host reads
+// both limit logs from the start again, since its own hub has the limits only while it has
+// followers.
 func (m *Member) setHasFollowers(hasFollowers bool) {
 	if hasFollowers != m.hasFollowers {
 		m.hasFollowers = hasFollowers
-		m.limits, m.ownLimits = ratelease.LogReader{}, ratelease.LogReader{}
+		m.hubLimitReader, m.ownHubLimitReader = ratelease.LogReader{}, ratelease.LogReader{}
 	}
 }
 
--- a/internal/exchange/limits_test.go
+++ b/internal/exchange/limits_test.go
@@ -19,14 +19,15 @@
 // permit. Hosts send to any upstream that accepts requests, so what reaches a limited upstream
 // is what the hosts' leases permit.
 
-// hostLimit is a host's record of an upstream's limit.
+// hostLimit is a host's record of an upstream's limit; pending reports that the hub must be
+// sent an update of it.
 type hostLimit struct {
-	named   ratelease.LimitState
+	state   ratelease.LimitState
 	bucket  ratelease.Bucket
 	pending bool
 }
 
-// limit returns the host's record of the upstream. The caller holds the lock.
+// limit returns the host's record of the upstream's limit. The caller holds the lock.
 func (h *fleetHost) limit(u ratelease.UpstreamID) *hostLimit {
 	if h.limits[u] == nil {
 		h.limits[u] = &hostLimit{}
@@ -39,8 +40,8 @@
 	defer h.mu.Unlock()
 	var grants []ratelease.Grant
 	for u, l := range h.limits {
-		if l.named.Limited(h.contact, time.Now()) {
-			parts := l.named.PartCount(roots)
+		if l.state.Limited(h.contact, time.Now()) {
+			parts := l.state.PartCount(roots)
 			grants = append(grants, ratelease.Grant{Upstream: u, Parts: parts, Of: parts})
 		}
 	}
@@ -53,7 +54,7 @@
 	var updates []ratelease.LimitUpdate
 	for u, l := range h.limits {
 		if l.pending {
-			updates = append(updates, l.named.NextUpdate(u, time.Now()))
+			updates = append(updates, l.state.NextUpdate(u, time.Now()))
 			l.pending = false
 		}
 	}
@@ -65,39 +66,40 @@
 	defer h.mu.Unlock()
 	var updates []ratelease.LimitUpdate
 	for u, l := range h.limits {
-		if l.named.Limited(h.contact, time.Now()) {
-			updates = append(updates, l.named.NextUpdate(u, time.Now()))
+		if l.state.Limited(h.contact, time.Now()) {
+			updates = append(updates, l.state.NextUpdate(u, time.Now()))
 		}
 	}
 	return updates
 }
 
-func (h *fleetHost) takeLimits(updates []ratelease.LimitUpdate, whole bool) {
+func (h *fleetHost) applyLimits(updates []ratelease.LimitUpdate, complete bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	received := make(map[ratelease.UpstreamID]bool)
 	for _, update := range updates {
 		received[update.Upstream] = true
-		h.limit(update.Upstream).named.Apply(update, time.Now())
+		h.limit(update.Upstream).state.Apply(update, time.Now())
 	}
 	for u, l := range h.limits {
-		if whole && l.named.HasHubLimit() && !received[u] {
-			l.named.Apply(ratelease.LimitUpdate{Upstream: u, Ended: true}, time.Now())
+		if complete && l.state.HasHubLimit() && !received[u] {
+			l.state.Apply(ratelease.LimitUpdate{Upstream: u, Ended: true}, time.Now())
 		}
 	}
 }
 
-// trySend reports whether the host may send a request to the upstream now, and counts it.
+// trySend reports whether the host may send a request to the upstream now, and counts the
+// request if it may.
 func (h *fleetHost) trySend(u ratelease.UpstreamID, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	l := h.limit(u)
-	if !l.named.Limited(h.contact, now) {
+	if !l.state.Limited(h.contact, now) {
 		return true
 	}
 	allowance := ratelease.Allowance{}
 	if share, ok := h.holding.Share(u, now); ok {
-		allowance = l.named.Limit().Allowance(share)
+		allowance = l.state.Limit().Allowance(share)
 	}
 	if !l.bucket.Allows(allowance, now) {
 		return false
@@ -106,96 +108,99 @@
 	return true
 }
 
-// observe processes an answer.
-func (h *fleetHost) observe(u ratelease.UpstreamID, limit ratelease.Limit, named bool, sentAt time.Time) {
+// observe processes the answer to a request sent at sentAt; announced reports whether it
+// announced the limit.
+func (h *fleetHost) observe(u ratelease.UpstreamID, limit ratelease.Limit, announced bool, sentAt time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	l := h.limit(u)
 	now := time.Now()
 	switch {
-	case named:
-		l.pending = l.named.Observe(limit, now) || l.pending
-	case l.named.Limited(h.contact, now):
-		l.pending = l.named.ObserveUnlimited(sentAt, now) || l.pending
+	case announced:
+		l.pending = l.state.Observe(limit, now) || l.pending
+	case l.state.Limited(h.contact, now):
+		l.pending = l.state.ObserveUnlimited(sentAt, now) || l.pending
 	}
 }
 
 // limitedUpstream is an upstream that announces a limit for a while.
 type limitedUpstream struct {
-	name  ratelease.UpstreamID
+	id    ratelease.UpstreamID
 	limit ratelease.Limit
-	// from and until are when it announces the limit.
+	// The upstream announces the limit between from and until.
 	from, until time.Time
-	// informedSends are the requests of hosts that had observed the limit at least half a
-	// second before. allSends are all requests while it announced the limit. sendsAfterLimit
-	// counts the requests while it announces none.
+	// informedSends holds the times of the requests by hosts that had observed the limit at
+	// least half a second before, allSends those of all requests, while the upstream announced
+	// the limit. sendsAfterLimit counts the requests while it announces none.
 	informedSends, allSends []time.Time
 	sendsAfterLimit         int
 }
 
-func (u *limitedUpstream) namesLimit(now time.Time) bool {
+func (u *limitedUpstream) announcesLimit(now time.Time) bool {
 	return !now.Before(u.from) && now.Before(u.until)
 }
 
-// limitTraffic is the traffic of a fleet to upstreams with limits.
+// limitTraffic simulates the requests of a fleet to upstreams that announce limits.
 type limitTraffic struct {
 	fleet     *fleet
 	upstreams []*limitedUpstream
 	rnd       *rand.Rand
-	// firstObservedAt is when each host first observed each limit since its start.
+	// firstObservedAt is when each host first observed each upstream's limit since the host's
+	// start.
 	firstObservedAt map[*fleetHost]map[ratelease.UpstreamID]time.Time
-	// excusedUntil holds the hosts that recently started or were disconnected; their requests
-	// don't count until then.
+	// excusedUntil holds the hosts that recently started or were disconnected, and the time
+	// until which their requests don't count as informed.
 	excusedUntil map[*fleetHost]time.Time
 	answers      []pendingAnswer
 }
 
-// pendingAnswer is an answer in transit.
+// pendingAnswer is an answer in transit, which arrives at the given time.
 type pendingAnswer struct {
-	host     *fleetHost
-	upstream *limitedUpstream
-	sentAt   time.Time
-	at       time.Time
-	named    bool
+	host      *fleetHost
+	upstream  *limitedUpstream
+	sentAt    time.Time
+	at        time.Time
+	announced bool
 }
 
-// answerTime is the time until an answer's headers arrive.
-const answerTime = 80 * time.Millisecond
+// headerDelay is the time from a request until the headers of its answer arrive.
+const headerDelay = 80 * time.Millisecond
 
 func newLimitTraffic(f *fleet, rnd *rand.Rand, limits int) *limitTraffic {
-	p := &limitTraffic{fleet: f, rnd: rnd, firstObservedAt: make(map[*fleetHost]map[ratelease.UpstreamID]time.Time), excusedUntil: make(map[*fleetHost]time.Time)}
+	l := &limitTraffic{fleet: f, rnd: rnd, firstObservedAt: make(map[*fleetHost]map[ratelease.UpstreamID]time.Time), excusedUntil: make(map[*fleetHost]time.Time)}
 	for i := range limits {
-		p.upstreams = append(p.upstreams, &limitedUpstream{name: ratelease.NewUpstreamID(fmt.Sprint("u-", i)), limit: ratelease.Limit(rnd.IntN(60)) / 10})
+		l.upstreams = append(l.upstreams, &limitedUpstream{id: ratelease.NewUpstreamID(fmt.Sprint("u-", i)), limit: ratelease.Limit(rnd.IntN(60)) / 10})
 	}
-	return p
+	return l
 }
 
-// step processes the answers that are due, and makes each host try some upstreams.
-func (p *limitTraffic) step() {
+// step processes the answers that have arrived, and makes each host try to send two requests to
+// random upstreams.
+func (l *limitTraffic) step() {
 	now := time.Now()
-	for len(p.answers) > 0 && !p.answers[0].at.After(now) {
-		a := p.answers[0]
-		p.answers = p.answers[1:]
-		a.host.observe(a.upstream.name, a.upstream.limit, a.named, a.sentAt)
-		if _, ok := p.firstObservedAt[a.host][a.upstream.name]; a.named && !ok {
-			if p.firstObservedAt[a.host] == nil {
-				p.firstObservedAt[a.host] = make(map[ratelease.UpstreamID]time.Time)
+	for len(l.answers) > 0 && !l.answers[0].at.After(now) {
+		a := l.answers[0]
+		l.answers = l.answers[1:]
+		a.host.observe(a.upstream.id, a.upstream.limit, a.announced, a.sentAt)
+		if _, ok := l.firstObservedAt[a.host][a.upstream.id]; a.announced && !ok {
+			if l.firstObservedAt[a.host] == nil {
+				l.firstObservedAt[a.host] = make(map[ratelease.UpstreamID]time.Time)
 			}
-			p.firstObservedAt[a.host][a.upstream.name] = now
+			l.firstObservedAt[a.host][a.upstream.id] = now
 		}
 	}
-	for _, h := range p.fleet.hosts {
+	for _, h := range l.fleet.hosts {
 		for range 2 {
-			u := p.upstreams[p.rnd.IntN(len(p.upstreams))]
-			if !h.trySend(u.name, now) {
+			u := l.upstreams[l.rnd.IntN(len(l.upstreams))]
+			if !h.trySend(u.id, now) {
 				continue
 			}
-			p.answers = append(p.answers, pendingAnswer{host: h, upstream: u, sentAt: now, at: now.Add(answerTime), named: u.namesLimit(now)})
-			observedAt, ok := p.firstObservedAt[h][u.name]
+			l.answers = append(l.answers, pendingAnswer{host: h, upstream: u, sentAt: now, at: now.Add(headerDelay), announced: u.announcesLimit(now)})
+			observedAt, ok := l.firstObservedAt[h][u.id]
 			switch {
-			case !u.namesLimit(now):
+			case !u.announcesLimit(now):
 				u.sendsAfterLimit++
-			case ok && now.Sub(observedAt) >= 500*time.Millisecond && now.After(p.excusedUntil[h]):
+			case ok && now.Sub(observedAt) >= 500*time.Millisecond && now.After(l.excusedUntil[h]):
 				u.informedSends = append(u.informedSends, now)
 				fallthrough
 			default:
@@ -205,14 +210,14 @@
 	}
 }
 
-func (p *limitTraffic) run(span time.Duration) {
+func (l *limitTraffic) run(span time.Duration) {
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		p.step()
+		l.step()
 	}
 }
 
-// maxPerWindow returns the greatest number of arrivals in a window of four seconds that ends
-// after the given time.
+// maxPerWindow returns the maximum number of requests, sent at the given times, in a window of
+// four seconds that ends after the given time.
 func maxPerWindow(at []time.Time, after time.Time) int {
 	most, from := 0, 0
 	for i := range at {
@@ -226,83 +231,84 @@
 	return most
 }
 
-// settleTime is the time from the first announcement to the windows that count, and how long a
-// host is excused after it started or was reconnected.
-const settleTime = 3 * time.Second
+// settleDelay is the time from the first announcement of a limit until requests count against
+// it, and how long a host is excused after it started or was reconnected.
+const settleDelay = 3 * time.Second
 
 // limitScenarios are faults that occur while upstreams announce limits.
 var limitScenarios = []struct {
 	name string
-	run  func(p *limitTraffic)
+	run  func(l *limitTraffic)
 }{
-	{"nothing", func(p *limitTraffic) { p.run(10 * time.Second) }},
-	{"hosts start again one after the other, hubs among them", func(p *limitTraffic) {
+	{"nothing", func(l *limitTraffic) { l.run(10 * time.Second) }},
+	{"hosts restart one after the other, hubs among them", func(l *limitTraffic) {
 		for range 10 {
-			n := len(p.fleet.hosts)
-			if p.rnd.IntN(2) == 0 {
+			n := len(l.fleet.hosts)
+			if l.rnd.IntN(2) == 0 {
 				n = min(3, n)
 			}
-			p.restart(p.fleet.hosts[p.rnd.IntN(n)])
-			p.run(time.Duration(p.rnd.IntN(1500)) * time.Millisecond)
+			l.restart(l.fleet.hosts[l.rnd.IntN(n)])
+			l.run(time.Duration(l.rnd.IntN(1500)) * time.Millisecond)
 		}
-		p.run(5 * time.Second)
+		l.run(5 * time.Second)
 	}},
-	{"all hosts start again", func(p *limitTraffic) {
-		p.restart(p.fleet.hosts...)
-		p.run(10 * time.Second)
+	{"all hosts restart", func(l *limitTraffic) {
+		l.restart(l.fleet.hosts...)
+		l.run(10 * time.Second)
 	}},
-	{"a zone is cut off, and joined again", func(p *limitTraffic) {
-		zone := p.fleet.hosts[p.rnd.IntN(len(p.fleet.hosts))].zone
+	{"a zone is isolated and reconnected", func(l *limitTraffic) {
+		zone := l.fleet.hosts[l.rnd.IntN(len(l.fleet.hosts))].zone
 		for range 3 {
-			p.isolate(func(h *fleetHost) bool { return h.zone == zone })
-			p.run(time.Duration(500+p.rnd.IntN(4000)) * time.Millisecond)
-			p.isolate(nil)
-			p.run(time.Duration(p.rnd.IntN(2500)) * time.Millisecond)
+			l.isolate(func(h *fleetHost) bool { return h.zone == zone })
+			l.run(time.Duration(500+l.rnd.IntN(4000)) * time.Millisecond)
+			l.isolate(nil)
+			l.run(time.Duration(l.rnd.IntN(2500)) * time.Millisecond)
 		}
-		p.run(5 * time.Second)
+		l.run(5 * time.Second)
 	}},
-	{"limits change", func(p *limitTraffic) {
+	{"limits change", func(l *limitTraffic) {
 		for range 8 {
-			u := p.upstreams[p.rnd.IntN(len(p.upstreams))]
-			u.limit *= ratelease.Limit(0.9 + 0.2*p.rnd.Float64())
-			p.run(time.Second)
+			u := l.upstreams[l.rnd.IntN(len(l.upstreams))]
+			u.limit *= ratelease.Limit(0.9 + 0.2*l.rnd.Float64())
+			l.run(time.Second)
 		}
 	}},
 }
 
-// restart restarts hosts. They are excused until their hubs have their limits.
-func (p *limitTraffic) restart(hosts ...*fleetHost) {
+// restart restarts the hosts, and excuses them until their hubs have had time to send them the
+// limits.
+func (l *limitTraffic) restart(hosts ...*fleetHost) {
 	for _, h := range hosts {
 		h.stop()
-		delete(p.firstObservedAt, h)
-		p.excusedUntil[h] = time.Now().Add(settleTime)
-		p.answers = slices.DeleteFunc(p.answers, func(a pendingAnswer) bool { return a.host == h })
+		delete(l.firstObservedAt, h)
+		l.excusedUntil[h] = time.Now().Add(settleDelay)
+		l.answers = slices.DeleteFunc(l.answers, func(a pendingAnswer) bool { return a.host == h })
 	}
 	time.Sleep(50 * time.Millisecond)
 	for _, h := range hosts {
 		h.mu.Lock()
 		h.holding = ratelease.Holding{}
 		h.mu.Unlock()
-		p.fleet.start(h, false)
+		l.fleet.start(h, false)
 		time.Sleep(startInterval)
 	}
 }
 
-// isolate disconnects hosts, or reconnects all. Those that were disconnected are excused for a
-// while.
-func (p *limitTraffic) isolate(isolated func(h *fleetHost) bool) {
-	p.fleet.isolate(isolated)
-	for _, h := range p.fleet.hosts {
+// isolate disconnects the hosts for which isolated returns true, or reconnects all hosts if it
+// is nil. Hosts that were disconnected are excused for settleDelay after that.
+func (l *limitTraffic) isolate(isolated func(h *fleetHost) bool) {
+	l.fleet.isolate(isolated)
+	for _, h := range l.fleet.hosts {
 		if isolated != nil && isolated(h) {
-			p.excusedUntil[h] = time.Now().Add(time.Hour)
-		} else if isolated == nil && !p.excusedUntil[h].IsZero() {
-			p.excusedUntil[h] = time.Now().Add(settleTime)
+			l.excusedUntil[h] = time.Now().Add(time.Hour)
+		} else if isolated == nil && !l.excusedUntil[h].IsZero() {
+			l.excusedUntil[h] = time.Now().Add(settleDelay)
 		}
 	}
 }
 
-// Whatever stale data the hosts have of each other, those that have learned a limit keep it
-// together. The limit is used, and the hosts notice when it ends.
+// However outdated the hosts' data about each other are, those that have observed a limit don't
+// exceed it together. They use a part of the limit, and detect when it has ended.
 func TestLimitsOfAFleet(t *testing.T) {
 	for _, size := range scenarioSizes() {
 		seeds := scenarioSeeds(size)
@@ -320,44 +326,44 @@
 	is := is.New(t)
 	rnd := rand.New(rand.NewPCG(seed, 2))
 	f := newFleet(t, size.hosts, size.zones, 10)
-	p := newLimitTraffic(f, rnd, 4+rnd.IntN(8))
+	l := newLimitTraffic(f, rnd, 4+rnd.IntN(8))
 	time.Sleep(5 * time.Second)
 	from := time.Now()
-	for _, u := range p.upstreams {
+	for _, u := range l.upstreams {
 		u.from, u.until = from, from.Add(time.Hour)
 	}
-	p.run(5 * time.Second)
-	scenario(p)
+	l.run(5 * time.Second)
+	scenario(l)
 	span := time.Since(from)
-	for _, u := range p.upstreams {
+	for _, u := range l.upstreams {
 		u.until = time.Now()
 	}
-	var used, most, permitted float64
-	for _, u := range p.upstreams {
-		got := maxPerWindow(u.informedSends, u.from.Add(settleTime))
-		if float64(got) > u.limit.Permitted() {
-			t.Errorf("%v a second: %d in a window, %.0f permitted", u.limit, got, u.limit.Permitted())
+	var usedFraction, most, permitted float64
+	for _, u := range l.upstreams {
+		sends := maxPerWindow(u.informedSends, u.from.Add(settleDelay))
+		if float64(sends) > u.limit.Permitted() {
+			t.Errorf("limit of %v a second: %d requests in a window, %.0f permitted", u.limit, sends, u.limit.Permitted())
 		}
-		if float64(got)/u.limit.Permitted() > most/max(1, permitted) {
-			most, permitted = float64(got), u.limit.Permitted()
+		if float64(sends)/u.limit.Permitted() > most/max(1, permitted) {
+			most, permitted = float64(sends), u.limit.Permitted()
 		}
-		used += float64(len(u.allSends)) / span.Seconds() / float64(u.limit+0.25)
+		usedFraction += float64(len(u.allSends)) / span.Seconds() / float64(u.limit+0.25)
 	}
-	p.run(15 * time.Second)
-	late := 0
-	for _, u := range p.upstreams {
+	l.run(15 * time.Second)
+	stillLimited := 0
+	for _, u := range l.upstreams {
 		u.sendsAfterLimit = 0
 	}
-	p.run(2 * time.Second)
-	for _, u := range p.upstreams {
+	l.run(2 * time.Second)
+	for _, u := range l.upstreams {
 		if float64(u.sendsAfterLimit) <= u.limit.Permitted()*2 {
-			late++
+			stillLimited++
 		}
 	}
-	t.Logf("%.0f in a window, %.0f permitted; %.2f of the limits were used; %d of %d upstreams held back later",
-		most, permitted, used/float64(len(p.upstreams)), late, len(p.upstreams))
-	is.True(used/float64(len(p.upstreams)) > 0.3)
-	is.Equal(late, 0)
+	t.Logf("at most %.0f requests in a window, %.0f permitted; %.2f of the limits used; %d of %d upstreams still limited after the end",
+		most, permitted, usedFraction/float64(len(l.upstreams)), stillLimited, len(l.upstreams))
+	is.True(usedFraction/float64(len(l.upstreams)) > 0.3)
+	is.Equal(stillLimited, 0)
 }
 
 func TestLimitUpdatesOnTheWire(t *testing.T) {
--- a/internal/exchange/member.go
+++ b/internal/exchange/member.go
@@ -21,12 +21,12 @@
 	// Host and Zone are this host's name and availability zone.
 	Host string
 	Zone string
-	// Listen is the address for other hosts. Seeds are the addresses of the hosts that may be
-	// hubs; some may be out of date.
+	// Listen is the address at which other hosts reach this one. Seeds are the addresses of the
+	// hosts that may be hubs without being appointed; some of the addresses may be out of date.
 	Listen string
 	Seeds  []string
 	// LinkMbps is the bandwidth of this host's network link in Mbit/s, Cores the number of
-	// processor cores that it may use. Both are 0 if unknown.
+	// processor cores that the host may use. Each is 0 if unknown.
 	LinkMbps float64
 	Cores    float64
 	// Keys is the store's table that holds the key with which hosts authenticate to each other.
@@ -35,127 +35,137 @@
 	Tables map[string]*feed.Watcher
 	// Work returns this host's own work in flight by upstream.
 	Work func() Work
-	// OnWork receives the other hosts' work by upstream, as of the given time. It isn't called
-	// while no hub answers.
+	// OnWork receives the sum of the other hosts' work in flight by upstream, as of the given
+	// time. It isn't called while no hub answers.
 	OnWork func(work Work, at time.Time)
-	// OnHostCount receives the number of hosts, including this one. It may be nil.
+	// OnHostCount receives the number of hosts that this host has data of, including itself. It
+	// may be nil.
 	OnHostCount func(n int)
-	// Reads returns the shared prompt prefixes that were sent to upstreams for the first time
-	// since the last call. OnReads receives the other hosts' reads. Both may be nil.
+	// Reads returns the shared prompt prefixes that this host has sent to upstreams for the
+	// first time since the last call. OnReads receives those of the other hosts. Both may be
+	// nil.
 	Reads   func() Reads
 	OnReads func(Reads)
-	// Timings returns the speeds of models that this host measured. OnTimings receives the
-	// other hosts' measurements. Both may be nil.
+	// Timings returns the speeds of models that this host measured. OnTimings receives the sums
+	// over the other hosts' measurements. Both may be nil.
 	Timings   func() Timings
 	OnTimings func(Timings)
-	// FirstStart reports that the whole installation starts for the first time, so the key is
-	// yet to be created.
+	// FirstStart reports that the whole installation starts for the first time, so that the
+	// seeds have yet to create the key.
 	FirstStart bool
-	// RootGrants returns the grants of one root, out of the given number of roots, for all leased
-	// upstreams. OnHolding receives the grants that this host holds, and when they last
-	// derived from a root of the hub tree. Both may be nil.
+	// RootGrants returns the grants that one root hub holds for all leased upstreams, given the
+	// number of root hubs. OnHolding receives the grants that this host holds, and when it last
+	// held grants that derived from a root hub. Both may be nil.
 	RootGrants func(roots int) []ratelease.Grant
 	OnHolding  func(holding ratelease.Holding, rootedAt time.Time)
-	// Limits returns the limits that this host's upstreams announced and the hub hasn't sent
-	// back yet. KnownLimits returns all limits that this host has. OnLimits receives the
-	// limits of all hosts from the hub. All may be nil.
+	// Limits returns the limit updates to send to the hub, from what this host's upstreams
+	// announced; each is returned once. KnownLimits returns all limits that this host has.
+	// OnLimits receives the limit updates that the hub sent; complete reports that they are all
+	// limits of the hub, so that any other limit has ended. All three may be nil.
 	Limits      func() []ratelease.LimitUpdate
 	KnownLimits func() []ratelease.LimitUpdate
-	OnLimits    func(updates []ratelease.LimitUpdate, whole bool)
-	// Quarantine tracks the requests that end upstreams. It may be nil.
+	OnLimits    func(updates []ratelease.LimitUpdate, complete bool)
+	// Quarantine tracks the requests that terminate upstreams. It may be nil.
 	Quarantine Quarantine
-	// Evidence returns this host's counts for the roll-outs in progress. OnEvidence receives
-	// the other hosts' counts. Both may be nil.
+	// Evidence returns the answers that this host counted in the roll-outs in progress.
+	// OnEvidence receives the sums over the other hosts' counts. Both may be nil.
 	Evidence   func() []Evidence
 	OnEvidence func([]Evidence)
 }
 
-// Member takes part in the exchange on behalf of one host.
+// Member takes part in the exchange on behalf of one host. Its ownHub is the hub that this host
+// runs for its followers.
 type Member struct {
 	options Options
-	hub     *hub
+	ownHub  *hub
 	log     zerolog.Logger
-	// seedZones holds the zones of the seeds that have answered, by address.
+	// seedZones holds the zones of the seeds that have answered, by the seed's address.
 	seedZones map[string]string
-	// current is the address of this host's hub, empty without one. homeSeed is the seed that
-	// findHub chose; it may have assigned another hub. avoidUntil holds the hubs that didn't
-	// answer, and the times until which this host accepts no assignment to them.
-	current    string
-	homeSeed   string
+	// hubAddress is the address of the hub that this host reports to; it is empty without one,
+	// and this host's own address if the host is a seed that chose itself. chosenSeed is the
+	// seed that findHub chose, which may have assigned this host to another hub. avoidUntil
+	// holds, by address, the hubs that failed to answer and the time until which this host
+	// accepts no assignment to them.
+	hubAddress string
+	chosenSeed string
 	avoidUntil map[string]time.Time
-	// nextProbeAt is when the next probe of the seeds is due. failedProbes counts consecutive
-	// probes that no seed answered.
+	// nextProbeAt is when the next probe of the seeds is due. failedProbes is the number of
+	// consecutive probes that no seed answered, up to maxProbeDoublings.
 	nextProbeAt  time.Time
 	failedProbes int
-	// hubSince is when the current hub was chosen. Until the previous hub's copy of this host's
-	// evidence has expired, none is sent to the new one: counted twice, a few bad answers could
-	// stop a sound version.
-	hubSince time.Time
-
-	// unsentReads holds the reads that the hub hasn't received yet. hubReadsSeq is the sequence
-	// number of the last of the hub's reads that this host has. For a host with followers,
-	// ownHubReadsSeq is the same for its own hub, and forwardedReadsSeq is the number of its
-	// own hub's last read that was forwarded to the hub above.
-	unsentReads       Reads
-	hubReadsSeq       uint64
-	ownHubReadsSeq    uint64
-	forwardedReadsSeq uint64
-	// granted holds the hub's last grants; holding is this host's own part of them.
-	granted Grants
-	holding ratelease.Holding
-	// limits tracks the hub's log of limits, ownLimits that of this host's own hub.
-	// forwardedLimitsMark is the position in the own hub's log up to which it was forwarded to
-	// the hub above.
-	limits, ownLimits   ratelease.LogReader
-	forwardedLimitsMark ratelease.LogCursor
+	// hubChosenAt is when this host began to report to the current hub. Until the previous
+	// hub's copy of this host's evidence has expired, the new hub isn't sent any: if a few bad
+	// answers were counted twice, they could stop a sound version.
+	hubChosenAt time.Time
+
+	// unsentPrefixes holds the prefixes from Options.Reads that the hub hasn't received yet.
+	// hubPrefixSeq is the sequence number of the last entry in the hub's prefix log that this
+	// host received. For a host with followers, ownHubPrefixSeq is the sequence number of the
+	// last entry in its own hub's prefix log that was passed to OnReads, and forwardedPrefixSeq
+	// that of the last one that was forwarded to the hub that it reports to.
+	unsentPrefixes     Reads
+	hubPrefixSeq       uint64
+	ownHubPrefixSeq    uint64
+	forwardedPrefixSeq uint64
+	// hubGrants holds the grants in the hub's last reply, for this host and its followers.
+	// holding is this host's own part of them.
+	hubGrants Grants
+	holding   ratelease.Holding
+	// hubLimitReader reads the limit log of the hub that this host reports to,
+	// ownHubLimitReader that of its own hub. forwardedLimitsCursor is the position in its own
+	// hub's limit log up to which it forwarded the log to the hub that it reports to.
+	hubLimitReader, ownHubLimitReader ratelease.LogReader
+	forwardedLimitsCursor             ratelease.LogCursor
 	// unsentLimits holds limit updates that the hub hasn't received yet.
 	unsentLimits []ratelease.LimitUpdate
-	// hasFollowers reports whether other hosts report to this one.
+	// hasFollowers reports whether other hosts reported to this one at the time of the last
+	// exchange.
 	hasFollowers bool
-	// exchanges counts the reports.
-	exchanges int
+	// reportCount is the number of reports since the start.
+	reportCount int
 	// unsentSightings holds the sightings that the hub hasn't received yet. For a host with
-	// followers, forwardedSightingsSeq is the number of its own hub's last sighting that was
-	// forwarded to the hub above.
-	unsentSightings       Sightings
-	forwardedSightingsSeq uint64
-
-	// hubAnswered reports whether the hub answered the last exchange. currentHub is a copy of
-	// current that goroutines other than Run may read.
-	hubAnswered atomic.Bool
-	currentHub  atomic.Pointer[string]
-	// seedsAnswered reports whether all other seeds answered this one's last queries.
+	// followers, forwardedSightingSeq is the sequence number of the last entry in its own hub's
+	// sighting log that was forwarded to the hub that it reports to.
+	unsentSightings      Sightings
+	forwardedSightingSeq uint64
+
+	// hubAnswered reports whether the hub answered the last report. publishedHubAddress is a
+	// copy of hubAddress for goroutines other than that of Run.
+	hubAnswered         atomic.Bool
+	publishedHubAddress atomic.Pointer[string]
+	// seedsAnswered reports whether all other seeds answered the last query that this host sent
+	// them.
 	seedsAnswered atomic.Bool
 
 	mu sync.Mutex
-	// hubQueries holds the state of the queries to the other hubs, by address.
-	hubQueries map[string]*hubQuery
+	// seedQueries holds the state of the queries to the other seeds, by address.
+	seedQueries map[string]*seedQuery
 }
 
 // New returns a member; Run runs it.
 func New(options Options, log zerolog.Logger) *Member {
 	return &Member{
-		options: options, log: log, hub: newHub(options, log), seedZones: make(map[string]string),
-		avoidUntil: make(map[string]time.Time), unsentReads: make(Reads), hubQueries: make(map[string]*hubQuery),
+		options: options, log: log, ownHub: newHub(options, log), seedZones: make(map[string]string),
+		avoidUntil: make(map[string]time.Time), unsentPrefixes: make(Reads), seedQueries: make(map[string]*seedQuery),
 	}
 }
 
-// Relays reports whether other hosts depend on this one for table updates.
-func (m *Member) Relays() bool { return m.hub.relays() }
+// Relays reports whether enough hosts depend on this one for it to relay table updates to them.
+func (m *Member) Relays() bool { return m.ownHub.relays() }
 
-// HubAnswered reports whether the hub answered the last exchange.
+// HubAnswered reports whether the hub answered the last report.
 func (m *Member) HubAnswered() bool { return m.hubAnswered.Load() }
 
-// Hub returns the address of this host's hub, or "" without one.
+// Hub returns the address of the hub that this host reports to, or "" without one.
 func (m *Member) Hub() string {
-	if hub := m.currentHub.Load(); hub != nil {
+	if hub := m.publishedHubAddress.Load(); hub != nil {
 		return *hub
 	}
 	return ""
 }
 
 // Followers returns the number of hosts that report to this one, including itself.
-func (m *Member) Followers() int { return m.hub.followers() }
+func (m *Member) Followers() int { return m.ownHub.reporterCount() }
 
 // Run takes part in the exchange until the context ends.
 func (m *Member) Run(ctx context.Context) {
@@ -168,7 +178,7 @@
 		m.log.Error().Str("event", "exchange-off").Err(err).Msg("")
 		return
 	}
-	peer.Handle(server, method, m.hub.exchange)
+	peer.Handle(server, exchangeMethod, m.ownHub.handleReport)
 	client, err := peer.NewClient(peer.ClientOptions{Self: m.options.Host, Keys: []peer.Key{key}, DialTimeout: callTimeout})
 	if err != nil {
 		m.log.Error().Str("event", "exchange-off").Err(err).Msg("")
@@ -181,29 +191,30 @@
 		defer close(keyLoopDone)
 		m.restoreKey(ctx, key)
 	}()
-	m.follow(ctx, peerNetwork{client})
+	m.exchangeLoop(ctx, peerNetwork{client})
 	<-keyLoopDone
 	if err := errors.Join(client.Close(), <-served); err != nil {
 		m.log.Warn().Str("event", "exchange-end").Err(err).Msg("")
 	}
 }
 
-// report returns the next report: this host's state and its unsent reads, sightings and limits.
-func (m *Member) report() Report {
+// nextReport returns the next report to the hub: this host's state, and its unsent prefixes,
+// sightings and limits.
+func (m *Member) nextReport() Report {
 	if m.options.Reads != nil {
-		m.unsentReads.add(m.options.Reads())
+		m.unsentPrefixes.add(m.options.Reads())
 	}
 	m.collectSightings()
 	report := m.ownReport()
-	report.Reads, report.Sightings = m.unsentReads, m.unsentSightings
+	report.SentPrefixes, report.Sightings = m.unsentPrefixes, m.unsentSightings
 	report.Limits = m.nextLimitUpdates()
-	if m.exchanges++; m.options.Timings != nil && m.exchanges%timingsEvery == 1 {
+	if m.reportCount++; m.options.Timings != nil && m.reportCount%exchangesPerTimings == 1 {
 		report.WantTimings, report.Timings = true, m.options.Timings()
 	}
 	return report
 }
 
-// ownReport returns the part of the report that holds this host's current state.
+// ownReport returns the part of a report that describes this host's current state.
 func (m *Member) ownReport() Report {
 	report := Report{
 		Zone: m.options.Zone, Address: m.options.Listen, Strength: m.options.LinkMbps * m.options.Cores,
@@ -215,11 +226,12 @@
 	return report
 }
 
-// previousHubExpired reports whether the previous hub has dropped this host's report, so that
-// only the current one has it.
-func (m *Member) previousHubExpired() bool { return boottime.Since(m.hubSince) > WorkAge }
+// previousHubExpired reports whether the previous hub has dropped this host's last report by
+// now, so that only the current hub counts this host.
+func (m *Member) previousHubExpired() bool { return boottime.Since(m.hubChosenAt) > WorkAge }
 
-// revisions returns the newest revisions of the store's tables that this host has.
+// revisions returns, by table name, the newest revisions of the store's tables that this host
+// has.
 func (m *Member) revisions() map[string]storage.Revision {
 	revisions := make(map[string]storage.Revision, len(m.options.Tables))
 	for name, w := range m.options.Tables {
--- a/internal/exchange/network.go
+++ b/internal/exchange/network.go
@@ -10,8 +10,8 @@
 type network interface {
 	// call sends the report to the host at the address and returns its reply.
 	call(ctx context.Context, address string, report Report) (Reply, error)
-	// forget drops the connection to the address; the next call dials again.
-	forget(address string)
+	// disconnect closes the connection to the address; the next call opens a new one.
+	disconnect(address string)
 }
 
 // peerNetwork carries reports over package peer.
@@ -21,13 +21,13 @@
 
 func (n peerNetwork) call(ctx context.Context, address string, report Report) (Reply, error) {
 	var reply Reply
-	err := n.client.Call(ctx, address, method, report, &reply)
+	err := n.client.Call(ctx, address, exchangeMethod, report, &reply)
 	return reply, err
 }
 
-func (n peerNetwork) forget(address string) { n.client.Disconnect(address) }
+func (n peerNetwork) disconnect(address string) { n.client.Disconnect(address) }
 
-// callWithTimeout makes one call that is bounded by callTimeout.
+// callWithTimeout makes one call and ends it after callTimeout.
 func callWithTimeout(ctx context.Context, net network, address string, report Report) (Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/exchange/prefixlog.go
+++ b/internal/exchange/prefixlog.go
@@ -2,50 +2,55 @@
 
 import "github.com/quetzalweir/quetzalweir/placement"
 
-// maxReads bounds the reads that a hub keeps for hosts that report late, and those that it
-// sends at once: a few seconds of a large installation's reads, of 11 bytes each.
-const maxReads = 512
+// maxLoggedPrefixes bounds the entries that a hub keeps for hosts that report late, and those
+// in one reply. A large installation produces as many in a few seconds. Each takes 11 bytes in
+// a message.
+const maxLoggedPrefixes = 512
 
-// readLog numbers the reads that a hub has received. A host sends the last number that it has
-// and receives the rest.
-type readLog struct {
-	entries []loggedRead
-	last    uint64
+// prefixLog numbers the shared prompt prefixes that hosts reported as sent to an upstream for
+// the first time; lastSeq is the number of the last entry. A host reports the sequence number
+// of the last entry that it has, and receives the entries after it.
+type prefixLog struct {
+	entries []loggedPrefix
+	lastSeq uint64
 }
 
-type loggedRead struct {
+// loggedPrefix is a prefix that was sent to an upstream. from is the host that reported it or,
+// if fromHub is set, the address of the hub that passed it on.
+type loggedPrefix struct {
 	upstream IDHash
 	key      placement.PrefixKey
 	from     string
 	fromHub  bool
 }
 
-// add appends the reads of a host or another hub.
-func (l *readLog) add(from string, fromHub bool, reads Reads) {
-	for upstream, keys := range reads {
+// add appends the prefixes that a host or another hub sent.
+func (l *prefixLog) add(from string, fromHub bool, prefixes Reads) {
+	for upstream, keys := range prefixes {
 		for _, key := range keys {
-			l.entries = append(l.entries, loggedRead{upstream: upstream, key: key, from: from, fromHub: fromHub})
-			l.last++
+			l.entries = append(l.entries, loggedPrefix{upstream: upstream, key: key, from: from, fromHub: fromHub})
+			l.lastSeq++
 		}
 	}
-	if surplus := len(l.entries) - maxReads; surplus > 0 {
-		l.entries = append([]loggedRead(nil), l.entries[surplus:]...)
+	if surplus := len(l.entries) - maxLoggedPrefixes; surplus > 0 {
+		l.entries = append([]loggedPrefix(nil), l.entries[surplus:]...)
 	}
 }
 
-// since returns the reads of hosts other than self after the number. A number above the last
-// one comes from another hub, or from this one before a restart; all reads are returned then.
-func (l *readLog) since(number uint64, self string, to audience) Reads {
-	n := len(l.entries)
-	if number <= l.last {
-		n = int(min(uint64(n), l.last-number))
+// since returns the entries after the sequence number that came from hosts other than self. A
+// number above the last one refers to another hub, or to this one before a restart; all entries
+// are returned then.
+func (l *prefixLog) since(seq uint64, self string, to audience) Reads {
+	count := len(l.entries)
+	if seq <= l.lastSeq {
+		count = int(min(uint64(count), l.lastSeq-seq))
 	}
-	reads := make(Reads)
-	for _, e := range l.entries[len(l.entries)-n:] {
+	prefixes := make(Reads)
+	for _, e := range l.entries[len(l.entries)-count:] {
 		if e.from == self || to == toHub && e.fromHub {
 			continue
 		}
-		reads[e.upstream] = append(reads[e.upstream], e.key)
+		prefixes[e.upstream] = append(prefixes[e.upstream], e.key)
 	}
-	return reads
+	return prefixes
 }
--- a/internal/exchange/quarantine.go
+++ b/internal/exchange/quarantine.go
@@ -5,31 +5,34 @@
 	"github.com/quetzalweir/quetzalweir/quarantine"
 )
 
-// Quarantine tracks the requests that end upstreams. Hosts send their sightings to their hub,
-// and hubs exchange them with each other; the hubs that are seeds reach verdicts. Hosts receive
-// the upstreams that ended, the suspects and the verdicts in return.
+// Quarantine tracks the requests that terminate upstreams. Hosts send their sightings to their
+// hub, and hubs exchange sightings with each other. The hubs that are seeds reach the verdicts.
+// In return, each hub sends its followers the upstreams that terminated, the suspects and the
+// verdicts.
 type Quarantine interface {
-	// Sightings returns this host's sightings since the last call. RecentSightings returns its recent
-	// ones, which a new hub needs.
+	// Sightings returns this host's sightings since the last call. RecentSightings returns all
+	// recent sightings of this host; a new hub is sent them, since the previous hub may not
+	// have passed them on.
 	Sightings() Sightings
 	RecentSightings() Sightings
-	// AddSightings records other hosts' sightings and returns those that were new.
+	// AddSightings adds the sightings of other hosts and returns those that were new.
 	AddSightings(Sightings) Sightings
-	// Status returns what this host's followers are sent. ApplyStatus receives the hub's.
+	// Status returns the status that this host's hub sends to its followers. ApplyStatus
+	// processes the status that another hub sent.
 	Status() QuarantineStatus
 	ApplyStatus(QuarantineStatus)
-	// SetMakesVerdicts sets whether this host reaches verdicts itself: it does if it receives the
-	// sightings of all other hosts, or of none.
+	// SetMakesVerdicts sets whether this host reaches verdicts itself. It does if it receives
+	// the sightings of all other hosts, or, without a hub, of none.
 	SetMakesVerdicts(bool)
 }
 
-// Sightings lists losses, and suspected requests that were answered.
+// Sightings lists losses, and survivals, which are suspects that were answered.
 type Sightings struct {
 	Losses   Losses  `json:"losses,omitempty"`
 	Answered Digests `json:"answered,omitempty"`
 }
 
-// IsZero reports whether there are no sightings; they are left out of messages then.
+// IsZero reports whether there are no sightings; messages leave them out then.
 func (s Sightings) IsZero() bool { return len(s.Losses)+len(s.Answered) == 0 }
 
 func (s *Sightings) add(o Sightings) {
@@ -37,34 +40,35 @@
 	s.Answered = append(s.Answered, o.Answered...)
 }
 
-// maxSightings bounds the sightings in one report, and those that a host keeps for its hub; the
-// oldest are dropped first. When a third of 12,000 upstreams is lost, each of 440 hosts has
-// about a hundred.
+// maxSightings bounds the losses, and separately the survivals, that a host keeps for its hub;
+// the oldest are dropped first. It also bounds the entries of a sighting log in one message.
+// When a third of 12,000 upstreams is lost, each of 440 hosts has about a hundred.
 const maxSightings = 256
 
-// bounded keeps the newest maxSightings of each kind.
+// bounded returns the newest maxSightings losses and the newest maxSightings survivals.
 func (s Sightings) bounded() Sightings {
 	s.Losses = s.Losses[max(0, len(s.Losses)-maxSightings):]
 	s.Answered = s.Answered[max(0, len(s.Answered)-maxSightings):]
 	return s
 }
 
-// QuarantineStatus lists the upstreams that ended, the suspected requests and the verdicts.
+// QuarantineStatus lists the upstreams that terminated, the suspects and the verdicts.
 type QuarantineStatus struct {
 	Ended    Endings              `json:"ended,omitempty"`
 	Suspects Suspects             `json:"suspects,omitempty"`
 	Verdicts []quarantine.Verdict `json:"verdicts,omitempty"`
 }
 
-// IsZero reports whether there is nothing to send.
+// IsZero reports whether all three lists are empty; messages leave them out then.
 func (s QuarantineStatus) IsZero() bool { return len(s.Ended)+len(s.Suspects)+len(s.Verdicts) == 0 }
 
-// recordSightings records the new ones among a host's or another hub's sightings.
+// recordSightings passes the sightings of a host or another hub to the quarantine, and adds
+// those that were new to the log for other hubs.
 func (h *hub) recordSightings(from string, s Sightings) {
 	if h.quarantine == nil || s.IsZero() {
 		return
 	}
-	if from != h.self { // the quarantine has this host's own already
+	if from != h.self { // the quarantine already has this host's own sightings
 		s = h.quarantine.AddSightings(s)
 	}
 	h.mu.Lock()
@@ -72,16 +76,16 @@
 	h.sightings.add(from, s, boottime.Now())
 }
 
-// sightingsSince returns the sightings after the sequence number, except those that came from
-// the hub at the address.
-func (h *hub) sightingsSince(number uint64, address string) (Sightings, uint64) {
+// sightingsSince returns the entries of the sighting log after the sequence number, except
+// those from the hub at hubAddress, and the sequence number of the last one considered.
+func (h *hub) sightingsSince(seq uint64, hubAddress string) (Sightings, uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.sightings.since(number, hubKey(address), boottime.Now())
+	return h.sightings.since(seq, hubKey(hubAddress), boottime.Now())
 }
 
-// quarantineStatus returns what a follower is sent. Another hub is sent the verdicts only: it derives
-// the rest from the sightings.
+// quarantineStatus returns the status that the audience is sent. Another hub is sent the
+// verdicts only, since it derives the rest from the sightings.
 func (h *hub) quarantineStatus(to audience) QuarantineStatus {
 	if h.quarantine == nil {
 		return QuarantineStatus{}
@@ -93,15 +97,14 @@
 	return s
 }
 
-// applyQuarantineStatus passes a hub's status to the quarantine.
-func (m *Member) applyQuarantineStatus(s QuarantineStatus) {
+// deliverQuarantineStatus passes a hub's status to the quarantine.
+func (m *Member) deliverQuarantineStatus(s QuarantineStatus) {
 	if m.options.Quarantine != nil && !s.IsZero() {
 		m.options.Quarantine.ApplyStatus(s)
 	}
 }
 
-// collectSightings adds this host's sightings since the last report to those that its hub
-// hasn't received yet.
+// collectSightings adds this host's sightings since the last report to unsentSightings.
 func (m *Member) collectSightings() {
 	if m.options.Quarantine != nil {
 		m.unsentSightings.add(m.options.Quarantine.Sightings())
@@ -109,24 +112,26 @@
 	}
 }
 
-// resendSightings makes the next report send all recent sightings to a new hub.
-func (m *Member) resendSightings() {
-	m.forwardedSightingsSeq = 0
+// requeueSightings makes the next report hold all recent sightings of this host, for a hub that
+// it hasn't reported to before.
+func (m *Member) requeueSightings() {
+	m.forwardedSightingSeq = 0
 	if m.options.Quarantine != nil {
 		m.unsentSightings = m.options.Quarantine.RecentSightings().bounded()
 	}
 }
 
-// updateJudging sets whether this host reaches verdicts. A host with a hub leaves that to the
-// hub: the host has no data on the other requests that ran at the upstreams that ended.
-func (m *Member) updateJudging() {
+// updateMakesVerdicts sets whether this host reaches verdicts. A host that reports to another
+// hub leaves that to the hub: the host has no data about the other requests that ran at the
+// terminated upstreams.
+func (m *Member) updateMakesVerdicts() {
 	if m.options.Quarantine != nil {
-		m.options.Quarantine.SetMakesVerdicts(m.current == "" || m.current == m.options.Listen)
+		m.options.Quarantine.SetMakesVerdicts(m.hubAddress == "" || m.hubAddress == m.options.Listen)
 	}
 }
 
-// ReceivesVerdicts reports whether this host receives the verdicts of all others, through its hub or, for a
-// seed, from the other seeds.
+// ReceivesVerdicts reports whether this host receives the verdicts of all other hosts, from its
+// hub or, for a seed that is its own hub, from the other seeds.
 func (m *Member) ReceivesVerdicts() bool {
 	if m.Hub() != m.options.Listen {
 		return m.HubAnswered()
@@ -137,11 +142,11 @@
 // updateSeedsAnswered records whether all other seeds answered this host's last query. The
 // caller holds the lock.
 func (m *Member) updateSeedsAnswered() {
-	answer := true
+	allAnswered := true
 	for _, seed := range m.options.Seeds {
-		if q := m.hubQueries[seed]; seed != m.options.Listen && (q == nil || !q.answered) {
-			answer = false
+		if q := m.seedQueries[seed]; seed != m.options.Listen && (q == nil || !q.answered) {
+			allAnswered = false
 		}
 	}
-	m.seedsAnswered.Store(answer)
+	m.seedsAnswered.Store(allAnswered)
 }
--- a/internal/exchange/quarantine_test.go
+++ b/internal/exchange/quarantine_test.go
@@ -23,7 +23,7 @@
 	return d
 }
 
-// Messages decode to what was encoded, and malformed ones are rejected.
+// Reports and replies decode to what was encoded, and malformed ones are rejected.
 func TestQuarantineOnTheWire(t *testing.T) {
 	is := is.New(t)
 	report := Report{Sightings: Sightings{
@@ -46,13 +46,13 @@
 	var back Reply
 	is.NoErr(json.Unmarshal(data, &back))
 	want := reply.QuarantineStatus
-	want.Ended[1].Age = 65535 * time.Millisecond // the longest age on the wire
+	want.Ended[1].Age = 65535 * time.Millisecond // the greatest age that a message can hold
 	want.Suspects[1].Events = 255
 	is.Equal(back.QuarantineStatus, want)
 
-	quiet, err := json.Marshal(Report{Zone: "z"})
+	empty, err := json.Marshal(Report{Zone: "z"})
 	is.NoErr(err)
-	is.Equal(string(quiet), `{"zone":"z"}`) // empty fields are left out
+	is.Equal(string(empty), `{"zone":"z"}`) // empty fields are left out
 	for _, text := range []string{`{"sightings":{"losses":"AAAA"}}`, `{"sightings":{"losses":5}}`, `{"sightings":{"answered":"?"}}`} {
 		is.True(json.Unmarshal([]byte(text), &read) != nil)
 	}
@@ -71,7 +71,8 @@
 	})
 }
 
-// A hub's log is bounded, and a reader gets the oldest sightings that it doesn't have first.
+// A hub's log is bounded, and a reader receives the oldest of the sightings that it doesn't
+// have first.
 func TestSightingLog(t *testing.T) {
 	is := is.New(t)
 	var l sightingLog
@@ -81,37 +82,38 @@
 	}
 	is.Equal(len(l.entries), maxSightingLog)
 	var got int
-	number := uint64(0)
+	seq := uint64(0)
 	for {
-		s, last := l.since(number, "other", now.Add(time.Second))
+		s, last := l.since(seq, "other", now.Add(time.Second))
 		if s.IsZero() {
 			break
 		}
 		is.True(len(s.Losses) <= maxSightings)
 		is.Equal(s.Losses[0].Age, 2*time.Second)
-		got, number = got+len(s.Losses), last
+		got, seq = got+len(s.Losses), last
 	}
 	is.Equal(got, maxSightingLog)
-	is.Equal(number, l.last)
-	s, _ := l.since(l.last+50, "other", now) // a number from a previous hub
+	is.Equal(seq, l.lastSeq)
+	s, _ := l.since(l.lastSeq+50, "other", now) // a sequence number of another hub
 	is.Equal(len(s.Losses), maxSightings)
-	s, last := l.since(l.last-10, "host", now) // the asker sent them itself
+	s, last := l.since(l.lastSeq-10, "host", now) // the requester sent these sightings itself
 	is.True(s.IsZero())
-	is.Equal(last, l.last)
+	is.Equal(last, l.lastSeq)
 }
 
-// fleetQuarantine is one host's quarantine; its verdicts come from the real tracker.
+// fleetQuarantine is the quarantine of one host. Its verdicts come from the real
+// quarantine.Tracker.
 type fleetQuarantine struct {
-	mu       sync.Mutex
-	tracker  *quarantine.Tracker
-	judges   bool
-	unsent   Sightings
-	recent   Sightings
-	verdicts map[quarantine.Digest]quarantine.Verdict
+	mu            sync.Mutex
+	tracker       *quarantine.Tracker
+	makesVerdicts bool
+	unsent        Sightings
+	recent        Sightings
+	verdicts      map[quarantine.Digest]quarantine.Verdict
 }
 
 func newFleetQuarantine() *fleetQuarantine {
-	return &fleetQuarantine{tracker: quarantine.NewTracker(), judges: true, verdicts: make(map[quarantine.Digest]quarantine.Verdict)}
+	return &fleetQuarantine{tracker: quarantine.NewTracker(), makesVerdicts: true, verdicts: make(map[quarantine.Digest]quarantine.Verdict)}
 }
 
 func (q *fleetQuarantine) recordLoss(d quarantine.Digest, incarnation quarantine.Incarnation) {
@@ -146,20 +148,20 @@
 func (q *fleetQuarantine) AddSightings(s Sightings) Sightings {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	var fresh Sightings
+	var added Sightings
 	for _, l := range s.Losses {
 		if q.tracker.RecordLoss(quarantine.Loss{Digest: l.Digest, Incarnation: l.Incarnation, At: boottime.Elapsed() - l.Age}) {
-			fresh.Losses = append(fresh.Losses, l)
+			added.Losses = append(added.Losses, l)
 		}
 
 	}
-	return fresh
+	return added
 }
 
 func (q *fleetQuarantine) Status() QuarantineStatus {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.judges {
+	if q.makesVerdicts {
 		for _, f := range q.tracker.FindPoisonRequests(boottime.Elapsed()) {
 			q.verdicts[f.Digest] = quarantine.NewVerdict(f, "h", time.Hour)
 		}
@@ -180,31 +182,31 @@
 	}
 }
 
-func (q *fleetQuarantine) SetMakesVerdicts(judges bool) {
+func (q *fleetQuarantine) SetMakesVerdicts(makesVerdicts bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.judges = judges
+	q.makesVerdicts = makesVerdicts
 }
 
-// verdictDeadline is the time after the third upstream ended by which every host must have the
-// verdict on the request that ended them.
+// verdictDeadline is the time from the third termination that a request causes until every host
+// must have the verdict on the request.
 const verdictDeadline = 3 * time.Second
 
-// endUpstreams records that one upstream at each of the hosts ended with the request, and with
-// other requests that ran beside it.
-func (f *fleet) endUpstreams(d quarantine.Digest, first quarantine.Incarnation, hosts ...*fleetHost) {
+// terminateUpstreams records that the request terminated one upstream at each of the hosts, and
+// that ten other requests were lost with each of these upstreams.
+func (f *fleet) terminateUpstreams(d quarantine.Digest, first quarantine.Incarnation, hosts ...*fleetHost) {
 	for i, h := range hosts {
 		incarnation := first + quarantine.Incarnation(i)
 		h.quarantine.recordLoss(d, incarnation)
-		for j, beside := range f.hosts[:min(10, len(f.hosts))] {
-			beside.quarantine.recordLoss(testDigest(1000*uint64(incarnation)+uint64(j)), incarnation)
+		for j, other := range f.hosts[:min(10, len(f.hosts))] {
+			other.quarantine.recordLoss(testDigest(1000*uint64(incarnation)+uint64(j)), incarnation)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-// The verdict on a request that ended upstreams at three hosts of different zones reaches all
-// hosts in time, even if the hub of a zone fails meanwhile, and no other request gets a
+// The verdict on a request that terminated upstreams at three hosts of different zones reaches
+// all hosts in time, even if the hub of a zone fails meanwhile. No other request gets a
 // verdict.
 func TestVerdictReachesTheWholeFleet(t *testing.T) {
 	for _, size := range append(fleetSizes(), fleetSize{7, 3}) {
@@ -215,7 +217,7 @@
 					f := newFleet(t, size.hosts, size.zones, 50)
 					time.Sleep(10 * time.Second)
 					d, n := testDigest(1), len(f.hosts)
-					f.endUpstreams(d, 1, f.hosts[n-1], f.hosts[n-2], f.hosts[n-3])
+					f.terminateUpstreams(d, 1, f.hosts[n-1], f.hosts[n-2], f.hosts[n-3])
 					if loseHub {
 						for _, h := range f.hosts {
 							if h.address == f.hosts[n-1].member.Hub() {
@@ -225,10 +227,10 @@
 							}
 						}
 					}
-					took, ok := f.waitAll(verdictDeadline, func(h *fleetHost) bool { return h.quarantine.hasVerdict(d) })
+					took, ok := f.waitForAllHosts(verdictDeadline, func(h *fleetHost) bool { return h.quarantine.hasVerdict(d) })
 					t.Logf("%d hosts have the verdict after %v", size.hosts, took)
 					is.True(ok)
-					is.True(f.allHosts(func(h *fleetHost) bool {
+					is.True(f.allHostsMatch(func(h *fleetHost) bool {
 						h.quarantine.mu.Lock()
 						defer h.quarantine.mu.Unlock()
 						return len(h.quarantine.verdicts) == 1
@@ -246,17 +248,17 @@
 		f := newFleet(t, 30, 3, 50)
 		time.Sleep(5 * time.Second)
 		d, last := testDigest(1), f.hosts[29]
-		f.endUpstreams(d, 1, f.hosts[5], f.hosts[10], f.hosts[15])
+		f.terminateUpstreams(d, 1, f.hosts[5], f.hosts[10], f.hosts[15])
 		last.stop()
 		time.Sleep(2 * time.Second)
 		f.start(last, false)
-		took, ok := f.waitAll(2*time.Second, func(h *fleetHost) bool { return h.quarantine.hasVerdict(d) })
+		took, ok := f.waitForAllHosts(2*time.Second, func(h *fleetHost) bool { return h.quarantine.hasVerdict(d) })
 		t.Logf("the host that started has the verdict after %v", took)
 		is.True(ok)
 	})
 }
 
-// A host that was suspended ignores the reports from before its suspension.
+// A host that was suspended ignores the reports that it received before its suspension.
 func TestReportsAgeDuringASuspension(t *testing.T) {
 	is := is.New(t)
 	for _, d := range []time.Duration{time.Second, 5 * time.Second, 20 * time.Second} {
@@ -269,13 +271,13 @@
 	}
 }
 
-// A third of all upstreams is lost at once, each with ten requests. The traffic that hosts send
-// about it stays bounded, and no request gets a verdict.
+// If a third of all upstreams is lost at once, with ten requests each, the hosts' traffic stays
+// bounded and no request gets a verdict.
 func TestMassLossIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const hosts = 60
-		f := newFleet(t, hosts, 5, 50) // in two zones a seed named the hub
+		f := newFleet(t, hosts, 5, 50) // a seed appointed the hubs of two zones
 		time.Sleep(5 * time.Second)
 		before := 0
 		for _, h := range f.hosts {
@@ -292,7 +294,7 @@
 			after += h.traffic()
 			is.Equal(len(h.quarantine.verdicts), 0)
 		}
-		for incarnation := range quarantine.Incarnation(8 * hosts) { // the seeds have all losses
+		for incarnation := range quarantine.Incarnation(8 * hosts) { // the first seed already has every loss
 			for i := range uint64(10) {
 				is.True(!f.hosts[0].quarantine.tracker.RecordLoss(quarantine.Loss{
 					Digest: testDigest(uint64(incarnation)*10 + i), Incarnation: 100 + incarnation, At: boottime.Elapsed() - 10*time.Second,
@@ -305,18 +307,18 @@
 	})
 }
 
-// A new hub receives the host's recent sightings again: the previous hub may not have passed
-// them on.
+// A host that switches to another hub sends it the recent sightings again, since the previous
+// hub may not have passed them on.
 func TestNewHubReceivesRecentSightings(t *testing.T) {
 	is := is.New(t)
 	q := newFleetQuarantine()
 	m := New(Options{Quarantine: q, Work: func() Work { return nil }}, zerolog.Nop())
 	q.recordLoss(testDigest(1), 1)
-	is.Equal(len(m.report().Sightings.Losses), 1)
+	is.Equal(len(m.nextReport().Sightings.Losses), 1)
 	m.unsentSightings = Sightings{} // the hub answered
-	m.forwardedSightingsSeq = 5
-	is.Equal(len(m.report().Sightings.Losses), 0)
+	m.forwardedSightingSeq = 5
+	is.Equal(len(m.nextReport().Sightings.Losses), 0)
 	m.switchHub("another")
-	is.Equal(len(m.report().Sightings.Losses), 1)
-	is.Equal(m.forwardedSightingsSeq, uint64(0))
+	is.Equal(len(m.nextReport().Sightings.Losses), 1)
+	is.Equal(m.forwardedSightingSeq, uint64(0))
 }
--- a/internal/exchange/quarantinewire.go
+++ b/internal/exchange/quarantinewire.go
@@ -9,16 +9,17 @@
 	"github.com/quetzalweir/quetzalweir/quarantine"
 )
 
-// Losses are losses on the wire, in 24 bytes each: a digest, an upstream, the age, and how long
-// the request had been running there.
+// Losses lists losses on the wire, in 24 bytes each: the digest, the upstream's incarnation,
+// the age, and how long the request had been at the upstream.
 type Losses []AgedLoss
 
-// AgedLoss is a loss and its age.
+// AgedLoss is a loss with its age, the time since the upstream terminated, in place of its
+// time.
 type AgedLoss struct {
 	Digest      quarantine.Digest
 	Incarnation quarantine.Incarnation
 	Age         time.Duration
-	// Ran is how long the request had been at the upstream when that ended.
+	// Ran is how long the request had been at the upstream when the upstream terminated.
 	Ran time.Duration
 }
 
@@ -45,7 +46,7 @@
 	return err
 }
 
-// Digests are request digests on the wire.
+// Digests lists request digests on the wire.
 type Digests []quarantine.Digest
 
 const digestSize = 16
@@ -66,11 +67,11 @@
 	return err
 }
 
-// Endings lists upstreams that ended.
+// Endings lists terminated upstreams on the wire.
 type Endings []Ending
 
-// Ending holds an upstream that ended, how long ago that was, and whether a request with a
-// verdict explains it.
+// Ending is a terminated upstream: its incarnation, the time since it terminated, and whether a
+// request with a verdict ran there, which explains the termination.
 type Ending struct {
 	Incarnation quarantine.Incarnation
 	Age         time.Duration
@@ -101,16 +102,16 @@
 	return err
 }
 
-// Suspects are suspicions on the wire.
+// Suspects lists suspects on the wire.
 type Suspects []AgedSuspect
 
-// AgedSuspect is a suspicion and its age.
+// AgedSuspect is a suspect with ages in place of times.
 type AgedSuspect struct {
 	Digest quarantine.Digest
 	Events int
-	// Age is the time since a host with first-hand data last raised the suspicion; passing it
-	// on doesn't renew it. FirstAge is the time since the first upstream ended with the
-	// request.
+	// Age is the time since the suspect was last reported by a host that has its losses; a host
+	// that only passes the suspect on doesn't reset the age. FirstAge is the time since the
+	// first upstream terminated with the request.
 	Age, FirstAge time.Duration
 }
 
@@ -138,7 +139,7 @@
 	return err
 }
 
-// appendAge appends an age in milliseconds, up to about a minute.
+// appendAge appends an age in milliseconds, which is at most 65,535.
 func appendAge(packed []byte, age time.Duration) []byte {
 	return binary.BigEndian.AppendUint16(packed, uint16(min(math.MaxUint16, max(0, age.Milliseconds()))))
 }
@@ -147,7 +148,7 @@
 	return time.Duration(binary.BigEndian.Uint16(entry)) * time.Millisecond
 }
 
-// marshalList encodes a list as one JSON string of entries of a fixed size.
+// marshalList encodes a list as one JSON string of base64, with entries of size bytes each.
 func marshalList[T any](list []T, size int, appendEntry func(packed []byte, entry T) []byte) ([]byte, error) {
 	packed := make([]byte, 0, size*len(list))
 	for _, entry := range list {
@@ -157,14 +158,14 @@
 }
 
 // unmarshalList decodes the output of marshalList.
-func unmarshalList[T any](data []byte, size int, read func(entry []byte) T) ([]T, error) {
+func unmarshalList[T any](data []byte, size int, decodeEntry func(entry []byte) T) ([]T, error) {
 	packed, err := unmarshalPacked(data, size)
 	if err != nil {
 		return nil, err
 	}
 	list := make([]T, 0, len(packed)/size)
 	for entry := range slices.Chunk(packed, size) {
-		list = append(list, read(entry))
+		list = append(list, decodeEntry(entry))
 	}
 	return list, nil
 }
--- a/internal/exchange/seedqueries.go
+++ b/internal/exchange/seedqueries.go
@@ -8,25 +8,25 @@
 	"github.com/quetzalweir/quetzalweir/ratelease"
 )
 
-// hubQuery is the state of this hub's queries to another hub.
-type hubQuery struct {
-	// inFlight reports whether an answer is pending. retryAt is the earliest time of the next
-	// query. readsSince is the sequence number of the last of the other hub's reads that was
-	// received.
-	inFlight   bool
-	retryAt    time.Time
-	readsSince uint64
-	// sightingsSince is the same for the other hub's sightings. answered reports whether it
-	// answered the last query.
+// seedQuery is the state of this host's queries to another seed.
+type seedQuery struct {
+	// inFlight reports whether the reply to a query is pending. retryAt is the earliest time of
+	// the next query. prefixesSince is the sequence number of the last entry in the seed's
+	// prefix log that was received.
+	inFlight      bool
+	retryAt       time.Time
+	prefixesSince uint64
+	// sightingsSince is the sequence number of the last entry in the seed's sighting log that
+	// was received. answered reports whether the seed answered the last query.
 	sightingsSince uint64
 	answered       bool
-	// limitsMark is the position in the other hub's log of limits up to which it was received.
-	limitsMark ratelease.LogCursor
+	// limitsCursor is the position in the seed's limit log up to which the log was received.
+	limitsCursor ratelease.LogCursor
 }
 
-// askHubs queries each of the other seeds for the sums over its followers, concurrently, so
-// that a dead one delays nothing.
-func (m *Member) askHubs(ctx context.Context, net network) {
+// querySeeds queries each of the other seeds for the sums over its followers. The queries run
+// concurrently, so that a dead seed doesn't delay the others.
+func (m *Member) querySeeds(ctx context.Context, net network) {
 	for _, seed := range m.options.Seeds {
 		if seed == m.options.Listen {
 			continue
@@ -36,28 +36,28 @@
 			continue
 		}
 		report := Report{
-			Zone: m.options.Zone, Address: m.options.Listen, Hub: true, ReadsSince: state.readsSince, SightingsSince: state.sightingsSince, LimitsCursor: state.limitsMark, Revisions: m.revisions(),
-			WantTimings: m.exchanges%timingsEvery == 1,
+			Zone: m.options.Zone, Address: m.options.Listen, HubQuery: true, SentPrefixesSince: state.prefixesSince, SightingsSince: state.sightingsSince, LimitsCursor: state.limitsCursor, Revisions: m.revisions(),
+			WantTimings: m.reportCount%exchangesPerTimings == 1,
 		}
 		requestedAt := boottime.Now()
 		go func() {
 			reply, err := callWithTimeout(ctx, net, seed, report)
 			if err != nil {
-				net.forget(seed)
-				m.endQuery(seed, hubQuery{retryAt: boottime.Now().Add(hubRetryInterval), readsSince: state.readsSince, sightingsSince: state.sightingsSince, limitsMark: state.limitsMark})
+				net.disconnect(seed)
+				m.endQuery(seed, seedQuery{retryAt: boottime.Now().Add(hubRetryInterval), prefixesSince: state.prefixesSince, sightingsSince: state.sightingsSince, limitsCursor: state.limitsCursor})
 				return
 			}
-			m.hub.recordHub(seed, reply, reply.Hosts)
-			m.hub.recordLimits(true, reply.Limits.Updates, false)
-			m.applyQuarantineStatus(reply.QuarantineStatus)
+			m.ownHub.recordHubReply(seed, reply, reply.Hosts)
+			m.ownHub.recordLimits(true, reply.Limits.Updates, false)
+			m.deliverQuarantineStatus(reply.QuarantineStatus)
 			m.offerTablesIfDisconnected(reply, requestedAt)
-			m.endQuery(seed, hubQuery{readsSince: reply.ReadsLast, sightingsSince: reply.SightingsLast, limitsMark: reply.Limits.Cursor, answered: true})
+			m.endQuery(seed, seedQuery{prefixesSince: reply.SentPrefixesLast, sightingsSince: reply.SightingsLast, limitsCursor: reply.Limits.Cursor, answered: true})
 		}()
 	}
 }
 
-// offerTablesIfDisconnected passes another hub's table updates to those watchers that can't
-// reach the store themselves: the store may reject single hosts.
+// offerTablesIfDisconnected passes another seed's table updates to those watchers that can't
+// reach the store themselves. This matters if the store rejects the calls of single hosts.
 func (m *Member) offerTablesIfDisconnected(reply Reply, requestedAt time.Time) {
 	for name, w := range m.options.Tables {
 		if update, ok := reply.Tables[name]; ok {
@@ -66,27 +66,27 @@
 	}
 }
 
-// beginQuery returns the state of the queries to a hub, and whether it may be queried now: no
-// query is in flight, and the last one didn't fail within hubRetryInterval.
-func (m *Member) beginQuery(hub string) (state hubQuery, ok bool) {
+// beginQuery returns the state of the queries to a seed, and whether the seed may be queried
+// now: no query is in flight, and none failed within the last hubRetryInterval.
+func (m *Member) beginQuery(seed string) (state seedQuery, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	q := m.hubQueries[hub]
+	q := m.seedQueries[seed]
 	if q == nil {
-		q = &hubQuery{}
-		m.hubQueries[hub] = q
+		q = &seedQuery{}
+		m.seedQueries[seed] = q
 	}
 	if q.inFlight || boottime.Now().Before(q.retryAt) {
-		return hubQuery{}, false
+		return seedQuery{}, false
 	}
 	q.inFlight = true
 	return *q, true
 }
 
-// endQuery records the state after a query has ended.
-func (m *Member) endQuery(hub string, state hubQuery) {
+// endQuery stores the state of the queries to a seed after one has ended.
+func (m *Member) endQuery(seed string, state seedQuery) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	*m.hubQueries[hub] = state
+	*m.seedQueries[seed] = state
 	m.updateSeedsAnswered()
 }
--- a/internal/exchange/subtree.go
+++ b/internal/exchange/subtree.go
@@ -2,19 +2,20 @@
 
 import "github.com/quetzalweir/quetzalweir/internal/boottime"
 
-// recordHub records another hub's data on hosts that don't report here.
-func (h *hub) recordHub(address string, r Reply, hosts int) {
+// recordHubReply stores the data in another hub's reply. They cover the given number of hosts,
+// none of which reports here.
+func (h *hub) recordHubReply(address string, r Reply, hosts int) {
 	h.recordSightings(hubKey(address), r.Sightings)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.reports[hubKey(address)] = receivedReport{report: Report{Zone: r.Zone, Work: r.Work, Evidence: r.Evidence}, at: boottime.Now(), fromHub: true, hosts: hosts}
-	h.reads.add(address, true, r.Reads)
+	h.sentPrefixes.add(address, true, r.SentPrefixes)
 	h.recordTimings(hubKey(address), r.Timings)
 }
 
-// forgetHub drops the data of a hub that this host no longer reports to: the next hub covers
-// the same hosts.
-func (h *hub) forgetHub(address string) {
+// dropHubData drops the data that the hub at the address sent. It is called when this host
+// stops reporting to that hub, since the next hub's data cover the same hosts.
+func (h *hub) dropHubData(address string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.reports, hubKey(address))
@@ -25,32 +26,33 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.dropExpired()
-	for name, got := range h.reports {
-		if name != h.self && !got.fromHub {
+	for name, received := range h.reports {
+		if name != h.self && !received.fromHub {
 			return true
 		}
 	}
 	return false
 }
 
-// subtreeReport returns the report on behalf of this host and its followers. If two hosts
-// report to each other, the report of the hub at the address is left out: the sums would grow
-// with each exchange.
-func (h *hub) subtreeReport(own Report, readsSince uint64, address string) (Report, uint64) {
+// subtreeReport returns the report on behalf of this host and its followers, and the sequence
+// number of the last entry of the prefix log in it. It first drops the report from the hub at
+// hubAddress, which is to receive this report: if two hosts reported to each other and each
+// included the other's report, the sums would grow with each exchange.
+func (h *hub) subtreeReport(own Report, prefixesSince uint64, hubAddress string) (Report, uint64) {
 	h.mu.Lock()
-	for name, got := range h.reports {
-		if got.report.Address == address {
+	for name, received := range h.reports {
+		if received.report.Address == hubAddress {
 			delete(h.reports, name)
 		}
 	}
 	h.mu.Unlock()
-	sums := h.otherSums("", readsSince, toHub)
-	own.Hosts, own.Work, own.Evidence, own.Reads = sums.Hosts, sums.Work, sums.Evidence, sums.Reads
+	sums := h.otherSums("", prefixesSince, toHub)
+	own.Hosts, own.Work, own.Evidence, own.SentPrefixes = sums.Hosts, sums.Work, sums.Evidence, sums.SentPrefixes
 	if own.WantTimings {
 		own.Timings = h.otherTimings("", toHub)
 	}
-	return own, sums.ReadsLast
+	return own, sums.SentPrefixesLast
 }
 
-// hubKey is the key of a hub's data among the reports; no host has such a name.
+// hubKey returns the key of another hub's data in the map of reports. No host has such a name.
 func hubKey(address string) string { return "hub " + address }
--- a/internal/exchange/timings.go
+++ b/internal/exchange/timings.go
@@ -8,21 +8,22 @@
 	"github.com/quetzalweir/quetzalweir/placement"
 )
 
-// Timings holds sums over the measured speeds of models, by service and model. They change
-// slowly and are sent only once in timingsEvery exchanges.
+// Timings holds sums over the measured speeds of models, by the hash of service and model. The
+// sums change slowly and are sent only in one of exchangesPerTimings exchanges.
 type Timings map[IDHash]placement.Timings
 
-// timingsEvery is the number of exchanges between two that send timings: about a second.
-const timingsEvery = 7
+// exchangesPerTimings is the number of exchanges of which one carries timings. They take about
+// one second.
+const exchangesPerTimings = 7
 
-// timingsEntrySize is the size of an encoded entry in bytes: a name and six numbers.
+// timingsEntrySize is the size of an encoded entry in bytes: a hash and six numbers.
 const timingsEntrySize = 4 + 6*4
 
 // MarshalJSON implements json.Marshaler.
 func (t Timings) MarshalJSON() ([]byte, error) {
 	packed := make([]byte, 0, timingsEntrySize*len(t))
-	for name, sums := range t {
-		packed = binary.BigEndian.AppendUint32(packed, uint32(name))
+	for id, sums := range t {
+		packed = binary.BigEndian.AppendUint32(packed, uint32(id))
 		for _, v := range []float64{sums.Answers, sums.Weight, sums.Tokens, sums.Squares, sums.Times, sums.Products} {
 			packed = binary.BigEndian.AppendUint32(packed, math.Float32bits(float32(v)))
 		}
@@ -50,35 +51,35 @@
 	return nil
 }
 
-// add adds other hosts' timings.
+// add adds the sums of other hosts.
 func (t Timings) add(o Timings) {
-	for name, sums := range o {
-		all := t[name]
-		all.Add(sums)
-		t[name] = all
+	for id, sums := range o {
+		sum := t[id]
+		sum.Add(sums)
+		t[id] = sum
 	}
 }
 
-// recordTimings keeps the timings of a host or another hub until newer ones arrive. The caller
-// holds the lock.
+// recordTimings stores the timings of a host or another hub under its key in the reports, in
+// place of its previous timings. The caller holds the lock.
 func (h *hub) recordTimings(key string, t Timings) {
 	if t != nil {
 		h.timings[key] = t
 	}
 }
 
-// otherTimings sums the timings of all hosts except self.
+// otherTimings returns the sums over the timings of all hosts except self.
 func (h *hub) otherTimings(self string, to audience) Timings {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	sum := make(Timings)
 	for key, t := range h.timings {
-		got, ok := h.reports[key]
+		received, ok := h.reports[key]
 		if !ok {
 			delete(h.timings, key)
 			continue
 		}
-		if key != self && to.includes(got) {
+		if key != self && to.includes(received) {
 			sum.add(t)
 		}
 	}
--- a/internal/exchange/work.go
+++ b/internal/exchange/work.go
@@ -12,20 +12,20 @@
 	"github.com/quetzalweir/quetzalweir/placement"
 )
 
-// IDHash is a four-byte hash that stands for an upstream's ID in messages. Two of 12,000
-// upstreams collide in about one installation of sixty; the sum of both's work then counts for
-// each of them.
+// IDHash is a four-byte hash that stands for an upstream's ID in messages. Among 12,000
+// upstreams, two have the same hash in about one installation of sixty; each of them then
+// counts with the sum of their work.
 type IDHash uint32
 
-// HashID returns the name of an upstream.
-func HashID(upstream string) IDHash { return IDHash(hash(upstream)) }
+// HashID returns the hash of an upstream's ID, or of another name.
+func HashID(id string) IDHash { return IDHash(hash(id)) }
 
-// Work holds the work in flight by upstream: milliseconds of engine time, or requests. An entry
-// takes eight bytes in a message. With upstream IDs written out, 90 upstreams would take twice
-// a host's 7 KB a second.
+// Work holds the work in flight by upstream: milliseconds of engine time, or the number of
+// requests. An entry takes eight bytes in a message. With the upstreams' IDs written out, 90
+// upstreams would take twice a host's budget of 7 KB a second.
 type Work map[IDHash]float64
 
-// workEntrySize is the size of an encoded entry in bytes: a name, and the work up to maxWork.
+// workEntrySize is the size of an encoded entry in bytes: a hash, and the work up to maxWork.
 const (
 	workEntrySize = 6
 	maxWork       = math.MaxUint16
@@ -34,9 +34,9 @@
 // MarshalJSON implements json.Marshaler.
 func (w Work) MarshalJSON() ([]byte, error) {
 	packed := make([]byte, 0, workEntrySize*len(w))
-	for _, name := range slices.Sorted(maps.Keys(w)) {
-		packed = binary.BigEndian.AppendUint32(packed, uint32(name))
-		packed = binary.BigEndian.AppendUint16(packed, uint16(min(maxWork, max(0, math.Round(w[name])))))
+	for _, id := range slices.Sorted(maps.Keys(w)) {
+		packed = binary.BigEndian.AppendUint32(packed, uint32(id))
+		packed = binary.BigEndian.AppendUint16(packed, uint16(min(maxWork, max(0, math.Round(w[id])))))
 	}
 	return marshalPacked(packed)
 }
@@ -54,19 +54,20 @@
 	return nil
 }
 
-// Reads lists the shared prompt prefixes that were sent to upstreams for the first time, by
-// upstream.
+// Reads lists, by upstream, the shared prompt prefixes that hosts sent to the upstream for the
+// first time.
 type Reads map[IDHash][]placement.PrefixKey
 
-// readEntrySize is the size of an encoded read in bytes, before base64.
-const readEntrySize = 8
+// prefixEntrySize is the size of an encoded entry of Reads in bytes, before base64: two hashes,
+// of the upstream and of the prefix.
+const prefixEntrySize = 8
 
 // MarshalJSON implements json.Marshaler.
 func (r Reads) MarshalJSON() ([]byte, error) {
 	var packed []byte
-	for name, keys := range r {
+	for id, keys := range r {
 		for _, key := range keys {
-			packed = binary.BigEndian.AppendUint32(packed, uint32(name))
+			packed = binary.BigEndian.AppendUint32(packed, uint32(id))
 			packed = binary.BigEndian.AppendUint32(packed, uint32(key))
 		}
 	}
@@ -75,19 +76,19 @@
 
 // UnmarshalJSON implements json.Unmarshaler.
 func (r *Reads) UnmarshalJSON(data []byte) error {
-	packed, err := unmarshalPacked(data, readEntrySize)
+	packed, err := unmarshalPacked(data, prefixEntrySize)
 	if err != nil {
 		return err
 	}
 	*r = make(Reads)
-	for entry := range slices.Chunk(packed, readEntrySize) {
-		name := IDHash(binary.BigEndian.Uint32(entry))
-		(*r)[name] = append((*r)[name], placement.PrefixKey(binary.BigEndian.Uint32(entry[4:])))
+	for entry := range slices.Chunk(packed, prefixEntrySize) {
+		id := IDHash(binary.BigEndian.Uint32(entry))
+		(*r)[id] = append((*r)[id], placement.PrefixKey(binary.BigEndian.Uint32(entry[4:])))
 	}
 	return nil
 }
 
-// add adds other reads.
+// add adds the prefixes in o.
 func (r Reads) add(o Reads) {
 	for upstream, keys := range o {
 		r[upstream] = append(r[upstream], keys...)
@@ -98,8 +99,9 @@
 	return json.Marshal(base64.RawStdEncoding.EncodeToString(packed))
 }
 
-// unmarshalPacked decodes a JSON string of base64 to entries of the given size in bytes.
-func unmarshalPacked(data []byte, entry int) ([]byte, error) {
+// unmarshalPacked decodes a JSON string of base64. The result must consist of entries of
+// entrySize bytes.
+func unmarshalPacked(data []byte, entrySize int) ([]byte, error) {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
 		return nil, fmt.Errorf("exchange: %w", err)
@@ -108,8 +110,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("exchange: %w", err)
 	}
-	if len(packed)%entry != 0 {
-		return nil, fmt.Errorf("exchange: %d bytes aren't whole entries of %d", len(packed), entry)
+	if len(packed)%entrySize != 0 {
+		return nil, fmt.Errorf("exchange: %d bytes aren't whole entries of %d", len(packed), entrySize)
 	}
 	return packed, nil
 }
