--- a/internal/exchange/lease_test.go
+++ b/internal/exchange/lease_test.go
@@ -17,8 +17,8 @@
 )
 
 // The load of these tests: all upstreams of a zone restart at once and are idle, and each host
-// would send all its requests to them. Hosts always send as much as their leases permit, so the
-// greatest number of requests that reaches an upstream in a second is what the leases permit.
+// would send all its requests to them. Hosts always send as many requests as their leases
+// permit, so the maximum number that reaches an upstream in a second is what the leases permit.
 
 // coldBound permits 32 requests a second to a cold upstream.
 var coldBound = ratelease.Bound{Rate: 18, Overrun: 1.5, Headroom: 5}
--- a/internal/exchange/limits_test.go
+++ b/internal/exchange/limits_test.go
@@ -14,10 +14,10 @@
 	"github.com/quetzalweir/quetzalweir/ratelease"
 )
 
-// The load of these tests: overloaded upstreams announce limits, each host learns them from the
-// answers to its own requests, and every host has more requests than all limits together
-// permit. Hosts send to any upstream that accepts requests, so what reaches a limited upstream
-// is what the hosts' leases permit.
+// The load of these tests: overloaded upstreams announce limits in the answers to each host's
+// own requests, and every host has more requests than all limits together permit. Hosts send to
+// any upstream that accepts requests, so what reaches a limited upstream is what the hosts'
+// leases permit.
 
 // hostLimit is a host's record of an upstream's limit; pending reports that the hub must be
 // sent an update of it.
--- a/internal/feed/lag.go
+++ b/internal/feed/lag.go
@@ -10,8 +10,8 @@
 // lag records how long a watcher has been behind a revision that another host announced.
 type lag struct {
 	// target is the newest revision up to which changes must be read from the store.
-	// behindSince is when the watcher first learned of a revision that it hasn't read, in
-	// nanoseconds since its start, or 0 if it isn't behind.
+	// behindSince is when the first announcement of changes that haven't been read arrived, in
+	// nanoseconds since the watcher's start, or 0 if there are none.
 	target      atomic.Uint64
 	behindSince atomic.Int64
 }
