--- /dev/null
+++ b/internal/exchange/exchangeloop.go
@@ -0,0 +1,178 @@
+package exchange
+
+import (
+	"context"
+	"time"
+
+	"github.com/quetzalweir/quetzalweir/internal/boottime"
+	"github.com/quetzalweir/quetzalweir/ratelease"
+)
+
+// exchangeLoop makes one exchange with the hub per Interval until the context ends.
+func (m *Member) exchangeLoop(ctx context.Context, net network) {
+	ticker := time.NewTicker(Interval)
+	defer ticker.Stop()
+	for ctx.Err() == nil {
+		m.exchangeStep(ctx, net)
+		select {
+		case <-ctx.Done():
+		case <-ticker.C:
+		}
+	}
+}
+
+// exchangeStep makes one exchange with the hub, which may be this host's own. If a probe for a
+// better hub is due, it makes that first.
+func (m *Member) exchangeStep(ctx context.Context, net network) {
+	if !m.hasBestHub() && boottime.Now().After(m.nextProbeAt) {
+		m.findHub(ctx, net)
+	}
+	m.updateMakesVerdicts()
+	switch m.hubAddress {
+	case "":
+		m.hubAnswered.Store(false)
+	case m.options.Listen:
+		report := m.nextReport()
+		m.setHasFollowers(true)
+		m.ownHub.setHasAllLimits(true)
+		m.recordOwnReport(report)
+		m.unsentLimits = m.unsentLimits[len(report.Limits):]
+		m.deliverOwnHubData(report.WantTimings)
+		m.renewRootLease()
+		m.updateHolding()
+		m.querySeeds(ctx, net)
+	default:
+		m.exchangeWithHub(ctx, net)
+	}
+}
+
+// exchangeWithHub sends the hub a report on behalf of this host and its followers, and
+// processes the reply.
+func (m *Member) exchangeWithHub(ctx context.Context, net network) {
+	hasFollowers := m.ownHub.hasFollowers()
+	m.setHasFollowers(hasFollowers)
+	report, upTo := m.nextReport(), forwardedPositions{}
+	sentLimits := len(report.Limits)
+	report.SentPrefixesSince, report.LimitsCursor, report.GrantsDigest = m.hubPrefixSeq, m.hubLimitReader.Cursor(), ratelease.Digest(m.hubGrants)
+	if hasFollowers {
+		report, upTo = m.aggregateReport(report)
+	}
+	requestedAt := boottime.Now()
+	reply, err := callWithTimeout(ctx, net, m.hubAddress, report)
+	m.hubAnswered.Store(err == nil)
+	m.ownHub.receivesTables.Store(err == nil && reply.Relays)
+	if err != nil {
+		m.hubFailed(net, err)
+		return
+	}
+	m.deliverQuarantineStatus(reply.QuarantineStatus)
+	m.acceptLease(reply, requestedAt)
+	m.unsentLimits = m.unsentLimits[sentLimits:]
+	m.applyHubLimits(reply.Limits, hasFollowers)
+	if hasFollowers {
+		m.forwardedPrefixSeq, m.forwardedSightingSeq, m.hubPrefixSeq, m.forwardedLimitsCursor = upTo.prefixes, upTo.sightings, reply.SentPrefixesLast, upTo.limits
+		m.ownHub.recordHubReply(m.hubAddress, reply, max(0, reply.Hosts-report.Hosts))
+		m.deliverOwnHubData(report.WantTimings)
+	} else {
+		m.unsentSightings = Sightings{} // the hub has them
+		m.hubPrefixSeq, m.ownHubPrefixSeq = reply.SentPrefixesLast, 0
+		m.deliver(reply, requestedAt)
+	}
+	m.offerTables(reply, requestedAt)
+	m.acceptAssignment(reply.Assigned)
+}
+
+// forwardedPositions holds the positions up to which a report forwards the logs of this host's
+// own hub to the hub that it reports to: sequence numbers in the prefix log and the sighting
+// log, and a cursor in the limit log.
+type forwardedPositions struct {
+	prefixes, sightings uint64
+	limits              ratelease.LogCursor
+}
+
+// aggregateReport returns the report on behalf of this host and its followers, and the
+// positions up to which it forwards data. It leaves out evidence until the previous hub's copy
+// has expired.
+func (m *Member) aggregateReport(own Report) (report Report, upTo forwardedPositions) {
+	m.recordOwnReport(own)
+	m.unsentPrefixes = make(Reads) // this host's own hub has them
+	report, upTo.prefixes = m.ownHub.subtreeReport(own, m.forwardedPrefixSeq, m.hubAddress)
+	report.Sightings, upTo.sightings = m.ownHub.sightingsSince(m.forwardedSightingSeq, m.hubAddress)
+	limits := m.ownHub.limitsSince(m.forwardedLimitsCursor, toHub)
+	report.Limits, upTo.limits = limits.Updates, limits.Cursor
+	if !m.previousHubExpired() {
+		report.Evidence = nil
+	}
+	return report, upTo
+}
+
+// recordOwnReport passes this host's report to its own hub.
+func (m *Member) recordOwnReport(own Report) {
+	m.ownHub.record(m.options.Host, own)
+	m.ownHub.recordLimits(false, own.Limits, false)
+	m.recordOwnSightings(own.Sightings)
+}
+
+// recordOwnSightings passes this host's sightings to its own hub.
+func (m *Member) recordOwnSightings(s Sightings) {
+	m.ownHub.recordSightings(m.options.Host, s)
+	m.unsentSightings = Sightings{}
+}
+
+// offerTables passes the table updates in the hub's reply to the tables' watchers.
+func (m *Member) offerTables(reply Reply, requestedAt time.Time) {
+	for name, w := range m.options.Tables {
+		update, ok := reply.Tables[name]
+		switch {
+		case ok:
+			w.Offer(update.decode(), requestedAt)
+		case !reply.Relays && !reply.TablePending && reply.Assigned == "":
+			w.SetNotRelayed()
+		}
+	}
+}
+
+// deliverOwnHubData passes the other hosts' data that this host's own hub has to the callbacks
+// in Options; withTimings includes their timings.
+func (m *Member) deliverOwnHubData(withTimings bool) {
+	sums := m.ownHub.otherSums(m.options.Host, m.ownHubPrefixSeq, toHost)
+	if withTimings {
+		sums.Timings = m.ownHub.otherTimings(m.options.Host, toHost)
+	}
+	m.ownHubPrefixSeq = sums.SentPrefixesLast
+	m.applyOwnHubLimits()
+	m.deliver(sums, boottime.Now())
+}
+
+// deliver passes the other hosts' data in a reply, as of the given time, to the callbacks in
+// Options.
+func (m *Member) deliver(reply Reply, at time.Time) {
+	m.options.OnWork(reply.Work, at)
+	m.deliverHostCount(reply.Hosts)
+	m.deliverEvidence(reply.Evidence)
+	m.deliverPrefixes(reply.SentPrefixes)
+	if m.options.OnTimings != nil && len(reply.Timings) > 0 {
+		m.options.OnTimings(reply.Timings)
+	}
+}
+
+// deliverPrefixes passes the prefixes that other hosts sent to upstreams to OnReads. It also
+// drops this host's unsent prefixes, which the hub has received by then.
+func (m *Member) deliverPrefixes(prefixes Reads) {
+	m.unsentPrefixes = make(Reads)
+	if m.options.OnReads != nil && len(prefixes) > 0 {
+		m.options.OnReads(prefixes)
+	}
+}
+
+func (m *Member) deliverHostCount(n int) {
+	if m.options.OnHostCount != nil && n > 0 {
+		m.options.OnHostCount(n)
+	}
+}
+
+func (m *Member) deliverEvidence(list []Evidence) {
+	if m.options.OnEvidence != nil && len(list) > 0 {
+		m.options.OnEvidence(list)
+	}
+}
--- /dev/null
+++ b/internal/exchange/seedqueries.go
@@ -0,0 +1,92 @@
+package exchange
+
+import (
+	"context"
+	"time"
+
+	"github.com/quetzalweir/quetzalweir/internal/boottime"
+	"github.com/quetzalweir/quetzalweir/ratelease"
+)
+
+// seedQuery is the state of this host's queries to another seed.
+type seedQuery struct {
+	// inFlight reports whether the reply to a query is pending. retryAt is the earliest time of
+	// the next query. prefixesSince is the sequence number of the last entry in the seed's
+	// prefix log that was received.
+	inFlight      bool
+	retryAt       time.Time
+	prefixesSince uint64
+	// sightingsSince is the sequence number of the last entry in the seed's sighting log that
+	// was received. answered reports whether the seed answered the last query.
+	sightingsSince uint64
+	answered       bool
+	// limitsCursor is the position in the seed's limit log up to which the log was received.
+	limitsCursor ratelease.LogCursor
+}
+
+// querySeeds queries each of the other seeds for the sums over its followers. The queries run
+// concurrently, so that a dead seed doesn't delay the others.
+func (m *Member) querySeeds(ctx context.Context, net network) {
+	for _, seed := range m.options.Seeds {
+		if seed == m.options.Listen {
+			continue
+		}
+		state, ok := m.beginQuery(seed)
+		if !ok {
+			continue
+		}
+		report := Report{
+			Zone: m.options.Zone, Address: m.options.Listen, HubQuery: true, SentPrefixesSince: state.prefixesSince, SightingsSince: state.sightingsSince, LimitsCursor: state.limitsCursor, Revisions: m.revisions(),
+			WantTimings: m.reportCount%exchangesPerTimings == 1,
+		}
+		requestedAt := boottime.Now()
+		go func() {
+			reply, err := callWithTimeout(ctx, net, seed, report)
+			if err != nil {
+				net.disconnect(seed)
+				m.endQuery(seed, seedQuery{retryAt: boottime.Now().Add(hubRetryInterval), prefixesSince: state.prefixesSince, sightingsSince: state.sightingsSince, limitsCursor: state.limitsCursor})
+				return
+			}
+			m.ownHub.recordHubReply(seed, reply, reply.Hosts)
+			m.ownHub.recordLimits(true, reply.Limits.Updates, false)
+			m.deliverQuarantineStatus(reply.QuarantineStatus)
+			m.offerTablesIfDisconnected(reply, requestedAt)
+			m.endQuery(seed, seedQuery{prefixesSince: reply.SentPrefixesLast, sightingsSince: reply.SightingsLast, limitsCursor: reply.Limits.Cursor, answered: true})
+		}()
+	}
+}
+
+// offerTablesIfDisconnected passes another seed's table updates to those watchers that can't
+// reach the store themselves. This matters if the store rejects the calls of single hosts.
+func (m *Member) offerTablesIfDisconnected(reply Reply, requestedAt time.Time) {
+	for name, w := range m.options.Tables {
+		if update, ok := reply.Tables[name]; ok {
+			w.OfferIfDisconnected(update.decode(), requestedAt)
+		}
+	}
+}
+
+// beginQuery returns the state of the queries to a seed, and whether the seed may be queried
+// now: no query is in flight, and none failed within the last hubRetryInterval.
+func (m *Member) beginQuery(seed string) (state seedQuery, ok bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	q := m.seedQueries[seed]
+	if q == nil {
+		q = &seedQuery{}
+		m.seedQueries[seed] = q
+	}
+	if q.inFlight || boottime.Now().Before(q.retryAt) {
+		return seedQuery{}, false
+	}
+	q.inFlight = true
+	return *q, true
+}
+
+// endQuery stores the state of the queries to a seed after one has ended.
+func (m *Member) endQuery(seed string, state seedQuery) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	*m.seedQueries[seed] = state
+	m.updateSeedsAnswered()
+}
--- a/internal/stall/stall_test.go
+++ b/internal/stall/stall_test.go
@@ -22,7 +22,7 @@
 		ended    time.Duration   // 0: not ended by the guard
 	}{
 		{"nothing comes", nil, silence},
-		{"each part in time, far above the limit in all", []time.Duration{900 * time.Millisecond, 900 * time.Millisecond, 900 * time.Millisecond, 900 * time.Millisecond}, 0},
+		{"each part in time, the whole answer far later than the limit", []time.Duration{900 * time.Millisecond, 900 * time.Millisecond, 900 * time.Millisecond, 900 * time.Millisecond}, 0},
 		{"a part, then nothing", []time.Duration{900 * time.Millisecond}, 1900 * time.Millisecond},
 		{"a part too late", []time.Duration{1100 * time.Millisecond}, silence},
 	}
@@ -75,9 +75,10 @@
 	return n, nil
 }
 
-// io.ReadAll reads into buffers that grow with the data. A reader that fills them returned
-// nothing for seconds although data arrived all the time, so an answer of 750 kB at 160 kB a
-// second was canceled after 490 kB at each attempt: received_bytes=492097 took_ms=3117.
+// Guards against a Reader that fills large buffers before it reports progress. io.ReadAll reads
+// into buffers that grow with the data; an earlier version returned nothing for seconds while
+// it filled them, although data arrived all the time. An answer of 750 kB at 160 kB a second
+// was therefore canceled after 490 kB at each attempt: received_bytes=492097 took_ms=3117.
 func TestReaderReportsProgressWhileALargeBufferFills(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
