--- a/internal/sealedconn/call.go
+++ b/internal/sealedconn/call.go
@@ -9,14 +9,14 @@
 )
 
 var (
-	// errCallEnded is returned by a write for a call that is sealed.
+	// errCallEnded is returned by a write for a call that was sealed.
 	errCallEnded = errors.New("sealedconn: the call has ended")
 	// errAlreadySent is returned by a write for a call that was already written to
 	// another connection and isn't repeatable.
 	errAlreadySent = errors.New("sealedconn: the call was already sent on another connection")
 )
 
-// Progress is how far the transmission of a call got.
+// Progress is how much of a call was written to connections.
 type Progress int
 
 const (
@@ -41,9 +41,11 @@
 
 	mu     sync.Mutex
 	sealed bool
-	// lastConn is the connection last selected for the call; nil before the first.
+	// lastConn is the connection that the transport last selected for the call; nil
+	// before it has selected one.
 	lastConn *trackedConn
-	// writtenConn is the connection of the latest write; nil before the first.
+	// writtenConn is the connection of the call's latest write; nil before the first
+	// write.
 	writtenConn *trackedConn
 	// pendingWrites counts the writes that have not returned yet.
 	pendingWrites int
@@ -62,8 +64,8 @@
 // goroutine of RoundTrip before it passes the request to the connection.
 func (c *Call) gotConn(info httptrace.GotConnInfo) {
 	conn := info.Conn
-	if secure, ok := conn.(*tls.Conn); ok {
-		conn = secure.NetConn()
+	if tlsConn, ok := conn.(*tls.Conn); ok {
+		conn = tlsConn.NetConn()
 	}
 	if tracked, ok := conn.(*trackedConn); ok {
 		c.attach(tracked)
@@ -74,9 +76,9 @@
 	c.maybeWritten = true
 }
 
-// attach assigns the connection to the call. The transport reuses a connection only
-// after the response to its previous call, but that call's goroutine may not have
-// processed the response yet.
+// attach assigns the connection to the call. The transport reuses a connection once
+// the response to its previous call has arrived, but the goroutine of that call may
+// not have processed the response yet and may still call Abandon.
 func (c *Call) attach(conn *trackedConn) {
 	c.mu.Lock()
 	c.lastConn = conn
@@ -99,8 +101,8 @@
 	}
 }
 
-// Abandon seals the call and closes its connection, unless the connection is
-// attached to another call by then. It returns the call's progress.
+// Abandon seals the call and closes its connection, unless the connection is already
+// attached to another call. It returns the call's progress.
 func (c *Call) Abandon() Progress {
 	progress := c.Seal()
 	c.mu.Lock()
--- a/internal/sealedconn/call_test.go
+++ b/internal/sealedconn/call_test.go
@@ -82,7 +82,7 @@
 		_, _ = conn.Write([]byte("request"))
 	}()
 	<-inner.started
-	is.Equal(len(onWriteCalls), 1) // before the first byte
+	is.Equal(len(onWriteCalls), 1) // OnWrite was called before the first byte
 	is.Equal(call.Seal(), Written)
 	inner.finish <- writeResult{}
 	<-done
@@ -114,9 +114,9 @@
 	}
 }
 
-// The transport may assign a connection to the next call before the previous one
+// The transport may assign a connection to the next call before the previous call
 // has processed its response. Abandoning the previous call must neither report the
-// progress of the next one nor close its connection.
+// progress of the next call nor close the connection.
 func TestAbandonAfterNextCallStarted(t *testing.T) {
 	is := is.New(t)
 	conn, inner := newBlockingConn()
--- a/internal/sealedconn/conn.go
+++ b/internal/sealedconn/conn.go
@@ -6,8 +6,8 @@
 )
 
 // trackedConn reports its writes to the call attached to it.
-// httptrace.WroteHeaders is no substitute: it is called after a write to a buffer,
-// which can be long before or after the bytes are sent.
+// httptrace.ClientTrace.WroteHeaders can't be used instead, because the transport
+// calls it after a write to a buffer, long before or after the bytes are sent.
 type trackedConn struct {
 	net.Conn
 
--- a/internal/sealedconn/doc.go
+++ b/internal/sealedconn/doc.go
@@ -3,8 +3,8 @@
 // whether a failed call was sent.
 //
 // A call can end while the transport's goroutine is about to write its request.
-// Sealing the call resolves that race: once Seal has returned NotStarted or NothingWritten,
-// no byte of the call can be written any more.
+// Sealing the call resolves that race: once Seal has returned NotStarted or
+// NothingWritten, no byte of the call can be written any more.
 //
 // The package can't tell whether written bytes were received, and tracks only
 // connections that its transport dialled. It requires HTTP/1.1, where a connection
--- a/internal/sealedconn/liveness.go
+++ b/internal/sealedconn/liveness.go
@@ -15,8 +15,8 @@
 	probeInterval = time.Second
 	probeCount    = 2
 	// unackedTimeout is how long sent data may remain unacknowledged before the kernel
-	// closes the connection. Round trips take a few milliseconds, and a lost packet is
-	// retransmitted within half a second.
+	// closes the connection. It leaves time for retransmissions: round trips take a few
+	// milliseconds, and a lost packet is retransmitted within half a second.
 	unackedTimeout = 2 * time.Second
 	// tcpUserTimeout is the socket option TCP_USER_TIMEOUT of tcp(7), which package
 	// syscall doesn't define.
--- a/internal/sealedconn/liveness_test.go
+++ b/internal/sealedconn/liveness_test.go
@@ -31,7 +31,7 @@
 	}
 	is.Equal(option(syscall.SOL_SOCKET, syscall.SO_KEEPALIVE), 1)
 	is.Equal(option(syscall.IPPROTO_TCP, syscall.TCP_KEEPCNT), probeCount)
-	is.True(option(syscall.IPPROTO_TCP, syscall.TCP_KEEPIDLE) <= 2) // whole seconds
+	is.True(option(syscall.IPPROTO_TCP, syscall.TCP_KEEPIDLE) <= 2) // the kernel counts whole seconds
 	is.True(option(syscall.IPPROTO_TCP, syscall.TCP_KEEPINTVL) <= 1)
 	is.Equal(option(syscall.IPPROTO_TCP, tcpUserTimeout), int(unackedTimeout.Milliseconds()))
 }
