--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -25,14 +25,13 @@
 	// Limits applies to each connection.
 	Limits Limits
 	// LocalIP is the source address of connections; nil lets the system choose.
-	// On a host with several addresses it makes peers and middleboxes see a
-	// single source address for the host.
+	// On a host with several addresses it ensures that all connections to peers,
+	// also those through middleboxes, have the same source address.
 	LocalIP net.IP
 	// DialTimeout limits the time to establish the TCP connection; default 1 s.
 	DialTimeout time.Duration
-	// StallTimeout is how long a connection with open calls may go without a
-	// complete frame being received before it counts as stalled and is closed;
-	// default 3 s.
+	// StallTimeout is how long a connection with open calls may receive no
+	// complete frame before it counts as stalled and is closed; default 3 s.
 	StallTimeout time.Duration
 	// MinBackoff and MaxBackoff limit the delay after a failed dial, which
 	// doubles each time and has random jitter; defaults 100 ms and 2 s. Calls
@@ -40,7 +39,8 @@
 	MinBackoff, MaxBackoff time.Duration
 }
 
-// Client calls other hosts over one connection per address.
+// Client calls other hosts over one connection per address. Its links are kept by
+// address.
 type Client struct {
 	options ClientOptions
 	traffic *traffic
@@ -157,8 +157,8 @@
 	}
 }
 
-// backoff returns the delay with jitter after a number of consecutive failed
-// dials.
+// backoff returns the delay, with jitter, before the next dial after the given
+// number of consecutive failed dials.
 func (o ClientOptions) backoff(failures int) time.Duration {
 	wait := o.MinBackoff
 	for i := 1; i < failures && wait < o.MaxBackoff; i++ {
@@ -173,9 +173,9 @@
 	rpc          *jsonrpc2.Conn
 	stream       *stream
 	stallTimeout time.Duration
-	// slots is a semaphore that holds one element for each open call, including
+	// callSlots is a semaphore that holds one element for each open call, including
 	// calls whose caller no longer waits.
-	slots chan struct{}
+	callSlots chan struct{}
 	// spawn is Client.spawn.
 	spawn func(func()) bool
 }
@@ -190,14 +190,14 @@
 // continues after ctx ends, because a write can't be undone.
 func (c *clientConn) call(ctx context.Context, method string, params any) (json.RawMessage, error) {
 	select {
-	case c.slots <- struct{}{}:
+	case c.callSlots <- struct{}{}:
 	default:
 		c.closeIfStalled()
 		return nil, ErrOverloaded
 	}
 	done := make(chan callResult, 1)
 	spawned := c.spawn(func() {
-		defer func() { <-c.slots }()
+		defer func() { <-c.callSlots }()
 		var raw json.RawMessage
 		err := c.rpc.Call(context.WithoutCancel(ctx), method, params, &raw)
 		done <- callResult{raw, c.classifyError(method, err)}
@@ -206,8 +206,8 @@
 		return nil, fmt.Errorf("%w: %w", ErrUnreachable, ErrClosed)
 	}
 	select {
-	case a := <-done:
-		return a.raw, a.err
+	case result := <-done:
+		return result.raw, result.err
 	case <-ctx.Done():
 		c.closeIfStalled()
 		return nil, context.Cause(ctx)
@@ -216,7 +216,8 @@
 
 // closeIfStalled closes the connection if no frame was received for
 // stallTimeout, for example because the process on the other host is suspended.
-// It is called while calls are open.
+// It must be called only while calls are open, since an idle connection receives
+// no frames.
 func (c *clientConn) closeIfStalled() {
 	last := time.Duration(c.stream.lastRead.Load())
 	if boottime.Elapsed()-last >= c.stallTimeout {
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// headerBytes is the size of the length field at the start of each frame.
-	headerBytes = 4
+	// lengthBytes is the size of the length field at the start of each frame.
+	lengthBytes = 4
 	// tagBytes is the size of the truncated HMAC-SHA256 in a frame.
 	tagBytes = 16
 )
@@ -30,8 +30,12 @@
 //	tag, 16 bytes: HMAC-SHA256 over sequence number and payload, truncated
 //	payload: one JSON-RPC message
 //
-// The sequence number isn't transmitted, so the tag of a repeated, omitted or
-// reordered frame doesn't verify.
+// Each side counts the frames itself, and the sequence number isn't transmitted.
+// The tag of a frame therefore doesn't verify if the frame is repeated or
+// reordered, or if one before it is omitted.
+//
+// If onWrite is set, it is called after each frame is written, with the frame's
+// size in bytes.
 type stream struct {
 	conn   net.Conn
 	limits Limits
@@ -43,9 +47,9 @@
 	// lastFrameBytes is the size of the last frame read. Only the reading
 	// goroutine accesses it.
 	lastFrameBytes int
-	// lastRead is when the last frame was completely read, as boottime.Elapsed in
-	// nanoseconds. That clock ignores changes of the wall clock and includes the time
-	// that the system is suspended.
+	// lastRead is the value of boottime.Elapsed, in nanoseconds, when the last frame
+	// was completely read. That clock ignores changes of the wall clock and includes
+	// the time that the system is suspended.
 	lastRead atomic.Int64
 
 	firstErr atomic.Pointer[error]
@@ -63,7 +67,8 @@
 	return st
 }
 
-// frameMAC computes the tags of one direction. It isn't safe for concurrent use.
+// frameMAC computes the tags of the frames in one direction of a connection. It
+// isn't safe for concurrent use.
 type frameMAC struct {
 	mac hash.Hash
 	seq uint64
@@ -102,7 +107,7 @@
 		return s.closeWithError(err)
 	}
 	if s.onWrite != nil {
-		s.onWrite(headerBytes + tagBytes + len(data))
+		s.onWrite(lengthBytes + tagBytes + len(data))
 	}
 	return nil
 }
@@ -148,17 +153,17 @@
 	if err := s.conn.SetReadDeadline(time.Now().Add(s.limits.IdleTimeout)); err != nil {
 		return nil, err
 	}
-	var head [headerBytes + tagBytes]byte
-	if _, err := io.ReadFull(s.conn, head[:1]); err != nil {
+	var header [lengthBytes + tagBytes]byte
+	if _, err := io.ReadFull(s.conn, header[:1]); err != nil {
 		return nil, err
 	}
 	if err := s.conn.SetReadDeadline(time.Now().Add(s.limits.FrameTimeout)); err != nil {
 		return nil, err
 	}
-	if _, err := io.ReadFull(s.conn, head[1:]); err != nil {
+	if _, err := io.ReadFull(s.conn, header[1:]); err != nil {
 		return nil, truncatedError(err)
 	}
-	size, err := decodeLength(head[:headerBytes], s.limits.MaxMessageBytes)
+	size, err := decodeLength(header[:lengthBytes], s.limits.MaxMessageBytes)
 	if err != nil {
 		return nil, err
 	}
@@ -166,10 +171,10 @@
 	if _, err := io.ReadFull(s.conn, payload); err != nil {
 		return nil, truncatedError(err)
 	}
-	if !hmac.Equal(s.receiveMAC.nextTag(payload), head[headerBytes:]) {
+	if !hmac.Equal(s.receiveMAC.nextTag(payload), header[lengthBytes:]) {
 		return nil, fmt.Errorf("%w: wrong frame tag", ErrAuthentication)
 	}
-	s.lastFrameBytes = len(head) + size
+	s.lastFrameBytes = len(header) + size
 	s.lastRead.Store(int64(boottime.Elapsed()))
 	return payload, nil
 }
@@ -202,7 +207,7 @@
 	return binary.BigEndian.AppendUint32(nil, uint32(size))
 }
 
-// writeAll writes the parts in one call, so that they share a TCP segment.
+// writeAll writes all parts in one call, so that they can share a TCP segment.
 func writeAll(w io.Writer, parts ...[]byte) error {
 	var buffer []byte
 	for _, part := range parts {
@@ -214,11 +219,11 @@
 
 // readLengthPrefixed reads a length field and returns the bytes that follow it.
 func readLengthPrefixed(r io.Reader, limit int) ([]byte, error) {
-	var head [headerBytes]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	var length [lengthBytes]byte
+	if _, err := io.ReadFull(r, length[:]); err != nil {
 		return nil, truncatedError(err)
 	}
-	size, err := decodeLength(head[:], limit)
+	size, err := decodeLength(length[:], limit)
 	if err != nil {
 		return nil, err
 	}
@@ -229,8 +234,8 @@
 	return data, nil
 }
 
-func decodeLength(head []byte, limit int) (int, error) {
-	size := binary.BigEndian.Uint32(head)
+func decodeLength(length []byte, limit int) (int, error) {
+	size := binary.BigEndian.Uint32(length)
 	if size == 0 {
 		return 0, fmt.Errorf("%w: empty frame", ErrMalformed)
 	}
--- a/internal/peer/frame_test.go
+++ b/internal/peer/frame_test.go
@@ -54,8 +54,8 @@
 }
 
 func TestAlteredFramesAreRejected(t *testing.T) {
-	f := encodeFrames(`{"a":1}`, `{"b":2}`, `{"c":3}`)
-	altered := bytes.Clone(f[1])
+	frames := encodeFrames(`{"a":1}`, `{"b":2}`, `{"c":3}`)
+	altered := bytes.Clone(frames[1])
 	altered[len(altered)-2] = '9'
 	tests := []struct {
 		desc  string
@@ -63,12 +63,12 @@
 		count int
 		want  error
 	}{
-		{"whole", bytes.Join(f, nil), 3, io.EOF},
-		{"repeated", bytes.Join([][]byte{f[0], f[0]}, nil), 1, ErrAuthentication},
-		{"left out", bytes.Join([][]byte{f[0], f[2]}, nil), 1, ErrAuthentication},
-		{"swapped", bytes.Join([][]byte{f[1], f[0]}, nil), 0, ErrAuthentication},
-		{"altered", bytes.Join([][]byte{f[0], altered}, nil), 1, ErrAuthentication},
-		{"cut short", bytes.Join([][]byte{f[0], f[1][:25]}, nil), 1, ErrMalformed},
+		{"whole", bytes.Join(frames, nil), 3, io.EOF},
+		{"repeated", bytes.Join([][]byte{frames[0], frames[0]}, nil), 1, ErrAuthentication},
+		{"left out", bytes.Join([][]byte{frames[0], frames[2]}, nil), 1, ErrAuthentication},
+		{"swapped", bytes.Join([][]byte{frames[1], frames[0]}, nil), 0, ErrAuthentication},
+		{"altered", bytes.Join([][]byte{frames[0], altered}, nil), 1, ErrAuthentication},
+		{"cut short", bytes.Join([][]byte{frames[0], frames[1][:25]}, nil), 1, ErrMalformed},
 	}
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
@@ -92,7 +92,7 @@
 		input := append(bytes.Clone(sent[0]), data...)
 		want := 1
 		if signed && len(data) > 0 && len(data) <= 4096 {
-			// The peer holds the key and sends the bytes as a message.
+			// A peer that has the key sends the bytes as a message.
 			s := newStream(&byteConn{}, testSession, testLimits())
 			s.sendMAC.nextTag([]byte(`{"a":1}`))
 			input = bytes.Join([][]byte{sent[0], encodeLength(len(data)), s.sendMAC.nextTag(data), data}, nil)
@@ -104,9 +104,9 @@
 		if len(messages) != want || messages[0] != `{"a":1}` {
 			t.Fatalf("got %q, want %d messages", messages, want)
 		}
-		typed := errors.Is(err, ErrMalformed) || errors.Is(err, ErrTooLarge) || errors.Is(err, ErrAuthentication)
-		if !typed && err != io.EOF {
-			t.Fatalf("untyped error %v", err)
+		isPackageError := errors.Is(err, ErrMalformed) || errors.Is(err, ErrTooLarge) || errors.Is(err, ErrAuthentication)
+		if !isPackageError && err != io.EOF {
+			t.Fatalf("unexpected error %v", err)
 		}
 	})
 }
@@ -119,8 +119,8 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		conn := &byteConn{in: bytes.NewReader(data)}
 		_, err := serverHandshake(conn, "server", []Key{testKey("k1")}, time.Second)
-		typed := errors.Is(err, ErrMalformed) || errors.Is(err, ErrTooLarge) || errors.Is(err, ErrAuthentication)
-		if !typed {
+		isPackageError := errors.Is(err, ErrMalformed) || errors.Is(err, ErrTooLarge) || errors.Is(err, ErrAuthentication)
+		if !isPackageError {
 			t.Fatalf("handshake ended with %v", err)
 		}
 	})
--- a/internal/peer/handshake.go
+++ b/internal/peer/handshake.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// protocol is the name and version of the handshake. Hosts with another
+	// protocol is the name and version of the handshake. Hosts that send another
 	// version are rejected.
 	protocol = "quetzalweir-peer/1"
 	// nonceBytes is the size of each side's random challenge.
@@ -39,7 +39,8 @@
 	Nonce    []byte   `json:"nonce"`
 }
 
-// challenge is the server's reply with its nonce and proof.
+// challenge is the server's response to the hello. It contains the server's nonce
+// and its proof.
 type challenge struct {
 	Self  string `json:"self"`
 	KeyID string `json:"key_id"`
@@ -52,14 +53,14 @@
 	Proof []byte `json:"proof"`
 }
 
-// session is the result of a handshake on one side.
+// session is what one side of a connection obtains from the handshake.
 type session struct {
 	// peer is the host id that the other side sent, authenticated by a shared key.
 	peer string
 	// sendKey and receiveKey authenticate the frames of each direction.
 	sendKey, receiveKey []byte
-	// bytesIn and bytesOut are the sizes of the handshake messages received and
-	// sent.
+	// bytesIn and bytesOut are the total sizes of the handshake messages that were
+	// received and sent.
 	bytesIn, bytesOut int
 }
 
@@ -85,7 +86,8 @@
 	return mac.Sum(nil), nil
 }
 
-// verify returns ErrAuthentication unless got is the proof for label.
+// verify returns ErrAuthentication unless got is the MAC that deriveMAC returns for
+// the key and label.
 func (t transcript) verify(key Key, label string, got []byte) error {
 	want, err := t.deriveMAC(key, label)
 	if err != nil {
@@ -108,7 +110,7 @@
 	if err != nil {
 		return fmt.Errorf("peer: encode handshake: %w", err)
 	}
-	c.bytesOut += headerBytes + len(data)
+	c.bytesOut += lengthBytes + len(data)
 	return writeAll(c.Conn, encodeLength(len(data)), data)
 }
 
@@ -117,7 +119,7 @@
 	if err != nil {
 		return err
 	}
-	c.bytesIn += headerBytes + len(data)
+	c.bytesIn += lengthBytes + len(data)
 	if err := json.Unmarshal(data, message); err != nil {
 		return fmt.Errorf("%w: handshake: %w", ErrMalformed, err)
 	}
@@ -153,7 +155,7 @@
 	if err := c.send(proof{Proof: clientProof}); err != nil {
 		return session{}, err
 	}
-	return t.session(key, reply.Self, labelClientKey, labelServerKey, c)
+	return t.newSession(key, reply.Self, labelClientKey, labelServerKey, c)
 }
 
 // serverHandshake performs the mutual authentication on the accepting side.
@@ -188,7 +190,7 @@
 	if err := t.verify(key, labelClientProof, reply.Proof); err != nil {
 		return session{}, err
 	}
-	return t.session(key, offer.Self, labelServerKey, labelClientKey, c)
+	return t.newSession(key, offer.Self, labelServerKey, labelClientKey, c)
 }
 
 // validate returns an error if the hello is invalid for this protocol version.
@@ -202,14 +204,14 @@
 	return validateName(h.Self)
 }
 
-// session derives the frame keys and returns the session. The keys depend on both
+// newSession derives the frame keys and returns the session. The keys depend on both
 // nonces, so frames of one connection aren't valid on another.
-func (t transcript) session(key Key, peer, send, receive string, c *handshakeConn) (session, error) {
-	sendKey, err := t.deriveMAC(key, send)
+func (t transcript) newSession(key Key, peer, sendLabel, receiveLabel string, c *handshakeConn) (session, error) {
+	sendKey, err := t.deriveMAC(key, sendLabel)
 	if err != nil {
 		return session{}, err
 	}
-	receiveKey, err := t.deriveMAC(key, receive)
+	receiveKey, err := t.deriveMAC(key, receiveLabel)
 	if err != nil {
 		return session{}, err
 	}
--- a/internal/peer/key.go
+++ b/internal/peer/key.go
@@ -14,8 +14,8 @@
 )
 
 // Key is a secret shared by the entry hosts. Several keys can be valid at the same
-// time, so that a key is rotated without interruption: the new key is added on all
-// hosts, then the old one is removed.
+// time, so that a key can be rotated without interruption: the new key is added on
+// all hosts, and then the old one is removed.
 type Key struct {
 	// ID identifies the key on the wire. It is not secret.
 	ID string
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -12,7 +12,8 @@
 	"github.com/quetzalweir/quetzalweir/internal/boottime"
 )
 
-// link manages the single connection to an address.
+// link manages a client's connection to one address. At most one connection to the
+// address is open at a time.
 type link struct {
 	client *Client
 	addr   string
@@ -23,14 +24,14 @@
 	// dialing is closed when the dial in progress ends; nil if there is none.
 	dialing <-chan struct{}
 	// failures counts consecutive failed dials; retryAt is the earliest time of
-	// the next one.
+	// the next dial; lastErr is the error of the last dial, nil if it succeeded.
 	failures int
 	retryAt  time.Time
 	lastErr  error
 }
 
 // connect returns the connection and dials if there is none. Concurrent callers
-// share one dial. During the backoff it fails immediately.
+// share one dial. During the backoff after a failed dial, connect fails immediately.
 func (l *link) connect(ctx context.Context) (*clientConn, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -119,11 +120,11 @@
 		return
 	}
 	l.conn = conn
-	go l.watch(conn)
+	go l.clearOnDisconnect(conn)
 }
 
-// watch clears l.conn when the connection ends.
-func (l *link) watch(conn *clientConn) {
+// clearOnDisconnect waits until the connection ends and then clears l.conn.
+func (l *link) clearOnDisconnect(conn *clientConn) {
 	<-conn.rpc.DisconnectNotify()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -166,7 +167,7 @@
 		rpc:          rpc,
 		stream:       stream,
 		stallTimeout: o.StallTimeout,
-		slots:        make(chan struct{}, o.Limits.MaxConcurrent),
+		callSlots:    make(chan struct{}, o.Limits.MaxConcurrent),
 		spawn:        l.client.spawn,
 	}
 }
--- a/internal/peer/membership_transport.go
+++ b/internal/peer/membership_transport.go
@@ -11,8 +11,8 @@
 // MethodMembershipExchange is the RPC method for membership messages.
 const MethodMembershipExchange = "membership.exchange"
 
-// ErrSenderMismatch means that the sender named in a message isn't the authenticated peer
-// of its connection.
+// ErrSenderMismatch means that the sender named in a message isn't the authenticated
+// peer of the connection on which the message arrived.
 var ErrSenderMismatch = errors.New("peer: message of another sender")
 
 // MembershipTransport implements membership.Transport over a Client.
@@ -31,7 +31,8 @@
 	var reply membership.Message
 	err := t.client.Call(ctx, to.PeerAddr, MethodMembershipExchange, message, &reply)
 	if err != nil && to.State == membership.Down {
-		// The host may never return at this address.
+		// The host may never be reachable at this address again, so its link is
+		// discarded.
 		t.client.Disconnect(to.PeerAddr)
 	}
 	return reply, err
--- a/internal/peer/membership_transport_test.go
+++ b/internal/peer/membership_transport_test.go
@@ -42,11 +42,11 @@
 		})
 		members, clients = append(members, m), append(clients, c)
 	}
-	eventually := func(condition func(m *membership.Membership) bool, of ...*membership.Membership) {
+	eventually := func(condition func(m *membership.Membership) bool, observers ...*membership.Membership) {
 		t.Helper()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		for _, m := range of {
+		for _, m := range observers {
 			for !condition(m) {
 				is.NoErr(ctx.Err())
 				time.Sleep(5 * time.Millisecond)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -7,9 +7,9 @@
 // host that accepted it responds. A call is sent at most once; the error indicates
 // whether it may have reached the other host.
 //
-// The entry hosts use it for membership, evidence, bills and loans of quota.
-// Frames are authenticated but not encrypted, and calls on different connections
-// aren't ordered.
+// The entry hosts use it for membership, manifests, roll-out evidence, quarantine
+// sightings, copies of bills and loans of quota. Frames are authenticated but not
+// encrypted, and calls on different connections aren't ordered.
 package peer
 
 import (
@@ -35,7 +35,7 @@
 	// ErrMalformed means that the received bytes aren't a valid frame or message.
 	ErrMalformed = errors.New("peer: malformed message")
 	// ErrAuthentication means that the other side didn't prove possession of a
-	// shared key, or that a frame was altered, repeated or omitted.
+	// shared key, or that a frame was altered, repeated, reordered or omitted.
 	ErrAuthentication = errors.New("peer: authentication failed")
 	// ErrClosed means that the client or server was closed.
 	ErrClosed = errors.New("peer: closed")
@@ -99,7 +99,7 @@
 	FrameTimeout time.Duration
 	// IdleTimeout is how long a server waits for a frame; default 2 min. The client
 	// waits half as long, so that it doesn't send a call on a connection that the
-	// server is about to close. A call that takes longer fails.
+	// server is about to close. A call whose response takes longer than that fails.
 	IdleTimeout time.Duration
 }
 
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -109,17 +109,17 @@
 }
 
 func TestKeyRotation(t *testing.T) {
-	old, fresh := testKey("old"), testKey("new")
+	oldKey, newKey := testKey("old"), testKey("new")
 	tests := []struct {
 		desc           string
 		server, client []Key
 		want           error
 	}{
-		{"same key", []Key{old}, []Key{old}, nil},
-		{"server has both", []Key{old, fresh}, []Key{old}, nil},
-		{"client has both, server only the new", []Key{fresh}, []Key{old, fresh}, nil},
-		{"no key in common", []Key{fresh}, []Key{old}, ErrUnreachable},
-		{"same id, other secret", []Key{{ID: "old", Secret: fresh.Secret}}, []Key{old}, ErrAuthentication},
+		{"same key", []Key{oldKey}, []Key{oldKey}, nil},
+		{"server has both", []Key{oldKey, newKey}, []Key{oldKey}, nil},
+		{"client has both, server only the new", []Key{newKey}, []Key{oldKey, newKey}, nil},
+		{"no key in common", []Key{newKey}, []Key{oldKey}, ErrUnreachable},
+		{"same id, other secret", []Key{{ID: "old", Secret: newKey.Secret}}, []Key{oldKey}, ErrAuthentication},
 	}
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
@@ -139,7 +139,7 @@
 	limits := Limits{MaxMessageBytes: 4096}
 	s, _ := startServer(t, ServerOptions{Keys: keys, Limits: limits})
 	Handle(s, "fail", func(context.Context, string, echoParams) (echoResult, error) {
-		return echoResult{}, errors.New("no luck")
+		return echoResult{}, errors.New("handler failed")
 	})
 	Handle(s, "large", func(context.Context, string, echoParams) (echoResult, error) {
 		return echoResult{Text: strings.Repeat("x", 8192)}, nil
@@ -151,7 +151,7 @@
 	is.True(errors.As(c.Call(ctx, s.Addr(), "absent", nil, nil), &e))
 	is.Equal(e.Code, int64(CodeMethodNotFound))
 	is.True(errors.As(c.Call(ctx, s.Addr(), "fail", echoParams{}, nil), &e))
-	is.Equal(e.Message, "no luck")
+	is.Equal(e.Message, "handler failed")
 	is.True(errors.As(c.Call(ctx, s.Addr(), "echo", []int{1}, nil), &e))
 	is.Equal(e.Code, int64(CodeInvalidParams))
 	is.True(errors.As(c.Call(ctx, s.Addr(), "large", echoParams{}, nil), &e)) // the response exceeds the limit
@@ -171,7 +171,7 @@
 	_, err := callEcho(c, s.Addr(), "x")
 	is.NoErr(err)
 	stop()
-	for err == nil || errors.Is(err, ErrBroken) { // until the client detects the end of the connection
+	for err == nil || errors.Is(err, ErrBroken) { // repeated until the client detects the end of the connection
 		_, err = callEcho(c, s.Addr(), "x")
 	}
 	is.True(errors.Is(err, ErrUnreachable))
@@ -202,7 +202,7 @@
 		stop()
 		close(stopped)
 	}()
-	for s.beginCall() { // until the drain has started
+	for s.beginCall() { // repeated until the drain has started
 		s.activeCalls.Done()
 	}
 	var rejected *CallError
@@ -231,7 +231,7 @@
 	open := make(chan error, 1)
 	go func() { open <- c.Call(context.Background(), s.Addr(), "block", nil, nil) }()
 	is.True(errors.Is(c.Call(ctx, s.Addr(), "block", nil, nil), context.DeadlineExceeded))
-	is.True(errors.Is(<-open, ErrBroken)) // closing the connection unblocks the other callers
+	is.True(errors.Is(<-open, ErrBroken)) // closing the connection ended the other open call
 }
 
 func TestTooManyCallsAreRejectedUnsent(t *testing.T) {
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -17,7 +17,8 @@
 )
 
 // Handler handles the calls of one method. Calls are handled concurrently. The
-// context is cancelled when the caller's connection ends.
+// context is cancelled when the caller's connection ends. The argument from is the
+// caller's authenticated host id.
 type Handler interface {
 	Handle(ctx context.Context, from string, params json.RawMessage) (any, error)
 }
@@ -62,12 +63,14 @@
 	OnDisconnect func(from string, err error)
 }
 
-// Server accepts connections from other hosts and handles their calls.
+// Server accepts connections from other hosts and handles their calls. connSlots is
+// a semaphore that holds one element for each open connection, and handlers holds
+// the handlers by method.
 type Server struct {
-	options  ServerOptions
-	listener net.Listener
-	traffic  *traffic
-	slots    chan struct{}
+	options   ServerOptions
+	listener  net.Listener
+	traffic   *traffic
+	connSlots chan struct{}
 
 	mu       sync.RWMutex
 	handlers map[string]Handler
@@ -80,8 +83,8 @@
 	activeCalls sync.WaitGroup
 }
 
-// NewServer returns a server that listens; connections are accepted once Serve is
-// called.
+// NewServer returns a server whose listener is open. It accepts connections once
+// Serve is called.
 func NewServer(options ServerOptions) (*Server, error) {
 	if err := validateIdentity(options.Self, options.Keys); err != nil {
 		return nil, err
@@ -94,11 +97,11 @@
 		return nil, fmt.Errorf("peer: listen: %w", err)
 	}
 	return &Server{
-		options:  options,
-		listener: listener,
-		traffic:  newTraffic(),
-		slots:    make(chan struct{}, options.MaxConns),
-		handlers: make(map[string]Handler),
+		options:   options,
+		listener:  listener,
+		traffic:   newTraffic(),
+		connSlots: make(chan struct{}, options.MaxConns),
+		handlers:  make(map[string]Handler),
 	}, nil
 }
 
@@ -141,28 +144,28 @@
 	for {
 		conn, err := s.listener.Accept()
 		if err != nil {
-			if ctx.Err() == nil && isRetryableAccept(err) {
+			if ctx.Err() == nil && isRetryableAcceptError(err) {
 				time.Sleep(DefaultMinBackoff)
 				continue
 			}
 			return fmt.Errorf("peer: accept: %w", err)
 		}
 		select {
-		case s.slots <- struct{}{}:
+		case s.connSlots <- struct{}{}:
 		default:
 			conn.Close()
 			continue
 		}
 		s.conns.Go(func() {
-			defer func() { <-s.slots }()
+			defer func() { <-s.connSlots }()
 			s.serveConn(serveCtx, conn)
 		})
 	}
 }
 
-// isRetryableAccept reports whether Accept can be retried after err, for example
+// isRetryableAcceptError reports whether Accept can be retried after err, for example
 // when the process has run out of file descriptors.
-func isRetryableAccept(err error) bool {
+func isRetryableAcceptError(err error) bool {
 	return !errors.Is(err, net.ErrClosed)
 }
 
@@ -179,7 +182,7 @@
 	s.traffic.addHandshake(session)
 	stream := newStream(conn, session, s.options.Limits)
 	meter := newTrafficMeter(s.traffic, stream, s.hasHandler)
-	c := &serverConn{server: s, from: session.peer, slots: make(chan struct{}, s.options.Limits.MaxConcurrent)}
+	c := &serverConn{server: s, from: session.peer, callSlots: make(chan struct{}, s.options.Limits.MaxConcurrent)}
 	rpc := jsonrpc2.NewConn(serveCtx, stream, c, append(meter.options(), discardLogs())...)
 	<-rpc.DisconnectNotify()
 	s.notifyDisconnect(session.peer, stream.err())
--- a/internal/peer/serverconn.go
+++ b/internal/peer/serverconn.go
@@ -8,29 +8,30 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// serverConn implements jsonrpc2.Handler for one connection.
+// serverConn implements jsonrpc2.Handler for one connection. callSlots is a semaphore
+// that holds one element for each running call.
 type serverConn struct {
-	server *Server
-	from   string
-	slots  chan struct{}
+	server    *Server
+	from      string
+	callSlots chan struct{}
 }
 
-// Handle implements jsonrpc2.Handler. While all slots are in use it blocks reading
-// from the connection, so that TCP flow control slows the caller down.
+// Handle implements jsonrpc2.Handler. While all call slots are in use it blocks
+// reading from the connection, so that TCP flow control slows the caller down.
 func (c *serverConn) Handle(ctx context.Context, conn *jsonrpc2.Conn, request *jsonrpc2.Request) {
 	select {
-	case c.slots <- struct{}{}:
+	case c.callSlots <- struct{}{}:
 	case <-ctx.Done():
 		return
 	}
 	if !c.server.beginCall() {
-		<-c.slots
+		<-c.callSlots
 		conn.ReplyWithError(ctx, request.ID, wireError(&CallError{Code: CodeStopping, Message: "host is stopping"}))
 		return
 	}
 	go func() {
 		defer c.server.activeCalls.Done()
-		defer func() { <-c.slots }()
+		defer func() { <-c.callSlots }()
 		c.handleAndReply(ctx, conn, request)
 	}()
 }
--- a/internal/peer/traffic.go
+++ b/internal/peer/traffic.go
@@ -15,8 +15,8 @@
 	unknownMethod   = "(unknown)"
 )
 
-// MethodTraffic counts the frames and bytes of one method. The bytes include the
-// frame headers but not those of TCP and IP.
+// MethodTraffic counts the frames and bytes of one method. The bytes include each
+// frame's length and tag but not the headers of TCP and IP.
 type MethodTraffic struct {
 	Method   string
 	BytesIn  uint64
@@ -41,7 +41,7 @@
 	return &traffic{methods: make(map[string]*MethodTraffic)}
 }
 
-func (t *traffic) entry(method string) *MethodTraffic {
+func (t *traffic) methodTraffic(method string) *MethodTraffic {
 	e, ok := t.methods[method]
 	if !ok {
 		e = &MethodTraffic{Method: method}
@@ -53,7 +53,7 @@
 func (t *traffic) addIn(method string, size int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.entry(method)
+	e := t.methodTraffic(method)
 	e.BytesIn += uint64(size)
 	e.FramesIn++
 }
@@ -61,7 +61,7 @@
 func (t *traffic) addOut(method string, size int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.entry(method)
+	e := t.methodTraffic(method)
 	e.BytesOut += uint64(size)
 	e.FramesOut++
 }
@@ -83,12 +83,14 @@
 }
 
 // trafficMeter counts the frames of one connection by method. It finds the method
-// of a response by the request id.
+// of a response by the request id: pendingMethods holds the methods of the received
+// requests whose responses haven't been sent yet.
 type trafficMeter struct {
 	traffic *traffic
 	stream  *stream
-	// isKnown reports whether a method is registered. Other names are counted
-	// together, so that a peer can't add arbitrary ones to the statistics.
+	// isKnown reports whether a method is registered. All other methods are counted
+	// under unknownMethod, so that a peer can't add arbitrary names to the
+	// statistics.
 	isKnown func(method string) bool
 
 	mu             sync.Mutex
