--- a/upstream/bench_test.go
+++ b/upstream/bench_test.go
@@ -26,8 +26,8 @@
 	return b.Bytes()
 }
 
-// BenchmarkStreamDecode reads a response from memory to measure the client's own
-// cost per frame.
+// BenchmarkStreamDecode reads a response from memory, so that only the client's own
+// cost per frame is measured.
 func BenchmarkStreamDecode(b *testing.B) {
 	response := recordedResponse()
 	e := NewEngine(EngineOptions{})
@@ -42,26 +42,26 @@
 	reportFrames(b)
 }
 
-// BenchmarkStreamLoopback reads a response over TCP, sent at once or frame by
-// frame. The CPU time covers the whole process including the server, which only
-// copies recorded bytes.
+// BenchmarkStreamLoopback reads a response over TCP that the server sends in one
+// write or with one write per frame. The CPU time is that of the whole process,
+// including the server, which only copies recorded bytes.
 func BenchmarkStreamLoopback(b *testing.B) {
-	whole := [][]byte{recordedResponse()}
-	single := bytes.SplitAfter(whole[0], []byte("\n\n"))
+	oneWrite := [][]byte{recordedResponse()}
+	writePerFrame := bytes.SplitAfter(oneWrite[0], []byte("\n\n"))
 	for _, bench := range []struct {
 		desc   string
-		pieces [][]byte
-	}{{"at once", whole}, {"frame by frame", single}} {
-		b.Run(bench.desc, func(b *testing.B) { benchLoopback(b, bench.pieces) })
+		writes [][]byte
+	}{{"at once", oneWrite}, {"frame by frame", writePerFrame}} {
+		b.Run(bench.desc, func(b *testing.B) { benchLoopback(b, bench.writes) })
 	}
 }
 
-func benchLoopback(b *testing.B, pieces [][]byte) {
+func benchLoopback(b *testing.B, writes [][]byte) {
 	target := serve(b, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(HeaderModelVersion, "m@v")
 		control := http.NewResponseController(w)
-		for _, piece := range pieces {
-			_, _ = w.Write(piece)
+		for _, data := range writes {
+			_, _ = w.Write(data)
 			_ = control.Flush()
 		}
 	})
--- a/upstream/body.go
+++ b/upstream/body.go
@@ -25,8 +25,8 @@
 // requestBody returns body with the model set to "model@version" and streaming
 // enabled. All other fields are copied as raw bytes in their original order.
 // Overridden fields are matched case-insensitively and every occurrence is
-// removed: an engine with a lenient JSON decoder could otherwise run a model
-// other than the selected one.
+// removed, because an engine with a lenient JSON decoder could otherwise run a
+// model other than the selected one.
 func requestBody(body []byte, model, version string) ([]byte, error) {
 	body = bytes.Trim(body, jsonSpace)
 	if len(body) == 0 || body[0] != '{' || !json.Valid(body) {
@@ -51,10 +51,11 @@
 	return out.Bytes(), nil
 }
 
-// copyField writes a field to out unless the client overrides it. The key is
-// decoded; the value is raw, and a string value lacks its quotes.
+// copyField writes a field to out unless the client overrides it. The escapes in
+// key are already decoded. value is raw JSON, except that a string comes without
+// its quotes.
 func copyField(out *bytes.Buffer, key, value []byte, kind jsonparser.ValueType) error {
-	if overridden(string(key)) {
+	if isOverridden(string(key)) {
 		return nil
 	}
 	quoted, err := json.Marshal(string(key))
@@ -80,7 +81,7 @@
 	return model + "@" + version
 }
 
-func overridden(key string) bool {
+func isOverridden(key string) bool {
 	for _, name := range []string{fieldModel, fieldStream, fieldStreamOptions} {
 		if strings.EqualFold(key, name) {
 			return true
--- a/upstream/body_test.go
+++ b/upstream/body_test.go
@@ -19,8 +19,8 @@
 		{"model replaced", `{"model":"x","n":1}`, head + `,"n":1}`, nil},
 		{"no model", `{}`, head + `}`, nil},
 		{"model given twice", `{"model":"x","a":1,"model":"y"}`, head + `,"a":1}`, nil},
-		{"model in another case", `{"MODEL":"x","Stream":false,"sTream_options":{}}`, head + `}`, nil},
-		{"model in escapes", `{"\u006dodel":"x"}`, head + `}`, nil},
+		{"model in another letter case", `{"MODEL":"x","Stream":false,"sTream_options":{}}`, head + `}`, nil},
+		{"model with escapes", `{"\u006dodel":"x"}`, head + `}`, nil},
 		{"nested names stay", `{"messages":[{"model":"x","stream":false}]}`, head + `,"messages":[{"model":"x","stream":false}]}`, nil},
 		{"values stay as they are", `{"a": 1.50 ,"b":"\u00e9"}`, head + `,"a":1.50,"b":"\u00e9"}`, nil},
 		{"array", `[]`, "", ErrBody},
@@ -58,7 +58,7 @@
 		is.NoErr(json.Unmarshal(body, &want))
 		is.NoErr(json.Unmarshal(got, &have))
 		for key := range want {
-			if overridden(key) {
+			if isOverridden(key) {
 				delete(want, key)
 			}
 		}
--- a/upstream/cancelled_test.go
+++ b/upstream/cancelled_test.go
@@ -16,26 +16,27 @@
 	"github.com/quetzalweir/quetzalweir/runstate"
 )
 
-// receivedIDs records the request ids that reached a server.
+// receivedIDs records the request ids that a server received.
 type receivedIDs struct {
 	mu  sync.Mutex
 	raw strings.Builder
 }
 
-func (s *receivedIDs) Write(p []byte) (int, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.raw.Write(p)
+func (r *receivedIDs) Write(p []byte) (int, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.raw.Write(p)
 }
 
-func (s *receivedIDs) contains(id string) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return strings.Contains(s.raw.String(), id+"\r\n")
+func (r *receivedIDs) contains(id string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return strings.Contains(r.raw.String(), id+"\r\n")
 }
 
-// TestCancelledCallReportsTrueRunState cancels calls around their first write. It
-// guards against a call that reports NotRun although the server received it.
+// TestCancelledCallReportsTrueRunState cancels calls shortly before or after their
+// first write. It guards against a call that reports NotRun although the server
+// received it.
 func TestCancelledCallReportsTrueRunState(t *testing.T) {
 	is := is.New(t)
 	const calls = 1000
--- a/upstream/chunk.go
+++ b/upstream/chunk.go
@@ -28,14 +28,14 @@
 	if err != nil || kind != jsonparser.Object {
 		return Usage{}, false
 	}
-	usage.PromptTokens = tokens(object, "prompt_tokens")
-	usage.CompletionTokens = tokens(object, "completion_tokens")
-	usage.CachedTokens = tokens(object, "prompt_tokens_details", "cached_tokens")
+	usage.PromptTokens = tokenCount(object, "prompt_tokens")
+	usage.CompletionTokens = tokenCount(object, "completion_tokens")
+	usage.CachedTokens = tokenCount(object, "prompt_tokens_details", "cached_tokens")
 	return usage, true
 }
 
-// tokens returns the token count at path, or 0 if it is missing or negative.
-func tokens(object []byte, path ...string) int {
+// tokenCount returns the number at path, or 0 if it is missing or negative.
+func tokenCount(object []byte, path ...string) int {
 	n, err := jsonparser.GetInt(object, path...)
 	if err != nil || n < 0 {
 		return 0
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -7,37 +7,38 @@
 	"time"
 )
 
-// frameWait limits the wait for one frame. The time starts with the first read
-// for the frame, so that a slow caller doesn't count as a slow engine.
+// frameWait limits the wait for one frame. The wait begins with the first read for
+// the frame, not with the previous frame, so that the time that a slow caller takes
+// between frames isn't attributed to the engine.
 type frameWait struct {
 	// frameTimeout limits the whole wait, stallTimeout the wait on one
-	// connection, gapTimeout the wait on one connection that has already
-	// delivered later frames.
+	// connection, and gapTimeout the wait on one connection while later frames
+	// have already arrived.
 	frameTimeout, stallTimeout, gapTimeout time.Duration
 	// deadline is when the whole wait expires; zero before the first read.
 	deadline time.Time
 }
 
 // reset clears the deadline for the next frame.
-func (c *frameWait) reset() { c.deadline = time.Time{} }
+func (w *frameWait) reset() { w.deadline = time.Time{} }
 
 // remaining returns the time until the deadline, which the first call after
 // reset sets.
-func (c *frameWait) remaining() time.Duration {
-	if c.deadline.IsZero() {
-		c.deadline = time.Now().Add(c.frameTimeout)
-		return c.frameTimeout
+func (w *frameWait) remaining() time.Duration {
+	if w.deadline.IsZero() {
+		w.deadline = time.Now().Add(w.frameTimeout)
+		return w.frameTimeout
 	}
-	return time.Until(c.deadline)
+	return time.Until(w.deadline)
 }
 
 // readTimeout returns how long to wait for the frame on the current connection.
 // hasGap reports whether later frames have already arrived.
-func (c *frameWait) readTimeout(hasGap bool) time.Duration {
+func (w *frameWait) readTimeout(hasGap bool) time.Duration {
 	if hasGap {
-		return min(c.remaining(), c.gapTimeout)
+		return min(w.remaining(), w.gapTimeout)
 	}
-	return min(c.remaining(), c.stallTimeout)
+	return min(w.remaining(), w.stallTimeout)
 }
 
 // responseConn reads the response on one connection. A read that takes longer
@@ -57,7 +58,8 @@
 	return &responseConn{ctx: ctx, cancel: cancel, timer: timer, readTimeout: readTimeout}
 }
 
-// noTimeout is longer than any connection stays open.
+// noTimeout is the duration, in nanoseconds, with which a timer is created that is
+// reset before each read. It is longer than any connection stays open.
 const noTimeout = 1 << 62
 
 // Read implements io.Reader.
--- a/upstream/cut_test.go
+++ b/upstream/cut_test.go
@@ -16,8 +16,8 @@
 	"github.com/quetzalweir/quetzalweir/upstream"
 )
 
-// received counts what a stand-in received of one call: request headers and
-// executions.
+// received counts how often a stand-in received the request header of one call and
+// how often it ran the call.
 type received struct {
 	heads, runs int
 }
@@ -45,8 +45,8 @@
 	}{
 		{"sent twice", runstate.MayHaveRun, received{heads: 2, runs: 1}},
 		{"ran twice", runstate.Ran, received{heads: 1, runs: 2}},
-		{"denied an arrival", runstate.NotRun, received{heads: 1}},
-		{"claimed a run", runstate.Ran, received{heads: 1}},
+		{"not run, but received", runstate.NotRun, received{heads: 1}},
+		{"ran, but never started", runstate.Ran, received{heads: 1}},
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
@@ -55,8 +55,8 @@
 	}
 }
 
-// cutTests lists the run state and the received parts expected when the
-// connection is cut at each point.
+// cutTests lists, for each point at which the connection is cut, the run state that
+// the client must report and what the stand-in must have received.
 var cutTests = []struct {
 	at    cut.Boundary
 	state runstate.State
@@ -69,10 +69,11 @@
 	{cut.MidAnswer, runstate.Ran, received{heads: 1, runs: 1}},
 }
 
-// connKinds lists the two kinds of connections that a call can use.
+// connKinds lists the kinds of connections that a call can use. The connection is
+// pooled if an earlier call opened it.
 var connKinds = []struct {
-	desc string
-	warm bool
+	desc   string
+	pooled bool
 }{{"new connection", false}, {"pooled connection", true}}
 
 func TestEngineCuts(t *testing.T) {
@@ -82,7 +83,7 @@
 				is := is.New(t)
 				standin, target := startEngine(t, engine.Options{})
 				c := newEngineClient(t, upstream.EngineOptions{})
-				if kind.warm {
+				if kind.pooled {
 					_, err := openAndRead(t.Context(), c, target, engineCall("warm"), new(runstate.Tracker))
 					is.NoErr(err)
 				}
@@ -105,7 +106,8 @@
 	}
 }
 
-// retriableCalls includes calls that net/http would resend by itself.
+// retriableCalls lists calls of which net/http would resend some by itself after the
+// connection broke.
 var retriableCalls = []struct {
 	method string
 	body   string
@@ -131,7 +133,7 @@
 					is := is.New(t)
 					standin, target := startService(t)
 					c := newServiceClient(t)
-					if kind.warm {
+					if kind.pooled {
 						_, err := c.Do(t.Context(), target, serviceCall("warm", "POST", "x", ""), new(runstate.Tracker))
 						is.NoErr(err)
 					}
--- a/upstream/engine.go
+++ b/upstream/engine.go
@@ -50,22 +50,23 @@
 	MaxIdleConnsPerHost int
 	// FrameTimeout limits the wait for the next frame, including all attempts
 	// to resume. The wait for the response header is limited by the context
-	// only, because a request may queue. Default: 30 s.
+	// only, because a request may wait in the engine's queue. Default: 30 s.
 	FrameTimeout time.Duration
-	// StallTimeout limits the wait for the next frame on one connection; after
-	// that the stream is resumed on another. Default: 10 s.
+	// StallTimeout limits the wait for the next frame on one connection. When it
+	// expires, the stream is resumed on another connection. Default: 10 s.
 	StallTimeout time.Duration
-	// GapTimeout applies instead of StallTimeout when later frames have already
-	// arrived, so that a lost frame delays them only briefly. Default: 250 ms.
+	// GapTimeout applies instead of StallTimeout while the next frame is missing
+	// and later frames have already arrived, so that a lost frame delays those
+	// only briefly. Default: 250 ms.
 	GapTimeout time.Duration
 	// MaxFrame limits the size of one frame, in bytes. Default: 1 MiB.
 	MaxFrame int
-	// ReorderWindow is how far ahead of the next frame an out-of-order frame is
-	// buffered, in frames. All buffered frames together are limited to MaxFrame
-	// bytes. Default: 64.
+	// ReorderWindow is the maximum distance, in sequence numbers, between the next
+	// frame and an out-of-order frame that is buffered. All buffered frames
+	// together are limited to MaxFrame bytes. Default: 64.
 	ReorderWindow int
-	// ResumeTries limits the consecutive attempts to resume that deliver no new
-	// frame. Default: 5.
+	// ResumeTries is the maximum number of consecutive attempts to resume a stream
+	// that deliver no new frame. Default: 5.
 	ResumeTries int
 	// ResumeDelay is the mean delay before the second attempt to resume; it
 	// doubles with each further attempt. Default: 20 ms.
@@ -73,8 +74,8 @@
 	// CancelTimeout limits the request that cancels a stream on the engine.
 	// Default: 2 s.
 	CancelTimeout time.Duration
-	// MaxCancels limits the cancellations in flight; further ones are not sent.
-	// Default: 64.
+	// MaxCancels is the maximum number of cancellations in flight. Further
+	// cancellations are not sent. Default: 64.
 	MaxCancels int
 }
 
@@ -126,7 +127,7 @@
 }
 
 // Open implements Engine. The call's request id must not be reused for the same
-// target, because a late cancellation could cancel the new call.
+// target, because a late cancellation of an earlier call could cancel the new one.
 func (e *EngineClient) Open(ctx context.Context, target Target, call Call, state *runstate.Tracker) (Stream, error) {
 	body, err := requestBody(call.Body, call.Model, call.Version)
 	if err != nil {
@@ -189,8 +190,8 @@
 	return load, nil
 }
 
-// engineCommand is the JSON body of a control request to an engine.
-type engineCommand struct {
+// engineOrder is the JSON body of an order to an engine.
+type engineOrder struct {
 	Fencing uint64 `json:"fencing"`
 	Action  string `json:"action"`
 	Model   string `json:"model"`
@@ -201,7 +202,7 @@
 
 // Unload implements Engine.
 func (e *EngineClient) Unload(ctx context.Context, target Target, model, version string, fencing uint64) error {
-	body, err := json.Marshal(engineCommand{Fencing: fencing, Action: actionUnload, Model: model, Version: version})
+	body, err := json.Marshal(engineOrder{Fencing: fencing, Action: actionUnload, Model: model, Version: version})
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrBody, err)
 	}
@@ -250,7 +251,7 @@
 	return pathStreams + url.PathEscape(requestID)
 }
 
-// newRequest returns a request without GetBody. With GetBody set, the transport
+// newRequest returns a request without GetBody. If GetBody were set, the transport
 // would resend the request by itself when a pooled connection breaks.
 func newRequest(ctx context.Context, method string, target Target, path string, body []byte) (*http.Request, error) {
 	u, err := url.ParseRequestURI(path)
--- a/upstream/events.go
+++ b/upstream/events.go
@@ -15,7 +15,7 @@
 }
 
 // eventReader reads server-sent events (WHATWG HTML, section 9.2) of limited
-// size. It reuses its buffers for each event.
+// size. All events share its buffers.
 type eventReader struct {
 	reader *bufio.Reader
 	// maxSize limits the size of one event, in bytes, including line ends and
@@ -61,8 +61,8 @@
 	r.data = r.data[:0]
 }
 
-// parseField adds one line to the event and reports whether it is a data field.
-// hasData reports whether the event already has one.
+// parseField adds one line to the event and reports whether the line is a data
+// field. hasData is true if the event already has a data field.
 func (r *eventReader) parseField(line []byte, hasData bool) bool {
 	name, value, _ := bytes.Cut(line, []byte{':'})
 	value = bytes.TrimPrefix(value, []byte{' '})
--- a/upstream/events_test.go
+++ b/upstream/events_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// FuzzEvents checks that arbitrary input yields events of limited size, and the
-// same events when it is read one byte at a time.
+// FuzzEvents checks that arbitrary input yields events of limited size, and that it
+// yields the same events when it is read one byte at a time.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("id: r:1\ndata: {\"choices\":[{\"delta\":{\"content\":\"a\\u00e9\"}}]}\n\n"))
 	f.Add([]byte("id: r:2\r\ndata: {\"usage\":{\"prompt_tokens\":-1,\"prompt_tokens_details\":{\"cached_tokens\":1e9}}}\r\n\r\n"))
@@ -68,11 +68,11 @@
 	f.Fuzz(func(t *testing.T, input []byte) {
 		const limit = 200
 		is := is.New(t)
-		whole, wholeErr := readEvents(bytes.NewReader(input), limit)
-		pieces, piecesErr := readEvents(iotest.OneByteReader(bytes.NewReader(input)), limit)
-		is.Equal(whole, pieces)
-		is.Equal(wholeErr.Error(), piecesErr.Error())
-		for _, ev := range whole {
+		atOnce, atOnceErr := readEvents(bytes.NewReader(input), limit)
+		byteWise, byteWiseErr := readEvents(iotest.OneByteReader(bytes.NewReader(input)), limit)
+		is.Equal(atOnce, byteWise)
+		is.Equal(atOnceErr.Error(), byteWiseErr.Error())
+		for _, ev := range atOnce {
 			is.True(len(ev) <= limit)
 			id, data, _ := strings.Cut(ev, "|")
 			_, _ = parseEventID([]byte(id), "r")
@@ -109,20 +109,20 @@
 	}
 }
 
-// TestSequence inserts frames in random order with duplicates. Each frame must be
-// delivered once and in order, and the buffered bytes must stay within the limit.
-func TestSequence(t *testing.T) {
+// TestReorderBuffer inserts frames in random order with duplicates. Each frame must
+// be delivered once and in order, and the buffered bytes must stay within the limit.
+func TestReorderBuffer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const maxBytes = 40
 		n := uint64(rapid.IntRange(0, 30).Draw(t, "frames"))
-		s := newReorderBuffer(rapid.IntRange(1, 40).Draw(t, "window"), maxBytes)
+		buffer := newReorderBuffer(rapid.IntRange(1, 40).Draw(t, "window"), maxBytes)
 		var out []uint64
 		arrive := func(seq uint64) {
-			if s.insert(seq, []byte(fmt.Sprint(seq))) == frameInOrder {
+			if buffer.insert(seq, []byte(fmt.Sprint(seq))) == frameInOrder {
 				out = append(out, seq)
 			}
 			for {
-				got, data, ok := s.pop()
+				got, data, ok := buffer.pop()
 				if !ok {
 					break
 				}
@@ -131,18 +131,18 @@
 				}
 				out = append(out, got)
 			}
-			if s.bufferedBytes < 0 || s.bufferedBytes > maxBytes {
-				t.Fatalf("%d bytes are buffered", s.bufferedBytes)
+			if buffer.bufferedBytes < 0 || buffer.bufferedBytes > maxBytes {
+				t.Fatalf("%d bytes are buffered", buffer.bufferedBytes)
 			}
 		}
-		s.setEndSeq(n + 1)
+		buffer.setEndSeq(n + 1)
 		for _, seq := range rapid.SliceOf(rapid.Uint64Range(1, n+3)).Draw(t, "arrivals") {
 			arrive(seq)
 		}
-		for seq := s.nextSeq; seq <= n; seq++ { // a resumed stream
+		for seq := buffer.nextSeq; seq <= n; seq++ { // a resumed stream sends the remaining frames in order
 			arrive(seq)
 		}
-		if !s.complete() || uint64(len(out)) != n {
+		if !buffer.complete() || uint64(len(out)) != n {
 			t.Fatalf("%d of %d frames were delivered", len(out), n)
 		}
 		for i, seq := range out {
--- a/upstream/header.go
+++ b/upstream/header.go
@@ -46,7 +46,8 @@
 }
 
 // parseLoad returns the load report in the response headers; ok is false if it
-// is missing or malformed. Leaving is set in either case.
+// is missing or malformed. load.Leaving comes from a header of its own and is set
+// in either case.
 func parseLoad(h http.Header) (load Load, ok bool) {
 	load.Leaving = h.Get(HeaderLeaving) == headerTrue
 	parts := strings.Split(h.Get(HeaderLoad), "/")
--- a/upstream/whole.go
+++ b/upstream/readbody.go
@@ -11,9 +11,9 @@
 var errNoLength = errors.New("response has neither Content-Length nor chunked encoding")
 
 // readBody reads a response body of at most limit bytes whose end can be
-// verified by Content-Length or the last chunk. A body that is delimited by the
-// close of the connection can't be distinguished from a truncated one, so it
-// returns ErrBroken.
+// verified by Content-Length or the last chunk. It returns ErrBroken for a body
+// that is delimited by the close of the connection, because such a body can't be
+// distinguished from a truncated one.
 func readBody(ctx context.Context, resp *http.Response, limit int) ([]byte, error) {
 	if resp.Body == http.NoBody {
 		return nil, nil
@@ -35,7 +35,7 @@
 }
 
 // brokenError wraps a read error as ErrBroken. If ctx was cancelled, the error
-// chain includes its cause.
+// chain includes the cause of the cancellation.
 func brokenError(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil && !errors.Is(err, cause) {
 		return fmt.Errorf("%w: %w: %w", ErrBroken, cause, err)
--- a/upstream/sequence.go
+++ b/upstream/reorder.go
@@ -2,28 +2,32 @@
 
 import "bytes"
 
-// frameStatus is how the reorder buffer handled a received frame.
+// frameStatus says how the reorder buffer handled a received frame.
 type frameStatus int
 
 const (
-	// frameInOrder is the next frame; the caller delivers it.
+	// frameInOrder means that the frame is the next one; the caller delivers it.
 	frameInOrder frameStatus = iota
-	// frameBuffered is out of order and kept until the frames before it arrive.
+	// frameBuffered means that the frame is out of order and kept until the frames
+	// before it arrive.
 	frameBuffered
-	// frameDuplicate was already delivered or buffered, or its number isn't below
-	// that of the end marker.
+	// frameDuplicate means that the frame was already delivered or buffered, or that
+	// its number isn't below that of the end marker.
 	frameDuplicate
-	// frameBeyondWindow exceeds the window or the byte limit and isn't kept.
+	// frameBeyondWindow means that the frame exceeds the window or the byte limit
+	// and isn't kept.
 	frameBeyondWindow
 )
 
-// reorderBuffer puts the frames of one response in order.
+// reorderBuffer puts the frames of one response in order. buffered holds the
+// out-of-order frames by sequence number.
 type reorderBuffer struct {
 	// nextSeq is the number of the next frame to deliver.
 	nextSeq uint64
-	// window limits how far ahead of nextSeq a frame is buffered, in frames.
+	// window is the maximum difference between nextSeq and the number of a buffered
+	// frame.
 	window uint64
-	// maxBytes limits the total size of the buffered frames.
+	// maxBytes limits bufferedBytes, the total size of the buffered frames.
 	maxBytes      int
 	bufferedBytes int
 	buffered      map[uint64][]byte
@@ -37,52 +41,52 @@
 
 // insert classifies the frame with number n and buffers a copy of it if it is
 // out of order.
-func (s *reorderBuffer) insert(n uint64, data []byte) frameStatus {
-	if n < s.nextSeq || s.buffered[n] != nil || s.pastEnd(n) {
+func (b *reorderBuffer) insert(n uint64, data []byte) frameStatus {
+	if n < b.nextSeq || b.buffered[n] != nil || b.pastEnd(n) {
 		return frameDuplicate
 	}
-	if n == s.nextSeq {
-		s.nextSeq++
+	if n == b.nextSeq {
+		b.nextSeq++
 		return frameInOrder
 	}
-	if n-s.nextSeq > s.window || s.bufferedBytes+len(data) > s.maxBytes {
+	if n-b.nextSeq > b.window || b.bufferedBytes+len(data) > b.maxBytes {
 		return frameBeyondWindow
 	}
-	if s.buffered == nil {
-		s.buffered = make(map[uint64][]byte)
+	if b.buffered == nil {
+		b.buffered = make(map[uint64][]byte)
 	}
-	s.buffered[n] = append([]byte{}, data...)
-	s.bufferedBytes += len(data)
+	b.buffered[n] = append([]byte{}, data...)
+	b.bufferedBytes += len(data)
 	return frameBuffered
 }
 
 // pastEnd reports whether n is at or above the number of the end marker.
-func (s *reorderBuffer) pastEnd(n uint64) bool {
-	return s.endSeq != 0 && n >= s.endSeq
+func (b *reorderBuffer) pastEnd(n uint64) bool {
+	return b.endSeq != 0 && n >= b.endSeq
 }
 
 // pop removes and returns the next frame if it is buffered.
-func (s *reorderBuffer) pop() (n uint64, data []byte, ok bool) {
-	data, ok = s.buffered[s.nextSeq]
-	if !ok || s.pastEnd(s.nextSeq) {
+func (b *reorderBuffer) pop() (n uint64, data []byte, ok bool) {
+	data, ok = b.buffered[b.nextSeq]
+	if !ok || b.pastEnd(b.nextSeq) {
 		return 0, nil, false
 	}
-	n = s.nextSeq
-	delete(s.buffered, n)
-	s.bufferedBytes -= len(data)
-	s.nextSeq++
+	n = b.nextSeq
+	delete(b.buffered, n)
+	b.bufferedBytes -= len(data)
+	b.nextSeq++
 	return n, data, true
 }
 
 // hasGap reports whether later frames or the end marker were received while the
 // next frame is missing.
-func (s *reorderBuffer) hasGap() bool {
-	return len(s.buffered) > 0 || s.endSeq > s.nextSeq
+func (b *reorderBuffer) hasGap() bool {
+	return len(b.buffered) > 0 || b.endSeq > b.nextSeq
 }
 
 // complete reports whether every frame before the end marker was delivered.
-func (s *reorderBuffer) complete() bool {
-	return s.endSeq != 0 && s.nextSeq == s.endSeq
+func (b *reorderBuffer) complete() bool {
+	return b.endSeq != 0 && b.nextSeq == b.endSeq
 }
 
 // parseEventID returns the sequence number in an event id; ok is false if the id
@@ -112,12 +116,12 @@
 	return n, n > 0
 }
 
-// setEndSeq records the number of the end marker. It returns false if one is
-// already recorded or if n is the number of a delivered frame.
-func (s *reorderBuffer) setEndSeq(n uint64) bool {
-	if s.endSeq != 0 || n < s.nextSeq {
+// setEndSeq records n as the number of the end marker. It returns false if a number
+// is already recorded or if n is the number of a delivered frame.
+func (b *reorderBuffer) setEndSeq(n uint64) bool {
+	if b.endSeq != 0 || n < b.nextSeq {
 		return false
 	}
-	s.endSeq = n
+	b.endSeq = n
 	return true
 }
--- a/upstream/resume.go
+++ b/upstream/resume.go
@@ -12,10 +12,10 @@
 	"strconv"
 )
 
-// resume reconnects the stream after cause. It returns nil once a new response
-// is attached, and the stream's final error otherwise. Every attempt goes to the
-// same target, must finish within FrameTimeout of the awaited frame, and accepts
-// only a response of the same model version.
+// resume reconnects the stream after the connection failed with cause. It returns
+// nil once a new response is attached, and the stream's final error otherwise. Every
+// attempt goes to the same target, must finish before the FrameTimeout of the awaited
+// frame expires, and accepts only a response from the same model version.
 func (s *engineStream) resume(cause error) error {
 	if errors.Is(cause, ErrTooLarge) {
 		return cause
@@ -80,9 +80,9 @@
 	return resp, nil
 }
 
-// backoff waits before an attempt. The first attempt has no delay, since most
-// interruptions are already over; the delay of later ones is random with a mean
-// that doubles each time.
+// backoff waits before an attempt to resume. The first attempt has no delay, since
+// most interruptions are over by then. The delay of later attempts is random with a
+// mean that doubles each time.
 func (s *engineStream) backoff() error {
 	if s.frameWait.remaining() <= 0 {
 		return errFrameTimeout
@@ -104,7 +104,8 @@
 // maxBackoffShift limits the doubling so that the delay doesn't overflow.
 const maxBackoffShift = 10
 
-// isPermanent reports whether further attempts would fail with the same error.
+// isPermanent reports whether further attempts to resume would fail with the same
+// error.
 func isPermanent(err error) bool {
 	if errors.Is(err, ErrMismatch) {
 		return true
--- a/upstream/service.go
+++ b/upstream/service.go
@@ -89,7 +89,7 @@
 	if err := checkRequestID(resp.Header, call.RequestID); err != nil {
 		return ServiceResponse{}, err
 	}
-	if !refused(resp) {
+	if !isRefusal(resp) {
 		state.Raise(runstate.Ran)
 	}
 	body, err := readBody(ctx, resp, s.opts.MaxResponseBytes)
@@ -99,9 +99,9 @@
 	return ServiceResponse{Status: resp.StatusCode, Header: endToEnd(resp.Header), Body: body}, nil
 }
 
-// headerIdempotencyKey makes the transport resend a request when a pooled
-// connection turns out to be closed. The transport doesn't send the header if its
-// value is empty.
+// headerIdempotencyKey is a header whose presence in a request makes the transport
+// resend the request when a pooled connection turns out to be closed. If the header
+// has no value, the transport doesn't send it.
 const headerIdempotencyKey = "X-Idempotency-Key"
 
 func allowTransportRetry(req *http.Request, body []byte) {
@@ -116,9 +116,9 @@
 	}
 }
 
-// refused reports whether the service rejected the call for now or states that
-// it didn't start it. Neither shows whether the call ran.
-func refused(resp *http.Response) bool {
+// isRefusal reports whether the service rejected the call for now or states that it
+// didn't start the call. Neither response proves that the call ran.
+func isRefusal(resp *http.Response) bool {
 	if resp.Header.Get(HeaderNotRun) == headerTrue {
 		return true
 	}
--- a/upstream/stats.go
+++ b/upstream/stats.go
@@ -8,15 +8,16 @@
 	Duplicates uint64
 	// Reordered counts frames received out of order and buffered.
 	Reordered uint64
-	// Foreign counts frames of another request or with an unreadable id; they
-	// are dropped.
+	// Foreign counts frames that were dropped because their id is unreadable or
+	// belongs to another request.
 	Foreign uint64
 	// Resumes counts attempts to resume a stream.
 	Resumes uint64
-	// Incomplete counts streams that ended without an end marker.
+	// Incomplete counts streams that failed before all frames up to the end marker
+	// were delivered. Streams that the caller closed earlier aren't counted.
 	Incomplete uint64
-	// Cancels counts cancellations sent, CancelsSkipped those not sent because
-	// MaxCancels were already in flight.
+	// Cancels counts the cancellations that were sent, and CancelsSkipped those that
+	// were not sent because MaxCancels others were in flight.
 	Cancels        uint64
 	CancelsSkipped uint64
 }
--- a/upstream/stream.go
+++ b/upstream/stream.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// readEvent reads one event. It returns a frame if the event is the next one in
-// order, and an error if the connection can deliver no further frames.
+// readEvent reads one event. ok is true if the event is the next frame in order. An
+// error means that the stream needs a new connection to deliver further frames.
 func (s *engineStream) readEvent() (frame Frame, ok bool, err error) {
 	ev, err := s.events.next()
 	if err != nil {
@@ -123,8 +123,8 @@
 	return Frame{}, false, nil
 }
 
-// recordEnd records the number of the end marker. Missing frames before it may
-// still arrive; if the connection ends without them, the stream is resumed to
+// recordEnd records the number of the end marker. Missing frames with lower numbers
+// may still arrive; if the connection ends without them, the stream is resumed to
 // request them.
 func (s *engineStream) recordEnd(n uint64) {
 	if !s.reorder.setEndSeq(n) {
--- a/upstream/stream_test.go
+++ b/upstream/stream_test.go
@@ -28,17 +28,17 @@
 		checkStats func(upstream.EngineStats) bool
 	}{
 		{"no fault", engine.Faults{}, allZero},
-		{"duplicates", engine.Faults{DuplicateEvery: 3}, onlyDuplicates},
-		{"reordered", engine.Faults{ReorderEvery: 4}, onlyReordered},
-		{"late within the window", engine.Faults{LateEvery: 7, LateBy: 5}, onlyReordered},
+		{"duplicates", engine.Faults{DuplicateEvery: 3}, duplicatesWithoutResumes},
+		{"reordered", engine.Faults{ReorderEvery: 4}, reorderedWithoutResumes},
+		{"late within the window", engine.Faults{LateEvery: 7, LateBy: 5}, reorderedWithoutResumes},
 		{"late beyond the window", engine.Faults{LateEvery: 10, LateBy: 20}, anyResumes},
-		{"last frame after the end mark", engine.Faults{LateEvery: 51, LateBy: 1}, allZero},
-		{"crossed", engine.Faults{CrossEvery: 2}, onlyForeign},
+		{"last frame after the end marker", engine.Faults{LateEvery: 51, LateBy: 1}, allZero},
+		{"crossed", engine.Faults{CrossEvery: 2}, foreignWithoutResumes},
 		{"lost", engine.Faults{LoseEvery: 13}, anyResumes},
-		{"lost right before the end mark", engine.Faults{LoseEvery: 51}, anyResumes},
+		{"lost right before the end marker", engine.Faults{LoseEvery: 51}, anyResumes},
 		{"cut before the first frame", engine.Faults{Cut: cut.Plan{At: cut.MidAnswer, Times: 1}}, anyResumes},
 		{"cut three times", engine.Faults{Cut: cut.Plan{At: cut.MidAnswer, Times: 3, Frames: 9}}, anyResumes},
-		{"cut before the end mark", engine.Faults{Cut: cut.Plan{At: cut.MidAnswer, Times: 1, Frames: 51}}, anyResumes},
+		{"cut before the end marker", engine.Faults{Cut: cut.Plan{At: cut.MidAnswer, Times: 1, Frames: 51}}, anyResumes},
 		{"all at once", engine.Faults{
 			DuplicateEvery: 3, ReorderEvery: 4, CrossEvery: 2, LoseEvery: 13,
 			Cut: cut.Plan{At: cut.MidAnswer, Times: 2, Frames: 11},
@@ -61,18 +61,19 @@
 	}
 }
 
-func onlyDuplicates(s upstream.EngineStats) bool { return s.Duplicates > 0 && s.Resumes == 0 }
-func onlyReordered(s upstream.EngineStats) bool  { return s.Reordered > 0 && s.Resumes == 0 }
-func onlyForeign(s upstream.EngineStats) bool    { return s.Foreign > 0 && s.Resumes == 0 }
-func anyResumes(s upstream.EngineStats) bool     { return s.Resumes > 0 }
-func allZero(s upstream.EngineStats) bool        { return s == upstream.EngineStats{} }
+func duplicatesWithoutResumes(s upstream.EngineStats) bool { return s.Duplicates > 0 && s.Resumes == 0 }
+func reorderedWithoutResumes(s upstream.EngineStats) bool  { return s.Reordered > 0 && s.Resumes == 0 }
+func foreignWithoutResumes(s upstream.EngineStats) bool    { return s.Foreign > 0 && s.Resumes == 0 }
+func anyResumes(s upstream.EngineStats) bool               { return s.Resumes > 0 }
+func allZero(s upstream.EngineStats) bool                  { return s == upstream.EngineStats{} }
 
 // scriptedEngine responds to each request with the next of its responses and then
-// breaks the connection.
+// breaks the connection. A response "VERSION|TEXT" sends TEXT with another model
+// version than that of the engine.
 type scriptedEngine struct {
 	version   string
 	responses []string
-	// resumed holds the Last-Event-ID of each resume request.
+	// resumed holds the Last-Event-ID of each request to resume the stream.
 	resumed []string
 }
 
@@ -87,16 +88,16 @@
 		http.Error(w, "gone", http.StatusNotFound)
 		return
 	}
-	part := s.responses[0]
+	response := s.responses[0]
 	s.responses = s.responses[1:]
-	version, part, ok := strings.Cut(part, "|")
+	version, response, ok := strings.Cut(response, "|")
 	if !ok {
-		version, part = s.version, version
+		version, response = s.version, version
 	}
 	w.Header().Set(upstream.HeaderModelVersion, version)
-	fmt.Fprint(w, part)
+	fmt.Fprint(w, response)
 	_ = http.NewResponseController(w).Flush()
-	if strings.HasSuffix(part, hangMarker) {
+	if strings.HasSuffix(response, hangMarker) {
 		<-r.Context().Done()
 	}
 	cut.Now()
@@ -109,9 +110,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 6).Draw(t, "frames")
 		event := rapid.Custom(func(t *rapid.T) string { return drawEvent(t, n) })
-		parts := rapid.SliceOfN(rapid.SliceOfN(event, 0, 12), 1, 8).Draw(t, "connections")
+		connections := rapid.SliceOfN(rapid.SliceOfN(event, 0, 12), 1, 8).Draw(t, "connections")
 		s := &scriptedEngine{version: "m@1"}
-		for _, events := range parts {
+		for _, events := range connections {
 			s.responses = append(s.responses, strings.Join(events, ""))
 		}
 		srv := httptest.NewServer(s)
@@ -133,7 +134,7 @@
 	})
 }
 
-// drawEvent draws an event for a response of n frames; most are valid.
+// drawEvent draws an event for a response of n frames; most events are valid.
 func drawEvent(t *rapid.T, n int) string {
 	number := rapid.IntRange(1, n+1).Draw(t, "number")
 	switch rapid.IntRange(0, 9).Draw(t, "kind") {
@@ -177,32 +178,32 @@
 
 func TestResume(t *testing.T) {
 	tests := []struct {
-		desc    string
-		parts   []string
-		text    string
-		want    error
-		resumed []string
+		desc      string
+		responses []string
+		text      string
+		want      error
+		resumed   []string
 	}{
 		{"at the offset", []string{formatFrames(1, 2), formatFrames(3, 3) + formatEnd(4)}, "1 2 3 ", nil, []string{"r1:2"}},
-		{"a frame cut in two comes again", []string{formatFrames(1, 1) + "id: r1:2\ndata: {\"cho", formatFrames(2, 3) + formatEnd(4)}, "1 2 3 ", nil, []string{"r1:1"}},
+		{"a truncated frame is sent again", []string{formatFrames(1, 1) + "id: r1:2\ndata: {\"cho", formatFrames(2, 3) + formatEnd(4)}, "1 2 3 ", nil, []string{"r1:1"}},
 		{"resent frames are dropped", []string{formatFrames(1, 3), formatFrames(1, 4) + formatEnd(5)}, "1 2 3 4 ", nil, []string{"r1:3"}},
-		{"end mark behind a gap", []string{formatFrames(1, 1) + formatEnd(4), formatFrames(2, 3) + formatEnd(4)}, "1 2 3 ", nil, []string{"r1:1"}},
-		{"end mark without a number", []string{formatFrames(1, 1) + "data: [DONE]\n\n", formatEnd(2)}, "1 ", nil, []string{"r1:1"}},
-		{"end mark of another request", []string{formatFrames(1, 1) + "id: r2:2\ndata: [DONE]\n\n", formatFrames(2, 2) + formatEnd(3)}, "1 2 ", nil, []string{"r1:1"}},
+		{"end marker behind a gap", []string{formatFrames(1, 1) + formatEnd(4), formatFrames(2, 3) + formatEnd(4)}, "1 2 3 ", nil, []string{"r1:1"}},
+		{"end marker without a number", []string{formatFrames(1, 1) + "data: [DONE]\n\n", formatEnd(2)}, "1 ", nil, []string{"r1:1"}},
+		{"end marker of another request", []string{formatFrames(1, 1) + "id: r2:2\ndata: [DONE]\n\n", formatFrames(2, 2) + formatEnd(3)}, "1 2 ", nil, []string{"r1:1"}},
 		{"silent connection", []string{formatFrames(1, 2) + hangMarker, formatFrames(3, 3) + formatEnd(4)}, "1 2 3 ", nil, []string{"r1:2"}},
 		{"silent behind a gap", []string{formatFrames(1, 1) + formatFrames(3, 4) + hangMarker, formatFrames(2, 4) + formatEnd(5)}, "1 2 3 4 ", nil, []string{"r1:1"}},
-		{"silent behind the end mark and a gap", []string{formatFrames(1, 1) + formatEnd(3) + hangMarker, formatFrames(2, 2) + formatEnd(3)}, "1 2 ", nil, []string{"r1:1"}},
-		{"silent behind the end mark", []string{formatFrames(1, 1) + formatEnd(2) + hangMarker}, "1 ", nil, nil},
-		{"stream forgotten", []string{formatFrames(1, 2)}, "1 2 ", upstream.ErrIncomplete, []string{"r1:2"}},
+		{"silent behind the end marker and a gap", []string{formatFrames(1, 1) + formatEnd(3) + hangMarker, formatFrames(2, 2) + formatEnd(3)}, "1 2 ", nil, []string{"r1:1"}},
+		{"silent behind the end marker", []string{formatFrames(1, 1) + formatEnd(2) + hangMarker}, "1 ", nil, nil},
+		{"engine no longer has the stream", []string{formatFrames(1, 2)}, "1 2 ", upstream.ErrIncomplete, []string{"r1:2"}},
 		{"another version", []string{formatFrames(1, 2), "m@2|" + formatFrames(3, 3) + formatEnd(4)}, "1 2 ", upstream.ErrIncomplete, []string{"r1:2"}},
-		{"tries spent", []string{formatFrames(1, 1), "", "", ""}, "1 ", upstream.ErrIncomplete, []string{"r1:1", "r1:1", "r1:1"}},
-		{"progress renews the tries", []string{"", "", formatFrames(1, 1), "", "", formatFrames(2, 2) + formatEnd(3)}, "1 2 ", nil, []string{"r1:0", "r1:0", "r1:1", "r1:1", "r1:1"}},
+		{"all tries failed", []string{formatFrames(1, 1), "", "", ""}, "1 ", upstream.ErrIncomplete, []string{"r1:1", "r1:1", "r1:1"}},
+		{"a new frame resets the number of tries", []string{"", "", formatFrames(1, 1), "", "", formatFrames(2, 2) + formatEnd(3)}, "1 2 ", nil, []string{"r1:0", "r1:0", "r1:1", "r1:1", "r1:1"}},
 		{"frame too large", []string{formatFrames(1, 1) + "data: " + strings.Repeat("x", 2000)}, "1 ", upstream.ErrTooLarge, nil},
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
 			is := is.New(t)
-			s := &scriptedEngine{version: "m@1", responses: test.parts}
+			s := &scriptedEngine{version: "m@1", responses: test.responses}
 			srv := httptest.NewServer(s)
 			defer srv.Close()
 			c := upstream.NewEngine(upstream.EngineOptions{
@@ -224,7 +225,7 @@
 	}
 }
 
-func TestHeadOfAnotherAnswer(t *testing.T) {
+func TestResponseHeaderOfAnotherCall(t *testing.T) {
 	tests := []struct {
 		desc    string
 		version string
--- a/upstream/transport.go
+++ b/upstream/transport.go
@@ -19,8 +19,8 @@
 	maxHeaderBytes             = 64 << 10
 )
 
-// newTransport returns an HTTP/1.1 transport whose writes a sealedconn.Call
-// tracks.
+// newTransport returns an HTTP/1.1 transport whose writes a sealedconn.Call can
+// track.
 func newTransport(dialTimeout, idleConnTimeout time.Duration, idlePerHost int) *http.Transport {
 	transport := sealedconn.NewTransport(dialTimeout)
 	transport.MaxIdleConns = maxIdleConns
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -7,8 +7,8 @@
 // DELETE on the same path.
 //
 // The entry host uses this package to send requests. The package doesn't select
-// upstreams, and it resends nothing except to resume a stream or to retry a
-// service call marked idempotent. ErrBroken doesn't indicate whether a call ran.
+// upstreams. It sends a second request only to resume a stream or to retry a service
+// call marked idempotent. ErrBroken doesn't indicate whether a call ran.
 package upstream
 
 import (
@@ -44,7 +44,7 @@
 	Status int
 	// Leaving reports that the upstream is draining and accepts no new work.
 	Leaving bool
-	// NotRun reports that the upstream states that it didn't start the request.
+	// NotRun reports that, according to the upstream, the request wasn't started.
 	NotRun bool
 	// RetryAfter is the value of the Retry-After header; zero if there is none.
 	RetryAfter time.Duration
@@ -81,7 +81,8 @@
 
 // Frame is one chunk of a streamed response.
 type Frame struct {
-	// Seq is the sequence number: 1 for the first frame, then rising by 1.
+	// Seq is the sequence number: 1 for the first frame and 1 more for each further
+	// frame.
 	Seq uint64
 	// Data is the event's JSON as the engine sent it. It is valid until the
 	// next call of Next.
@@ -133,8 +134,9 @@
 	Open(ctx context.Context, target Target, call Call, state *runstate.Tracker) (Stream, error)
 	// Load requests the engine's load report.
 	Load(ctx context.Context, target Target) (Load, error)
-	// Unload tells the engine to unload a version. Engines that check fencing
-	// tokens reject one lower than the highest they have received.
+	// Unload orders the engine to unload a version. Engines that check fencing
+	// numbers reject an order whose number is lower than the highest that they have
+	// received.
 	Unload(ctx context.Context, target Target, model, version string, fencing uint64) error
 }
 
@@ -147,8 +149,8 @@
 	Header http.Header
 	Body   []byte
 	// Idempotent allows the call to reach the service more than once: if a pooled
-	// connection turns out to be closed, the call is resent on another. Default:
-	// false, the call is sent at most once.
+	// connection turns out to be closed, the call is resent on another connection.
+	// By default the call is sent at most once.
 	Idempotent bool
 }
 
@@ -163,7 +165,8 @@
 type Service interface {
 	// Do sends the call and reads the complete response; only an idempotent call
 	// is ever resent. It raises state to MayHaveRun before the first byte is
-	// written, and to Ran on any response except 429, 503 or one stating that the
-	// call was not run. Error statuses are returned as responses, not as errors.
+	// written, and to Ran on any response except 429, 503 and a response that
+	// states that the call was not run. Error statuses are returned as responses,
+	// not as errors.
 	Do(ctx context.Context, target Target, call ServiceCall, state *runstate.Tracker) (ServiceResponse, error)
 }
