--- a/internal/entry/admit.go
+++ b/internal/entry/admit.go
@@ -8,8 +8,8 @@
 	"github.com/quetzalweir/quetzalweir/resultcode"
 )
 
-// admit waits for a slot in the admission queue of the request's pool. It refuses
-// at once a request that can't be answered before its deadline.
+// admit waits until the admission queue of the request's pool admits the request. It
+// immediately refuses a request that can't be answered before its deadline.
 type admit struct {
 	queues *queues
 }
@@ -50,8 +50,8 @@
 	return contextError(ctx, err)
 }
 
-// contextError returns the result code for an expired deadline, a disconnected
-// caller or, without either, an internal error.
+// contextError wraps err with the result code for an expired deadline or a
+// disconnected caller, or as an internal error if ctx hasn't ended.
 func contextError(ctx context.Context, err error) error {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
--- a/internal/entry/attempterror.go
+++ b/internal/entry/attempterror.go
@@ -48,9 +48,9 @@
 	}
 }
 
-// countsAgainstVersion reports whether an error counts as a failure of the model
-// version that ran. Failed connections, an upstream's refusal to start, the caller's
-// cancellation and an expired deadline don't count.
+// countsAgainstVersion reports whether the error of an attempt counts as a failure of
+// the model version that ran. Failed connections, an upstream's refusal to start the
+// request, the caller's cancellation and an expired deadline don't count.
 func countsAgainstVersion(ctx context.Context, err error) bool {
 	var status *upstream.StatusError
 	switch {
--- a/internal/entry/heldanswer.go
+++ b/internal/entry/bufferedanswer.go
@@ -8,8 +8,8 @@
 	"github.com/quetzalweir/quetzalweir/upstream"
 )
 
-// bufferedAnswer is the complete answer of a cascade's step, not sent to the caller
-// yet.
+// bufferedAnswer is the complete answer of a cascade's step that hasn't been sent to
+// the caller.
 type bufferedAnswer struct {
 	sink    *bufferSink
 	score   float64
@@ -40,8 +40,8 @@
 	return a
 }
 
-// deliver writes the answer to the caller's sink and copies the step's values to
-// the request.
+// deliver writes the answer to the caller's sink. It sets the request's model,
+// version, upstream and usage to those of the step.
 func (a *bufferedAnswer) deliver(r *Request, caller Sink) error {
 	r.Model = a.model
 	r.Version = a.version
@@ -92,8 +92,8 @@
 // Text implements Sink.
 func (s *bufferSink) Text() string { return string(s.text) }
 
-// Answer implements Sink. It returns the zero value: claims store the answer of the
-// caller's sink.
+// Answer implements Sink. It returns the zero value, because a claim stores the answer
+// of the caller's sink.
 func (s *bufferSink) Answer(*Request) upstream.ServiceResponse { return upstream.ServiceResponse{} }
 
 // Replay implements Sink. It does nothing: replays go to the caller's sink.
--- a/internal/entry/chooseversion.go
+++ b/internal/entry/chooseversion.go
@@ -58,10 +58,11 @@
 	return v.State == manifest.RollingIn && v.Exposure != nil
 }
 
-// settleExposure reports the result of an answer that was taken from the exposure
-// budget, once for all attempts together. An answer that the caller or the deadline
-// ended doesn't count against the version. One that was never sent goes back to the
-// budget.
+// settleExposure records how a request ended whose answer was taken from the
+// version's exposure budget. It is called once for all attempts together. If nothing
+// was sent to an upstream, the answer is returned to the budget. If the caller or the
+// deadline ended the request, the answer doesn't count against the version. A
+// successful answer is queued for rating.
 func (f *chooseVersion) settleExposure(ctx context.Context, r *Request, started time.Time, sent bool, err error) {
 	model, version := r.Model, r.Version.Name
 	switch {
@@ -82,8 +83,9 @@
 }
 
 // recordOutcome records the answer's success or failure for its version. If the
-// answer broke off, the guard first decides whether the version or the request is to
-// blame. An upstream's end that the request caused doesn't count against the version.
+// answer broke off, the guard first decides whether to attribute that to the version
+// or to the request. If it is attributed to the request, it doesn't count against the
+// version.
 func (f *chooseVersion) recordOutcome(r *Request, outcome rollout.Outcome) {
 	model, version := r.Model, r.Version.Name
 	if !outcome.Failed || r.brokenUpstream == nil {
@@ -96,7 +98,7 @@
 	})
 }
 
-// versionReason is the reason for the choice of a version, for the decision log.
+// versionReason is the reason for which a version was chosen. It is logged.
 type versionReason string
 
 const (
@@ -139,6 +141,7 @@
 }
 
 // chooseByShare picks one of the versions that accept new sessions, by their shares.
+// It passes over versions whose exposure budget allows no further answer now.
 func (f *chooseVersion) chooseByShare(r *Request, eligible []manifest.Version, seed string) (manifest.Version, error) {
 	point := session.SessionHash(r.Account.Name, seed, r.Model)
 	remaining := eligible
@@ -154,8 +157,8 @@
 	}
 }
 
-// chooseBySession returns the version that the session is bound to. It binds a
-// session that has none.
+// chooseBySession returns the version that the session is bound to. If the session
+// has no binding for the model, it binds the session first.
 func (f *chooseVersion) chooseBySession(ctx context.Context, r *Request, eligible []manifest.Version) (manifest.Version, versionReason, error) {
 	bound, ok := r.Session.Binding(r.Model)
 	if !ok {
@@ -172,7 +175,7 @@
 	if err != nil {
 		return v, "", err
 	}
-	proposal := f.binding(r, v)
+	proposal := f.newBinding(r, v)
 	if r.Session.Generated {
 		f.setBinding(r, proposal)
 		return v, reasonShare, nil
@@ -191,17 +194,18 @@
 	return f.keepVersion(ctx, r, eligible, bound)
 }
 
-// returnExposure returns the answer that chooseByShare took from the version's
-// exposure budget, for a session that uses another version. Otherwise the answer
-// would stay open, since no result for it would ever be recorded.
+// returnExposure gives an answer that chooseByShare took back to the version's
+// exposure budget. It is called if the session uses another version or couldn't be
+// bound. Otherwise the answer would stay open, since no result would ever be recorded
+// for it.
 func (f *chooseVersion) returnExposure(model string, v manifest.Version) {
 	if hasExposureBudget(v) {
 		f.rollout.Return(model, v.Name)
 	}
 }
 
-// keepVersion returns the bound version if it is still eligible, else moves the
-// session.
+// keepVersion returns the bound version if it is still eligible. Otherwise it moves
+// the session to another version.
 func (f *chooseVersion) keepVersion(ctx context.Context, r *Request, eligible []manifest.Version, bound session.Binding) (manifest.Version, versionReason, error) {
 	i := slices.IndexFunc(eligible, func(v manifest.Version) bool { return v.Name == bound.Version })
 	if i < 0 {
@@ -214,9 +218,9 @@
 	return eligible[i], reasonSession, nil
 }
 
-// moveSession binds the session to another version if its own is withdrawn, stopped
-// or no longer permitted, or refuses the request, as the manifest says. A header
-// tells the caller of the move.
+// moveSession handles a session whose version is withdrawn, stopped or no longer
+// permitted. Depending on the manifest, it refuses the request or binds the session
+// to another version, which a response header reports to the caller.
 func (f *chooseVersion) moveSession(ctx context.Context, r *Request, eligible []manifest.Version, bound session.Binding) (manifest.Version, versionReason, error) {
 	if r.Policy.Document.Sessions.OnWithdrawn == manifest.Refuse {
 		return manifest.Version{}, "", resultcode.New(resultcode.VersionWithdrawn, "the session's version %s of %s is no longer in service", bound.Version, r.Model)
@@ -226,7 +230,7 @@
 		return v, "", err
 	}
 	r.Session.MovedFrom = r.Model + "@" + bound.Version
-	moved := f.binding(r, v)
+	moved := f.newBinding(r, v)
 	if !r.Session.Generated {
 		moved, err = f.rebind(ctx, r, bound, moved)
 		if err != nil {
@@ -250,8 +254,8 @@
 	return eligible[i], reasonMoved, nil
 }
 
-// rebind replaces the stored binding and returns the one in effect, which differs
-// if another host moved the session first.
+// rebind replaces the stored binding and returns the binding in effect, which differs
+// from moved if another host moved the session first.
 func (f *chooseVersion) rebind(ctx context.Context, r *Request, old, moved session.Binding) (session.Binding, error) {
 	b, durable, err := f.registry.Rebind(ctx, old, moved)
 	if err != nil {
@@ -261,7 +265,7 @@
 	return b, nil
 }
 
-func (f *chooseVersion) binding(r *Request, v manifest.Version) session.Binding {
+func (f *chooseVersion) newBinding(r *Request, v manifest.Version) session.Binding {
 	return session.Binding{
 		Account:   r.Account.Name,
 		SessionID: r.Session.ID,
@@ -274,7 +278,7 @@
 
 func (f *chooseVersion) setBinding(r *Request, b session.Binding) {
 	r.Session.bind(b)
-	r.SessionTokens = r.Session.tokens(f.codec)
+	r.SessionTokens = r.Session.encodeTokens(f.codec)
 }
 
 func (f *chooseVersion) logVersion(r *Request, reason versionReason, candidates int) {
@@ -301,8 +305,8 @@
 	return kept
 }
 
-// currentPolicy returns the policy in force, or an error if there is none or if the
-// host can't confirm that it is current.
+// currentPolicy returns the policy in force. It returns an error if there is none or
+// if the host can't confirm that the policy is current.
 func currentPolicy(w *config.Watcher) (*manifest.Policy, error) {
 	policy := w.Current()
 	if policy == nil {
--- a/internal/entry/chooseversion_test.go
+++ b/internal/entry/chooseversion_test.go
@@ -26,10 +26,10 @@
 	return manifest.Compile(doc, 1, "")
 }
 
-// Guards against exposure that is never returned: a request of a session that is
-// bound to another version must not use up the budget of the version its share
-// selects. Otherwise a few such requests would block that version's roll-out for
-// good.
+// Guards against answers that are taken from an exposure budget and never returned:
+// chooseByShare may select another version than the one that the session is bound to.
+// The request must not use up the budget of the selected version, since a few such
+// requests would block its roll-out permanently.
 func TestBoundSessionReturnsExposure(t *testing.T) {
 	is := is.New(t)
 	policy := rollingInPolicy()
--- a/internal/entry/claimonce.go
+++ b/internal/entry/claimonce.go
@@ -16,12 +16,13 @@
 	"github.com/quetzalweir/quetzalweir/upstream"
 )
 
-// claimFinishTimeout is the maximum time that an answer waits for its claim to be
-// finished. After it the claim is finished in the background.
+// claimFinishTimeout is the maximum time that an answer is held back until its claim
+// is finished in the table. After that, the claim is finished in the background.
 const claimFinishTimeout = 500 * time.Millisecond
 
-// claimOnce runs a call that must not be repeated at most once: its claim is stored
-// in the table before the first byte goes to an upstream.
+// claimOnce ensures that a call that must not be repeated runs at most once. It
+// stores a claim to the call's request key in the table before the first byte goes to
+// an upstream.
 type claimOnce struct {
 	claims *claim.Store
 	log    zerolog.Logger
@@ -38,12 +39,12 @@
 	}
 	acquired, err := f.claims.Acquire(ctx, claim.Key{Account: r.Account.Name, RequestKey: r.RequestKey}, requestDigest(r), r.ID)
 	if err != nil {
-		return f.claimError(r, err)
+		return f.replayOrError(r, err)
 	}
 	r.keyUnresolved = false
 	r.Claim = acquired
-	// If a filter panics, the deferred call closes the claim all the same: as
-	// released if nothing was sent, else as a request that may have run.
+	// The deferred call ends the claim even if a filter panics. The claim is then
+	// released if nothing was sent, and recorded as may-have-run otherwise.
 	err = errPanicked
 	defer func() { f.finishClaim(r, acquired, err) }()
 	err = next(ctx, r)
@@ -53,9 +54,10 @@
 // errPanicked is the result of a request in which a filter panicked.
 var errPanicked = errors.New("entry: a filter panicked")
 
-// claimError returns the answer or error for a request whose key couldn't be
-// claimed. A finished request with the same key is replayed.
-func (f *claimOnce) claimError(r *Request, err error) error {
+// replayOrError handles a request whose key couldn't be claimed. If a request with
+// the same key has finished, it replays that request's answer. Otherwise it returns
+// an error.
+func (f *claimOnce) replayOrError(r *Request, err error) error {
 	var done *claim.DoneError
 	var inFlight *claim.InFlightError
 	var mayHaveRun *claim.MayHaveRunError
@@ -79,7 +81,7 @@
 	}
 }
 
-// finishClaim records in the claim how the request ended.
+// finishClaim records in the claim how its request ended.
 func (f *claimOnce) finishClaim(r *Request, acquired *claim.Claim, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), claimFinishTimeout)
 	defer cancel()
@@ -97,8 +99,8 @@
 	}
 }
 
-// requestDigest returns a hash by which different requests with the same key are
-// distinguished.
+// requestDigest returns a hash of the request's route, method, path and body, which
+// distinguishes different requests with the same key.
 func requestDigest(r *Request) [sha256.Size]byte {
 	h := sha256.New()
 	for _, part := range []string{r.Route, r.Service.Method, r.Service.Path} {
@@ -128,17 +130,17 @@
 	}
 }
 
-// replayResult answers with the stored result of the earlier request.
-func replayResult(r *Request, res claim.Result) error {
+// replayResult passes the stored answer of an earlier request to the sink.
+func replayResult(r *Request, result claim.Result) error {
 	var header http.Header
-	if err := json.Unmarshal(res.Header, &header); err != nil {
+	if err := json.Unmarshal(result.Header, &header); err != nil {
 		return resultcode.Wrap(resultcode.Internal, err, "the earlier answer can't be read")
 	}
 	r.state.Raise(runstate.Ran)
 	r.Replayed = true
-	r.Model = res.Model
-	r.Version.Name = res.Version
-	r.Target.ID = res.Upstream
-	r.Sink.Replay(r, upstream.ServiceResponse{Status: res.Status, Header: header, Body: res.Body})
+	r.Model = result.Model
+	r.Version.Name = result.Version
+	r.Target.ID = result.Upstream
+	r.Sink.Replay(r, upstream.ServiceResponse{Status: result.Status, Header: header, Body: result.Body})
 	return nil
 }
--- a/internal/entry/tally.go
+++ b/internal/entry/countrequest.go
@@ -10,8 +10,8 @@
 	"github.com/quetzalweir/quetzalweir/resultcode"
 )
 
-// countRequest counts every request and logs its end. Requests without a bill are
-// counted as refusals in the ledger.
+// countRequest counts every request and logs its end. Requests that were neither billed
+// nor replayed are counted as refusals in the ledger.
 type countRequest struct {
 	ledger  *ledger.Ledger
 	metrics *requestMetrics
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -21,25 +21,26 @@
 )
 
 const (
-	// maxAttempts is the maximum number of times that one request is sent.
+	// maxAttempts is the maximum number of times that one request is sent to
+	// upstreams.
 	maxAttempts = 3
 	// meanRetryDelay is the mean of the jittered delay before another attempt.
 	meanRetryDelay = 20 * time.Millisecond
 )
 
-// dispatch picks an upstream, sends the request and copies the answer to the sink.
-// It retries only before the caller received a byte of an answer, and only a request
-// that certainly didn't run or that may be repeated.
+// dispatch picks an upstream, sends the request and copies the answer to the sink. It
+// retries a request only until the first byte of an answer was sent to the caller,
+// and only if the request certainly didn't run or may be repeated.
 type dispatch struct {
 	watcher *config.Watcher
 	pool    *balance.Pool
 	engine  upstream.Engine
 	service upstream.Service
 	retries *admission.RetryBudget
-	// guard blocks quarantined requests, whose runs end upstreams.
+	// guard blocks poison requests, whose runs terminate upstreams.
 	guard *guard.Guard
 	// onLeaving is called with the ID of an upstream that reported that it is
-	// leaving, to inform the other hosts.
+	// leaving, so that the other hosts are informed.
 	onLeaving func(upstreamID string)
 	log       zerolog.Logger
 	zone      string
@@ -72,13 +73,15 @@
 	}
 }
 
-// notAttemptedError wraps the refusal of a request before an attempt was made.
+// notAttemptedError wraps the error of a request that was refused before an attempt
+// was made.
 type notAttemptedError struct{ error }
 
-// Unwrap returns the refusal.
+// Unwrap returns the wrapped error.
 func (e notAttemptedError) Unwrap() error { return e.error }
 
-// tryAttempt makes one attempt if the request may still be sent.
+// tryAttempt makes one attempt, unless the request is quarantined or no upstream can
+// be chosen for it.
 func (f *dispatch) tryAttempt(ctx context.Context, r *Request, exclude []string) (balance.Choice, error) {
 	if err := f.checkQuarantine(ctx, r); err != nil {
 		return balance.Choice{}, notAttemptedError{err}
@@ -170,8 +173,8 @@
 	return err
 }
 
-// errUpstreamLeft means that the upstream left after it was chosen and before the
-// request was sent.
+// errUpstreamLeft means that the upstream was taken out of service after it was chosen
+// and before the request was sent.
 var errUpstreamLeft = errors.New("the upstream left before the request was sent")
 
 func (f *dispatch) runService(ctx context.Context, r *Request) error {
@@ -193,8 +196,8 @@
 const headerTrue = "1"
 
 // notRunError returns the error for an answer in which a service states that it
-// didn't start the call. Such an answer isn't the result of the request, so that it
-// must not be billed or stored in the claim.
+// didn't start the call. Such an answer isn't the result of the request, so it must
+// not be billed or stored in the claim.
 func notRunError(answer upstream.ServiceResponse) error {
 	return &upstream.StatusError{
 		Status:  answer.Status,
@@ -251,8 +254,9 @@
 	}
 }
 
-// attemptID returns the ID of the current attempt towards upstreams, so that late
-// frames of an earlier attempt aren't matched to this one.
+// attemptID returns the request ID that the current attempt sends to its upstream. It
+// is different for each attempt, so that late frames of an earlier attempt aren't
+// taken for frames of the current attempt.
 func attemptID(r *Request) string {
 	return r.ID + "." + strconv.Itoa(r.Attempts)
 }
@@ -271,8 +275,8 @@
 }
 
 // mayRetry reports whether the request may be sent again. An attempt that couldn't
-// connect put no load on an upstream, so that a retry after it isn't charged to the
-// retry budget: otherwise the budget would run out when many upstreams fail at once.
+// connect put no load on an upstream, so a retry after it isn't charged to the retry
+// budget. Otherwise the budget would run out when many upstreams fail at once.
 func (f *dispatch) mayRetry(ctx context.Context, r *Request, attempt int, err error) bool {
 	switch {
 	case ctx.Err() != nil, attempt >= maxAttempts, r.Sink.Started(), f.guard.VerdictDue(r.digest):
--- a/internal/entry/dispatch_test.go
+++ b/internal/entry/dispatch_test.go
@@ -14,11 +14,11 @@
 	"github.com/quetzalweir/quetzalweir/upstream"
 )
 
-// With an empty retry budget, a request is still retried on another upstream if the
-// last one couldn't be reached, up to maxAttempts in all.
+// With an empty retry budget, a request must still be retried on another upstream if
+// the last one couldn't be reached, up to maxAttempts attempts in total.
 func TestRetryWithoutBudget(t *testing.T) {
 	unreachable := fmt.Errorf("dial: %w", upstream.ErrNotSent)
-	ended, cancel := context.WithCancel(context.Background())
+	endedCtx, cancel := context.WithCancel(context.Background())
 	cancel()
 	tests := []struct {
 		desc    string
@@ -30,7 +30,7 @@
 		{"never connected", t.Context(), 1, unreachable, true},
 		{"upstream left", t.Context(), 1, errUpstreamLeft, true},
 		{"last attempt", t.Context(), maxAttempts, unreachable, false},
-		{"deadline passed", ended, 1, unreachable, false},
+		{"deadline passed", endedCtx, 1, unreachable, false},
 		{"refused", t.Context(), 1, &upstream.StatusError{Status: 503, NotRun: true}, false},
 		{"connection reset", t.Context(), 1, errors.New("reset"), false},
 	}
--- a/internal/entry/identify.go
+++ b/internal/entry/identify.go
@@ -7,12 +7,12 @@
 	"github.com/quetzalweir/quetzalweir/resultcode"
 )
 
-// identify looks up the client account by its key.
+// identify sets the request's client account, which it looks up by the account key.
 type identify struct{}
 
 // Serve implements Filter.
 func (identify) Serve(ctx context.Context, r *Request, next Next) error {
-	account, err := accountOf(r.Policy, r.AccountKey)
+	account, err := accountByKey(r.Policy, r.AccountKey)
 	if err != nil {
 		return err
 	}
@@ -20,8 +20,8 @@
 	return next(ctx, r)
 }
 
-// accountOf returns the account with the given key.
-func accountOf(policy *manifest.Policy, key string) (*manifest.Account, error) {
+// accountByKey returns the account with the given key.
+func accountByKey(policy *manifest.Policy, key string) (*manifest.Account, error) {
 	account, ok := policy.AccountByKey(key)
 	if !ok {
 		return nil, resultcode.New(resultcode.UnknownKey, "the account key is missing or unknown")
--- a/internal/entry/permit.go
+++ b/internal/entry/permitroute.go
@@ -7,19 +7,20 @@
 	"github.com/quetzalweir/quetzalweir/resultcode"
 )
 
-// permitRoute resolves the route's name and refuses routes that the account may not
-// use. The filter chooseVersion checks versions later.
+// permitRoute looks up the route's name in the manifest and refuses routes that the
+// account may not use. The filter chooseVersion later checks whether the account may
+// use the version.
 type permitRoute struct{}
 
 // Serve implements Filter.
 func (permitRoute) Serve(ctx context.Context, r *Request, next Next) error {
-	if err := resolve(r); err != nil {
+	if err := resolveRoute(r); err != nil {
 		return err
 	}
 	return next(ctx, r)
 }
 
-func resolve(r *Request) error {
+func resolveRoute(r *Request) error {
 	if r.Kind == KindService {
 		return resolveService(r)
 	}
--- a/internal/entry/pipeline.go
+++ b/internal/entry/pipeline.go
@@ -20,12 +20,12 @@
 func chain(filters []Filter) Next {
 	next := Next(func(context.Context, *Request) error { return nil })
 	for i := len(filters) - 1; i >= 0; i-- {
-		next = link(filters[i], next)
+		next = wrap(filters[i], next)
 	}
 	return next
 }
 
-func link(f Filter, next Next) Next {
+func wrap(f Filter, next Next) Next {
 	return func(ctx context.Context, r *Request) error {
 		return f.Serve(ctx, r, next)
 	}
@@ -33,11 +33,12 @@
 
 // filters returns the pipeline, outermost filter first.
 //
-// The claim precedes every refusal that depends on load or limits: a refusal may
-// state "not run" only once it is known whether an earlier request with the same key
-// ran. The version is chosen after admission, so that a request that waited is
-// subject to the manifest in force when it leaves the queue. The bill is recorded
-// inside the claim, so that a claim is finished only after its bill is stored safely.
+// The claim precedes every refusal that depends on load or limits, because a refusal
+// may state "not run" only after the host has determined whether an earlier request
+// with the same key ran. The version is chosen after admission, so that a request
+// that waited is subject to the manifest in force when it leaves the queue. The
+// filter that records the bill comes after the one for the claim, so that a claim is
+// finished only after its bill is stored safely.
 func (h *Host) filters() []Filter {
 	return []Filter{
 		&countRequest{ledger: h.ledger, metrics: h.metrics, log: h.log},
@@ -47,7 +48,7 @@
 		&permitRoute{},
 		&claimOnce{claims: h.claims, log: h.log},
 		&limitAccount{quota: h.quota},
-		&bindSession{codec: h.codec},
+		&readSession{codec: h.codec},
 		&recordBill{ledger: h.ledger, log: h.log},
 		&runCascade{learner: h.cascade, rater: h.platform.Rater, log: h.log},
 		&admit{queues: h.queues},
--- a/internal/entry/bindsession.go
+++ b/internal/entry/readsession.go
@@ -16,30 +16,31 @@
 	newSession = "new"
 	// tokenPrefix distinguishes a session token from a bare session ID.
 	tokenPrefix = "qzt."
-	// tokenSeparator separates the tokens of a session that uses several models,
-	// as a cascade does.
+	// tokenSeparator separates the tokens of a session that uses several models, for
+	// example through a cascade.
 	tokenSeparator = ","
 	// maxSessionTokens is the maximum number of tokens in one header.
 	maxSessionTokens = 8
-	// maxSessionID is the maximum length of a session ID, in bytes.
-	maxSessionID = 128
+	// maxSessionIDBytes is the maximum length of a session ID.
+	maxSessionIDBytes = 128
 )
 
-// bindSession parses the session header and loads the bindings from its tokens.
-// The filter chooseVersion picks the version later.
-type bindSession struct {
+// readSession parses the session header and loads the bindings from its tokens. The
+// filter chooseVersion later picks the version, and binds sessions that have no
+// binding.
+type readSession struct {
 	codec *session.Codec
 }
 
 // Serve implements Filter.
-func (f *bindSession) Serve(ctx context.Context, r *Request, next Next) error {
-	if err := f.read(r); err != nil {
+func (f *readSession) Serve(ctx context.Context, r *Request, next Next) error {
+	if err := f.parseHeader(r); err != nil {
 		return err
 	}
 	return next(ctx, r)
 }
 
-func (f *bindSession) read(r *Request) error {
+func (f *readSession) parseHeader(r *Request) error {
 	switch {
 	case r.SessionArg == "":
 		return nil
@@ -49,15 +50,15 @@
 		return nil
 	case strings.HasPrefix(r.SessionArg, tokenPrefix):
 		return f.openTokens(r)
-	case len(r.SessionArg) > maxSessionID:
-		return resultcode.New(resultcode.BadSessionToken, "a session id has at most %d bytes", maxSessionID)
+	case len(r.SessionArg) > maxSessionIDBytes:
+		return resultcode.New(resultcode.BadSessionToken, "a session id has at most %d bytes", maxSessionIDBytes)
 	default:
 		r.Session.ID = r.SessionArg
 		return nil
 	}
 }
 
-func (f *bindSession) openTokens(r *Request) error {
+func (f *readSession) openTokens(r *Request) error {
 	tokens := strings.Split(r.SessionArg, tokenSeparator)
 	if len(tokens) > maxSessionTokens {
 		return resultcode.New(resultcode.BadSessionToken, "a session has at most %d tokens", maxSessionTokens)
@@ -81,13 +82,13 @@
 type SessionState struct {
 	// ID is empty without a session.
 	ID string
-	// Generated is set if the host generated the ID, so that no other binding
-	// of it can exist.
+	// Generated is set if this host generated the ID for this request, so that no
+	// other host can have bound the session.
 	Generated bool
 	// Bindings holds the bound version of each model that the session uses.
 	Bindings []session.Binding
-	// Transient is set if the binding of a bare ID couldn't be stored, so that
-	// it is kept by the token alone.
+	// Transient is set if the binding of a session that the caller gave as a bare ID
+	// couldn't be stored, so that only the session token holds it.
 	Transient bool
 	// MovedFrom is the bound version, as "model@version", that the session was
 	// moved away from; empty if it wasn't moved.
@@ -115,8 +116,9 @@
 	s.Bindings = append(s.Bindings, b)
 }
 
-// tokens returns the value of the session header in the answer.
-func (s *SessionState) tokens(codec *session.Codec) string {
+// encodeTokens returns the value of the session header in the answer: a token for
+// each binding.
+func (s *SessionState) encodeTokens(codec *session.Codec) string {
 	encoded := make([]string, len(s.Bindings))
 	for i, b := range s.Bindings {
 		encoded[i] = tokenPrefix + codec.Mint(b)
--- a/internal/entry/bill.go
+++ b/internal/entry/recordbill.go
@@ -15,8 +15,8 @@
 )
 
 // recordBill records one bill for each request that was sent to an upstream, before
-// the end of the answer goes to the caller. A request that failed in the system or
-// in an upstream is billed at zero cost.
+// the end of the answer goes to the caller. The bill of a request that ended with an
+// error has a cost of zero.
 type recordBill struct {
 	ledger *ledger.Ledger
 	log    zerolog.Logger
@@ -72,7 +72,7 @@
 	return b
 }
 
-// newStep returns the billing entry of the run that just ended.
+// newStep returns the billing entry for the model run that just ended.
 func newStep(r *Request) ledger.Step {
 	return ledger.Step{
 		Model:            r.Model,
@@ -84,7 +84,7 @@
 	}
 }
 
-// tokensPerPrice is the number of tokens that a manifest price covers.
+// tokensPerPrice is the number of tokens to which a price in the manifest applies.
 const tokensPerPrice = 1000
 
 func usageCost(v manifest.Version, u upstream.Usage) int64 {
--- a/internal/entry/cascadesteps.go
+++ b/internal/entry/runcascade.go
@@ -14,8 +14,9 @@
 )
 
 // runCascade runs the steps of a cascade in order. It buffers the answer of every
-// step but the last until the answer is rated, and sends it to the caller only if
-// the rating accepts it.
+// step but the last until the answer is rated, and sends it to the caller if it is
+// accepted. If the last step fails, the buffered answer with the highest rating is
+// sent instead.
 type runCascade struct {
 	learner *cascade.Learner
 	rater   storage.Rater
@@ -73,10 +74,10 @@
 }
 
 const (
-	// bytesPerToken is the average length of a token, used to estimate the size
-	// of a prompt.
+	// bytesPerToken is the assumed average length of a token, from which the number
+	// of tokens in a prompt is estimated.
 	bytesPerToken = 4
-	// expectedCompletionTokens is the assumed length of an answer.
+	// expectedCompletionTokens is the assumed number of tokens in an answer.
 	expectedCompletionTokens = 256
 )
 
@@ -141,12 +142,12 @@
 	}
 	f.recordSample(r, plan, step, score, latency)
 	accepted := acceptsAnswer(r.Cascade, score, err)
-	f.logStep(r, step, verdictName(accepted), score, err)
+	f.logStep(r, step, stepOutcome(accepted), score, err)
 	return newBufferedAnswer(r, buffer, score), accepted, nil
 }
 
 // acceptsAnswer reports whether a step's answer meets the cascade's target. If the
-// rater failed, the manifest decides.
+// rater failed, the manifest determines whether the answer is accepted.
 func acceptsAnswer(c *manifest.Cascade, score float64, err error) bool {
 	if err != nil {
 		return c.OnRaterFailure == manifest.Accept
@@ -176,7 +177,7 @@
 	})
 }
 
-func verdictName(accepted bool) string {
+func stepOutcome(accepted bool) string {
 	if accepted {
 		return "accepted"
 	}
@@ -196,7 +197,7 @@
 		Msg("")
 }
 
-func (f *runCascade) logStep(r *Request, step int, verdict string, score float64, err error) {
+func (f *runCascade) logStep(r *Request, step int, outcome string, score float64, err error) {
 	event := f.log.Info().
 		Str("event", "cascade").
 		Str("request", r.ID).
@@ -204,7 +205,7 @@
 		Int("step", step).
 		Str("model", r.Model).
 		Str("version", r.Version.Name).
-		Str("verdict", verdict).
+		Str("verdict", outcome).
 		Float64("score", score)
 	if err != nil {
 		event = event.AnErr("error", err)
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -14,7 +14,7 @@
 	mux := http.NewServeMux()
 	mux.Handle("POST /v1/chat/completions", h.serve(&chatFrontend{maxBody: h.settings.MaxBody}))
 	mux.Handle(servicePrefix, h.serve(&serviceFrontend{maxBody: h.settings.MaxBody}))
-	mux.HandleFunc("/", h.unknownRoute)
+	mux.HandleFunc("/", h.serveUnknownPath)
 	return mux
 }
 
@@ -32,12 +32,12 @@
 	})
 }
 
-// decode reads a request after it checked the account key, so that no body is read
+// decode checks the account key and then reads the request, so that no body is read
 // for callers without an account.
 func (h *Host) decode(frontend Frontend, w http.ResponseWriter, req *http.Request) (*Request, error) {
 	policy, err := currentPolicy(h.watcher)
 	if err == nil {
-		_, err = accountOf(policy, accountKey(req))
+		_, err = accountByKey(policy, accountKey(req))
 	}
 	if err != nil {
 		r, headerErr := newRequest(req, KindModel)
@@ -49,7 +49,7 @@
 	return frontend.Decode(w, req)
 }
 
-func (h *Host) unknownRoute(w http.ResponseWriter, req *http.Request) {
+func (h *Host) serveUnknownPath(w http.ResponseWriter, req *http.Request) {
 	caller := newCallerWriter(w, h.settings.CallerWriteTimeout)
 	r, _ := newRequest(req, KindModel)
 	err := resultcode.New(resultcode.UnknownRoute, "no such path: %s", req.URL.Path)
@@ -57,9 +57,9 @@
 	writeError(caller, r, err)
 }
 
-// callerWriter sets a deadline for each write to the caller, in streams, complete
-// answers and error responses. A deadline for the whole answer would break long
-// streams.
+// callerWriter sets a new deadline for each write to the caller, whether it is part of
+// a stream, a complete answer or an error response. A single deadline for the whole
+// answer would break long streams.
 type callerWriter struct {
 	http.ResponseWriter
 	control *http.ResponseController
@@ -85,13 +85,13 @@
 // FlushError implements the interface that http.ResponseController uses.
 func (w *callerWriter) FlushError() error { return w.control.Flush() }
 
-// extendDeadline moves the write deadline. A connection that doesn't support
-// deadlines is written to without one.
+// extendDeadline sets the write deadline to the timeout from now. If the connection
+// doesn't support deadlines, writes have none.
 func (w *callerWriter) extendDeadline() {
 	_ = w.control.SetWriteDeadline(time.Now().Add(w.timeout))
 }
 
-// countUndecoded counts a request that was refused before the pipeline.
+// countUndecoded counts a request that was refused before it reached the pipeline.
 func (h *Host) countUndecoded(r *Request, err error) {
 	code := resultcode.FromError(err).Code
 	h.ledger.Refuse(r.AccountName(), r.Epoch(), int(code))
