--- a/internal/entry/chat.go
+++ b/internal/entry/chatfrontend.go
@@ -58,7 +58,8 @@
 	return r, nil
 }
 
-// promptText concatenates the messages for prefix matching and ratings.
+// promptText returns the concatenated roles and texts of the messages, which are used
+// to match prefixes and to rate the answer.
 func promptText(messages []chatMessage) string {
 	var b strings.Builder
 	for _, m := range messages {
--- a/internal/entry/chatsink.go
+++ b/internal/entry/chatsink.go
@@ -27,8 +27,8 @@
 	stream  bool
 	started bool
 	text    strings.Builder
-	// completion is the complete answer as JSON. It is set once the answer is
-	// complete, or by a replay, which has no frames.
+	// completion is the complete answer as JSON. It is set once all frames have
+	// arrived, or by Replay, for an answer without frames.
 	completion []byte
 	eventBuf   []byte
 }
@@ -185,7 +185,8 @@
 	}
 }
 
-// replayChunk converts a complete answer to the single chunk of a streamed replay.
+// replayChunk converts a complete answer to the only chunk of a replay that the
+// caller asked to be streamed.
 func replayChunk(answer []byte) []byte {
 	var c completion
 	if json.Unmarshal(answer, &c) != nil || len(c.Choices) == 0 {
--- a/internal/entry/chatkeys.go
+++ b/internal/entry/duplicatekeys.go
@@ -9,16 +9,16 @@
 )
 
 // checkDuplicateKeys rejects a body in which an object has a duplicate key. Some
-// parsers use the first value where encoding/json uses the last, so that the
-// permission would be checked for one model and another one would run. Keys of the
-// top-level object are compared without regard to case, as encoding/json matches
-// them.
+// parsers use the first of the values and encoding/json uses the last, so that the
+// permission would be checked for one model while the upstream runs another. Keys of
+// the top-level object are compared without regard to case, since encoding/json
+// matches them that way.
 func checkDuplicateKeys(body []byte) error {
-	tokens := json.NewDecoder(bytes.NewReader(body))
+	decoder := json.NewDecoder(bytes.NewReader(body))
 	var enclosing []map[string]bool // the keys of each enclosing object, nil for an array
 	isKey := false
 	for {
-		token, err := tokens.Token()
+		token, err := decoder.Token()
 		if err != nil {
 			return nil // the end of the body, which is known to be valid JSON
 		}
@@ -48,6 +48,6 @@
 			isKey = false
 			continue
 		}
-		isKey = len(enclosing) > 0 && enclosing[len(enclosing)-1] != nil && tokens.More()
+		isKey = len(enclosing) > 0 && enclosing[len(enclosing)-1] != nil && decoder.More()
 	}
 }
--- a/internal/entry/chatkeys_test.go
+++ b/internal/entry/duplicatekeys_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-func TestChatKeys(t *testing.T) {
+func TestCheckDuplicateKeys(t *testing.T) {
 	tests := []struct {
 		desc, body string
 		want       bool
--- a/internal/entry/headers.go
+++ b/internal/entry/headers.go
@@ -35,8 +35,7 @@
 	headerSessionMoved = "Quetzalweir-Session-Moved"
 	// headerBelowTarget is set if a cascade's answer is below its target rating.
 	headerBelowTarget = "Quetzalweir-Below-Target"
-	// headerSessionTransient is set if the session's binding is kept by its token
-	// alone.
+	// headerSessionTransient is set if only the session's token holds the binding.
 	headerSessionTransient = "Quetzalweir-Session-Transient"
 )
 
@@ -164,20 +163,21 @@
 	writeJSON(w, newErrorResponse(r, e))
 }
 
-// repeatDelay is the retry delay sent for a repeatable request that reached an
-// upstream and got no complete answer.
-const repeatDelay = time.Second
+// incompleteRetryDelay is the retry delay sent to the caller of a repeatable request
+// that reached an upstream and got no complete answer.
+const incompleteRetryDelay = time.Second
 
 // retryAfter returns the time after which the caller should retry, or zero if a
 // retry can't succeed. A claimed request that may have run is never run again. A
-// repeatable request may be retried even if its result code alone rules that out.
+// repeatable request whose answer is incomplete may be retried, although its result
+// code alone rules that out.
 func retryAfter(r *Request, e *resultcode.Error) time.Duration {
 	sent := r.state.State() != runstate.NotRun
 	switch {
 	case r.Claim != nil && sent:
 		return 0
 	case r.Repeatable && sent && isIncomplete(e.Code):
-		return repeatDelay
+		return incompleteRetryDelay
 	case r.RunState() == runstate.Ran:
 		return 0
 	default:
--- a/internal/entry/servicefront.go
+++ b/internal/entry/servicefrontend.go
@@ -12,7 +12,8 @@
 // servicePrefix precedes the service's name and the path of the call.
 const servicePrefix = "/services/"
 
-// serviceFrontend accepts HTTP calls of services, routed by the service's name.
+// serviceFrontend accepts HTTP calls to services, which are routed by the service's
+// name.
 type serviceFrontend struct {
 	// maxBody is the maximum size of a request's body, in bytes.
 	maxBody int64
@@ -43,8 +44,8 @@
 const headerPrefix = "Quetzalweir-"
 
 // forwardedHeader returns the caller's headers that are forwarded to a service. It
-// omits the account key and this system's own headers, except the request key, by
-// which a service can detect repeats.
+// omits the account key and this system's own headers except the request key, by
+// which a service can detect repeated calls.
 func forwardedHeader(in http.Header) http.Header {
 	out := make(http.Header, len(in))
 	for name, values := range in {
