--- a/internal/entry/evidence.go
+++ b/internal/entry/evidence.go
@@ -20,51 +20,54 @@
 const (
 	// exchangeInterval is the time between exchanges of roll-out evidence.
 	exchangeInterval = 250 * time.Millisecond
-	// roundsPerRelay is the number of exchanges per one in which a random host
-	// receives all evidence.
-	roundsPerRelay = 8
+	// exchangesPerRelay is the number of exchanges after which a random host
+	// receives all evidence, including that of other hosts.
+	exchangesPerRelay = 8
 	// exchangeTimeout is the timeout of an exchange with one host.
 	exchangeTimeout = time.Second
-	// refillInterval is the maximum time between claims on exposure budgets.
+	// refillInterval is the maximum time between two attempts to claim grants of the
+	// exposure budgets.
 	refillInterval = time.Second
-	// minRefillInterval is the minimum time between claims, which limits the
-	// rate of store calls.
+	// minRefillInterval is the minimum time between two such attempts. It limits the
+	// rate of calls to the table.
 	minRefillInterval = 50 * time.Millisecond
 	// stopKeyPrefix starts the keys of the table rows for stopped versions.
 	stopKeyPrefix = "stop/"
-	// maxStopRows is the maximum number of rows read at once.
+	// maxStopRows is the maximum number of rows for stopped versions read at once.
 	maxStopRows = 1000
 
 	methodEvidence = "rollout.evidence"
 )
 
-// PathStops lists the versions that the hosts stopped automatically.
+// PathStops is the path that lists the versions that the hosts stopped automatically.
 const PathStops = "/v1/stops"
 
-// evidenceParams holds one host's evidence on versions that roll in.
+// evidenceParams holds evidence on versions that roll in, and the stopped versions
+// that the sender stores.
 type evidenceParams struct {
 	Evidence []rollout.Evidence `json:"evidence,omitempty"`
 	Stops    []rollout.Stop     `json:"stops,omitempty"`
 }
 
-// evidenceExchange sends this host's evidence to the other hosts, to each only what
-// changed since the last successful call. From time to time it sends all evidence,
-// that of other hosts included, to one of them, for hosts that can't reach each
-// other or joined late.
+// evidenceExchange sends this host's evidence to the other hosts. Each host receives
+// only the evidence that changed since the last successful call to it; cursors holds
+// the position of that call by host. From time to time one of the hosts receives all
+// evidence, including that of other hosts, since some hosts can't reach each other or
+// joined late.
 type evidenceExchange struct {
 	host    *Host
 	mu      sync.Mutex
 	cursors map[string]uint64
-	// rounds is the number of exchanges so far.
-	rounds int
-	// storedEpochs holds the epoch of the stop that is stored in the table for
-	// each version.
+	// exchanges is the number of exchanges so far.
+	exchanges int
+	// storedEpochs holds, for each stopped version, the epoch of the stop that is
+	// known to be stored in the table.
 	storedEpochs map[rollout.Key]uint64
 }
 
 func newEvidenceExchange(h *Host) *evidenceExchange {
 	e := &evidenceExchange{host: h, cursors: map[string]uint64{}, storedEpochs: map[rollout.Key]uint64{}}
-	peer.Handle(h.peerSrv, methodEvidence, func(_ context.Context, _ string, p evidenceParams) (empty, error) {
+	peer.Handle(h.peerServer, methodEvidence, func(_ context.Context, _ string, p evidenceParams) (empty, error) {
 		e.merge(p)
 		return empty{}, nil
 	})
@@ -80,7 +83,7 @@
 	}
 }
 
-// run exchanges evidence until ctx ends.
+// run exchanges evidence with the other hosts until ctx ends.
 func (e *evidenceExchange) run(ctx context.Context) error {
 	loaded := false
 	return runPeriodically(ctx, exchangeInterval, func() {
@@ -99,7 +102,7 @@
 	stops := e.host.rollout.Stops()
 	others := e.host.others()
 	relayIndex := e.relayTarget(others)
-	var wait sync.WaitGroup
+	var calls sync.WaitGroup
 	for i, m := range others {
 		evidence, next := e.host.rollout.ExportOwn(e.cursor(m.ID))
 		if i == relayIndex {
@@ -108,22 +111,23 @@
 		if len(evidence) == 0 {
 			continue
 		}
-		wait.Go(func() {
+		calls.Go(func() {
 			params := evidenceParams{Evidence: evidence, Stops: stops}
 			if e.host.peers.Call(ctx, m.PeerAddr, methodEvidence, params, nil) == nil {
 				e.setCursor(m.ID, next)
 			}
 		})
 	}
-	wait.Wait()
+	calls.Wait()
 }
 
 // relayTarget returns the index of the host that receives all evidence in this
-// round, or -1. One random host is enough: hosts that can't reach each other receive
-// each other's evidence through any host that both can reach.
+// exchange, or -1 if none does. One random host is enough, because hosts that can't
+// reach each other receive each other's evidence through any host that both can
+// reach.
 func (e *evidenceExchange) relayTarget(others []membership.Member) int {
-	e.rounds++
-	if len(others) == 0 || e.rounds%roundsPerRelay != 0 {
+	e.exchanges++
+	if len(others) == 0 || e.exchanges%exchangesPerRelay != 0 {
 		return -1
 	}
 	return rand.IntN(len(others))
@@ -141,7 +145,7 @@
 	e.cursors[host] = cursor
 }
 
-// storeStops writes the stops to the table, where they outlive the hosts.
+// storeStops writes the stopped versions to the table, where they outlive the hosts.
 func (e *evidenceExchange) storeStops(ctx context.Context) {
 	for _, s := range e.host.rollout.Stops() {
 		if e.storedEpochs[s.Key()] >= s.Epoch {
@@ -156,8 +160,8 @@
 	}
 }
 
-// putStop inserts the row of a stop. A row that another host stored for the same
-// round counts as success.
+// putStop inserts the row for a stopped version. It succeeds as well if another host
+// has already stored a row for the same version and epoch.
 func (e *evidenceExchange) putStop(ctx context.Context, s rollout.Stop) error {
 	value, err := json.Marshal(s)
 	if err != nil {
@@ -174,8 +178,9 @@
 	return err
 }
 
-// loadStops reads the stops from the table. The host isn't ready before the first
-// attempt. If that fails, the host receives the stops from its peers.
+// loadStops reads the stopped versions from the table. The host isn't ready before
+// the first attempt to do so. If the attempt fails, the host still receives the
+// stopped versions from other hosts.
 func (e *evidenceExchange) loadStops(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -192,9 +197,10 @@
 	return nil
 }
 
-// refillExposure claims parts of the exposure budgets, and does so at once when one
-// runs low: another host may have bound a session to a version that this host then
-// has to serve.
+// refillExposure claims grants of the exposure budgets for this host until ctx ends:
+// at intervals, and also when the host needs a further grant. The host can't always
+// choose another version then, because another host may have bound the session to
+// this version.
 func (h *Host) refillExposure(ctx context.Context) error {
 	granter := rollout.NewGranter(h.platform.Table, h.incarnation)
 	for {
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -43,45 +43,46 @@
 // Host is one entry host. All entry hosts have the same role.
 type Host struct {
 	settings Settings
-	// incarnation identifies this process: a restarted host keeps its ID.
+	// incarnation identifies this process by the host's ID and a random part, since
+	// a restarted host keeps its ID.
 	incarnation string
 	platform    Platform
 	log         zerolog.Logger
 	metrics     *requestMetrics
 
-	// committer batches the table writes of claims, sessions and bills.
-	committer *groupcommit.Committer
-	store     *config.Store
-	watcher   *config.Watcher
-	members   *membership.Membership
-	peers     *peer.Client
-	peerSrv   *peer.Server
-	claims    *claim.Store
-	ledger    *ledger.Ledger
-	custody   *ledger.Custody
-	quota     *quota.Limiter
-	codec     *session.Codec
-	registry  *session.Registry
-	queues    *queues
-	retries   *admission.RetryBudget
-	pool      *balance.Pool
-	upstreams *upstreamDirectory
-	rollout   *rollout.Tracker
-	cascade   *cascade.Learner
-	sampler   *sampler
-	evidence  *evidenceExchange
-	// quarantine blocks requests whose runs end upstreams.
+	// committer batches the table writes for claims, sessions and stopped versions.
+	committer  *groupcommit.Committer
+	store      *config.Store
+	watcher    *config.Watcher
+	members    *membership.Membership
+	peers      *peer.Client
+	peerServer *peer.Server
+	claims     *claim.Store
+	ledger     *ledger.Ledger
+	custody    *ledger.Custody
+	quota      *quota.Limiter
+	codec      *session.Codec
+	registry   *session.Registry
+	queues     *queues
+	retries    *admission.RetryBudget
+	pool       *balance.Pool
+	upstreams  *upstreamDirectory
+	rollout    *rollout.Tracker
+	cascade    *cascade.Learner
+	sampler    *sampler
+	evidence   *evidenceExchange
+	// quarantine blocks poison requests, whose runs terminate upstreams.
 	quarantine *quarantineExchange
 	unloader   *unloader
 	// maintenance deletes expired rows of the table and compacts the ledger.
 	maintenance       *maintenance
 	plannedDepartures departures
 	processes         processes
-	// forceStopCtx is canceled when a planned stop has to end at once.
+	// forceStopCtx is canceled by ForceStop, when a planned stop has to end at once.
 	forceStopCtx context.Context
 	forceStop    context.CancelFunc
-	// quotaCtx stops the account limits' task before the others in a planned
-	// stop.
+	// quotaCtx ends runQuota in a planned stop, before the other background tasks
+	// end; quotaDone is closed when runQuota has returned.
 	quotaCtx    context.Context
 	cancelQuota context.CancelFunc
 	quotaDone   chan struct{}
@@ -95,7 +96,8 @@
 	// notReady makes the readiness check fail, so that the balancer sends no new
 	// connections; stopping makes the host refuse requests.
 	notReady atomic.Bool
-	// upstreamsLoaded is set after the first host list and its load reports.
+	// upstreamsLoaded is set once a host list with upstreams was read and the load
+	// of these upstreams was requested.
 	upstreamsLoaded atomic.Bool
 	// stopsLoaded is set after the first attempt to load the stopped versions.
 	stopsLoaded      atomic.Bool
@@ -105,15 +107,16 @@
 }
 
 const (
-	// retryRatio is the number of retries that each first attempt adds to the
+	// retryRatio is the number of retries that each first attempt adds to the retry
 	// budget.
 	retryRatio = 0.1
-	// retriesPerSecond is the rate at which the budget grows without requests,
+	// retriesPerSecond is the rate at which the retry budget grows without requests,
 	// so that a host with little traffic can retry.
 	retriesPerSecond = 1
 )
 
-// New returns a host with open listeners. It serves nothing until Run.
+// New returns a host with open listeners. The host serves no requests until Run is
+// called.
 func New(settings Settings, p Platform, log zerolog.Logger) (*Host, error) {
 	settings.Provision()
 	if err := settings.Validate(); err != nil {
@@ -237,13 +240,14 @@
 func (h *Host) OperatorAddr() string { return h.operatorListener.Addr().String() }
 
 // PeerAddr returns the address of the listener for other entry hosts.
-func (h *Host) PeerAddr() string { return h.peerSrv.Addr() }
+func (h *Host) PeerAddr() string { return h.peerServer.Addr() }
 
 // Run serves until ctx ends and then makes a planned stop: it finishes the requests
 // in flight, writes its bills and claims, releases its quota and leaves the
 // membership.
 func (h *Host) Run(ctx context.Context) error {
-	// The background tasks run until the planned stop is complete, beyond ctx.
+	// The background tasks continue after ctx has ended, until the planned stop is
+	// complete.
 	background, cancelTasks := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancelTasks()
 	tasks, background := errgroup.WithContext(background)
@@ -278,7 +282,7 @@
 			return nil
 		})
 	}
-	run("peers", h.peerSrv.Serve)
+	run("peers", h.peerServer.Serve)
 	run("membership", h.members.Run)
 	run("process", h.announceProcess)
 	run("manifest", h.watcher.Run)
@@ -296,7 +300,7 @@
 	run("custody", h.settleDownHosts)
 }
 
-// Bounds on every HTTP listener.
+// Limits of the HTTP servers for callers and operators.
 const (
 	headerTimeout  = 10 * time.Second
 	bodyTimeout    = 60 * time.Second
--- a/internal/entry/maintenance.go
+++ b/internal/entry/maintenance.go
@@ -14,24 +14,24 @@
 	maintenanceLease = "maintenance"
 	// maintenanceTTL is the duration of that lease.
 	maintenanceTTL = 30 * time.Second
-	// maintenanceInterval is the time between rounds.
+	// maintenanceInterval is the time between maintenance rounds.
 	maintenanceInterval = 10 * time.Second
 	// maintenanceTimeout is the timeout of one round.
 	maintenanceTimeout = 20 * time.Second
-	// claimsPerRound is the maximum number of claims checked in a round.
+	// claimsPerRound is the maximum number of claims that one round checks.
 	claimsPerRound = 500
 	// minSegmentAge is the age from which ledger segments are compacted. It is
 	// far longer than a host takes to write its pending bills.
 	minSegmentAge = 10 * time.Minute
-	// confirmationTTL is the age at which a confirmation by a host that no longer
-	// exists is deleted.
+	// confirmationTTL is the age at which the confirmation of a manifest by a host
+	// that no longer exists is deleted.
 	confirmationTTL = 24 * time.Hour
 )
 
 // maintenance limits the size of the table: it deletes expired claims, sessions and
 // confirmations and compacts the ledger. One host at a time does this, under a
-// lease. Each step is safe to run on several hosts at once, so that a lapsed lease
-// only causes duplicate work.
+// lease. Each step is safe to run on several hosts at once, so that the expiry of the
+// lease during a round only causes duplicate work.
 type maintenance struct {
 	host    *Host
 	manager *lease.Manager
@@ -82,7 +82,7 @@
 	}
 }
 
-// release releases the lease in a planned stop. If that fails, the lease expires.
+// release releases the lease in a planned stop. If it can't be released, it expires.
 func (m *maintenance) release() {
 	if m.held == nil {
 		return
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -16,13 +16,13 @@
 	// factHead is the key of the fact that holds the head of the manifest in
 	// force.
 	factHead = "head"
-	// custodySweepInterval is the time between checks for bills whose owner no
-	// longer exists.
+	// custodySweepInterval is the time between checks whether this host holds bills
+	// of hosts that no longer exist.
 	custodySweepInterval = 10 * time.Second
 	// leaveTimeout is the timeout of the announcement of a planned stop.
 	leaveTimeout = 5 * time.Second
-	// settleQueueSize is the maximum number of hosts that are down and wait for
-	// their bills to be settled.
+	// settleQueueSize is the maximum number of hosts that went down and whose bills
+	// wait to be settled.
 	settleQueueSize = 1024
 )
 
@@ -44,12 +44,13 @@
 	if err != nil {
 		return err
 	}
-	peer.HandleMembership(h.peerSrv, h.members)
+	peer.HandleMembership(h.peerServer, h.members)
 	return nil
 }
 
-// watchMembers subscribes to membership events and facts of other hosts. All
-// components must exist before.
+// watchMembers subscribes to membership events and to the facts of other hosts. It
+// must be called after all components have been created, since the events are passed
+// to them.
 func (h *Host) watchMembers() {
 	h.downHosts = make(chan string, settleQueueSize)
 	h.members.Subscribe(h.handleMemberEvent)
@@ -63,14 +64,15 @@
 	h.members.Watch(factProcess, h.applyProcess)
 }
 
-// announceHead publishes the head of an accepted manifest to the other hosts.
+// announceHead sends the head of an accepted manifest to the other hosts as a fact.
 func (h *Host) announceHead(head config.Head) {
 	h.watcher.ObserveHead(head)
 	value, err := json.Marshal(head)
 	if err != nil {
 		return
 	}
-	// Put fails if a higher epoch is known already; this head is outdated then.
+	// Put fails if this host has received a head with a higher epoch. The given head
+	// is outdated then.
 	_ = h.members.Put(membership.Fact{Key: factHead, Version: head.Epoch, Value: value})
 }
 
@@ -86,11 +88,11 @@
 	h.enqueueSettlement(e.Member.ID)
 }
 
-// enqueueSettlement queues the bills of a host or process that ended for settlement.
+// enqueueSettlement queues a host whose process ended, so that its bills are settled.
 func (h *Host) enqueueSettlement(id string) {
 	select {
 	case h.downHosts <- id:
-	default: // The next sweep settles its bills.
+	default: // The queue is full; the next sweep settles the host's bills.
 	}
 }
 
@@ -127,8 +129,8 @@
 	return h.members.Leave(ctx)
 }
 
-// departures holds the hosts that left by a planned stop. They aren't counted in the
-// number of hosts from which a majority is computed.
+// departures holds the IDs of hosts that left by a planned stop. These hosts aren't
+// counted when a majority of the hosts is computed.
 type departures struct {
 	mu  sync.Mutex
 	ids map[string]bool
@@ -144,19 +146,19 @@
 }
 
 // countRemaining returns the number of members that haven't left by a planned stop.
-// It drops the entries of hosts that are no longer members or that came back.
+// It removes from d the hosts that are no longer members or that have returned.
 func (d *departures) countRemaining(members []membership.Member) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	gone := make(map[string]bool, len(d.ids))
+	departed := make(map[string]bool, len(d.ids))
 	n := 0
 	for _, m := range members {
 		if d.ids[m.ID] && m.State == membership.Down {
-			gone[m.ID] = true
+			departed[m.ID] = true
 			continue
 		}
 		n++
 	}
-	d.ids = gone
+	d.ids = departed
 	return n
 }
--- a/internal/entry/members_test.go
+++ b/internal/entry/members_test.go
@@ -13,10 +13,10 @@
 	"github.com/quetzalweir/quetzalweir/storage/memory"
 )
 
-// Guards against settlement of one host at a time: two hosts go down in succession
-// while the table doesn't respond. The bills held for the second must be taken over
-// although those of the first can't be written, so that they get a new holder before
-// this host fails as well.
+// Guards against settling hosts one after the other. Two hosts go down in succession
+// while the table doesn't respond. The bills held for the second host must be taken
+// over although the bills of the first can't be written yet. They then get a new
+// holder before this host may fail as well.
 func TestHostsThatGoDownTogetherAreSettledTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -9,8 +9,9 @@
 	"github.com/quetzalweir/quetzalweir/resultcode"
 )
 
-// requestMetrics counts requests by class and result code. Account keys, request
-// keys and session IDs are never used as labels, whose values must be bounded.
+// requestMetrics holds the host's metrics, such as the number of requests by class and
+// result code. Account keys, request keys and session IDs are never used as labels,
+// because the number of a label's values must be bounded.
 type requestMetrics struct {
 	set *metrics.Set
 }
--- a/internal/entry/operatorapi.go
+++ b/internal/entry/operatorapi.go
@@ -7,7 +7,7 @@
 	"github.com/quetzalweir/quetzalweir/membership"
 )
 
-// The operators' API. Its paths and types are used by the command line too.
+// The operators' API. The command line uses its paths and types too.
 const (
 	PathReady        = "/ready"
 	PathMetrics      = "/metrics"
@@ -20,7 +20,8 @@
 	PathHosts        = "/v1/hosts"
 	PathLeaving      = "/v1/upstreams/{upstream}/leaving"
 
-	// HeaderSubmitToken identifies a submission across its retries.
+	// HeaderSubmitToken is the header that identifies a submission across its
+	// retries.
 	HeaderSubmitToken = "Quetzalweir-Submit-Token"
 )
 
@@ -44,7 +45,7 @@
 	Outcome string `json:"outcome"`
 }
 
-// Outcomes of a failed call.
+// Values of OperatorError.Outcome.
 const (
 	OutcomeNone    = "none"
 	OutcomeUnknown = "unknown"
@@ -75,7 +76,7 @@
 	Refusals []CodeCount   `json:"refusals"`
 }
 
-// CodeCount is the number of refusals with one result code.
+// CodeCount is the number of refused requests with one result code.
 type CodeCount struct {
 	Code  int    `json:"code"`
 	Name  string `json:"name"`
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -28,7 +28,7 @@
 	handle := func(pattern string, serve http.HandlerFunc) {
 		mux.Handle(pattern, h.requireOperatorKey(serve))
 	}
-	handle("POST "+PathManifest, h.submit)
+	handle("POST "+PathManifest, h.submitManifest)
 	handle("GET "+PathManifest, h.showCurrent)
 	handle("GET "+PathHistory, h.showHistory)
 	handle("GET "+PathEpoch, h.showEpoch)
@@ -39,7 +39,7 @@
 	handle("GET "+PathStops, h.showStops)
 	handle("POST "+PathLeaving, h.setLeaving)
 	handle("GET "+PathQuarantine, h.showQuarantine)
-	handle("DELETE "+PathQuarantine+"/{digest}", h.liftQuarantine)
+	handle("DELETE "+PathQuarantine+"/{digest}", h.withdrawVerdict)
 	return mux
 }
 
@@ -55,8 +55,8 @@
 	})
 }
 
-// isOperatorKey reports whether the key is one of keys. It compares the digests of
-// all of them, so that the duration doesn't reveal anything about the keys.
+// isOperatorKey reports whether key is one of keys. It compares the digests of all
+// keys in constant time, so that the duration doesn't reveal anything about them.
 func isOperatorKey(key string, keys []string) bool {
 	sum := sha256.Sum256([]byte(key))
 	match := 0
@@ -84,7 +84,7 @@
 	_, _ = w.Write([]byte("ready\n"))
 }
 
-func (h *Host) submit(w http.ResponseWriter, req *http.Request) {
+func (h *Host) submitManifest(w http.ResponseWriter, req *http.Request) {
 	body, err := readBody(w, req, manifest.MaxBytes)
 	if err != nil {
 		writeOperatorError(w, http.StatusBadRequest, err)
@@ -104,22 +104,22 @@
 func (h *Host) writeSubmitError(w http.ResponseWriter, err error) {
 	var problems manifest.Errors
 	var conflict *config.ConflictError
-	answer := OperatorError{Message: err.Error(), Outcome: OutcomeNone}
+	response := OperatorError{Message: err.Error(), Outcome: OutcomeNone}
 	status := http.StatusServiceUnavailable
 	switch {
 	case errors.As(err, &problems):
 		status = http.StatusUnprocessableEntity
-		answer.Problems = problems
+		response.Problems = problems
 	case errors.As(err, &conflict):
 		status = http.StatusConflict
-		answer.Head = &conflict.Head
+		response.Head = &conflict.Head
 	case errors.Is(err, storage.ErrUnknown):
 		status = http.StatusGatewayTimeout
-		answer.Outcome = OutcomeUnknown
+		response.Outcome = OutcomeUnknown
 	}
 	h.log.Warn().Str("event", "manifest-refused").Int("status", status).Err(err).Msg("")
 	w.WriteHeader(status)
-	writeJSON(w, answer)
+	writeJSON(w, response)
 }
 
 func (h *Host) showCurrent(w http.ResponseWriter, _ *http.Request) {
@@ -162,12 +162,12 @@
 }
 
 func (h *Host) showHosts(w http.ResponseWriter, _ *http.Request) {
-	answer := HostsResponse{Self: h.settings.ID, Members: h.members.Members()}
+	response := HostsResponse{Self: h.settings.ID, Members: h.members.Members()}
 	if policy := h.watcher.Current(); policy != nil {
-		answer.Epoch = policy.Epoch
+		response.Epoch = policy.Epoch
 	}
 	for _, u := range h.pool.View() {
-		answer.Upstreams = append(answer.Upstreams, UpstreamView{
+		response.Upstreams = append(response.Upstreams, UpstreamView{
 			ID:       u.ID,
 			Zone:     u.Zone,
 			Leaving:  u.Leaving,
@@ -176,7 +176,7 @@
 			InFlight: u.InFlight,
 		})
 	}
-	writeJSON(w, answer)
+	writeJSON(w, response)
 }
 
 // setLeaving takes an upstream out of service on all hosts.
@@ -206,7 +206,7 @@
 	writeJSON(w, OperatorError{Message: err.Error(), Outcome: OutcomeNone})
 }
 
-// showInForce reports which members confirmed an epoch.
+// showInForce responds with the hosts that confirmed the manifest of an epoch.
 func (h *Host) showInForce(w http.ResponseWriter, req *http.Request) {
 	epoch, ok := parseEpoch(w, req)
 	if !ok {
@@ -225,7 +225,7 @@
 	writeJSON(w, report)
 }
 
-// memberIDs returns the IDs of all known hosts that haven't left.
+// memberIDs returns the IDs of all members, including those that are down.
 func (h *Host) memberIDs() []string {
 	var ids []string
 	for _, m := range h.members.Members() {
@@ -239,7 +239,7 @@
 	metrics.WriteProcessMetrics(w)
 }
 
-// headAt returns the head that was accepted with this epoch.
+// headAt returns the head of the manifest that was accepted with the given epoch.
 func (h *Host) headAt(ctx context.Context, epoch uint64) (config.Head, error) {
 	heads, err := h.store.History(ctx, epoch-1, 1)
 	if err != nil {
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -52,7 +52,7 @@
 // provisionPeers creates the server and client for calls between entry hosts.
 func (h *Host) provisionPeers() error {
 	var err error
-	h.peerSrv, err = peer.NewServer(peer.ServerOptions{
+	h.peerServer, err = peer.NewServer(peer.ServerOptions{
 		Listen: h.settings.Peers,
 		Self:   h.settings.ID,
 		Keys:   h.settings.PeerKeys,
@@ -81,30 +81,30 @@
 
 // handlePeers registers the methods that other hosts call.
 func (h *Host) handlePeers() {
-	peer.Handle(h.peerSrv, methodView, func(context.Context, string, empty) (config.PeerView, error) {
+	peer.Handle(h.peerServer, methodView, func(context.Context, string, empty) (config.PeerView, error) {
 		return h.watcher.View(h.settings.ID), nil
 	})
-	peer.Handle(h.peerSrv, methodBody, func(_ context.Context, _ string, p bodyParams) (bodyResult, error) {
+	peer.Handle(h.peerServer, methodBody, func(_ context.Context, _ string, p bodyParams) (bodyResult, error) {
 		body, ok := h.watcher.Body(p.Digest)
 		if !ok {
 			return bodyResult{}, errors.New("this host doesn't have the body")
 		}
 		return bodyResult{Body: body}, nil
 	})
-	peer.Handle(h.peerSrv, methodHold, func(_ context.Context, _ string, p holdParams) (empty, error) {
+	peer.Handle(h.peerServer, methodHold, func(_ context.Context, _ string, p holdParams) (empty, error) {
 		bills, err := ledger.DecodeBills(p.Bills)
 		if err != nil {
 			return empty{}, err
 		}
 		return empty{}, h.custody.Hold(p.Owner, p.Seq, bills)
 	})
-	peer.Handle(h.peerSrv, methodDrop, func(_ context.Context, _ string, p dropParams) (empty, error) {
+	peer.Handle(h.peerServer, methodDrop, func(_ context.Context, _ string, p dropParams) (empty, error) {
 		h.custody.Drop(p.Owner, p.UpTo)
 		return empty{}, nil
 	})
 }
 
-// others returns all members that aren't down, without this host.
+// others returns all members that aren't down, except this host.
 func (h *Host) others() []membership.Member {
 	all := h.members.Members()
 	list := make([]membership.Member, 0, len(all))
@@ -121,8 +121,9 @@
 	host *Host
 }
 
-// HostCount implements config.Peers. Hosts that are down count unless they left by a
-// planned stop, so that an isolated host doesn't regard itself as the majority.
+// HostCount implements config.Peers. It counts hosts that are down unless they left
+// by a planned stop. Otherwise an isolated host, to which all others appear down,
+// would be a majority by itself.
 func (p *peerViews) HostCount() int {
 	return max(1, p.host.plannedDepartures.countRemaining(p.host.members.Members()))
 }
@@ -131,15 +132,16 @@
 func (p *peerViews) QueryViews(ctx context.Context) []config.PeerView {
 	var mu sync.Mutex
 	var views []config.PeerView
-	var wait sync.WaitGroup
+	var calls sync.WaitGroup
 	for _, m := range p.host.others() {
-		wait.Go(func() {
+		calls.Go(func() {
 			var view config.PeerView
 			calledAt := boottime.Now()
 			if p.host.peers.Call(ctx, m.PeerAddr, methodView, empty{}, &view) != nil {
 				return
 			}
-			// The view may have been created at any time since the call began.
+			// The view may have been created at any time since the call began, so the
+			// duration of the call is added to its age.
 			if view.HasTableRead {
 				view.TableReadAge += boottime.Since(calledAt)
 			}
@@ -148,7 +150,7 @@
 			views = append(views, view)
 		})
 	}
-	wait.Wait()
+	calls.Wait()
 	return views
 }
 
@@ -174,12 +176,13 @@
 // peerHolders stores copies of bills on hosts in other availability zones.
 type peerHolders struct {
 	host *Host
-	// failures is the number of failed calls. Each one selects the next host.
+	// failures is the number of failed calls. Each failure makes another host the
+	// first candidate.
 	failures atomic.Uint64
 }
 
-// errNoHolder means that no host is available to hold bills or to lend slots.
-var errNoHolder = errors.New("no other host is up")
+// errNoOtherHost means that no other host is available to hold bills or to lend slots.
+var errNoOtherHost = errors.New("no other host is up")
 
 // Hold implements ledger.Holder.
 func (p *peerHolders) Hold(ctx context.Context, owner string, seq uint64, bills []ledger.Bill) (string, error) {
@@ -198,11 +201,12 @@
 			return m.ID, err // The host may have stored the bills.
 		}
 	}
-	return "", errors.Join(errNoHolder, err)
+	return "", errors.Join(errNoOtherHost, err)
 }
 
-// candidates returns the hosts to try, in order: those that are up in other
-// availability zones, or those in the same zone if there are none.
+// candidates returns the hosts that may hold this host's bills, in the order in which
+// to try them: the hosts that are up in other availability zones, or, if there are
+// none, those that are up in the same zone.
 func (p *peerHolders) candidates() []membership.Member {
 	var preferred, sameZone []membership.Member
 	for _, m := range sortByRendezvous(p.host.others(), p.host.settings.ID) {
@@ -224,9 +228,10 @@
 	return append(preferred[first:len(preferred):len(preferred)], preferred[:first]...)
 }
 
-// sortByRendezvous sorts hosts by the rendezvous hash of each with self. It
-// distributes the hosts' bills evenly over the holders for any form of IDs, and few
-// hosts change their holder when a host joins or leaves.
+// sortByRendezvous returns the hosts sorted by the rendezvous hash of each host's ID
+// with self, the ID of this host. This order distributes the bills evenly over the
+// hosts that hold them, whatever the IDs look like, and few hosts change their holder
+// when a host joins or leaves.
 func sortByRendezvous(list []membership.Member, self string) []membership.Member {
 	ranked := slices.Clone(list)
 	slices.SortFunc(ranked, func(a, b membership.Member) int {
--- a/internal/entry/policy.go
+++ b/internal/entry/policy.go
@@ -9,7 +9,8 @@
 	"github.com/quetzalweir/quetzalweir/rollout"
 )
 
-// defaultSessionTTL is the lifetime of session tokens before the first manifest.
+// defaultSessionTTL is the lifetime of session tokens until the first manifest comes
+// into force.
 const defaultSessionTTL = time.Hour
 
 // percent is the sum of the shares in a manifest.
--- a/internal/entry/processes.go
+++ b/internal/entry/processes.go
@@ -13,9 +13,9 @@
 	// factProcess is the key prefix, before a host's ID, of the fact that names
 	// the process running under that ID.
 	factProcess = "process/"
-	// processTTL is the lifetime of such a fact. It covers the time in which
-	// repeats of a request need to know whether the process that ran it still
-	// exists.
+	// processTTL is the lifetime of such a fact. It covers the time in which a host
+	// that receives a repeat of a request has to determine whether the process that
+	// ran the request still exists.
 	processTTL = 24 * time.Hour
 )
 
@@ -27,8 +27,8 @@
 }
 
 // update records the process that a host announced. It reports whether the process
-// changed, which means that the host's earlier process is gone even if this host
-// never received its announcement.
+// differs from the last one recorded for the host, if any. If it does, an earlier
+// process of the host is gone, even if this host never received its announcement.
 func (p *processes) update(id string, f membership.Fact) (changed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -44,7 +44,8 @@
 	return previous != string(f.Value)
 }
 
-// replaced reports whether another process is known to run under the host's ID.
+// replaced reports whether a process other than incarnation was announced for the
+// host's ID.
 func (p *processes) replaced(id, incarnation string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -52,8 +53,8 @@
 	return ok && current != incarnation
 }
 
-// announceProcess publishes this process to the other hosts and renews the fact
-// before it expires.
+// announceProcess sends the fact that names this process to the other hosts and
+// renews the fact before it expires.
 func (h *Host) announceProcess(ctx context.Context) error {
 	return runPeriodically(ctx, processTTL/2, func() {
 		err := h.members.Put(membership.Fact{
@@ -68,9 +69,9 @@
 	})
 }
 
-// applyProcess records which process a host runs. The process may have replaced
-// another so quickly that the host was never detected as down; the bills of the
-// earlier one are settled nevertheless.
+// applyProcess records which process a host runs. If the process replaced an earlier
+// one, the bills of the earlier process are settled. The replacement may have been so
+// quick that the host was never detected as down.
 func (h *Host) applyProcess(f membership.Fact) {
 	id := strings.TrimPrefix(f.Key, factProcess)
 	if !h.processes.update(id, f) || id == h.settings.ID {
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -20,41 +20,42 @@
 )
 
 const (
-	// sightingsInterval is the time between checks for new observations of ended
-	// upstreams that have to be sent to the other hosts. A request that ends
-	// upstreams must be known on all hosts within 3 s.
+	// sightingsInterval is the time between checks for new sightings to send to the
+	// other hosts. A poison request must be known on all hosts within 3 s.
 	sightingsInterval = 200 * time.Millisecond
-	// verdictsInterval is the time between reads of the verdicts' rows while there
-	// are any, since operators may delete them.
+	// verdictsInterval is the time between two reads of the table's rows for
+	// verdicts. While this host has verdicts, it reads the rows repeatedly, since
+	// operators may delete them.
 	verdictsInterval = 5 * time.Second
-	// verdictsPrefix starts the keys of the rows for quarantined requests.
+	// verdictsPrefix starts the keys of the rows for verdicts.
 	verdictsPrefix = "quarantine/"
 
 	methodSightings = "quarantine.sightings"
 )
 
-// PathQuarantine lists the quarantined requests. A DELETE of the path followed by a
-// digest lifts the quarantine of that request.
+// PathQuarantine is the path that lists the quarantined requests. A DELETE of the path
+// followed by a digest withdraws the verdict on the requests with that digest.
 const PathQuarantine = "/v1/quarantine"
 
-// sightingsParams holds one host's observations of upstreams that ended, and its
-// suspects and verdicts.
+// sightingsParams holds the sightings, suspects and verdicts that one host sends.
 type sightingsParams struct {
 	Sightings exchange.Sightings        `json:"sightings,omitzero"`
 	Status    exchange.QuarantineStatus `json:"standing,omitzero"`
 }
 
-// quarantineExchange sends this host's observations of ended upstreams to the other
-// hosts, and follows the verdicts in the table. Every host receives the observations
-// of all others and decides by itself.
+// quarantineExchange sends this host's sightings to the other hosts and reads the
+// verdicts in the table. Every host receives the sightings of all others and reaches
+// verdicts by itself.
 type quarantineExchange struct {
 	host  *Host
 	guard *guard.Guard
 
 	mu sync.Mutex
-	// sentAt holds when each suspect and verdict was last sent to the other hosts.
+	// sentAt holds the time when each suspect or verdict was last sent to the other
+	// hosts. Entries older than resendInterval are removed.
 	sentAt map[quarantine.Digest]time.Time
-	// readAt is when the rows were last read; zero before the first read.
+	// readAt is when the rows for verdicts were last read; zero before the first
+	// read.
 	readAt time.Time
 }
 
@@ -62,11 +63,11 @@
 	e := &quarantineExchange{host: h, sentAt: make(map[quarantine.Digest]time.Time)}
 	e.guard = guard.New(guard.Options{
 		Host: h.incarnation, Table: h.platform.Table, Prefix: verdictsPrefix, Log: h.log,
-		// Hosts share no clock but the wall clock.
+		// The wall clock is the only clock whose times can be compared across hosts.
 		Clock:   func() time.Duration { return time.Duration(time.Now().UnixNano()) },
 		OnEvent: h.metrics.countGuardEvent,
 	})
-	peer.Handle(h.peerSrv, methodSightings, func(_ context.Context, _ string, p sightingsParams) (empty, error) {
+	peer.Handle(h.peerServer, methodSightings, func(_ context.Context, _ string, p sightingsParams) (empty, error) {
 		e.guard.AddSightings(p.Sightings)
 		e.guard.ApplyStatus(p.Status)
 		return empty{}, nil
@@ -74,18 +75,18 @@
 	return e
 }
 
-// run exchanges observations until ctx ends.
+// run sends sightings and reads verdicts until ctx ends.
 func (e *quarantineExchange) run(ctx context.Context) error {
-	var guarding sync.WaitGroup
-	guarding.Go(func() { e.guard.Run(ctx) })
-	defer guarding.Wait()
+	var background sync.WaitGroup
+	background.Go(func() { e.guard.Run(ctx) })
+	defer background.Wait()
 	return runPeriodically(ctx, sightingsInterval, func() {
 		e.send(ctx)
 		e.readVerdicts(ctx)
 	})
 }
 
-// send sends new observations, suspects and verdicts to all other hosts.
+// send sends new sightings, suspects and verdicts to all other hosts.
 func (e *quarantineExchange) send(ctx context.Context) {
 	params := sightingsParams{Sightings: e.guard.Sightings(), Status: e.unsent()}
 	if params.Sightings.IsZero() && params.Status.IsZero() {
@@ -97,8 +98,8 @@
 	for _, m := range e.host.others() {
 		calls.Go(func() {
 			if err := e.host.peers.Call(ctx, m.PeerAddr, methodSightings, params, nil); err != nil {
-				// The member reads verdicts from the table, or reaches one by itself
-				// after enough of the upstreams it uses ended.
+				// The member that wasn't reached reads the verdict from the table, or
+				// reaches it by itself after enough of its own upstreams terminated.
 				e.host.log.Debug().Str("event", "sightings-untold").Str("member", m.ID).Err(err).Msg("")
 			}
 		})
@@ -106,11 +107,11 @@
 	calls.Wait()
 }
 
-// resendInterval is the time after which a suspect may be sent again.
+// resendInterval is the time after which a suspect or verdict may be sent again.
 const resendInterval = time.Second
 
-// unsent returns this host's new suspects and its verdicts, except those sent within
-// resendInterval.
+// unsent returns this host's new suspects and its own verdicts, except those that
+// were sent within the last resendInterval.
 func (e *quarantineExchange) unsent() exchange.QuarantineStatus {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -121,24 +122,24 @@
 		}
 	}
 	status := e.guard.Status()
-	var s exchange.QuarantineStatus
+	var due exchange.QuarantineStatus
 	for _, suspect := range status.Suspects {
 		if _, ok := e.sentAt[suspect.Digest]; !ok && suspect.Age == 0 {
-			s.Suspects = append(s.Suspects, suspect)
+			due.Suspects = append(due.Suspects, suspect)
 			e.sentAt[suspect.Digest] = now
 		}
 	}
 	for _, v := range status.Verdicts {
 		if _, ok := e.sentAt[v.Digest]; !ok && v.By == e.host.incarnation {
-			s.Verdicts = append(s.Verdicts, v)
+			due.Verdicts = append(due.Verdicts, v)
 			e.sentAt[v.Digest] = now
 		}
 	}
-	return s
+	return due
 }
 
-// readVerdicts reads the verdicts' rows: once after the start, and then at
-// verdictsInterval while there are any.
+// readVerdicts applies the rows for verdicts in the table. It reads them once after
+// the start, and then at verdictsInterval while this host has verdicts.
 func (e *quarantineExchange) readVerdicts(ctx context.Context) {
 	if !e.readAt.IsZero() && (e.guard.Len() == 0 || time.Since(e.readAt) < verdictsInterval) {
 		return
@@ -147,7 +148,7 @@
 	defer cancel()
 	rows, err := e.host.platform.Table.List(ctx, verdictsPrefix, "", quarantine.MaxVerdicts)
 	if err != nil {
-		return // the next round reads them
+		return // the next call reads them
 	}
 	e.readAt = time.Now()
 	keys := make(map[string]bool, len(rows))
@@ -160,7 +161,8 @@
 	e.guard.LiftMissingRows(keys)
 }
 
-// quarantineContent returns the values that identify equal requests.
+// quarantineContent returns the parts of the request from which its digest for the
+// quarantine is computed.
 func (r *Request) quarantineContent() *quarantine.Content {
 	return &quarantine.Content{
 		Host: r.Route, Method: r.Service.Method, Target: r.Service.Path, Account: r.AccountName(), Body: r.Body,
@@ -172,7 +174,7 @@
 	return guard.Upstream{ID: u.ID, Service: u.Name, Address: u.Address, Incarnation: quarantine.Incarnation(exchange.HashID(u.ID))}
 }
 
-// guardOutcome returns how an attempt ended, as the guard classifies it.
+// guardOutcome returns the guard's class for the way in which an attempt ended.
 func guardOutcome(ctx context.Context, err error) guard.Outcome {
 	var status *upstream.StatusError
 	switch {
@@ -194,8 +196,8 @@
 	}
 }
 
-// checkQuarantine returns an error if the request may not be sent to an upstream
-// now.
+// checkQuarantine waits if the guard holds the request back. It returns an error if
+// the request may not be sent to an upstream.
 func (f *dispatch) checkQuarantine(ctx context.Context, r *Request) error {
 	err := f.guard.Admit(ctx, r.digest, r.Route)
 	switch {
@@ -216,9 +218,9 @@
 	writeJSON(w, verdicts)
 }
 
-// liftQuarantine withdraws a verdict. The other hosts apply this within
-// verdictsInterval.
-func (h *Host) liftQuarantine(w http.ResponseWriter, req *http.Request) {
+// withdrawVerdict withdraws the verdict on a digest. The other hosts do the same when
+// they next read the table, within verdictsInterval.
+func (h *Host) withdrawVerdict(w http.ResponseWriter, req *http.Request) {
 	d, err := quarantine.ParseDigest(req.PathValue("digest"))
 	if err != nil {
 		writeOperatorError(w, http.StatusBadRequest, err)
@@ -231,7 +233,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// countGuardEvent counts the guard's verdicts, ended upstreams and refusals.
+// countGuardEvent counts the guard's verdicts, the upstreams that terminated, and the
+// requests that the guard refused.
 func (m *requestMetrics) countGuardEvent(event guard.CountedEvent, service string) {
 	switch event {
 	case guard.CountVerdict:
--- a/internal/entry/queues.go
+++ b/internal/entry/queues.go
@@ -10,30 +10,33 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// queues holds an admission queue for each pool: the engines of a model or the
-// upstreams of a service. Requests for a full pool don't block those for another.
+// queues holds an admission queue for each pool. A pool is the engines with a model or
+// the upstreams of a service. Requests for a full pool don't block those for other
+// pools. max is the maximum capacity of a queue, and maxQueue the maximum number of
+// requests that wait in it.
 type queues struct {
 	max      int
 	maxQueue int
 	// queueFactor is Settings.QueueFactor. Its default is above 1, since hosts
 	// don't receive equal parts of the traffic and engines have queues of their
-	// own. It is bounded, since requests queued at an engine can no longer be
-	// refused or overtaken.
+	// own. It must not be much larger, since requests queued at an engine can no
+	// longer be refused or overtaken.
 	queueFactor int
 	mu          sync.RWMutex
 	classes     []admission.ClassOptions
 	byPool      map[string]*admission.Queue
-	// fleet is what the capacities are computed from.
+	// fleet holds the upstreams and the number of hosts from which the queues'
+	// capacities are computed.
 	fleet fleetSize
 }
 
-// fleetSize holds the known upstreams and the number of hosts that share them.
+// fleetSize holds the upstreams and the number of hosts that share them.
 type fleetSize struct {
-	// reachable are the upstreams that this host sends to. The total number may
-	// be larger.
+	// reachable holds the upstreams that this host sends to; total is the number of
+	// all upstreams in the host list, which may be larger.
 	reachable []*balance.Upstream
 	total     int
-	// hosts is the number of entry hosts.
+	// hosts is the number of entry hosts that are up.
 	hosts int
 }
 
@@ -41,7 +44,8 @@
 	return &queues{max: s.Capacity, maxQueue: s.MaxQueue, queueFactor: s.QueueFactor, byPool: make(map[string]*admission.Queue)}
 }
 
-// queue returns the queue of a pool whose name comes from the manifest.
+// queue returns the queue of a pool and creates it if there is none. The pool's name
+// must come from the manifest, so that the number of queues is bounded.
 func (q *queues) queue(pool string) *admission.Queue {
 	q.mu.RLock()
 	queue := q.byPool[pool]
@@ -68,25 +72,26 @@
 	}
 }
 
-// setFleet sets each pool's capacity to this host's share of the pool's capacity.
-func (q *queues) setFleet(reached []*balance.Upstream, total, hosts int) {
+// setFleet sets the capacity of each queue to this host's share of the pool's capacity.
+func (q *queues) setFleet(reachable []*balance.Upstream, total, hosts int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.fleet = fleetSize{reachable: reached, total: total, hosts: max(1, hosts)}
+	q.fleet = fleetSize{reachable: reachable, total: total, hosts: max(1, hosts)}
 	for pool, queue := range q.byPool {
 		queue.SetCapacity(q.hostShare(pool))
 	}
 }
 
-// hostShare returns this host's share of a pool's capacity. A pool without capacity
-// gets the maximum, so that its requests aren't queued but fail at once because
-// there is no upstream.
+// hostShare returns this host's share of a pool's capacity times queueFactor. For a
+// pool without capacity it returns the maximum, so that requests aren't queued but
+// fail at once because there is no upstream.
 func (q *queues) hostShare(pool string) int {
 	capacity := poolCapacity(pool, q.fleet.reachable)
 	if capacity == 0 {
 		return q.max
 	}
-	// The other upstreams are assumed to have the same capacity on average.
+	// The upstreams that this host doesn't send to are assumed to have the same
+	// average capacity.
 	scaled := capacity * max(1, q.fleet.total) / len(q.fleet.reachable)
 	return max(1, min(q.max, (scaled*q.queueFactor+q.fleet.hosts-1)/q.fleet.hosts))
 }
--- a/internal/entry/limits.go
+++ b/internal/entry/quota.go
@@ -9,7 +9,8 @@
 	"github.com/quetzalweir/quetzalweir/quota"
 )
 
-// methodBorrow asks another host to lend slots of an account's limit.
+// methodBorrow is the method that asks another host to lend slots of an account's
+// limit.
 const methodBorrow = "quota.borrow"
 
 // holderSeparator separates the host's ID from the random suffix in the holder names
@@ -27,7 +28,8 @@
 	return nil
 }
 
-// releaseQuota stops runQuota and returns the host's slots.
+// releaseQuota ends runQuota and then returns this host's slots, so that other hosts
+// can use them.
 func (h *Host) releaseQuota(ctx context.Context) error {
 	h.cancelQuota()
 	<-h.quotaDone
@@ -36,7 +38,7 @@
 
 // handleLoans registers the method by which other hosts borrow slots.
 func (h *Host) handleLoans() {
-	peer.Handle(h.peerSrv, methodBorrow, func(_ context.Context, _ string, r quota.LoanRequest) (quota.Loan, error) {
+	peer.Handle(h.peerServer, methodBorrow, func(_ context.Context, _ string, r quota.LoanRequest) (quota.Loan, error) {
 		return h.quota.Lend(r)
 	})
 }
@@ -52,7 +54,7 @@
 	id := holder[:max(0, strings.LastIndexByte(holder, holderSeparator))]
 	m, ok := p.host.members.Lookup(id)
 	if !ok {
-		return loan, fmt.Errorf("borrow from %s: %w", id, errNoHolder)
+		return loan, fmt.Errorf("borrow from %s: %w", id, errNoOtherHost)
 	}
 	err := p.host.peers.Call(ctx, m.PeerAddr, methodBorrow, request, &loan)
 	return loan, err
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -34,7 +34,7 @@
 	ID         string
 	Kind       Kind
 	Arrived    time.Time
-	AccountKey string // account key, a secret: never logged
+	AccountKey string // account key; a secret that must not be logged
 	ClassArg   string // class header; empty selects the account's default
 	// Patience is the caller's timeout; zero selects the class's default.
 	Patience time.Duration
@@ -72,18 +72,19 @@
 	Version       manifest.Version
 	Target        upstream.Target
 	Claim         *claim.Claim
-	// Steps are the completed model runs, for the bill.
+	// Steps holds the completed model runs. The bill lists them.
 	Steps []ledger.Step
-	// Usage is the token usage of the last run.
+	// Usage is the token usage of the last model run.
 	Usage    upstream.Usage
 	Attempts int
-	// FirstFrame is when the first frame arrived; zero before that.
+	// FirstFrame is when the first frame of the last attempt arrived; zero before
+	// that.
 	FirstFrame time.Time
 	// Faulted is set if an attempt failed in a way that counts against the version,
 	// even if another attempt succeeded.
 	Faulted bool
-	// BelowTarget is set if a cascade's answer is below its target rating, because
-	// the last step failed.
+	// BelowTarget is set if the rating of a cascade's answer is below the target. Such
+	// an answer is sent only if the cascade's last step failed.
 	BelowTarget bool
 	// Billed is set once the request's bill was recorded.
 	Billed bool
@@ -98,8 +99,8 @@
 	// first use.
 	prefixHashes []uint64
 	state        runstate.Tracker
-	// keyUnresolved is set while an earlier request with the same key may have run
-	// and the claim hasn't been read yet.
+	// keyUnresolved is set while an earlier request with the same key may have run,
+	// because the key's claim hasn't been read yet.
 	keyUnresolved bool
 }
 
@@ -114,9 +115,9 @@
 	return s
 }
 
-// BillID returns the bill's ID, which is the same for all retries with one key. A
-// claimed key belongs to a single request. Without a claim, a digest distinguishes
-// different requests with the same key, so that each is billed.
+// BillID returns the bill's ID, which is the same for all retries of a request with
+// the same key. A claimed key belongs to a single request. Without a claim, a digest
+// distinguishes different requests with the same key, so that each of them is billed.
 func (r *Request) BillID() string {
 	switch {
 	case r.RequestKey == "":
@@ -140,7 +141,8 @@
 	return r.Account.Name
 }
 
-// Epoch returns the manifest epoch that applies to the request, or 0 before one does.
+// Epoch returns the epoch of the manifest that applies to the request, or 0 before one
+// does.
 func (r *Request) Epoch() uint64 {
 	if r.Policy == nil {
 		return 0
@@ -158,12 +160,13 @@
 	Service(r *Request, answer upstream.ServiceResponse)
 	// Started reports whether any byte of the answer was sent to the caller.
 	Started() bool
-	// Reset discards what was received, before another attempt. It is called only
-	// while Started is false.
+	// Reset discards the frames received so far, before another attempt. It is called
+	// only while Started returns false.
 	Reset()
 	// Text returns the text of the answer so far.
 	Text() string
-	// Answer returns the complete answer, as a repeat of the request receives it.
+	// Answer returns the complete answer in the form that a repeat of the request
+	// receives.
 	Answer(r *Request) upstream.ServiceResponse
 	// Replay receives the complete answer of an earlier request with the same key.
 	Replay(r *Request, answer upstream.ServiceResponse)
--- a/internal/entry/request_test.go
+++ b/internal/entry/request_test.go
@@ -43,7 +43,7 @@
 func TestRunStateOfUnresolvedKey(t *testing.T) {
 	is := is.New(t)
 	r := &Request{keyUnresolved: true}
-	is.Equal(r.RunState(), runstate.MayHaveRun) // an earlier request may have run
+	is.Equal(r.RunState(), runstate.MayHaveRun) // an earlier request with the key may have run
 	r.keyUnresolved = false
 	is.Equal(r.RunState(), runstate.NotRun)
 	r.state.Raise(runstate.Ran)
@@ -56,14 +56,14 @@
 	var d departures
 	members := []membership.Member{
 		{ID: "a", State: membership.Up},
-		{ID: "b", State: membership.Down}, // failed: counted
+		{ID: "b", State: membership.Down}, // failed, so it is counted
 		{ID: "c", State: membership.Down}, // left by a planned stop
 	}
 	d.add("c")
 	is.Equal(d.countRemaining(members), 2)
-	members[2].State = membership.Up // back with the same ID
+	members[2].State = membership.Up // c returned with the same ID
 	is.Equal(d.countRemaining(members), 3)
-	members[2].State = membership.Down // and failed this time
+	members[2].State = membership.Down // c failed, without a planned stop
 	is.Equal(d.countRemaining(members), 3)
 }
 
@@ -79,11 +79,11 @@
 		ranked := sortByRendezvous(others, h.ID)
 		is.Equal(len(ranked), len(others))
 		first[ranked[0].ID]++
-		is.Equal(sortByRendezvous(others[1:], h.ID)[0].ID == ranked[0].ID, others[0].ID != ranked[0].ID) // stable
+		is.Equal(sortByRendezvous(others[1:], h.ID)[0].ID == ranked[0].ID, others[0].ID != ranked[0].ID) // the first holder changes only if that host is removed
 	}
 	most := 0
 	for _, n := range first {
 		most = max(most, n)
 	}
-	is.True(most <= 6) // sorted by ID, one host would hold the bills of all hosts before it
+	is.True(most <= 6) // if the order were by ID, one host would hold the bills of all hosts before it
 }
--- a/internal/entry/sampler.go
+++ b/internal/entry/sampler.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// samplerQueue is the maximum number of answers that wait for a rating. Further
-	// answers are dropped.
-	samplerQueue = 64
-	// samplerWorkers is the number of concurrent ratings. Too few ratings
-	// delay the roll-out of a good version.
+	// samplerQueueSize is the maximum number of answers that wait for a rating.
+	// Further answers aren't rated.
+	samplerQueueSize = 64
+	// samplerWorkers is the number of ratings that run concurrently. If too few
+	// answers are rated, the roll-out of a good version is delayed.
 	samplerWorkers = 8
 	// samplerTimeout is the timeout of one rating.
 	samplerTimeout = 5 * time.Second
 )
 
-// sampler rates answers of versions that roll in, outside the request path. A slow
-// rater causes samples to be dropped but never delays an answer.
+// sampler rates answers of versions that roll in. It does so after the request, so
+// that a slow rater causes samples to be dropped but never delays an answer.
 type sampler struct {
 	rater   storage.Rater
 	rollout *rollout.Tracker
@@ -33,7 +33,7 @@
 }
 
 func newSampler(rater storage.Rater, tracker *rollout.Tracker) *sampler {
-	return &sampler{rater: rater, rollout: tracker, queue: make(chan sample, samplerQueue)}
+	return &sampler{rater: rater, rollout: tracker, queue: make(chan sample, samplerQueueSize)}
 }
 
 func (s *sampler) enqueue(model, version, prompt, answer string) {
@@ -64,12 +64,12 @@
 	}
 }
 
-func (s *sampler) rate(ctx context.Context, a sample) {
+func (s *sampler) rate(ctx context.Context, queued sample) {
 	ctx, cancel := context.WithTimeout(ctx, samplerTimeout)
 	defer cancel()
-	rating, err := s.rater.Rate(ctx, a.model, a.version, a.prompt, a.answer)
+	rating, err := s.rater.Rate(ctx, queued.model, queued.version, queued.prompt, queued.answer)
 	if err != nil {
 		return
 	}
-	s.rollout.Rate(a.model, a.version, rating.Score)
+	s.rollout.Rate(queued.model, queued.version, rating.Score)
 }
--- a/internal/entry/settings.go
+++ b/internal/entry/settings.go
@@ -24,28 +24,30 @@
 	Callers   string
 	Operators string
 	Peers     string
-	// AdvertisePeers is the address at which other hosts reach Peers. Empty means
-	// Peers itself.
+	// AdvertisePeers is the address at which other hosts reach the Peers listener.
+	// Empty means the listener's own address.
 	AdvertisePeers string
 	// Seeds are peer addresses of other hosts, used to join while the table isn't
 	// available. They may be empty.
 	Seeds []string
 	// MaxBody is the maximum size of a request's body, in bytes. Default 8 MiB.
 	MaxBody int64
-	// Capacity is the maximum number of requests that the host runs at once.
-	// Default 1024.
+	// Capacity is the maximum number of requests that the host runs at once in one
+	// pool. Default 1024.
 	Capacity int
-	// MaxQueue is the maximum number of requests that wait. Default 4096.
+	// MaxQueue is the maximum number of requests that wait in one pool's queue.
+	// Default 4096.
 	MaxQueue int
 	// QueueFactor is the number of requests that all hosts together admit to a pool
 	// per request that the pool runs at once. Default 2.
 	QueueFactor int
-	// Selector chooses upstreams. Default nil: the chain of balance.NewSelector.
-	// Measurements set others for comparison.
+	// Selector chooses upstreams. Default nil, which selects the chain of
+	// balance.NewSelector. Measurements set other selectors for comparison.
 	Selector *balance.Selector
 	// SessionKeys sign the session tokens. The first one signs; all verify.
 	SessionKeys []session.Key
-	// PeerKeys authenticate the hosts to each other. The first one is offered.
+	// PeerKeys authenticate the hosts to each other. A calling host offers them in
+	// this order.
 	PeerKeys []peer.Key
 	// OperatorKeys are the bearer tokens accepted at the operators' address.
 	OperatorKeys []string
@@ -64,10 +66,11 @@
 	// CallerWriteTimeout is the timeout of one write to a slow caller. Default 30 s.
 	CallerWriteTimeout time.Duration
 	// BalancerLag is how long the balancer may still send connections after the
-	// host stopped being ready. Default 3 s.
+	// readiness check began to fail. Zero is valid, so that Provision doesn't set
+	// the default, 3 s.
 	BalancerLag time.Duration
-	// StopTimeout is the maximum time in which a planned stop waits for requests.
-	// Requests that still run are aborted then. Default 10 min.
+	// StopTimeout is the maximum time for which a planned stop waits for requests in
+	// flight. Requests that still run after it are aborted. Default 10 min.
 	StopTimeout time.Duration
 }
 
@@ -87,7 +90,7 @@
 	DefaultCallerWriteTimeout = 30 * time.Second
 )
 
-// Provision sets fields that are zero to their defaults.
+// Provision sets fields that are zero to their defaults, except BalancerLag.
 func (s *Settings) Provision() {
 	setDefault(&s.MaxBody, DefaultMaxBody)
 	setDefault(&s.Capacity, DefaultCapacity)
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -17,16 +17,17 @@
 const (
 	// abortTimeout is the maximum wait for aborted requests to end.
 	abortTimeout = 5 * time.Second
-	// abortPollInterval is the time between checks whether they ended.
+	// abortPollInterval is the time between checks whether aborted requests ended.
 	abortPollInterval = 10 * time.Millisecond
 )
 
-// ForceStop ends a planned stop early: requests that still run are aborted, and pending
+// ForceStop shortens a planned stop: requests that still run are aborted, and pending
 // bills and claims are written at once.
 func (h *Host) ForceStop() { h.forceStop() }
 
-// stop makes a planned stop. Readiness ends first. The host accepts requests while
-// the balancer may still send them, and then finishes those in flight.
+// stop makes a planned stop. First it makes the readiness check fail. The host then
+// accepts requests as long as the balancer may still send them, and finally finishes
+// those in flight.
 func (h *Host) stop(callers, operators *http.Server) error {
 	h.notReady.Store(true)
 	h.log.Info().Str("event", "stopping").Dur("balancer_lag_ms", h.settings.BalancerLag).Msg("")
--- a/internal/entry/trace.go
+++ b/internal/entry/trace.go
@@ -8,7 +8,7 @@
 	"github.com/quetzalweir/quetzalweir/resultcode"
 )
 
-// traceEpoch returns the bills and refusals under a manifest.
+// traceEpoch responds with the bills and refusals under the manifest of an epoch.
 func (h *Host) traceEpoch(w http.ResponseWriter, req *http.Request) {
 	epoch, ok := parseEpoch(w, req)
 	if !ok {
@@ -37,7 +37,8 @@
 	return list
 }
 
-// traceRequest returns a request's bill and the head of the manifest it ran under.
+// traceRequest responds with a request's bill and the head of the manifest that the
+// request ran under.
 func (h *Host) traceRequest(w http.ResponseWriter, req *http.Request) {
 	bill, err := ledger.ByRequest(req.Context(), h.platform.Table, h.platform.Objects, req.PathValue("request"))
 	if err != nil {
--- a/internal/entry/orders.go
+++ b/internal/entry/unloader.go
@@ -22,23 +22,25 @@
 	ordersTTL = 10 * time.Second
 	// ordersInterval is the time between checks for versions to unload.
 	ordersInterval = time.Second
-	// orderTimeout is the timeout of one order.
+	// orderTimeout is the timeout of one order, and of releasing a lease.
 	orderTimeout = 2 * time.Second
 )
 
-// unloader orders engines to unload withdrawn versions. It is a second safeguard: a
-// host that hasn't received the manifest with the withdrawal finds no engine with
-// the version. One host at a time sends the orders, under a lease; engines that
-// check fencing numbers refuse the orders of an earlier holder.
+// unloader orders engines to unload withdrawn versions. It is an additional safeguard:
+// once the version is unloaded, a host that hasn't received the manifest with the
+// withdrawal finds no engine that could run it. One host at a time sends the orders,
+// under a lease; engines that check fencing numbers refuse the orders of an earlier
+// holder of the lease.
 type unloader struct {
 	host    *Host
 	manager *lease.Manager
 	held    *lease.Lease
-	// blockedUntil is the earliest time at which another holder's lease can expire.
+	// blockedUntil is the earliest time at which the lease can expire that another
+	// host holds. Before that, this host doesn't try to acquire it.
 	blockedUntil time.Time
 }
 
-// run sends orders until ctx ends.
+// run sends unload orders until ctx ends.
 func (u *unloader) run(ctx context.Context) error {
 	defer u.release()
 	return runPeriodically(ctx, ordersInterval, func() { u.unloadWithdrawn(ctx) })
@@ -59,8 +61,8 @@
 	if !u.ensureLease(ctx) {
 		return
 	}
-	for _, w := range due {
-		u.sendUnload(ctx, w)
+	for _, pending := range due {
+		u.sendUnload(ctx, pending)
 	}
 }
 
@@ -74,14 +76,14 @@
 	for _, m := range policy.Document.Models {
 		for _, v := range m.Versions {
 			if v.State == manifest.Withdrawn {
-				list = append(list, u.enginesWith(m.Name, v.Name)...)
+				list = append(list, u.pendingUnloadsOf(m.Name, v.Name)...)
 			}
 		}
 	}
 	return list
 }
 
-func (u *unloader) enginesWith(model, version string) []pendingUnload {
+func (u *unloader) pendingUnloadsOf(model, version string) []pendingUnload {
 	var list []pendingUnload
 	for _, e := range u.host.pool.View() {
 		if e.Kind == storage.KindEngine && slices.Contains(e.Versions, model+"@"+version) {
@@ -115,24 +117,24 @@
 	return true
 }
 
-func (u *unloader) sendUnload(ctx context.Context, w pendingUnload) {
+func (u *unloader) sendUnload(ctx context.Context, pending pendingUnload) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	target := upstream.Target{ID: w.engine.ID, Address: w.engine.Address}
+	target := upstream.Target{ID: pending.engine.ID, Address: pending.engine.Address}
 	orders := lease.NewOrders(u.held, func(ctx context.Context, _ lease.Receiver, fencing uint64) error {
-		return u.host.engine.Unload(ctx, target, w.model, w.version, fencing)
+		return u.host.engine.Unload(ctx, target, pending.model, pending.version, fencing)
 	})
-	fenced := u.host.upstreams.checksFencing(w.engine.ID)
-	err := orders.Send(ctx, lease.Receiver{ID: w.engine.ID, Fenced: fenced})
+	fenced := u.host.upstreams.checksFencing(pending.engine.ID)
+	err := orders.Send(ctx, lease.Receiver{ID: pending.engine.ID, Fenced: fenced})
 	var early *lease.TooEarlyError
 	if errors.As(err, &early) {
-		return // The next step tries again.
+		return // The next check tries again.
 	}
-	u.host.log.Info().Str("event", "unload").Str("upstream", w.engine.ID).Str("model", w.model).
-		Str("version", w.version).Uint64("fencing", u.held.Fencing()).Bool("checks_fencing", fenced).AnErr("error", err).Msg("")
+	u.host.log.Info().Str("event", "unload").Str("upstream", pending.engine.ID).Str("model", pending.model).
+		Str("version", pending.version).Uint64("fencing", u.held.Fencing()).Bool("checks_fencing", fenced).AnErr("error", err).Msg("")
 }
 
-// release releases the lease when there are no orders to send.
+// release releases the lease if this host holds it.
 func (u *unloader) release() {
 	if u.held == nil {
 		return
--- a/internal/entry/upstreams.go
+++ b/internal/entry/upstreams.go
@@ -22,13 +22,13 @@
 // upstream is leaving.
 const factLeaving = "leaving/"
 
-// loadTimeout is the timeout of one load request.
+// loadTimeout is the timeout of one request for an upstream's load report.
 const loadTimeout = 2 * time.Second
 
-// maxLoadPolls is the maximum number of concurrent load requests.
+// maxLoadPolls is the maximum number of such requests that run concurrently.
 const maxLoadPolls = 64
 
-// upstreamDirectory holds the upstreams of the last host list.
+// upstreamDirectory holds the upstreams in the last host list from the platform.
 type upstreamDirectory struct {
 	upstreams atomic.Pointer[[]storage.Host]
 }
@@ -66,7 +66,8 @@
 }
 
 // pollHosts updates the pool from the platform's host list. If the list can't be
-// read, the last one stays in use. The load of new upstreams is requested at once.
+// read, the last list that was read stays in use. The load of new upstreams is
+// requested at once.
 func (h *Host) pollHosts(ctx context.Context) error {
 	return runPeriodically(ctx, h.settings.PollHosts, func() {
 		hosts, err := h.platform.Hosts.Hosts(ctx)
@@ -78,7 +79,8 @@
 		h.pool.Update(hosts)
 		h.fetchLoads(ctx, withoutReport(h.pool.View()))
 		h.updateFleetSize()
-		// A list without upstreams is outdated; no request could be served with it.
+		// A list without upstreams doesn't make the host ready, since no request could
+		// be served with it.
 		if len(h.upstreams.list()) > 0 {
 			h.upstreamsLoaded.Store(true)
 		}
@@ -98,8 +100,8 @@
 	})
 }
 
-// updateFleetSize updates components that depend on the number of upstreams and
-// entry hosts.
+// updateFleetSize passes the numbers of upstreams and entry hosts to the components
+// that depend on them.
 func (h *Host) updateFleetSize() {
 	hosts := h.countHostsUp()
 	h.pool.SetHosts(hosts)
@@ -118,7 +120,7 @@
 	return n
 }
 
-// fetchLoads requests the load of several upstreams and waits for all responses.
+// fetchLoads requests the load of the upstreams in list and waits for all responses.
 func (h *Host) fetchLoads(ctx context.Context, list []*balance.Upstream) {
 	var group errgroup.Group
 	group.SetLimit(maxLoadPolls)
@@ -140,8 +142,9 @@
 		h.log.Debug().Str("event", "load").Str("upstream", target.ID).Err(err).Msg("")
 		return
 	}
-	// This precedes Report, which also takes the upstream out of service: after it
-	// SetLeaving would find no change to send to the other hosts.
+	// upstreamLeaving must precede Report, which also takes the upstream out of
+	// service. After Report, SetLeaving would find no change, and the other hosts
+	// wouldn't be informed.
 	if load.Leaving {
 		h.upstreamLeaving(target.ID)
 	}
@@ -149,7 +152,7 @@
 }
 
 // upstreamLeaving takes an upstream out of service and informs the other hosts,
-// since the platform's list lags.
+// since the platform's host list contains the change only later.
 func (h *Host) upstreamLeaving(id string) {
 	version := uint64(time.Now().UnixMilli())
 	if !h.pool.SetLeaving(id, version) {
@@ -159,8 +162,8 @@
 	h.members.Put(membership.Fact{Key: factLeaving + id, Version: version, TTL: balance.DefaultAbsentFor})
 }
 
-// applyLeaving takes an upstream out of service that another host reported as
-// leaving.
+// applyLeaving takes an upstream out of service for which another host sent the fact
+// that it is leaving.
 func (h *Host) applyLeaving(f membership.Fact) {
 	if f.Expired() {
 		return
@@ -171,13 +174,14 @@
 	}
 }
 
-// runPeriodically calls f at once and then at the interval until ctx ends. A jitter
-// of a fifth of the interval prevents hosts from acting at the same time.
+// runPeriodically calls f at once and then at the interval until ctx ends. The
+// interval varies randomly by a fifth in total, so that the hosts don't call f at the
+// same time.
 func runPeriodically(ctx context.Context, interval time.Duration, f func()) error {
-	const jitter = 5
+	const jitterDivisor = 5
 	for {
 		f()
-		pause := interval - interval/(2*jitter) + rand.N(interval/jitter+1)
+		pause := interval - interval/(2*jitterDivisor) + rand.N(interval/jitterDivisor+1)
 		if err := wait.For(ctx, pause); err != nil {
 			return err
 		}
