--- a/internal/sealedconn/conn.go
+++ b/internal/sealedconn/conn.go
@@ -12,7 +12,7 @@
 	net.Conn
 
 	mu sync.Mutex
-	// call is the call attached to the connection; nil before the first one, for
+	// call is the call attached to the connection; nil before a call is attached, for
 	// example during the TLS handshake.
 	call *Call
 }
