--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -25,8 +25,8 @@
 	// Limits applies to each connection.
 	Limits Limits
 	// LocalIP is the source address of connections; nil lets the system choose.
-	// On a host with several addresses it ensures that all connections to peers,
-	// also those through middleboxes, have the same source address.
+	// On a host with several addresses, setting it makes peers and middleboxes see
+	// the same source address for all connections from the host.
 	LocalIP net.IP
 	// DialTimeout limits the time to establish the TCP connection; default 1 s.
 	DialTimeout time.Duration
@@ -176,7 +176,7 @@
 	// callSlots is a semaphore that holds one element for each open call, including
 	// calls whose caller no longer waits.
 	callSlots chan struct{}
-	// spawn is Client.spawn.
+	// spawn runs a function in a goroutine that Client.Close waits for.
 	spawn func(func()) bool
 }
 
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -33,7 +33,7 @@
 }
 
 // readTimeout returns how long to wait for the frame on the current connection.
-// hasGap reports whether later frames have already arrived.
+// hasGap is true if later frames have already arrived.
 func (w *frameWait) readTimeout(hasGap bool) time.Duration {
 	if hasGap {
 		return min(w.remaining(), w.gapTimeout)
--- a/upstream/events.go
+++ b/upstream/events.go
@@ -15,7 +15,7 @@
 }
 
 // eventReader reads server-sent events (WHATWG HTML, section 9.2) of limited
-// size. All events share its buffers.
+// size. It uses the same buffers for all events.
 type eventReader struct {
 	reader *bufio.Reader
 	// maxSize limits the size of one event, in bytes, including line ends and
@@ -35,7 +35,7 @@
 
 // next returns the next event that has data. A truncated event is not returned:
 // the error is io.EOF if the stream ends between events and
-// io.ErrUnexpectedEOF if it ends inside one.
+// io.ErrUnexpectedEOF if it ends inside an event.
 func (r *eventReader) next() (event, error) {
 	r.reset()
 	hasData := false
--- a/upstream/stream_test.go
+++ b/upstream/stream_test.go
@@ -68,8 +68,8 @@
 func allZero(s upstream.EngineStats) bool                  { return s == upstream.EngineStats{} }
 
 // scriptedEngine responds to each request with the next of its responses and then
-// breaks the connection. A response "VERSION|TEXT" sends TEXT with another model
-// version than that of the engine.
+// breaks the connection. A response in the form VERSION|TEXT is TEXT sent with the
+// given model version; all others are sent with the version of the engine.
 type scriptedEngine struct {
 	version   string
 	responses []string
@@ -104,8 +104,8 @@
 }
 
 // TestStreamDeliversCorrectPrefix sends random events over connections that break
-// at random points. The delivered frames must be the first ones of the response in
-// order, and io.EOF must mean that all of them were delivered.
+// at random points. The delivered frames must be the first frames of the response, in
+// order, and io.EOF must mean that all frames were delivered.
 func TestStreamDeliversCorrectPrefix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 6).Draw(t, "frames")
