--- a/internal/entry/chooseversion.go
+++ b/internal/entry/chooseversion.go
@@ -58,7 +58,7 @@
 	return v.State == manifest.RollingIn && v.Exposure != nil
 }
 
-// settleExposure records how a request ended whose answer was taken from the
+// settleExposure records the result of a request that took an answer from its
 // version's exposure budget. It is called once for all attempts together. If nothing
 // was sent to an upstream, the answer is returned to the budget. If the caller or the
 // deadline ended the request, the answer doesn't count against the version. A
@@ -83,9 +83,9 @@
 }
 
 // recordOutcome records the answer's success or failure for its version. If the
-// answer broke off, the guard first decides whether to attribute that to the version
-// or to the request. If it is attributed to the request, it doesn't count against the
-// version.
+// answer broke off, the guard first attributes the interruption to the version or to
+// the request. An interruption that is attributed to the request doesn't count against
+// the version.
 func (f *chooseVersion) recordOutcome(r *Request, outcome rollout.Outcome) {
 	model, version := r.Model, r.Version.Name
 	if !outcome.Failed || r.brokenUpstream == nil {
@@ -194,10 +194,9 @@
 	return f.keepVersion(ctx, r, eligible, bound)
 }
 
-// returnExposure gives an answer that chooseByShare took back to the version's
-// exposure budget. It is called if the session uses another version or couldn't be
-// bound. Otherwise the answer would stay open, since no result would ever be recorded
-// for it.
+// returnExposure returns an answer to the version's exposure budget after chooseByShare
+// took one from it and the session uses another version or couldn't be bound.
+// Otherwise the answer would stay open, since no result would ever be recorded for it.
 func (f *chooseVersion) returnExposure(model string, v manifest.Version) {
 	if hasExposureBudget(v) {
 		f.rollout.Return(model, v.Name)
--- a/internal/entry/claimonce.go
+++ b/internal/entry/claimonce.go
@@ -21,7 +21,7 @@
 const claimFinishTimeout = 500 * time.Millisecond
 
 // claimOnce ensures that a call that must not be repeated runs at most once. It
-// stores a claim to the call's request key in the table before the first byte goes to
+// stores a claim on the call's request key in the table before the first byte goes to
 // an upstream.
 type claimOnce struct {
 	claims *claim.Store
--- a/internal/entry/evidence.go
+++ b/internal/entry/evidence.go
@@ -20,16 +20,16 @@
 const (
 	// exchangeInterval is the time between exchanges of roll-out evidence.
 	exchangeInterval = 250 * time.Millisecond
-	// exchangesPerRelay is the number of exchanges after which a random host
-	// receives all evidence, including that of other hosts.
+	// exchangesPerRelay is the number of exchanges of which one sends all evidence,
+	// including that of other hosts, to a random host.
 	exchangesPerRelay = 8
 	// exchangeTimeout is the timeout of an exchange with one host.
 	exchangeTimeout = time.Second
 	// refillInterval is the maximum time between two attempts to claim grants of the
 	// exposure budgets.
 	refillInterval = time.Second
-	// minRefillInterval is the minimum time between two such attempts. It limits the
-	// rate of calls to the table.
+	// minRefillInterval is the minimum time between two attempts to claim grants. It
+	// limits the rate of calls to the table.
 	minRefillInterval = 50 * time.Millisecond
 	// stopKeyPrefix starts the keys of the table rows for stopped versions.
 	stopKeyPrefix = "stop/"
@@ -50,10 +50,10 @@
 }
 
 // evidenceExchange sends this host's evidence to the other hosts. Each host receives
-// only the evidence that changed since the last successful call to it; cursors holds
-// the position of that call by host. From time to time one of the hosts receives all
-// evidence, including that of other hosts, since some hosts can't reach each other or
-// joined late.
+// only the evidence that changed since the last successful call to it. cursors holds,
+// by host ID, the change number up to which the host has received the evidence. From
+// time to time a random host receives all evidence, including that of other hosts, for
+// the sake of hosts that can't reach each other or that joined late.
 type evidenceExchange struct {
 	host    *Host
 	mu      sync.Mutex
@@ -197,10 +197,10 @@
 	return nil
 }
 
-// refillExposure claims grants of the exposure budgets for this host until ctx ends:
-// at intervals, and also when the host needs a further grant. The host can't always
-// choose another version then, because another host may have bound the session to
-// this version.
+// refillExposure claims grants of the exposure budgets for this host until ctx ends,
+// at intervals and whenever the host needs a further grant. If it only claimed at
+// intervals, this host would refuse requests in sessions that another host has bound
+// to a version of which this host has no grant yet.
 func (h *Host) refillExposure(ctx context.Context) error {
 	granter := rollout.NewGranter(h.platform.Table, h.incarnation)
 	for {
--- a/internal/entry/maintenance.go
+++ b/internal/entry/maintenance.go
@@ -12,7 +12,7 @@
 	// maintenanceLease is the name of the lease held by the host that maintains
 	// the table.
 	maintenanceLease = "maintenance"
-	// maintenanceTTL is the duration of that lease.
+	// maintenanceTTL is the duration of the maintenance lease.
 	maintenanceTTL = 30 * time.Second
 	// maintenanceInterval is the time between maintenance rounds.
 	maintenanceInterval = 10 * time.Second
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// factHead is the key of the fact that holds the head of the manifest in
-	// force.
+	// factHead is the key of the membership fact that holds the head of the manifest
+	// in force.
 	factHead = "head"
 	// custodySweepInterval is the time between checks whether this host holds bills
 	// of hosts that no longer exist.
@@ -130,7 +130,7 @@
 }
 
 // departures holds the IDs of hosts that left by a planned stop. These hosts aren't
-// counted when a majority of the hosts is computed.
+// counted when the host computes how many hosts are a majority.
 type departures struct {
 	mu  sync.Mutex
 	ids map[string]bool
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -68,8 +68,8 @@
 	return err
 }
 
-// peerIP returns the local IP for calls to peers: the listener's, unless that is
-// unspecified.
+// peerIP returns the local IP for calls to peers. It is the listener's IP, or nil if
+// that is unspecified.
 func peerIP(listen string) net.IP {
 	host, _, _ := net.SplitHostPort(listen)
 	ip := net.ParseIP(host)
@@ -140,8 +140,8 @@
 			if p.host.peers.Call(ctx, m.PeerAddr, methodView, empty{}, &view) != nil {
 				return
 			}
-			// The view may have been created at any time since the call began, so the
-			// duration of the call is added to its age.
+			// The peer may have created the view at any time since the call began, so
+			// the age of its table read may be greater by the duration of the call.
 			if view.HasTableRead {
 				view.TableReadAge += boottime.Since(calledAt)
 			}
--- a/internal/entry/processes.go
+++ b/internal/entry/processes.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// factProcess is the key prefix, before a host's ID, of the fact that names
-	// the process running under that ID.
+	// factProcess is the key prefix, before a host's ID, of the membership fact that
+	// names the process running under that ID.
 	factProcess = "process/"
-	// processTTL is the lifetime of such a fact. It covers the time in which a host
-	// that receives a repeat of a request has to determine whether the process that
-	// ran the request still exists.
+	// processTTL is the lifetime of the fact that names a process. It covers the time
+	// in which a host that receives a repeat of a request has to determine whether the
+	// process that ran the request still exists.
 	processTTL = 24 * time.Hour
 )
 
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -174,7 +174,8 @@
 	return guard.Upstream{ID: u.ID, Service: u.Name, Address: u.Address, Incarnation: quarantine.Incarnation(exchange.HashID(u.ID))}
 }
 
-// guardOutcome returns the guard's class for the way in which an attempt ended.
+// guardOutcome converts the error of an attempt, or nil, to an outcome of package
+// guard.
 func guardOutcome(ctx context.Context, err error) guard.Outcome {
 	var status *upstream.StatusError
 	switch {
--- a/internal/entry/settings.go
+++ b/internal/entry/settings.go
@@ -20,7 +20,7 @@
 	// Zone is the host's availability zone.
 	Zone string
 	// Callers, Operators and Peers are the listeners' addresses, an IP and a port
-	// each. Port 0 selects a free one.
+	// each. Port 0 selects a free port.
 	Callers   string
 	Operators string
 	Peers     string
@@ -38,13 +38,14 @@
 	// MaxQueue is the maximum number of requests that wait in one pool's queue.
 	// Default 4096.
 	MaxQueue int
-	// QueueFactor is the number of requests that all hosts together admit to a pool
-	// per request that the pool runs at once. Default 2.
+	// QueueFactor is the ratio of the number of requests that all hosts together
+	// admit to a pool at once to the number that the pool runs at once. Default 2.
 	QueueFactor int
 	// Selector chooses upstreams. Default nil, which selects the chain of
 	// balance.NewSelector. Measurements set other selectors for comparison.
 	Selector *balance.Selector
-	// SessionKeys sign the session tokens. The first one signs; all verify.
+	// SessionKeys sign the session tokens. The first key signs new tokens; tokens
+	// signed with any of the keys are accepted.
 	SessionKeys []session.Key
 	// PeerKeys authenticate the hosts to each other. A calling host offers them in
 	// this order.
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -57,7 +57,8 @@
 	return errors.Join(fmt.Errorf("%d requests were aborted", running), closeErr)
 }
 
-// waitForAborted waits until aborted requests have recorded their bills and claims.
+// waitForAborted waits, up to abortTimeout, until all aborted requests have ended, so
+// that their bills and claims are recorded.
 func (h *Host) waitForAborted() {
 	ctx, cancel := context.WithTimeout(context.Background(), abortTimeout)
 	defer cancel()
--- a/internal/entry/unloader.go
+++ b/internal/entry/unloader.go
@@ -18,7 +18,7 @@
 	// ordersLease is the name of the lease held by the host that sends unload
 	// orders to engines.
 	ordersLease = "orders"
-	// ordersTTL is the duration of that lease.
+	// ordersTTL is the duration of the lease for sending orders.
 	ordersTTL = 10 * time.Second
 	// ordersInterval is the time between checks for versions to unload.
 	ordersInterval = time.Second
@@ -35,8 +35,8 @@
 	host    *Host
 	manager *lease.Manager
 	held    *lease.Lease
-	// blockedUntil is the earliest time at which the lease can expire that another
-	// host holds. Before that, this host doesn't try to acquire it.
+	// blockedUntil is the earliest time at which another host's lease can expire.
+	// Before that, this host doesn't try to acquire the lease.
 	blockedUntil time.Time
 }
 
--- a/internal/entry/upstreams.go
+++ b/internal/entry/upstreams.go
@@ -18,14 +18,15 @@
 	"github.com/quetzalweir/quetzalweir/upstream"
 )
 
-// factLeaving is the key prefix, before an upstream's ID, of the fact that the
-// upstream is leaving.
+// factLeaving is the key prefix, before an upstream's ID, of the membership fact that
+// the upstream is leaving.
 const factLeaving = "leaving/"
 
 // loadTimeout is the timeout of one request for an upstream's load report.
 const loadTimeout = 2 * time.Second
 
-// maxLoadPolls is the maximum number of such requests that run concurrently.
+// maxLoadPolls is the maximum number of requests for load reports that run
+// concurrently.
 const maxLoadPolls = 64
 
 // upstreamDirectory holds the upstreams in the last host list from the platform.
@@ -162,8 +163,8 @@
 	h.members.Put(membership.Fact{Key: factLeaving + id, Version: version, TTL: balance.DefaultAbsentFor})
 }
 
-// applyLeaving takes an upstream out of service for which another host sent the fact
-// that it is leaving.
+// applyLeaving takes an upstream out of service after another host reported that the
+// upstream is leaving.
 func (h *Host) applyLeaving(f membership.Fact) {
 	if f.Expired() {
 		return
@@ -174,9 +175,9 @@
 	}
 }
 
-// runPeriodically calls f at once and then at the interval until ctx ends. The
-// interval varies randomly by a fifth in total, so that the hosts don't call f at the
-// same time.
+// runPeriodically calls f at once and then at the interval until ctx ends. A random
+// jitter makes each pause up to a tenth of the interval shorter or longer, so that the
+// hosts don't call f at the same time.
 func runPeriodically(ctx context.Context, interval time.Duration, f func()) error {
 	const jitterDivisor = 5
 	for {
