--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -167,7 +167,7 @@
 		rpc:          rpc,
 		stream:       stream,
 		stallTimeout: o.StallTimeout,
-		callSlots:    make(chan struct{}, o.Limits.MaxConcurrent),
+		callSlots:    make(chan struct{}, o.Limits.MaxConcurrentCalls),
 		spawn:        l.client.spawn,
 	}
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -69,26 +69,26 @@
 
 // Default limits.
 const (
-	DefaultMaxMessageBytes  = 1 << 20
-	DefaultMaxConcurrent    = 64
-	DefaultMaxConns         = 1024
-	DefaultDialTimeout      = time.Second
-	DefaultHandshakeTimeout = 2 * time.Second
-	DefaultWriteTimeout     = 2 * time.Second
-	DefaultFrameTimeout     = 5 * time.Second
-	DefaultStallTimeout     = 3 * time.Second
-	DefaultIdleTimeout      = 2 * time.Minute
-	DefaultDrainTimeout     = 2 * time.Second
-	DefaultMinBackoff       = 100 * time.Millisecond
-	DefaultMaxBackoff       = 2 * time.Second
+	DefaultMaxMessageBytes    = 1 << 20
+	DefaultMaxConcurrentCalls = 64
+	DefaultMaxConns           = 1024
+	DefaultDialTimeout        = time.Second
+	DefaultHandshakeTimeout   = 2 * time.Second
+	DefaultWriteTimeout       = 2 * time.Second
+	DefaultFrameTimeout       = 5 * time.Second
+	DefaultStallTimeout       = 3 * time.Second
+	DefaultIdleTimeout        = 2 * time.Minute
+	DefaultDrainTimeout       = 2 * time.Second
+	DefaultMinBackoff         = 100 * time.Millisecond
+	DefaultMaxBackoff         = 2 * time.Second
 )
 
 // Limits limits the resources of one connection. Zero values select the defaults.
 type Limits struct {
 	// MaxMessageBytes is the maximum size of a message; default 1 MiB.
 	MaxMessageBytes int
-	// MaxConcurrent is the maximum number of open calls per connection; default 64.
-	MaxConcurrent int
+	// MaxConcurrentCalls is the maximum number of open calls per connection; default 64.
+	MaxConcurrentCalls int
 	// HandshakeTimeout limits the time for authentication; default 2 s.
 	HandshakeTimeout time.Duration
 	// WriteTimeout limits the time to write one frame; default 2 s. The connection
@@ -105,7 +105,7 @@
 
 func (l Limits) withDefaults() Limits {
 	defaults.Positive(&l.MaxMessageBytes, DefaultMaxMessageBytes)
-	defaults.Positive(&l.MaxConcurrent, DefaultMaxConcurrent)
+	defaults.Positive(&l.MaxConcurrentCalls, DefaultMaxConcurrentCalls)
 	defaults.Positive(&l.HandshakeTimeout, DefaultHandshakeTimeout)
 	defaults.Positive(&l.WriteTimeout, DefaultWriteTimeout)
 	defaults.Positive(&l.FrameTimeout, DefaultFrameTimeout)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -244,7 +244,7 @@
 		<-block
 		return nil, nil
 	}))
-	c := newClient(t, ClientOptions{Keys: keys, Limits: Limits{MaxConcurrent: 1}})
+	c := newClient(t, ClientOptions{Keys: keys, Limits: Limits{MaxConcurrentCalls: 1}})
 	done := make(chan error, 1)
 	go func() { done <- c.Call(context.Background(), s.Addr(), "block", nil, nil) }()
 	<-entered
