--- a/internal/entry/admit.go
+++ b/internal/entry/admit.go
@@ -16,7 +16,7 @@
 
 // Serve implements Filter.
 func (f *admit) Serve(ctx context.Context, r *Request, next Next) error {
-	grant, err := f.queues.queue(r.poolName()).Admit(ctx, ticket(r))
+	grant, err := f.queues.queue(r.poolName()).Admit(ctx, newTicket(r))
 	if err != nil {
 		return admissionError(ctx, err)
 	}
@@ -24,7 +24,7 @@
 	return next(ctx, r)
 }
 
-func ticket(r *Request) admission.Ticket {
+func newTicket(r *Request) admission.Ticket {
 	return admission.Ticket{
 		Account:  r.Account.Name,
 		Weight:   r.Account.Weight,
--- a/internal/entry/chooseversion.go
+++ b/internal/entry/chooseversion.go
@@ -24,7 +24,7 @@
 	rollout  *rollout.Tracker
 	guard    *guard.Guard
 	sampler  *sampler
-	registry *session.Registry
+	sessions *session.Registry
 	codec    *session.Codec
 	log      zerolog.Logger
 }
@@ -180,7 +180,7 @@
 		f.setBinding(r, proposal)
 		return v, reasonShare, nil
 	}
-	bound, durable, err := f.registry.Bind(ctx, proposal)
+	bound, durable, err := f.sessions.Bind(ctx, proposal)
 	if err != nil {
 		f.returnExposure(r.Model, v)
 		return v, "", contextError(ctx, err)
@@ -256,7 +256,7 @@
 // rebind replaces the stored binding and returns the binding in effect, which differs
 // from moved if another host moved the session first.
 func (f *chooseVersion) rebind(ctx context.Context, r *Request, old, moved session.Binding) (session.Binding, error) {
-	b, durable, err := f.registry.Rebind(ctx, old, moved)
+	b, durable, err := f.sessions.Rebind(ctx, old, moved)
 	if err != nil {
 		return b, contextError(ctx, err)
 	}
--- a/internal/entry/chooseversion_test.go
+++ b/internal/entry/chooseversion_test.go
@@ -37,11 +37,11 @@
 	tracker.SetVersions(versionRules(policy))
 	f := &chooseVersion{
 		rollout:  tracker,
-		registry: session.NewRegistry(session.Options{Table: memory.New()}),
+		sessions: session.NewRegistry(session.Options{Table: memory.New()}),
 		codec:    session.NewCodec([]session.Key{{ID: "k", Secret: make([]byte, 32)}}, time.Hour, nil),
 		log:      zerolog.Nop(),
 	}
-	_, _, err := f.registry.Bind(t.Context(), session.Binding{Account: "a", SessionID: "s", Model: "small", Version: "v1", Epoch: 1, IssuedAt: time.Now()})
+	_, _, err := f.sessions.Bind(t.Context(), session.Binding{Account: "a", SessionID: "s", Model: "small", Version: "v1", Epoch: 1, IssuedAt: time.Now()})
 	is.NoErr(err)
 	account, _ := policy.Account("a")
 	for range 50 {
--- a/internal/entry/evidence.go
+++ b/internal/entry/evidence.go
@@ -100,7 +100,7 @@
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	stops := e.host.rollout.Stops()
-	others := e.host.others()
+	others := e.host.otherHosts()
 	relayIndex := e.relayTarget(others)
 	var calls sync.WaitGroup
 	for i, m := range others {
--- a/internal/entry/headers.go
+++ b/internal/entry/headers.go
@@ -61,10 +61,10 @@
 	if len(r.RequestKey) > maxRequestKeyBytes {
 		return r, resultcode.New(resultcode.BadHeader, "%s has at most %d bytes", headerRequestKey, maxRequestKeyBytes)
 	}
-	return r, readTimeout(req, r)
+	return r, parseTimeout(req, r)
 }
 
-func readTimeout(req *http.Request, r *Request) error {
+func parseTimeout(req *http.Request, r *Request) error {
 	text := req.Header.Get(headerDeadline)
 	if text == "" {
 		return nil
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -51,26 +51,26 @@
 	metrics     *requestMetrics
 
 	// committer batches the table writes for claims, sessions and stopped versions.
-	committer  *groupcommit.Committer
-	store      *config.Store
-	watcher    *config.Watcher
-	members    *membership.Membership
-	peers      *peer.Client
-	peerServer *peer.Server
-	claims     *claim.Store
-	ledger     *ledger.Ledger
-	custody    *ledger.Custody
-	quota      *quota.Limiter
-	codec      *session.Codec
-	registry   *session.Registry
-	queues     *queues
-	retries    *admission.RetryBudget
-	pool       *balance.Pool
-	upstreams  *upstreamDirectory
-	rollout    *rollout.Tracker
-	cascade    *cascade.Learner
-	sampler    *sampler
-	evidence   *evidenceExchange
+	committer       *groupcommit.Committer
+	manifestStore   *config.Store
+	manifestWatcher *config.Watcher
+	members         *membership.Membership
+	peers           *peer.Client
+	peerServer      *peer.Server
+	claims          *claim.Store
+	ledger          *ledger.Ledger
+	custody         *ledger.Custody
+	quota           *quota.Limiter
+	sessionCodec    *session.Codec
+	sessions        *session.Registry
+	queues          *queues
+	retries         *admission.RetryBudget
+	pool            *balance.Pool
+	upstreams       *upstreamDirectory
+	rollout         *rollout.Tracker
+	cascade         *cascade.Learner
+	sampler         *sampler
+	evidence        *evidenceExchange
 	// quarantine blocks poison requests, whose runs terminate upstreams.
 	quarantine *quarantineExchange
 	unloader   *unloader
@@ -175,8 +175,8 @@
 	h.evidence = newEvidenceExchange(h)
 	h.quarantine = newQuarantineExchange(h)
 	leases := lease.New(lease.Options{Table: h.platform.Table})
-	h.unloader = &unloader{host: h, manager: leases}
-	h.maintenance = &maintenance{host: h, manager: leases}
+	h.unloader = &unloader{host: h, leases: leases}
+	h.maintenance = &maintenance{host: h, leases: leases}
 	h.handlePeers()
 	h.handleLoans()
 	h.watchMembers()
@@ -187,9 +187,9 @@
 // provisionManifest creates the components that determine which manifest is in
 // force.
 func (h *Host) provisionManifest() {
-	h.store = config.NewStore(h.platform.Table, h.platform.Objects)
-	h.watcher = config.NewWatcher(config.WatcherOptions{
-		Store:    h.store,
+	h.manifestStore = config.NewStore(h.platform.Table, h.platform.Objects)
+	h.manifestWatcher = config.NewWatcher(config.WatcherOptions{
+		Store:    h.manifestStore,
 		Host:     h.settings.ID,
 		Peers:    &peerViews{host: h},
 		Bodies:   &peerBodies{host: h},
@@ -216,8 +216,8 @@
 		Holders: &peerHolders{host: h},
 	})
 	h.custody = ledger.NewCustody(h.ledger, ledger.CustodyOptions{})
-	h.codec = session.NewCodec(h.settings.SessionKeys, defaultSessionTTL, nil)
-	h.registry = session.NewRegistry(session.Options{Table: h.committer})
+	h.sessionCodec = session.NewCodec(h.settings.SessionKeys, defaultSessionTTL, nil)
+	h.sessions = session.NewRegistry(session.Options{Table: h.committer})
 }
 
 // provisionRouting creates the components that decide how requests are limited,
@@ -285,7 +285,7 @@
 	run("peers", h.peerServer.Serve)
 	run("membership", h.members.Run)
 	run("process", h.announceProcess)
-	run("manifest", h.watcher.Run)
+	run("manifest", h.manifestWatcher.Run)
 	run("claims", h.claims.Run)
 	run("ledger", h.ledger.Run)
 	run("limits", h.runQuota)
--- a/internal/entry/maintenance.go
+++ b/internal/entry/maintenance.go
@@ -33,9 +33,9 @@
 // lease. Each step is safe to run on several hosts at once, so that the expiry of the
 // lease during a round only causes duplicate work.
 type maintenance struct {
-	host    *Host
-	manager *lease.Manager
-	held    *lease.Lease
+	host   *Host
+	leases *lease.Manager
+	held   *lease.Lease
 	// sessionCursor is the key after which the next round scans sessions.
 	sessionCursor string
 }
@@ -57,7 +57,7 @@
 	if m.held != nil && m.held.Renew(ctx) == nil {
 		return true
 	}
-	held, err := m.manager.Acquire(ctx, maintenanceLease, m.host.incarnation, maintenanceTTL)
+	held, err := m.leases.Acquire(ctx, maintenanceLease, m.host.incarnation, maintenanceTTL)
 	if err != nil {
 		m.held = nil
 		return false
@@ -70,9 +70,9 @@
 	now := time.Now()
 	_, err := m.host.claims.Sweep(ctx, claimsPerRound)
 	m.logError("claims", err)
-	m.sessionCursor, _, err = m.host.registry.Sweep(ctx, m.sessionCursor)
+	m.sessionCursor, _, err = m.host.sessions.Sweep(ctx, m.sessionCursor)
 	m.logError("sessions", err)
-	m.logError("confirmations", m.host.store.PruneConfirmations(ctx, now.Add(-confirmationTTL)))
+	m.logError("confirmations", m.host.manifestStore.PruneConfirmations(ctx, now.Add(-confirmationTTL)))
 	m.logError("ledger", ledger.Compact(ctx, m.host.platform.Table, m.host.platform.Objects, now.Add(-minSegmentAge)))
 }
 
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -57,7 +57,7 @@
 	h.members.Watch(factHead, func(f membership.Fact) {
 		var head config.Head
 		if json.Unmarshal(f.Value, &head) == nil {
-			h.watcher.ObserveHead(head)
+			h.manifestWatcher.ObserveHead(head)
 		}
 	})
 	h.members.Watch(factLeaving, h.applyLeaving)
@@ -66,7 +66,7 @@
 
 // announceHead sends the head of an accepted manifest to the other hosts as a fact.
 func (h *Host) announceHead(head config.Head) {
-	h.watcher.ObserveHead(head)
+	h.manifestWatcher.ObserveHead(head)
 	value, err := json.Marshal(head)
 	if err != nil {
 		return
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -34,7 +34,7 @@
 		h.metrics.set.NewGauge(name, read)
 	}
 	gauge("quetzalweir_manifest_epoch", func() float64 {
-		policy := h.watcher.Current()
+		policy := h.manifestWatcher.Current()
 		if policy == nil {
 			return 0
 		}
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -77,7 +77,7 @@
 		http.Error(w, "starting", http.StatusServiceUnavailable)
 		return
 	}
-	if _, err := currentPolicy(h.watcher); err != nil {
+	if _, err := currentPolicy(h.manifestWatcher); err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
@@ -90,7 +90,7 @@
 		writeOperatorError(w, http.StatusBadRequest, err)
 		return
 	}
-	submission, err := h.store.Submit(req.Context(), body, req.Header.Get(HeaderSubmitToken))
+	submission, err := h.manifestStore.Submit(req.Context(), body, req.Header.Get(HeaderSubmitToken))
 	if err != nil {
 		h.writeSubmitError(w, err)
 		return
@@ -123,7 +123,7 @@
 }
 
 func (h *Host) showCurrent(w http.ResponseWriter, _ *http.Request) {
-	policy := h.watcher.Current()
+	policy := h.manifestWatcher.Current()
 	if policy == nil {
 		writeOperatorError(w, http.StatusNotFound, errors.New("no manifest is in force"))
 		return
@@ -140,7 +140,7 @@
 
 func (h *Host) showHistory(w http.ResponseWriter, req *http.Request) {
 	after, _ := strconv.ParseUint(req.URL.Query().Get("after"), 10, 64)
-	heads, err := h.store.History(req.Context(), after, historyPage)
+	heads, err := h.manifestStore.History(req.Context(), after, historyPage)
 	if err != nil {
 		writeOperatorError(w, httpStatus(err), err)
 		return
@@ -153,7 +153,7 @@
 	if !ok {
 		return
 	}
-	policy, err := h.store.LoadEpoch(req.Context(), epoch)
+	policy, err := h.manifestStore.LoadEpoch(req.Context(), epoch)
 	if err != nil {
 		writeOperatorError(w, httpStatus(err), err)
 		return
@@ -163,7 +163,7 @@
 
 func (h *Host) showHosts(w http.ResponseWriter, _ *http.Request) {
 	response := HostsResponse{Self: h.settings.ID, Members: h.members.Members()}
-	if policy := h.watcher.Current(); policy != nil {
+	if policy := h.manifestWatcher.Current(); policy != nil {
 		response.Epoch = policy.Epoch
 	}
 	for _, u := range h.pool.View() {
@@ -217,7 +217,7 @@
 		writeOperatorError(w, httpStatus(err), err)
 		return
 	}
-	report, err := h.store.Report(req.Context(), head, h.memberIDs())
+	report, err := h.manifestStore.Report(req.Context(), head, h.memberIDs())
 	if err != nil {
 		writeOperatorError(w, httpStatus(err), err)
 		return
@@ -241,7 +241,7 @@
 
 // headAt returns the head of the manifest that was accepted with the given epoch.
 func (h *Host) headAt(ctx context.Context, epoch uint64) (config.Head, error) {
-	heads, err := h.store.History(ctx, epoch-1, 1)
+	heads, err := h.manifestStore.History(ctx, epoch-1, 1)
 	if err != nil {
 		return config.Head{}, err
 	}
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -82,10 +82,10 @@
 // handlePeers registers the methods that other hosts call.
 func (h *Host) handlePeers() {
 	peer.Handle(h.peerServer, methodView, func(context.Context, string, empty) (config.PeerView, error) {
-		return h.watcher.View(h.settings.ID), nil
+		return h.manifestWatcher.View(h.settings.ID), nil
 	})
 	peer.Handle(h.peerServer, methodBody, func(_ context.Context, _ string, p bodyParams) (bodyResult, error) {
-		body, ok := h.watcher.Body(p.Digest)
+		body, ok := h.manifestWatcher.Body(p.Digest)
 		if !ok {
 			return bodyResult{}, errors.New("this host doesn't have the body")
 		}
@@ -104,8 +104,8 @@
 	})
 }
 
-// others returns all members that aren't down, except this host.
-func (h *Host) others() []membership.Member {
+// otherHosts returns all members that aren't down, except this host.
+func (h *Host) otherHosts() []membership.Member {
 	all := h.members.Members()
 	list := make([]membership.Member, 0, len(all))
 	for _, m := range all {
@@ -133,7 +133,7 @@
 	var mu sync.Mutex
 	var views []config.PeerView
 	var calls sync.WaitGroup
-	for _, m := range p.host.others() {
+	for _, m := range p.host.otherHosts() {
 		calls.Go(func() {
 			var view config.PeerView
 			calledAt := boottime.Now()
@@ -164,7 +164,7 @@
 
 // FetchBody implements config.Bodies.
 func (p *peerBodies) FetchBody(ctx context.Context, digest string) ([]byte, error) {
-	for _, m := range p.host.others() {
+	for _, m := range p.host.otherHosts() {
 		var result bodyResult
 		if p.host.peers.Call(ctx, m.PeerAddr, methodBody, bodyParams{Digest: digest}, &result) == nil {
 			return result.Body, nil
@@ -209,7 +209,7 @@
 // none, those that are up in the same zone.
 func (p *peerHolders) candidates() []membership.Member {
 	var preferred, sameZone []membership.Member
-	for _, m := range sortByRendezvous(p.host.others(), p.host.settings.ID) {
+	for _, m := range sortByRendezvous(p.host.otherHosts(), p.host.settings.ID) {
 		switch {
 		case m.State != membership.Up:
 		case m.Zone != p.host.settings.Zone:
--- a/internal/entry/policy.go
+++ b/internal/entry/policy.go
@@ -24,12 +24,12 @@
 	h.quota.SetLimits(policy.Epoch, accountLimits(doc.Accounts))
 	h.rollout.SetVersions(versionRules(policy))
 	sessionTTL := time.Duration(doc.Sessions.TTLSeconds) * time.Second
-	h.codec.SetTTL(sessionTTL)
-	h.registry.SetTTL(sessionTTL)
+	h.sessionCodec.SetTTL(sessionTTL)
+	h.sessions.SetTTL(sessionTTL)
 	for _, m := range doc.Models {
 		for _, v := range m.Versions {
 			if v.State == manifest.Withdrawn {
-				h.registry.Evict(m.Name, v.Name)
+				h.sessions.Evict(m.Name, v.Name)
 			}
 		}
 	}
--- a/internal/entry/processes.go
+++ b/internal/entry/processes.go
@@ -22,8 +22,8 @@
 // processes records which process runs under each host's ID. A host that is replaced
 // keeps its ID, and the requests that its earlier process had in flight are lost.
 type processes struct {
-	mu      sync.Mutex
-	current map[string]string // host id to incarnation
+	mu           sync.Mutex
+	incarnations map[string]string // host id to incarnation
 }
 
 // update records the process that a host announced. It reports whether the process
@@ -32,15 +32,15 @@
 func (p *processes) update(id string, f membership.Fact) (changed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.current == nil {
-		p.current = make(map[string]string)
+	if p.incarnations == nil {
+		p.incarnations = make(map[string]string)
 	}
 	if f.Expired() {
-		delete(p.current, id)
+		delete(p.incarnations, id)
 		return false
 	}
-	previous := p.current[id]
-	p.current[id] = string(f.Value)
+	previous := p.incarnations[id]
+	p.incarnations[id] = string(f.Value)
 	return previous != string(f.Value)
 }
 
@@ -49,7 +49,7 @@
 func (p *processes) replaced(id, incarnation string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	current, ok := p.current[id]
+	current, ok := p.incarnations[id]
 	return ok && current != incarnation
 }
 
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -95,7 +95,7 @@
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	var calls sync.WaitGroup
-	for _, m := range e.host.others() {
+	for _, m := range e.host.otherHosts() {
 		calls.Go(func() {
 			if err := e.host.peers.Call(ctx, m.PeerAddr, methodSightings, params, nil); err != nil {
 				// The member that wasn't reached reads the verdict from the table, or
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -35,7 +35,7 @@
 // decode checks the account key and then reads the request, so that no body is read
 // for callers without an account.
 func (h *Host) decode(frontend Frontend, w http.ResponseWriter, req *http.Request) (*Request, error) {
-	policy, err := currentPolicy(h.watcher)
+	policy, err := currentPolicy(h.manifestWatcher)
 	if err == nil {
 		_, err = accountByKey(policy, accountKey(req))
 	}
--- a/internal/entry/unloader.go
+++ b/internal/entry/unloader.go
@@ -32,9 +32,9 @@
 // under a lease; engines that check fencing numbers refuse the orders of an earlier
 // holder of the lease.
 type unloader struct {
-	host    *Host
-	manager *lease.Manager
-	held    *lease.Lease
+	host   *Host
+	leases *lease.Manager
+	held   *lease.Lease
 	// blockedUntil is the earliest time at which another host's lease can expire.
 	// Before that, this host doesn't try to acquire the lease.
 	blockedUntil time.Time
@@ -68,7 +68,7 @@
 
 // pendingUnloads returns the withdrawn versions that engines report as loaded.
 func (u *unloader) pendingUnloads() []pendingUnload {
-	policy := u.host.watcher.Current()
+	policy := u.host.manifestWatcher.Current()
 	if policy == nil {
 		return nil
 	}
@@ -104,7 +104,7 @@
 	if boottime.Now().Before(u.blockedUntil) {
 		return false
 	}
-	held, err := u.manager.Acquire(ctx, ordersLease, u.host.incarnation, ordersTTL)
+	held, err := u.leases.Acquire(ctx, ordersLease, u.host.incarnation, ordersTTL)
 	var other *lease.HeldError
 	if errors.As(err, &other) {
 		u.blockedUntil = boottime.Now().Add(other.Wait)
