--- a/internal/entry/admit.go
+++ b/internal/entry/admit.go
@@ -8,15 +8,15 @@
 	"github.com/quetzalweir/quetzalweir/resultcode"
 )
 
-// admit waits for a slot in the admission queue of the request's pool. It refuses
-// at once a request that can't be answered before its deadline.
+// admit waits until the admission queue of the request's pool admits the request. It
+// immediately refuses a request that can't be answered before its deadline.
 type admit struct {
 	queues *queues
 }
 
 // Serve implements Filter.
 func (f *admit) Serve(ctx context.Context, r *Request, next Next) error {
-	grant, err := f.queues.queue(r.poolName()).Admit(ctx, ticket(r))
+	grant, err := f.queues.queue(r.poolName()).Admit(ctx, newTicket(r))
 	if err != nil {
 		return admissionError(ctx, err)
 	}
@@ -24,7 +24,7 @@
 	return next(ctx, r)
 }
 
-func ticket(r *Request) admission.Ticket {
+func newTicket(r *Request) admission.Ticket {
 	return admission.Ticket{
 		Account:  r.Account.Name,
 		Weight:   r.Account.Weight,
@@ -50,8 +50,8 @@
 	return contextError(ctx, err)
 }
 
-// contextError returns the result code for an expired deadline, a disconnected
-// caller or, without either, an internal error.
+// contextError wraps err with the result code for an expired deadline or a
+// disconnected caller, or as an internal error if ctx hasn't ended.
 func contextError(ctx context.Context, err error) error {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
--- a/internal/entry/maintenance.go
+++ b/internal/entry/maintenance.go
@@ -12,30 +12,30 @@
 	// maintenanceLease is the name of the lease held by the host that maintains
 	// the table.
 	maintenanceLease = "maintenance"
-	// maintenanceTTL is the duration of that lease.
+	// maintenanceTTL is the duration of the maintenance lease.
 	maintenanceTTL = 30 * time.Second
-	// maintenanceInterval is the time between rounds.
+	// maintenanceInterval is the time between maintenance rounds.
 	maintenanceInterval = 10 * time.Second
 	// maintenanceTimeout is the timeout of one round.
 	maintenanceTimeout = 20 * time.Second
-	// claimsPerRound is the maximum number of claims checked in a round.
+	// claimsPerRound is the maximum number of claims that one round checks.
 	claimsPerRound = 500
 	// minSegmentAge is the age from which ledger segments are compacted. It is
 	// far longer than a host takes to write its pending bills.
 	minSegmentAge = 10 * time.Minute
-	// confirmationTTL is the age at which a confirmation by a host that no longer
-	// exists is deleted.
+	// confirmationTTL is the age at which the confirmation of a manifest by a host
+	// that no longer exists is deleted.
 	confirmationTTL = 24 * time.Hour
 )
 
 // maintenance limits the size of the table: it deletes expired claims, sessions and
 // confirmations and compacts the ledger. One host at a time does this, under a
-// lease. Each step is safe to run on several hosts at once, so that a lapsed lease
-// only causes duplicate work.
+// lease. Each step is safe to run on several hosts at once, so that the expiry of the
+// lease during a round only causes duplicate work.
 type maintenance struct {
-	host    *Host
-	manager *lease.Manager
-	held    *lease.Lease
+	host   *Host
+	leases *lease.Manager
+	held   *lease.Lease
 	// sessionCursor is the key after which the next round scans sessions.
 	sessionCursor string
 }
@@ -57,7 +57,7 @@
 	if m.held != nil && m.held.Renew(ctx) == nil {
 		return true
 	}
-	held, err := m.manager.Acquire(ctx, maintenanceLease, m.host.incarnation, maintenanceTTL)
+	held, err := m.leases.Acquire(ctx, maintenanceLease, m.host.incarnation, maintenanceTTL)
 	if err != nil {
 		m.held = nil
 		return false
@@ -70,9 +70,9 @@
 	now := time.Now()
 	_, err := m.host.claims.Sweep(ctx, claimsPerRound)
 	m.logError("claims", err)
-	m.sessionCursor, _, err = m.host.registry.Sweep(ctx, m.sessionCursor)
+	m.sessionCursor, _, err = m.host.sessions.Sweep(ctx, m.sessionCursor)
 	m.logError("sessions", err)
-	m.logError("confirmations", m.host.store.PruneConfirmations(ctx, now.Add(-confirmationTTL)))
+	m.logError("confirmations", m.host.manifestStore.PruneConfirmations(ctx, now.Add(-confirmationTTL)))
 	m.logError("ledger", ledger.Compact(ctx, m.host.platform.Table, m.host.platform.Objects, now.Add(-minSegmentAge)))
 }
 
@@ -82,7 +82,7 @@
 	}
 }
 
-// release releases the lease in a planned stop. If that fails, the lease expires.
+// release releases the lease in a planned stop. If it can't be released, it expires.
 func (m *maintenance) release() {
 	if m.held == nil {
 		return
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -9,8 +9,9 @@
 	"github.com/quetzalweir/quetzalweir/resultcode"
 )
 
-// requestMetrics counts requests by class and result code. Account keys, request
-// keys and session IDs are never used as labels, whose values must be bounded.
+// requestMetrics holds the host's metrics, such as the number of requests by class and
+// result code. Account keys, request keys and session IDs are never used as labels,
+// because the number of a label's values must be bounded.
 type requestMetrics struct {
 	set *metrics.Set
 }
@@ -33,7 +34,7 @@
 		h.metrics.set.NewGauge(name, read)
 	}
 	gauge("quetzalweir_manifest_epoch", func() float64 {
-		policy := h.watcher.Current()
+		policy := h.manifestWatcher.Current()
 		if policy == nil {
 			return 0
 		}
--- a/internal/entry/processes.go
+++ b/internal/entry/processes.go
@@ -10,50 +10,51 @@
 )
 
 const (
-	// factProcess is the key prefix, before a host's ID, of the fact that names
-	// the process running under that ID.
+	// factProcess is the key prefix, before a host's ID, of the membership fact that
+	// names the process running under that ID.
 	factProcess = "process/"
-	// processTTL is the lifetime of such a fact. It covers the time in which
-	// repeats of a request need to know whether the process that ran it still
-	// exists.
+	// processTTL is the lifetime of the fact that names a process. It covers the time
+	// in which a host that receives a repeat of a request has to determine whether the
+	// process that ran the request still exists.
 	processTTL = 24 * time.Hour
 )
 
 // processes records which process runs under each host's ID. A host that is replaced
 // keeps its ID, and the requests that its earlier process had in flight are lost.
 type processes struct {
-	mu      sync.Mutex
-	current map[string]string // host id to incarnation
+	mu           sync.Mutex
+	incarnations map[string]string // host id to incarnation
 }
 
 // update records the process that a host announced. It reports whether the process
-// changed, which means that the host's earlier process is gone even if this host
-// never received its announcement.
+// differs from the last one recorded for the host, if any. If it does, an earlier
+// process of the host is gone, even if this host never received its announcement.
 func (p *processes) update(id string, f membership.Fact) (changed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.current == nil {
-		p.current = make(map[string]string)
+	if p.incarnations == nil {
+		p.incarnations = make(map[string]string)
 	}
 	if f.Expired() {
-		delete(p.current, id)
+		delete(p.incarnations, id)
 		return false
 	}
-	previous := p.current[id]
-	p.current[id] = string(f.Value)
+	previous := p.incarnations[id]
+	p.incarnations[id] = string(f.Value)
 	return previous != string(f.Value)
 }
 
-// replaced reports whether another process is known to run under the host's ID.
+// replaced reports whether a process other than incarnation was announced for the
+// host's ID.
 func (p *processes) replaced(id, incarnation string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	current, ok := p.current[id]
+	current, ok := p.incarnations[id]
 	return ok && current != incarnation
 }
 
-// announceProcess publishes this process to the other hosts and renews the fact
-// before it expires.
+// announceProcess sends the fact that names this process to the other hosts and
+// renews the fact before it expires.
 func (h *Host) announceProcess(ctx context.Context) error {
 	return runPeriodically(ctx, processTTL/2, func() {
 		err := h.members.Put(membership.Fact{
@@ -68,9 +69,9 @@
 	})
 }
 
-// applyProcess records which process a host runs. The process may have replaced
-// another so quickly that the host was never detected as down; the bills of the
-// earlier one are settled nevertheless.
+// applyProcess records which process a host runs. If the process replaced an earlier
+// one, the bills of the earlier process are settled. The replacement may have been so
+// quick that the host was never detected as down.
 func (h *Host) applyProcess(f membership.Fact) {
 	id := strings.TrimPrefix(f.Key, factProcess)
 	if !h.processes.update(id, f) || id == h.settings.ID {
--- a/internal/peer/key.go
+++ b/internal/peer/key.go
@@ -4,8 +4,8 @@
 
 const (
 	// MinSecretBytes is the minimum length of a secret. Anyone who sends a hello
-	// receives a proof that allows guessing the secret offline, so it must be random
-	// and long.
+	// receives a proof that allows guessing the secret offline, so the secret must be
+	// random and long.
 	MinSecretBytes = 32
 	// MaxKeys is the maximum number of keys that are valid at the same time.
 	MaxKeys = 8
@@ -14,8 +14,8 @@
 )
 
 // Key is a secret shared by the entry hosts. Several keys can be valid at the same
-// time, so that a key is rotated without interruption: the new key is added on all
-// hosts, then the old one is removed.
+// time, so that a key can be rotated without interruption: the new key is added on
+// all hosts, and then the old one is removed.
 type Key struct {
 	// ID identifies the key on the wire. It is not secret.
 	ID string
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -7,9 +7,9 @@
 // host that accepted it responds. A call is sent at most once; the error indicates
 // whether it may have reached the other host.
 //
-// The entry hosts use it for membership, evidence, bills and loans of quota.
-// Frames are authenticated but not encrypted, and calls on different connections
-// aren't ordered.
+// The entry hosts use it for membership, manifests, roll-out evidence, quarantine
+// sightings, copies of bills and loans of quota. Frames are authenticated but not
+// encrypted, and calls on different connections aren't ordered.
 package peer
 
 import (
@@ -35,7 +35,7 @@
 	// ErrMalformed means that the received bytes aren't a valid frame or message.
 	ErrMalformed = errors.New("peer: malformed message")
 	// ErrAuthentication means that the other side didn't prove possession of a
-	// shared key, or that a frame was altered, repeated or omitted.
+	// shared key, or that a frame was altered, repeated, reordered or omitted.
 	ErrAuthentication = errors.New("peer: authentication failed")
 	// ErrClosed means that the client or server was closed.
 	ErrClosed = errors.New("peer: closed")
@@ -69,26 +69,26 @@
 
 // Default limits.
 const (
-	DefaultMaxMessageBytes  = 1 << 20
-	DefaultMaxConcurrent    = 64
-	DefaultMaxConns         = 1024
-	DefaultDialTimeout      = time.Second
-	DefaultHandshakeTimeout = 2 * time.Second
-	DefaultWriteTimeout     = 2 * time.Second
-	DefaultFrameTimeout     = 5 * time.Second
-	DefaultStallTimeout     = 3 * time.Second
-	DefaultIdleTimeout      = 2 * time.Minute
-	DefaultDrainTimeout     = 2 * time.Second
-	DefaultMinBackoff       = 100 * time.Millisecond
-	DefaultMaxBackoff       = 2 * time.Second
+	DefaultMaxMessageBytes    = 1 << 20
+	DefaultMaxConcurrentCalls = 64
+	DefaultMaxConns           = 1024
+	DefaultDialTimeout        = time.Second
+	DefaultHandshakeTimeout   = 2 * time.Second
+	DefaultWriteTimeout       = 2 * time.Second
+	DefaultFrameTimeout       = 5 * time.Second
+	DefaultStallTimeout       = 3 * time.Second
+	DefaultIdleTimeout        = 2 * time.Minute
+	DefaultDrainTimeout       = 2 * time.Second
+	DefaultMinBackoff         = 100 * time.Millisecond
+	DefaultMaxBackoff         = 2 * time.Second
 )
 
 // Limits limits the resources of one connection. Zero values select the defaults.
 type Limits struct {
 	// MaxMessageBytes is the maximum size of a message; default 1 MiB.
 	MaxMessageBytes int
-	// MaxConcurrent is the maximum number of open calls per connection; default 64.
-	MaxConcurrent int
+	// MaxConcurrentCalls is the maximum number of open calls per connection; default 64.
+	MaxConcurrentCalls int
 	// HandshakeTimeout limits the time for authentication; default 2 s.
 	HandshakeTimeout time.Duration
 	// WriteTimeout limits the time to write one frame; default 2 s. The connection
@@ -99,13 +99,13 @@
 	FrameTimeout time.Duration
 	// IdleTimeout is how long a server waits for a frame; default 2 min. The client
 	// waits half as long, so that it doesn't send a call on a connection that the
-	// server is about to close. A call that takes longer fails.
+	// server is about to close. A call whose response takes longer than that fails.
 	IdleTimeout time.Duration
 }
 
 func (l Limits) withDefaults() Limits {
 	defaults.Positive(&l.MaxMessageBytes, DefaultMaxMessageBytes)
-	defaults.Positive(&l.MaxConcurrent, DefaultMaxConcurrent)
+	defaults.Positive(&l.MaxConcurrentCalls, DefaultMaxConcurrentCalls)
 	defaults.Positive(&l.HandshakeTimeout, DefaultHandshakeTimeout)
 	defaults.Positive(&l.WriteTimeout, DefaultWriteTimeout)
 	defaults.Positive(&l.FrameTimeout, DefaultFrameTimeout)
--- a/upstream/events.go
+++ b/upstream/events.go
@@ -15,7 +15,7 @@
 }
 
 // eventReader reads server-sent events (WHATWG HTML, section 9.2) of limited
-// size. It reuses its buffers for each event.
+// size. It uses the same buffers for all events.
 type eventReader struct {
 	reader *bufio.Reader
 	// maxSize limits the size of one event, in bytes, including line ends and
@@ -35,7 +35,7 @@
 
 // next returns the next event that has data. A truncated event is not returned:
 // the error is io.EOF if the stream ends between events and
-// io.ErrUnexpectedEOF if it ends inside one.
+// io.ErrUnexpectedEOF if it ends inside an event.
 func (r *eventReader) next() (event, error) {
 	r.reset()
 	hasData := false
@@ -61,8 +61,8 @@
 	r.data = r.data[:0]
 }
 
-// parseField adds one line to the event and reports whether it is a data field.
-// hasData reports whether the event already has one.
+// parseField adds one line to the event and reports whether the line is a data
+// field. hasData is true if the event already has a data field.
 func (r *eventReader) parseField(line []byte, hasData bool) bool {
 	name, value, _ := bytes.Cut(line, []byte{':'})
 	value = bytes.TrimPrefix(value, []byte{' '})
