--- a/session/cache.go
+++ b/session/cache.go
@@ -10,8 +10,9 @@
 // cacheShards is the number of independently locked shards, a power of two.
 const cacheShards = 16
 
-// entry is a cached copy of a binding.
-type entry struct {
+// cachedBinding is a cached copy of a binding. Its readAt is the start of the call
+// of Bind or Rebind that cached it.
+type cachedBinding struct {
 	record record
 	// durable is true if the binding was read from or written to its row.
 	durable bool
@@ -21,7 +22,7 @@
 // cache is a sharded LRU cache of bindings by row key. Each shard has its own
 // lock.
 type cache struct {
-	shards [cacheShards]*lru.Cache[string, entry]
+	shards [cacheShards]*lru.Cache[string, cachedBinding]
 }
 
 func newCache(size int) *cache {
@@ -29,24 +30,24 @@
 	perShard := max(1, size/cacheShards)
 	for i := range c.shards {
 		// New fails only for sizes below 1.
-		c.shards[i], _ = lru.New[string, entry](perShard)
+		c.shards[i], _ = lru.New[string, cachedBinding](perShard)
 	}
 	return c
 }
 
-func (c *cache) shard(key string) *lru.Cache[string, entry] {
+func (c *cache) shard(key string) *lru.Cache[string, cachedBinding] {
 	return c.shards[xxhash.Sum64String(key)%cacheShards]
 }
 
-func (c *cache) get(key string) (entry, bool) {
+func (c *cache) get(key string) (cachedBinding, bool) {
 	return c.shard(key).Get(key)
 }
 
-func (c *cache) put(key string, e entry) {
+func (c *cache) put(key string, e cachedBinding) {
 	c.shard(key).Add(key, e)
 }
 
-func (c *cache) evict(model, version string) {
+func (c *cache) evictVersion(model, version string) {
 	for _, s := range c.shards {
 		for _, key := range s.Keys() {
 			e, ok := s.Peek(key)
--- a/session/choose.go
+++ b/session/choose.go
@@ -13,8 +13,8 @@
 // significand.
 const hashBits = 53
 
-// SessionHash returns a hash of the session and model in [0,1). It is the same on all
-// hosts.
+// SessionHash returns a hash of the account, session and model in [0,1). It is the
+// same on all hosts.
 func SessionHash(account, sessionID, model string) float64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -24,19 +24,20 @@
 	return unitInterval(d.Sum64())
 }
 
-// Choose selects the version of a new session by weighted rendezvous hashing.
-// Each version gets a score from the hash of the point and its name, scaled by
-// its share, and the lowest score wins. The choice doesn't depend on the order
-// of the versions or on versions without a share. It returns false if no
+// Choose selects the version of a new session by weighted rendezvous hashing;
+// sessionHash is the result of SessionHash. Each version gets a score from a hash
+// of sessionHash and the version's name, scaled by the version's share, and Choose
+// returns the version with the lowest score. The choice doesn't depend on the order
+// of the versions or on versions without a share. Choose returns false if no
 // version accepts new sessions.
-func Choose(versions []manifest.Version, point float64) (manifest.Version, bool) {
+func Choose(versions []manifest.Version, sessionHash float64) (manifest.Version, bool) {
 	best := -1
 	lowest := math.Inf(1)
 	for i, v := range versions {
 		if !acceptsNewSessions(v) {
 			continue
 		}
-		score := -math.Log(versionHash(point, v.Name)) / float64(v.Share)
+		score := -math.Log(versionHash(sessionHash, v.Name)) / float64(v.Share)
 		if score < lowest {
 			lowest = score
 			best = i
@@ -55,13 +56,13 @@
 	return v.State == manifest.Serving || v.State == manifest.RollingIn
 }
 
-// versionHash returns a hash of the point and the version name in (0,1]. It is
+// versionHash returns a hash of sessionHash and the version name in (0,1]. It is
 // never 0, since Choose takes its logarithm.
-func versionHash(point float64, name string) float64 {
+func versionHash(sessionHash float64, name string) float64 {
 	var d xxhash.Digest
 	d.Reset()
 	var bits [8]byte
-	binary.LittleEndian.PutUint64(bits[:], math.Float64bits(point))
+	binary.LittleEndian.PutUint64(bits[:], math.Float64bits(sessionHash))
 	_, _ = d.Write(bits[:])
 	_, _ = d.WriteString(name)
 	return 1 - unitInterval(d.Sum64())
--- a/session/choose_test.go
+++ b/session/choose_test.go
@@ -13,7 +13,7 @@
 
 // chooseByInterval is the rejected alternative to rendezvous hashing: versions
 // own adjacent intervals of [0,1), ordered by name.
-func chooseByInterval(versions []manifest.Version, point float64) (manifest.Version, bool) {
+func chooseByInterval(versions []manifest.Version, sessionHash float64) (manifest.Version, bool) {
 	sorted := append([]manifest.Version(nil), versions...)
 	sort.Slice(sorted, func(i, j int) bool { return sorted[i].Name < sorted[j].Name })
 	end := 0.0
@@ -22,7 +22,7 @@
 			continue
 		}
 		end += float64(v.Share) / 100
-		if point < end {
+		if sessionHash < end {
 			return v, true
 		}
 	}
@@ -33,14 +33,14 @@
 
 type chooser func([]manifest.Version, float64) (manifest.Version, bool)
 
-// movedFraction returns the fraction of sessions whose version changes with the
-// shares.
+// movedFraction returns the fraction of sessions whose version changes when the
+// shares change from before to after.
 func movedFraction(choose chooser, before, after []manifest.Version) float64 {
 	moved := 0
 	for i := range sampledSessions {
-		point := SessionHash("acme", fmt.Sprint(i), "small")
-		a, _ := choose(before, point)
-		b, _ := choose(after, point)
+		hash := SessionHash("acme", fmt.Sprint(i), "small")
+		a, _ := choose(before, hash)
+		b, _ := choose(after, hash)
 		if a.Name != b.Name {
 			moved++
 		}
@@ -58,11 +58,12 @@
 	return float64(sum) / 100
 }
 
-func TestMovedByShareChange(t *testing.T) {
+func TestShareChangeMovesFewSessions(t *testing.T) {
 	cases := []struct {
 		desc          string
 		before, after []int
-		// maxRatio is the limit for rendezvous hashing, as a multiple of the minimum.
+		// maxRatio is the maximum fraction of sessions that rendezvous hashing may
+		// move, as a multiple of the minimum fraction.
 		maxRatio float64
 	}{
 		{desc: "two versions, one roll-out step", before: []int{90, 10}, after: []int{80, 20}, maxRatio: 1.05},
@@ -101,7 +102,7 @@
 	}
 }
 
-func TestPointKeepsFieldsApart(t *testing.T) {
+func TestSessionHashSeparatesFields(t *testing.T) {
 	is := is.New(t)
 	is.True(SessionHash("a", "bc", "m") != SessionHash("ab", "c", "m"))
 	is.True(SessionHash("a", "b", "m") != SessionHash("a", "b", "n"))
--- a/session/codec.go
+++ b/session/codec.go
@@ -39,8 +39,8 @@
 }
 
 // NewCodec returns a Codec whose tokens are valid for ttl after they are
-// issued. The first key signs, all keys verify. A nil clock means time.Now. It
-// panics if the keys are invalid, by the rules of ParseKeys.
+// issued. The first key signs, all keys verify. A nil clock means time.Now.
+// NewCodec panics if the keys don't meet the requirements of ParseKeys.
 func NewCodec(keys []Key, ttl time.Duration, clock storage.Clock) *Codec {
 	if clock == nil {
 		clock = time.Now
@@ -95,8 +95,8 @@
 	return tokenEncoding.EncodeToString(raw)
 }
 
-// Verify verifies a token and returns its binding. The error is exactly one of
-// ErrMalformed, ErrUnknownKey, ErrOtherAccount and ErrExpired.
+// Verify verifies a token of the account and returns its binding. The error is
+// exactly one of ErrMalformed, ErrUnknownKey, ErrOtherAccount and ErrExpired.
 func (c *Codec) Verify(token, account string) (Binding, error) {
 	if len(token) > maxTokenChars {
 		return Binding{}, ErrMalformed
@@ -131,9 +131,9 @@
 	return b, nil
 }
 
-// expired reports whether a token issued at the given time is outside its TTL.
-// It accepts times up to one TTL in the future, so that clock skew between hosts
-// doesn't end sessions.
+// expired reports whether the issue time of a token is more than one TTL away from
+// the current time. It may be up to one TTL in the future, so that clock skew
+// between hosts doesn't end sessions.
 func (c *Codec) expired(issued time.Time) bool {
 	return c.clock().Sub(issued).Abs() > time.Duration(c.ttl.Load())
 }
--- a/session/cost_test.go
+++ b/session/cost_test.go
@@ -15,8 +15,9 @@
 	"github.com/quetzalweir/quetzalweir/storage/memory"
 )
 
-// TestTableCost logs the table load from new sessions without a token, with and
-// without group commit, in virtual time. Each session is bound on two hosts.
+// TestTableCost logs how many commits and reads per second new sessions without a
+// token cause, with and without group commit, in virtual time. Each session is
+// bound on two hosts.
 func TestTableCost(t *testing.T) {
 	const (
 		hosts      = 7
--- a/session/registry.go
+++ b/session/registry.go
@@ -20,8 +20,8 @@
 	// first use at least one TTL after its last write, so it lives at least one
 	// TTL after each use without a write per use.
 	rowTTLFactor = 2
-	// maxAttempts is the maximum number of attempts of one bind when other hosts
-	// change the row concurrently.
+	// maxAttempts is the maximum number of attempts of one Bind or Rebind to write
+	// the row while other hosts change it concurrently.
 	maxAttempts = 4
 )
 
@@ -51,8 +51,9 @@
 	// Recheck is the age at which a cached binding is read from the table
 	// again; default 5 min.
 	Recheck time.Duration
-	// Backoff is how long no table call is made after one failed, so that
-	// requests don't each wait for the timeout during an outage; default 1 s.
+	// Backoff is how long the Registry makes no table call after a failed one,
+	// so that requests don't each wait for the timeout during an outage;
+	// default 1 s.
 	Backoff time.Duration
 	// CacheSize is the number of cached bindings; default 16,384.
 	CacheSize int
@@ -95,11 +96,11 @@
 // shorter TTL can't sweep it early.
 func (r *Registry) SetTTL(ttl time.Duration) { r.ttl.Store(int64(ttl)) }
 
-// Bind returns the binding in the session's row. If there is no row, it inserts
-// the proposal and returns that. durable reports whether the binding was read
+// Bind returns the binding in the session's row. If there is no row, Bind inserts
+// the proposal and returns it. durable reports whether the binding was read
 // from or written to the table. A binding that isn't durable applies to this
 // host only, and another host may choose a different version. An unreachable
-// table isn't an error. The error is ErrInvalidBinding or that of the context.
+// table isn't an error. The error wraps ErrInvalidBinding or the context's error.
 func (r *Registry) Bind(ctx context.Context, proposal Binding) (b Binding, durable bool, err error) {
 	if err := proposal.Validate(); err != nil {
 		return Binding{}, false, err
@@ -126,14 +127,13 @@
 		r.startBackoff(now)
 		return r.bindLocally(key, candidate, hit && cached.durable, now)
 	}
-	r.cache.put(key, entry{record: current, durable: true, readAt: now})
+	r.cache.put(key, cachedBinding{record: current, durable: true, readAt: now})
 	return current.Binding, true, nil
 }
 
 // Rebind moves a session from a withdrawn version to a replacement. If another
-// host moved the session first, Rebind returns that host's choice, so the caller
-// must check the result like any other binding. The other results are as for
-// Bind.
+// host moved the session first, Rebind returns that host's binding, so the caller
+// must check the result like any other binding. durable and err are as for Bind.
 func (r *Registry) Rebind(ctx context.Context, old, replacement Binding) (b Binding, durable bool, err error) {
 	if err := replacement.Validate(); err != nil {
 		return Binding{}, false, err
@@ -155,31 +155,32 @@
 		r.startBackoff(now)
 		return r.bindLocally(key, candidate, false, now)
 	}
-	r.cache.put(key, entry{record: current, durable: true, readAt: now})
+	r.cache.put(key, cachedBinding{record: current, durable: true, readAt: now})
 	return current.Binding, true, nil
 }
 
 // Evict removes all cached bindings to a version, so that each is read from its
 // row again. It is called when a version is withdrawn.
 func (r *Registry) Evict(model, version string) {
-	r.cache.evict(model, version)
+	r.cache.evictVersion(model, version)
 }
 
-// bindLocally returns a binding without a table call. A cached binding that was
-// read from its row stays durable until the row can have expired.
+// bindLocally returns a binding without a table call: the cached one if wasDurable
+// is true, or else the candidate, which it caches as not durable. A cached binding
+// that was read from its row stays durable until the row may have expired.
 func (r *Registry) bindLocally(key string, candidate record, wasDurable bool, now time.Time) (Binding, bool, error) {
 	if old, ok := r.cache.get(key); ok && wasDurable {
 		return old.record.Binding, true, nil
 	}
-	r.cache.put(key, entry{record: candidate, readAt: now})
+	r.cache.put(key, cachedBinding{record: candidate, readAt: now})
 	return candidate.Binding, false, nil
 }
 
 // readOrInsert returns the row's value. It inserts the proposal if the row is
 // absent or expired. It reads before it writes, since most sessions that are
-// new to a host have a row, and commits are scarcer than reads. A lost reply
-// needs no attempt token: the row's value afterwards is the binding, whichever
-// host wrote it.
+// new to a host have a row, and commits are scarcer than reads. If the response
+// to a write is lost, the row needs no token that identifies the writer, because
+// the value that is read afterwards is the binding, whichever host wrote it.
 func (r *Registry) readOrInsert(ctx context.Context, key string, proposal record, now time.Time) (record, error) {
 	for range maxAttempts {
 		current, version, err := r.read(ctx, key)
@@ -203,15 +204,15 @@
 	return record{}, errContended
 }
 
-// replace writes the replacement if the row still has the withdrawn version, is
+// replace writes the replacement if the row still has the withdrawn version, has
 // expired or is absent. Otherwise it returns the row's value.
-func (r *Registry) replace(ctx context.Context, key, withdrawn string, replacement record, now time.Time) (record, error) {
+func (r *Registry) replace(ctx context.Context, key, withdrawnVersion string, replacement record, now time.Time) (record, error) {
 	for range maxAttempts {
 		current, version, err := r.read(ctx, key)
 		if err != nil {
 			return record{}, err
 		}
-		if version > 0 && current.Version != withdrawn && !current.expired(now) {
+		if version > 0 && current.Version != withdrawnVersion && !current.expired(now) {
 			return current, nil
 		}
 		err = r.write(ctx, key, version, replacement)
--- a/session/registry_test.go
+++ b/session/registry_test.go
@@ -46,15 +46,15 @@
 	return b.Version, durable
 }
 
-func TestBindAgrees(t *testing.T) {
+func TestConcurrentBindsAgree(t *testing.T) {
 	cases := []struct {
 		desc  string
 		fault func(*faulty.Table)
 	}{
 		{desc: "no fault", fault: func(*faulty.Table) {}},
-		{desc: "replies lost after commit", fault: func(f *faulty.Table) { f.LoseNext(4) }},
+		{desc: "responses lost after commit", fault: func(f *faulty.Table) { f.LoseNext(4) }},
 		{desc: "delayed commit", fault: func(f *faulty.Table) { f.DelayNext(1, time.Second) }},
-		{desc: "commits dropped without reply", fault: func(f *faulty.Table) { f.DropNext(2) }},
+		{desc: "commits dropped without response", fault: func(f *faulty.Table) { f.DropNext(2) }},
 		{desc: "slow calls", fault: func(f *faulty.Table) { f.SetDelay(100 * time.Millisecond) }},
 	}
 	for _, tc := range cases {
@@ -75,7 +75,7 @@
 				wg.Wait()
 				for i := range hosts {
 					is.True(durable[i])
-					is.Equal(got[i], got[0]) // all concurrent first requests get one version
+					is.Equal(got[i], got[0]) // all concurrent first requests get the same version
 				}
 				time.Sleep(2 * time.Second) // the delayed commit has been applied
 				later, _ := mustBind(t, testRegistry(table), "later")
@@ -91,7 +91,7 @@
 		table.SetDown(true)
 		v, durable := mustBind(t, hostA, "v1")
 		is.Equal(v, "v1")
-		is.True(!durable) // reported as not durable, since the table is unreachable
+		is.True(!durable) // the table is unreachable
 		v, durable = mustBind(t, hostA, "v2")
 		is.Equal(v, "v1") // the host keeps its local binding
 		is.True(!durable)
@@ -126,7 +126,7 @@
 		for range 50 {
 			time.Sleep(testTTL / 5)
 			v, _ := mustBind(t, testRegistry(table), "v2")
-			is.Equal(v, "v1") // each use is within the lifetime
+			is.Equal(v, "v1") // the row hasn't expired
 		}
 		is.True(table.Counts().Commits <= 12) // not every use writes the row
 		_, deleted, err := testRegistry(table).Sweep(t.Context(), "")
@@ -134,13 +134,13 @@
 		is.Equal(deleted, 0)
 		time.Sleep(testTTL)
 		v, _ := mustBind(t, testRegistry(table), "v2")
-		is.Equal(v, "v1") // one TTL after the last use
+		is.Equal(v, "v1") // the row still exists one TTL after the last use
 		time.Sleep(rowTTLFactor * testTTL)
 		_, deleted, err = testRegistry(table).Sweep(t.Context(), "")
 		is.NoErr(err)
 		is.Equal(deleted, 1)
 		v, _ = mustBind(t, testRegistry(table), "v2")
-		is.Equal(v, "v2") // a new session
+		is.Equal(v, "v2") // the expired row was deleted
 	})
 }
 
@@ -159,7 +159,7 @@
 	})
 }
 
-func TestSweepPassesOverPages(t *testing.T) {
+func TestSweepsCoverAllPages(t *testing.T) {
 	withTable(t, func(t *testing.T, is *is.I, table *faulty.Table) {
 		r := testRegistry(table)
 		const sessions = 2*sweepPage + 10
@@ -200,7 +200,7 @@
 		is.True(durable)
 		is.Equal(b.Version, "v4")
 		v, _ := mustBind(t, hostA, "v1")
-		is.Equal(v, "v2") // still cached
+		is.Equal(v, "v2") // host A still has the binding in its cache
 		hostA.Evict(testBinding.Model, "v2")
 		v, _ = mustBind(t, hostA, "v1")
 		is.Equal(v, "v4")
@@ -252,7 +252,7 @@
 				_, _, _ = hosts[0].Sweep(context.Background(), "")
 			},
 			"time": func(t *rapid.T) {
-				// A use follows each step, so that the session doesn't expire.
+				// Each step is followed by a use, so that the session doesn't expire.
 				now = now.Add(time.Duration(rapid.IntRange(1, 59).Draw(t, "minutes")) * time.Minute)
 				table.Heal()
 				b, durable, err := hosts[0].Bind(context.Background(), proposal("v9"))
--- a/session/session.go
+++ b/session/session.go
@@ -26,7 +26,8 @@
 	// ErrMalformed means that the text isn't a token, or that its signature
 	// isn't valid.
 	ErrMalformed = errors.New("session: malformed token")
-	// ErrExpired means that the signature is valid but the token's TTL is over.
+	// ErrExpired means that the signature is valid, but the token was issued more
+	// than one TTL ago or more than one TTL in the future.
 	ErrExpired = errors.New("session: expired token")
 	// ErrUnknownKey means that the token's key ID isn't in the key set.
 	ErrUnknownKey = errors.New("session: unknown key")
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -25,7 +25,7 @@
 
 func (c *testClock) Now() time.Time { return c.now }
 
-func TestOpen(t *testing.T) {
+func TestVerify(t *testing.T) {
 	longest := strings.Repeat("x", maxFieldBytes)
 	big := Binding{Account: longest, SessionID: longest, Model: longest, Version: longest, Epoch: math.MaxUint64, IssuedAt: testTime}
 	mint := func(b Binding, keys ...Key) string { return NewCodec(keys, time.Hour, nil).Mint(b) }
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestOpenRefusesEachChangedBit(t *testing.T) {
+func TestVerifyRejectsEachFlippedBit(t *testing.T) {
 	is := is.New(t)
 	clock := &testClock{now: testTime}
 	codec := NewCodec([]Key{keyA}, time.Hour, clock.Now)
@@ -147,7 +147,7 @@
 	}
 }
 
-func FuzzOpen(f *testing.F) {
+func FuzzVerify(f *testing.F) {
 	clock := &testClock{now: testTime}
 	codec := NewCodec([]Key{keyA}, time.Hour, clock.Now)
 	f.Add(codec.Mint(testBinding))
@@ -172,7 +172,7 @@
 	return vs
 }
 
-func TestChooseOnlyVersionsThatTakeSessions(t *testing.T) {
+func TestChooseReturnsOnlyVersionsThatAcceptNewSessions(t *testing.T) {
 	is := is.New(t)
 	vs := versions(30, 50, 10, 10, 0)
 	vs[1].State = manifest.Withdrawn
@@ -195,7 +195,7 @@
 	}
 }
 
-func BenchmarkOpen(b *testing.B) {
+func BenchmarkVerify(b *testing.B) {
 	clock := &testClock{now: testTime}
 	codec := NewCodec([]Key{keyA}, time.Hour, clock.Now)
 	token := codec.Mint(testBinding)
--- a/session/sweep.go
+++ b/session/sweep.go
@@ -14,14 +14,14 @@
 // Sweep reads one page of rows with keys greater than after and deletes the
 // expired ones. It returns the key to continue from, which is empty at the end,
 // and the number of deleted rows. Hosts may sweep concurrently: a row is deleted
-// only at the version that was read, so a concurrent use that extends it
-// prevails.
+// only if it still has the version that was read, so a row that a concurrent use
+// extends is kept.
 func (r *Registry) Sweep(ctx context.Context, after string) (next string, deleted int, err error) {
 	rows, err := r.opts.Table.List(ctx, rowPrefix, after, sweepPage)
 	if err != nil {
 		return after, 0, err
 	}
-	txn := r.expiredRows(rows)
+	txn := r.deletionOfExpired(rows)
 	if len(rows) == sweepPage {
 		next = rows[len(rows)-1].Key
 	}
@@ -50,7 +50,7 @@
 	}
 }
 
-func (r *Registry) expiredRows(rows []storage.Row) storage.Txn {
+func (r *Registry) deletionOfExpired(rows []storage.Row) storage.Txn {
 	var txn storage.Txn
 	now := r.opts.Clock()
 	for _, row := range rows {
