--- a/lease/errors.go
+++ b/lease/errors.go
@@ -8,9 +8,9 @@
 
 var (
 	// ErrLapsed means that the lease has expired. It never becomes valid again.
-	// Release frees its name before the wait of other contenders is over.
+	// Contenders may still have to wait for the name; Release frees it at once.
 	ErrLapsed = errors.New("lease: lapsed")
-	// ErrLost means that the row belongs to another acquisition.
+	// ErrLost means that the lease's row now belongs to another acquisition.
 	ErrLost = errors.New("lease: lost to another holder")
 	// ErrReleased means that the lease was already released.
 	ErrReleased = errors.New("lease: released")
--- a/lease/history_test.go
+++ b/lease/history_test.go
@@ -20,7 +20,7 @@
 	"github.com/quetzalweir/quetzalweir/storage/storagetest"
 )
 
-// kind is the kind of an operation in a history.
+// kind is the kind of operation in a history.
 type kind int
 
 const (
@@ -38,8 +38,8 @@
 	fencing uint64
 }
 
-// holderState is the state of the model: the fencing number of the last holder,
-// and whether it has released the lease.
+// holderState is the state of the model: the fencing number of the last
+// acquisition, and whether that lease was released.
 type holderState struct {
 	fencing  uint64
 	released bool
@@ -125,7 +125,7 @@
 			}
 		})
 	}
-	is.New(t).True(acquisitions > seeds) // the lease was taken over
+	is.New(t).True(acquisitions > seeds) // more than one acquisition per history on average
 	t.Logf("%d histories, %d acquisitions, %d times valid", seeds, acquisitions, checks)
 }
 
@@ -201,8 +201,8 @@
 	return l
 }
 
-// hold keeps the lease until it lapses. After each check it releases the lease
-// with a probability of 1 in 15.
+// hold renews the lease until it lapses or ctx ends. After each check of the lease,
+// hold releases it with a probability of 1 in 15 and returns.
 func (c *contender) hold(ctx context.Context, l *lease.Lease) {
 	keep, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -216,8 +216,9 @@
 	}
 }
 
-// check records a use of the lease. The operation spans only the call of Valid, so
-// it doesn't include a pause between the check and what follows.
+// check calls Valid, records the call in the history if it returned true, and
+// returns its result. The operation spans only the call, so it doesn't include a
+// later pause of the host.
 func (c *contender) check(l *lease.Lease) bool {
 	c.process.Checkpoint()
 	ok := false
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -22,7 +22,7 @@
 type Lease struct {
 	manager *Manager
 	name    string
-	// acquiredAt is when the reply to Acquire's write was received.
+	// acquiredAt is when the response to Acquire's write was received.
 	acquiredAt time.Time
 	// predecessorTTL is the TTL of the previous holder; zero if there was none.
 	predecessorTTL time.Duration
@@ -38,8 +38,8 @@
 	version uint64
 	// renewedAt is when the last successful write was started.
 	renewedAt time.Time
-	// endReason is the error that ended the lease; nil until it is known to have
-	// ended.
+	// endReason is the error with which the lease ended; nil as long as no call
+	// has found that it ended.
 	endReason error
 }
 
@@ -79,8 +79,8 @@
 }
 
 // Renew extends the lease by its TTL, measured from the start of the call.
-// ErrLapsed, ErrLost and ErrReleased are final. After any other error the
-// lease's expiry is unchanged and Renew may be retried.
+// After ErrLapsed, ErrLost and ErrReleased the lease can't be renewed any more.
+// After any other error its expiry is unchanged and Renew may be retried.
 func (l *Lease) Renew(ctx context.Context) error {
 	return l.withWriteSlot(ctx, l.renew)
 }
@@ -96,8 +96,9 @@
 	return l.retryConflict(ctx, write)
 }
 
-// retryConflict runs write and repeats it once if it conflicted with a renewal of
-// this lease that arrived late.
+// retryConflict runs write. If it conflicts, for example with an earlier renewal of
+// this lease that reached the table late, retryConflict reads the row's version and
+// runs write once more.
 func (l *Lease) retryConflict(ctx context.Context, write func(context.Context) error) error {
 	err := write(ctx)
 	if !errors.Is(err, storage.ErrConflict) {
@@ -109,9 +110,9 @@
 	return write(ctx)
 }
 
-// resync adopts the row version that a late renewal wrote. That renewal doesn't
-// extend the lease. It returns ErrLost if the row belongs to another acquisition
-// and ErrReleased if an earlier Release took effect.
+// resync reads the row and sets l.version to the version that a late renewal wrote.
+// The late renewal doesn't extend the lease. resync returns ErrLost if the row
+// belongs to another acquisition and ErrReleased if an earlier Release took effect.
 func (l *Lease) resync(ctx context.Context) error {
 	found, err := l.manager.rows.read(ctx, l.name)
 	if err != nil {
@@ -145,9 +146,9 @@
 	return l.extend(written, start)
 }
 
-// nextRenewal returns the record of the next renewal and the version that it
-// replaces. A renewal number is never reused: a renewal with an unknown outcome
-// may arrive late and must not be mistaken for a newer one.
+// nextRenewal returns the record of the next renewal and the row version that it
+// replaces. A renewal number is never reused, because a renewal with an unknown
+// outcome may reach the table late and must not be mistaken for a newer one.
 func (l *Lease) nextRenewal() (record, uint64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -158,8 +159,8 @@
 	return l.record, l.version, nil
 }
 
-// extend extends the lease from the start of the renewal, unless the lease lapsed
-// before the reply arrived.
+// extend records a successful renewal: the lease's TTL is then measured from start,
+// the start of the renewal, unless the lease lapsed before the response arrived.
 func (l *Lease) extend(version uint64, start time.Time) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -178,7 +179,7 @@
 }
 
 // Release ends the lease immediately and frees the name. The lease ends even if
-// the row can't be written; other contenders then wait for its TTL.
+// the row can't be written; contenders then wait for its TTL.
 func (l *Lease) Release(ctx context.Context) error {
 	l.markReleased()
 	return l.withWriteSlot(ctx, l.release)
@@ -225,8 +226,8 @@
 	}
 }
 
-// nextDelay returns the time until the next renewal. A failed one is retried
-// sooner.
+// nextDelay returns the delay until the next renewal; err is the error of the last
+// one. A failed renewal is retried sooner.
 func (l *Lease) nextDelay(interval time.Duration, err error) time.Duration {
 	if err != nil {
 		return interval / retriesPerInterval
@@ -234,8 +235,8 @@
 	return interval
 }
 
-// renewOnce renews the lease with a timeout, so that a hung renewal leaves time
-// for another.
+// renewOnce renews the lease with a timeout, so that after a renewal that hangs
+// there is time for another one before the lease lapses.
 func (l *Lease) renewOnce(ctx context.Context, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -50,8 +50,9 @@
 	return l
 }
 
-// waitForB returns how long b has to wait, or zero if b acquired the lease.
-func (p managerPair) waitForB(t *testing.T) time.Duration {
+// tryAcquireB lets b try to acquire the lease. It returns how long b still has to
+// wait, or zero if b acquired the lease.
+func (p managerPair) tryAcquireB(t *testing.T) time.Duration {
 	_, err := p.b.Acquire(t.Context(), name, "host-b", ttl)
 	var held *lease.HeldError
 	if errors.As(err, &held) {
@@ -68,7 +69,9 @@
 func TestValidity(t *testing.T) {
 	tests := []struct {
 		desc string
-		// act runs after a acquired the lease and b read the row.
+		// act runs after manager a has acquired the lease l and manager b has read
+		// its row. Afterwards, valid is whether l must be valid, and wait is how long
+		// b must still have to wait.
 		act   func(t *testing.T, p managerPair, l *lease.Lease)
 		valid bool
 		wait  time.Duration
@@ -95,7 +98,7 @@
 		{"released", func(t *testing.T, _ managerPair, l *lease.Lease) {
 			is.New(t).NoErr(l.Release(t.Context()))
 		}, false, 0},
-		{"reply to renewal lost", func(t *testing.T, p managerPair, l *lease.Lease) {
+		{"response to renewal lost", func(t *testing.T, p managerPair, l *lease.Lease) {
 			time.Sleep(8 * time.Second)
 			p.table.LoseNext(1)
 			is.New(t).NoErr(l.Renew(t.Context()))
@@ -107,7 +110,7 @@
 			is.New(t).True(errors.Is(l.Renew(t.Context()), storage.ErrUnknown))
 			time.Sleep(time.Second)
 		}, false, time.Second},
-		{"reply to renewal arrives after the lease lapsed", func(t *testing.T, p managerPair, l *lease.Lease) {
+		{"response to renewal arrives after the lease lapsed", func(t *testing.T, p managerPair, l *lease.Lease) {
 			time.Sleep(8 * time.Second)
 			p.table.SetDelay(2 * time.Second)
 			is.New(t).True(errors.Is(l.Renew(t.Context()), lease.ErrLapsed))
@@ -124,20 +127,20 @@
 		t.Run(tt.desc, func(t *testing.T) {
 			withManagerPair(t, func(t *testing.T, is *is.I, p managerPair) {
 				l := p.acquireA(t)
-				is.Equal(p.waitForB(t), ttl)
+				is.Equal(p.tryAcquireB(t), ttl)
 				tt.act(t, p, l)
 				is.Equal(l.Valid(), tt.valid)
-				is.Equal(p.waitForB(t), tt.wait)
+				is.Equal(p.tryAcquireB(t), tt.wait)
 			})
 		})
 	}
 }
 
-// TestLateRenewalIsNotCreditedAsANewerOne guards against a lease that outlasts
-// the wait of contenders. Renewal 1 arrives late, and renewal 2 is lost. Contenders
-// measure from the arrival of renewal 1, so the holder must not measure from the
-// start of renewal 2.
-func TestLateRenewalIsNotCreditedAsANewerOne(t *testing.T) {
+// TestLateRenewalIsNotCreditedAsANewerOne guards against a lease that
+// is valid for longer than contenders wait. Renewal 1 reaches the table late, and
+// renewal 2 is lost. Contenders measure the TTL from the arrival of renewal 1, so
+// the holder must not measure it from the start of renewal 2.
+func TestLateRenewalIsNotMistakenForANewerOne(t *testing.T) {
 	withManagerPair(t, func(t *testing.T, is *is.I, p managerPair) {
 		l := p.acquireA(t)
 		p.table.DelayNext(1, time.Second)
@@ -157,7 +160,7 @@
 		_, err := p.a.Acquire(t.Context(), name, "host-a", ttl)
 		is.True(errors.Is(err, storage.ErrUnknown))
 		time.Sleep(2 * time.Second)
-		is.Equal(p.waitForB(t), ttl)
+		is.Equal(p.tryAcquireB(t), ttl)
 		time.Sleep(ttl)
 		l, err := p.b.Acquire(t.Context(), name, "host-b", ttl)
 		is.NoErr(err)
@@ -168,7 +171,7 @@
 func TestKeepRenewing(t *testing.T) {
 	tests := []struct {
 		desc string
-		// outage is how long the table is down, starting after 10 s.
+		// outage is how long the table is down, starting 10 s after KeepRenewing.
 		outage time.Duration
 		want   error
 	}{
@@ -196,8 +199,8 @@
 	}
 }
 
-// TestLeaseLapsesDuringASuspension checks that a host doesn't hold a lease after a
-// suspension that was longer than the lease, whatever the wall clock shows.
+// TestLeaseLapsesDuringASuspension checks that a lease has lapsed after its host was
+// suspended for longer than the lease, whatever the wall clock shows.
 func TestLeaseLapsesDuringASuspension(t *testing.T) {
 	is := is.New(t)
 	for _, d := range []time.Duration{time.Second, 5 * time.Second, 20 * time.Second} {
--- a/lease/manager.go
+++ b/lease/manager.go
@@ -11,25 +11,25 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// DefaultMarginDivisor is the default divisor of the TTL that gives the safety
-// margin, the end of the TTL that the holder doesn't use. The margin covers
-// differences in clock rate.
+// DefaultMarginDivisor is the default of Options.MarginDivisor. The safety margin is
+// the last part of the TTL, in which the holder no longer uses the lease. It covers
+// differences between the clock rates of hosts.
 const DefaultMarginDivisor = 10
 
 // Options configures a Manager.
 type Options struct {
 	Table storage.Table
-	// Clock must return monotonic times that include suspensions; default
-	// boottime.Now.
+	// Clock must return monotonic times that also advance while the host is
+	// suspended; default boottime.Now.
 	Clock storage.Clock
-	// MarginDivisor divides the TTL to give the safety margin; default 10, which
-	// makes a TTL of 10 s usable for 9 s.
+	// MarginDivisor is the ratio of the TTL to the safety margin; default 10, so
+	// that a lease with a TTL of 10 s is valid for 9 s.
 	MarginDivisor int
 }
 
-// Manager acquires leases. It is safe for concurrent use. A process must use one
-// Manager for as long as it contends, since the Manager records when it first
-// read each row version.
+// Manager acquires leases. It is safe for concurrent use. A process must use the
+// same Manager for all its attempts to acquire a name, since the Manager records
+// when it first read the current version of the name's row.
 type Manager struct {
 	rows          rowStore
 	clock         storage.Clock
@@ -39,7 +39,8 @@
 	observed map[string]observation
 }
 
-// observation is the time at which a row was first read with a version.
+// observation is the time at which a row was first read with a version. A Manager
+// keeps that of each row's current version, by the name of the lease.
 type observation struct {
 	version uint64
 	at      time.Time
@@ -61,10 +62,11 @@
 	}
 }
 
-// Acquire acquires the name for holder if it has no row, was released, or its
-// row was observed unchanged for its TTL. Otherwise it returns *HeldError without
-// waiting, and the caller retries. Other errors wrap those of the table: the
-// lease isn't held, but its row may block the name for one TTL.
+// Acquire acquires the name for holder if the name has no row, if its lease was
+// released, or if this Manager has observed the row unchanged for the row's TTL.
+// Otherwise it returns *HeldError without waiting, and the caller retries. After any
+// other error, which is ErrLapsed or an error of the table, the lease isn't held,
+// but its row may block the name for one TTL.
 func (m *Manager) Acquire(ctx context.Context, name, holder string, ttl time.Duration) (*Lease, error) {
 	found, err := m.rows.read(ctx, name)
 	if err != nil {
@@ -101,8 +103,8 @@
 }
 
 // remainingWait returns how long the row that was read still blocks the name. The
-// time is measured from after the first read of its version, and therefore from
-// after the holder's write.
+// TTL is measured from the end of the first read that returned this version of the
+// row, and therefore from after the holder's write.
 func (m *Manager) remainingWait(name string, found row) time.Duration {
 	if found.version == 0 || found.Released {
 		return 0
@@ -118,11 +120,12 @@
 	return found.TTL - now.Sub(first.at)
 }
 
-// margin returns the part of ttl that a holder doesn't use.
+// margin returns the safety margin of a lease with the TTL.
 func (m *Manager) margin(ttl time.Duration) time.Duration {
 	return ttl / time.Duration(m.marginDivisor)
 }
 
-// elapsed returns the time since start. It includes the time for which the host
-// was suspended and doesn't depend on the wall clock, which may be set back.
+// elapsed returns the time from start to now. With the default clock it includes
+// the time for which the host was suspended, and it doesn't depend on the wall
+// clock, which may be set back.
 func elapsed(now, start time.Time) time.Duration { return now.Sub(start) }
--- a/lease/orders.go
+++ b/lease/orders.go
@@ -10,12 +10,13 @@
 	// ID identifies the receiver.
 	ID string
 	// Fenced is true if the receiver rejects an order whose fencing number is
-	// lower than one it has received. It must be false if that is unknown.
+	// lower than one that it has received before. It must be false if it isn't
+	// known whether the receiver does so.
 	Fenced bool
 }
 
-// SendFunc sends one order with the fencing number. It must return when its
-// context ends. The order must be idempotent.
+// SendFunc sends one order with the fencing number to the receiver. It must return
+// when its context ends. The order must be idempotent.
 type SendFunc func(ctx context.Context, receiver Receiver, fencing uint64) error
 
 // Orders sends orders on behalf of the holder of a lease.
@@ -24,9 +25,10 @@
 // holder. For other receivers, the first order of a new holder is delayed by the
 // predecessor's TTL and margin after the acquisition, so that any order that the
 // predecessor was sending has arrived or failed by then. If the predecessor is
-// paused for longer, between its last check and its write, only the receiver
-// could reject its order. The holder therefore repeats its orders to such
-// receivers while it holds the lease, so that its order is the last one.
+// paused for longer than that between its check of the lease and its write, only
+// the receiver could reject its late order. The new holder must therefore repeat its
+// order to a receiver without fencing while it holds the lease, so that the last
+// order that the receiver executes is the new holder's.
 type Orders struct {
 	lease *Lease
 	send  SendFunc
@@ -41,37 +43,38 @@
 // ErrReleased or *TooEarlyError, nothing was sent. The context of the order ends
 // no later than the lease.
 func (o *Orders) Send(ctx context.Context, receiver Receiver) error {
-	if wait := o.wait(receiver); wait > 0 {
+	if wait := o.remainingWait(receiver); wait > 0 {
 		return &TooEarlyError{Wait: wait}
 	}
 	remaining := o.lease.Remaining()
 	if remaining == 0 {
-		return o.lease.reason()
+		return o.lease.currentEndReason()
 	}
 	ctx, cancel := context.WithTimeout(ctx, remaining)
 	defer cancel()
 	return o.send(ctx, receiver, o.lease.Fencing())
 }
 
-func (o *Orders) wait(receiver Receiver) time.Duration {
+func (o *Orders) remainingWait(receiver Receiver) time.Duration {
 	if receiver.Fenced {
 		return 0
 	}
 	return o.lease.unfencedWait()
 }
 
-// unfencedWait returns how long no order may be sent to receivers without
-// fencing.
+// unfencedWait returns how much longer orders to receivers without fencing must be
+// delayed; zero or less if they may be sent.
 func (l *Lease) unfencedWait() time.Duration {
 	if l.predecessorTTL == 0 {
 		return 0
 	}
-	waitTime := l.predecessorTTL + l.manager.margin(l.predecessorTTL)
-	return waitTime - l.manager.clock().Sub(l.acquiredAt)
+	totalWait := l.predecessorTTL + l.manager.margin(l.predecessorTTL)
+	return totalWait - l.manager.clock().Sub(l.acquiredAt)
 }
 
-// reason returns the error that ended the lease.
-func (l *Lease) reason() error {
+// currentEndReason returns the error with which the lease ended; nil if no call has
+// found that it ended.
+func (l *Lease) currentEndReason() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.endReason
--- a/lease/orders_test.go
+++ b/lease/orders_test.go
@@ -15,7 +15,8 @@
 
 var errOldFencing = errors.New("engine: fencing number is too low")
 
-// fakeEngine executes orders. If it is fenced, it rejects old fencing numbers.
+// fakeEngine executes orders. If fenced is true, it rejects orders whose fencing
+// number is lower than one that it has received before.
 type fakeEngine struct {
 	mu      sync.Mutex
 	fenced  bool
@@ -46,8 +47,8 @@
 	return e.executed[len(e.executed)-1]
 }
 
-// pausedSend returns a SendFunc that is paused for d just before it sends. It
-// ignores its context, as a paused process does.
+// pausedSend returns a SendFunc that sleeps for d just before it sends the order,
+// even if its context ends in the meantime, as in a paused process.
 func (e *fakeEngine) pausedSend(d time.Duration) lease.SendFunc {
 	return func(_ context.Context, _ lease.Receiver, fencing uint64) error {
 		time.Sleep(d)
@@ -55,16 +56,17 @@
 	}
 }
 
-// TestPausedHolder guards against a late order of a paused holder. Holder a is
-// paused before or after it checks its lease, while holder b takes over and sends
-// its own order.
+// TestPausedHolder guards against the late order of a paused holder replacing that of
+// the current holder. Holder a is paused before or after it checks its lease, while
+// holder b acquires the lease and sends its own order.
 func TestPausedHolder(t *testing.T) {
 	tests := []struct {
 		desc   string
 		fenced bool
-		// beforeCheck and afterCheck are the durations of the pauses of a.
+		// beforeCheck and afterCheck are how long a is paused before and after it
+		// checks its lease.
 		beforeCheck, afterCheck time.Duration
-		// wantA is the result of a's order.
+		// wantA is the error of a's order.
 		wantA error
 		// afterTakeover is the fencing number of the order in effect after b's
 		// first order, and afterRepeat after b has repeated its order. a's late
@@ -76,8 +78,8 @@
 		{"fenced, late by less than TTL and margin", true, 0, 15 * time.Second, errOldFencing, 2, 2},
 		{"unfenced, late by less than TTL and margin", false, 0, 15 * time.Second, nil, 2, 2},
 		{"fenced, late by more", true, 0, 40 * time.Second, errOldFencing, 2, 2},
-		// A known limit without fencing: the late order is executed, and the
-		// repeated order of the holder overrides it.
+		// A known limit without fencing: the late order of a is executed, until b
+		// repeats its order and so replaces it.
 		{"unfenced, late by more", false, 0, 40 * time.Second, nil, 1, 2},
 	}
 	for _, tt := range tests {
--- a/lease/record.go
+++ b/lease/record.go
@@ -15,8 +15,9 @@
 	Holder string `json:"holder"`
 	// Token identifies the acquisition.
 	Token string `json:"token"`
-	// Renewal numbers the writes of one acquisition, from 0. It distinguishes a
-	// late renewal from the one whose outcome is being determined.
+	// Renewal numbers the writes of one acquisition, from 0. If the outcome of a
+	// write is unknown and the row is read to determine it, Renewal shows whether
+	// the row holds that write or an earlier one that arrived late.
 	Renewal uint64 `json:"renewal"`
 	Fencing uint64 `json:"fencing"`
 	// TTL is how long contenders wait after they first read the row, in
--- a/lease/rows.go
+++ b/lease/rows.go
@@ -7,7 +7,8 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// row is a lease's row as read. Version 0 means that it is absent.
+// row is a lease's row as read from the table. Version 0 means that the row is
+// absent.
 type row struct {
 	record
 	version uint64
@@ -30,8 +31,9 @@
 	return row{record: rec, version: found.Version}, err
 }
 
-// write stores rec if the row has the given version. If the outcome of the commit
-// is unknown, write reads the row to determine it.
+// write stores rec if the row has the given version, and returns the row's new
+// version. If the outcome of the commit is unknown, write reads the row to determine
+// it.
 func (r rowStore) write(ctx context.Context, name string, rec record, version uint64) (uint64, error) {
 	value, err := rec.encode()
 	if err != nil {
