--- a/claim/active.go
+++ b/claim/active.go
@@ -10,13 +10,13 @@
 // claims.
 const activeShards = 16
 
-// activeClaim is a claim of this process. It is active from before its row is
-// written until its outcome is in the table.
+// activeClaim is a claim of this process whose outcome isn't in the table yet. It is
+// created before the claim's row is written.
 type activeClaim struct {
 	// record is the row value of the claim; it is immutable.
 	record record
-	// outcome is the record to be written; nil until the outcome is known. It
-	// is guarded by the lock of the claim's shard.
+	// outcome is the record that replaces the row; nil until the outcome of the
+	// request is known. It is guarded by the lock of the claim's shard.
 	outcome *record
 }
 
@@ -27,14 +27,14 @@
 }
 
 type activeShard struct {
-	mu      sync.Mutex
-	entries map[Key]*activeClaim
+	mu     sync.Mutex
+	claims map[Key]*activeClaim
 }
 
 func newActiveClaims() *activeClaims {
 	a := &activeClaims{}
 	for i := range a.shards {
-		a.shards[i].entries = make(map[Key]*activeClaim)
+		a.shards[i].claims = make(map[Key]*activeClaim)
 	}
 	return a
 }
@@ -46,47 +46,47 @@
 	return &a.shards[hash.Sum64()%activeShards]
 }
 
-// add adds e to the set. If its key is already active, add returns a copy of the
+// add adds c to the set. If its key is already active, add returns a copy of the
 // other claim and false instead.
-func (a *activeClaims) add(e *activeClaim) (other activeClaim, added bool) {
-	s := a.shard(e.record.Key)
+func (a *activeClaims) add(c *activeClaim) (other activeClaim, added bool) {
+	s := a.shard(c.record.Key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if found, ok := s.entries[e.record.Key]; ok {
+	if found, ok := s.claims[c.record.Key]; ok {
 		return *found, false
 	}
-	s.entries[e.record.Key] = e
+	s.claims[c.record.Key] = c
 	return activeClaim{}, true
 }
 
-// remove removes e from the set. It doesn't remove another claim of the same key.
-func (a *activeClaims) remove(e *activeClaim) {
-	s := a.shard(e.record.Key)
+// remove removes c from the set, but not another claim of the same key.
+func (a *activeClaims) remove(c *activeClaim) {
+	s := a.shard(c.record.Key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.entries[e.record.Key] == e {
-		delete(s.entries, e.record.Key)
+	if s.claims[c.record.Key] == c {
+		delete(s.claims, c.record.Key)
 	}
 }
 
-// setOutcome sets the outcome of e. It returns false if e already has one.
-func (a *activeClaims) setOutcome(e *activeClaim, outcome record) bool {
-	s := a.shard(e.record.Key)
+// setOutcome sets the outcome of c. It returns false if c already has an outcome.
+func (a *activeClaims) setOutcome(c *activeClaim, outcome record) bool {
+	s := a.shard(c.record.Key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if e.outcome != nil {
+	if c.outcome != nil {
 		return false
 	}
-	e.outcome = &outcome
+	c.outcome = &outcome
 	return true
 }
 
 // replaceOutcome replaces an outcome that was set by setOutcome.
-func (a *activeClaims) replaceOutcome(e *activeClaim, outcome record) {
-	s := a.shard(e.record.Key)
+func (a *activeClaims) replaceOutcome(c *activeClaim, outcome record) {
+	s := a.shard(c.record.Key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e.outcome = &outcome
+	c.outcome = &outcome
 }
 
 // hasToken reports whether the active claim of the key has the token.
@@ -94,6 +94,6 @@
 	s := a.shard(key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	found, ok := s.entries[key]
+	found, ok := s.claims[key]
 	return ok && found.record.Token == token
 }
--- a/claim/backlog.go
+++ b/claim/backlog.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// retryConcurrency is the maximum number of concurrent writes by retry and Sweep.
-// Group commit merges them into few commits.
+// retryConcurrency is the maximum number of concurrent writes by retryPending and
+// Sweep. A group committer merges them into a few commits.
 const retryConcurrency = 128
 
 // pendingWrite is a write that is retried until it is in the table.
@@ -80,10 +80,11 @@
 	return len(b.writes)
 }
 
-// enqueue adds a write to the backlog, for Run. If the result doesn't fit, it is
-// dropped and only the fact that the request ran is kept. If the backlog is full,
-// the write is dropped. The row then stays in flight, which is safe, and the
-// claim stays active on this host, so that it is never treated as an orphan.
+// enqueue adds a write to the backlog, which Run retries. If the write's result
+// doesn't fit, the result is dropped and only the fact that the request ran is
+// kept. If the backlog has the maximum number of writes, the write is dropped. The
+// row then stays in flight, so that the request is never run again, and the claim
+// stays active on this host, so that it is never treated as an orphan.
 func (s *Store) enqueue(w pendingWrite) {
 	if !s.backlog.fits(w.resultBytes()) {
 		w.dropResult(s)
@@ -95,7 +96,8 @@
 	}
 }
 
-// Pending returns the number of writes that aren't in the table yet.
+// Pending returns the number of writes in the backlog, which aren't known to be in
+// the table yet.
 func (s *Store) Pending() int { return s.backlog.len() }
 
 // Dropped returns the number of results and writes that were dropped because the
@@ -111,16 +113,16 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-ticker.C:
-			s.retry(ctx)
+			s.retryPending(ctx)
 		}
 	}
 }
 
-// Flush retries until no writes are pending or ctx ends. It is called after the
-// last request of a graceful shutdown.
+// Flush retries pending writes until there are none or ctx ends. It is called after
+// the last request of a graceful shutdown.
 func (s *Store) Flush(ctx context.Context) error {
 	for {
-		s.retry(ctx)
+		s.retryPending(ctx)
 		if s.Pending() == 0 {
 			return nil
 		}
@@ -132,8 +134,8 @@
 	}
 }
 
-// retry attempts each pending write once.
-func (s *Store) retry(ctx context.Context) {
+// retryPending attempts each pending write once.
+func (s *Store) retryPending(ctx context.Context) {
 	var group errgroup.Group
 	group.SetLimit(retryConcurrency)
 	for _, w := range s.backlog.snapshot() {
--- a/claim/bench_test.go
+++ b/claim/bench_test.go
@@ -16,8 +16,8 @@
 )
 
 // BenchmarkClaims measures claims that are acquired and finished with a result of
-// 500 bytes, through one group committer of 20 commits per second on a table with
-// a latency of 4 ms. It reports claims per second, commits and table reads per
+// 500 bytes, through one group committer that makes 20 commits per second to a
+// table with a latency of 4 ms. It reports claims per second, commits and table reads per
 // claim, and the mean latency of Acquire.
 func BenchmarkClaims(b *testing.B) {
 	for _, repeatEvery := range []int{0, 100, 10} {
@@ -34,13 +34,13 @@
 	committer := groupcommit.New(table, groupcommit.Options{})
 	defer func() { _ = committer.Close() }()
 	store := claim.New(claim.Options{Table: committer, Objects: memory.NewObjects(), Host: "host-a"})
-	var next, acquiring atomic.Int64
+	var next, acquireNanos atomic.Int64
 	var workers sync.WaitGroup
 	b.ResetTimer()
 	for range concurrency {
 		workers.Go(func() {
 			for n := next.Add(1); n <= int64(b.N); n = next.Add(1) {
-				acquiring.Add(int64(benchmarkClaim(b, store, keyNumber(n, repeatEvery))))
+				acquireNanos.Add(int64(benchmarkClaim(b, store, keyNumber(n, repeatEvery))))
 			}
 		})
 	}
@@ -50,10 +50,11 @@
 	b.ReportMetric(count/b.Elapsed().Seconds(), "claims/s")
 	b.ReportMetric(float64(table.Counts().Commits)/count, "commits/claim")
 	b.ReportMetric(float64(table.Counts().Gets)/count, "reads/claim")
-	b.ReportMetric(float64(acquiring.Load())/count/1e6, "acquire-ms")
+	b.ReportMetric(float64(acquireNanos.Load())/count/1e6, "acquire-ms")
 }
 
-// keyNumber makes every repeatEvery-th request a duplicate of the first.
+// keyNumber returns the request key of request n, as a number. It makes every
+// repeatEvery-th request a duplicate of request 1; 0 makes none a duplicate.
 func keyNumber(n int64, repeatEvery int) int64 {
 	if repeatEvery > 0 && n%int64(repeatEvery) == 0 {
 		return 1
--- a/claim/cancellation.go
+++ b/claim/cancellation.go
@@ -7,26 +7,27 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// cancellation is the pending write that prevents a failed claim from taking
-// effect later. It isn't enough to find the row absent, since the write of the
-// claim may still be in transit. Therefore a released row is written, with which
-// the late write conflicts.
+// cancellation is the pending write that prevents the row write of a failed Acquire
+// from taking effect later. It isn't enough to find the row absent, since that write
+// may still be in transit. The cancellation therefore writes a row in state released,
+// with which the late write conflicts.
 type cancellation struct {
-	// record is the row of the failed claim.
+	// record is the row value that the failed Acquire wrote.
 	record record
 }
 
 func (c *cancellation) write(ctx context.Context, s *Store) error {
-	version, err := c.currentVersion(ctx, s)
+	version, err := c.versionToReplace(ctx, s)
 	if err != nil || version == nil {
 		return err
 	}
-	_, err = s.rows.write(ctx, c.record.with(released), *version)
+	_, err = s.rows.write(ctx, c.record.withState(released), *version)
 	return err
 }
 
-// currentVersion returns the version to replace, or nil if no write is needed.
-func (c *cancellation) currentVersion(ctx context.Context, s *Store) (*uint64, error) {
+// versionToReplace returns the version of the row that the cancellation replaces,
+// 0 if the row is absent, or nil if no cancellation is needed.
+func (c *cancellation) versionToReplace(ctx context.Context, s *Store) (*uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.options.ReadTimeout)
 	defer cancel()
 	found, err := s.rows.read(ctx, c.record.Key)
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -13,7 +13,7 @@
 // exactly one of its methods, once. A second call returns ErrOutcomeSet.
 type Claim struct {
 	store      *Store
-	entry      *activeClaim
+	active     *activeClaim
 	version    uint64
 	outcomeSet atomic.Bool
 }
@@ -22,10 +22,10 @@
 // whatever Finish returns. ErrPending means that the outcome is kept in memory
 // and that Run retries the write.
 func (c *Claim) Finish(ctx context.Context, result Result) error {
-	rec := c.entry.record.with(finished)
+	rec := c.active.record.withState(finished)
 	rec.Result = &result
 	if result.size() > c.store.options.MaxResultBytes {
-		rec = rec.with(resultGone)
+		rec = rec.withState(resultGone)
 	}
 	return c.recordOutcome(ctx, rec)
 }
@@ -33,24 +33,24 @@
 // MayHaveRun records that the request was sent, at least in part, and that no
 // complete response was received. The request is never run again.
 func (c *Claim) MayHaveRun(ctx context.Context) error {
-	return c.recordOutcome(ctx, c.entry.record.with(mayHaveRun))
+	return c.recordOutcome(ctx, c.active.record.withState(mayHaveRun))
 }
 
 // Release releases the claim, so that the key can be claimed again. It may be
 // called only if no byte of the request was sent.
 func (c *Claim) Release(ctx context.Context) error {
-	return c.recordOutcome(ctx, c.entry.record.with(released))
+	return c.recordOutcome(ctx, c.active.record.withState(released))
 }
 
 func (c *Claim) recordOutcome(ctx context.Context, outcome record) error {
 	if !c.outcomeSet.CompareAndSwap(false, true) {
 		return ErrOutcomeSet
 	}
-	c.store.active.setOutcome(c.entry, outcome)
-	pending := &outcomeWrite{entry: c.entry, outcome: outcome, version: c.version}
+	c.store.active.setOutcome(c.active, outcome)
+	pending := &outcomeWrite{claim: c.active, outcome: outcome, version: c.version}
 	err := pending.write(ctx, c.store)
 	if err == nil || errors.Is(err, ErrRowExpired) {
-		c.store.active.remove(c.entry)
+		c.store.active.remove(c.active)
 		return err
 	}
 	c.store.enqueue(pending)
@@ -59,16 +59,16 @@
 
 // outcomeWrite is the pending write of an outcome.
 type outcomeWrite struct {
-	entry   *activeClaim
+	claim   *activeClaim
 	outcome record
 	// version is the version of the row that the claim wrote.
 	version uint64
 }
 
-// write writes the outcome. It may be retried after an error: the version
-// condition admits the outcome only once.
+// write writes the outcome. It may be retried after an error, because the condition
+// on the row's version lets only one write succeed.
 func (w *outcomeWrite) write(ctx context.Context, s *Store) error {
-	rec, err := s.results.store(ctx, w.outcome)
+	rec, err := s.results.storeIfLarge(ctx, w.outcome)
 	if err != nil {
 		return err
 	}
@@ -95,8 +95,8 @@
 		return nil
 	}
 	if found.version == w.version {
-		// The outcome isn't written yet. A write in transit and the next one
-		// can't both succeed.
+		// The outcome isn't written yet. A write that is still in transit and the
+		// next one can't both succeed, since both expect this version.
 		return cause
 	}
 	if w.outcome.State == released {
@@ -106,7 +106,7 @@
 	return ErrRowExpired
 }
 
-func (w *outcomeWrite) complete(s *Store) { s.active.remove(w.entry) }
+func (w *outcomeWrite) complete(s *Store) { s.active.remove(w.claim) }
 
 func (w *outcomeWrite) resultBytes() int {
 	if w.outcome.Result == nil {
@@ -120,6 +120,6 @@
 	if w.outcome.Result == nil {
 		return
 	}
-	w.outcome = w.outcome.with(resultGone)
-	s.active.replaceOutcome(w.entry, w.outcome)
+	w.outcome = w.outcome.withState(resultGone)
+	s.active.replaceOutcome(w.claim, w.outcome)
 }
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// TestDuplicate checks the results of duplicates, on the owner's host and on another
-// host.
+// TestDuplicate checks the result of Acquire for a duplicate after each outcome, on
+// the host that owns the claim and on another host.
 func TestDuplicate(t *testing.T) {
 	tests := []struct {
 		desc       string
@@ -179,8 +179,10 @@
 	}
 }
 
-// TestClaimWriteFaults checks that Acquire returns a claim only if its row is
-// written, and that the key can still be claimed if Acquire failed.
+// TestClaimWriteFaults checks that Acquire returns a claim only if the claim's row is
+// in the table, and that the key can still be claimed after Acquire failed. It checks
+// the results of Acquire during the fault (first) and, on the other host, after it
+// (healed).
 func TestClaimWriteFaults(t *testing.T) {
 	tests := []struct {
 		desc   string
@@ -189,7 +191,7 @@
 		healed string
 	}{
 		{"down", func(f *faulty.Table) { f.SetDown(true) }, "unavailable", "claimed"},
-		{"reply lost", func(f *faulty.Table) { f.LoseNext(1) }, "claimed", "in flight"},
+		{"response lost", func(f *faulty.Table) { f.LoseNext(1) }, "claimed", "in flight"},
 		{"write lost", func(f *faulty.Table) { f.DropNext(1) }, "claimed", "in flight"},
 		{"all writes lost", func(f *faulty.Table) { f.DropNext(100) }, "unavailable", "claimed"},
 		{"write late", func(f *faulty.Table) { f.DelayNext(1, time.Second) }, "claimed", "in flight"},
@@ -216,12 +218,12 @@
 		desc    string
 		fault   func(*faulty.Table)
 		pending int
-		// before and after are the results on the other host before and after
-		// the table recovers.
+		// before and after are the results of Acquire for a duplicate on the other
+		// host, before and after the table recovers.
 		before, after string
 	}{
 		{"down", func(f *faulty.Table) { f.SetDown(true) }, 1, "unavailable", "done"},
-		{"reply lost", func(f *faulty.Table) { f.LoseNext(1) }, 0, "done", "done"},
+		{"response lost", func(f *faulty.Table) { f.LoseNext(1) }, 0, "done", "done"},
 		{"write lost", func(f *faulty.Table) { f.DropNext(1) }, 1, "in flight", "done"},
 		{"write late", func(f *faulty.Table) { f.DelayNext(1, time.Second) }, 1, "in flight", "done"},
 	}
@@ -245,7 +247,9 @@
 	}
 }
 
-func TestConflictWithoutReadIsNotCalledNotRun(t *testing.T) {
+func TestConflictOnUnreadableRowIsReportedAsInFlight(t *testing.T) {
+	// A request with the key may have run, so Acquire must not return
+	// ErrUnavailable, which the caller reports as not run.
 	is := is.New(t)
 	p := newTestPlatform(claim.Options{})
 	mustAcquire(t, p.a)
--- a/claim/errors.go
+++ b/claim/errors.go
@@ -8,8 +8,8 @@
 var (
 	// ErrKeyReused means that the key was already used with a different request.
 	ErrKeyReused = errors.New("claim: request key already used for a different request")
-	// ErrUnavailable means that the claim couldn't be recorded. The request must
-	// not be sent. The error also wraps that of the table.
+	// ErrUnavailable means that the claim couldn't be recorded and the request
+	// must not be sent. It is returned together with the table's error.
 	ErrUnavailable = errors.New("claim: not recorded")
 	// ErrPending means that the outcome isn't in the table yet. It is kept in
 	// memory, where it answers duplicates on this host, and Run retries the
@@ -53,8 +53,8 @@
 type MayHaveRunError struct {
 	Host      string
 	RequestID string
-	// ResultGone is true if the request finished, or may have, and its result
-	// isn't stored: it expired or was too large.
+	// ResultGone is true if the request has or may have finished, and its result
+	// isn't stored, for example because it expired or was too large.
 	ResultGone bool
 }
 
--- a/claim/history_test.go
+++ b/claim/history_test.go
@@ -28,15 +28,16 @@
 	historyRequestsPerClient = 5
 )
 
-// historyTotals is the sum of the events of a set of histories.
+// historyTotals counts events over a set of histories. acquireResults counts the
+// results of Acquire by their names from describeAcquire.
 type historyTotals struct {
-	histories, runs, killed int
-	acquireResults          map[string]int
+	histories, runs, killedHosts int
+	acquireResults               map[string]int
 }
 
-// TestHistories sends requests with few keys to several hosts, with table faults
-// and paused and killed hosts, and checks the history of each key against the
-// model. It runs with and without a group committer on each host.
+// TestHistories sends requests with a few keys to several hosts, while the table has
+// faults and hosts are paused and killed, and checks the history of each key against
+// the model. It runs with and without a group committer on each host.
 func TestHistories(t *testing.T) {
 	const seeds = 100
 	for _, grouped := range []bool{false, true} {
@@ -57,12 +58,12 @@
 
 // simulation runs the hosts, clients and faults of one seed.
 type simulation struct {
-	seed    uint64
-	table   *faulty.Table
-	hosts   []*host
-	dead    *deadHosts
-	keys    []*recorder
-	running sync.WaitGroup
+	seed      uint64
+	table     *faulty.Table
+	hosts     []*host
+	dead      *deadHosts
+	recorders []*recorder
+	running   sync.WaitGroup
 }
 
 // host is one process and its store.
@@ -72,7 +73,7 @@
 	committer *groupcommit.Committer
 }
 
-// deadHosts is a Liveness whose dead hosts are set by the test.
+// deadHosts is a Liveness that reports the hosts as dead that the test has set.
 type deadHosts struct {
 	mu    sync.Mutex
 	hosts map[string]bool
@@ -80,18 +81,18 @@
 
 func newDeadHosts() *deadHosts { return &deadHosts{hosts: make(map[string]bool)} }
 
-func (g *deadHosts) Alive(host string) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return !g.hosts[host]
+func (d *deadHosts) Alive(host string) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return !d.hosts[host]
 }
 
-// set marks a host as dead or alive. A host that is only paused may be marked as
-// dead.
-func (g *deadHosts) set(host string, dead bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.hosts[host] = dead
+// set sets whether a host is reported as dead. A host that is only paused may be
+// reported as dead, too.
+func (d *deadHosts) set(host string, dead bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.hosts[host] = dead
 }
 
 func newSimulation(seed uint64, grouped bool) *simulation {
@@ -104,7 +105,7 @@
 		s.hosts = append(s.hosts, s.newHost(i, grouped))
 	}
 	for range historyKeys {
-		s.keys = append(s.keys, newRecorder())
+		s.recorders = append(s.recorders, newRecorder())
 	}
 	return s
 }
@@ -165,23 +166,23 @@
 	switch random.IntN(12) {
 	case 0:
 		process.Pause()
-		s.dead.set(hostName(i), random.IntN(2) == 0) // a paused host may be considered dead
+		s.dead.set(hostName(i), random.IntN(2) == 0) // half of the paused hosts are reported as dead
 	case 1, 2:
 		process.Resume()
 		s.dead.set(hostName(i), process.Killed())
 	case 3:
-		if i == 0 && !process.Killed() { // only host 0, so that most hosts survive
+		if i == 0 && !process.Killed() { // only host 0 is killed, so that the others finish
 			process.Kill()
 			s.dead.set(hostName(i), true)
-			total.killed++
+			total.killedHosts++
 		}
 	default:
 		s.table.SetRandom(random, faulty.Bounds{Commits: 5, Delay: 1500 * time.Millisecond, Late: 3 * time.Second})
 	}
 }
 
-// flushAndVerify flushes the outcomes of the hosts that weren't killed, and sends
-// one more request per key.
+// flushAndVerify ends the faults, flushes the outcomes on the hosts that weren't
+// killed, and sends one more request per key, whose result the model checks.
 func (s *simulation) flushAndVerify(t *testing.T) {
 	s.table.Heal()
 	for i, h := range s.hosts {
@@ -196,7 +197,7 @@
 		s.recordFlush(i)
 	}
 	time.Sleep(10 * time.Second) // late commits are applied
-	for key := range s.keys {
+	for key := range s.recorders {
 		s.request(historyHosts-1, key, "last", historyClients, nil)
 	}
 	for _, h := range s.hosts {
@@ -206,9 +207,10 @@
 	}
 }
 
-// recordFlush records that the outcomes of a host's requests are in the table.
+// recordFlush adds a flush operation to the history for each request that arrived at
+// host i: the request's outcome is in the table now.
 func (s *simulation) recordFlush(i int) {
-	for _, rec := range s.keys {
+	for _, rec := range s.recorders {
 		for request, arrivalHost := range rec.hosts {
 			if arrivalHost == i {
 				rec.end(historyClients, rec.Tick(), operation{action: actFlush, request: request})
@@ -218,8 +220,8 @@
 }
 
 func (s *simulation) check(t *testing.T, total *historyTotals) {
-	total.histories += len(s.keys)
-	for key, rec := range s.keys {
+	total.histories += len(s.recorders)
+	for key, rec := range s.recorders {
 		history := rec.history()
 		storagetest.CheckModel(t, fmt.Sprintf("seed %d, key %d", s.seed, key), model, history)
 		if rec.runs > 1 {
@@ -234,8 +236,8 @@
 	}
 }
 
-// client sends requests with random keys to random hosts. Each request has its own
-// goroutine, which exits if the host is killed.
+// client sends requests with random keys to random hosts, one after the other. Each
+// request has its own goroutine, which exits if the host is killed.
 func (s *simulation) client(id int) {
 	random := rand.New(rand.NewPCG(s.seed, uint64(id)))
 	for n := range historyRequestsPerClient {
@@ -252,9 +254,10 @@
 }
 
 // request handles one request on a host: it claims the key, runs the request and
-// records the outcome.
+// records the outcome. client is the client's number in the history. With a nil
+// random, the request only claims the key.
 func (s *simulation) request(host, key int, request string, client int, random *rand.Rand) {
-	rec, h := s.keys[key], s.hosts[host]
+	rec, h := s.recorders[key], s.hosts[host]
 	rec.registerRequest(request, host)
 	h.process.Checkpoint()
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
@@ -296,44 +299,44 @@
 	random  *rand.Rand
 }
 
-func (s *simulation) runClaimed(ctx context.Context, c *claim.Claim, w claimedRequest) {
-	if w.random.IntN(4) == 0 {
-		w.recordOutcome(ctx, operation{action: actRelease}, c.Release)
+func (s *simulation) runClaimed(ctx context.Context, c *claim.Claim, r claimedRequest) {
+	if r.random.IntN(4) == 0 {
+		r.recordOutcome(ctx, operation{action: actRelease}, c.Release)
 		return
 	}
-	time.Sleep(time.Duration(w.random.IntN(500)) * time.Millisecond)
-	w.process.Checkpoint()
-	w.rec.end(w.client, w.rec.Tick(), operation{action: actRun, request: w.request})
-	time.Sleep(time.Duration(w.random.IntN(500)) * time.Millisecond)
-	w.process.Checkpoint()
-	if w.random.IntN(3) == 0 {
-		w.recordOutcome(ctx, operation{action: actMayHaveRun}, c.MayHaveRun)
+	time.Sleep(time.Duration(r.random.IntN(500)) * time.Millisecond)
+	r.process.Checkpoint()
+	r.rec.end(r.client, r.rec.Tick(), operation{action: actRun, request: r.request})
+	time.Sleep(time.Duration(r.random.IntN(500)) * time.Millisecond)
+	r.process.Checkpoint()
+	if r.random.IntN(3) == 0 {
+		r.recordOutcome(ctx, operation{action: actMayHaveRun}, c.MayHaveRun)
 		return
 	}
-	body := []byte("response to " + w.request)
-	w.recordOutcome(ctx, operation{action: actFinish, body: body}, func(ctx context.Context) error {
-		return c.Finish(ctx, claim.Result{RequestID: w.request, Body: body})
+	body := []byte("response to " + r.request)
+	r.recordOutcome(ctx, operation{action: actFinish, body: body}, func(ctx context.Context) error {
+		return c.Finish(ctx, claim.Result{RequestID: r.request, Body: body})
 	})
 }
 
-// recordOutcome sets the outcome of a claim with do and adds op to the history. If
-// the host is killed meanwhile, the outcome may or may not be in the table, and
-// the operation has no end.
-func (w claimedRequest) recordOutcome(ctx context.Context, op operation, do func(context.Context) error) {
-	op.request = w.request
+// recordOutcome sets the outcome of a claim by calling do and adds op to the history.
+// If the host is killed in the meantime, the outcome may or may not be in the table,
+// and the operation has no end.
+func (r claimedRequest) recordOutcome(ctx context.Context, op operation, do func(context.Context) error) {
+	op.request = r.request
 	op.pending = true
-	call, back := w.rec.Tick(), int64(math.MaxInt64)
+	call, back := r.rec.Tick(), int64(math.MaxInt64)
 	defer func() {
 		if op.pending && op.action == actRelease {
-			w.rec.setStaleRow(w.request, true)
+			r.rec.setStaleRow(r.request, true)
 		}
-		w.rec.add(w.client, call, back, op)
+		r.rec.add(r.client, call, back, op)
 		if !op.pending && op.action != actRelease {
-			w.rec.add(w.client, call, back, operation{action: actRecord, request: w.request})
+			r.rec.add(r.client, call, back, operation{action: actRecord, request: r.request})
 		}
 	}()
 	err := do(ctx)
-	w.process.Checkpoint()
+	r.process.Checkpoint()
 	op.pending = err != nil
-	back = w.rec.Tick()
+	back = r.rec.Tick()
 }
--- a/claim/machine_test.go
+++ b/claim/machine_test.go
@@ -13,14 +13,15 @@
 	"github.com/quetzalweir/quetzalweir/storage/storagetest"
 )
 
-// expectation is the expected state of a key.
+// expectation is the expected state of a key. host is the number of the host that
+// claimed the key, and runs the number of runs of its request.
 type expectation struct {
 	owner *claim.Claim
 	host  int
 	runs  int
 	// body is the response body; nil until Finish was called.
 	body []byte
-	// outcomeUnknown is true after a call of MayHaveRun.
+	// outcomeUnknown is true once MayHaveRun was called.
 	outcomeUnknown bool
 }
 
@@ -71,8 +72,8 @@
 	m.checkResult(t, want, err)
 }
 
-// checkResult checks the exact result of Acquire, if no writes are pending. It is
-// called only without faults.
+// checkResult checks the exact result of Acquire unless writes are pending. It is
+// called only while there are no faults.
 func (m *machine) checkResult(t *rapid.T, want *expectation, err error) {
 	if m.stores[0].Pending()+m.stores[1].Pending() > 0 {
 		return
@@ -115,8 +116,8 @@
 	}
 }
 
-// faults returns the actions that inject table faults. They set faultsActive,
-// since results may then be less specific.
+// faults returns the actions that inject table faults. They set faultsActive, since
+// Acquire may then return less specific errors than checkResult expects.
 func (m *machine) faults() map[string]func(*rapid.T) {
 	actions := storagetest.FaultActions(m.platform.table)
 	for name, set := range actions {
--- a/claim/model_test.go
+++ b/claim/model_test.go
@@ -45,13 +45,15 @@
 	body []byte
 	// pending is true if a method of Claim returned an error or didn't return.
 	pending bool
-	// staleRow is true if subject never ran but its row may still exist: its
-	// Acquire returned no claim, or its Release is pending.
+	// staleRow is true if the request subject never ran but its row may still
+	// exist, because its Acquire returned no claim or its Release is pending.
 	staleRow bool
-	// onOwnerHost is true if Acquire was called on the host of subject.
+	// onOwnerHost is true if Acquire was called on the host that the request
+	// subject arrived at.
 	onOwnerHost bool
-	// mayLag is true if the host of subject may report it as in flight although
-	// it isn't: its Acquire or Release is running or not yet in the table.
+	// mayLag is true if the host that the request subject arrived at may report it
+	// as in flight although it isn't, because its Acquire or Release is running or
+	// not yet in the table.
 	mayLag bool
 }
 
@@ -71,8 +73,8 @@
 	phase phase
 	owner string
 	body  string
-	// durable is true once the outcome is known to be in the table. All hosts
-	// must then report it.
+	// durable is true once the history shows that the outcome is in the table. All
+	// hosts must then return it.
 	durable bool
 }
 
@@ -137,8 +139,8 @@
 	}
 }
 
-// outcomeMayBeUnknown reports whether the host that returned op may lack the
-// outcome of its subject.
+// outcomeMayBeUnknown reports whether the host on which op's Acquire was called may
+// not yet have the outcome of the request op.subject.
 func outcomeMayBeUnknown(s keyState, op operation, subjectIsOwner bool) bool {
 	if s.phase == free {
 		return op.staleRow
@@ -155,15 +157,15 @@
 	hosts map[string]int
 	// staleRows has the requests that never ran and whose rows may still exist.
 	staleRows map[string]bool
-	// changes has the calls of Acquire and Release of each request.
-	changes map[string][]porcupine.Operation
+	// rowChanges has the calls of Acquire and Release of each request.
+	rowChanges map[string][]porcupine.Operation
 }
 
 func newRecorder() *recorder {
-	return &recorder{hosts: make(map[string]int), staleRows: make(map[string]bool), changes: make(map[string][]porcupine.Operation)}
+	return &recorder{hosts: make(map[string]int), staleRows: make(map[string]bool), rowChanges: make(map[string][]porcupine.Operation)}
 }
 
-// end adds an operation that returns now.
+// end adds an operation that ends now.
 func (r *recorder) end(client int, start int64, op operation) {
 	r.add(client, start, r.Tick(), op)
 }
@@ -176,7 +178,7 @@
 	case actRun:
 		r.runs++
 	case actAcquire, actRelease:
-		r.changes[op.request] = append(r.changes[op.request], added)
+		r.rowChanges[op.request] = append(r.rowChanges[op.request], added)
 	}
 }
 
@@ -193,8 +195,8 @@
 	r.staleRows[request] = stale
 }
 
-// history returns the operations, with the fields set that are known only at the
-// end.
+// history returns the operations. It sets those fields that can be determined only
+// after the last operation.
 func (r *recorder) history() []porcupine.Operation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -203,16 +205,16 @@
 		op := ops[i].Input.(operation)
 		op.staleRow = r.staleRows[op.subject]
 		op.onOwnerHost = r.hosts[op.subject] == r.hosts[op.request]
-		op.mayLag = op.onOwnerHost && (op.staleRow || r.overlapsChange(op.subject, ops[i]))
+		op.mayLag = op.onOwnerHost && (op.staleRow || r.overlapsRowChange(op.subject, ops[i]))
 		ops[i].Input = op
 	}
 	return ops
 }
 
-// overlapsChange reports whether during overlaps a call of Acquire or Release of
-// the request.
-func (r *recorder) overlapsChange(request string, during porcupine.Operation) bool {
-	for _, change := range r.changes[request] {
+// overlapsRowChange reports whether the operation during overlaps a call of Acquire
+// or Release by the request.
+func (r *recorder) overlapsRowChange(request string, during porcupine.Operation) bool {
+	for _, change := range r.rowChanges[request] {
 		if change.Call <= during.Return && during.Call <= change.Return {
 			return true
 		}
--- a/claim/options.go
+++ b/claim/options.go
@@ -21,12 +21,14 @@
 
 // Liveness reports whether the process of a host may still be running.
 type Liveness interface {
-	// Alive returns false only if the host is known to have terminated. A wrong
-	// value changes the error that a duplicate gets, never which requests run.
+	// Alive returns false only if it is certain that the process has terminated. A
+	// wrong value changes the error that a duplicate gets, but never which requests
+	// run.
 	Alive(host string) bool
 }
 
-// Options configures a Store. Numbers that are zero take their defaults.
+// Options configures a Store. Numbers and durations that are zero take their
+// defaults.
 type Options struct {
 	// Table stores the claims. A groupcommit.Committer reduces the number of
 	// commits.
@@ -35,20 +37,20 @@
 	Objects storage.Objects
 	// Host is the name of this host in rows and for Liveness.
 	Host string
-	// Alive reports which owners may still run; nil means that all hosts may.
+	// Alive reports which owners may still be running; nil means that all may.
 	Alive Liveness
 	// Clock returns the wall time, used for expiry; default time.Now.
 	Clock storage.Clock
-	// Retention is how long results are kept; default 24 h.
+	// Retention is how long after the claim its result is kept; default 24 h.
 	Retention time.Duration
-	// TombstoneRetention is how long after the claim duplicates are still
-	// recognised and rejected; default 30 days.
+	// TombstoneRetention is how long after the claim its duplicates are still
+	// detected and rejected; default 30 days.
 	TombstoneRetention time.Duration
 	// InlineBytes is the maximum size of header and body stored in the row, in
 	// bytes; default 8 KiB.
 	InlineBytes int
 	// MaxResultBytes is the maximum size of header and body that is stored, in
-	// bytes; default 8 MiB. Of a larger result, only the fact that the request
+	// bytes; default 8 MiB. For a larger result, only the fact that the request
 	// finished is stored.
 	MaxResultBytes int
 	// MaxPending is the maximum number of pending writes; default 4096.
--- a/claim/record.go
+++ b/claim/record.go
@@ -20,18 +20,18 @@
 	RequestKey string `json:"request_key"`
 }
 
-// rowKey returns the key of the row in the table. The hash limits its length and
-// distributes rows evenly, so that hosts can sweep separate ranges. The length
-// prefix ensures that different Keys have different hash inputs.
+// rowKey returns the key of the row in the table. It contains a hash, which limits
+// the key's length and distributes the rows evenly, so that hosts can sweep separate
+// ranges. The length prefix ensures that different Keys have different hash inputs.
 func (k Key) rowKey() string {
 	input := strconv.Itoa(len(k.Account)) + ":" + k.Account + k.RequestKey
 	sum := sha256.Sum256([]byte(input))
 	return rowPrefix + hex.EncodeToString(sum[:])
 }
 
-// Result is a complete response and its origin.
+// Result is a complete response and where it came from.
 type Result struct {
-	// Code is the numbered result code.
+	// Code is the number of the result code, from package resultcode.
 	Code int `json:"code"`
 	// Status is the HTTP status.
 	Status int `json:"status"`
@@ -40,8 +40,8 @@
 	Header []byte `json:"header,omitempty"`
 	// Body is the complete response body.
 	Body []byte `json:"body,omitempty"`
-	// Model and Version are those that the request ran on; empty for plain
-	// services.
+	// Model and Version are the model and version that the request ran on; empty
+	// for services without models.
 	Model   string `json:"model,omitempty"`
 	Version string `json:"version,omitempty"`
 	// Upstream is the ID of the upstream that responded.
@@ -81,7 +81,8 @@
 	State state `json:"state"`
 	// Token identifies the attempt that owns the claim.
 	Token string `json:"token"`
-	// Host and Process identify the owner. Process is new at each start.
+	// Host and Process identify the owner. Process is a new ID at each start of
+	// the host.
 	Host    string `json:"host"`
 	Process string `json:"process"`
 	// Digest is the digest of the request, in hex.
@@ -94,8 +95,8 @@
 	Object string  `json:"object,omitempty"`
 }
 
-// with returns a copy of the record in a new state, without a result.
-func (r record) with(s state) record {
+// withState returns a copy of the record with the state s and without a result.
+func (r record) withState(s state) record {
 	r.State = s
 	r.Result = nil
 	r.Object = ""
--- a/claim/resultstore.go
+++ b/claim/resultstore.go
@@ -16,19 +16,21 @@
 // resultStore stores large results in the object store.
 type resultStore struct {
 	objects storage.Objects
-	// inlineBytes is the maximum size of a result stored in the row.
+	// inlineBytes is the maximum size of a result that is stored in the row, in
+	// bytes.
 	inlineBytes int
 }
 
-// storedResult is the content of an object.
+// storedResult is the JSON form of an object that holds a result.
 type storedResult struct {
 	Header []byte `json:"header,omitempty"`
 	Body   []byte `json:"body,omitempty"`
 }
 
-// store returns the record to write. It first moves a large result into an
-// object. Storing the same result again writes the same object.
-func (r resultStore) store(ctx context.Context, rec record) (record, error) {
+// storeIfLarge returns the record to write to the row. If the result is larger than
+// inlineBytes, storeIfLarge writes the result to an object and returns a record that
+// refers to it. Storing the same result again writes the same object.
+func (r resultStore) storeIfLarge(ctx context.Context, rec record) (record, error) {
 	if rec.Result == nil || rec.Result.size() <= r.inlineBytes {
 		return rec, nil
 	}
@@ -40,9 +42,9 @@
 	if err := r.objects.Write(ctx, rec.Object, data); err != nil {
 		return record{}, fmt.Errorf("claim: write result: %w", err)
 	}
-	withoutBody := *rec.Result
-	withoutBody.Header, withoutBody.Body = nil, nil
-	rec.Result = &withoutBody
+	withoutContent := *rec.Result
+	withoutContent.Header, withoutContent.Body = nil, nil
+	rec.Result = &withoutContent
 	return rec, nil
 }
 
--- a/claim/rows.go
+++ b/claim/rows.go
@@ -28,7 +28,8 @@
 	return row{record: rec, version: found.Version}, err
 }
 
-// write stores rec if its row has the given version; 0 means that it is absent.
+// write stores rec if its row has the given version, where 0 means that the row is
+// absent. It returns the row's new version.
 func (r rowStore) write(ctx context.Context, rec record, version uint64) (uint64, error) {
 	value, err := rec.encode()
 	if err != nil {
--- a/claim/store.go
+++ b/claim/store.go
@@ -51,7 +51,7 @@
 // Claim. The errors are *DoneError, *InFlightError, *MayHaveRunError, ErrKeyReused
 // and ErrUnavailable; after any of them the request must not be sent.
 func (s *Store) Acquire(ctx context.Context, key Key, digest [32]byte, requestID string) (*Claim, error) {
-	e := &activeClaim{record: record{
+	c := &activeClaim{record: record{
 		Key:       key,
 		State:     inFlight,
 		Token:     uuid.NewString(),
@@ -61,37 +61,38 @@
 		RequestID: requestID,
 		ClaimedAt: s.options.Clock().UTC(),
 	}}
-	if other, added := s.active.add(e); !added {
-		return nil, activeClaimError(other, e.record.Digest)
+	if other, added := s.active.add(c); !added {
+		return nil, activeClaimError(other, c.record.Digest)
 	}
-	version, err := s.newAttempt(e).run(ctx)
+	version, err := s.newAttempt(c).run(ctx)
 	if err != nil {
-		s.active.remove(e)
+		s.active.remove(c)
 		return nil, err
 	}
-	return &Claim{store: s, entry: e, version: version}, nil
+	return &Claim{store: s, active: c, version: version}, nil
 }
 
 // activeClaimError returns the error for a duplicate of a claim that is active on
 // this host.
-func activeClaimError(e activeClaim, digest string) error {
-	if e.record.Digest != digest {
+func activeClaimError(c activeClaim, digest string) error {
+	if c.record.Digest != digest {
 		return ErrKeyReused
 	}
-	if e.outcome == nil {
-		return &InFlightError{Host: e.record.Host, RequestID: e.record.RequestID}
+	if c.outcome == nil {
+		return &InFlightError{Host: c.record.Host, RequestID: c.record.RequestID}
 	}
-	switch e.outcome.State {
+	switch c.outcome.State {
 	case finished:
-		return &DoneError{Result: *e.outcome.Result}
+		return &DoneError{Result: *c.outcome.Result}
 	case mayHaveRun, resultGone:
-		return mayHaveRunError(*e.outcome)
+		return mayHaveRunError(*c.outcome)
 	default:
-		return &InFlightError{Host: e.record.Host, RequestID: e.record.RequestID}
+		return &InFlightError{Host: c.record.Host, RequestID: c.record.RequestID}
 	}
 }
 
-// duplicateError returns the error for a duplicate, from the row of its key.
+// duplicateError returns the error for a duplicate by the row of its key that was
+// found. digest is the digest of the duplicate.
 func (s *Store) duplicateError(ctx context.Context, found row, digest string) error {
 	if found.Digest != digest {
 		return ErrKeyReused
@@ -108,21 +109,21 @@
 }
 
 // finishedError loads the result and returns it in a DoneError. If the object
-// store is unavailable, it returns InFlightError, so that the caller retries: to
-// report that the request has not run would be wrong.
+// store is unavailable, it returns InFlightError, so that the caller retries later.
+// Another error would report that the request didn't run or that its result is gone.
 func (s *Store) finishedError(ctx context.Context, rec record) error {
 	result, err := s.results.load(ctx, rec)
 	if err == nil {
 		return &DoneError{Result: result}
 	}
 	if errors.Is(err, storage.ErrNotFound) {
-		return mayHaveRunError(rec.with(resultGone))
+		return mayHaveRunError(rec.withState(resultGone))
 	}
 	return &InFlightError{Host: rec.Host, RequestID: rec.RequestID}
 }
 
-// mayBeRunning reports whether the owner of an in-flight claim may still be
-// running.
+// mayBeRunning reports whether the process that owns an in-flight claim may still be
+// running. A claim of an earlier process of this host has no running owner.
 func (s *Store) mayBeRunning(rec record) bool {
 	if rec.Host == s.options.Host {
 		return rec.Process == s.process
--- a/claim/sweep.go
+++ b/claim/sweep.go
@@ -24,17 +24,17 @@
 }
 
 // sweepStart returns the row key after which the first sweep of a host starts. It
-// is derived from the host name, to distribute the hosts over the rows.
+// is derived from the host name, so that the hosts start at different rows.
 func sweepStart(host string) string {
 	sum := sha256.Sum256([]byte(host))
 	return rowPrefix + hex.EncodeToString(sum[:])
 }
 
-// Sweep reads up to limit rows, starting where the last call stopped, and wraps
-// around at the end. Rows older than Retention are replaced by tombstones, unless
+// Sweep reads up to limit rows, starting where the last call stopped, or at the first
+// row if the last call reached the end. Rows whose claim is older than Retention are replaced by tombstones, unless
 // the owner may still be running the request, and released rows of that age are
-// deleted. Tombstones older than TombstoneRetention are deleted. Rows that change
-// concurrently are left for the next pass.
+// deleted. Tombstones whose claim is older than TombstoneRetention are deleted. Rows
+// that change concurrently are left for the next pass.
 func (s *Store) Sweep(ctx context.Context, limit int) (SweepResult, error) {
 	s.sweepMu.Lock()
 	defer s.sweepMu.Unlock()
@@ -74,8 +74,8 @@
 	return SweepResult{Read: len(found), Expired: int(expired.Load()), Deleted: int(deleted.Load())}, err
 }
 
-// sweepRow returns the transaction that sweeps a row, or nil if the row stays as
-// it is.
+// sweepRow returns the transaction that replaces the row by a tombstone or deletes
+// it, or nil if the row stays as it is.
 func (s *Store) sweepRow(r storage.Row) (txn *storage.Txn, isDelete bool, err error) {
 	rec, err := decodeRecord(r.Value)
 	if err != nil {
@@ -86,7 +86,7 @@
 	case sweepDelete:
 		return &storage.Txn{Conditions: onVersion, Deletes: []string{r.Key}}, true, nil
 	case sweepTombstone:
-		value, err := rec.with(resultGone).encode()
+		value, err := rec.withState(resultGone).encode()
 		puts := []storage.Put{{Key: r.Key, Value: value}}
 		return &storage.Txn{Conditions: onVersion, Puts: puts}, false, err
 	default:
--- a/claim/sweep_test.go
+++ b/claim/sweep_test.go
@@ -14,7 +14,8 @@
 
 const day = 24 * time.Hour
 
-// TestSweep checks the result of a duplicate by the age of its claim.
+// TestSweep checks what Sweep does with a row by its state and age, and the result
+// of Acquire for a duplicate afterwards.
 func TestSweep(t *testing.T) {
 	finish := func(t *testing.T, c *claim.Claim) error { return c.Finish(t.Context(), resultOfSize(10)) }
 	setMayHaveRun := func(t *testing.T, c *claim.Claim) error { return c.MayHaveRun(t.Context()) }
@@ -72,7 +73,7 @@
 	return sum, nil
 }
 
-func TestTombstoneOutlivesTheAnswer(t *testing.T) {
+func TestTombstoneOutlivesTheResult(t *testing.T) {
 	tests := []struct {
 		desc          string
 		age           time.Duration
@@ -135,8 +136,8 @@
 	})
 }
 
-// TestBacklogBounds checks what is dropped if the backlog overflows while the
-// table is down.
+// TestBacklogBounds checks which results and writes are dropped if the backlog
+// overflows while the table is down.
 func TestBacklogBounds(t *testing.T) {
 	tests := []struct {
 		desc    string
@@ -146,7 +147,7 @@
 		// requests, on the owner's host.
 		wantDuplicate string
 	}{
-		{"room for all", claim.Options{}, 0, "done"},
+		{"everything fits", claim.Options{}, 0, "done"},
 		{"too many bytes", claim.Options{MaxPendingBytes: 2500}, 1, "result gone"},
 		{"too many outcomes", claim.Options{MaxPending: 2}, 1, "result gone"},
 	}
