--- a/internal/pause/gate.go
+++ b/internal/pause/failingtable.go
@@ -10,9 +10,10 @@
 
 var errKilled = errors.New("the process was killed")
 
-// WaitWhilePaused blocks while the process is paused, even if the caller's context ends, and
-// returns storage.ErrUnavailable after Kill. Unlike Checkpoint, it doesn't end
-// the goroutine, so that tests can wait for it.
+// WaitWhilePaused blocks while the process is paused. It takes no context, since a
+// paused process can't react to the end of one. After Kill, it returns an error that
+// wraps storage.ErrUnavailable; unlike Checkpoint, it doesn't end the goroutine, so
+// that tests can wait for the goroutine.
 func (p *Process) WaitWhilePaused() error {
 	p.mu.Lock()
 	running := p.running
@@ -24,33 +25,33 @@
 	return nil
 }
 
-// TableFailingAfterKill wraps a table for a process whose goroutines continue after Kill.
-// Calls block while the process is paused. After Kill, they fail and have no
-// effect.
+// TableFailingAfterKill wraps a table for a process whose goroutines continue after
+// Kill. Calls of the wrapped table block while the process is paused. After Kill,
+// they fail and have no effect.
 func (p *Process) TableFailingAfterKill(inner storage.Table) storage.Table {
-	return gatedTable{inner: inner, process: p}
+	return failingTable{inner: inner, process: p}
 }
 
-type gatedTable struct {
+type failingTable struct {
 	inner   storage.Table
 	process *Process
 }
 
-func (t gatedTable) Get(ctx context.Context, key string) (storage.Row, error) {
+func (t failingTable) Get(ctx context.Context, key string) (storage.Row, error) {
 	if err := t.process.WaitWhilePaused(); err != nil {
 		return storage.Row{}, err
 	}
 	return t.inner.Get(ctx, key)
 }
 
-func (t gatedTable) List(ctx context.Context, prefix, after string, limit int) ([]storage.Row, error) {
+func (t failingTable) List(ctx context.Context, prefix, after string, limit int) ([]storage.Row, error) {
 	if err := t.process.WaitWhilePaused(); err != nil {
 		return nil, err
 	}
 	return t.inner.List(ctx, prefix, after, limit)
 }
 
-func (t gatedTable) Commit(ctx context.Context, txn storage.Txn) (uint64, error) {
+func (t failingTable) Commit(ctx context.Context, txn storage.Txn) (uint64, error) {
 	if err := t.process.WaitWhilePaused(); err != nil {
 		return 0, err
 	}
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -2,7 +2,7 @@
 // goroutines that a test can pause, resume and kill.
 //
 // Tests of leases, claims and the ledger use it. A pause takes effect only at the
-// next checkpoint, so code without checkpoints continues.
+// next call of Process.Checkpoint, so code without such calls continues.
 package pause
 
 import (
@@ -30,8 +30,8 @@
 	return p
 }
 
-// Pause blocks each goroutine of the process at its next checkpoint, like
-// SIGSTOP.
+// Pause blocks each goroutine of the process at its next checkpoint, as SIGSTOP
+// stops a real process. It has no effect after Kill.
 func (p *Process) Pause() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,30 +92,30 @@
 	}
 }
 
-// Table wraps a table so that the process can be paused or killed before each
-// call, and between its effect and its return.
+// Table wraps a table. The process can be paused or killed before each call of the
+// wrapped table, and between the call's effect and its return.
 func (p *Process) Table(inner storage.Table) storage.Table {
-	return table{inner: inner, process: p}
+	return exitingTable{inner: inner, process: p}
 }
 
-type table struct {
+type exitingTable struct {
 	inner   storage.Table
 	process *Process
 }
 
-func (t table) Get(ctx context.Context, key string) (storage.Row, error) {
+func (t exitingTable) Get(ctx context.Context, key string) (storage.Row, error) {
 	t.process.Checkpoint()
 	defer t.process.Checkpoint()
 	return t.inner.Get(ctx, key)
 }
 
-func (t table) List(ctx context.Context, prefix, after string, limit int) ([]storage.Row, error) {
+func (t exitingTable) List(ctx context.Context, prefix, after string, limit int) ([]storage.Row, error) {
 	t.process.Checkpoint()
 	defer t.process.Checkpoint()
 	return t.inner.List(ctx, prefix, after, limit)
 }
 
-func (t table) Commit(ctx context.Context, txn storage.Txn) (uint64, error) {
+func (t exitingTable) Commit(ctx context.Context, txn storage.Txn) (uint64, error) {
 	t.process.Checkpoint()
 	defer t.process.Checkpoint()
 	return t.inner.Commit(ctx, txn)
--- a/resultcode/example_test.go
+++ b/resultcode/example_test.go
@@ -8,8 +8,9 @@
 	"github.com/quetzalweir/quetzalweir/runstate"
 )
 
-// The error code states that nothing was sent, but the run state shows that the
-// request may have run. The replacement code has no Retry-After.
+// The code of the error states that nothing was sent, but the run state shows that
+// the request may have run. ForState therefore replaces the code by one that has no
+// Retry-After.
 func Example() {
 	cause := errors.New("connection reset")
 	e := resultcode.Wrap(resultcode.UpstreamUnreachable, cause, "engine-07")
--- a/resultcode/resultcode.go
+++ b/resultcode/resultcode.go
@@ -1,8 +1,8 @@
 // Package resultcode defines the numbered result codes used in responses, logs
 // and bills. docs/RESULT-CODES.md is generated from the table in this package.
 //
-// A code doesn't determine the run state: the run state of a response is read
-// from the request's runstate.Tracker when the response is written.
+// The run state of a response isn't derived from its code; it is read from the
+// request's runstate.Tracker when the response is written.
 //
 // The entry host and the command line use it. The text of a response is for
 // people and can change with any release; programs must use the number.
@@ -83,7 +83,7 @@
 	// Retry is the default Retry-After; zero means that retrying the same request
 	// doesn't help.
 	Retry time.Duration
-	// Meaning is the description in the documentation.
+	// Meaning is the description of the code in docs/RESULT-CODES.md.
 	Meaning string
 }
 
@@ -213,9 +213,9 @@
 	return Wrap(Internal, err, "internal error")
 }
 
-// ForState returns e if its code allows the run state, or else an error that
-// wraps e and has the code of the run state. This ensures that a request that was
-// sent is never reported as not run.
+// ForState returns e if its code allows the run state. Otherwise it returns an error
+// that wraps e and has the code from codeForState, so that a request that was sent is
+// never reported as not run.
 func ForState(e *Error, state runstate.State) *Error {
 	for _, s := range Lookup(e.Code).States {
 		if s == state {
--- a/resultcode/resultcode_test.go
+++ b/resultcode/resultcode_test.go
@@ -25,7 +25,7 @@
 		is.True(s.Code > previous)  // ascending, so unique
 		is.True(!names[s.Name])     // names are unique
 		is.True(s.Status >= 200)    // an HTTP status
-		is.True(len(s.States) > 0)  // some state is possible
+		is.True(len(s.States) > 0)  // at least one run state is allowed
 		is.True(len(s.Meaning) > 0) // documented
 		names[s.Name] = true
 		previous = s.Code
@@ -55,7 +55,7 @@
 	return false
 }
 
-func TestFromKeepsTheCode(t *testing.T) {
+func TestFromErrorKeepsTheCode(t *testing.T) {
 	is := is.New(t)
 	cause := errors.New("cause")
 	wrapped := Wrap(QueueFull, cause, "full")
--- a/runstate/runstate.go
+++ b/runstate/runstate.go
@@ -3,12 +3,12 @@
 // understates what happened.
 //
 // Package upstream raises the state, and the entry host reads it for error
-// responses and bills. MayHaveRun doesn't determine whether the request ran.
+// responses and bills. The state MayHaveRun leaves open whether the request ran.
 package runstate
 
 import "sync/atomic"
 
-// State is the furthest that a request can have progressed on any upstream.
+// State states how far a request may have progressed on any upstream.
 type State uint32
 
 const (
--- a/runstate/runstate_test.go
+++ b/runstate/runstate_test.go
@@ -9,7 +9,7 @@
 	"github.com/quetzalweir/quetzalweir/runstate"
 )
 
-func TestStateOnlyRises(t *testing.T) {
+func TestStateNeverDecreases(t *testing.T) {
 	is := is.New(t)
 	var tracker runstate.Tracker
 	is.Equal(tracker.State(), runstate.NotRun)
