--- a/config/body.go
+++ b/config/body.go
@@ -26,8 +26,8 @@
 }
 
 // LoadFrom loads the manifest with head's digest, as Load does, for a host that has
-// current in force. If current is the manifest's parent, it reads only the delta, a
-// few hundred bytes instead of the whole body.
+// the manifest current in force. If current is the parent of the one to load, LoadFrom
+// reads only the delta, which has a few hundred bytes, instead of the whole body.
 func (s *Store) LoadFrom(ctx context.Context, head Head, current *manifest.Policy) (*manifest.Policy, error) {
 	if current == nil || current.Digest != head.Parent {
 		return s.Load(ctx, head)
@@ -51,8 +51,8 @@
 	return verifyAndCompile(body, head)
 }
 
-// writeDelta stores the delta from the parent's body to the proposal's. The delta
-// only saves traffic, so the submission goes on if it can't be written.
+// writeDelta stores the delta from the parent's body to the proposal's body. The delta
+// only saves traffic, so the submission continues if the delta can't be written.
 func (s *Store) writeDelta(ctx context.Context, p *proposal) {
 	if p.head.Parent == "" {
 		return
@@ -67,8 +67,8 @@
 	}
 }
 
-// verifyAndCompile compiles a body after checking its digest, so that the body may
-// come from an untrusted source.
+// verifyAndCompile compiles a body after it has checked that the body has head's digest,
+// so that the body may come from an untrusted source.
 func verifyAndCompile(body []byte, head Head) (*manifest.Policy, error) {
 	if digest := manifest.DigestCanonical(body); digest != head.Digest {
 		return nil, fmt.Errorf("%w: body of epoch %d has digest %s, not %s", ErrDamaged, head.Epoch, digest, head.Digest)
--- a/config/body_test.go
+++ b/config/body_test.go
@@ -14,7 +14,8 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// countedObjects counts the bytes read, and can corrupt or hide deltas.
+// countedObjects counts the bytes that are read. damage, if it isn't nil, replaces the
+// result of reading a delta.
 type countedObjects struct {
 	storage.Objects
 	read   atomic.Int64
@@ -45,7 +46,7 @@
 		{"delta to another document", func([]byte) ([]byte, error) { return []byte(`{"steps":[{"to":1}]}`), nil }, true},
 	} {
 		t.Run(tc.desc, func(t *testing.T) {
-			runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
+			runWithFixture(t, func(t *testing.T, is *is.I, f *fixture) {
 				doc, err := manifest.Parse(document("", "1"))
 				is.NoErr(err)
 				for i := range accounts {
@@ -54,15 +55,15 @@
 						Classes: []string{"normal"}, Weight: 1,
 					})
 				}
-				objects := &countedObjects{Objects: b.objects, damage: tc.damage}
-				w := run(t, config.WatcherOptions{Store: config.NewStore(b.table, objects)})
-				first, err := b.store.Submit(t.Context(), manifest.Encode(doc), "1")
+				objects := &countedObjects{Objects: f.objects, damage: tc.damage}
+				w := run(t, config.WatcherOptions{Store: config.NewStore(f.table, objects)})
+				first, err := f.store.Submit(t.Context(), manifest.Encode(doc), "1")
 				is.NoErr(err)
 				settle()
 				whole := objects.read.Swap(0)
 
 				doc.Parent, doc.Accounts[accounts/2].Weight = first.Head.Digest, 2
-				second, err := b.store.Submit(t.Context(), manifest.Encode(doc), "2")
+				second, err := f.store.Submit(t.Context(), manifest.Encode(doc), "2")
 				is.NoErr(err)
 				settle()
 				is.Equal(w.Current().Digest, second.Head.Digest)
--- a/config/configtest/example_test.go
+++ b/config/configtest/example_test.go
@@ -37,8 +37,8 @@
 	// Output: map[a:none stopped b:none stopped]
 }
 
-// A host that is isolated during an outage of the table can't query the others, so
-// its evidence expires.
+// A host that is isolated during an outage of the table can't query the other hosts, so its
+// evidence that its manifest is the newest expires and it accepts no requests.
 func TestIsolate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/config/configtest/network.go
+++ b/config/configtest/network.go
@@ -16,8 +16,8 @@
 type Network struct {
 	mu       sync.Mutex
 	watchers map[string]*config.Watcher
-	// isolated holds one side of the partition; hosts reach only hosts on their own
-	// side.
+	// isolated holds the hosts on one side of the partition. Hosts reach only hosts on
+	// their own side.
 	isolated map[string]bool
 }
 
--- a/config/confirm.go
+++ b/config/confirm.go
@@ -12,7 +12,8 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// confirmation is the value of the row in which a host records its manifest in force.
+// confirmation is the value of the row in which a host records which manifest it has in
+// force.
 type confirmation struct {
 	Epoch  uint64    `json:"epoch"`
 	Digest string    `json:"digest"`
@@ -24,7 +25,8 @@
 	// Confirmed hosts had the head or a later one in force when they wrote their
 	// row. A host never returns to an earlier head.
 	Confirmed []string
-	// Unconfirmed hosts have written no such row; they may still have the head in force.
+	// Unconfirmed hosts have written no such row. They may have the head in force
+	// nevertheless.
 	Unconfirmed []string
 }
 
@@ -33,13 +35,13 @@
 	confirmPageSize = 500
 )
 
-// Confirm records that host has put head in force. The row's epoch never decreases:
-// a late write of an older head has no effect.
+// Confirm records that host has put head in force. The row's epoch never decreases, so
+// that a late write of an older head has no effect.
 func (s *Store) Confirm(ctx context.Context, host string, head Head) error {
 	var err error
 	for attempt := range confirmAttempts {
 		var done bool
-		if done, err = s.confirm(ctx, host, head); done {
+		if done, err = s.tryConfirm(ctx, host, head); done {
 			return nil
 		}
 		if backOff(ctx, attempt) != nil {
@@ -49,7 +51,7 @@
 	return fmt.Errorf("config: confirm epoch %d: %w", head.Epoch, err)
 }
 
-func (s *Store) confirm(ctx context.Context, host string, head Head) (bool, error) {
+func (s *Store) tryConfirm(ctx context.Context, host string, head Head) (bool, error) {
 	key := confirmPrefix + host
 	old, version, err := s.readConfirmation(ctx, key)
 	if err != nil {
--- a/config/doc.go
+++ b/config/doc.go
@@ -5,6 +5,6 @@
 // in docs/design/0004-config-head.md.
 //
 // The entry host embeds both. Hosts that can reach neither the table nor any host
-// that reads it can continue with the previous manifest if they are a majority;
-// Store.Report returns which hosts have confirmed the newest.
+// that reads it can keep accepting requests with an older manifest if they are a
+// majority; Store.Report returns which hosts have confirmed the newest one.
 package config
--- a/config/freshness.go
+++ b/config/freshness.go
@@ -18,9 +18,9 @@
 	// Epoch is the epoch that the host has in force.
 	Epoch uint64
 	// Newest is the newest epoch that the host has learned of. If it is greater
-	// than Epoch, its manifest couldn't be loaded yet.
+	// than Epoch, the host hasn't loaded that epoch's manifest yet.
 	Newest uint64
-	// Age is the age of the host's newest evidence; negative if there was none.
+	// Age is the age of the host's newest evidence; negative if it has none.
 	Age time.Duration
 }
 
@@ -38,25 +38,27 @@
 // view is a host's manifest in force and the evidence that it is the newest one. A
 // view is immutable; each update replaces it.
 //
-// All times carry a monotonic clock reading. Each is the START of the table read or
-// peer query that gave the evidence: the response describes the state at some later
-// time, so it is no older than that, however late it arrives and however long the
-// process was suspended in between.
+// All times carry a monotonic clock reading. The time of evidence is the START of the
+// table read or peer query that returned it. The response describes the state at a time
+// after that start, so the evidence is never older than its time states, however late
+// the response arrives and however long the process was suspended in between.
 type view struct {
 	policy *manifest.Policy
-	// installed is the time at which policy was put in force.
-	installed time.Time
-	// tableRead is the start of the newest read of the table, by this host or a
-	// peer, that returned no head above policy; zero if there was none.
-	tableRead time.Time
-	// quorumAsked is the start of the newest peer query in which a majority of
-	// the known hosts reported that they have policy in force and no newer head;
-	// zero if there was none.
-	quorumAsked time.Time
-	// newest is the newest head that the host has learned of, at least policy's.
+	// installedAt is the time at which policy was put in force.
+	installedAt time.Time
+	// tableReadAt is the start of the newest read of the table, by this host or a
+	// peer, that returned no newer head than that of policy; zero if there was none.
+	tableReadAt time.Time
+	// quorumQueriedAt is the time up to which a peer query has shown that a majority
+	// of the member hosts have policy in force and no newer head: the start of the
+	// query less the age of the reports. It is zero if there was no such query.
+	quorumQueriedAt time.Time
+	// newest is the newest head that the host has learned of; its epoch isn't below
+	// that of policy.
 	newest Head
-	// newestRead is the start of the newest table read that returned newest.
-	newestRead time.Time
+	// newestReadAt is the start of the newest table read that returned the head
+	// newest.
+	newestReadAt time.Time
 }
 
 // epoch returns the epoch in force, zero if there is none.
@@ -67,42 +69,42 @@
 	return v.policy.Epoch
 }
 
-// evidence returns the latest time at which, by the freshness rule, policy was
-// the newest manifest.
-func (v *view) evidence() time.Time {
-	return later(v.tableRead, v.quorumAsked)
+// evidenceTime returns the latest time for which the host has evidence that policy was
+// the newest manifest; zero if it has none.
+func (v *view) evidenceTime() time.Time {
+	return latest(v.tableReadAt, v.quorumQueriedAt)
 }
 
-// check applies the freshness rule: it returns nil if the evidence at time now is
-// no older than bound.
+// check applies the freshness rule: it returns nil if the newest evidence that policy is
+// the newest manifest is no older than bound at time now.
 func (v *view) check(now time.Time, bound time.Duration) error {
 	if v.policy == nil {
 		return ErrNoManifest
 	}
-	evidence := v.evidence()
-	if !evidence.IsZero() && now.Sub(evidence) <= bound {
+	evidenceAt := v.evidenceTime()
+	if !evidenceAt.IsZero() && now.Sub(evidenceAt) <= bound {
 		return nil
 	}
 	stale := &StaleError{Epoch: v.policy.Epoch, Newest: v.newest.Epoch, Age: -1}
-	if !evidence.IsZero() {
-		stale.Age = now.Sub(evidence)
+	if !evidenceAt.IsZero() {
+		stale.Age = now.Sub(evidenceAt)
 	}
 	return stale
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// Errors of reports about the head that were ignored.
+// Errors for reports about the head that contradict what the host has learned before.
 var (
 	// ErrFork means that two different digests were reported for one epoch.
 	ErrFork = errors.New("config: two digests for one epoch")
-	// ErrTableRolledBack means that the table returned an older head than one
-	// that was in force before the read started.
+	// ErrTableRolledBack means that the table returned an older head than the one
+	// that the host had in force before the read started.
 	ErrTableRolledBack = errors.New("config: the table returned an older head")
 )
 
@@ -112,14 +114,14 @@
 		return v, nil
 	}
 	if head.Epoch == v.newest.Epoch {
-		return v, v.sameDigest(head)
+		return v, v.checkSameDigest(head)
 	}
 	v.newest = head
-	v.newestRead = time.Time{}
+	v.newestReadAt = time.Time{}
 	return v, nil
 }
 
-func (v view) sameDigest(head Head) error {
+func (v view) checkSameDigest(head Head) error {
 	if head.Digest == v.newest.Digest {
 		return nil
 	}
@@ -127,11 +129,12 @@
 }
 
 // withOwnTableRead is withTableRead for this host's own reads. For an epoch that
-// isn't in force yet, the head in the table replaces the one that a peer reported.
+// isn't in force yet, the head that the table returned replaces the head that a peer
+// reported.
 func (v view) withOwnTableRead(head Head, at time.Time) (view, error) {
 	err := error(nil)
 	if head.Epoch == v.newest.Epoch && head.Epoch > v.epoch() {
-		err = v.sameDigest(head)
+		err = v.checkSameDigest(head)
 		v.newest = head
 	}
 	v, readErr := v.withTableRead(head, at)
@@ -139,38 +142,39 @@
 }
 
 // withTableRead returns the view after a read of the table that started at time at
-// and returned head. A head below the one in force is evidence too, as nothing newer
-// had been accepted at that time. But if the one in force was installed, and so
-// accepted, before the read started, the table has lost it.
+// and returned head. A head below that of the manifest in force is evidence, too,
+// since nothing newer than that manifest had been accepted at that time. But if the
+// manifest was put in force, and so had been accepted, before the read started, the
+// table has lost it, and the view stays as it is.
 func (v view) withTableRead(head Head, at time.Time) (view, error) {
 	v, err := v.withHead(head)
 	if err != nil {
 		return v, err
 	}
-	if head.Epoch < v.epoch() && at.After(v.installed) {
+	if head.Epoch < v.epoch() && at.After(v.installedAt) {
 		return v, fmt.Errorf("%w: epoch %d, but epoch %d is in force", ErrTableRolledBack, head.Epoch, v.epoch())
 	}
 	if head.Epoch <= v.epoch() {
-		v.tableRead = later(v.tableRead, at)
+		v.tableReadAt = latest(v.tableReadAt, at)
 		return v, nil
 	}
 	if head.Epoch == v.newest.Epoch {
-		v.newestRead = later(v.newestRead, at)
+		v.newestReadAt = latest(v.newestReadAt, at)
 	}
 	return v, nil
 }
 
-// withPolicy returns the view after a manifest was loaded; one that is older than
-// the manifest in force changes nothing. Evidence that there was no head above the
-// previous policy also holds for the new one.
+// withPolicy returns the view after the manifest p was loaded. A manifest that isn't
+// newer than the one in force changes nothing. Evidence that there was no newer head
+// than that of the previous manifest also holds for p.
 func (v view) withPolicy(p *manifest.Policy, now time.Time) view {
 	if p.Epoch <= v.epoch() {
 		return v
 	}
 	v.policy = p
-	v.installed = now
+	v.installedAt = now
 	if p.Epoch >= v.newest.Epoch {
-		v.tableRead = later(v.tableRead, v.newestRead)
+		v.tableReadAt = latest(v.tableReadAt, v.newestReadAt)
 	}
 	return v
 }
@@ -182,7 +186,7 @@
 	Epoch  uint64 `json:"epoch"`
 	Digest string `json:"digest"`
 	// Newest is the newest epoch that the host has learned of. It may be zero if
-	// that isn't above Epoch.
+	// the host has learned of no epoch above Epoch.
 	Newest uint64 `json:"newest"`
 	// HasTableRead is true if the host has evidence from a table read. TableReadAge is the
 	// age of that evidence when the host made this report, counted from the
@@ -190,17 +194,17 @@
 	HasTableRead bool          `json:"has_word"`
 	TableReadAge time.Duration `json:"word_age_ns"`
 	// Age is how long before the call of QueryViews the host made this report; zero if
-	// this call requested it.
+	// the host made it in response to that call.
 	Age time.Duration `json:"age_ns"`
 }
 
 func (p PeerView) head() Head { return Head{Epoch: p.Epoch, Digest: p.Digest} }
 
-// quorumAge checks whether a majority of the known hosts, this one included, has
-// epoch and digest in force. It returns the age of that evidence at the start of
-// the peer query. ok is false if there is no majority or if any peer reports a newer
-// epoch. A single host is no evidence about others.
-func quorumAge(epoch uint64, digest string, known int, peers []PeerView) (age time.Duration, ok bool) {
+// quorumAge checks whether a majority of the hostCount member hosts, this host included,
+// has the manifest with epoch and digest in force. It returns how old that evidence was
+// at the start of the peer query. ok is false if there is no majority or if any peer
+// reports a newer epoch. If this host is the only member, ok is false, too.
+func quorumAge(epoch uint64, digest string, hostCount int, peers []PeerView) (age time.Duration, ok bool) {
 	ageByHost := map[string]time.Duration{}
 	for _, p := range peers {
 		if p.Epoch > epoch || p.Newest > epoch {
@@ -209,12 +213,12 @@
 		if p.Epoch != epoch || p.Digest != digest {
 			continue
 		}
-		newest, seen := ageByHost[p.Host]
-		if !seen || p.Age < newest {
+		lowest, seen := ageByHost[p.Host]
+		if !seen || p.Age < lowest {
 			ageByHost[p.Host] = p.Age
 		}
 	}
-	needed := known / 2 // peers that make a majority together with this host
+	needed := hostCount / 2 // peers that make a majority together with this host
 	if needed < 1 || len(ageByHost) < needed {
 		return 0, false
 	}
--- a/config/freshness_test.go
+++ b/config/freshness_test.go
@@ -11,7 +11,8 @@
 	"github.com/quetzalweir/quetzalweir/manifest"
 )
 
-// simulation holds when each epoch was accepted, and hosts that learn of it with delays.
+// simulation holds the times at which epochs were accepted, and the views of hosts that
+// learn of them with delays.
 type simulation struct {
 	now      time.Time
 	accepted []time.Time // accepted[i] is the time at which epoch i+1 was accepted
@@ -22,8 +23,8 @@
 	messages  []*viewMessage
 }
 
-// read is a table read in progress. The table serves it at some time between its start
-// and its end, which may be far apart.
+// read is a table read in progress. Its result, head, is the table's head at the time at
+// which the table serves the read. Start, serving and end may be far apart.
 type read struct {
 	host   int
 	start  time.Time
@@ -31,21 +32,23 @@
 	head   Head
 }
 
-// viewMessage is one host's view in transit to another host.
+// viewMessage is one host's view in transit to another host, which started its query at
+// queryStart.
 type viewMessage struct {
 	to           int
-	start        time.Time
+	queryStart   time.Time
 	head         Head
 	hasTableRead bool
 	age          time.Duration
 }
 
-func (w *simulation) head() Head { return Head{Epoch: uint64(len(w.accepted))} }
+func (s *simulation) head() Head { return Head{Epoch: uint64(len(s.accepted))} }
 
-// acceptedBefore returns the newest epoch that was accepted before a time.
-func (w *simulation) acceptedBefore(at time.Time) uint64 {
+// acceptedBefore returns the newest epoch that was accepted before the time at; zero if
+// there was none.
+func (s *simulation) acceptedBefore(at time.Time) uint64 {
 	epoch := uint64(0)
-	for _, t := range w.accepted {
+	for _, t := range s.accepted {
 		if t.Before(at) {
 			epoch++
 		}
@@ -53,57 +56,57 @@
 	return epoch
 }
 
-func (w *simulation) startRead(t *rapid.T) {
-	w.reads = append(w.reads, &read{host: w.drawHost(t), start: w.now})
+func (s *simulation) startRead(t *rapid.T) {
+	s.reads = append(s.reads, &read{host: s.drawHost(t), start: s.now})
 }
 
-func (w *simulation) serveRead(t *rapid.T) {
-	if r := draw(t, w.reads); r != nil && !r.served {
-		r.served, r.head = true, w.head()
+func (s *simulation) serveRead(t *rapid.T) {
+	if r := draw(t, s.reads); r != nil && !r.served {
+		r.served, r.head = true, s.head()
 	}
 }
 
-func (w *simulation) finishRead(t *rapid.T) {
-	r := draw(t, w.reads)
+func (s *simulation) finishRead(t *rapid.T) {
+	r := draw(t, s.reads)
 	if r == nil || !r.served {
 		return
 	}
-	w.hosts[r.host], _ = w.hosts[r.host].withOwnTableRead(r.head, r.start)
+	s.hosts[r.host], _ = s.hosts[r.host].withOwnTableRead(r.head, r.start)
 }
 
-func (w *simulation) sendView(t *rapid.T) {
-	from := w.hosts[w.drawHost(t)]
+func (s *simulation) sendView(t *rapid.T) {
+	from := s.hosts[s.drawHost(t)]
 	delay := time.Duration(rapid.IntRange(0, 2000).Draw(t, "query delay")) * time.Millisecond
-	w.messages = append(w.messages, &viewMessage{
-		to: w.drawHost(t), start: w.now.Add(-delay), head: Head{Epoch: from.epoch()},
-		hasTableRead: !from.tableRead.IsZero(), age: w.now.Sub(from.tableRead),
+	s.messages = append(s.messages, &viewMessage{
+		to: s.drawHost(t), queryStart: s.now.Add(-delay), head: Head{Epoch: from.epoch()},
+		hasTableRead: !from.tableReadAt.IsZero(), age: s.now.Sub(from.tableReadAt),
 	})
 }
 
-func (w *simulation) receiveView(t *rapid.T) {
-	message := draw(t, w.messages)
+func (s *simulation) receiveView(t *rapid.T) {
+	message := draw(t, s.messages)
 	if message == nil {
 		return
 	}
 	if message.hasTableRead {
-		w.hosts[message.to], _ = w.hosts[message.to].withTableRead(message.head, message.start.Add(-message.age))
+		s.hosts[message.to], _ = s.hosts[message.to].withTableRead(message.head, message.queryStart.Add(-message.age))
 	} else {
-		w.hosts[message.to], _ = w.hosts[message.to].withHead(message.head)
+		s.hosts[message.to], _ = s.hosts[message.to].withHead(message.head)
 	}
 }
 
-// finishLoad finishes the load of any manifest that the host has learned of, including
-// old ones.
-func (w *simulation) finishLoad(t *rapid.T) {
-	host := w.drawHost(t)
-	if newest := w.hosts[host].newest.Epoch; newest > 0 {
+// finishLoad puts a manifest in force on a host as if its load had finished. It may be any
+// manifest that the host has learned of, also an old one.
+func (s *simulation) finishLoad(t *rapid.T) {
+	host := s.drawHost(t)
+	if newest := s.hosts[host].newest.Epoch; newest > 0 {
 		epoch := rapid.Uint64Range(1, newest).Draw(t, "epoch")
-		w.hosts[host] = w.hosts[host].withPolicy(&manifest.Policy{Epoch: epoch}, w.now)
+		s.hosts[host] = s.hosts[host].withPolicy(&manifest.Policy{Epoch: epoch}, s.now)
 	}
 }
 
-func (w *simulation) drawHost(t *rapid.T) int {
-	return rapid.IntRange(0, len(w.hosts)-1).Draw(t, "host")
+func (s *simulation) drawHost(t *rapid.T) int {
+	return rapid.IntRange(0, len(s.hosts)-1).Draw(t, "host")
 }
 
 func draw[T any](t *rapid.T, list []*T) *T {
@@ -115,15 +118,15 @@
 
 // checkInvariants checks that no host's epoch decreases, and that a host that accepts
 // requests has every manifest that was accepted longer ago than the bound.
-func (w *simulation) checkInvariants(t *rapid.T) {
-	for i := range w.hosts {
-		epoch := w.hosts[i].epoch()
-		if epoch < w.maxEpochs[i] {
-			t.Fatalf("host %d went from epoch %d to %d", i, w.maxEpochs[i], epoch)
+func (s *simulation) checkInvariants(t *rapid.T) {
+	for i := range s.hosts {
+		epoch := s.hosts[i].epoch()
+		if epoch < s.maxEpochs[i] {
+			t.Fatalf("host %d went from epoch %d to %d", i, s.maxEpochs[i], epoch)
 		}
-		w.maxEpochs[i] = epoch
-		required := w.acceptedBefore(w.now.Add(-DefaultBound))
-		if w.hosts[i].check(w.now, DefaultBound) == nil && epoch < required {
+		s.maxEpochs[i] = epoch
+		required := s.acceptedBefore(s.now.Add(-DefaultBound))
+		if s.hosts[i].check(s.now, DefaultBound) == nil && epoch < required {
 			t.Fatalf("host %d accepts requests with epoch %d, but epoch %d is required", i, epoch, required)
 		}
 	}
@@ -131,18 +134,18 @@
 
 func TestFreshnessInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &simulation{now: time.Now(), hosts: make([]view, 3), maxEpochs: make([]uint64, 3)}
+		s := &simulation{now: time.Now(), hosts: make([]view, 3), maxEpochs: make([]uint64, 3)}
 		t.Repeat(map[string]func(*rapid.T){
-			"":       w.checkInvariants,
-			"accept": func(*rapid.T) { w.accepted = append(w.accepted, w.now) },
-			"read":   w.startRead,
-			"serve":  w.serveRead,
-			"answer": w.finishRead,
-			"tell":   w.sendView,
-			"hear":   w.receiveView,
-			"load":   w.finishLoad,
+			"":       s.checkInvariants,
+			"accept": func(*rapid.T) { s.accepted = append(s.accepted, s.now) },
+			"read":   s.startRead,
+			"serve":  s.serveRead,
+			"answer": s.finishRead,
+			"tell":   s.sendView,
+			"hear":   s.receiveView,
+			"load":   s.finishLoad,
 			"advance": func(t *rapid.T) {
-				w.now = w.now.Add(time.Duration(rapid.IntRange(1, 4000).Draw(t, "ms")) * time.Millisecond)
+				s.now = s.now.Add(time.Duration(rapid.IntRange(1, 4000).Draw(t, "ms")) * time.Millisecond)
 			},
 		})
 	})
@@ -157,11 +160,11 @@
 		return list
 	}
 	for _, tc := range []struct {
-		desc  string
-		known int
-		peers []PeerView
-		age   time.Duration
-		ok    bool
+		desc      string
+		hostCount int
+		peers     []PeerView
+		age       time.Duration
+		ok        bool
 	}{
 		{"alone", 1, nil, 0, false},
 		{"no response from others", 3, nil, 0, false},
@@ -177,25 +180,25 @@
 	} {
 		t.Run(tc.desc, func(t *testing.T) {
 			is := is.New(t)
-			age, ok := quorumAge(3, "d", tc.known, tc.peers)
+			age, ok := quorumAge(3, "d", tc.hostCount, tc.peers)
 			is.Equal(ok, tc.ok)
 			is.Equal(age, tc.age)
 		})
 	}
 }
 
-func TestInterval(t *testing.T) {
+func TestSharedInterval(t *testing.T) {
 	for _, tc := range []struct {
-		desc             string
-		known, perSecond int
-		want             time.Duration
+		desc                 string
+		hostCount, perSecond int
+		want                 time.Duration
 	}{
 		{"few hosts", 7, 200, time.Second},
 		{"many hosts share the budget", 440, 200, 2200 * time.Millisecond},
 		{"too many hosts for the budget", 2000, 200, 2500 * time.Millisecond},
 	} {
 		t.Run(tc.desc, func(t *testing.T) {
-			got := sharedInterval(tc.known, tc.perSecond, DefaultPoll, DefaultBound/readsPerBound)
+			got := sharedInterval(tc.hostCount, tc.perSecond, DefaultPoll, DefaultBound/readsPerBound)
 			is.New(t).Equal(got, tc.want)
 		})
 	}
--- a/config/head.go
+++ b/config/head.go
@@ -23,7 +23,8 @@
 	Build string `json:"build,omitempty"`
 	// Token identifies the submission that was accepted.
 	Token string `json:"token,omitempty"`
-	// AcceptedAt is the time of acceptance, in UTC by the submitter's clock.
+	// AcceptedAt is the time of acceptance in UTC, by the clock of the submitting
+	// host.
 	AcceptedAt time.Time `json:"accepted_at,omitzero"`
 }
 
@@ -65,7 +66,7 @@
 )
 
 // ConflictError means that the document's parent isn't the head. The document was
-// not accepted, and this call can't have it accepted later either.
+// not accepted, and the failed call can't lead to its acceptance later either.
 type ConflictError struct {
 	// Head is the head that was read; its epoch is zero if there is none.
 	Head Head
--- a/config/helpers_test.go
+++ b/config/helpers_test.go
@@ -43,23 +43,23 @@
 
 func newFixture() *fixture {
 	inner := memory.New()
-	b := &fixture{rawTable: inner, table: faulty.New(inner), objects: faulty.NewObjects(memory.NewObjects())}
-	b.store = b.newStore()
-	return b
+	f := &fixture{rawTable: inner, table: faulty.New(inner), objects: faulty.NewObjects(memory.NewObjects())}
+	f.store = f.newStore()
+	return f
 }
 
 // runWithFixture runs a test with a new fixture in a synctest bubble.
-func runWithFixture(t *testing.T, test func(t *testing.T, is *is.I, b *fixture)) {
+func runWithFixture(t *testing.T, test func(t *testing.T, is *is.I, f *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { test(t, is.New(t), newFixture()) })
 }
 
-func (b *fixture) newStore() *config.Store { return config.NewStore(b.table, b.objects) }
+func (f *fixture) newStore() *config.Store { return config.NewStore(f.table, f.objects) }
 
 // submit submits a manifest that follows parent and returns its head.
-func (b *fixture) submit(t testing.TB, parent config.Head, build string) config.Head {
+func (f *fixture) submit(t testing.TB, parent config.Head, build string) config.Head {
 	t.Helper()
-	result, err := b.store.Submit(context.Background(), document(parent.Digest, build), "token-"+build)
+	result, err := f.store.Submit(context.Background(), document(parent.Digest, build), "token-"+build)
 	is.New(t).NoErr(err)
 	return result.Head
 }
--- a/config/history_test.go
+++ b/config/history_test.go
@@ -20,7 +20,8 @@
 	"github.com/quetzalweir/quetzalweir/storage/storagetest"
 )
 
-// call is a submission; with an empty digest it is a read of the head.
+// call is a call in the history: a submission of the document with digest and parent, or
+// a read of the head if digest is empty.
 type call struct{ parent, digest string }
 
 type outcome int
@@ -65,8 +66,8 @@
 	return acceptedDigests(strings.TrimSpace(string(c) + " " + digest))
 }
 
-// step is the sequential specification of the head: it returns the possible states after
-// a call with the result.
+// step is the sequential specification of the head. It returns the states that are possible
+// after the call in that returned out; none if out isn't possible.
 func (c acceptedDigests) step(in call, out callResult) []acceptedDigests {
 	epoch, head := c.head()
 	matches := epoch == out.epoch && head == out.digest
@@ -126,7 +127,7 @@
 	history *storagetest.History
 }
 
-// injectFault sets a random fault, or none, for the next calls.
+// injectFault sets a random table fault, or none, for the next calls.
 func (s *submitter) injectFault() {
 	s.table.Heal()
 	n := 1 + s.random.IntN(3)
@@ -144,8 +145,8 @@
 	}
 }
 
-// submitRounds reads the head and submits a successor, several times. Submitters often
-// submit the same document, as there are only two per parent.
+// submitRounds reads the head and submits a successor, once per round. Submitters often
+// submit the same document, since there are only two documents per parent.
 func (s *submitter) submitRounds(ctx context.Context, rounds int) {
 	for round := range rounds {
 		s.injectFault()
@@ -187,7 +188,7 @@
 	}
 }
 
-func TestRacingSubmitsAreLinearizable(t *testing.T) {
+func TestConcurrentSubmitsAreLinearizable(t *testing.T) {
 	const (
 		seeds      = 150
 		submitters = 4
@@ -196,21 +197,21 @@
 	counts := map[outcome]int{}
 	for seed := range uint64(seeds) {
 		synctest.Test(t, func(t *testing.T) {
-			b := newFixture()
+			f := newFixture()
 			h := new(storagetest.History)
 			var group sync.WaitGroup
 			for client := range submitters {
-				table := faulty.New(b.rawTable)
+				table := faulty.New(f.rawTable)
 				s := &submitter{
 					client: client, table: table, history: h,
-					store:  config.NewStore(table, b.objects),
+					store:  config.NewStore(table, f.objects),
 					random: rand.New(rand.NewPCG(seed, uint64(client))),
 				}
 				group.Go(func() { s.submitRounds(t.Context(), rounds) })
 			}
 			group.Wait()
 			time.Sleep(time.Minute) // for the delayed effects
-			last := &submitter{client: submitters, store: b.store}
+			last := &submitter{client: submitters, store: f.store}
 			record(h, submitters, call{}, func() callResult { return last.read(t.Context()) })
 			storagetest.CheckModel(t, fmt.Sprint("seed ", seed), headModel.ToModel(), h.Operations())
 			for _, op := range h.Operations() {
@@ -225,7 +226,7 @@
 }
 
 // The model must reject histories that aren't linearizable.
-func TestCheckerRejectsBadHistories(t *testing.T) {
+func TestModelRejectsBadHistories(t *testing.T) {
 	one := call{digest: "one"}
 	two := call{parent: "one", digest: "two"}
 	other := call{parent: "one", digest: "other"}
--- a/config/peers_test.go
+++ b/config/peers_test.go
@@ -13,12 +13,12 @@
 )
 
 func TestMajorityContinuesWithoutTable(t *testing.T) {
-	runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
-		b.submit(t, config.Head{}, "1")
+	runWithFixture(t, func(t *testing.T, is *is.I, f *fixture) {
+		f.submit(t, config.Head{}, "1")
 		n := configtest.NewNetwork()
-		n.Start(t, config.WatcherOptions{Store: b.store}, "a", "b", "c", "d", "e")
+		n.Start(t, config.WatcherOptions{Store: f.store}, "a", "b", "c", "d", "e")
 		settle()
-		b.table.SetDown(true)
+		f.table.SetDown(true)
 		time.Sleep(10 * time.Minute) // a long outage
 		is.Equal(n.States(), map[string]string{"a": "1", "b": "1", "c": "1", "d": "1", "e": "1"})
 		n.Isolate("d", "e")
@@ -29,19 +29,20 @@
 		time.Sleep(beyondBound)
 		is.Equal(n.States(), map[string]string{"a": "1 stopped", "b": "1 stopped", "c": "1", "d": "1", "e": "1"})
 		n.Isolate()
-		b.table.SetDown(false)
+		f.table.SetDown(false)
 		settle()
 		is.Equal(n.States(), map[string]string{"a": "1", "b": "1", "c": "1", "d": "1", "e": "1"})
 	})
 }
 
 // A known limitation of the majority rule: if only a minority of the hosts can reach the
-// table, the majority doesn't learn of a new manifest. Report must list these hosts as
-// unconfirmed, and once they can query the minority they must put the new one in force.
-func TestMinorityWithTheTable(t *testing.T) {
-	runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
-		first := b.submit(t, config.Head{}, "1")
-		minority := config.WatcherOptions{Store: b.newStore()}
+// table, the majority doesn't learn of a new manifest. Report must list the hosts of the
+// majority as unconfirmed, and once they can query the minority they must put the new
+// manifest in force.
+func TestOnlyAMinorityReachesTheTable(t *testing.T) {
+	runWithFixture(t, func(t *testing.T, is *is.I, f *fixture) {
+		first := f.submit(t, config.Head{}, "1")
+		minority := config.WatcherOptions{Store: f.newStore()}
 		majority := newFixture()
 		_, err := majority.store.Submit(t.Context(), document("", "1"), "token")
 		is.NoErr(err)
@@ -52,10 +53,10 @@
 		majority.table.SetDown(true)
 		majority.objects.SetDown(true)
 		n.Isolate("a", "b")
-		second := b.submit(t, first, "2")
+		second := f.submit(t, first, "2")
 		time.Sleep(beyondBound)
 		is.Equal(n.States(), map[string]string{"a": "2", "b": "2", "c": "1", "d": "1", "e": "1"})
-		report, err := b.store.Report(t.Context(), second, slices.Collect(maps.Keys(n.States())))
+		report, err := f.store.Report(t.Context(), second, slices.Collect(maps.Keys(n.States())))
 		is.NoErr(err)
 		is.Equal(report, config.InForce{Confirmed: []string{"a", "b"}, Unconfirmed: []string{"c", "d", "e"}})
 		n.Isolate()
@@ -65,17 +66,17 @@
 }
 
 func TestNewHostDuringOutage(t *testing.T) {
-	runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
-		b.submit(t, config.Head{}, "1")
+	runWithFixture(t, func(t *testing.T, is *is.I, f *fixture) {
+		f.submit(t, config.Head{}, "1")
 		n := configtest.NewNetwork()
-		n.Start(t, config.WatcherOptions{Store: b.store}, "a", "b", "c")
+		n.Start(t, config.WatcherOptions{Store: f.store}, "a", "b", "c")
 		settle()
-		b.table.SetDown(true)
-		b.objects.SetDown(true)
-		n.Start(t, config.WatcherOptions{Store: b.store}, "new")
+		f.table.SetDown(true)
+		f.objects.SetDown(true)
+		n.Start(t, config.WatcherOptions{Store: f.store}, "new")
 		time.Sleep(beyondBound)
 		is.Equal(n.States()["new"], "1")
-		alone := run(t, config.WatcherOptions{Store: b.store, Peers: &scriptedPeers{known: 4}})
+		alone := run(t, config.WatcherOptions{Store: f.store, Peers: &scriptedPeers{hostCount: 4}})
 		settle()
 		is.Equal(alone.Check(), config.ErrNoManifest)
 	})
@@ -87,7 +88,8 @@
 		desc string
 		// peer is the report of a peer while the table is down.
 		peer config.PeerView
-		// want is the error that OnError must get; nil for none.
+		// want is the error that OnError must get; nil for none. stale is whether the
+		// host's evidence must have expired.
 		want  error
 		stale bool
 	}{
@@ -103,9 +105,9 @@
 		{"peer with table read", config.PeerView{Epoch: 2, HasTableRead: true, TableReadAge: time.Second}, nil, false},
 	} {
 		t.Run(tc.desc, func(t *testing.T) {
-			runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
-				first := b.submit(t, config.Head{}, "1")
-				second := b.submit(t, first, "2")
+			runWithFixture(t, func(t *testing.T, is *is.I, f *fixture) {
+				first := f.submit(t, config.Head{}, "1")
+				second := f.submit(t, first, "2")
 				peer := tc.peer
 				if peer.Host == "" {
 					peer.Host = "p"
@@ -113,12 +115,12 @@
 				if peer.Digest == "" {
 					peer.Digest = map[uint64]string{1: first.Digest, 2: second.Digest}[peer.Epoch]
 				}
-				peers := &scriptedPeers{known: 2}
+				peers := &scriptedPeers{hostCount: 2}
 				var log errorLog
-				w := run(t, config.WatcherOptions{Store: b.store, Host: "self", Peers: peers, OnError: log.add})
+				w := run(t, config.WatcherOptions{Store: f.store, Host: "self", Peers: peers, OnError: log.add})
 				settle()
 				peers.setViews(peer)
-				b.table.SetDown(true)
+				f.table.SetDown(true)
 				w.ObserveHead(first)
 				time.Sleep(beyondBound)
 				is.Equal(w.Current().Epoch, uint64(2))
@@ -132,15 +134,15 @@
 // If a peer and the table report different digests for an epoch, the host must use the
 // table's.
 func TestTableOverridesPeer(t *testing.T) {
-	runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
-		b.submit(t, config.Head{}, "1")
-		b.table.SetDown(true)
+	runWithFixture(t, func(t *testing.T, is *is.I, f *fixture) {
+		f.submit(t, config.Head{}, "1")
+		f.table.SetDown(true)
 		var log errorLog
-		w := run(t, config.WatcherOptions{Store: b.store, OnError: log.add})
+		w := run(t, config.WatcherOptions{Store: f.store, OnError: log.add})
 		w.ObserveHead(config.Head{Epoch: 1, Digest: "sha256:0"})
 		settle()
 		is.Equal(w.Check(), config.ErrNoManifest)
-		b.table.SetDown(false)
+		f.table.SetDown(false)
 		settle()
 		is.NoErr(w.Check())
 		is.True(log.contains(config.ErrFork))
--- a/config/submit.go
+++ b/config/submit.go
@@ -37,23 +37,23 @@
 type proposal struct {
 	head Head
 	body []byte
-	// txnSent is true once a transaction was sent to the table, so that a row
-	// with the proposal's token may be this call's own.
+	// txnSent is true once this call has sent a transaction to the table, so that a
+	// row with the proposal's token may come from this call.
 	txnSent bool
 	// outcomeUnknown is true if the outcome of a transaction is unknown.
 	outcomeUnknown bool
 }
 
-// Submit adds a document to the accepted manifests as the next epoch. The
-// document's parent must be the digest of the head, otherwise Submit returns a
-// *ConflictError with the head. If the document is invalid, it returns
+// Submit adds a document to the accepted manifests as the next epoch. If the
+// document's parent isn't the digest of the head, Submit returns a *ConflictError
+// with the head. If the document is invalid, it returns
 // manifest.Errors.
 //
 // The digest covers the parent, so an equal digest means the same document at
 // the same position in the history. Submitting it again, at any later time,
-// succeeds with AlreadyAccepted set and never creates a second epoch. To return to an older
-// content, submit a document with that content and the current head as its parent;
-// it becomes a new epoch.
+// succeeds with AlreadyAccepted set and never creates a second epoch. To return to an
+// older content, submit a document with that content and the digest of the current head
+// as its parent; it becomes a new epoch.
 //
 // token identifies the submission; the caller chooses it, with at most 128 bytes.
 // If the error is storage.ErrUnknown, the document may have been accepted or may
@@ -106,7 +106,7 @@
 	return fmt.Errorf("config: nothing was submitted, the body could not be written: %w: %v", storage.ErrUnavailable, err)
 }
 
-// propose repeats attempts until the outcome is known.
+// propose calls tryCommit until the outcome is known or the attempts are used up.
 func (s *Store) propose(ctx context.Context, p *proposal) (Submission, error) {
 	var last error
 	for attempt := range submitAttempts {
@@ -135,10 +135,10 @@
 	return Submission{}, fmt.Errorf("config: nothing was submitted: %w: %v", storage.ErrUnavailable, last)
 }
 
-// tryCommit reads the state of the history and sends one transaction if the
-// document's parent is the head. The head is read before the digest's row: if the
-// head isn't the parent and the digest is absent afterwards, a delayed transaction
-// can't add it any more, as each one requires the old version of the head's row.
+// tryCommit reads the head and the row of the document's digest, and sends one
+// transaction if the document's parent is the head. The head must be read first: if it
+// isn't the parent and the digest's row is absent afterwards, no delayed transaction can
+// still add the document, since each of them requires an older version of the head's row.
 func (s *Store) tryCommit(ctx context.Context, p *proposal) (Submission, error) {
 	head, version, err := s.readHead(ctx)
 	if err != nil {
@@ -202,8 +202,8 @@
 	return Submission{}, fmt.Errorf("config: commit epoch %d: %w", epoch, err)
 }
 
-// backOff waits between two attempts with exponential backoff, and with jitter so
-// that concurrent submitters don't retry at the same time.
+// backOff waits after the attempt, with exponential backoff, and with jitter so that
+// concurrent submitters don't retry at the same time. It returns an error if ctx ends.
 func backOff(ctx context.Context, attempt int) error {
 	half := min(minBackoff<<attempt, maxBackoff) / 2
 	return wait.For(ctx, half+rand.N(half+1))
--- a/config/submit_test.go
+++ b/config/submit_test.go
@@ -15,25 +15,25 @@
 )
 
 func TestSubmitBuildsHistory(t *testing.T) {
-	runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
+	runWithFixture(t, func(t *testing.T, is *is.I, f *fixture) {
 		ctx := t.Context()
-		empty, err := b.store.Head(ctx)
+		empty, err := f.store.Head(ctx)
 		is.NoErr(err)
 		is.Equal(empty, config.Head{})
 
-		first := b.submit(t, config.Head{}, "1")
-		second := b.submit(t, first, "2")
-		back := b.submit(t, second, "1") // the first content again, as a new epoch
+		first := f.submit(t, config.Head{}, "1")
+		second := f.submit(t, first, "2")
+		back := f.submit(t, second, "1") // the first content again, as a new epoch
 		is.Equal(back.Epoch, uint64(3))
 		is.True(back.Digest != first.Digest)
 
-		head, err := b.store.Head(ctx)
+		head, err := f.store.Head(ctx)
 		is.NoErr(err)
 		is.Equal(head, back)
-		history, err := b.store.History(ctx, 1, 10)
+		history, err := f.store.History(ctx, 1, 10)
 		is.NoErr(err)
 		is.Equal(history, []config.Head{second, back})
-		policy, err := b.store.LoadEpoch(ctx, 2)
+		policy, err := f.store.LoadEpoch(ctx, 2)
 		is.NoErr(err)
 		is.Equal(policy.Document.Build, "2")
 		is.Equal(policy.Digest, second.Digest)
@@ -41,11 +41,12 @@
 }
 
 func TestSubmitOutcomes(t *testing.T) {
-	const late = 90 * time.Millisecond // takes effect between two attempts
+	const late = 90 * time.Millisecond // a write that is this late takes effect between two attempts
 	for _, tc := range []struct {
 		desc    string
-		prepare func(t *testing.T, b *fixture)
-		// body and token are those of the submission, whose parent is manifest "1".
+		prepare func(t *testing.T, f *fixture)
+		// body and token are those of the submission, whose parent is manifest "1". The
+		// token "-" stands for an empty one.
 		body, token string
 		want        error
 		already     bool
@@ -53,39 +54,39 @@
 		epoch uint64
 	}{
 		{desc: "accepted", body: "2", epoch: 2},
-		{desc: "response lost", prepare: func(_ *testing.T, b *fixture) { b.table.LoseNext(1) }, body: "2", epoch: 2},
-		{desc: "transaction lost", prepare: func(_ *testing.T, b *fixture) { b.table.DropNext(1) }, body: "2", epoch: 2},
-		{desc: "delayed effect", prepare: func(_ *testing.T, b *fixture) { b.table.DelayNext(1, late) }, body: "2", epoch: 2},
-		{desc: "effect delayed by a minute", prepare: func(_ *testing.T, b *fixture) { b.table.DelayNext(1, time.Minute) }, body: "2", epoch: 2},
-		{desc: "all effects delayed", prepare: func(_ *testing.T, b *fixture) { b.table.DelayNext(100, time.Minute) }, body: "2", want: storage.ErrUnknown, epoch: 2},
-		{desc: "all transactions lost", prepare: func(_ *testing.T, b *fixture) { b.table.DropNext(100) }, body: "2", want: storage.ErrUnknown, epoch: 1},
-		{desc: "table down", prepare: func(_ *testing.T, b *fixture) { b.table.SetDown(true) }, body: "2", want: storage.ErrUnavailable, epoch: 1},
-		{desc: "object store down", prepare: func(_ *testing.T, b *fixture) { b.objects.SetDown(true) }, body: "2", want: storage.ErrUnavailable, epoch: 1},
+		{desc: "response lost", prepare: func(_ *testing.T, f *fixture) { f.table.LoseNext(1) }, body: "2", epoch: 2},
+		{desc: "transaction lost", prepare: func(_ *testing.T, f *fixture) { f.table.DropNext(1) }, body: "2", epoch: 2},
+		{desc: "delayed effect", prepare: func(_ *testing.T, f *fixture) { f.table.DelayNext(1, late) }, body: "2", epoch: 2},
+		{desc: "effect delayed by a minute", prepare: func(_ *testing.T, f *fixture) { f.table.DelayNext(1, time.Minute) }, body: "2", epoch: 2},
+		{desc: "all effects delayed", prepare: func(_ *testing.T, f *fixture) { f.table.DelayNext(100, time.Minute) }, body: "2", want: storage.ErrUnknown, epoch: 2},
+		{desc: "all transactions lost", prepare: func(_ *testing.T, f *fixture) { f.table.DropNext(100) }, body: "2", want: storage.ErrUnknown, epoch: 1},
+		{desc: "table down", prepare: func(_ *testing.T, f *fixture) { f.table.SetDown(true) }, body: "2", want: storage.ErrUnavailable, epoch: 1},
+		{desc: "object store down", prepare: func(_ *testing.T, f *fixture) { f.objects.SetDown(true) }, body: "2", want: storage.ErrUnavailable, epoch: 1},
 		{desc: "accepted by another caller", prepare: accept("2", "other"), body: "2", already: true, epoch: 2},
 		{desc: "accepted with the same token before", prepare: accept("2", "mine"), body: "2", already: true, epoch: 2},
 		{desc: "another manifest accepted first", prepare: accept("3", "other"), body: "2", want: storage.ErrConflict, epoch: 2},
-		{desc: "another accepted first and the response lost", prepare: func(t *testing.T, b *fixture) {
-			accept("3", "other")(t, b)
-			b.table.LoseNext(1)
+		{desc: "another manifest accepted first and the response lost", prepare: func(t *testing.T, f *fixture) {
+			accept("3", "other")(t, f)
+			f.table.LoseNext(1)
 		}, body: "2", want: storage.ErrConflict, epoch: 2},
 		{desc: "no token", body: "2", token: "-", want: config.ErrToken, epoch: 1},
 	} {
 		t.Run(tc.desc, func(t *testing.T) {
-			runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
-				first := b.submit(t, config.Head{}, "1")
+			runWithFixture(t, func(t *testing.T, is *is.I, f *fixture) {
+				first := f.submit(t, config.Head{}, "1")
 				if tc.prepare != nil {
-					tc.prepare(t, b)
+					tc.prepare(t, f)
 				}
 				token := "mine"
 				if tc.token == "-" {
 					token = ""
 				}
-				result, err := b.store.Submit(t.Context(), document(first.Digest, tc.body), token)
+				result, err := f.store.Submit(t.Context(), document(first.Digest, tc.body), token)
 				is.True(errors.Is(err, tc.want)) // class of the outcome
 				is.Equal(result.AlreadyAccepted, tc.already)
 				time.Sleep(2 * time.Minute) // for the delayed effects
-				b.table.Heal()
-				head, headErr := b.store.Head(t.Context())
+				f.table.Heal()
+				head, headErr := f.store.Head(t.Context())
 				is.NoErr(headErr)
 				is.Equal(head.Epoch, tc.epoch)
 				if err == nil {
@@ -98,47 +99,47 @@
 
 // accept returns a function that submits a manifest on the current head.
 func accept(build, token string) func(*testing.T, *fixture) {
-	return func(t *testing.T, b *fixture) {
-		head, err := b.store.Head(t.Context())
+	return func(t *testing.T, f *fixture) {
+		head, err := f.store.Head(t.Context())
 		is.New(t).NoErr(err)
-		_, err = b.store.Submit(t.Context(), document(head.Digest, build), token)
+		_, err = f.store.Submit(t.Context(), document(head.Digest, build), token)
 		is.New(t).NoErr(err)
 	}
 }
 
-func TestSubmitAgainAfterItWasReplaced(t *testing.T) {
-	runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
-		first := b.submit(t, config.Head{}, "1")
-		b.submit(t, first, "2")
-		result, err := b.store.Submit(t.Context(), document("", "1"), "another")
+func TestResubmitAfterReplacement(t *testing.T) {
+	runWithFixture(t, func(t *testing.T, is *is.I, f *fixture) {
+		first := f.submit(t, config.Head{}, "1")
+		f.submit(t, first, "2")
+		result, err := f.store.Submit(t.Context(), document("", "1"), "another")
 		is.NoErr(err)
 		is.Equal(result, config.Submission{Head: first, AlreadyAccepted: true})
 	})
 }
 
-func TestConflictNamesTheWinner(t *testing.T) {
-	runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
-		first := b.submit(t, config.Head{}, "1")
-		winner := b.submit(t, first, "2")
-		_, err := b.store.Submit(t.Context(), document(first.Digest, "3"), "loser")
+func TestConflictReturnsTheAcceptedHead(t *testing.T) {
+	runWithFixture(t, func(t *testing.T, is *is.I, f *fixture) {
+		first := f.submit(t, config.Head{}, "1")
+		accepted := f.submit(t, first, "2")
+		_, err := f.store.Submit(t.Context(), document(first.Digest, "3"), "loser")
 		var conflict *config.ConflictError
 		is.True(errors.As(err, &conflict))
-		is.Equal(conflict.Head, winner)
+		is.Equal(conflict.Head, accepted)
 	})
 }
 
-func TestSubmitRefusesABadDocument(t *testing.T) {
+func TestSubmitRejectsAnInvalidDocument(t *testing.T) {
 	is := is.New(t)
-	b := newFixture()
-	_, err := b.store.Submit(context.Background(), []byte(`{"format":1}`), "token")
+	f := newFixture()
+	_, err := f.store.Submit(context.Background(), []byte(`{"format":1}`), "token")
 	var problems manifest.Errors
 	is.True(errors.As(err, &problems))
-	is.Equal(b.table.Counts().Commits, 0)
+	is.Equal(f.table.Counts().Commits, 0)
 }
 
 // If the outcome of a transaction is unknown, Submit must return storage.ErrUnknown even if
 // the head's row can't be decoded afterwards.
-func TestSubmitOverADamagedHead(t *testing.T) {
+func TestSubmitWithACorruptHead(t *testing.T) {
 	for _, tc := range []struct {
 		desc string
 		// after is the delay after which the head's row is corrupted.
@@ -150,15 +151,15 @@
 	} {
 		t.Run(tc.desc, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newFixture()
-				first := b.submit(t, config.Head{}, "1")
-				b.table.DropNext(1)
+				f := newFixture()
+				first := f.submit(t, config.Head{}, "1")
+				f.table.DropNext(1)
 				time.AfterFunc(tc.after, func() {
 					txn := storage.Txn{Puts: []storage.Put{{Key: "config/head", Value: []byte("{")}}}
-					_, _ = b.rawTable.Commit(context.Background(), txn)
+					_, _ = f.rawTable.Commit(context.Background(), txn)
 				})
 				synctest.Wait()
-				_, err := b.store.Submit(t.Context(), document(first.Digest, "2"), "token")
+				_, err := f.store.Submit(t.Context(), document(first.Digest, "2"), "token")
 				is.New(t).True(errors.Is(err, tc.want)) // class of the outcome
 			})
 		})
@@ -166,23 +167,23 @@
 }
 
 func TestReport(t *testing.T) {
-	runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
+	runWithFixture(t, func(t *testing.T, is *is.I, f *fixture) {
 		ctx := t.Context()
-		first := b.submit(t, config.Head{}, "1")
-		second := b.submit(t, first, "2")
-		is.NoErr(b.store.Confirm(ctx, "a", second))
-		is.NoErr(b.store.Confirm(ctx, "a", first)) // an older head has no effect
-		is.NoErr(b.store.Confirm(ctx, "b", first))
-		b.table.LoseNext(1)
-		is.NoErr(b.store.Confirm(ctx, "d", second))
-		report, err := b.store.Report(ctx, second, []string{"d", "c", "b", "a"})
+		first := f.submit(t, config.Head{}, "1")
+		second := f.submit(t, first, "2")
+		is.NoErr(f.store.Confirm(ctx, "a", second))
+		is.NoErr(f.store.Confirm(ctx, "a", first)) // an older head has no effect
+		is.NoErr(f.store.Confirm(ctx, "b", first))
+		f.table.LoseNext(1)
+		is.NoErr(f.store.Confirm(ctx, "d", second))
+		report, err := f.store.Report(ctx, second, []string{"d", "c", "b", "a"})
 		is.NoErr(err)
 		is.Equal(report, config.InForce{Confirmed: []string{"a", "d"}, Unconfirmed: []string{"b", "c"}})
 
 		time.Sleep(time.Hour)
-		is.NoErr(b.store.Confirm(ctx, "b", second))
-		is.NoErr(b.store.PruneConfirmations(ctx, time.Now().Add(-time.Minute)))
-		report, err = b.store.Report(ctx, second, []string{"a", "b", "c", "d"})
+		is.NoErr(f.store.Confirm(ctx, "b", second))
+		is.NoErr(f.store.PruneConfirmations(ctx, time.Now().Add(-time.Minute)))
+		report, err = f.store.Report(ctx, second, []string{"a", "b", "c", "d"})
 		is.NoErr(err)
 		is.Equal(report.Confirmed, []string{"b"})
 	})
--- a/config/watcher.go
+++ b/config/watcher.go
@@ -20,19 +20,22 @@
 	DefaultReadsPerSecond    = 200
 	DefaultConfirmsPerSecond = 40
 
-	// readsPerBound is the minimum number of table reads that start within the
-	// bound, so that the host keeps accepting requests if one response is lost.
+	// readsPerBound is the minimum number of table reads that a host starts within
+	// the bound, so that it keeps accepting requests if one response is lost.
 	readsPerBound = 2
-	// peerPollsPerBound is the minimum number of peer queries within the bound.
+	// peerPollsPerBound is the minimum number of peer queries that a host starts within
+	// the bound.
 	peerPollsPerBound = 3
-	// peerViewsPerSecond is the budget of peer reports that one host requests.
+	// peerViewsPerSecond is the maximum number of peer reports that one host requests
+	// per second, unless that conflicts with peerPollsPerBound.
 	peerViewsPerSecond = 20
-	// firstLoadsPerBound is how many sources of a body can be tried within the bound
-	// while no load has been timed yet.
-	firstLoadsPerBound = 4
-	// maxLoadInBounds is the maximum timeout of a load from one source, as a multiple
-	// of the bound: 50 s by default, in which a link of 2 Mbit/s transfers 12 MB.
-	maxLoadInBounds = 10
+	// loadsPerBound is the number of loads that fit within the bound with the minimum
+	// timeout of a load, which is also the timeout of the first load.
+	loadsPerBound = 4
+	// maxLoadTimeoutInBounds is the maximum timeout of a load from one source, as a
+	// multiple of the bound. With the default bound it is 50 s, in which a link of
+	// 2 Mbit/s transfers 12 MB.
+	maxLoadTimeoutInBounds = 10
 	// confirmInterval is the interval at which a host rewrites an unchanged
 	// confirmation.
 	confirmInterval = time.Hour
@@ -51,7 +54,7 @@
 }
 
 // Bodies fetches the canonical body of a manifest from another host. The Watcher
-// verifies it against the digest.
+// checks that the body has the digest.
 type Bodies interface {
 	FetchBody(ctx context.Context, digest string) ([]byte, error)
 }
@@ -68,24 +71,25 @@
 	Peers Peers
 	// Bodies is the source of bodies if the object store fails; it may be nil.
 	Bodies Bodies
-	// Poll is the interval between reads of the head; default 1 s. It is
-	// lengthened to keep within ReadsPerSecond.
+	// Poll is the interval between reads of the head; default 1 s. It is longer
+	// if ReadsPerSecond requires it.
 	Poll time.Duration
-	// Bound is the maximum age of the evidence that the manifest is the newest;
-	// default 5 s.
+	// Bound is the maximum age of the evidence that the manifest in force is the
+	// newest; default 5 s.
 	Bound time.Duration
 	// ReadsPerSecond is the budget of reads of the head for all hosts together;
 	// default 200. At least two reads per host start within Bound even if that
 	// exceeds the budget.
 	ReadsPerSecond int
 	// ConfirmsPerSecond is the budget of confirmations for all hosts together;
-	// default 40. A host whose manifest changes more often skips epochs.
+	// default 40. A host whose manifest changes more often than its share of the
+	// budget allows doesn't confirm each epoch.
 	ConfirmsPerSecond int
 	// OnChange is called after each change of the manifest in force, in order of
 	// the epochs.
 	OnChange func(*manifest.Policy)
-	// OnError is called with errors after which the Watcher retries. Calls may be
-	// concurrent.
+	// OnError is called with the errors of the Watcher's operations, which it
+	// retries. Calls may be concurrent.
 	OnError func(error)
 }
 
@@ -166,15 +170,15 @@
 		report.Epoch = v.policy.Epoch
 		report.Digest = v.policy.Digest
 	}
-	if !v.tableRead.IsZero() {
+	if !v.tableReadAt.IsZero() {
 		report.HasTableRead = true
-		report.TableReadAge = boottime.Since(v.tableRead)
+		report.TableReadAge = boottime.Since(v.tableReadAt)
 	}
 	return report
 }
 
-// Body returns the canonical body of the manifest in force if that has the
-// digest. Hosts that can't reach the object store fetch it.
+// Body returns the canonical body of the manifest in force if that has the digest. It
+// serves other hosts that can't reach the object store.
 func (w *Watcher) Body(digest string) ([]byte, bool) {
 	p := w.Current()
 	if p == nil || p.Digest != digest {
@@ -208,15 +212,14 @@
 	return err
 }
 
-// sharedInterval returns the interval between the events of one host, so that all
-// known hosts together keep within budget events per second. It lies between minimum
-// and maximum.
-func sharedInterval(known, budget int, minimum, maximum time.Duration) time.Duration {
-	shared := time.Duration(known) * time.Second / time.Duration(budget)
+// sharedInterval returns the interval between the events of one host with which hostCount
+// hosts together cause eventsPerSecond, but at least minimum and at most maximum.
+func sharedInterval(hostCount, eventsPerSecond int, minimum, maximum time.Duration) time.Duration {
+	shared := time.Duration(hostCount) * time.Second / time.Duration(eventsPerSecond)
 	return min(max(shared, minimum), maximum)
 }
 
-func (w *Watcher) knownHosts() int {
+func (w *Watcher) hostCount() int {
 	if w.options.Peers == nil {
 		return 1
 	}
--- a/config/watching_test.go
+++ b/config/watcher_helpers_test.go
@@ -14,13 +14,13 @@
 
 // scriptedPeers implements config.Peers with the views that the test sets.
 type scriptedPeers struct {
-	known int
-	views atomic.Pointer[[]config.PeerView]
+	hostCount int
+	views     atomic.Pointer[[]config.PeerView]
 }
 
 func (p *scriptedPeers) setViews(views ...config.PeerView) { p.views.Store(&views) }
 
-func (p *scriptedPeers) HostCount() int { return p.known }
+func (p *scriptedPeers) HostCount() int { return p.hostCount }
 
 func (p *scriptedPeers) QueryViews(context.Context) []config.PeerView {
 	if views := p.views.Load(); views != nil {
--- a/config/watcher_loops.go
+++ b/config/watcher_loops.go
@@ -27,7 +27,7 @@
 		default: // all slots are in use by slow reads
 		}
 		o := w.options
-		if !sleepJittered(ctx, sharedInterval(w.knownHosts(), o.ReadsPerSecond, o.Poll, o.Bound/readsPerBound)) {
+		if !sleepJittered(ctx, sharedInterval(w.hostCount(), o.ReadsPerSecond, o.Poll, o.Bound/readsPerBound)) {
 			return
 		}
 	}
@@ -45,30 +45,31 @@
 	w.update(func(v view) (view, error) { return v.withOwnTableRead(head, start) })
 }
 
-// pollPeers queries the other hosts at intervals, as long as the newest table read is
-// older than half the bound or there is no manifest in force. While a newer manifest
-// isn't loaded, reads of its head don't count, so that it queries them then, too.
+// pollPeers queries the other hosts at intervals, while this host has no manifest in force
+// or its newest table read is older than half the bound. A table read that returns the head
+// of a newer manifest doesn't count until that manifest is loaded, so that a host that can't
+// load it also queries the others.
 func (w *Watcher) pollPeers(ctx context.Context) {
 	if w.options.Peers == nil {
 		return
 	}
 	for {
-		if w.shouldAskPeers() {
-			w.askPeers(ctx)
+		if w.shouldQueryPeers() {
+			w.queryPeers(ctx)
 		}
 		o := w.options
-		if !sleepJittered(ctx, sharedInterval(w.knownHosts(), peerViewsPerSecond, o.Poll, o.Bound/peerPollsPerBound)) {
+		if !sleepJittered(ctx, sharedInterval(w.hostCount(), peerViewsPerSecond, o.Poll, o.Bound/peerPollsPerBound)) {
 			return
 		}
 	}
 }
 
-func (w *Watcher) shouldAskPeers() bool {
+func (w *Watcher) shouldQueryPeers() bool {
 	v := w.view.Load()
-	return v.policy == nil || boottime.Since(v.tableRead) > w.options.Bound/2
+	return v.policy == nil || boottime.Since(v.tableReadAt) > w.options.Bound/2
 }
 
-func (w *Watcher) askPeers(ctx context.Context) {
+func (w *Watcher) queryPeers(ctx context.Context) {
 	start := boottime.Now()
 	ctx, cancel := context.WithTimeout(ctx, w.options.Poll)
 	defer cancel()
@@ -76,12 +77,12 @@
 	for _, p := range peers {
 		w.applyPeerView(p, start)
 	}
-	known := w.options.Peers.HostCount()
-	w.update(func(v view) (view, error) { return v.withQuorum(known, peers, start), nil })
+	hostCount := w.options.Peers.HostCount()
+	w.update(func(v view) (view, error) { return v.withQuorum(hostCount, peers, start), nil })
 }
 
-// withoutSelf returns the views of other hosts: this host's own view is no evidence.
-// Negative ages become zero, so that no evidence is newer than the query.
+// withoutSelf returns the views of other hosts, since this host's own view is no evidence.
+// It sets negative ages to zero, so that no evidence is newer than the query.
 func (w *Watcher) withoutSelf(views []PeerView) []PeerView {
 	var others []PeerView
 	for _, p := range views {
@@ -95,9 +96,9 @@
 	return others
 }
 
-// applyPeerView updates the view with a peer's report of the query that began at
-// start. The start of the peer's table read is start less the ages of the report and
-// of the read.
+// applyPeerView updates the view with a peer's report from the query that began at start.
+// The peer started its table read before that, by the age of the report plus the age of the
+// read.
 func (w *Watcher) applyPeerView(p PeerView, start time.Time) {
 	if !p.HasTableRead {
 		w.ObserveHead(p.head())
@@ -108,13 +109,13 @@
 }
 
 // withQuorum returns the view after the responses to a peer query that began at start.
-func (v view) withQuorum(known int, peers []PeerView, start time.Time) view {
+func (v view) withQuorum(hostCount int, peers []PeerView, start time.Time) view {
 	if v.policy == nil || v.newest.Epoch > v.policy.Epoch {
 		return v
 	}
-	age, ok := quorumAge(v.policy.Epoch, v.policy.Digest, known, peers)
+	age, ok := quorumAge(v.policy.Epoch, v.policy.Digest, hostCount, peers)
 	if ok {
-		v.quorumAsked = later(v.quorumAsked, start.Add(-age))
+		v.quorumQueriedAt = latest(v.quorumQueriedAt, start.Add(-age))
 	}
 	return v
 }
@@ -140,22 +141,24 @@
 	}
 }
 
-// loadTimeout is the timeout of a load from one source of a body. With a fixed timeout, a
-// body that takes longer to transfer would be cut off at the same byte in each attempt, and
-// the host would never accept requests again; so a load that times out doubles the timeout.
-// It depends on the duration of the last load and not on the digest, as manifests may
-// change faster than one of them arrives.
+// loadTimeout is the timeout of a load of a manifest from one source. With a fixed timeout,
+// a body that takes longer to transfer would be cut off at the same byte in each attempt,
+// and the host would never accept requests again. So a load that times out doubles the
+// timeout. The timeout is kept when the digest to load changes, since manifests may change
+// faster than one of them can be loaded.
 type loadTimeout struct {
 	bound time.Duration
-	// current is the timeout that the last load set; 0 before the first.
+	// current is the timeout that the last load set; 0 before the first load.
 	current time.Duration
 }
 
 // next returns the timeout of the next attempt.
-func (l *loadTimeout) next() time.Duration { return max(l.current, l.bound/firstLoadsPerBound) }
+func (l *loadTimeout) next() time.Duration { return max(l.current, l.bound/loadsPerBound) }
 
 // set sets the timeout, limited to maxLoadInBounds times the bound.
-func (l *loadTimeout) set(timeout time.Duration) { l.current = min(timeout, maxLoadInBounds*l.bound) }
+func (l *loadTimeout) set(timeout time.Duration) {
+	l.current = min(timeout, maxLoadTimeoutInBounds*l.bound)
+}
 
 // try loads from one source with the timeout. A successful load sets the timeout to twice
 // its own duration, even if another source took longer before.
@@ -212,27 +215,28 @@
 	return verifyAndCompile(body, head)
 }
 
-// runConfirmer writes this host's confirmation when the manifest in force changes, as
+// runConfirmer writes this host's confirmation when the manifest in force has changed, as
 // often as the budget allows, and at least every confirmInterval. An epoch that was
-// replaced in the meantime is skipped: confirming the later one confirms it too.
+// replaced in the meantime is skipped, since the confirmation of a later epoch also
+// confirms the earlier ones.
 func (w *Watcher) runConfirmer(ctx context.Context) {
 	if w.options.Host == "" {
 		return
 	}
-	var written uint64
-	var writtenAt time.Time
+	var confirmedEpoch uint64
+	var confirmedAt time.Time
 	for {
 		p := w.Current()
-		if p != nil && (p.Epoch > written || boottime.Since(writtenAt) > confirmInterval) {
+		if p != nil && (p.Epoch > confirmedEpoch || boottime.Since(confirmedAt) > confirmInterval) {
 			err := w.options.Store.Confirm(ctx, w.options.Host, Head{Epoch: p.Epoch, Digest: p.Digest})
 			if err == nil {
-				written, writtenAt = p.Epoch, boottime.Now()
+				confirmedEpoch, confirmedAt = p.Epoch, boottime.Now()
 			} else {
 				w.options.OnError(err)
 			}
 		}
 		o := w.options
-		if !sleepJittered(ctx, sharedInterval(w.knownHosts(), o.ConfirmsPerSecond, o.Poll/readsPerBound, confirmInterval)) {
+		if !sleepJittered(ctx, sharedInterval(w.hostCount(), o.ConfirmsPerSecond, o.Poll/readsPerBound, confirmInterval)) {
 			return
 		}
 	}
--- a/config/watcher_test.go
+++ b/config/watcher_test.go
@@ -31,24 +31,24 @@
 }
 
 func TestWatcherFollowsTheHead(t *testing.T) {
-	runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
+	runWithFixture(t, func(t *testing.T, is *is.I, f *fixture) {
 		var epochs []uint64
 		w := run(t, config.WatcherOptions{
-			Store:    b.store,
+			Store:    f.store,
 			Host:     "a",
 			OnChange: func(p *manifest.Policy) { epochs = append(epochs, p.Epoch) },
 		})
 		settle()
 		is.Equal(w.Check(), config.ErrNoManifest)
-		first := b.submit(t, config.Head{}, "1")
+		first := f.submit(t, config.Head{}, "1")
 		settle()
 		is.NoErr(w.Check())
 		is.Equal(w.Current().Digest, first.Digest)
-		second := b.submit(t, first, "2")
+		second := f.submit(t, first, "2")
 		settle()
 		is.Equal(w.Current().Epoch, second.Epoch)
 		is.Equal(epochs, []uint64{1, 2})
-		report, err := b.store.Report(t.Context(), second, []string{"a"})
+		report, err := f.store.Report(t.Context(), second, []string{"a"})
 		is.NoErr(err)
 		is.Equal(report.Confirmed, []string{"a"})
 	})
@@ -63,17 +63,17 @@
 		// stale is true if the host must not accept requests during the fault.
 		stale bool
 	}{
-		{"table down", func(b *fixture) { b.table.SetDown(true) }, true},
-		{"slow within the bound", func(b *fixture) { b.table.SetDelay(3 * time.Second) }, false},
-		{"slower than the bound", func(b *fixture) { b.table.SetDelay(6 * time.Second) }, true},
-		{"object store down", func(b *fixture) { b.objects.SetDown(true) }, false},
+		{"table down", func(f *fixture) { f.table.SetDown(true) }, true},
+		{"slow within the bound", func(f *fixture) { f.table.SetDelay(3 * time.Second) }, false},
+		{"slower than the bound", func(f *fixture) { f.table.SetDelay(6 * time.Second) }, true},
+		{"object store down", func(f *fixture) { f.objects.SetDown(true) }, false},
 	} {
 		t.Run(tc.desc, func(t *testing.T) {
-			runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
-				b.submit(t, config.Head{}, "1")
-				w := run(t, config.WatcherOptions{Store: b.store})
+			runWithFixture(t, func(t *testing.T, is *is.I, f *fixture) {
+				f.submit(t, config.Head{}, "1")
+				w := run(t, config.WatcherOptions{Store: f.store})
 				settle()
-				tc.fault(b)
+				tc.fault(f)
 				is.NoErr(w.Check()) // the last read is within the bound
 				time.Sleep(beyondBound)
 				for range 20 {
@@ -81,8 +81,8 @@
 					is.Equal(isStale(w.Check()), tc.stale)
 				}
 				is.Equal(w.Current().Epoch, uint64(1))
-				b.table.Heal()
-				b.objects.SetDown(false)
+				f.table.Heal()
+				f.objects.SetDown(false)
 				time.Sleep(beyondBound)
 				is.NoErr(w.Check())
 			})
@@ -93,42 +93,43 @@
 // A host that knows of a newer head but can't load it must stop accepting requests after
 // the bound.
 func TestWatcherStopsOnAHeadThatItCannotLoad(t *testing.T) {
-	runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
-		first := b.submit(t, config.Head{}, "1")
-		w := run(t, config.WatcherOptions{Store: b.store})
+	runWithFixture(t, func(t *testing.T, is *is.I, f *fixture) {
+		first := f.submit(t, config.Head{}, "1")
+		w := run(t, config.WatcherOptions{Store: f.store})
 		settle()
-		b.submit(t, first, "2")
-		b.objects.SetDown(true)
+		f.submit(t, first, "2")
+		f.objects.SetDown(true)
 		time.Sleep(beyondBound)
 		var stale *config.StaleError
 		is.True(errors.As(w.Check(), &stale))
 		is.Equal(stale.Newest, uint64(2))
 		is.Equal(w.Current().Epoch, uint64(1))
-		b.objects.SetDown(false)
+		f.objects.SetDown(false)
 		settle()
 		is.NoErr(w.Check())
 		is.Equal(w.Current().Epoch, uint64(2))
 	})
 }
 
-// A manifest that takes longer to load than the first timeout must still be put in force.
-// With a fixed timeout the host cut off each load at the same byte and never accepted
-// requests again: Check returned a StaleError with Newest 2 while epoch 1 was in force.
-func TestManifestThatArrivesSlowlyComesIntoForce(t *testing.T) {
-	runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
+// A manifest that takes longer to load than the initial timeout must still be put in force.
+// Guards against a fixed timeout, with which an earlier version cut off each load at the
+// same byte and never accepted requests again: Check returned a StaleError with Newest 2
+// while epoch 1 was in force.
+func TestSlowlyLoadedManifestIsPutInForce(t *testing.T) {
+	runWithFixture(t, func(t *testing.T, is *is.I, f *fixture) {
 		const readDelay = 2 * config.DefaultBound
-		first := b.submit(t, config.Head{}, "1")
-		w := run(t, config.WatcherOptions{Store: b.store})
+		first := f.submit(t, config.Head{}, "1")
+		w := run(t, config.WatcherOptions{Store: f.store})
 		settle()
-		b.objects.SetReadDelay(readDelay)
-		second := b.submit(t, first, "2")
+		f.objects.SetReadDelay(readDelay)
+		second := f.submit(t, first, "2")
 		time.Sleep(4 * readDelay)
 		synctest.Wait()
 		is.Equal(w.Current().Epoch, uint64(2))
 		is.NoErr(w.Check())
 
 		// The next load has a sufficient timeout at its first attempt.
-		b.submit(t, second, "3")
+		f.submit(t, second, "3")
 		time.Sleep(readDelay + beyondBound)
 		synctest.Wait()
 		is.Equal(w.Current().Epoch, uint64(3))
@@ -136,20 +137,20 @@
 	})
 }
 
-// If each manifest is replaced before it is loaded, the host must still put some of them
-// in force: the timeout must grow with each load that times out, also of different
-// manifests.
-func TestManifestsThatChangeFasterThanTheyArrive(t *testing.T) {
-	runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
+// If each manifest is replaced before its load finishes, the host must still put a few of
+// them in force. The timeout must therefore grow with each load that times out, even if the
+// loads are of different manifests.
+func TestManifestsThatChangeFasterThanTheyLoad(t *testing.T) {
+	runWithFixture(t, func(t *testing.T, is *is.I, f *fixture) {
 		const readDelay = config.DefaultBound
-		head := b.submit(t, config.Head{}, "1")
-		w := run(t, config.WatcherOptions{Store: b.store})
+		head := f.submit(t, config.Head{}, "1")
+		w := run(t, config.WatcherOptions{Store: f.store})
 		settle()
-		b.objects.SetReadDelay(readDelay)
+		f.objects.SetReadDelay(readDelay)
 		for i := range 12 {
-			b.objects.SetReadDelay(0) // the submitter has a fast link
-			head = b.submit(t, head, fmt.Sprint(i+2))
-			b.objects.SetReadDelay(readDelay)
+			f.objects.SetReadDelay(0) // the submitter has a fast link
+			head = f.submit(t, head, fmt.Sprint(i+2))
+			f.objects.SetReadDelay(readDelay)
 			time.Sleep(readDelay * 3 / 4)
 		}
 		synctest.Wait()
@@ -168,22 +169,22 @@
 	return body, nil
 }
 
-// While the object store hangs, each manifest must be loaded from a peer within the bound,
-// the eighth as well as the first: a fast load from a peer must reset the timeout of the
-// object store.
+// While the object store hangs, each of eight manifests must be loaded from a peer within
+// the bound. A fast load from a peer must therefore reset the timeout, which grows when the
+// object store doesn't respond.
 func TestPeerFetchKeepsObjectStoreTimeout(t *testing.T) {
-	runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
+	runWithFixture(t, func(t *testing.T, is *is.I, f *fixture) {
 		bodies := peerBodies{}
-		head := b.submit(t, config.Head{}, "1")
-		w := run(t, config.WatcherOptions{Store: b.store, Bodies: bodies})
+		head := f.submit(t, config.Head{}, "1")
+		w := run(t, config.WatcherOptions{Store: f.store, Bodies: bodies})
 		settle()
 		for i := range 8 {
 			build := fmt.Sprint(i + 2)
 			body := document(head.Digest, build)
 			bodies[digestOf(body)] = body
-			b.objects.SetReadDelay(0) // no delay for the submitter
-			head = b.submit(t, head, build)
-			b.objects.SetReadDelay(time.Hour)
+			f.objects.SetReadDelay(0) // no delay for the submitter
+			head = f.submit(t, head, build)
+			f.objects.SetReadDelay(time.Hour)
 			time.Sleep(config.DefaultBound)
 			is.Equal(w.Current().Epoch, head.Epoch)
 		}
@@ -202,25 +203,26 @@
 }
 
 // A host that was suspended during a table read must not accept requests when it resumes,
-// until it has read the table again: the response is as old as the start of its read.
+// until it has read the table again, because the response may be as old as the start of the
+// read.
 func TestSuspendedHostRejectsStaleReads(t *testing.T) {
-	runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
-		first := b.submit(t, config.Head{}, "1")
-		table := faulty.New(b.table)
-		w := run(t, config.WatcherOptions{Store: config.NewStore(table, b.objects)})
+	runWithFixture(t, func(t *testing.T, is *is.I, f *fixture) {
+		first := f.submit(t, config.Head{}, "1")
+		table := faulty.New(f.table)
+		w := run(t, config.WatcherOptions{Store: config.NewStore(table, f.objects)})
 		settle()
 		is.NoErr(w.Check())
 
 		resume := holdResponses(table)
-		settle() // reads are served, their responses held back
-		b.submit(t, first, "2")
+		settle() // reads are served, but their responses are held back
+		f.submit(t, first, "2")
 		time.Sleep(time.Minute)
-		is.True(isStale(w.Check())) // at once, by the age of the evidence alone
-		b.table.SetDown(true)       // no new table read after the resumption
+		is.True(isStale(w.Check())) // the evidence has expired
+		f.table.SetDown(true)       // no new table read after the resumption
 		resume()
 		synctest.Wait()
-		is.True(isStale(w.Check())) // the old responses are no evidence
-		b.table.SetDown(false)
+		is.True(isStale(w.Check())) // the responses to old reads are no evidence
+		f.table.SetDown(false)
 		settle()
 		is.NoErr(w.Check())
 		is.Equal(w.Current().Epoch, uint64(2))
@@ -229,20 +231,20 @@
 
 // A host must keep its confirmations within the budget by skipping epochs, and must
 // rewrite an unchanged one every hour.
-func TestConfirmationsAreMerged(t *testing.T) {
-	runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
-		head := b.submit(t, config.Head{}, "0")
-		table := faulty.New(b.rawTable)
+func TestConfirmationsStayWithinBudget(t *testing.T) {
+	runWithFixture(t, func(t *testing.T, is *is.I, f *fixture) {
+		head := f.submit(t, config.Head{}, "0")
+		table := faulty.New(f.rawTable)
 		run(t, config.WatcherOptions{
-			Store: config.NewStore(table, b.objects), Host: "a",
+			Store: config.NewStore(table, f.objects), Host: "a",
 			Poll: 100 * time.Millisecond, ConfirmsPerSecond: 1,
 		})
 		for i := range 100 {
-			head = b.submit(t, head, fmt.Sprint(i+1))
+			head = f.submit(t, head, fmt.Sprint(i+1))
 			time.Sleep(100 * time.Millisecond)
 		}
 		settle()
-		report, err := b.store.Report(t.Context(), head, []string{"a"})
+		report, err := f.store.Report(t.Context(), head, []string{"a"})
 		is.NoErr(err)
 		is.Equal(report.Confirmed, []string{"a"})
 		commits := table.Counts().Commits
@@ -255,15 +257,15 @@
 
 // If the table is rolled back to an older state, a host must keep its epoch and stop
 // accepting requests.
-func TestRolledBackTable(t *testing.T) {
-	runWithFixture(t, func(t *testing.T, is *is.I, b *fixture) {
-		first := b.submit(t, config.Head{}, "1")
-		old, err := b.rawTable.Get(t.Context(), "config/head")
+func TestRolledBackTableStopsRequests(t *testing.T) {
+	runWithFixture(t, func(t *testing.T, is *is.I, f *fixture) {
+		first := f.submit(t, config.Head{}, "1")
+		old, err := f.rawTable.Get(t.Context(), "config/head")
 		is.NoErr(err)
-		b.submit(t, first, "2")
-		w := run(t, config.WatcherOptions{Store: b.store})
+		f.submit(t, first, "2")
+		w := run(t, config.WatcherOptions{Store: f.store})
 		settle()
-		_, err = b.rawTable.Commit(t.Context(), storage.Txn{Puts: []storage.Put{{Key: old.Key, Value: old.Value}}})
+		_, err = f.rawTable.Commit(t.Context(), storage.Txn{Puts: []storage.Put{{Key: old.Key, Value: old.Value}}})
 		is.NoErr(err)
 		time.Sleep(beyondBound)
 		is.Equal(w.Current().Epoch, uint64(2))
