--- a/session/cache.go
+++ b/session/cache.go
@@ -43,15 +43,15 @@
 	return c.shard(key).Get(key)
 }
 
-func (c *cache) put(key string, e cachedBinding) {
-	c.shard(key).Add(key, e)
+func (c *cache) put(key string, cached cachedBinding) {
+	c.shard(key).Add(key, cached)
 }
 
 func (c *cache) evictVersion(model, version string) {
 	for _, s := range c.shards {
 		for _, key := range s.Keys() {
-			e, ok := s.Peek(key)
-			if ok && e.record.Model == model && e.record.Version == version {
+			cached, ok := s.Peek(key)
+			if ok && cached.record.Model == model && cached.record.Version == version {
 				s.Remove(key)
 			}
 		}
--- a/session/choose.go
+++ b/session/choose.go
@@ -18,10 +18,10 @@
 func SessionHash(account, sessionID, model string) float64 {
 	var d xxhash.Digest
 	d.Reset()
-	writeField(&d, account)
-	writeField(&d, sessionID)
-	writeField(&d, model)
-	return unitInterval(d.Sum64())
+	hashField(&d, account)
+	hashField(&d, sessionID)
+	hashField(&d, model)
+	return toUnitInterval(d.Sum64())
 }
 
 // Choose selects the version of a new session by weighted rendezvous hashing;
@@ -65,19 +65,19 @@
 	binary.LittleEndian.PutUint64(bits[:], math.Float64bits(sessionHash))
 	_, _ = d.Write(bits[:])
 	_, _ = d.WriteString(name)
-	return 1 - unitInterval(d.Sum64())
+	return 1 - toUnitInterval(d.Sum64())
 }
 
-// writeField hashes the length of s and then s, so that ("a","bc") and
+// hashField hashes the length of s and then s, so that ("a","bc") and
 // ("ab","c") have different hashes.
-func writeField(d *xxhash.Digest, s string) {
+func hashField(d *xxhash.Digest, s string) {
 	var length [8]byte
 	binary.LittleEndian.PutUint64(length[:], uint64(len(s)))
 	_, _ = d.Write(length[:])
 	_, _ = d.WriteString(s)
 }
 
-// unitInterval maps a hash to [0,1).
-func unitInterval(h uint64) float64 {
+// toUnitInterval maps a hash to [0,1).
+func toUnitInterval(h uint64) float64 {
 	return float64(h>>(64-hashBits)) / (1 << hashBits)
 }
--- a/session/choose_test.go
+++ b/session/choose_test.go
@@ -48,8 +48,8 @@
 	return float64(moved) / sampledSessions
 }
 
-// minMovedFraction returns the minimum fraction of sessions that any method which
-// honours the shares must move.
+// minMovedFraction returns the fraction of sessions that must change their version
+// so that each version gets its new share.
 func minMovedFraction(before, after []manifest.Version) float64 {
 	sum := 0
 	for i := range before {
--- a/session/codec.go
+++ b/session/codec.go
@@ -39,7 +39,7 @@
 }
 
 // NewCodec returns a Codec whose tokens are valid for ttl after they are
-// issued. The first key signs, all keys verify. A nil clock means time.Now.
+// issued. The first key signs, and all keys verify. A nil clock means time.Now.
 // NewCodec panics if the keys don't meet the requirements of ParseKeys.
 func NewCodec(keys []Key, ttl time.Duration, clock storage.Clock) *Codec {
 	if clock == nil {
@@ -91,7 +91,7 @@
 	raw = appendField(raw, b.Version)
 	raw = binary.AppendUvarint(raw, b.Epoch)
 	raw = binary.AppendVarint(raw, b.IssuedAt.UnixMilli())
-	raw = append(raw, mac(signer.Secret, raw)...)
+	raw = append(raw, computeMAC(signer.Secret, raw)...)
 	return tokenEncoding.EncodeToString(raw)
 }
 
@@ -115,7 +115,7 @@
 	if !known {
 		return Binding{}, ErrUnknownKey
 	}
-	if !hmac.Equal(tokenMAC, mac(key.Secret, signed)) {
+	if !hmac.Equal(tokenMAC, computeMAC(key.Secret, signed)) {
 		return Binding{}, ErrMalformed
 	}
 	b, ok := r.binding()
@@ -138,7 +138,7 @@
 	return c.clock().Sub(issued).Abs() > time.Duration(c.ttl.Load())
 }
 
-func mac(secret, data []byte) []byte {
+func computeMAC(secret, data []byte) []byte {
 	h := hmac.New(sha256.New, secret)
 	h.Write(data)
 	return h.Sum(nil)[:macBytes]
--- a/session/cost_test.go
+++ b/session/cost_test.go
@@ -42,44 +42,44 @@
 				for range hosts {
 					registries = append(registries, testRegistry(withGroupCommit(t, table, tc.grouped)))
 				}
-				cost := new(bindCost)
+				stats := new(bindStats)
 				var wg sync.WaitGroup
 				for i := range perSecond * seconds {
 					wg.Go(func() {
 						time.Sleep(time.Duration(i) * time.Second / perSecond)
 						for visit := range 2 {
-							cost.bind(t, registries[(i+visit)%hosts], fmt.Sprint(i))
+							stats.measureBind(t, registries[(i+visit)%hosts], fmt.Sprint(i))
 						}
 					})
 				}
 				wg.Wait()
 				counts := table.Counts()
 				commits := float64(counts.Commits) / seconds
-				t.Logf("commits/s %.0f reads/s %.0f longest bind %v, bindings not durable %d", commits, float64(counts.Gets)/seconds, cost.longest, cost.notDurable)
-				is.New(t).Equal(cost.notDurable, 0)
+				t.Logf("commits/s %.0f reads/s %.0f longest bind %v, bindings not durable %d", commits, float64(counts.Gets)/seconds, stats.longest, stats.notDurable)
+				is.New(t).Equal(stats.notDurable, 0)
 				is.New(t).True(commits <= tc.maxCommitRate)
 			})
 		})
 	}
 }
 
-// bindCost collects statistics of concurrent Bind calls.
-type bindCost struct {
+// bindStats collects statistics of concurrent Bind calls.
+type bindStats struct {
 	mu         sync.Mutex
 	longest    time.Duration
 	notDurable int
 }
 
-func (c *bindCost) bind(t *testing.T, r *Registry, session string) {
+func (s *bindStats) measureBind(t *testing.T, r *Registry, session string) {
 	begin := time.Now()
 	b := proposal("v1")
 	b.SessionID = session
 	_, durable, _ := r.Bind(t.Context(), b)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.longest = max(c.longest, time.Since(begin))
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.longest = max(s.longest, time.Since(begin))
 	if !durable {
-		c.notDurable++
+		s.notDurable++
 	}
 }
 
--- a/session/key.go
+++ b/session/key.go
@@ -37,8 +37,8 @@
 	return "session.Key{ID:" + k.ID + "}"
 }
 
-// ParseKeys parses keys of the form "id:hex,id:hex". The first key signs, all
-// keys verify.
+// ParseKeys parses keys of the form "id:hex,id:hex". The first key signs tokens,
+// and all keys verify them.
 func ParseKeys(s string) ([]Key, error) {
 	var keys []Key
 	for i, part := range strings.Split(s, ",") {
--- a/session/record.go
+++ b/session/record.go
@@ -5,7 +5,7 @@
 // record is the value of a session's row in the table.
 type record struct {
 	Binding
-	// TTLMillis is the TTL after the last use, in milliseconds.
+	// TTLMillis is how long the binding lasts after its last use, in milliseconds.
 	TTLMillis int64 `json:"ttl_millis"`
 }
 
--- a/session/registry.go
+++ b/session/registry.go
@@ -16,9 +16,10 @@
 const (
 	// rowPrefix is the key prefix of all session rows.
 	rowPrefix = "session/"
-	// rowTTLFactor is the lifetime of a row, in TTLs. A row is rewritten by the
-	// first use at least one TTL after its last write, so it lives at least one
-	// TTL after each use without a write per use.
+	// rowTTLFactor is the lifetime of a row after its last write, in TTLs. The
+	// first use that is at least one TTL after the last write rewrites the row.
+	// So each row lasts for at least one TTL after each use, without a write per
+	// use.
 	rowTTLFactor = 2
 	// maxAttempts is the maximum number of attempts of one Bind or Rebind to write
 	// the row while other hosts change it concurrently.
@@ -79,8 +80,8 @@
 	cache *cache
 	// ttl is the TTL of rows written from now on, in nanoseconds.
 	ttl atomic.Int64
-	// retryAt is the end of the current backoff, in Unix nanoseconds.
-	retryAt atomic.Int64
+	// backoffUntil is the end of the latest backoff, in Unix nanoseconds.
+	backoffUntil atomic.Int64
 }
 
 // NewRegistry returns a Registry that stores bindings in opts.Table.
@@ -270,11 +271,11 @@
 }
 
 func (r *Registry) tableUsable(now time.Time) bool {
-	return now.UnixNano() >= r.retryAt.Load()
+	return now.UnixNano() >= r.backoffUntil.Load()
 }
 
 func (r *Registry) startBackoff(now time.Time) {
-	r.retryAt.Store(now.Add(r.opts.Backoff).UnixNano())
+	r.backoffUntil.Store(now.Add(r.opts.Backoff).UnixNano())
 }
 
 // rowKey returns the key of a session's row. Its parts are escaped so that they
