--- a/lease/history_test.go
+++ b/lease/history_test.go
@@ -114,7 +114,7 @@
 	for seed := range uint64(seeds) {
 		synctest.Test(t, func(t *testing.T) {
 			ops := runHistory(t, seed)
-			storagetest.CheckModel(t, fmt.Sprint("seed ", seed), model, ops) // never two holders at a time
+			storagetest.CheckModel(t, fmt.Sprint("seed ", seed), model, ops) // there are never two holders at a time
 			for _, op := range ops {
 				switch op.Input.(operation).kind {
 				case acquired:
@@ -207,7 +207,7 @@
 	keep, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() { _ = l.KeepRenewing(keep) }()
-	for ctx.Err() == nil && c.check(l) {
+	for ctx.Err() == nil && c.checkValid(l) {
 		c.sleep(1500)
 		if c.random.IntN(15) == 0 {
 			c.release(ctx, l)
@@ -216,10 +216,10 @@
 	}
 }
 
-// check calls Valid, records the call in the history if it returned true, and
+// checkValid calls Valid, records the call in the history if it returned true, and
 // returns its result. The operation spans only the call, so it doesn't include a
 // later pause of the host.
-func (c *contender) check(l *lease.Lease) bool {
+func (c *contender) checkValid(l *lease.Lease) bool {
 	c.process.Checkpoint()
 	ok := false
 	recordOperation(c.history, c.id, func() (operation, bool) {
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	ttl    = 10 * time.Second
-	usable = 9 * time.Second
-	name   = "pool/report"
+	ttl       = 10 * time.Second
+	usableTTL = 9 * time.Second
+	name      = "pool/report"
 )
 
 // managerPair is two managers that share a table.
@@ -78,10 +78,10 @@
 	}{
 		{"at once", func(*testing.T, managerPair, *lease.Lease) {}, true, ttl},
 		{"just before the margin", func(*testing.T, managerPair, *lease.Lease) {
-			time.Sleep(usable - 1)
+			time.Sleep(usableTTL - 1)
 		}, true, time.Second + 1},
 		{"within the margin", func(*testing.T, managerPair, *lease.Lease) {
-			time.Sleep(usable)
+			time.Sleep(usableTTL)
 		}, false, time.Second},
 		{"after the TTL", func(*testing.T, managerPair, *lease.Lease) {
 			time.Sleep(ttl)
@@ -92,7 +92,7 @@
 			time.Sleep(5 * time.Second)
 		}, true, ttl},
 		{"renewed too late", func(t *testing.T, _ managerPair, l *lease.Lease) {
-			time.Sleep(usable)
+			time.Sleep(usableTTL)
 			is.New(t).True(errors.Is(l.Renew(t.Context()), lease.ErrLapsed))
 		}, false, time.Second},
 		{"released", func(t *testing.T, _ managerPair, l *lease.Lease) {
@@ -136,10 +136,10 @@
 	}
 }
 
-// TestLateRenewalIsNotCreditedAsANewerOne guards against a lease that
-// is valid for longer than contenders wait. Renewal 1 reaches the table late, and
-// renewal 2 is lost. Contenders measure the TTL from the arrival of renewal 1, so
-// the holder must not measure it from the start of renewal 2.
+// TestLateRenewalIsNotMistakenForANewerOne guards against a lease that is valid for
+// longer than contenders wait. Renewal 1 reaches the table late, and renewal 2 is
+// lost. Contenders measure the TTL from the arrival of renewal 1, so the holder must
+// not measure it from the start of renewal 2.
 func TestLateRenewalIsNotMistakenForANewerOne(t *testing.T) {
 	withManagerPair(t, func(t *testing.T, is *is.I, p managerPair) {
 		l := p.acquireA(t)
@@ -148,9 +148,9 @@
 		time.Sleep(6 * time.Second)
 		p.table.DropNext(1)
 		is.True(errors.Is(l.Renew(t.Context()), storage.ErrUnknown)) // renewal 2
-		is.Equal(l.Remaining(), usable-6*time.Second)
+		is.Equal(l.Remaining(), usableTTL-6*time.Second)
 		is.NoErr(l.Renew(t.Context())) // renewal 3 replaces the late renewal 1
-		is.Equal(l.Remaining(), usable)
+		is.Equal(l.Remaining(), usableTTL)
 	})
 }
 
@@ -171,7 +171,8 @@
 func TestKeepRenewing(t *testing.T) {
 	tests := []struct {
 		desc string
-		// outage is how long the table is down, starting 10 s after KeepRenewing.
+		// outage is how long the table is down; it starts 10 s after the call of
+		// KeepRenewing.
 		outage time.Duration
 		want   error
 	}{
--- a/lease/orders_test.go
+++ b/lease/orders_test.go
@@ -18,20 +18,20 @@
 // fakeEngine executes orders. If fenced is true, it rejects orders whose fencing
 // number is lower than one that it has received before.
 type fakeEngine struct {
-	mu      sync.Mutex
-	fenced  bool
-	highest uint64
+	mu             sync.Mutex
+	fenced         bool
+	highestFencing uint64
 	// executed has the fencing numbers of the executed orders.
 	executed []uint64
 }
 
-func (e *fakeEngine) order(fencing uint64) error {
+func (e *fakeEngine) execute(fencing uint64) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.fenced && fencing < e.highest {
+	if e.fenced && fencing < e.highestFencing {
 		return errOldFencing
 	}
-	e.highest = max(e.highest, fencing)
+	e.highestFencing = max(e.highestFencing, fencing)
 	e.executed = append(e.executed, fencing)
 	return nil
 }
@@ -52,7 +52,7 @@
 func (e *fakeEngine) pausedSend(d time.Duration) lease.SendFunc {
 	return func(_ context.Context, _ lease.Receiver, fencing uint64) error {
 		time.Sleep(d)
-		return e.order(fencing)
+		return e.execute(fencing)
 	}
 }
 
