--- a/claim/attempt.go
+++ b/claim/attempt.go
@@ -8,7 +8,7 @@
 )
 
 // maxClaimWrites is the maximum number of writes by one Acquire. A second write
-// is needed if the first was lost or the row was released; more are rare.
+// is needed if the first was lost or the row was released. More writes are rarely needed.
 const maxClaimWrites = 4
 
 // attempt is the state of one Acquire while it writes its claim to the table.
@@ -115,5 +115,5 @@
 		// There is or was a row of this key, so a request with it may have run.
 		return &InFlightError{}
 	}
-	return unavailable(err)
+	return unavailableError(err)
 }
--- a/claim/backlog.go
+++ b/claim/backlog.go
@@ -37,8 +37,8 @@
 	return &backlog{maxWrites: maxWrites, maxBytes: maxBytes}
 }
 
-// fits reports whether a result of the given size fits in the backlog.
-func (b *backlog) fits(size int) bool {
+// fitsResult reports whether a result of size bytes fits in the backlog.
+func (b *backlog) fitsResult(size int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.bytes+size <= b.maxBytes
@@ -86,7 +86,7 @@
 // row then stays in flight, so that the request is never run again, and the claim
 // stays active on this host, so that it is never treated as an orphan.
 func (s *Store) enqueue(w pendingWrite) {
-	if !s.backlog.fits(w.resultBytes()) {
+	if !s.backlog.fitsResult(w.resultBytes()) {
 		w.dropResult(s)
 		s.dropped.Add(1)
 	}
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -36,12 +36,12 @@
 		objects: faulty.NewObjects(memory.NewObjects()),
 		dead:    newDeadHosts(),
 	}
-	p.a = p.store(options, "host-a")
-	p.b = p.store(options, "host-b")
+	p.a = p.newStore(options, "host-a")
+	p.b = p.newStore(options, "host-b")
 	return p
 }
 
-func (p *testPlatform) store(options claim.Options, host string) *claim.Store {
+func (p *testPlatform) newStore(options claim.Options, host string) *claim.Store {
 	options.Table, options.Objects = p.table, p.objects
 	options.Host, options.Alive = host, p.dead
 	return claim.New(options)
--- a/claim/store.go
+++ b/claim/store.go
@@ -139,6 +139,6 @@
 	}
 }
 
-func unavailable(err error) error {
+func unavailableError(err error) error {
 	return fmt.Errorf("%w: %w", ErrUnavailable, err)
 }
--- a/claim/sweep_test.go
+++ b/claim/sweep_test.go
@@ -188,7 +188,7 @@
 	is := is.New(t)
 	p := newTestPlatform(claim.Options{})
 	mustAcquire(t, p.a)
-	restarted := p.store(claim.Options{}, "host-a")
+	restarted := p.newStore(claim.Options{}, "host-a")
 	is.Equal(acquireResult(restarted), "may have run")
 }
 
--- a/resultcode/resultcode.go
+++ b/resultcode/resultcode.go
@@ -88,11 +88,11 @@
 }
 
 var (
-	notRun     = []runstate.State{runstate.NotRun}
-	mayHaveRun = []runstate.State{runstate.MayHaveRun}
-	ran        = []runstate.State{runstate.Ran}
-	started    = []runstate.State{runstate.MayHaveRun, runstate.Ran}
-	anyState   = []runstate.State{runstate.NotRun, runstate.MayHaveRun, runstate.Ran}
+	notRun          = []runstate.State{runstate.NotRun}
+	mayHaveRun      = []runstate.State{runstate.MayHaveRun}
+	ran             = []runstate.State{runstate.Ran}
+	mayHaveRunOrRan = []runstate.State{runstate.MayHaveRun, runstate.Ran}
+	anyState        = []runstate.State{runstate.NotRun, runstate.MayHaveRun, runstate.Ran}
 )
 
 var table = []Spec{
@@ -123,9 +123,9 @@
 	{UpstreamUnreachable, "upstream-unreachable", 502, notRun, time.Second, "No connection to an upstream could be made, and nothing was sent."},
 	{OutcomeUnknown, "outcome-unknown", 502, mayHaveRun, 0, "The request was sent, at least in part, and no answer came back."},
 	{AnswerIncomplete, "answer-incomplete", 502, ran, 0, "The answer began and could not be completed on the same version."},
-	{UpstreamRefused, "upstream-refused", 503, started, time.Second, "The upstream answered that it does not take the request now."},
-	{UpstreamError, "upstream-error", 502, started, 0, "The upstream answered with an error."},
-	{AnswerMismatch, "answer-mismatch", 502, started, 0, "The upstream sent frames that belong to another request."},
+	{UpstreamRefused, "upstream-refused", 503, mayHaveRunOrRan, time.Second, "The upstream answered that it does not take the request now."},
+	{UpstreamError, "upstream-error", 502, mayHaveRunOrRan, 0, "The upstream answered with an error."},
+	{AnswerMismatch, "answer-mismatch", 502, mayHaveRunOrRan, 0, "The upstream sent frames that belong to another request."},
 	{RequestQuarantined, "request-quarantined", 500, anyState, 0, "Upstreams ended each time that they ran a request with this route, account and body; it is sent to none. Earlier requests with it did run, and coming back doesn't help before the upstreams are mended."},
 	{StoreUnavailable, "store-unavailable", 503, notRun, 2 * time.Second, "The platform's table couldn't record the claim, so nothing was sent."},
 	{DuplicateInFlight, "duplicate-in-flight", 409, mayHaveRun, time.Second, "A request with this key is being run; the repeat was not sent."},
