--- a/config/configtest/network.go
+++ b/config/configtest/network.go
@@ -56,12 +56,12 @@
 	defer n.mu.Unlock()
 	states := make(map[string]string)
 	for host, w := range n.watchers {
-		states[host] = state(w)
+		states[host] = describeState(w)
 	}
 	return states
 }
 
-func state(w *config.Watcher) string {
+func describeState(w *config.Watcher) string {
 	text := "none"
 	if p := w.Current(); p != nil {
 		text = fmt.Sprint(p.Epoch)
--- a/config/history_test.go
+++ b/config/history_test.go
@@ -210,7 +210,7 @@
 				group.Go(func() { s.submitRounds(t.Context(), rounds) })
 			}
 			group.Wait()
-			time.Sleep(time.Minute) // for the delayed effects
+			time.Sleep(time.Minute) // until delayed transactions have taken effect
 			last := &submitter{client: submitters, store: f.store}
 			record(h, submitters, call{}, func() callResult { return last.read(t.Context()) })
 			storagetest.CheckModel(t, fmt.Sprint("seed ", seed), headModel.ToModel(), h.Operations())
--- a/config/submit_test.go
+++ b/config/submit_test.go
@@ -50,7 +50,7 @@
 		body, token string
 		want        error
 		already     bool
-		// epoch is the head's epoch afterwards.
+		// epoch is the head's epoch after all transactions have taken effect.
 		epoch uint64
 	}{
 		{desc: "accepted", body: "2", epoch: 2},
@@ -62,11 +62,11 @@
 		{desc: "all transactions lost", prepare: func(_ *testing.T, f *fixture) { f.table.DropNext(100) }, body: "2", want: storage.ErrUnknown, epoch: 1},
 		{desc: "table down", prepare: func(_ *testing.T, f *fixture) { f.table.SetDown(true) }, body: "2", want: storage.ErrUnavailable, epoch: 1},
 		{desc: "object store down", prepare: func(_ *testing.T, f *fixture) { f.objects.SetDown(true) }, body: "2", want: storage.ErrUnavailable, epoch: 1},
-		{desc: "accepted by another caller", prepare: accept("2", "other"), body: "2", already: true, epoch: 2},
-		{desc: "accepted with the same token before", prepare: accept("2", "mine"), body: "2", already: true, epoch: 2},
-		{desc: "another manifest accepted first", prepare: accept("3", "other"), body: "2", want: storage.ErrConflict, epoch: 2},
+		{desc: "accepted by another caller", prepare: acceptManifest("2", "other"), body: "2", already: true, epoch: 2},
+		{desc: "accepted with the same token before", prepare: acceptManifest("2", "mine"), body: "2", already: true, epoch: 2},
+		{desc: "another manifest accepted first", prepare: acceptManifest("3", "other"), body: "2", want: storage.ErrConflict, epoch: 2},
 		{desc: "another manifest accepted first and the response lost", prepare: func(t *testing.T, f *fixture) {
-			accept("3", "other")(t, f)
+			acceptManifest("3", "other")(t, f)
 			f.table.LoseNext(1)
 		}, body: "2", want: storage.ErrConflict, epoch: 2},
 		{desc: "no token", body: "2", token: "-", want: config.ErrToken, epoch: 1},
@@ -82,9 +82,9 @@
 					token = ""
 				}
 				result, err := f.store.Submit(t.Context(), document(first.Digest, tc.body), token)
-				is.True(errors.Is(err, tc.want)) // class of the outcome
+				is.True(errors.Is(err, tc.want)) // the expected kind of error
 				is.Equal(result.AlreadyAccepted, tc.already)
-				time.Sleep(2 * time.Minute) // for the delayed effects
+				time.Sleep(2 * time.Minute) // until delayed transactions have taken effect
 				f.table.Heal()
 				head, headErr := f.store.Head(t.Context())
 				is.NoErr(headErr)
@@ -97,8 +97,8 @@
 	}
 }
 
-// accept returns a function that submits a manifest on the current head.
-func accept(build, token string) func(*testing.T, *fixture) {
+// acceptManifest returns a function that submits a manifest on the current head.
+func acceptManifest(build, token string) func(*testing.T, *fixture) {
 	return func(t *testing.T, f *fixture) {
 		head, err := f.store.Head(t.Context())
 		is.New(t).NoErr(err)
@@ -160,7 +160,7 @@
 				})
 				synctest.Wait()
 				_, err := f.store.Submit(t.Context(), document(first.Digest, "2"), "token")
-				is.New(t).True(errors.Is(err, tc.want)) // class of the outcome
+				is.New(t).True(errors.Is(err, tc.want)) // the expected kind of error
 			})
 		})
 	}
--- a/config/watcher.go
+++ b/config/watcher.go
@@ -156,8 +156,8 @@
 	return w.view.Load().check(boottime.Now(), w.options.Bound)
 }
 
-// ObserveHead passes on an accepted head that another host has reported. A head that isn't
-// newer than the newest known one is ignored.
+// ObserveHead informs the Watcher of an accepted head that another host has reported. A
+// head that isn't newer than the newest one that the Watcher has learned of is ignored.
 func (w *Watcher) ObserveHead(head Head) {
 	w.update(func(v view) (view, error) { return v.withHead(head) })
 }
@@ -177,8 +177,8 @@
 	return report
 }
 
-// Body returns the canonical body of the manifest in force if that has the digest. It
-// serves other hosts that can't reach the object store.
+// Body returns the canonical body of the manifest in force if that has the digest. Other
+// hosts fetch it if they can't read it from the object store.
 func (w *Watcher) Body(digest string) ([]byte, bool) {
 	p := w.Current()
 	if p == nil || p.Digest != digest {
@@ -187,8 +187,9 @@
 	return manifest.Encode(p.Document), true
 }
 
-// update replaces the view by f's result and notifies the loader if there is a newer
-// head. It passes an error of f to OnError; the returned view is used even then.
+// update replaces the view by the result of f, which gets the current view, and notifies
+// the loader if there is a newer head than the one in force. If f returns an error, update
+// passes it to OnError and still replaces the view.
 func (w *Watcher) update(f func(view) (view, error)) {
 	err := w.swapView(f)
 	if err != nil {
@@ -213,7 +214,8 @@
 }
 
 // sharedInterval returns the interval between the events of one host with which hostCount
-// hosts together cause eventsPerSecond, but at least minimum and at most maximum.
+// hosts together cause eventsPerSecond events per second, but at least minimum and at most
+// maximum.
 func sharedInterval(hostCount, eventsPerSecond int, minimum, maximum time.Duration) time.Duration {
 	shared := time.Duration(hostCount) * time.Second / time.Duration(eventsPerSecond)
 	return min(max(shared, minimum), maximum)
--- a/config/watcher_loops.go
+++ b/config/watcher_loops.go
@@ -155,7 +155,7 @@
 // next returns the timeout of the next attempt.
 func (l *loadTimeout) next() time.Duration { return max(l.current, l.bound/loadsPerBound) }
 
-// set sets the timeout, limited to maxLoadInBounds times the bound.
+// set sets the timeout, limited to maxLoadTimeoutInBounds times the bound.
 func (l *loadTimeout) set(timeout time.Duration) {
 	l.current = min(timeout, maxLoadTimeoutInBounds*l.bound)
 }
--- a/config/watcher_test.go
+++ b/config/watcher_test.go
@@ -172,7 +172,7 @@
 // While the object store hangs, each of eight manifests must be loaded from a peer within
 // the bound. A fast load from a peer must therefore reset the timeout, which grows when the
 // object store doesn't respond.
-func TestPeerFetchKeepsObjectStoreTimeout(t *testing.T) {
+func TestLoadFromPeerResetsTimeout(t *testing.T) {
 	runWithFixture(t, func(t *testing.T, is *is.I, f *fixture) {
 		bodies := peerBodies{}
 		head := f.submit(t, config.Head{}, "1")
@@ -218,7 +218,7 @@
 		f.submit(t, first, "2")
 		time.Sleep(time.Minute)
 		is.True(isStale(w.Check())) // the evidence has expired
-		f.table.SetDown(true)       // no new table read after the resumption
+		f.table.SetDown(true)       // the host can't read the table when it resumes
 		resume()
 		synctest.Wait()
 		is.True(isStale(w.Check())) // the responses to old reads are no evidence
@@ -248,7 +248,7 @@
 		is.NoErr(err)
 		is.Equal(report.Confirmed, []string{"a"})
 		commits := table.Counts().Commits
-		is.True(commits <= 17) // one per second for 13 s, with intervals shortened by jitter
+		is.True(commits <= 17) // one commit per second for 13 s, and more if jitter shortens the intervals
 		time.Sleep(2 * time.Hour)
 		is.True(table.Counts().Commits > commits)
 		is.True(table.Counts().Commits <= commits+2)
