--- a/config/freshness_test.go
+++ b/config/freshness_test.go
@@ -176,7 +176,7 @@
 		{"another digest", 3, []PeerView{{Host: "a", Epoch: 3, Digest: "x"}}, 0, false},
 		{"older epoch", 3, []PeerView{{Host: "a", Epoch: 2, Digest: "d"}}, 0, false},
 		{"one host with a newer epoch", 5, append(views(0, 0, 0), PeerView{Host: "z", Epoch: 4}), 0, false},
-		{"one host that knows of a newer epoch", 5, append(views(0, 0, 0), PeerView{Host: "z", Epoch: 3, Digest: "d", Newest: 4}), 0, false},
+		{"one host that has learned of a newer epoch", 5, append(views(0, 0, 0), PeerView{Host: "z", Epoch: 3, Digest: "d", Newest: 4}), 0, false},
 	} {
 		t.Run(tc.desc, func(t *testing.T) {
 			is := is.New(t)
--- a/config/history_test.go
+++ b/config/history_test.go
@@ -221,7 +221,7 @@
 			}
 		})
 	}
-	t.Logf("%d histories: %d accepted, %d already, %d conflicts, %d without effect, %d unknown", seeds,
+	t.Logf("%d histories: %d accepted, %d already accepted, %d conflicts, %d without effect, %d unknown", seeds,
 		counts[accepted], counts[alreadyAccepted], counts[conflict], counts[noEffect], counts[unknown])
 }
 
@@ -240,10 +240,10 @@
 		{"two accepted with one parent", []call{one, two, other}, []callResult{{accepted, 1, "one"}, {accepted, 2, "two"}, {accepted, 3, "other"}}, false},
 		{"a second epoch for one document", []call{one, one}, []callResult{{accepted, 1, "one"}, {accepted, 2, "one"}}, false},
 		{"an effect of a call that reported none", []call{one, two, {}}, []callResult{{accepted, 1, "one"}, {noEffect, 0, ""}, {accepted, 2, "two"}}, false},
-		{"a lost response reported as a conflict with itself", []call{one, two}, []callResult{{accepted, 1, "one"}, {conflict, 2, "two"}}, false},
+		{"a conflict with the submitted document itself", []call{one, two}, []callResult{{accepted, 1, "one"}, {conflict, 2, "two"}}, false},
 		{"a head that returns to an earlier epoch", []call{one, two, {}}, []callResult{{accepted, 1, "one"}, {accepted, 2, "two"}, {accepted, 1, "one"}}, false},
 		{"an unknown outcome with its effect", []call{one, two, {}}, []callResult{{accepted, 1, "one"}, {unknown, 0, ""}, {accepted, 2, "two"}}, true},
-		{"already accepted, of a document that never was", []call{one, two}, []callResult{{accepted, 1, "one"}, {alreadyAccepted, 1, "two"}}, false},
+		{"already accepted, for a document that was never accepted", []call{one, two}, []callResult{{accepted, 1, "one"}, {alreadyAccepted, 1, "two"}}, false},
 	} {
 		t.Run(tc.desc, func(t *testing.T) {
 			h := new(storagetest.History)
--- a/config/peers_test.go
+++ b/config/peers_test.go
@@ -97,7 +97,7 @@
 		{"lagging peer with old table read", config.PeerView{Epoch: 1, HasTableRead: true, TableReadAge: time.Hour}, nil, true},
 		{"peer whose new table read returned an old head", config.PeerView{Epoch: 1, HasTableRead: true}, config.ErrTableRolledBack, true},
 		{"peer with another digest", config.PeerView{Epoch: 2, Digest: "sha256:0", HasTableRead: true}, config.ErrFork, true},
-		{"peer that knows of a newer head", config.PeerView{Epoch: 2, Newest: 3}, nil, true},
+		{"peer that has learned of a newer head", config.PeerView{Epoch: 2, Newest: 3}, nil, true},
 		{"peer that agrees", config.PeerView{Epoch: 2}, nil, false},
 		{"peer that agreed long ago", config.PeerView{Epoch: 2, Age: time.Hour}, nil, true},
 		{"the host itself", config.PeerView{Host: "self", Epoch: 2}, nil, true},
--- a/config/watcher_test.go
+++ b/config/watcher_test.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// A host that knows of a newer head but can't load it must stop accepting requests after
-// the bound.
+// A host that has learned of a newer head but can't load its manifest must stop accepting
+// requests when its evidence is older than the bound.
 func TestWatcherStopsOnAHeadThatItCannotLoad(t *testing.T) {
 	runWithFixture(t, func(t *testing.T, is *is.I, f *fixture) {
 		first := f.submit(t, config.Head{}, "1")
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -76,7 +76,7 @@
 		valid bool
 		wait  time.Duration
 	}{
-		{"at once", func(*testing.T, managerPair, *lease.Lease) {}, true, ttl},
+		{"right after the acquisition", func(*testing.T, managerPair, *lease.Lease) {}, true, ttl},
 		{"just before the margin", func(*testing.T, managerPair, *lease.Lease) {
 			time.Sleep(usableTTL - 1)
 		}, true, time.Second + 1},
--- a/lease/orders_test.go
+++ b/lease/orders_test.go
@@ -77,10 +77,10 @@
 		{"unfenced, paused before the check", false, 40 * time.Second, 0, lease.ErrLapsed, 2, 2},
 		{"fenced, late by less than TTL and margin", true, 0, 15 * time.Second, errOldFencing, 2, 2},
 		{"unfenced, late by less than TTL and margin", false, 0, 15 * time.Second, nil, 2, 2},
-		{"fenced, late by more", true, 0, 40 * time.Second, errOldFencing, 2, 2},
+		{"fenced, late by more than TTL and margin", true, 0, 40 * time.Second, errOldFencing, 2, 2},
 		// A known limit without fencing: the late order of a is executed, until b
 		// repeats its order and so replaces it.
-		{"unfenced, late by more", false, 0, 40 * time.Second, nil, 1, 2},
+		{"unfenced, late by more than TTL and margin", false, 0, 40 * time.Second, nil, 1, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
