--- a/claim/errors.go
+++ b/claim/errors.go
@@ -9,7 +9,7 @@
 	// ErrKeyReused means that the key was already used with a different request.
 	ErrKeyReused = errors.New("claim: request key already used for a different request")
 	// ErrUnavailable means that the claim couldn't be recorded and the request
-	// must not be sent. It is returned together with the table's error.
+	// must not be sent. The returned error also wraps the table's error.
 	ErrUnavailable = errors.New("claim: not recorded")
 	// ErrPending means that the outcome isn't in the table yet. It is kept in
 	// memory, where it answers duplicates on this host, and Run retries the
--- a/claim/history_test.go
+++ b/claim/history_test.go
@@ -73,7 +73,8 @@
 	committer *groupcommit.Committer
 }
 
-// deadHosts is a Liveness that reports the hosts as dead that the test has set.
+// deadHosts is a Liveness that reports those hosts as dead that the test has marked with
+// set.
 type deadHosts struct {
 	mu    sync.Mutex
 	hosts map[string]bool
--- a/claim/model_test.go
+++ b/claim/model_test.go
@@ -45,15 +45,15 @@
 	body []byte
 	// pending is true if a method of Claim returned an error or didn't return.
 	pending bool
-	// staleRow is true if the request subject never ran but its row may still
-	// exist, because its Acquire returned no claim or its Release is pending.
+	// staleRow is true if the request with the ID subject never ran but its row may
+	// still exist, because its Acquire returned no claim or its Release is pending.
 	staleRow bool
-	// onOwnerHost is true if Acquire was called on the host that the request
-	// subject arrived at.
+	// onOwnerHost is true if Acquire was called on the host that the request with the
+	// ID subject arrived at.
 	onOwnerHost bool
-	// mayLag is true if the host that the request subject arrived at may report it
-	// as in flight although it isn't, because its Acquire or Release is running or
-	// not yet in the table.
+	// mayLag is true if the host that the request with the ID subject arrived at may
+	// return that it is in flight although it isn't, because its Acquire or Release is
+	// still running or its effect isn't in the table yet.
 	mayLag bool
 }
 
@@ -140,7 +140,7 @@
 }
 
 // outcomeMayBeUnknown reports whether the host on which op's Acquire was called may
-// not yet have the outcome of the request op.subject.
+// not yet have the outcome of the request with the ID op.subject.
 func outcomeMayBeUnknown(s keyState, op operation, subjectIsOwner bool) bool {
 	if s.phase == free {
 		return op.staleRow
