--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -2,7 +2,7 @@
 // goroutines that a test can pause, resume and kill.
 //
 // Tests of leases, claims and the ledger use it. A pause takes effect only at the
-// next call of Process.Checkpoint, so code without such calls continues.
+// next call of Checkpoint or WaitWhilePaused, so code without such calls continues.
 package pause
 
 import (
--- a/runstate/runstate.go
+++ b/runstate/runstate.go
@@ -2,8 +2,8 @@
 // upstream. The state never decreases, so an error response derived from it never
 // understates what happened.
 //
-// Package upstream raises the state, and the entry host reads it for error
-// responses and bills. The state MayHaveRun leaves open whether the request ran.
+// The packages that send requests to upstreams raise the state, and hosts read it
+// for error responses and bills. The state MayHaveRun leaves open whether the request ran.
 package runstate
 
 import "sync/atomic"
@@ -14,10 +14,11 @@
 const (
 	// NotRun means that no byte of the request was passed to a connection.
 	NotRun State = iota
-	// MayHaveRun means that at least one byte was written to a connection and
-	// no complete response was read.
+	// MayHaveRun means that at least one byte of the request may have been
+	// written to a connection, and that no response shows that the request ran.
 	MayHaveRun
-	// Ran means that an upstream responded, in whole or in part.
+	// Ran means that an upstream responded to the request, in whole or in part,
+	// and didn't refuse it.
 	Ran
 )
 
