--- a/runstate/runstate.go
+++ b/runstate/runstate.go
@@ -3,7 +3,8 @@
 // understates what happened.
 //
 // The packages that send requests to upstreams raise the state, and hosts read it
-// for error responses and bills. The state MayHaveRun leaves open whether the request ran.
+// for error responses and bills. The state MayHaveRun leaves open whether the request
+// ran.
 package runstate
 
 import "sync/atomic"
