--- a/config/configtest/network.go
+++ b/config/configtest/network.go
@@ -16,8 +16,8 @@
 type Network struct {
 	mu       sync.Mutex
 	watchers map[string]*config.Watcher
-	// isolated holds one side of the partition; hosts reach only hosts on their own
-	// side.
+	// isolated holds the hosts on one side of the partition. Hosts reach only hosts on
+	// their own side.
 	isolated map[string]bool
 }
 
@@ -56,12 +56,12 @@
 	defer n.mu.Unlock()
 	states := make(map[string]string)
 	for host, w := range n.watchers {
-		states[host] = state(w)
+		states[host] = describeState(w)
 	}
 	return states
 }
 
-func state(w *config.Watcher) string {
+func describeState(w *config.Watcher) string {
 	text := "none"
 	if p := w.Current(); p != nil {
 		text = fmt.Sprint(p.Epoch)
--- a/resultcode/resultcode.go
+++ b/resultcode/resultcode.go
@@ -1,8 +1,8 @@
 // Package resultcode defines the numbered result codes used in responses, logs
 // and bills. docs/RESULT-CODES.md is generated from the table in this package.
 //
-// A code doesn't determine the run state: the run state of a response is read
-// from the request's runstate.Tracker when the response is written.
+// The run state of a response isn't derived from its code; it is read from the
+// request's runstate.Tracker when the response is written.
 //
 // The entry host and the command line use it. The text of a response is for
 // people and can change with any release; programs must use the number.
@@ -83,16 +83,16 @@
 	// Retry is the default Retry-After; zero means that retrying the same request
 	// doesn't help.
 	Retry time.Duration
-	// Meaning is the description in the documentation.
+	// Meaning is the description of the code in docs/RESULT-CODES.md.
 	Meaning string
 }
 
 var (
-	notRun     = []runstate.State{runstate.NotRun}
-	mayHaveRun = []runstate.State{runstate.MayHaveRun}
-	ran        = []runstate.State{runstate.Ran}
-	started    = []runstate.State{runstate.MayHaveRun, runstate.Ran}
-	anyState   = []runstate.State{runstate.NotRun, runstate.MayHaveRun, runstate.Ran}
+	notRun          = []runstate.State{runstate.NotRun}
+	mayHaveRun      = []runstate.State{runstate.MayHaveRun}
+	ran             = []runstate.State{runstate.Ran}
+	mayHaveRunOrRan = []runstate.State{runstate.MayHaveRun, runstate.Ran}
+	anyState        = []runstate.State{runstate.NotRun, runstate.MayHaveRun, runstate.Ran}
 )
 
 var table = []Spec{
@@ -123,9 +123,9 @@
 	{UpstreamUnreachable, "upstream-unreachable", 502, notRun, time.Second, "No connection to an upstream could be made, and nothing was sent."},
 	{OutcomeUnknown, "outcome-unknown", 502, mayHaveRun, 0, "The request was sent, at least in part, and no answer came back."},
 	{AnswerIncomplete, "answer-incomplete", 502, ran, 0, "The answer began and could not be completed on the same version."},
-	{UpstreamRefused, "upstream-refused", 503, started, time.Second, "The upstream answered that it does not take the request now."},
-	{UpstreamError, "upstream-error", 502, started, 0, "The upstream answered with an error."},
-	{AnswerMismatch, "answer-mismatch", 502, started, 0, "The upstream sent frames that belong to another request."},
+	{UpstreamRefused, "upstream-refused", 503, mayHaveRunOrRan, time.Second, "The upstream answered that it does not take the request now."},
+	{UpstreamError, "upstream-error", 502, mayHaveRunOrRan, 0, "The upstream answered with an error."},
+	{AnswerMismatch, "answer-mismatch", 502, mayHaveRunOrRan, 0, "The upstream sent frames that belong to another request."},
 	{RequestQuarantined, "request-quarantined", 500, anyState, 0, "Upstreams ended each time that they ran a request with this route, account and body; it is sent to none. Earlier requests with it did run, and coming back doesn't help before the upstreams are mended."},
 	{StoreUnavailable, "store-unavailable", 503, notRun, 2 * time.Second, "The platform's table couldn't record the claim, so nothing was sent."},
 	{DuplicateInFlight, "duplicate-in-flight", 409, mayHaveRun, time.Second, "A request with this key is being run; the repeat was not sent."},
@@ -213,9 +213,9 @@
 	return Wrap(Internal, err, "internal error")
 }
 
-// ForState returns e if its code allows the run state, or else an error that
-// wraps e and has the code of the run state. This ensures that a request that was
-// sent is never reported as not run.
+// ForState returns e if its code allows the run state. Otherwise it returns an error
+// that wraps e and has the code from codeForState, so that a request that was sent is
+// never reported as not run.
 func ForState(e *Error, state runstate.State) *Error {
 	for _, s := range Lookup(e.Code).States {
 		if s == state {
--- a/session/codec.go
+++ b/session/codec.go
@@ -39,8 +39,8 @@
 }
 
 // NewCodec returns a Codec whose tokens are valid for ttl after they are
-// issued. The first key signs, all keys verify. A nil clock means time.Now. It
-// panics if the keys are invalid, by the rules of ParseKeys.
+// issued. The first key signs, and all keys verify. A nil clock means time.Now.
+// NewCodec panics if the keys don't meet the requirements of ParseKeys.
 func NewCodec(keys []Key, ttl time.Duration, clock storage.Clock) *Codec {
 	if clock == nil {
 		clock = time.Now
@@ -91,12 +91,12 @@
 	raw = appendField(raw, b.Version)
 	raw = binary.AppendUvarint(raw, b.Epoch)
 	raw = binary.AppendVarint(raw, b.IssuedAt.UnixMilli())
-	raw = append(raw, mac(signer.Secret, raw)...)
+	raw = append(raw, computeMAC(signer.Secret, raw)...)
 	return tokenEncoding.EncodeToString(raw)
 }
 
-// Verify verifies a token and returns its binding. The error is exactly one of
-// ErrMalformed, ErrUnknownKey, ErrOtherAccount and ErrExpired.
+// Verify verifies a token of the account and returns its binding. The error is
+// exactly one of ErrMalformed, ErrUnknownKey, ErrOtherAccount and ErrExpired.
 func (c *Codec) Verify(token, account string) (Binding, error) {
 	if len(token) > maxTokenChars {
 		return Binding{}, ErrMalformed
@@ -115,7 +115,7 @@
 	if !known {
 		return Binding{}, ErrUnknownKey
 	}
-	if !hmac.Equal(tokenMAC, mac(key.Secret, signed)) {
+	if !hmac.Equal(tokenMAC, computeMAC(key.Secret, signed)) {
 		return Binding{}, ErrMalformed
 	}
 	b, ok := r.binding()
@@ -131,14 +131,14 @@
 	return b, nil
 }
 
-// expired reports whether a token issued at the given time is outside its TTL.
-// It accepts times up to one TTL in the future, so that clock skew between hosts
-// doesn't end sessions.
+// expired reports whether the issue time of a token is more than one TTL away from
+// the current time. It may be up to one TTL in the future, so that clock skew
+// between hosts doesn't end sessions.
 func (c *Codec) expired(issued time.Time) bool {
 	return c.clock().Sub(issued).Abs() > time.Duration(c.ttl.Load())
 }
 
-func mac(secret, data []byte) []byte {
+func computeMAC(secret, data []byte) []byte {
 	h := hmac.New(sha256.New, secret)
 	h.Write(data)
 	return h.Sum(nil)[:macBytes]
