--- a/internal/devenv/admission_test.go
+++ b/internal/devenv/admission_test.go
@@ -14,17 +14,18 @@
 	"github.com/quetzalweir/quetzalweir/internal/standin/engine"
 )
 
-// outcome counts what a class came to.
+// outcome counts the requests of a class by their result.
 type outcome struct {
 	answered int
-	// refused at once, late at the deadline.
+	// refused requests were rejected on arrival, late ones at their deadline.
 	refused int
 	late    int
 }
 
-// TestReportsGoBeforeNarration offers several times what two engines can answer.
-// Every report is answered, narration isn't starved, and what can't be answered
-// in time is refused long before its deadline, not run, with when to come back.
+// TestReportsGoBeforeNarration sends several times the load that two engines can
+// handle. Every request of the class "reports" must be answered, "narration" must
+// not starve, and requests that can't be answered in time must be refused long
+// before their deadline, without having run and with a Retry-After header.
 func TestReportsGoBeforeNarration(t *testing.T) {
 	is := is.New(t)
 	env := run(t, Options{Engine: engine.Options{Capacity: 2, TimePerToken: 2 * time.Millisecond}})
@@ -34,7 +35,7 @@
 	var wait sync.WaitGroup
 	ask := func(class string, i int) {
 		wait.Go(func() {
-			env.askClass(t, class, i, func(count func(*outcome)) {
+			env.sendClass(t, class, i, func(count func(*outcome)) {
 				mu.Lock()
 				defer mu.Unlock()
 				count(got[class])
@@ -51,15 +52,15 @@
 	t.Logf("reports %+v, narration %+v", *got["reports"], *got["narration"])
 	is.Equal(*got["reports"], outcome{answered: reports})
 	is.True(got["narration"].answered > 0) // not starved
-	// The load was above what could be answered, and that was said at once of
-	// nearly all that had to go unanswered.
+	// Of the requests that exceeded the capacity, nearly all were refused on
+	// arrival rather than at their deadline.
 	is.True(got["narration"].refused > 2*got["narration"].late)
 }
 
-// patience is how long the callers of each class wait, in milliseconds.
-var patience = map[string]int{"reports": 25_000, "narration": 1500}
+// deadlineMS is the deadline of the requests of each class, in milliseconds.
+var deadlineMS = map[string]int{"reports": 25_000, "narration": 1500}
 
-func (e *Env) askClass(t *testing.T, class string, i int, count func(func(*outcome))) {
+func (e *Env) sendClass(t *testing.T, class string, i int, count func(func(*outcome))) {
 	body := fmt.Sprintf(`{"model":"large","messages":[{"role":"user","content":"%s %d tokens=40"}]}`, class, i)
 	req, err := http.NewRequest(http.MethodPost, "http://"+e.Hosts[0].CallerAddr()+chatPath, strings.NewReader(body))
 	if err != nil {
@@ -68,7 +69,7 @@
 	}
 	req.Header.Set("Authorization", "Bearer "+AccountKey)
 	req.Header.Set("Quetzalweir-Class", class)
-	req.Header.Set("Quetzalweir-Deadline-Ms", fmt.Sprint(patience[class]))
+	req.Header.Set("Quetzalweir-Deadline-Ms", fmt.Sprint(deadlineMS[class]))
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		t.Error(err)
--- a/internal/devenv/callers_test.go
+++ b/internal/devenv/callers_test.go
@@ -16,7 +16,7 @@
 	"github.com/quetzalweir/quetzalweir/internal/standin/engine"
 )
 
-// writeTimeout is the hosts' bound on a write in these tests.
+// writeTimeout is the hosts' timeout for a write to a caller in these tests.
 const writeTimeout = 100 * time.Millisecond
 
 func shortWrites(s *entry.Settings) {
@@ -24,7 +24,8 @@
 	s.MaxBody = 1 << 20
 }
 
-// An answer may come long after an earlier one on the same connection.
+// A request on an idle keep-alive connection is answered even if the previous
+// answer was sent longer ago than the write timeout.
 func TestAnswerAfterAPauseOnOneConnection(t *testing.T) {
 	is := is.New(t)
 	env := run(t, Options{Settings: shortWrites})
@@ -33,7 +34,7 @@
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for _, stream := range []bool{true, false, true} {
-		is.NoErr(request(conn, fmt.Sprintf(`{"model":"large","stream":%t,"messages":[{"role":"user","content":"a tokens=1"}]}`, stream)))
+		is.NoErr(writeRequest(conn, fmt.Sprintf(`{"model":"large","stream":%t,"messages":[{"role":"user","content":"a tokens=1"}]}`, stream)))
 		resp, err := http.ReadResponse(reader, nil)
 		is.NoErr(err)
 		is.Equal(resp.StatusCode, http.StatusOK)
@@ -44,14 +45,14 @@
 	}
 }
 
-func request(conn net.Conn, body string) error {
+func writeRequest(conn net.Conn, body string) error {
 	_, err := fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n%s",
 		chatPath, AccountKey, len(body), body)
 	return err
 }
 
-// A caller that stops reading is cut after the bound, and its request is
-// cancelled at the engine instead of holding a place for ever.
+// A caller that stops reading is disconnected after the write timeout, and its
+// request is cancelled at the engine instead of occupying a slot for ever.
 func TestCallerThatDoesNotReadIsCut(t *testing.T) {
 	is := is.New(t)
 	env := run(t, Options{Settings: shortWrites, Engine: engine.Options{TimePerToken: 10 * time.Microsecond}})
@@ -59,9 +60,9 @@
 	is.NoErr(err)
 	defer conn.Close()
 	is.NoErr(conn.(*net.TCPConn).SetReadBuffer(4 << 10))
-	is.NoErr(request(conn, `{"model":"large","stream":true,"messages":[{"role":"user","content":"endless tokens=1000000"}]}`))
+	is.NoErr(writeRequest(conn, `{"model":"large","stream":true,"messages":[{"role":"user","content":"endless tokens=1000000"}]}`))
 	deadline := time.Now().Add(30 * time.Second)
-	for cancelled(env) == 0 {
+	for countCancelled(env) == 0 {
 		if time.Now().After(deadline) {
 			t.Fatal("the request is still running")
 		}
@@ -69,7 +70,7 @@
 	}
 }
 
-func cancelled(env *Env) int {
+func countCancelled(env *Env) int {
 	n := 0
 	for _, e := range env.Engines {
 		for _, a := range e.Arrivals().Arrivals {
@@ -91,15 +92,15 @@
 		{desc: "body over the limit", body: `{"model":"` + strings.Repeat("x", 2<<20) + `"}`, status: 413, code: "1003"},
 		{desc: "no JSON", body: "{", status: 400, code: "1002"},
 		{desc: "no model", body: `{"messages":[]}`, status: 400, code: "1002"},
-		{desc: "unknown key", change: header("Authorization", "Bearer x"), status: 401, code: "1001"},
+		{desc: "unknown key", change: setHeader("Authorization", "Bearer x"), status: 401, code: "1001"},
 		{desc: "unknown model", body: `{"model":"x","messages":[{"role":"user","content":"a"}]}`, status: 404, code: "1009"},
-		{desc: "unknown class", change: header("Quetzalweir-Class", "x"), status: 400, code: "1008"},
-		{desc: "bad deadline", change: header("Quetzalweir-Deadline-Ms", "soon"), status: 400, code: "1010"},
-		{desc: "expired deadline", change: header("Quetzalweir-Deadline-Ms", "0"), status: 504, code: "1005"},
-		{desc: "bad token", change: header("Quetzalweir-Session", "qzt.AQ"), status: 400, code: "1004"},
-		{desc: "long request key", change: header("Quetzalweir-Request-Key", strings.Repeat("k", 300)), status: 400, code: "1010"},
+		{desc: "unknown class", change: setHeader("Quetzalweir-Class", "x"), status: 400, code: "1008"},
+		{desc: "bad deadline", change: setHeader("Quetzalweir-Deadline-Ms", "soon"), status: 400, code: "1010"},
+		{desc: "expired deadline", change: setHeader("Quetzalweir-Deadline-Ms", "0"), status: 504, code: "1005"},
+		{desc: "bad token", change: setHeader("Quetzalweir-Session", "qzt.AQ"), status: 400, code: "1004"},
+		{desc: "long request key", change: setHeader("Quetzalweir-Request-Key", strings.Repeat("k", 300)), status: 400, code: "1010"},
 		{desc: "unknown path", change: func(r *http.Request) { r.URL.Path = "/v2" }, status: 404, code: "1009"},
-		{desc: "huge header", change: header("X-Huge", strings.Repeat("h", 1<<20)), status: 431},
+		{desc: "huge header", change: setHeader("X-Huge", strings.Repeat("h", 1<<20)), status: 431},
 	}
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
@@ -120,7 +121,7 @@
 			is.Equal(resp.StatusCode, tt.status)
 			is.Equal(resp.Header.Get("Quetzalweir-Result-Code"), tt.code)
 			if tt.code != "" && resp.Header.Get("Quetzalweir-Run-State") == "ran" {
-				t.Error("a refusal that says it ran")
+				t.Error("refusal with run state \"ran\"")
 			}
 		})
 	}
@@ -131,6 +132,6 @@
 	}
 }
 
-func header(name, value string) func(*http.Request) {
+func setHeader(name, value string) func(*http.Request) {
 	return func(r *http.Request) { r.Header.Set(name, value) }
 }
--- a/internal/devenv/cascade_test.go
+++ b/internal/devenv/cascade_test.go
@@ -16,15 +16,15 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// strictRater finds no answer good enough.
-type strictRater struct{}
+// lowRater rates every answer below the target of the sample's cascade.
+type lowRater struct{}
 
-func (strictRater) Rate(context.Context, string, string, string, string) (storage.Rating, error) {
+func (lowRater) Rate(context.Context, string, string, string, string) (storage.Rating, error) {
 	return storage.Rating{Score: 0.1}, nil
 }
 
-// bill waits until the request's bill is in the ledger.
-func (e *Env) bill(t *testing.T, id string) ledger.Bill {
+// waitForBill waits until the request's bill is in the ledger and returns it.
+func (e *Env) waitForBill(t *testing.T, id string) ledger.Bill {
 	t.Helper()
 	deadline := time.Now().Add(30 * time.Second)
 	for {
@@ -35,14 +35,14 @@
 		if time.Now().After(deadline) {
 			t.Fatal(err)
 		}
-		time.Sleep(readyPoll)
+		time.Sleep(readyPollInterval)
 	}
 }
 
-// A cascade whose dearer model has no upstream gives the cheap answer, says so,
-// and bills it.
-func TestCascadeGivesWhatItHas(t *testing.T) {
-	env := run(t, Options{Rater: func(storage.Rater) storage.Rater { return strictRater{} }})
+// If the better model of a cascade has no upstream, the caller gets the cheap
+// model's answer, marked as below the target and billed at its price.
+func TestCascadeAnswersWithoutTheBetterModel(t *testing.T) {
+	env := run(t, Options{Rater: func(storage.Rater) storage.Rater { return lowRater{} }})
 	for _, e := range env.Engines {
 		if strings.HasPrefix(e.Load().Versions[0], "large") {
 			e.SetFaults(engine.Faults{Leaving: true})
@@ -64,9 +64,9 @@
 			is.Equal(resp.Header.Get("Quetzalweir-Model"), "small")
 			is.Equal(resp.Header.Get("Quetzalweir-Below-Target"), "yes")
 			want := strings.Fields(engine.ExpectedAnswer("small", resp.Header.Get("Quetzalweir-Version"), "what is lot 7"))
-			is.True(strings.Contains(string(text), want[len(want)-1])) // the answer, to its last word
+			is.True(strings.Contains(string(text), want[len(want)-1])) // the answer is complete up to its last word
 			is.Equal(strings.Contains(string(text), "[DONE]"), stream)
-			bill := env.bill(t, resp.Header.Get("Quetzalweir-Request-Id"))
+			bill := env.waitForBill(t, resp.Header.Get("Quetzalweir-Request-Id"))
 			is.Equal(bill.Model, "small")
 			is.True(bill.CostMicro > 0)
 		})
--- a/internal/devenv/devenv.go
+++ b/internal/devenv/devenv.go
@@ -1,5 +1,5 @@
-// Package devenv runs the whole system in one process, with stand-ins of the
-// outside systems and a sample manifest. It serves newcomers and tests.
+// Package devenv runs the whole system in one process, with stand-ins for the
+// external systems and a sample manifest. It is meant for development and tests.
 package devenv
 
 import (
@@ -26,11 +26,11 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// The keys of the sample. They are no secrets: every checkout has them.
+// The keys of the sample manifest. They are in the repository and not secret.
 const (
-	// AccountKey is the key of the sample account "dev".
+	// AccountKey is the API key of the sample account "dev".
 	AccountKey = "dev-account-key"
-	// OperatorKey is the key of the operators' address.
+	// OperatorKey is the API key for the operators' API.
 	OperatorKey = "dev-operator-key"
 	sampleKeyID = "dev"
 )
@@ -38,13 +38,13 @@
 //go:embed sample.json
 var sample string
 
-// sampleDigest stands in the sample for the digest of AccountKey.
-const sampleDigest = "DEV_KEY_SHA256"
+// keyDigestPlaceholder is replaced in the sample by the digest of AccountKey.
+const keyDigestPlaceholder = "DEV_KEY_SHA256"
 
 // Manifest returns the sample manifest.
 func Manifest() []byte {
 	sum := sha256.Sum256([]byte(AccountKey))
-	return []byte(strings.ReplaceAll(sample, sampleDigest, hex.EncodeToString(sum[:])))
+	return []byte(strings.ReplaceAll(sample, keyDigestPlaceholder, hex.EncodeToString(sum[:])))
 }
 
 // Options are the settings of New.
@@ -55,20 +55,21 @@
 	// others take free ports. Default: free ports.
 	Callers   string
 	Operators string
-	// Engine is taken for each engine, with id, zone and versions set.
+	// Engine has the options of every engine; New sets the id, name, zone and
+	// versions of each.
 	Engine engine.Options
 	// Log is the hosts' logger.
 	Log zerolog.Logger
-	// Topology is what the upstreams are and what is declared of them; nil is
-	// the sample.
+	// Topology lists the upstreams and has the manifest that declares them; nil
+	// means the sample.
 	Topology *Topology
-	// Rater may put itself before the platform's rater; nil doesn't.
+	// Rater wraps the platform's rater; nil uses that unchanged.
 	Rater func(storage.Rater) storage.Rater
-	// Settings may change the settings of each entry host; nil changes none.
+	// Settings changes the settings of each entry host; nil changes none.
 	Settings func(*entry.Settings)
 }
 
-// Env is a running system.
+// Env is a system of entry hosts, upstreams and a platform.
 type Env struct {
 	Platform *platformd.Server
 	Engines  []*engine.Engine
@@ -81,13 +82,13 @@
 	rater    storage.Rater
 }
 
-// freePort takes any port on loopback.
-const freePort = "127.0.0.1:0"
+// anyPort has the kernel choose a free port on loopback.
+const anyPort = "127.0.0.1:0"
 
 // zones are the availability zones of the sample.
 var zones = []string{"zone-a", "zone-b", "zone-c"}
 
-// New makes the parts; Run starts them.
+// New creates the parts of a system without starting them; Run starts them.
 func New(options Options) (*Env, error) {
 	topology := options.Topology
 	if topology == nil {
@@ -114,9 +115,9 @@
 	settings := entry.Settings{
 		ID:           fmt.Sprintf("entry-%d", i+1),
 		Zone:         zones[i%len(zones)],
-		Callers:      freePort,
-		Operators:    freePort,
-		Peers:        freePort,
+		Callers:      anyPort,
+		Operators:    anyPort,
+		Peers:        anyPort,
 		SessionKeys:  []session.Key{{ID: sampleKeyID, Secret: secret[:]}},
 		PeerKeys:     []peer.Key{{ID: sampleKeyID, Secret: secret[:]}},
 		OperatorKeys: []string{OperatorKey},
@@ -141,16 +142,17 @@
 	return nil
 }
 
-// sampleToken marks the sample's submission.
-const sampleToken = "sample"
+// submitToken identifies the submission of the manifest by Run.
+const submitToken = "sample"
 
 // Run submits the manifest and serves until ctx ends.
 func (e *Env) Run(ctx context.Context) error {
 	store := config.NewStore(e.Platform.Table(), e.Platform.Objects())
-	if _, err := store.Submit(ctx, e.manifest, sampleToken); err != nil {
+	if _, err := store.Submit(ctx, e.manifest, submitToken); err != nil {
 		return fmt.Errorf("submit the manifest: %w", err)
 	}
-	// The upstreams outlive the hosts, whose planned stop needs them.
+	// Upstreams are stopped after the hosts, which need them to finish their
+	// requests during a planned stop.
 	upstreams, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	var parts errgroup.Group
@@ -169,8 +171,8 @@
 	return errors.Join(err, parts.Wait())
 }
 
-// readyPoll is the time between questions for readiness.
-const readyPoll = 50 * time.Millisecond
+// readyPollInterval is the time between two readiness checks.
+const readyPollInterval = 50 * time.Millisecond
 
 // WaitReady waits until all entry hosts are ready.
 func (e *Env) WaitReady(ctx context.Context) error {
@@ -182,7 +184,8 @@
 	return nil
 }
 
-// WaitReady waits until the entry host with this operators' address is ready.
+// WaitReady waits until the entry host whose operators' API has the address is
+// ready.
 func WaitReady(ctx context.Context, operator string) error {
 	for {
 		if isReady(ctx, operator) {
@@ -191,7 +194,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(readyPoll):
+		case <-time.After(readyPollInterval):
 		}
 	}
 }
--- a/internal/devenv/devenv_test.go
+++ b/internal/devenv/devenv_test.go
@@ -17,7 +17,7 @@
 	"github.com/quetzalweir/quetzalweir/manifest"
 )
 
-// run starts a system and stops it with the test.
+// run starts a system and stops it when the test ends.
 func run(t testing.TB, options Options) *Env {
 	t.Helper()
 	env, err := New(options)
@@ -54,11 +54,12 @@
 	env.PrintExamples(&printed)
 	is.Equal(strings.Count(printed.String(), "curl "), len(Examples()))
 	is.NoErr(env.ServeExamples(t.Context(), &served))
-	is.NoErr(env.ServeExamples(t.Context(), io.Discard)) // and again, the bid too
+	is.NoErr(env.ServeExamples(t.Context(), io.Discard)) // repeats the bid, too, with the same request key
 	is.Equal(env.Service.Arrivals().RunsByKey["bid-1"], 1)
 }
 
-// BenchmarkRequest is a chat through one host, its engine and log included:
+// BenchmarkRequest sends a chat through one host; the figures include the
+// engine and the host's log:
 // go test ./internal/devenv -run - -bench Request -cpuprofile cpu.out
 func BenchmarkRequest(b *testing.B) {
 	env := run(b, Options{Hosts: 2, Log: logline.New(io.Discard, zerolog.InfoLevel)})
@@ -71,7 +72,7 @@
 	}
 }
 
-// TestMain checks that a stopped system leaves no goroutine behind.
+// TestMain checks that no goroutine is left after the systems have stopped.
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m, goleak.Cleanup(func(code int) {
 		http.DefaultClient.CloseIdleConnections()
--- a/internal/devenv/examples.go
+++ b/internal/devenv/examples.go
@@ -10,14 +10,15 @@
 	"strings"
 )
 
-// Example is a request that shows one way of the system.
+// Example is a request that demonstrates one feature of the system.
 type Example struct {
-	// Title says what the example shows.
+	// Title describes what the example demonstrates.
 	Title  string
 	Path   string
 	Header http.Header
 	Body   string
-	// Status and Contains are what a right answer has.
+	// Status is the expected status of the answer, Contains a text that its body
+	// must contain.
 	Status   int
 	Contains string
 }
@@ -55,7 +56,7 @@
 		{
 			Title:    "a call that may not be repeated; sent again, it gives the same answer and runs no second time",
 			Path:     "/services/lanes/bids",
-			Header:   with(key, "Quetzalweir-Request-Key", "bid-1"),
+			Header:   withHeader(key, "Quetzalweir-Request-Key", "bid-1"),
 			Body:     `{"lot":7,"amount":4200}`,
 			Status:   http.StatusOK,
 			Contains: "confirmation",
@@ -71,13 +72,13 @@
 	}
 }
 
-func with(h http.Header, name, value string) http.Header {
+func withHeader(h http.Header, name, value string) http.Header {
 	out := h.Clone()
 	out.Set(name, value)
 	return out
 }
 
-// curl returns the command line that sends the example.
+// curl returns the curl command that sends the example.
 func (x Example) curl(address string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "curl -sS -i http://%s%s", address, x.Path)
@@ -97,8 +98,8 @@
 	}
 }
 
-// ServeExamples sends each example and prints the answers. It returns an error
-// for the first one that isn't right.
+// ServeExamples sends each example and prints the answers. It stops at the
+// first unexpected answer and returns an error.
 func (e *Env) ServeExamples(ctx context.Context, out io.Writer) error {
 	for _, x := range Examples() {
 		fmt.Fprintf(out, "\n# %s\n", x.Title)
@@ -127,10 +128,10 @@
 	}
 	fmt.Fprintf(out, "%s\n%s\n", resp.Status, body)
 	if resp.StatusCode != x.Status {
-		return fmt.Errorf("status %d, not %d", resp.StatusCode, x.Status)
+		return fmt.Errorf("got status %d, want %d", resp.StatusCode, x.Status)
 	}
 	if !strings.Contains(string(body), x.Contains) {
-		return fmt.Errorf("the answer lacks %q", x.Contains)
+		return fmt.Errorf("answer does not contain %q", x.Contains)
 	}
 	return nil
 }
--- a/internal/devenv/topology.go
+++ b/internal/devenv/topology.go
@@ -9,30 +9,32 @@
 	"github.com/quetzalweir/quetzalweir/internal/standin/service"
 )
 
-// Topology is what stands around the entry hosts. Upstreams are spread over the
-// availability zones in turn.
+// Topology describes the platform and the upstreams that the entry hosts use.
+// Upstreams are assigned to the availability zones in turn.
 type Topology struct {
-	// Manifest is the document that Run submits.
+	// Manifest is the encoded manifest that Run submits.
 	Manifest []byte
-	// Platform are the settings of the platform's stand-in.
+	// Platform has the options of the platform's stand-in.
 	Platform platformd.Options
 	// Engines has an element for each engine.
 	Engines []Engine
-	// Services has the service's name for each host of one; at least one.
+	// Services has an element for each service instance: the name of its
+	// service. There must be at least one.
 	Services []string
-	// ServiceOptions is taken for each of these, with id, name and zone set.
+	// ServiceOptions has the options of every service instance; New sets the id,
+	// name and zone of each.
 	ServiceOptions service.Options
 }
 
-// Engine is one engine of a topology.
+// Engine describes one engine of a topology.
 type Engine struct {
-	// Versions are the loaded ones as "model@version".
+	// Versions are the loaded model versions, each as "model@version".
 	Versions []string
-	// Speed divides the engine's times; 0 is 1.
+	// Speed divides the engine's times per token; 0 means 1.
 	Speed float64
 }
 
-// sampleTopology is what newcomers see.
+// sampleTopology returns the topology that is used if Options has none.
 func sampleTopology() *Topology {
 	return &Topology{
 		Manifest: Manifest(),
@@ -67,8 +69,8 @@
 	opts.Zone = zones[i%len(zones)]
 	opts.Versions = spec.Versions
 	if spec.Speed > 0 {
-		opts.TimePerToken = scaled(opts.TimePerToken, spec.Speed)
-		opts.PrefillPerToken = scaled(opts.PrefillPerToken, spec.Speed)
+		opts.TimePerToken = divideBy(opts.TimePerToken, spec.Speed)
+		opts.PrefillPerToken = divideBy(opts.PrefillPerToken, spec.Speed)
 	}
 	eng := engine.New(opts)
 	if err := eng.Bind(); err != nil {
@@ -92,6 +94,6 @@
 	return nil
 }
 
-func scaled(d time.Duration, speed float64) time.Duration {
+func divideBy(d time.Duration, speed float64) time.Duration {
 	return time.Duration(float64(d) / speed)
 }
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -10,24 +10,23 @@
 	"github.com/matryer/is"
 )
 
-// Under a fake clock each request takes exactly as long as Send does, and a
-// request that starts late because the load is over what can be started would
-// show in its latency.
+// With a fake clock the latency of each request is exactly the duration of Send.
+// A request that started later than intended would show a higher latency.
 func TestLatencyCountsFromTheIntendedStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		took := []time.Duration{5 * time.Millisecond, 50 * time.Millisecond}
+		durations := []time.Duration{5 * time.Millisecond, 50 * time.Millisecond}
 		results := Run(t.Context(), Options{
 			Rate:     100,
 			Requests: 500,
-			Kinds:    len(took),
+			Kinds:    len(durations),
 			Send: func(ctx context.Context, _, kind int) error {
 				is.Equal(IntendedStart(ctx), time.Now()) // nothing delays it here
-				time.Sleep(took[kind])
+				time.Sleep(durations[kind])
 				return nil
 			},
 		})
-		for kind, want := range took {
+		for kind, want := range durations {
 			for _, q := range []float64{1, 50, 100} {
 				got := results[kind].Quantile(q)
 				is.True(got >= want && got < want+want/100) // within the histogram's precision
