--- a/internal/e2e/atmostonce_test.go
+++ b/internal/e2e/atmostonce_test.go
@@ -12,67 +12,69 @@
 )
 
 // faultStep is a fault that begins shortly before bids are sent, or while they
-// are under way.
+// are in flight.
 type faultStep struct {
 	desc   string
 	before func(s *system)
 	during func(s *system, b *bidder)
 }
 
-// underWay is the time after which bids of a step are under way in a service
-// or table that is slowed down by several times as much.
-const underWay = 250 * time.Millisecond
+// inFlightDelay is the time from sending the bids of a step to the fault that
+// must occur while they are in flight. The service or table is slowed down by
+// several times as much.
+const inFlightDelay = 250 * time.Millisecond
 
 func atMostOnceSteps() []faultStep {
-	slowService := func(s *system) { s.serviceFaults(service.Faults{SlowMs: 600}) }
+	slowService := func(s *system) { s.setServiceFaults(service.Faults{SlowMs: 600}) }
 	steps := []faultStep{
 		{desc: "healthy"},
 		{desc: "frozen with bids in the service", before: slowService,
 			during: func(s *system, _ *bidder) { s.hosts[3].freeze() }},
-		{desc: "killed with bids in the service", before: slowService, during: replaceHost(0)},
+		{desc: "killed with bids in the service", before: slowService, during: killAndReplace(0)},
 		{desc: "killed between claim and send",
-			before: func(s *system) { s.tableFaults(platformd.Faults{DelayMS: to[int64](800)}) }, during: replaceHost(1)},
+			before: func(s *system) { s.addPlatformFaults(platformd.Faults{DelayMS: pointer[int64](800)}) }, during: killAndReplace(1)},
 		{desc: "answers lost",
-			before: func(s *system) { s.tableFaults(platformd.Faults{LoseNext: to(8)}) }},
+			before: func(s *system) { s.addPlatformFaults(platformd.Faults{LoseNext: pointer(8)}) }},
 		{desc: "commits dropped",
-			before: func(s *system) { s.tableFaults(platformd.Faults{DropNext: to(8)}) }},
+			before: func(s *system) { s.addPlatformFaults(platformd.Faults{DropNext: pointer(8)}) }},
 		{desc: "commits that take effect late",
-			before: func(s *system) { s.tableFaults(platformd.Faults{DelayNext: to(8), DelayNextMS: 700}) }},
+			before: func(s *system) { s.addPlatformFaults(platformd.Faults{DelayNext: pointer(8), DelayNextMS: 700}) }},
 		{desc: "table down with bids in the service",
 			before: slowService,
 			during: func(s *system, _ *bidder) {
-				s.tableFaults(platformd.Faults{Down: to(true)})
-				time.Sleep(2 * underWay)
+				s.addPlatformFaults(platformd.Faults{Down: pointer(true)})
+				time.Sleep(2 * inFlightDelay)
 			}},
 		{desc: "killed again, answers lost", before: func(s *system) {
 			slowService(s)
-			s.tableFaults(platformd.Faults{LoseNext: to(12)})
-		}, during: replaceHost(0)},
+			s.addPlatformFaults(platformd.Faults{LoseNext: pointer(12)})
+		}, during: killAndReplace(0)},
 	}
 	for _, at := range cut.Boundaries() {
 		steps = append(steps, faultStep{desc: "cut " + string(at), before: func(s *system) {
-			s.serviceFaults(service.Faults{Cut: cut.Plan{At: at, Times: 3}})
-		}, during: func(*system, *bidder) { time.Sleep(underWay) }})
+			s.setServiceFaults(service.Faults{Cut: cut.Plan{At: at, Times: 3}})
+		}, during: func(*system, *bidder) { time.Sleep(inFlightDelay) }})
 	}
 	return steps
 }
 
-// replaceHost replaces a host with the bids that it has.
-func replaceHost(i int) func(*system, *bidder) {
+// killAndReplace kills a host, with its bids in flight, and starts another in its
+// place.
+func killAndReplace(i int) func(*system, *bidder) {
 	return func(s *system, b *bidder) {
 		old := s.hosts[i]
-		fresh := s.replace(i)
+		fresh := s.replaceHost(i)
 		b.hosts.remove(old)
 		b.hosts.add(fresh)
 	}
 }
 
-// bidsPerStep is the number of keys of a step.
+// bidsPerStep is the number of request keys that a step uses.
 const bidsPerStep = 12
 
-// TestBidsRunAtMostOnce sends bids through hosts that are killed, frozen and
-// replaced, with a table that is down, slow and loses answers, to services
-// that cut connections.
+// TestBidsRunAtMostOnce checks that no bid runs twice while hosts are killed,
+// frozen and replaced, the table is down, slow or loses responses, and services
+// cut connections.
 func TestBidsRunAtMostOnce(t *testing.T) {
 	t.Parallel()
 	s := startSystem(t, 4)
@@ -85,48 +87,48 @@
 			step.before(s)
 		}
 		b.start(step.desc, bidsPerStep)
-		time.Sleep(underWay)
+		time.Sleep(inFlightDelay)
 		if step.during != nil {
 			step.during(s, b)
 		}
-		s.healTable()
-		s.serviceFaults(service.Faults{})
+		s.clearPlatformFaults()
+		s.setServiceFaults(service.Faults{})
 	}
 	b.wait.Wait()
 	s.hosts[3].thaw()
 	s.waitReady()
-	b.repeatAll()
+	b.repeatOnEachHost()
 
 	history := b.log.all()
-	if found := checkAtMostOnce(history, s.serviceRuns(), s.serviceArrivals(), b.wantBid); len(found) > 0 {
-		t.Error(lines(found))
+	if found := checkAtMostOnce(history, s.serviceRuns(), s.serviceArrivals(), b.expectedAnswer); len(found) > 0 {
+		t.Error(formatFindings(found))
 	}
 	t.Log(countCodes(history))
 }
 
-// repeatAll sends each bid again through each host until the host gives a
-// definite answer; one that has just woken needs a moment to know the others.
-func (b *bidder) repeatAll() {
+// repeatOnEachHost repeats each bid on each host until the host returns a definite
+// answer. A host that was frozen first needs to reach the other hosts again.
+func (b *bidder) repeatOnEachHost() {
 	keys := map[string]bool{}
 	for _, a := range b.log.all() {
 		keys[a.key] = true
 	}
 	for _, h := range b.hosts.list() {
-		alone := &bidder{s: b.s, hosts: &fleet{hosts: []*entryHost{h}}, log: b.log}
+		single := &bidder{s: b.s, hosts: &fleet{hosts: []*entryHost{h}}, log: b.log}
 		b.wait.Go(func() {
 			for key := range keys {
-				alone.one(key, 0)
+				single.sendUntilDefinite(key, 0)
 			}
 		})
 	}
 	b.wait.Wait()
 }
 
-// countCodes counts the answers of a history by their result codes.
+// countCodes counts the attempts of a history by the result code of the answer.
 func countCodes(history []attempt) map[string]int {
 	counts := map[string]int{}
 	for _, a := range history {
-		if a.whole {
+		if a.complete {
 			counts[a.code.String()]++
 		} else {
 			counts["no answer"]++
@@ -135,11 +137,12 @@
 	return counts
 }
 
-// The checker finds what it is for.
+// TestCheckAtMostOnceRejects checks that checkAtMostOnce reports each kind of
+// violation.
 func TestCheckAtMostOnceRejects(t *testing.T) {
-	const key, id = "k", "r1"
-	good := attempt{key: key, whole: true, requestID: id, status: 200, runState: "ran", body: "whole"}
-	refused := attempt{key: key, whole: true, requestID: id, status: 503, code: resultcode.StoreUnavailable, runState: "not-run"}
+	const key, requestID = "k", "r1"
+	good := attempt{key: key, complete: true, requestID: requestID, status: 200, runState: "ran", body: "whole"}
+	refused := attempt{key: key, complete: true, requestID: requestID, status: 503, code: resultcode.StoreUnavailable, runState: "not-run"}
 	tests := []struct {
 		desc     string
 		history  attempt
@@ -165,7 +168,7 @@
 				test.change(&a)
 			}
 			found := checkAtMostOnce([]attempt{a}, map[string]int{key: test.runs},
-				map[string]service.Arrival{id: test.arrivals}, func(string) string { return "whole" })
+				map[string]service.Arrival{requestID: test.arrivals}, func(string) string { return "whole" })
 			if len(found) != test.want {
 				t.Errorf("found %q", found)
 			}
--- a/internal/e2e/bidder_test.go
+++ b/internal/e2e/bidder_test.go
@@ -12,125 +12,127 @@
 	"github.com/quetzalweir/quetzalweir/resultcode"
 )
 
-// attempt is one sending of a keyed request by a caller's library.
+// attempt is one attempt of a client library to send a request with a key.
 type attempt struct {
 	key  string
 	host string
-	// runsBefore is how often the key had run when the attempt was sent.
+	// runsBefore is the number of runs with the key before the attempt was sent.
 	runsBefore int
-	// whole says that a whole answer came; the rest is empty without.
-	whole     bool
+	// complete is true if the attempt got a complete answer; otherwise the
+	// fields below are empty.
+	complete  bool
 	requestID string
 	status    int
 	code      resultcode.Code
 	runState  string
-	// comeBack says that the answer names a time to come back.
-	comeBack bool
-	body     string
+	// hasRetryAfter is true if the answer has a Retry-After header.
+	hasRetryAfter bool
+	body          string
 }
 
-// definite says that the caller's library has nothing more to ask.
+// definite reports whether the client library stops repeating the request after
+// this attempt.
 func (a attempt) definite() bool {
-	return a.whole && (a.code == resultcode.OK || a.code == resultcode.EarlierOutcomeUnknown)
+	return a.complete && (a.code == resultcode.OK || a.code == resultcode.EarlierOutcomeUnknown)
 }
 
-// attempts collects what happened; it is safe for concurrent use.
-type attempts struct {
+// attemptLog collects attempts. It is safe for concurrent use.
+type attemptLog struct {
 	mu   sync.Mutex
 	list []attempt
 }
 
-func (l *attempts) add(a attempt) {
+func (l *attemptLog) add(a attempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.list = append(l.list, a)
 }
 
-func (l *attempts) all() []attempt {
+func (l *attemptLog) all() []attempt {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]attempt(nil), l.list...)
 }
 
-// bidder is callers' libraries that repeat a bid, with its key and on other
-// hosts, until they hold a definite answer.
+// bidder sends bids like a client library does: it repeats each with the same
+// key on other hosts until it gets a definite answer.
 type bidder struct {
 	s     *system
 	hosts *fleet
-	log   *attempts
+	log   *attemptLog
 	wait  sync.WaitGroup
 }
 
 const (
-	// bidPatience is the deadline that a bid carries; the library leaves a
-	// little later.
-	bidPatience = 3 * time.Second
-	bidTimeout  = bidPatience + 500*time.Millisecond
-	// bidPause is the pause between two tries.
-	bidPause = 150 * time.Millisecond
-	// bidTries bounds the tries of one bid.
-	bidTries = 150
+	// bidDeadline is the deadline in a bid's header; the client gives up after
+	// bidTimeout, which is a little longer.
+	bidDeadline = 3 * time.Second
+	bidTimeout  = bidDeadline + 500*time.Millisecond
+	// retryInterval is the pause between two attempts of a client.
+	retryInterval = 150 * time.Millisecond
+	// maxTries is the maximum number of attempts for one request.
+	maxTries = 150
 )
 
 func newBidder(s *system) *bidder {
-	return &bidder{s: s, hosts: &fleet{hosts: append([]*entryHost(nil), s.hosts...)}, log: &attempts{}}
+	return &bidder{s: s, hosts: &fleet{hosts: append([]*entryHost(nil), s.hosts...)}, log: &attemptLog{}}
 }
 
-// start sends n bids whose keys begin with name. Each third one is sent twice
-// at the same time, on different hosts.
+// start sends n bids whose keys begin with name. Every third one is sent twice
+// concurrently, to different hosts.
 func (b *bidder) start(name string, n int) {
 	for i := range n {
 		key := fmt.Sprintf("%s-%d", name, i)
-		b.wait.Go(func() { b.one(key, i) })
+		b.wait.Go(func() { b.sendUntilDefinite(key, i) })
 		if i%3 == 0 {
-			b.wait.Go(func() { b.one(key, i+1) })
+			b.wait.Go(func() { b.sendUntilDefinite(key, i+1) })
 		}
 	}
 }
 
-// body is the bid of a key.
-func (b *bidder) body(key string) string { return fmt.Sprintf(`{"bid":%q}`, key) }
+// bodyOf returns the body of the bid with the key.
+func (b *bidder) bodyOf(key string) string { return fmt.Sprintf(`{"bid":%q}`, key) }
 
-func (b *bidder) one(key string, first int) {
-	for try := range bidTries {
+func (b *bidder) sendUntilDefinite(key string, firstHost int) {
+	for try := range maxTries {
 		hosts := b.hosts.list()
-		a := b.try(key, hosts[(first+try)%len(hosts)])
+		a := b.sendOnce(key, hosts[(firstHost+try)%len(hosts)])
 		b.log.add(a)
 		if a.definite() {
 			return
 		}
-		time.Sleep(bidPause)
+		time.Sleep(retryInterval)
 	}
 	b.s.t.Errorf("no definite answer for %s", key)
 }
 
-func (b *bidder) try(key string, h *entryHost) attempt {
+func (b *bidder) sendOnce(key string, h *entryHost) attempt {
 	a := attempt{key: key, host: h.id, runsBefore: b.s.runsOfKey(key)}
 	ctx, cancel := context.WithTimeout(context.Background(), bidTimeout)
 	defer cancel()
-	got, err := bid(key, b.body(key)).with("Quetzalweir-Deadline-Ms", strconv.FormatInt(bidPatience.Milliseconds(), 10)).sendContext(ctx, h)
+	got, err := bid(key, b.bodyOf(key)).with("Quetzalweir-Deadline-Ms", strconv.FormatInt(bidDeadline.Milliseconds(), 10)).sendContext(ctx, h)
 	if err != nil {
 		return a
 	}
-	a.whole = true
+	a.complete = true
 	a.requestID = got.get("Quetzalweir-Request-Id")
 	a.status = got.status
 	code, _ := strconv.Atoi(got.get("Quetzalweir-Result-Code"))
 	a.code = resultcode.Code(code)
 	a.runState = got.get("Quetzalweir-Run-State")
-	a.comeBack = got.get("Retry-After") != ""
+	a.hasRetryAfter = got.get("Retry-After") != ""
 	a.body = got.body
 	return a
 }
 
-// wantBid is the right answer to a key's bid.
-func (b *bidder) wantBid(key string) string {
-	return string(service.ExpectedAnswer(http.MethodPost, "/bids", []byte(b.body(key))))
+// expectedAnswer returns the correct answer to the bid with the key.
+func (b *bidder) expectedAnswer(key string) string {
+	return string(service.ExpectedAnswer(http.MethodPost, "/bids", []byte(b.bodyOf(key))))
 }
 
-// checkAtMostOnce judges a history of keyed requests against what the services
-// really got: runs by key and arrivals by request id. It returns the promises
-// that were broken.
+// checkAtMostOnce compares a history of requests that have a key with what the
+// services recorded: runs by key and arrivals by request id. It returns a
+// description of each violated guarantee.
 func checkAtMostOnce(history []attempt, runs map[string]int, arrivals map[string]service.Arrival, want func(key string) string) []string {
 	var found []string
 	report := func(format string, args ...any) { found = append(found, fmt.Sprintf(format, args...)) }
@@ -141,7 +143,7 @@
 	}
 	for _, a := range history {
 		switch {
-		case !a.whole:
+		case !a.complete:
 		case a.code == resultcode.OK:
 			if a.status != http.StatusOK || a.body != want(a.key) {
 				report("key %s on %s: status %d, answer %q", a.key, a.host, a.status, a.body)
@@ -151,10 +153,10 @@
 			}
 		case a.runState == "not-run":
 			if a.runsBefore > 0 {
-				report("key %s on %s: refused as not run (code %d) after it had run", a.key, a.host, a.code)
+				report("key %s on %s: refused as not run (code %d) although it had run", a.key, a.host, a.code)
 			}
 			if got := arrivals[a.requestID]; got.Heads > 0 {
-				report("key %s on %s: request %s refused as not run (code %d), and it arrived: %+v", a.key, a.host, a.requestID, a.code, got)
+				report("key %s on %s: request %s refused as not run (code %d) although it arrived: %+v", a.key, a.host, a.requestID, a.code, got)
 			}
 		case a.runState != "may-have-run" && a.runState != "ran":
 			report("key %s on %s: refusal %d with run state %q", a.key, a.host, a.code, a.runState)
--- a/internal/e2e/billing_test.go
+++ b/internal/e2e/billing_test.go
@@ -20,27 +20,29 @@
 	"github.com/quetzalweir/quetzalweir/resultcode"
 )
 
-// charge is what a caller owes for one whole answer.
+// charge is what a caller owes for one complete answer.
 type charge struct {
-	// billID is the account and request key, or the request's id.
+	// billID is the account and request key, or the request's id if it had no
+	// key.
 	billID string
 	// requests are the ids of the requests that led to the answer: several if
-	// the caller sent it several times.
+	// the caller repeated it.
 	requests map[string]bool
-	// costMicro is the price of the tokens in the answer; unknown for a
-	// cascade, whose earlier steps the caller doesn't see.
-	costMicro int64
-	unknown   bool
+	// costMicro is the price of the tokens in the answer. For a cascade it is
+	// unknown at first, since the caller doesn't see the earlier steps.
+	costMicro   int64
+	costUnknown bool
 }
 
-// charges collects what callers owe; it is safe for concurrent use.
+// charges collects what callers owe. It is safe for concurrent use.
 type charges struct {
 	t    *testing.T
 	mu   sync.Mutex
 	byID map[string]*charge
 }
 
-// add notes a caller's whole answer. ids are of the requests that led to it.
+// add records the charge for a complete answer. ids are those of the requests
+// that led to it.
 func (c *charges) add(key, model string, a answer, ids []string) {
 	ch := charge{billID: a.get("Quetzalweir-Request-Id"), requests: map[string]bool{}}
 	for _, id := range ids {
@@ -50,9 +52,9 @@
 		ch.billID = "dev/" + key
 	}
 	if model == "ask" {
-		ch.unknown = true
+		ch.costUnknown = true
 	} else if model != "" {
-		ch.costMicro = price(c.t, model, a.body)
+		ch.costMicro = expectedPrice(c.t, model, a.body)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,8 +65,8 @@
 	c.byID[ch.billID] = &ch
 }
 
-// price is what the sample manifest asks for an answer's tokens.
-func price(t *testing.T, model, body string) int64 {
+// expectedPrice returns the price of an answer's tokens by the sample manifest.
+func expectedPrice(t *testing.T, model, body string) int64 {
 	t.Helper()
 	doc, err := manifest.Parse(devenv.Manifest())
 	if err != nil {
@@ -73,12 +75,12 @@
 	usage := usageOf(t, body)
 	for _, m := range doc.Models {
 		if m.Name == model {
-			// All versions of a model of the sample have one price.
+			// In the sample all versions of a model have the same price.
 			v := m.Versions[0]
 			return (v.PromptPrice*usage.PromptTokens + v.CompletionPrice*usage.CompletionTokens) / 1000
 		}
 	}
-	t.Fatalf("no model %s", model)
+	t.Fatalf("model %s is not in the sample manifest", model)
 	return 0
 }
 
@@ -87,7 +89,7 @@
 	CompletionTokens int64 `json:"completion_tokens"`
 }
 
-// usageOf reads the usage in an answer, streamed or not.
+// usageOf returns the usage in the body of an answer, streamed or not.
 func usageOf(t *testing.T, body string) usage {
 	t.Helper()
 	_, rest, ok := strings.Cut(body, `"usage":`)
@@ -98,27 +100,27 @@
 	return u
 }
 
-// checkLedger compares the ledger with what callers got: one bill for each
-// whole answer, with its price, and no charge for anything else.
+// checkLedger checks that the ledger has one bill for each complete answer, with
+// the right price, and charges nothing else. It returns the differences.
 func checkLedger(want map[string]*charge, bills []ledger.Bill) []string {
 	var found []string
 	report := func(format string, args ...any) { found = append(found, fmt.Sprintf(format, args...)) }
 	seen := map[string]bool{}
 	var wantSum, gotSum int64
 	for _, b := range bills {
-		if seen[b.ID] || seen[keyOf(b.ID)] {
-			report("bill %s stands twice", b.ID)
+		if seen[b.ID] || seen[chargeIDOf(b.ID)] {
+			report("bill %s is in the ledger twice", b.ID)
 		}
-		seen[b.ID], seen[keyOf(b.ID)] = true, true
+		seen[b.ID], seen[chargeIDOf(b.ID)] = true, true
 		gotSum += b.CostMicro
-		ch := want[keyOf(b.ID)]
+		ch := want[chargeIDOf(b.ID)]
 		if ch == nil {
 			if b.CostMicro != 0 || b.Code == int(resultcode.OK) {
-				report("bill %s of request %s over %d, code %d, and no whole answer", b.ID, b.RequestID, b.CostMicro, b.Code)
+				report("bill %s of request %s over %d, code %d, without a complete answer", b.ID, b.RequestID, b.CostMicro, b.Code)
 			}
 			continue
 		}
-		if ch.unknown {
+		if ch.costUnknown {
 			ch.costMicro = sumSteps(b)
 		}
 		if b.CostMicro != ch.costMicro || b.Code != int(resultcode.OK) || !ch.requests[b.RequestID] {
@@ -135,14 +137,15 @@
 		}
 	}
 	if wantSum != gotSum {
-		report("bills of %d for answers of %d", gotSum, wantSum)
+		report("the bills sum up to %d, the charges to %d", gotSum, wantSum)
 	}
 	return found
 }
 
-// keyOf drops what may follow the account and request key in a bill's id. Here
-// no key is used with two different requests.
-func keyOf(billID string) string {
+// chargeIDOf returns the id of the charge that a bill belongs to: it drops a
+// suffix after the account and request key. In these tests no key is used for two
+// different requests.
+func chargeIDOf(billID string) string {
 	parts := strings.SplitN(billID, "/", 3)
 	return strings.Join(parts[:min(2, len(parts))], "/")
 }
@@ -155,165 +158,167 @@
 	return sum
 }
 
-// billed is callers that keep what they owe.
-type billed struct {
-	s    *system
-	owes *charges
-	next int
+// billedClient sends requests and collects the charges for their answers.
+type billedClient struct {
+	s       *system
+	charges *charges
+	sent    int
 }
 
-// billedCallers is the number of requests that a step sends at once to a host.
-const billedCallers = 10
+// requestsPerStep is the number of concurrent requests of each kind that a step
+// sends to a host.
+const requestsPerStep = 10
 
-// send sends requests of all kinds to a host at once; each must be answered.
-func (b *billed) send(h *entryHost) {
+// sendAllKinds sends chats and bids to a host concurrently; each must be answered.
+func (b *billedClient) sendAllKinds(h *entryHost) {
 	b.s.t.Helper()
 	var wait sync.WaitGroup
-	for i := range billedCallers {
-		b.next++
-		prompt := fmt.Sprintf("billed %d tokens=%d", b.next, 5+i)
-		key := fmt.Sprintf("billed-%d", b.next)
+	for i := range requestsPerStep {
+		b.sent++
+		prompt := fmt.Sprintf("billed %d tokens=%d", b.sent, 5+i)
+		key := fmt.Sprintf("billed-%d", b.sent)
 		model := []string{"large", "small", "ask"}[i%3]
-		wait.Go(func() { b.one(h, "", model, chat(model, prompt, i%2 == 0), true) })
-		wait.Go(func() { b.one(h, key, "", bid(key, `{}`), true) })
+		wait.Go(func() { b.sendWithRetries(h, "", model, chat(model, prompt, i%2 == 0), true) })
+		wait.Go(func() { b.sendWithRetries(h, key, "", bid(key, `{}`), true) })
 	}
 	wait.Wait()
 }
 
-// one sends a request, comes back as it is told to, and notes what its answer
-// costs. If must is set, there has to be one.
-func (b *billed) one(h *entryHost, key, model string, c call, must bool) {
+// sendWithRetries sends a request, repeats it while it is refused with a
+// Retry-After header, and records the charge for its answer. If mustSucceed is
+// false, it sends the request only once and accepts any failure.
+func (b *billedClient) sendWithRetries(h *entryHost, key, model string, c call, mustSucceed bool) {
 	var ids []string
-	for range bidTries {
+	for range maxTries {
 		a, err := c.send(h)
 		ids = append(ids, a.get("Quetzalweir-Request-Id"))
 		if err == nil && a.status == http.StatusOK {
-			b.owes.add(key, model, a, ids)
+			b.charges.add(key, model, a, ids)
 			return
 		}
-		if !must {
+		if !mustSucceed {
 			return
 		}
 		if err != nil || a.get("Retry-After") == "" {
 			b.s.t.Errorf("%s on %s: status %d %s %v", c.body, h.id, a.status, a.body, err)
 			return
 		}
-		time.Sleep(bidPause)
+		time.Sleep(retryInterval)
 	}
 	b.s.t.Errorf("%s on %s: no answer", c.body, h.id)
 }
 
-// everywhere sends one keyed chat to all hosts at once, as a caller's library
-// that hedges.
-func (b *billed) everywhere(n int) {
+// sendToAllHosts sends n chats with keys, each to all hosts concurrently, like a
+// client library that hedges requests.
+func (b *billedClient) sendToAllHosts(n int) {
 	var wait sync.WaitGroup
 	for i := range n {
 		key := fmt.Sprintf("everywhere-%d", i)
 		for _, h := range b.s.hosts {
 			c := chat("large", key+" tokens=20", false).with("Quetzalweir-Request-Key", key)
-			wait.Go(func() { b.one(h, key, "large", c, true) })
+			wait.Go(func() { b.sendWithRetries(h, key, "large", c, true) })
 		}
 	}
 	wait.Wait()
 }
 
-// failing sends chats while engines cut connections. Those that fail cost
-// nothing.
-func (b *billed) failing(h *entryHost) {
-	b.s.engineFaults(engine.Faults{Cut: cut.Plan{At: cut.BeforeAnswer, Times: 6}})
-	defer b.s.engineFaults(engine.Faults{})
+// sendDuringCuts sends chats while engines cut connections. A chat that fails
+// must not be charged.
+func (b *billedClient) sendDuringCuts(h *entryHost) {
+	b.s.setEngineFaults(engine.Faults{Cut: cut.Plan{At: cut.BeforeAnswer, Times: 6}})
+	defer b.s.setEngineFaults(engine.Faults{})
 	var wait sync.WaitGroup
-	for i := range billedCallers {
-		wait.Go(func() { b.one(h, "", "large", chat("large", fmt.Sprintf("failing %d", i), false), false) })
+	for i := range requestsPerStep {
+		wait.Go(func() { b.sendWithRetries(h, "", "large", chat("large", fmt.Sprintf("failing %d", i), false), false) })
 	}
 	wait.Wait()
 }
 
-// TestOneBillForEachAnswer kills hosts right after they delivered answers, in
-// an outage of the table too, freezes one until the others have settled its
-// bills, loses answers of the table, and sends one key to several hosts. Then
-// the ledger equals what callers got.
+// TestOneBillForEachAnswer checks that the ledger has exactly one bill for each
+// answer. It kills hosts right after they sent answers, also during an outage of
+// the table, freezes a host until others have written its bills, loses responses
+// of the table, and sends requests with one key to several hosts.
 func TestOneBillForEachAnswer(t *testing.T) {
 	t.Parallel()
 	s := startSystem(t, 4)
 	head := s.submit(devenv.Manifest())
 	s.waitUpstreams()
-	b := &billed{s: s, owes: &charges{t: t, byID: map[string]*charge{}}}
+	b := &billedClient{s: s, charges: &charges{t: t, byID: map[string]*charge{}}}
 
-	b.send(s.hosts[0])
-	s.replace(0)
+	b.sendAllKinds(s.hosts[0])
+	s.replaceHost(0)
 	s.waitReady()
-	s.tableFaults(platformd.Faults{LoseNext: to(6)})
-	b.send(s.hosts[1])
-	s.tableFaults(platformd.Faults{DelayNext: to(4), DelayNextMS: 1200})
-	b.send(s.hosts[2])
-	b.everywhere(5)
-	b.failing(s.hosts[0])
+	s.addPlatformFaults(platformd.Faults{LoseNext: pointer(6)})
+	b.sendAllKinds(s.hosts[1])
+	s.addPlatformFaults(platformd.Faults{DelayNext: pointer(4), DelayNextMS: 1200})
+	b.sendAllKinds(s.hosts[2])
+	b.sendToAllHosts(5)
+	b.sendDuringCuts(s.hosts[0])
 
-	// Bills reach the table only after the fault, by whoever holds copies. The
-	// host that is killed and the one that is frozen are of one zone, so that
-	// neither holds those of the other.
+	// The bills are written only after the outage, by the hosts that have copies
+	// of them. The killed and the frozen host are in the same zone, so that
+	// neither has copies of the other's bills.
 	killed, frozen := s.hosts[0], s.hosts[3]
-	s.tableFaults(platformd.Faults{Down: to(true)})
-	b.chats(killed)
-	b.chats(frozen)
+	s.addPlatformFaults(platformd.Faults{Down: pointer(true)})
+	b.sendChats(killed)
+	b.sendChats(frozen)
 	frozen.freeze()
-	b.chats(s.hosts[2])
+	b.sendChats(s.hosts[2])
 	killed.kill()
 	time.Sleep(time.Second)
-	s.healTable()
-	b.settled(head.Epoch, s.hosts[1])
+	s.clearPlatformFaults()
+	b.waitForLedger(head.Epoch, s.hosts[1])
 
-	// The frozen host wakes and still has the bills that others settled.
+	// The thawed host still has the bills that other hosts have written.
 	frozen.thaw()
-	s.replace(0)
+	s.replaceHost(0)
 	s.waitReady()
 	for _, h := range s.hosts {
-		b.send(h)
+		b.sendAllKinds(h)
 	}
-	b.settled(head.Epoch, frozen)
+	b.waitForLedger(head.Epoch, frozen)
 }
 
-// chats is send without bids, which need the table.
-func (b *billed) chats(h *entryHost) {
+// sendChats is like sendAllKinds but sends no bids, which need the table.
+func (b *billedClient) sendChats(h *entryHost) {
 	var wait sync.WaitGroup
-	for range billedCallers {
-		b.next++
-		c := chat("large", fmt.Sprintf("billed %d tokens=5", b.next), b.next%2 == 0)
-		wait.Go(func() { b.one(h, "", "large", c, true) })
+	for range requestsPerStep {
+		b.sent++
+		c := chat("large", fmt.Sprintf("billed %d tokens=5", b.sent), b.sent%2 == 0)
+		wait.Go(func() { b.sendWithRetries(h, "", "large", c, true) })
 	}
 	wait.Wait()
 }
 
-// settled waits until a host shows a ledger that equals what callers owe.
-func (b *billed) settled(epoch uint64, h *entryHost) {
+// waitForLedger waits until the ledger that a host returns matches the charges.
+func (b *billedClient) waitForLedger(epoch uint64, h *entryHost) {
 	b.s.t.Helper()
 	var found []string
-	deadline := time.Now().Add(stepTimeout)
+	deadline := time.Now().Add(waitTimeout)
 	for time.Now().Before(deadline) {
 		var trace entry.EpochTrace
-		if err := b.s.get(h, fmt.Sprintf("/v1/trace/epochs/%d", epoch), &trace); err != nil {
+		if err := b.s.operatorGet(h, fmt.Sprintf("/v1/trace/epochs/%d", epoch), &trace); err != nil {
 			found = []string{err.Error()}
-		} else if found = checkLedger(b.owes.byID, trace.Bills); len(found) == 0 {
-			b.s.t.Logf("%d bills for %d answers", len(trace.Bills), len(b.owes.byID))
+		} else if found = checkLedger(b.charges.byID, trace.Bills); len(found) == 0 {
+			b.s.t.Logf("%d bills for %d answers", len(trace.Bills), len(b.charges.byID))
 			return
 		}
-		time.Sleep(balancerLag)
+		time.Sleep(balancerInterval)
 	}
-	b.s.t.Fatal(lines(found))
+	b.s.t.Fatal(formatFindings(found))
 }
 
-// The checker finds what it is for.
+// TestCheckLedgerRejects checks that checkLedger reports each kind of violation.
 func TestCheckLedgerRejects(t *testing.T) {
 	bill := func(cost int64) ledger.Bill {
 		return ledger.Bill{ID: "b", RequestID: "r", CostMicro: cost, Steps: []ledger.Step{{CostMicro: cost}}}
 	}
-	other := bill(0)
-	other.RequestID = "another"
+	otherRequest := bill(0)
+	otherRequest.RequestID = "another"
 	failed := ledger.Bill{ID: "f", Code: int(resultcode.OutcomeUnknown)}
 	charged := ledger.Bill{ID: "f", Code: int(resultcode.OutcomeUnknown), CostMicro: 1}
-	steps := bill(5)
-	steps.Steps[0].CostMicro = 4
+	wrongSteps := bill(5)
+	wrongSteps.Steps[0].CostMicro = 4
 	tests := []struct {
 		desc  string
 		cost  int64
@@ -326,9 +331,9 @@
 		{desc: "no bill and the sum", cost: 5, want: 2},
 		{desc: "twice", bills: []ledger.Bill{bill(0), bill(0)}, want: 1},
 		{desc: "another price", cost: 5, bills: []ledger.Bill{bill(6)}, want: 2},
-		{desc: "another request's", bills: []ledger.Bill{other}, want: 1},
+		{desc: "another request's", bills: []ledger.Bill{otherRequest}, want: 1},
 		{desc: "a charge for a failure", cost: 5, bills: []ledger.Bill{bill(5), charged}, want: 2},
-		{desc: "steps of another sum", cost: 5, bills: []ledger.Bill{steps}, want: 1},
+		{desc: "steps of another sum", cost: 5, bills: []ledger.Bill{wrongSteps}, want: 1},
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
--- a/internal/e2e/coldzone_test.go
+++ b/internal/e2e/coldzone_test.go
@@ -14,29 +14,33 @@
 )
 
 const (
-	// coldRate is what a cold upstream of the pool tolerates a second, coldPermitted
-	// what may reach it in any second by the hosts' settings.
-	coldRate      = 10
-	coldPermitted = coldRate*1.5 + 5
-	coldStart     = 3 * time.Second
-	// evacuateWithin is the time in which all hosts have to heed an evacuation.
-	evacuateWithin = 5 * time.Second
+	// coldRate is the number of requests a second that a cold upstream of the pool
+	// tolerates, maxColdRuns the number that may reach it in any second by the hosts'
+	// settings cold_overrun and cold_headroom.
+	coldRate    = 10
+	maxColdRuns = coldRate*1.5 + 5
+	coldStart   = 3 * time.Second
+	// evacuationBound is the time within which all hosts must have applied an
+	// evacuation.
+	evacuationBound = 5 * time.Second
 )
 
-// declareCold has the document say what cold upstreams of the pool tolerate.
-func (s *fleetSystem) declareCold() {
+// declareCold publishes a document with the rate that cold upstreams of the pool
+// tolerate.
+func (s *gatewaySystem) declareCold() {
 	s.document["services"] = []any{map[string]any{"name": "app"}, map[string]any{
 		"name": "pool", "cold_start_s": coldStart.Seconds(), "cold_per_s": coldRate,
 	}}
 	s.publish(2)
 }
 
-// callers send streams to all hosts until they are stopped.
-func (s *fleetSystem) callers(number int) (stop func() []fleetAnswer) {
+// startCallers starts callers that send streams to all hosts. The returned
+// function stops them and returns their answers.
+func (s *gatewaySystem) startCallers(number int) (stop func() []gatewayAnswer) {
 	end := make(chan struct{})
 	var group sync.WaitGroup
 	var mu sync.Mutex
-	var answers []fleetAnswer
+	var answers []gatewayAnswer
 	for i := range number {
 		h := s.gateways[i%len(s.gateways)]
 		group.Go(func() {
@@ -53,15 +57,16 @@
 			}
 		})
 	}
-	return func() []fleetAnswer {
+	return func() []gatewayAnswer {
 		close(end)
 		group.Wait()
 		return answers
 	}
 }
 
-// most is the greatest number of runs that began within a second.
-func most(runs []platformtest.Run) int {
+// maxRunsPerSecond returns the greatest number of runs that began within any
+// second.
+func maxRunsPerSecond(runs []platformtest.Run) int {
 	slices.SortFunc(runs, func(a, b platformtest.Run) int { return a.At.Compare(b.At) })
 	greatest, from := 0, 0
 	for i := range runs {
@@ -73,7 +78,7 @@
 	return greatest
 }
 
-func served(answers []fleetAnswer) int {
+func countServed(answers []gatewayAnswer) int {
 	n := 0
 	for i := range answers {
 		if answers[i].err == nil && answers[i].status == http.StatusOK {
@@ -83,14 +88,15 @@
 	return n
 }
 
-// An upstream that just started is idle, so every host would send it the next request. It
-// gets no more than it tolerates, and its share once it is warm.
+// An upstream that just started has no load, so without a limit every host would send it
+// the next request. It must get no more than it tolerates while it is cold, and its share
+// once it is warm.
 func TestColdUpstreamGetsWhatItTolerates(t *testing.T) {
 	is := is.New(t)
-	s := newFleetSystem(t, 9, 1)
+	s := newGatewaySystem(t, 9, 1)
 	s.declareCold()
-	time.Sleep(coldStart) // hubs answer, and what they granted before is known
-	stop := s.callers(27)
+	time.Sleep(coldStart) // until hubs answer and earlier grants are known
+	stop := s.startCallers(27)
 	time.Sleep(time.Second)
 	cold := s.addColdUpstream("pool", "v1", zone(0), coldStart)
 	began := time.Now()
@@ -103,18 +109,18 @@
 	answers := stop()
 	later := slices.DeleteFunc(cold.StartedRuns(), func(r platformtest.Run) bool { return r.At.Before(warm.Add(time.Second)) })
 	t.Logf("%d runs while cold, %d in a second at most; %d in two seconds when warm; %d of %d requests served",
-		len(whileCold), most(whileCold), len(later), served(answers), len(answers))
-	is.True(most(whileCold) <= coldPermitted)
-	is.True(len(later) > 2*coldPermitted) // a warm one isn't held back
-	is.Equal(served(answers), len(answers))
+		len(whileCold), maxRunsPerSecond(whileCold), len(later), countServed(answers), len(answers))
+	is.True(maxRunsPerSecond(whileCold) <= maxColdRuns)
+	is.True(len(later) > 2*maxColdRuns) // a warm upstream isn't limited
+	is.Equal(countServed(answers), len(answers))
 	is.Equal(s.problems(), nil)
 }
 
-// Nothing more reaches a zone that operators empty, until they take that back; what runs
-// there ends well.
+// No new request reaches an evacuated zone until operators end the evacuation, and requests
+// that run there are completed.
 func TestEvacuatedZoneGetsNothing(t *testing.T) {
 	is := is.New(t)
-	s := newFleetSystem(t, 3, 3)
+	s := newGatewaySystem(t, 3, 3)
 	s.declareCold()
 	inZone := func(after time.Time) int {
 		n := 0
@@ -127,31 +133,32 @@
 		}
 		return n
 	}
-	stop := s.callers(9)
+	stop := s.startCallers(9)
 	time.Sleep(time.Second)
 	is.True(inZone(time.Time{}) > 0)
 	s.store.Put("op", "evacuate/"+zone(1), []byte(`{}`))
 	acknowledged := time.Now()
-	time.Sleep(evacuateWithin + time.Second)
-	late := inZone(acknowledged.Add(evacuateWithin))
+	time.Sleep(evacuationBound + time.Second)
+	late := inZone(acknowledged.Add(evacuationBound))
 	s.store.Remove("op", "evacuate/"+zone(1))
-	back := time.Now()
-	eventually(t, "the zone gets requests again", func() bool { return inZone(back) > 0 })
+	lifted := time.Now()
+	eventually(t, "the zone gets requests again", func() bool { return inZone(lifted) > 0 })
 	answers := stop()
-	t.Logf("%d requests after the evacuation was due; %d of %d served", late, served(answers), len(answers))
+	t.Logf("%d requests after the evacuation was due; %d of %d served", late, countServed(answers), len(answers))
 	is.Equal(late, 0)
-	is.Equal(served(answers), len(answers))
+	is.Equal(countServed(answers), len(answers))
 	is.Equal(s.problems(), nil)
 }
 
-// The store goes away and comes back as it was some seconds before, and gives its revisions
-// out again. Hosts take up what is written from then on, and go back to nothing older.
-func TestStoreThatComesBackFromACopy(t *testing.T) {
+// After an outage the store is restored from a backup some seconds old, and assigns the
+// revisions since then a second time. Hosts must apply what is written after that, and
+// must not return to older rows.
+func TestStoreRestoredFromBackup(t *testing.T) {
 	is := is.New(t)
-	s := newFleetSystem(t, 9, 1)
-	copied := s.store.Backup()
-	// Written after the copy: a withdrawn key, an upstream, and more revisions than are
-	// given out again at first.
+	s := newGatewaySystem(t, 9, 1)
+	backup := s.store.Backup()
+	// Written after the backup: the removal of a key, an upstream, and more revisions than
+	// are assigned again at first.
 	s.document["tenants"] = []any{map[string]any{"name": "acme", "api_keys": []string{"key-a"}}}
 	s.publish(5)
 	for range 20 {
@@ -162,36 +169,36 @@
 	}
 	s.store.SetFault(platformtest.Busy)
 	time.Sleep(time.Second)
-	s.store.Restore(copied)
+	s.store.Restore(backup)
 	s.store.SetFault(platformtest.Healthy)
 	time.Sleep(3 * time.Second)
 	for _, h := range s.gateways {
-		s.mustServe(h)
-		is.Equal(s.send(h, "once", "key-b").status, http.StatusUnauthorized) // the older document isn't taken
+		s.requireServed(h)
+		is.Equal(s.send(h, "once", "key-b").status, http.StatusUnauthorized) // the older document isn't applied
 	}
-	// What is written in the new era is heard, though its revisions were known before.
+	// Rows written in the new era are applied although their revisions were used before.
 	s.document["tenants"] = []any{map[string]any{"name": "acme", "api_keys": []string{"key-a", "key-c"}}}
 	s.publish(6)
 	leaving := s.upstreams[1]
 	leaving.Sequence = 2
 	s.store.Put("servers", leaving.ID, leaving.Entry("draining"))
-	heard := time.Now()
+	written := time.Now()
 	for _, h := range s.gateways {
-		eventually(t, h.name+" knows the new key", func() bool { return s.send(h, "once", "key-c").status == http.StatusOK })
+		eventually(t, h.name+" accepts the new key", func() bool { return s.send(h, "once", "key-c").status == http.StatusOK })
 	}
-	t.Logf("the first document of the new era was in force everywhere after %v", time.Since(heard))
-	is.True(time.Since(heard) < gatewayDrain)
+	t.Logf("the first document of the new era was in force everywhere after %v", time.Since(written))
+	is.True(time.Since(written) < gatewayDrain)
 	time.Sleep(gatewayDrain)
 	before := len(leaving.StartedRuns())
 	for _, h := range s.gateways {
-		s.mustServe(h)
+		s.requireServed(h)
 	}
 	is.Equal(len(leaving.StartedRuns()), before)
-	// A roll-out that was completed after the second copy stays so, though its order comes
-	// again under a revision of its own.
-	again := s.store.Backup()
+	// A roll-out that was completed after the second backup stays completed although its
+	// order is written again with another revision.
+	secondBackup := s.store.Backup()
 	s.rollOut(t)
-	s.store.Restore(again)
+	s.store.Restore(secondBackup)
 	time.Sleep(time.Second)
 	s.store.Put("op", "rollout/pool", []byte(`{"service":"pool","to":"v2","duration_s":4}`))
 	eventually(t, "the completion is written again", func() bool {
--- a/internal/e2e/config_test.go
+++ b/internal/e2e/config_test.go
@@ -20,12 +20,13 @@
 	"github.com/quetzalweir/quetzalweir/manifest"
 )
 
-// errRefused means that a submission had no effect.
+// errRefused means that a submission was refused and had no effect.
 var errRefused = errors.New("refused")
 
-// trySubmit submits once; an unknown outcome is any other error.
+// trySubmit submits a manifest once. Any error other than errRefused means that
+// the outcome is unknown.
 func (s *system) trySubmit(h *entryHost, data []byte) (config.Head, error) {
-	req, err := http.NewRequest(http.MethodPost, "http://"+h.operators+entry.PathManifest, bytes.NewReader(data))
+	req, err := http.NewRequest(http.MethodPost, "http://"+h.operatorAddr+entry.PathManifest, bytes.NewReader(data))
 	if err != nil {
 		return config.Head{}, err
 	}
@@ -51,8 +52,8 @@
 	return config.Head{}, errors.New(refused.Message)
 }
 
-// settle submits until the outcome is known.
-func (s *system) settle(h *entryHost, data []byte) (config.Head, error) {
+// submitUntilKnown repeats a submission until its outcome is known.
+func (s *system) submitUntilKnown(h *entryHost, data []byte) (config.Head, error) {
 	for {
 		head, err := s.trySubmit(h, data)
 		if err == nil || errors.Is(err, errRefused) {
@@ -62,9 +63,10 @@
 	}
 }
 
-// TestRacingSubmits has operators submit different successors of the manifest
-// in force through three hosts at once, round after round, while the table
-// loses answers, loses writes, and applies writes late.
+// TestRacingSubmits checks that exactly one of several concurrent submissions is
+// accepted. In each round operators submit different successors of the manifest
+// in force through three hosts, while the table loses responses, loses writes, or
+// applies writes late.
 func TestRacingSubmits(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, 3)
@@ -74,14 +76,14 @@
 	one := 1
 	faults := []platformd.Faults{{LoseNext: &one}, {DropNext: &one}, {DelayNext: &one, DelayNextMS: 300}}
 	for round := range rounds {
-		s.fault(s.platform, faults[round%len(faults)])
+		s.setFaults(s.platform, faults[round%len(faults)])
 		candidates := make([][]byte, len(s.hosts))
 		heads := make([]config.Head, len(s.hosts))
 		errs := make([]error, len(s.hosts))
 		var wait sync.WaitGroup
 		for i, h := range s.hosts {
 			candidates[i] = edit(t, current, func(d *manifest.Document) { d.Build = fmt.Sprintf("round %d by %s", round, h.id) })
-			wait.Go(func() { heads[i], errs[i] = s.settle(h, candidates[i]) })
+			wait.Go(func() { heads[i], errs[i] = s.submitUntilKnown(h, candidates[i]) })
 		}
 		wait.Wait()
 		winners := 0
@@ -93,18 +95,19 @@
 				current = candidates[i]
 			}
 		}
-		is.Equal(winners, 1) // one wins, the others are told that they didn't
+		is.Equal(winners, 1) // one is accepted, the others are refused
 	}
-	eventually(t, "the last manifest is in force everywhere", func() bool { return s.epochs(rounds + 1) })
+	eventually(t, "the last manifest is in force everywhere", func() bool { return s.epochInForce(rounds + 1) })
 	s.checkHistory(rounds + 1)
-	s.checkNeverBack()
+	s.checkEpochsOnlyRise()
 }
 
-// checkHistory checks that the accepted manifests form one chain.
+// checkHistory checks the number of accepted manifests and that each one's parent
+// is the one before it.
 func (s *system) checkHistory(epochs int) {
 	s.t.Helper()
 	var heads []config.Head
-	if err := s.get(s.hosts[0], entry.PathHistory, &heads); err != nil {
+	if err := s.operatorGet(s.hosts[0], entry.PathHistory, &heads); err != nil {
 		s.t.Fatal(err)
 	}
 	if len(heads) != epochs {
@@ -117,8 +120,9 @@
 	}
 }
 
-// checkNeverBack checks each host's log: what came into force only rose.
-func (s *system) checkNeverBack() {
+// checkEpochsOnlyRise checks in each host's log that the epoch in force never
+// decreased.
+func (s *system) checkEpochsOnlyRise() {
 	s.t.Helper()
 	for _, h := range s.hosts {
 		last := 0
@@ -139,17 +143,17 @@
 	}
 }
 
-// TestTableDown takes the table away for longer than the freshness bound. The
-// hosts go on, since nothing can be accepted; calls that need a claim are
-// refused at once; a fresh host starts by its peers; a manifest is refused, and
-// accepted after the outage.
+// TestTableDown makes the table unavailable for longer than the freshness bound.
+// The hosts continue to serve, since no newer manifest can be accepted meanwhile.
+// Calls that need a claim are refused without delay, a new host gets the manifest
+// from its peers, and a manifest is accepted only after the outage.
 func TestTableDown(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, 3)
 	first := devenv.Manifest()
 	s.submit(first)
-	s.setTable(false)
-	time.Sleep(inForceBound)
+	s.setTableUp(false)
+	time.Sleep(staleManifestBound)
 
 	for _, h := range s.hosts {
 		a, err := chat("large", "outage tokens=1", true).send(h)
@@ -163,7 +167,7 @@
 	is.Equal(s.serviceRuns()["in-the-outage"], 0)
 
 	fresh := s.addHost("entry-fresh", "zone-a", "--seeds="+s.hosts[0].fromPeers.address())
-	eventually(t, "the fresh host has the manifest from its peers", func() bool { return ready(fresh) })
+	eventually(t, "the fresh host has the manifest from its peers", func() bool { return isReady(fresh) })
 	a, err = chat("large", "fresh tokens=1", false).send(fresh)
 	is.NoErr(err)
 	checkChat(t, a, "large", "fresh tokens=1")
@@ -171,15 +175,15 @@
 	second := edit(t, first, withdrawV1)
 	_, err = s.trySubmit(s.hosts[1], second)
 	is.True(err != nil) // not accepted while the table is down
-	s.setTable(true)
-	head, err := s.settle(s.hosts[1], second)
+	s.setTableUp(true)
+	head, err := s.submitUntilKnown(s.hosts[1], second)
 	is.NoErr(err)
 	is.Equal(head.Epoch, uint64(2))
-	eventually(t, "in force everywhere", func() bool { return s.epochs(2) })
-	s.checkNeverBack()
+	eventually(t, "in force everywhere", func() bool { return s.epochInForce(2) })
+	s.checkEpochsOnlyRise()
 }
 
-func (s *system) setTable(up bool) {
+func (s *system) setTableUp(up bool) {
 	down := !up
-	s.fault(s.platform, platformd.Faults{Down: &down})
+	s.setFaults(s.platform, platformd.Faults{Down: &down})
 }
--- a/internal/e2e/faults_test.go
+++ b/internal/e2e/faults_test.go
@@ -11,13 +11,13 @@
 	"github.com/quetzalweir/quetzalweir/internal/standin/service"
 )
 
-// replace kills the i-th host and starts a fresh one with its id, as the
-// platform does. It returns the fresh one.
-func (s *system) replace(i int, flags ...string) *entryHost {
+// replaceHost kills the i-th host and starts a new one with the same id, as the
+// platform does. It returns the new one.
+func (s *system) replaceHost(i int, flags ...string) *entryHost {
 	s.t.Helper()
 	all := s.hosts
 	all[i].kill()
-	// A host's IP follows from its place in the list.
+	// addHost derives the host's IP from the length of the list.
 	s.hosts = append([]*entryHost(nil), all[:i]...)
 	fresh := s.addHost(all[i].id, zone(i), flags...)
 	s.hosts = append(s.hosts, all[i+1:]...)
@@ -44,29 +44,29 @@
 }
 
 // serviceFaults sets the faults of all services.
-func (s *system) serviceFaults(f service.Faults) {
+func (s *system) setServiceFaults(f service.Faults) {
 	s.t.Helper()
 	for _, svc := range s.services {
-		s.fault(svc.address, f)
+		s.setFaults(svc.address, f)
 	}
 }
 
 // engineFaults sets the faults of all engines.
-func (s *system) engineFaults(f engine.Faults) {
+func (s *system) setEngineFaults(f engine.Faults) {
 	s.t.Helper()
 	for _, e := range s.engines {
-		s.fault(e.address, f)
+		s.setFaults(e.address, f)
 	}
 }
 
-// tableFaults adds faults of the platform to those in force.
-func (s *system) tableFaults(f platformd.Faults) {
+// addPlatformFaults adds faults of the platform to those that are set.
+func (s *system) addPlatformFaults(f platformd.Faults) {
 	s.t.Helper()
-	s.fault(s.platform, f)
+	s.setFaults(s.platform, f)
 }
 
-// healTable ends all faults of the platform.
-func (s *system) healTable() {
+// clearPlatformFaults ends all faults of the platform.
+func (s *system) clearPlatformFaults() {
 	s.t.Helper()
 	req, err := http.NewRequest(http.MethodDelete, "http://"+s.platform+"/faults", nil)
 	if err != nil {
@@ -79,14 +79,14 @@
 	resp.Body.Close()
 }
 
-// waitUpstreams waits until all hosts have all upstreams in service.
+// waitUpstreams waits until all hosts list all upstreams.
 func (s *system) waitUpstreams() {
 	s.t.Helper()
 	want := len(s.engines) + len(s.services)
-	eventually(s.t, "all hosts know all upstreams", func() bool {
+	eventually(s.t, "all hosts list all upstreams", func() bool {
 		for _, h := range s.hosts {
 			var view struct{ Upstreams []struct{ Leaving bool } }
-			if s.get(h, "/v1/hosts", &view) != nil || len(view.Upstreams) < want {
+			if s.operatorGet(h, "/v1/hosts", &view) != nil || len(view.Upstreams) < want {
 				return false
 			}
 		}
@@ -94,8 +94,8 @@
 	})
 }
 
-// serviceArrivals returns what all services got, by the entry host's request
-// id, with all its attempts summed.
+// serviceArrivals returns the arrivals at all services by the entry host's
+// request id, summed over the attempts of a request.
 func (s *system) serviceArrivals() map[string]service.Arrival {
 	s.t.Helper()
 	sums := map[string]service.Arrival{}
@@ -103,7 +103,7 @@
 		var list service.Arrivals
 		s.standinGet(svc.address, "/arrivals", &list)
 		for _, a := range list.Arrivals {
-			id := requestOf(a.RequestID)
+			id := requestIDOf(a.RequestID)
 			sum := sums[id]
 			sum.RequestID, sum.RequestKey = id, a.RequestKey
 			sum.Heads += a.Heads
@@ -116,7 +116,7 @@
 	return sums
 }
 
-// engineArrivals is serviceArrivals for engines.
+// engineArrivals is like serviceArrivals, for engines.
 func (s *system) engineArrivals() map[string]engine.Arrival {
 	s.t.Helper()
 	sums := map[string]engine.Arrival{}
@@ -124,7 +124,7 @@
 		var list engine.Arrivals
 		s.standinGet(e.address, "/arrivals", &list)
 		for _, a := range list.Arrivals {
-			id := requestOf(a.RequestID)
+			id := requestIDOf(a.RequestID)
 			sum := sums[id]
 			sum.RequestID, sum.Model = id, a.Model
 			sum.Heads += a.Heads
@@ -138,13 +138,14 @@
 	return sums
 }
 
-// requestOf drops the number of the attempt from an id towards upstreams.
-func requestOf(attemptID string) string {
+// requestIDOf returns the request id in the id that upstreams get, which ends with
+// the number of the attempt.
+func requestIDOf(attemptID string) string {
 	id, _, _ := strings.Cut(attemptID, ".")
 	return id
 }
 
-// runsOfKey counts the runs of a request key on all services so far.
+// runsOfKey returns the number of runs with a request key on all services.
 func (s *system) runsOfKey(key string) int {
 	n := 0
 	for _, svc := range s.services {
@@ -155,10 +156,10 @@
 	return n
 }
 
-// to returns a pointer, as the platform's faults need it.
-func to[T any](v T) *T { return &v }
+// pointer returns a pointer to v, for optional fields.
+func pointer[T any](v T) *T { return &v }
 
-// lines joins findings for a test's output.
-func lines(findings []string) string {
+// formatFindings formats findings for a test's output.
+func formatFindings(findings []string) string {
 	return fmt.Sprintf("%d findings:\n%s", len(findings), strings.Join(findings, "\n"))
 }
--- a/internal/e2e/gateway_test.go
+++ b/internal/e2e/gateway_test.go
@@ -21,54 +21,54 @@
 	"github.com/quetzalweir/quetzalweir/platform/platformtest"
 )
 
-// The gateways' bounds, as their settings files state them.
+// gatewayDrain and gatewayGrace are drain_ms and grace_s in the gateways' settings.
 const (
 	gatewayDrain = 2 * time.Second
 	gatewayGrace = 4 * time.Second
 	streamEvents = 6
-	// smallLink is the rate of a host's link to the store, in bytes a second: a
-	// document of 1,000 routes takes 1.5 s on it.
-	smallLink = 160 << 10
+	// slowLinkRate is the rate of a host's slow link to the store, in bytes a
+	// second: a document of 1,000 routes takes 1.5 s on it.
+	slowLinkRate = 160 << 10
 )
 
-// fleetSystem is gateways as processes, before upstreams and a store of the
-// test's own process.
-type fleetSystem struct {
+// gatewaySystem is a set of gateways, each a process, with upstreams and a store that
+// run in the test's process.
+type gatewaySystem struct {
 	t         *testing.T
 	store     *platformtest.Store
-	storeAt   string
+	storeAddr string
 	upstreams []*platformtest.Upstream
 	gateways  []*gatewayHost
-	// toHubs are the ways of the other hosts to the first gateways.
-	toHubs   []*relay
-	client   *http.Client
-	made     int
-	requests atomic.Int64
-	document map[string]any
+	// toHubs relay the traffic of other hosts to the first gateways, which are hubs.
+	toHubs         []*relay
+	client         *http.Client
+	upstreamsAdded int
+	requests       atomic.Int64
+	document       map[string]any
 }
 
-// gatewayHost is one host's gateway, which may be started again.
+// gatewayHost is a host that runs a gateway process, which can be restarted.
 type gatewayHost struct {
 	*process
-	name     string
-	zone     string
-	callers  string
-	ready    string
-	peers    string
-	settings string
-	toStore  *relay
+	name         string
+	zone         string
+	callerAddr   string
+	readyAddr    string
+	peerAddr     string
+	settingsFile string
+	toStore      *relay
 }
 
-// newFleetSystem starts hosts, dealt over so many availability zones.
-func newFleetSystem(t *testing.T, hosts, zones int) *fleetSystem {
+// newGatewaySystem starts a number of hosts, spread over a number of availability zones.
+func newGatewaySystem(t *testing.T, hosts, zones int) *gatewaySystem {
 	t.Helper()
-	s := &fleetSystem{t: t, store: platformtest.NewStore(), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32}}}
+	s := &gatewaySystem{t: t, store: platformtest.NewStore(), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32}}}
 	server := httptest.NewServer(s.store)
 	t.Cleanup(func() {
 		server.CloseClientConnections()
 		server.Close()
 	})
-	s.storeAt = server.Listener.Addr().String()
+	s.storeAddr = server.Listener.Addr().String()
 	s.document = routingDocument()
 	s.publish(1)
 	for i := range 4 {
@@ -76,11 +76,11 @@
 		s.addUpstream("pool", "v1", zone(i))
 	}
 	for i := range hosts {
-		h := &gatewayHost{name: fmt.Sprintf("gateway-%d", i+1), zone: zone(i % zones), toStore: newRelay(t, loopback, s.storeAt)}
-		h.callers, h.ready, h.peers = freeAddress(t, loopback), freeAddress(t, loopback), freeAddress(t, loopback)
+		h := &gatewayHost{name: fmt.Sprintf("gateway-%d", i+1), zone: zone(i % zones), toStore: newRelay(t, loopback, s.storeAddr)}
+		h.callerAddr, h.readyAddr, h.peerAddr = freeAddress(t, loopback), freeAddress(t, loopback), freeAddress(t, loopback)
 		s.gateways = append(s.gateways, h)
 		if i < maxHubs {
-			s.toHubs = append(s.toHubs, newRelay(t, loopback, h.peers))
+			s.toHubs = append(s.toHubs, newRelay(t, loopback, h.peerAddr))
 		}
 	}
 	for _, h := range s.gateways {
@@ -93,24 +93,24 @@
 	return s
 }
 
-// maxHubs is how many hosts the settings name to the others.
+// maxHubs is the number of hosts that the settings list as seeds.
 const maxHubs = 3
 
-// seeds are the addresses of the hubs as the host knows them: its own one directly,
-// the others by ways that tests can harm.
-func (s *fleetSystem) seeds(h *gatewayHost) []string {
+// seeds returns the addresses of the hubs for the settings of a host: its own address
+// directly, the others through relays that tests can disrupt.
+func (s *gatewaySystem) seeds(h *gatewayHost) []string {
 	var seeds []string
-	for i, way := range s.toHubs {
+	for i, link := range s.toHubs {
 		if s.gateways[i] == h {
-			seeds = append(seeds, h.peers)
+			seeds = append(seeds, h.peerAddr)
 		} else {
-			seeds = append(seeds, way.address())
+			seeds = append(seeds, link.address())
 		}
 	}
 	return seeds
 }
 
-// testRoute is a route of the name, which is its path too.
+// testRoute returns a route whose name is also its path.
 func testRoute(name, kind, service string) map[string]any {
 	return map[string]any{
 		"name": name, "hostname": "fleet.example", "prefix": "/" + name + "/", "route_type": kind, "service": service,
@@ -118,7 +118,8 @@
 	}
 }
 
-// routingDocument has a route of each kind, and one with a choice of models.
+// routingDocument returns a document with a route of each type; the streaming one has a
+// list of models.
 func routingDocument() map[string]any {
 	stream := testRoute("stream", "streaming", "pool")
 	stream["stream_resume"] = true
@@ -132,8 +133,8 @@
 	}
 }
 
-// publish writes the document under a version.
-func (s *fleetSystem) publish(version int) {
+// publish writes the document to the store with a version.
+func (s *gatewaySystem) publish(version int) {
 	s.document["version"] = version
 	data, err := json.Marshal(s.document)
 	if err != nil {
@@ -142,31 +143,32 @@
 	s.store.Put("op", "config", data)
 }
 
-// grow adds routes to the document, which aren't asked for.
-func (s *fleetSystem) grow(routes int) {
-	known := s.document["routes"].([]any)
-	for range routes {
-		known = append(known, testRoute(fmt.Sprintf("spare-%d", len(known)), "idempotent", "app"))
+// addSpareRoutes adds routes to the document that get no requests.
+func (s *gatewaySystem) addSpareRoutes(number int) {
+	routes := s.document["routes"].([]any)
+	for range number {
+		routes = append(routes, testRoute(fmt.Sprintf("spare-%d", len(routes)), "idempotent", "app"))
 	}
-	s.document["routes"] = known
+	s.document["routes"] = routes
 }
 
-// addRoute adds one route to the document, which requests of its name as their kind use.
-func (s *fleetSystem) addRoute(name string) {
+// addRoute adds an idempotent route to the document. Requests whose kind is its name
+// use it.
+func (s *gatewaySystem) addRoute(name string) {
 	s.document["routes"] = append(s.document["routes"].([]any), testRoute(name, "idempotent", "app"))
 }
 
-func (s *fleetSystem) addUpstream(service, version, zone string) *platformtest.Upstream {
+func (s *gatewaySystem) addUpstream(service, version, zone string) *platformtest.Upstream {
 	s.t.Helper()
 	return s.addColdUpstream(service, version, zone, 0)
 }
 
-// addColdUpstream adds an upstream that says that it is cold for a time.
-func (s *fleetSystem) addColdUpstream(service, version, zone string, coldFor time.Duration) *platformtest.Upstream {
+// addColdUpstream adds an upstream that reports itself cold for a time.
+func (s *gatewaySystem) addColdUpstream(service, version, zone string, coldFor time.Duration) *platformtest.Upstream {
 	s.t.Helper()
-	s.made++
+	s.upstreamsAdded++
 	u := &platformtest.Upstream{
-		ID: fmt.Sprintf("u-%d", s.made), Service: service, Version: version, Zone: zone,
+		ID: fmt.Sprintf("u-%d", s.upstreamsAdded), Service: service, Version: version, Zone: zone,
 		Events: streamEvents, Pause: 10 * time.Millisecond, LowConfidenceModel: "weak", Confidence: 80, ColdFor: coldFor,
 	}
 	if err := u.Start(loopback); err != nil {
@@ -180,7 +182,7 @@
 
 func (h *gatewayHost) writeSettings(t *testing.T, seeds []string) {
 	t.Helper()
-	h.settings = filepath.Join(t.TempDir(), "settings.yaml")
+	h.settingsFile = filepath.Join(t.TempDir(), "settings.yaml")
 	text := fmt.Sprintf(`node_name: %q
 ip: "127.0.0.1"
 zone: %q
@@ -189,18 +191,18 @@
 limits: {memory_mb: 256}
 bounds: {drain_ms: %d, grace_s: %d, retry_budget_ratio: 0.9, retry_window_s: 10, canary_share: 0.2, session_s: 5, cold_overrun: 1.5, cold_headroom: 5, evacuate_ms: 5000}
 platform: {address: %q}
-`, h.name, h.zone, h.callers, h.ready, h.peers, strings.Join(seeds, ", "), gatewayDrain.Milliseconds(), int(gatewayGrace.Seconds()), h.toStore.address())
-	if err := os.WriteFile(h.settings, []byte(text), 0o600); err != nil {
+`, h.name, h.zone, h.callerAddr, h.readyAddr, h.peerAddr, strings.Join(seeds, ", "), gatewayDrain.Milliseconds(), int(gatewayGrace.Seconds()), h.toStore.address())
+	if err := os.WriteFile(h.settingsFile, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (s *fleetSystem) startGateway(h *gatewayHost) {
-	h.process = start(s.t, h.name, nil, "gateway", "--settings="+h.settings, "--metrics-port=0")
+func (s *gatewaySystem) startGateway(h *gatewayHost) {
+	h.process = start(s.t, h.name, nil, "gateway", "--settings="+h.settingsFile, "--metrics-port=0")
 }
 
-func (s *fleetSystem) isReady(h *gatewayHost) bool {
-	resp, err := s.client.Get("http://" + h.ready + "/-/readyz")
+func (s *gatewaySystem) isReady(h *gatewayHost) bool {
+	resp, err := s.client.Get("http://" + h.readyAddr + "/-/readyz")
 	if err != nil {
 		return false
 	}
@@ -208,38 +210,39 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// fleetAnswer is what a caller got for a request.
-type fleetAnswer struct {
-	id     string
-	kind   string
-	status int
-	body   string
-	retry  string
-	// host took the request, head is when its answer began, limit what that names.
-	host  string
-	head  time.Time
-	limit string
-	err   error
-	began time.Time
-	ended time.Time
+// gatewayAnswer is a request and the answer that its caller got.
+type gatewayAnswer struct {
+	id         string
+	kind       string
+	status     int
+	body       string
+	retryAfter string
+	// host received the request. headAt is when the head of its answer came, limit the
+	// rate in that.
+	host   string
+	headAt time.Time
+	limit  string
+	err    error
+	began  time.Time
+	ended  time.Time
 }
 
-// send sends a request of the kind, which is the route's name too.
-func (s *fleetSystem) send(h *gatewayHost, kind, key string) fleetAnswer {
+// send sends a request of the kind, which is also the name of its route.
+func (s *gatewaySystem) send(h *gatewayHost, kind, key string) gatewayAnswer {
 	return s.sendBody(h, kind, key, "")
 }
 
-// sendBody sends a request with a body, one of its own if that is empty.
-func (s *fleetSystem) sendBody(h *gatewayHost, kind, key, body string) fleetAnswer {
-	a := fleetAnswer{id: fmt.Sprintf("r-%d", s.requests.Add(1)), kind: kind, host: h.name, began: time.Now()}
+// sendBody sends a request with the body, or with a unique one if that is empty.
+func (s *gatewaySystem) sendBody(h *gatewayHost, kind, key, body string) gatewayAnswer {
+	a := gatewayAnswer{id: fmt.Sprintf("r-%d", s.requests.Add(1)), kind: kind, host: h.name, began: time.Now()}
 	if body == "" {
 		body = "body of " + a.id
 	}
-	req, err := http.NewRequest("POST", "http://"+h.callers+"/"+kind+"/x", strings.NewReader(body))
+	req, err := http.NewRequest("POST", "http://"+h.callerAddr+"/"+kind+"/x", strings.NewReader(body))
 	if err != nil {
-		panic(err) // the parts are constants
+		panic(err) // the URL is always valid
 	}
-	req.GetBody = nil // the client library must not repeat it by itself
+	req.GetBody = nil // keeps the HTTP client from repeating the request by itself
 	req.Host = "fleet.example"
 	req.Header.Set("X-Attempt-Id", a.id)
 	req.Header.Set("X-Api-Key", key)
@@ -251,19 +254,19 @@
 	}
 	resp, err := s.client.Do(req)
 	if err == nil {
-		a.head, a.limit = time.Now(), resp.Header.Get("Server-Limit")
+		a.headAt, a.limit = time.Now(), resp.Header.Get("Server-Limit")
 		var body []byte
 		body, err = io.ReadAll(resp.Body)
 		resp.Body.Close()
-		a.status, a.body, a.retry = resp.StatusCode, string(body), resp.Header.Get("Retry-After")
+		a.status, a.body, a.retryAfter = resp.StatusCode, string(body), resp.Header.Get("Retry-After")
 	}
 	a.err = err
 	a.ended = time.Now()
 	return a
 }
 
-// whole is the complete answer of a request.
-func (a *fleetAnswer) whole() string {
+// expectedBody returns the complete answer to the request.
+func (a *gatewayAnswer) expectedBody() string {
 	if a.kind != "stream" {
 		return platformtest.ExpectedText(a.id)
 	}
@@ -274,17 +277,17 @@
 	return b.String()
 }
 
-func (s *fleetSystem) mustServe(h *gatewayHost) {
+func (s *gatewaySystem) requireServed(h *gatewayHost) {
 	s.t.Helper()
 	for _, kind := range []string{"once", "many", "stream"} {
 		a := s.send(h, kind, "key-a")
-		if a.err != nil || a.status != http.StatusOK || a.body != a.whole() {
+		if a.err != nil || a.status != http.StatusOK || a.body != a.expectedBody() {
 			s.t.Fatalf("%s: %s: status %d, %v, body %q", h.name, kind, a.status, a.err, a.body)
 		}
 	}
 }
 
-func (s *fleetSystem) problems() []string {
+func (s *gatewaySystem) problems() []string {
 	var found []string
 	for _, u := range s.upstreams {
 		if p := u.Problem(); p != "" {
@@ -294,14 +297,14 @@
 	return found
 }
 
-// TestGatewayCalmPath plays a calm path: every kind of request on every host, a
-// new routing document, keys taken away, an upstream that leaves, a roll-out, and
-// a planned stop during a stream.
-func TestGatewayCalmPath(t *testing.T) {
+// TestGatewayWithoutFaults checks the gateways without faults: every kind of request on
+// every host, a new routing document that removes a key, an upstream that leaves, a
+// roll-out, and a planned stop during a stream.
+func TestGatewayWithoutFaults(t *testing.T) {
 	is := is.New(t)
-	s := newFleetSystem(t, 3, 3)
+	s := newGatewaySystem(t, 3, 3)
 	for _, h := range s.gateways {
-		s.mustServe(h)
+		s.requireServed(h)
 		is.Equal(s.send(h, "none", "key-a").status, http.StatusNotFound)
 		is.Equal(s.send(h, "once", "key-x").status, http.StatusUnauthorized)
 	}
@@ -310,7 +313,7 @@
 	s.publish(5)
 	for _, h := range s.gateways {
 		eventually(t, h.name+" refuses the key", func() bool { return s.send(h, "once", "key-b").status == http.StatusUnauthorized })
-		s.mustServe(h)
+		s.requireServed(h)
 	}
 
 	leaving := s.upstreams[0]
@@ -318,14 +321,14 @@
 	time.Sleep(time.Second)
 	before := len(leaving.StartedRuns())
 	for _, h := range s.gateways {
-		s.mustServe(h)
+		s.requireServed(h)
 	}
 	is.Equal(len(leaving.StartedRuns()), before)
 
 	s.rollOut(t)
 
 	h := s.gateways[0]
-	ended := make(chan fleetAnswer)
+	ended := make(chan gatewayAnswer)
 	for _, u := range s.upstreams {
 		u.Pause = 100 * time.Millisecond
 	}
@@ -335,129 +338,130 @@
 	eventually(t, "not ready", func() bool { return !s.isReady(h) })
 	a := <-ended
 	is.NoErr(a.err)
-	is.Equal(a.body, a.whole()) // the stop cut nothing
+	is.Equal(a.body, a.expectedBody()) // the stop didn't interrupt the stream
 	<-h.done
 	is.NoErr(h.err)
 	is.Equal(s.problems(), nil)
 }
 
-// rollOut moves the pool to a new version.
-func (s *fleetSystem) rollOut(t *testing.T) {
+// rollOut rolls out a new version of the pool and waits until that is completed.
+func (s *gatewaySystem) rollOut(t *testing.T) {
 	t.Helper()
-	var moved []*platformtest.Upstream
+	var added []*platformtest.Upstream
 	for i := range 3 {
-		moved = append(moved, s.addUpstream("pool", "v2", zone(i)))
+		added = append(added, s.addUpstream("pool", "v2", zone(i)))
 	}
 	s.store.Put("op", "rollout/pool", []byte(`{"service":"pool","to":"v2","duration_s":4}`))
 	eventually(t, "completed", func() bool {
 		for _, h := range s.gateways {
-			s.mustServe(h)
+			s.requireServed(h)
 		}
 		return strings.Contains(string(s.store.Get("status", "rollout/pool")), `"completed"`)
 	})
 	runs := 0
-	for _, u := range moved {
+	for _, u := range added {
 		runs += len(u.StartedRuns())
 	}
 	is.New(t).True(runs > 0)
 }
 
-// A gateway serves on while the store is away, and takes up what it missed.
-func TestGatewayOutlivesTheStore(t *testing.T) {
+// A gateway must serve during an outage of the store, and apply what was written meanwhile
+// after the outage.
+func TestGatewayServesDuringStoreOutage(t *testing.T) {
 	is := is.New(t)
-	s := newFleetSystem(t, 1, 3)
+	s := newGatewaySystem(t, 1, 3)
 	h := s.gateways[0]
 	for _, fault := range []platformtest.Fault{platformtest.Busy, platformtest.Unresponsive, platformtest.ResponseLost} {
 		s.store.SetFault(fault)
-		s.mustServe(h)
+		s.requireServed(h)
 		s.document["tenants"] = []any{map[string]any{"name": "acme", "api_keys": []string{"key-a", fmt.Sprint("key-", fault)}}}
 		s.publish(10 + int(fault))
 		time.Sleep(200 * time.Millisecond)
 		s.store.DropHistory()
 		is.True(s.isReady(h))
 		s.store.SetFault(platformtest.Healthy)
-		eventually(t, "the new key is known", func() bool { return s.send(h, "once", fmt.Sprint("key-", fault)).status == http.StatusOK })
+		eventually(t, "the new key is accepted", func() bool { return s.send(h, "once", fmt.Sprint("key-", fault)).status == http.StatusOK })
 	}
 }
 
-// A signal that the settings changed ends nothing.
-func TestGatewayOutlivesAReload(t *testing.T) {
+// A reload of the settings, valid or not, must not interrupt requests.
+func TestReloadInterruptsNoRequest(t *testing.T) {
 	is := is.New(t)
-	s := newFleetSystem(t, 1, 3)
+	s := newGatewaySystem(t, 1, 3)
 	h := s.gateways[0]
-	ended := make(chan fleetAnswer)
+	ended := make(chan gatewayAnswer)
 	go func() { ended <- s.send(h, "stream", "key-a") }()
 	h.signal(syscall.SIGHUP)
-	is.Equal(h.field("event=reload", "changed="), "false")
+	is.Equal(h.waitForField("event=reload", "changed="), "false")
 	a := <-ended
 	is.NoErr(a.err)
-	is.Equal(a.body, a.whole())
-	s.mustServe(h)
-	is.NoErr(os.WriteFile(h.settings, []byte("{"), 0o600))
+	is.Equal(a.body, a.expectedBody())
+	s.requireServed(h)
+	is.NoErr(os.WriteFile(h.settingsFile, []byte("{"), 0o600))
 	h.signal(syscall.SIGHUP)
-	h.field("event=reload", "error=")
-	s.mustServe(h)
+	h.waitForField("event=reload", "error=")
+	s.requireServed(h)
 }
 
 func TestGatewayWithoutItsStoreIsNotReady(t *testing.T) {
 	is := is.New(t)
-	s := newFleetSystem(t, 1, 3)
+	s := newGatewaySystem(t, 1, 3)
 	h := s.gateways[0]
 	h.kill()
 	h.toStore.cutAll()
 	s.startGateway(h)
-	var a fleetAnswer
+	var a gatewayAnswer
 	eventually(t, "the gateway listens", func() bool {
 		a = s.send(h, "once", "key-a")
 		return !errors.Is(a.err, syscall.ECONNREFUSED)
 	})
-	is.Equal(a.status, http.StatusServiceUnavailable) // it knows no route: a 404 would be a guess
-	is.True(a.retry != "")
+	is.Equal(a.status, http.StatusServiceUnavailable) // not a 404: it has read no routes yet
+	is.True(a.retryAfter != "")
 	is.True(!s.isReady(h))
 	h.toStore.heal()
 	eventually(t, "ready", func() bool { return s.isReady(h) })
-	s.mustServe(h)
+	s.requireServed(h)
 }
 
-// A document reaches a host whose way to the store is cut through the hub of its
-// zone, and the hosts that hear from the hub don't ask the store.
-func TestGatewaysRelayTheStoresWord(t *testing.T) {
+// A host without a connection to the store must get a new document from the hub of its
+// zone. If the hub fails, the other hosts must read the store themselves.
+func TestHubRelaysStoreUpdates(t *testing.T) {
 	is := is.New(t)
-	s := newFleetSystem(t, 9, 1)
-	cut := s.gateways[8]
-	s.waitForRelay(cut)
-	cut.toStore.inner.Silence(tcprelay.ToTarget)
+	s := newGatewaySystem(t, 9, 1)
+	isolated := s.gateways[8]
+	s.waitUntilHubIsUsed(isolated)
+	isolated.toStore.inner.Silence(tcprelay.ToTarget)
 	s.document["tenants"] = []any{map[string]any{"name": "acme", "api_keys": []string{"key-new"}}}
 	s.publish(9)
 	for _, h := range s.gateways {
-		eventually(t, h.name+" knows the new key", func() bool { return s.send(h, "once", "key-new").status == http.StatusOK })
+		eventually(t, h.name+" accepts the new key", func() bool { return s.send(h, "once", "key-new").status == http.StatusOK })
 	}
 
-	// Without the hub the others go on by themselves, but for the one that is cut.
+	// Without the hub all hosts but the isolated one get updates from the store.
 	s.gateways[0].kill()
 	s.document["tenants"] = []any{map[string]any{"name": "acme", "api_keys": []string{"key-newer"}}}
 	s.publish(10)
 	for _, h := range s.gateways[1:8] {
-		eventually(t, h.name+" knows the newer key", func() bool { return s.send(h, "once", "key-newer").status == http.StatusOK })
+		eventually(t, h.name+" accepts the newer key", func() bool { return s.send(h, "once", "key-newer").status == http.StatusOK })
 	}
-	cut.toStore.heal()
-	eventually(t, "the one that was cut knows it, too", func() bool { return s.send(cut, "once", "key-newer").status == http.StatusOK })
+	isolated.toStore.heal()
+	eventually(t, "the isolated host accepts it, too", func() bool { return s.send(isolated, "once", "key-newer").status == http.StatusOK })
 	is.Equal(s.problems(), nil)
 }
 
-// A document that grows is in force on hosts with small links as on others, also when
-// each reading takes longer than any one silence of the store that hosts put up with,
-// and on a host that starts with the large one.
+// A growing document must come into force also on hosts with a slow link to the store,
+// although each read takes longer than the time without data after which a host gives up,
+// and on a host that restarts when the document is already large.
 func TestGatewaysWithSmallLinksHaveALargeDocument(t *testing.T) {
 	is := is.New(t)
-	s := newFleetSystem(t, 9, 1)
-	small := s.gateways[7:]
-	for _, h := range small {
-		h.toStore.setRate(smallLink)
+	s := newGatewaySystem(t, 9, 1)
+	slow := s.gateways[7:]
+	for _, h := range slow {
+		h.toStore.setRate(slowLinkRate)
 	}
-	s.waitForRelay(small[0])
+	s.waitUntilHubIsUsed(slow[0])
 	for version := 2; version <= 4; version++ {
-		s.grow(1000)
+		s.addSpareRoutes(1000)
 		name := fmt.Sprint("version-", version)
 		s.addRoute(name)
 		s.publish(version)
@@ -465,14 +469,14 @@
 			eventually(t, h.name+" serves "+name, func() bool { return s.send(h, name, "key-a").status == http.StatusOK })
 		}
 	}
-	small[1].kill()
-	s.startGateway(small[1])
-	eventually(t, "the host that started serves", func() bool { return s.send(small[1], "version-4", "key-a").status == http.StatusOK })
+	slow[1].kill()
+	s.startGateway(slow[1])
+	eventually(t, "the host that started serves", func() bool { return s.send(slow[1], "version-4", "key-a").status == http.StatusOK })
 	is.Equal(s.problems(), nil)
 }
 
-// waitForRelay waits until the host relies on its hub for the operators' table.
-func (s *fleetSystem) waitForRelay(h *gatewayHost) {
+// waitUntilHubIsUsed waits until the host gets updates of the operators' table from its hub.
+func (s *gatewaySystem) waitUntilHubIsUsed(h *gatewayHost) {
 	s.t.Helper()
-	h.field("table=op event=relay-used", "revision=")
+	h.waitForField("table=op event=relay-used", "revision=")
 }
--- a/internal/e2e/gatewaysoak_test.go
+++ b/internal/e2e/gatewaysoak_test.go
@@ -17,62 +17,63 @@
 )
 
 var (
-	soakSeed  = flag.Uint64("soak.seed", 0, "first seed of the gateways' soak; 0 takes the regression seeds")
-	soakSeeds = flag.Int("soak.seeds", 1, "number of seeds from the first one on")
-	soakHosts = flag.Int("soak.hosts", 0, "number of hosts, in three availability zones; 0 takes the seed's")
-	soakTime  = flag.Duration("soak.time", 6*time.Second, "time of faults of each seed")
+	soakSeed  = flag.Uint64("soak.seed", 0, "first seed of the gateways' soak test; 0 uses the regression seeds")
+	soakSeeds = flag.Int("soak.seeds", 1, "number of consecutive seeds from the first one on")
+	soakHosts = flag.Int("soak.hosts", 0, "number of hosts, in three availability zones; 0 derives it from the seed")
+	soakTime  = flag.Duration("soak.time", 6*time.Second, "how long faults are injected for each seed")
 )
 
-// regressionSeeds are the seeds that CI plays: one of each size, and each
-// that ever failed, with its cause.
+// regressionSeeds are the seeds that CI runs: one for each number of hosts, and those that
+// failed before, with the cause.
 //
-// 9800, and 9802, 9820, 9822, 9828, 9840 and 9842 for the same: a request that ends upstreams
-// was answered by the third one, which had only a stream's last events to make and ended
-// just after; that was taken for the proof that the request is sound.
+// 9800 (9802, 9820, 9822, 9828, 9840 and 9842 failed for the same reason): a poison request
+// was answered by the third upstream, which had only the last events of a stream to send and
+// crashed just after that. The answer was counted as a survival, which cleared the request.
 var regressionSeeds = []uint64{1, 2, 9800}
 
-// soak is one run of random faults. What it checks, callers and upstreams see.
+// soak is one run with random faults. It checks only what callers and upstreams observe.
 type soak struct {
-	*fleetSystem
-	rnd *rand.Rand
-	// growth draws which links are small and when the document grows, apart from
-	// rnd: a seed's other faults don't depend on it.
-	growth *rand.Rand
-	// fatal draws whether a request comes that ends upstreams, and when, apart from both.
-	fatal *rand.Rand
-	// drills draws when the store comes back from a copy, apart from the others.
-	drills *rand.Rand
-	// limits draws which upstreams name limits, and when, apart from the others.
-	limits *rand.Rand
-	// ended are upstreams that it ended and that weren't replaced yet.
-	ended chan *platformtest.Upstream
-	// ends counts them.
-	ends atomic.Int64
-	// disturbed is when a fault last was in force that may delay what hosts
-	// believe, in nanoseconds since 1970.
-	disturbed atomic.Int64
+	*gatewaySystem
+	faultRand *rand.Rand
+	// documentRand decides which links are slow and when the document grows. It is
+	// separate from faultRand so that a seed's other faults don't depend on it.
+	documentRand *rand.Rand
+	// poisonRand decides whether and when poison requests are sent. It is separate from
+	// the others for the same reason, as are those below.
+	poisonRand *rand.Rand
+	// restoreRand decides when the store is restored from a backup.
+	restoreRand *rand.Rand
+	// limitRand decides which upstreams send limits, and when.
+	limitRand *rand.Rand
+	// crashed has the upstreams that a poison request crashed and that weren't replaced yet.
+	crashed chan *platformtest.Upstream
+	// crashes counts the upstreams that a poison request crashed.
+	crashes atomic.Int64
+	// staleUntil is the end of the last fault that may leave hosts with an outdated
+	// state, in nanoseconds since 1970.
+	staleUntil atomic.Int64
 
 	mu      sync.Mutex
-	answers []fleetAnswer
-	// left holds when upstreams said that they leave.
-	left  map[string]time.Time
-	trail []string
-	// newest is the route that only the newest document has.
-	newest string
-	// stops and harms are spans of planned stops, and of faults that excuse
-	// answers that were cut.
-	stops []span
-	harms []span
+	answers []gatewayAnswer
+	// leftAt is when each upstream announced that it leaves, or crashed.
+	leftAt   map[string]time.Time
+	faultLog []string
+	// newestRoute is the route that only the newest document has.
+	newestRoute string
+	// plannedStops and harmfulFaults are the times of planned stops, and of faults
+	// during which answers may be broken off or late.
+	plannedStops  []interval
+	harmfulFaults []interval
 }
 
-type span struct{ from, to time.Time }
+type interval struct{ from, to time.Time }
 
-func (s span) overlaps(from, to time.Time) bool { return s.from.Before(to) && from.Before(s.to) }
+func (s interval) overlaps(from, to time.Time) bool { return s.from.Before(to) && from.Before(s.to) }
 
-// TestGatewaySoak plays random faults against gateways as processes: kills,
-// pauses, planned stops, cut, silenced and slow links to the store, failing and
-// forgetful stores, upstreams that crash, leave and misbehave, new documents, some of
-// them large. A third of the hosts have small links to the store.
+// TestGatewaySoak injects random faults into a system of gateways: kills, pauses, planned
+// stops, cut, silenced and slow links to the store, a store that fails or drops its
+// history, upstreams that crash, leave and misbehave, and new documents, some of them
+// large. About a third of the hosts have slow links to the store.
 func TestGatewaySoak(t *testing.T) {
 	seeds := regressionSeeds
 	if *soakSeed != 0 {
@@ -84,42 +85,42 @@
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			s := &soak{
-				fleetSystem: soakSystem(t, seed),
-				rnd:         rand.New(rand.NewPCG(seed, 1)),
-				growth:      rand.New(rand.NewPCG(seed, 2)),
-				fatal:       rand.New(rand.NewPCG(seed, 3)),
-				drills:      rand.New(rand.NewPCG(seed, 4)),
-				limits:      rand.New(rand.NewPCG(seed, 5)),
-				ended:       make(chan *platformtest.Upstream, 1000),
-				left:        make(map[string]time.Time),
-				newest:      "many",
+				gatewaySystem: soakSystem(t, seed),
+				faultRand:     rand.New(rand.NewPCG(seed, 1)),
+				documentRand:  rand.New(rand.NewPCG(seed, 2)),
+				poisonRand:    rand.New(rand.NewPCG(seed, 3)),
+				restoreRand:   rand.New(rand.NewPCG(seed, 4)),
+				limitRand:     rand.New(rand.NewPCG(seed, 5)),
+				crashed:       make(chan *platformtest.Upstream, 1000),
+				leftAt:        make(map[string]time.Time),
+				newestRoute:   "many",
 			}
 			s.run()
 			s.check()
 			if t.Failed() {
-				t.Logf("faults:\n%s", strings.Join(s.trail, "\n"))
+				t.Logf("faults:\n%s", strings.Join(s.faultLog, "\n"))
 			}
 		})
 	}
 }
 
-// soakSystem is a host in each of three availability zones for odd seeds, and for
-// even ones as many in one zone as a hub needs to relay the store's word.
-func soakSystem(t *testing.T, seed uint64) *fleetSystem {
+// soakSystem starts one host in each of three availability zones for odd seeds, and for
+// even ones enough hosts in one zone that hubs relay updates of the store.
+func soakSystem(t *testing.T, seed uint64) *gatewaySystem {
 	if *soakHosts > 0 {
-		return newFleetSystem(t, *soakHosts, 3)
+		return newGatewaySystem(t, *soakHosts, 3)
 	}
 	if seed%2 == 0 {
-		return newFleetSystem(t, 9, 1)
+		return newGatewaySystem(t, 9, 1)
 	}
-	return newFleetSystem(t, 3, 3)
+	return newGatewaySystem(t, 3, 3)
 }
 
 func (s *soak) run() {
 	for _, h := range s.gateways {
-		if s.growth.IntN(3) == 0 {
-			s.note("link of %s to the store is small", h.name)
-			h.toStore.setRate(smallLink)
+		if s.documentRand.IntN(3) == 0 {
+			s.logFault("link of %s to the store is slow", h.name)
+			h.toStore.setRate(slowLinkRate)
 		}
 	}
 	stop := make(chan struct{})
@@ -127,82 +128,83 @@
 	number := min(len(soakKinds)*len(s.gateways), maxSoakCallers)
 	for i := range number {
 		callers.Go(func() {
-			s.call(s.gateways[i%len(s.gateways)], soakKinds[i*len(soakKinds)/number], stop)
+			s.sendRequests(s.gateways[i%len(s.gateways)], soakKinds[i*len(soakKinds)/number], stop)
 		})
 	}
-	fatal := s.fatal.IntN(2) == 0
-	if fatal {
-		s.note("a request comes that ends upstreams")
+	poisoned := s.poisonRand.IntN(2) == 0
+	if poisoned {
+		s.logFault("poison requests are sent")
 		for _, u := range s.upstreams {
-			s.makeFragile(u)
+			s.crashOnPoison(u)
 		}
-		callers.Go(func() { s.callFatal(stop) })
+		callers.Go(func() { s.sendPoison(stop) })
 	}
-	limited := s.nameLimits()
+	limited := s.scheduleLimits()
 	version := 10
-	if s.drills.IntN(2) == 0 {
-		callers.Go(func() { s.drill(stop) })
+	if s.restoreRand.IntN(2) == 0 {
+		callers.Go(func() { s.restoreBackups(stop) })
 	}
 	for end := time.Now().Add(*soakTime); time.Now().Before(end); {
-		s.strike(&version)
-		s.replaceEnded()
-		time.Sleep(time.Duration(50+s.rnd.IntN(250)) * time.Millisecond)
+		s.injectFault(&version)
+		s.replaceCrashed()
+		time.Sleep(time.Duration(50+s.faultRand.IntN(250)) * time.Millisecond)
 	}
-	s.heal()
+	s.endFaults()
 	if limited != nil {
 		s.checkLimit(limited)
 	}
 	close(stop)
 	callers.Wait()
-	s.replaceEnded()
+	s.replaceCrashed()
 	for _, h := range s.gateways {
 		eventually(s.t, h.name+" is ready again", func() bool { return s.isReady(h) })
 		eventually(s.t, h.name+" serves again", func() bool {
 			return s.send(h, "stream", "key-a").status == http.StatusOK && s.send(h, "once", "key-a").status == http.StatusOK
 		})
 		eventually(s.t, h.name+" has the newest document", func() bool {
-			return s.send(h, s.newest, "key-a").status == http.StatusOK
+			return s.send(h, s.newestRoute, "key-a").status == http.StatusOK
 		})
 	}
-	if fatal {
-		s.checkFatal()
+	if poisoned {
+		s.checkPoisonQuarantined()
 	}
 }
 
-// soakLimit is the limit that an upstream names in a soak, in requests a second.
+// soakLimit is the limit that an upstream sends in a soak, in requests a second.
 const soakLimit = 1.5
 
-// nameLimits has one upstream name a limit from some time on, and others for a moment. It
-// returns the first one; nil if none does.
-func (s *soak) nameLimits() *platformtest.Upstream {
-	if s.limits.IntN(2) == 0 {
+// scheduleLimits makes one added upstream send a limit from some time on, and two others
+// for a short time. It returns the added one, or nil if the seed has no limits.
+func (s *soak) scheduleLimits() *platformtest.Upstream {
+	if s.limitRand.IntN(2) == 0 {
 		return nil
 	}
 	after := func(most int, do func()) time.Duration {
-		wait := time.Duration(s.limits.IntN(most)) * time.Millisecond
+		wait := time.Duration(s.limitRand.IntN(most)) * time.Millisecond
 		time.AfterFunc(wait, do)
 		return wait
 	}
 	for range 2 {
-		u, limit := s.upstreams[s.limits.IntN(len(s.upstreams))], fmt.Sprint(s.limits.IntN(5))
+		u, limit := s.upstreams[s.limitRand.IntN(len(s.upstreams))], fmt.Sprint(s.limitRand.IntN(5))
 		from := after(3000, func() { u.SetLimit(limit) })
 		until := after(3000, func() { u.SetLimit("") })
-		s.note("upstream %s names the limit %s from %v to %v", u.ID, limit, from, until)
+		s.logFault("upstream %s sends the limit %s from %v to %v", u.ID, limit, from, until)
 	}
 	u := s.addUpstream("pool", "v1", zone(0))
 	from := after(3000, func() { u.SetLimit(fmt.Sprint(soakLimit)) })
-	s.note("upstream %s names a limit from %v on", u.ID, from)
+	s.logFault("upstream %s sends a limit from %v on", u.ID, from)
 	return u
 }
 
-// limitSettles is the time after the last fault from which a limit is kept: hosts that
-// started last find their hubs, and hubs hear of it.
-const limitSettles = 5 * time.Second
+// limitSettleTime is the time after the last fault until a limit must be kept: the hosts
+// that started last need to find their hubs, and hubs to receive the limit.
+const limitSettleTime = 5 * time.Second
 
-// checkLimit has the hosts keep the limit together once no fault is in force.
+// checkLimit checks that the hosts together keep the upstream's limit once no fault is
+// active.
 func (s *soak) checkLimit(u *platformtest.Upstream) {
 	s.t.Helper()
-	time.Sleep(limitSettles)
+	time.Sleep(limitSettleTime)
 	from := time.Now()
 	time.Sleep(limitWindow)
 	n := 0
@@ -211,54 +213,53 @@
 			n++
 		}
 	}
-	s.note("%d runs in %v at the limited upstream", n, limitWindow)
-	if n > limitPermits(soakLimit) {
-		s.t.Errorf("%s got %d requests in %v, %d are permitted", u.ID, n, limitWindow, limitPermits(soakLimit))
+	s.logFault("%d runs in %v at the limited upstream", n, limitWindow)
+	if n > maxRunsInWindow(soakLimit) {
+		s.t.Errorf("%s got %d requests in %v, %d are permitted", u.ID, n, limitWindow, maxRunsInWindow(soakLimit))
 	}
 }
 
-// drill has the store go away for a moment and come back from a copy of some seconds ago,
-// once or twice. Operators and upstreams then write again what they had written, within
-// a second.
-func (s *soak) drill(stop chan struct{}) {
-	for range 1 + s.drills.IntN(2) {
-		copied := s.store.Backup()
+// restoreBackups restores the store from a backup that is some seconds old, once or twice,
+// after a short outage. Within a second, operators and upstreams write their rows again.
+func (s *soak) restoreBackups(stop chan struct{}) {
+	for range 1 + s.restoreRand.IntN(2) {
+		backup := s.store.Backup()
 		select {
 		case <-stop:
 			return
-		case <-time.After(time.Duration(500+s.drills.IntN(2500)) * time.Millisecond):
+		case <-time.After(time.Duration(500+s.restoreRand.IntN(2500)) * time.Millisecond):
 		}
-		s.note("the store comes back from a copy")
-		// Hosts that start or are cut off meanwhile may go by the older rows for a while.
-		s.disturb(4 * time.Second)
+		s.logFault("the store is restored from a backup")
+		// Hosts that start or are isolated meanwhile may use the older rows for a while.
+		s.allowStaleFor(4 * time.Second)
 		s.store.SetFault(platformtest.Busy)
-		time.Sleep(time.Duration(100+s.drills.IntN(700)) * time.Millisecond)
+		time.Sleep(time.Duration(100+s.restoreRand.IntN(700)) * time.Millisecond)
 		before := s.store.Backup()
-		s.store.Restore(copied)
+		s.store.Restore(backup)
 		s.store.SetFault(platformtest.Healthy)
-		time.Sleep(time.Duration(s.drills.IntN(1000)) * time.Millisecond)
+		time.Sleep(time.Duration(s.restoreRand.IntN(1000)) * time.Millisecond)
 		s.store.Rewrite(before, "op", "servers")
 	}
 }
 
-// makeFragile has the request that ends upstreams end this one.
-func (s *soak) makeFragile(u *platformtest.Upstream) {
-	u.SetCrashRequest(fatalBody, 30*time.Millisecond, func() {
-		s.ends.Add(1)
-		s.harm(time.Second)
-		s.ended <- u
+// crashOnPoison makes the upstream crash when it runs the poison request.
+func (s *soak) crashOnPoison(u *platformtest.Upstream) {
+	u.SetCrashRequest(poisonBody, 30*time.Millisecond, func() {
+		s.crashes.Add(1)
+		s.recordHarmfulFault(time.Second)
+		s.crashed <- u
 	})
 }
 
-// replaceEnded starts upstreams in place of those that ended.
-func (s *soak) replaceEnded() {
+// replaceCrashed starts an upstream in place of each one that a poison request crashed.
+func (s *soak) replaceCrashed() {
 	for {
 		select {
-		case u := <-s.ended:
-			if _, gone := s.left[u.ID]; !gone {
-				s.left[u.ID] = time.Now()
+		case u := <-s.crashed:
+			if _, replaced := s.leftAt[u.ID]; !replaced {
+				s.leftAt[u.ID] = time.Now()
 				s.store.Remove("servers", u.ID)
-				s.makeFragile(s.addUpstream(u.Service, u.Version, u.Zone))
+				s.crashOnPoison(s.addUpstream(u.Service, u.Version, u.Zone))
 			}
 		default:
 			return
@@ -266,54 +267,56 @@
 	}
 }
 
-// callFatal sends the request that ends upstreams to random hosts.
-func (s *soak) callFatal(stop chan struct{}) {
+// sendPoison sends the poison request to random hosts until stop is closed.
+func (s *soak) sendPoison(stop chan struct{}) {
 	for {
 		select {
 		case <-stop:
 			return
-		case <-time.After(time.Duration(100+s.fatal.IntN(500)) * time.Millisecond):
+		case <-time.After(time.Duration(100+s.poisonRand.IntN(500)) * time.Millisecond):
 		}
-		h := s.gateways[s.fatal.IntN(len(s.gateways))]
-		a := s.sendBody(h, "stream", "key-a", fatalBody)
-		s.note("the request that ends upstreams at %s: %d %q %v", h.name, a.status, a.body, a.err)
+		h := s.gateways[s.poisonRand.IntN(len(s.gateways))]
+		a := s.sendBody(h, "stream", "key-a", poisonBody)
+		s.logFault("the poison request at %s: %d %q %v", h.name, a.status, a.body, a.err)
 	}
 }
 
-// checkFatal: with all faults over every host knows the request, or learns it from three
-// ends more; and no other request is taken for it.
-func (s *soak) checkFatal() {
-	time.Sleep(toldWithin)
-	before := s.ends.Load()
+// checkPoisonQuarantined checks, after all faults, that every host refuses the poison
+// request, at the latest after three more crashes, and that no other request was refused
+// as one.
+func (s *soak) checkPoisonQuarantined() {
+	time.Sleep(verdictBound)
+	before := s.crashes.Load()
 	for i := range min(4*len(s.gateways), 40) {
-		s.sendBody(s.gateways[i%len(s.gateways)], "stream", "key-a", fatalBody)
-		s.replaceEnded()
+		s.sendBody(s.gateways[i%len(s.gateways)], "stream", "key-a", poisonBody)
+		s.replaceCrashed()
 		time.Sleep(100 * time.Millisecond)
 	}
-	permitted := int64(permittedLater)
+	permitted := int64(maxLateSends)
 	if before < 3 {
 		permitted += 3 - before
 	}
-	if after := s.ends.Load(); after-before > permitted {
-		s.t.Errorf("a request that had ended %d upstreams ended %d more", before, after-before)
+	if after := s.crashes.Load(); after-before > permitted {
+		s.t.Errorf("a poison request that had crashed %d upstreams crashed %d more", before, after-before)
 	}
 	for i := range s.answers {
-		if strings.Contains(s.answers[i].body, quarantined) {
-			s.t.Errorf("%s was refused for another's fault", s.answers[i].id)
+		if strings.Contains(s.answers[i].body, quarantinedCode) {
+			s.t.Errorf("%s was refused as a poison request", s.answers[i].id)
 		}
 	}
-	s.t.Logf("a request ended %d upstreams, %d of them after all faults", s.ends.Load(), s.ends.Load()-before)
+	s.t.Logf("a poison request crashed %d upstreams, %d of them after all faults", s.crashes.Load(), s.crashes.Load()-before)
 }
 
-// maxSoakCallers bounds the callers, so that many hosts have the machine's processors to
-// themselves.
+// maxSoakCallers bounds the number of callers, to leave the machine's processors to the
+// hosts when there are many.
 const maxSoakCallers = 60
 
 // soakKinds are the kinds of requests.
 var soakKinds = []string{"once", "many", "stream"}
 
-// call sends requests one after the other and keeps their answers.
-func (s *soak) call(h *gatewayHost, kind string, stop chan struct{}) {
+// sendRequests sends requests one after the other and stores their answers, until stop is
+// closed.
+func (s *soak) sendRequests(h *gatewayHost, kind string, stop chan struct{}) {
 	for {
 		select {
 		case <-stop:
@@ -327,161 +330,161 @@
 	}
 }
 
-func (s *soak) note(format string, args ...any) {
+func (s *soak) logFault(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.trail = append(s.trail, time.Now().Format("15:04:05.000 ")+fmt.Sprintf(format, args...))
+	s.faultLog = append(s.faultLog, time.Now().Format("15:04:05.000 ")+fmt.Sprintf(format, args...))
 }
 
-// strike does one fault. Those that last are ended by a goroutine of their own,
-// so they overlap.
-func (s *soak) strike(version *int) {
-	h := s.gateways[s.rnd.IntN(len(s.gateways))]
-	lasts := time.Duration(200+s.rnd.IntN(1800)) * time.Millisecond
-	switch s.rnd.IntN(13) {
+// injectFault injects one random fault. Most faults that last are ended by a timer, so
+// that they overlap with later ones.
+func (s *soak) injectFault(version *int) {
+	h := s.gateways[s.faultRand.IntN(len(s.gateways))]
+	duration := time.Duration(200+s.faultRand.IntN(1800)) * time.Millisecond
+	switch s.faultRand.IntN(13) {
 	case 0:
-		s.note("kill %s", h.name)
-		s.harm(lasts)
+		s.logFault("kill %s", h.name)
+		s.recordHarmfulFault(duration)
 		h.kill()
 		s.startGateway(h)
 	case 1:
-		s.note("pause %s for %v", h.name, lasts)
-		s.harm(lasts)
+		s.logFault("pause %s for %v", h.name, duration)
+		s.recordHarmfulFault(duration)
 		h.signal(syscall.SIGSTOP)
-		time.Sleep(lasts)
+		time.Sleep(duration)
 		h.signal(syscall.SIGCONT)
 	case 2:
-		s.note("stop %s", h.name)
-		s.stopGateway(h)
+		s.logFault("stop %s", h.name)
+		s.restartGateway(h)
 	case 3:
-		s.note("link of %s to the store fails for %v", h.name, lasts)
-		s.faultyLink(h, lasts)
+		s.logFault("link of %s to the store fails for %v", h.name, duration)
+		s.disruptStoreLink(h, duration)
 	case 4:
-		fault := platformtest.Fault(1 + s.rnd.IntN(3))
-		s.note("store fault %d for %v", fault, lasts)
-		s.disturb(lasts)
+		fault := platformtest.Fault(1 + s.faultRand.IntN(3))
+		s.logFault("store fault %d for %v", fault, duration)
+		s.allowStaleFor(duration)
 		s.store.SetFault(fault)
-		time.AfterFunc(lasts, func() { s.store.SetFault(platformtest.Healthy) })
+		time.AfterFunc(duration, func() { s.store.SetFault(platformtest.Healthy) })
 	case 5:
-		s.note("the store forgets its history")
+		s.logFault("the store drops its history")
 		s.store.DropHistory()
 	case 6:
-		s.replaceUpstream(s.rnd.IntN(2) == 0)
+		s.replaceUpstream(s.faultRand.IntN(2) == 0)
 	case 7, 8, 9, 10:
-		u := s.upstreams[s.rnd.IntN(len(s.upstreams))]
-		fault := platformtest.UpstreamFault(1 + s.rnd.IntN(platformtest.Faults-1))
-		s.note("upstream %s fault %d for %v", u.ID, fault, lasts)
-		s.harm(lasts)
+		u := s.upstreams[s.faultRand.IntN(len(s.upstreams))]
+		fault := platformtest.UpstreamFault(1 + s.faultRand.IntN(platformtest.Faults-1))
+		s.logFault("upstream %s fault %d for %v", u.ID, fault, duration)
+		s.recordHarmfulFault(duration)
 		u.SetFault(fault, 2)
-		time.AfterFunc(lasts, func() { u.SetFault(platformtest.None, 1) })
+		time.AfterFunc(duration, func() { u.SetFault(platformtest.None, 1) })
 	case 11:
-		i := s.rnd.IntN(len(s.toHubs))
-		s.note("way to hub %d fails for %v", i+1, lasts)
-		s.faultyWay(s.toHubs[i], lasts)
+		i := s.faultRand.IntN(len(s.toHubs))
+		s.logFault("link to hub %d fails for %v", i+1, duration)
+		s.disruptLink(s.toHubs[i], duration)
 	case 12:
-		*version += 1 + s.rnd.IntN(3)
+		*version += 1 + s.faultRand.IntN(3)
 		s.newDocument(*version)
 	}
 }
 
-// newDocument publishes a document with a route of its own, at times a larger one. Its
-// reading on a small link excuses nothing.
+// newDocument publishes a document with a new route, and in half of the cases with many
+// spare ones, too. The time that a slow link needs for it excuses no failure.
 func (s *soak) newDocument(version int) {
-	if s.growth.IntN(2) == 0 {
-		s.grow(1000)
+	if s.documentRand.IntN(2) == 0 {
+		s.addSpareRoutes(1000)
 	}
-	s.newest = fmt.Sprint("version-", version)
-	s.addRoute(s.newest)
-	s.note("document %d with %d routes", version, len(s.document["routes"].([]any)))
+	s.newestRoute = fmt.Sprint("version-", version)
+	s.addRoute(s.newestRoute)
+	s.logFault("document %d with %d routes", version, len(s.document["routes"].([]any)))
 	s.publish(version)
 }
 
-// disturb notes that beliefs may be late until the span is over.
-func (s *soak) disturb(lasts time.Duration) {
-	s.disturbed.Store(max(s.disturbed.Load(), time.Now().Add(lasts).UnixNano()))
+// allowStaleFor records that hosts may have an outdated state for a duration.
+func (s *soak) allowStaleFor(duration time.Duration) {
+	s.staleUntil.Store(max(s.staleUntil.Load(), time.Now().Add(duration).UnixNano()))
 }
 
-// harm notes a fault that may cut answers.
-func (s *soak) harm(lasts time.Duration) {
-	s.disturb(lasts)
+// recordHarmfulFault records a fault during which answers may be broken off or late.
+func (s *soak) recordHarmfulFault(duration time.Duration) {
+	s.allowStaleFor(duration)
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// Answers under way at its end may suffer for their whole time.
-	s.harms = append(s.harms, span{now, now.Add(lasts + 4*time.Second)})
+	// Answers that are in progress at its end may be affected until they end.
+	s.harmfulFaults = append(s.harmfulFaults, interval{now, now.Add(duration + 4*time.Second)})
 }
 
-// stopGateway asks for a planned stop and starts the gateway again.
-func (s *soak) stopGateway(h *gatewayHost) {
+// restartGateway requests a planned stop and then starts the gateway again.
+func (s *soak) restartGateway(h *gatewayHost) {
 	began := time.Now()
-	s.disturb(gatewayGrace)
+	s.allowStaleFor(gatewayGrace)
 	_ = h.terminate()
 	s.mu.Lock()
-	s.stops = append(s.stops, span{began, time.Now()})
+	s.plannedStops = append(s.plannedStops, interval{began, time.Now()})
 	s.mu.Unlock()
 	s.startGateway(h)
 }
 
-func (s *soak) faultyLink(h *gatewayHost, lasts time.Duration) {
-	s.disturb(lasts)
-	s.faultyWay(h.toStore, lasts)
+func (s *soak) disruptStoreLink(h *gatewayHost, duration time.Duration) {
+	s.allowStaleFor(duration)
+	s.disruptLink(h.toStore, duration)
 }
 
-// faultyWay cuts, silences in one direction or delays what a relay carries. A
-// fault between hosts excuses nothing: each can do without the others.
-func (s *soak) faultyWay(way *relay, lasts time.Duration) {
-	switch s.rnd.IntN(4) {
+// disruptLink cuts the connections of a relay, silences them in one direction or delays
+// them. A fault between hosts excuses no failure: hosts work without each other.
+func (s *soak) disruptLink(link *relay, duration time.Duration) {
+	switch s.faultRand.IntN(4) {
 	case 0:
-		way.cutAll()
+		link.cutAll()
 	case 1:
-		way.inner.Silence(tcprelay.ToTarget)
+		link.inner.Silence(tcprelay.ToTarget)
 	case 2:
-		way.inner.Silence(tcprelay.FromTarget)
+		link.inner.Silence(tcprelay.FromTarget)
 	case 3:
-		way.inner.Delay(tcprelay.FromTarget, 300*time.Millisecond)
+		link.inner.Delay(tcprelay.FromTarget, 300*time.Millisecond)
 	}
-	time.AfterFunc(lasts, way.heal)
+	time.AfterFunc(duration, link.heal)
 }
 
-// replaceUpstream takes an upstream away, with or without notice, and adds one of
-// the same service.
+// replaceUpstream adds an upstream and removes one of the same service, either announced
+// or by a crash.
 func (s *soak) replaceUpstream(notice bool) {
-	i := s.rnd.IntN(len(s.upstreams))
+	i := s.faultRand.IntN(len(s.upstreams))
 	old := s.upstreams[i]
-	if _, gone := s.left[old.ID]; gone {
+	if _, replaced := s.leftAt[old.ID]; replaced {
 		return
 	}
 	if added := s.addUpstream(old.Service, old.Version, old.Zone); old.HasCrashRequest() {
-		s.makeFragile(added)
+		s.crashOnPoison(added)
 	}
-	s.left[old.ID] = time.Now()
+	s.leftAt[old.ID] = time.Now()
 	if !notice {
-		s.note("upstream %s crashes", old.ID)
-		s.harm(time.Second)
+		s.logFault("upstream %s crashes", old.ID)
+		s.recordHarmfulFault(time.Second)
 		old.Kill()
 		time.AfterFunc(time.Second, func() { s.store.Remove("servers", old.ID) })
 		return
 	}
-	s.note("upstream %s leaves", old.ID)
+	s.logFault("upstream %s leaves", old.ID)
 	s.store.Put("servers", old.ID, old.Entry("draining"))
 	time.AfterFunc(gatewayDrain+3*time.Second, old.Kill)
 }
 
-func (s *soak) heal() {
+func (s *soak) endFaults() {
 	s.store.SetFault(platformtest.Healthy)
 	for _, h := range s.gateways {
 		h.signal(syscall.SIGCONT)
 		h.toStore.heal()
 	}
-	for _, way := range s.toHubs {
-		way.heal()
+	for _, link := range s.toHubs {
+		link.heal()
 	}
 	for _, u := range s.upstreams {
 		u.SetFault(platformtest.None, 1)
 	}
 }
 
-// check compares what callers got with what upstreams did.
+// check compares the answers that callers got with the runs on upstreams.
 func (s *soak) check() {
 	s.t.Helper()
 	runs := make(map[string]int)
@@ -504,53 +507,53 @@
 	for _, p := range s.problems() {
 		s.t.Error(p)
 	}
-	s.checkLeft()
-	s.t.Logf("%d requests, %d served, %d faults", len(s.answers), served, len(s.trail))
+	s.checkLeavingUpstreams()
+	s.t.Logf("%d requests, %d served, %d faults", len(s.answers), served, len(s.faultLog))
 }
 
-func (s *soak) checkAnswer(a *fleetAnswer, runs int) {
+func (s *soak) checkAnswer(a *gatewayAnswer, runs int) {
 	refused := a.status == 408 || a.status == 421 || a.status == 429 || a.status == 503
 	switch {
 	case a.kind == "once" && runs > 1:
 		s.t.Errorf("%s ran %d times", a.id, runs)
 	case a.kind == "once" && refused && a.err == nil && runs > 0:
-		s.t.Errorf("%s was refused with %d and ran", a.id, a.status)
-	case a.status == http.StatusOK && a.err == nil && a.body != a.whole():
-		s.t.Errorf("%s: wrong or incomplete answer that looks complete: %q", a.id, a.body)
+		s.t.Errorf("%s was refused with %d but ran", a.id, a.status)
+	case a.status == http.StatusOK && a.err == nil && a.body != a.expectedBody():
+		s.t.Errorf("%s: wrong or incomplete answer without an error: %q", a.id, a.body)
 	case a.err == nil && (a.status == 401 || a.status == 404):
-		s.t.Errorf("%s: %d for what every document allows", a.id, a.status)
-	case a.err == nil && a.ended.Sub(a.began) > 4*time.Second && !s.harmed(a):
+		s.t.Errorf("%s: status %d for a route and key that every document has", a.id, a.status)
+	case a.err == nil && a.ended.Sub(a.began) > 4*time.Second && !s.overlapsHarmfulFault(a):
 		s.t.Errorf("%s was answered after %v", a.id, a.ended.Sub(a.began))
-	case a.err != nil && runs > 0 && s.stopping(a) && !s.harmed(a):
-		s.t.Errorf("%s was cut by a planned stop: %v", a.id, a.err)
+	case a.err != nil && runs > 0 && s.overlapsPlannedStop(a) && !s.overlapsHarmfulFault(a):
+		s.t.Errorf("%s was broken off by a planned stop: %v", a.id, a.err)
 	}
 }
 
-func (s *soak) harmed(a *fleetAnswer) bool { return within(s.harms, a) }
+func (s *soak) overlapsHarmfulFault(a *gatewayAnswer) bool { return overlapsAny(s.harmfulFaults, a) }
 
-func (s *soak) stopping(a *fleetAnswer) bool { return within(s.stops, a) }
+func (s *soak) overlapsPlannedStop(a *gatewayAnswer) bool { return overlapsAny(s.plannedStops, a) }
 
-func within(spans []span, a *fleetAnswer) bool {
-	for _, sp := range spans {
-		if sp.overlaps(a.began, a.ended) {
+func overlapsAny(intervals []interval, a *gatewayAnswer) bool {
+	for _, iv := range intervals {
+		if iv.overlaps(a.began, a.ended) {
 			return true
 		}
 	}
 	return false
 }
 
-// checkLeft: an upstream that leaves gets nothing new after its drain time, unless
-// a fault kept hosts from hearing of it.
-func (s *soak) checkLeft() {
-	disturbed := time.Unix(0, s.disturbed.Load())
+// checkLeavingUpstreams checks that an upstream that leaves gets no new request after the
+// drain time, unless a fault may have kept hosts from receiving the update.
+func (s *soak) checkLeavingUpstreams() {
+	staleUntil := time.Unix(0, s.staleUntil.Load())
 	for _, u := range s.upstreams {
-		left, ok := s.left[u.ID]
-		if !ok || left.Before(disturbed.Add(time.Second)) {
+		left, ok := s.leftAt[u.ID]
+		if !ok || left.Before(staleUntil.Add(time.Second)) {
 			continue
 		}
 		for _, run := range u.StartedRuns() {
 			if run.At.After(left.Add(gatewayDrain)) {
-				s.t.Errorf("%s ran at %s, %v after it said that it leaves", run.ID, u.ID, run.At.Sub(left))
+				s.t.Errorf("%s ran at %s, %v after it announced that it leaves", run.ID, u.ID, run.At.Sub(left))
 			}
 		}
 	}
--- a/internal/e2e/harness_test.go
+++ b/internal/e2e/harness_test.go
@@ -1,5 +1,5 @@
 // Package e2e runs the built binary as separate processes on loopback and
-// checks what must hold while processes are killed, frozen and cut off.
+// checks its guarantees while processes are killed, frozen and partitioned.
 package e2e
 
 import (
@@ -26,7 +26,7 @@
 	"github.com/quetzalweir/quetzalweir/manifest"
 )
 
-// binary is the built quetzalweir.
+// binary is the path of the built quetzalweir command.
 var binary string
 
 func TestMain(m *testing.M) {
@@ -50,10 +50,10 @@
 	return m.Run()
 }
 
-// stepTimeout bounds each wait of a test; it is far above what is expected.
-const stepTimeout = 30 * time.Second
+// waitTimeout bounds each wait of a test; it is far above the expected time.
+const waitTimeout = 30 * time.Second
 
-// process is a running binary.
+// process is a process that runs the binary.
 type process struct {
 	t    *testing.T
 	name string
@@ -64,7 +64,8 @@
 	err  error
 }
 
-// start runs the binary and waits for its first line of output if wait is set.
+// start starts the binary with additional environment variables. The process is
+// killed when the test ends.
 func start(t *testing.T, name string, env []string, args ...string) *process {
 	t.Helper()
 	p := &process{t: t, name: name, cmd: exec.Command(binary, args...), done: make(chan struct{})}
@@ -90,14 +91,15 @@
 	return p
 }
 
-// maxLog bounds what a failed test prints of each process's log, in bytes.
+// maxLog is the number of bytes from the end of each process's log that a failed
+// test prints.
 const maxLog = 6000
 
 func tail(text string) string {
 	return text[max(0, len(text)-maxLog):]
 }
 
-// Write takes the process's output.
+// Write appends to the process's log.
 func (p *process) Write(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -111,7 +113,7 @@
 }
 
 func (p *process) signal(s syscall.Signal) {
-	// A process that has ended already can't be signalled.
+	// The signal fails if the process has already ended.
 	_ = p.cmd.Process.Signal(s)
 }
 
@@ -121,39 +123,41 @@
 	<-p.done
 }
 
-// terminate asks for a planned stop and waits for its end.
+// terminate requests a planned stop, waits for the process to exit and returns
+// its error.
 func (p *process) terminate() error {
 	p.t.Helper()
 	p.signal(syscall.SIGTERM)
 	select {
 	case <-p.done:
 		return p.err
-	case <-time.After(stepTimeout):
-		p.t.Fatalf("%s didn't stop", p.name)
+	case <-time.After(waitTimeout):
+		p.t.Fatalf("%s did not exit after SIGTERM", p.name)
 		return nil
 	}
 }
 
-// field waits for a log line with the event and returns one of its fields.
-func (p *process) field(marker, field string) string {
+// waitForField waits for a log line that contains the marker and returns the
+// value of the field that follows fieldPrefix in it.
+func (p *process) waitForField(marker, fieldPrefix string) string {
 	p.t.Helper()
 	var value string
 	p.t.Logf("%s: waiting for %s", p.name, marker)
 	eventually(p.t, p.name+" logs "+marker, func() bool {
-		value = findField(p.output(), marker, field)
+		value = findField(p.output(), marker, fieldPrefix)
 		return value != ""
 	})
 	return value
 }
 
-func findField(log, marker, field string) string {
+func findField(log, marker, fieldPrefix string) string {
 	lines := bufio.NewScanner(strings.NewReader(log))
 	for lines.Scan() {
 		line := lines.Text()
 		if !strings.Contains(line, marker) {
 			continue
 		}
-		if _, rest, ok := strings.Cut(line, field); ok {
+		if _, rest, ok := strings.Cut(line, fieldPrefix); ok {
 			value, _, _ := strings.Cut(rest, " ")
 			return strings.Trim(value, `"`)
 		}
@@ -161,42 +165,43 @@
 	return ""
 }
 
-// eventually waits until the condition holds.
+// eventually waits until the condition holds, and fails the test after
+// waitTimeout.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(stepTimeout)
+	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("timed out waiting until: %s", what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// secret is the sample key of all processes of a test.
-const secret = "k1:6465762d6465762d6465762d6465762d6465762d6465762d6465762d6465762d"
+// sampleKey is the key for sessions and peers of all processes of a test.
+const sampleKey = "k1:6465762d6465762d6465762d6465762d6465762d6465762d6465762d6465762d"
 
 var entryEnv = []string{
-	"QUETZALWEIR_SESSION_KEYS=" + secret,
-	"QUETZALWEIR_PEER_KEYS=" + secret,
+	"QUETZALWEIR_SESSION_KEYS=" + sampleKey,
+	"QUETZALWEIR_PEER_KEYS=" + sampleKey,
 	"QUETZALWEIR_OPERATOR_KEYS=" + devenv.OperatorKey,
 	"QUETZALWEIR_BALANCER_LAG=200ms",
 }
 
-// entryHost is an entry host's process.
+// entryHost is the process of an entry host.
 type entryHost struct {
 	*process
-	id        string
-	ip        string
-	callers   string
-	operators string
-	// toPlatform carries its traffic to the platform, fromPeers that of other
-	// entry hosts to it.
+	id           string
+	ip           string
+	callerAddr   string
+	operatorAddr string
+	// toPlatform relays its traffic to the platform, fromPeers the traffic from
+	// other entry hosts to it.
 	toPlatform *relay
 	fromPeers  *relay
 }
 
-// system is a whole system of separate processes.
+// system is a platform, upstreams and entry hosts, each a process.
 type system struct {
 	t        *testing.T
 	platform string
@@ -205,7 +210,7 @@
 	hosts    []*entryHost
 }
 
-// standin is a stand-in's process.
+// standin is the process of a stand-in for an external system.
 type standin struct {
 	*process
 	address string
@@ -214,11 +219,11 @@
 func startStandin(t *testing.T, name string, args ...string) standin {
 	t.Helper()
 	p := start(t, name, nil, append([]string{"standin"}, args...)...)
-	return standin{process: p, address: p.field("listening", "listening ")}
+	return standin{process: p, address: p.waitForField("listening", "listening ")}
 }
 
 // startSystem starts a platform, three engines with the sample's versions, a
-// service, and entry hosts in three zones. The sample manifest isn't submitted.
+// service, and entry hosts in three zones. It does not submit a manifest.
 func startSystem(t *testing.T, hosts int) *system {
 	t.Helper()
 	s := &system{t: t}
@@ -239,9 +244,9 @@
 	return "zone-" + string(rune('a'+i%3))
 }
 
-// addHost starts an entry host. Its links to the platform and from other hosts
-// go through relays, and its peer connections come from an IP of its own, so
-// that each pair of parties can be cut.
+// addHost starts an entry host. Its connections to the platform and those from
+// other hosts go through relays, and its own connections to peers have a source
+// IP that no other host uses, so that a test can cut any pair of processes.
 func (s *system) addHost(id, zone string, flags ...string) *entryHost {
 	s.t.Helper()
 	h := &entryHost{id: id, ip: fmt.Sprintf("127.0.1.%d", len(s.hosts)+1)}
@@ -252,15 +257,15 @@
 	args := []string{"serve", "--id=" + id, "--zone=" + zone, "--platform=http://" + h.toPlatform.address(),
 		"--callers=127.0.0.1:0", "--operators=127.0.0.1:0", "--peers=" + peers, "--advertise-peers=" + h.fromPeers.address()}
 	h.process = start(s.t, id, entryEnv, append(args, flags...)...)
-	h.callers = h.field("event=start", "callers=")
-	h.operators = h.field("event=start", "operators=")
+	h.callerAddr = h.waitForField("event=start", "callers=")
+	h.operatorAddr = h.waitForField("event=start", "operators=")
 	s.hosts = append(s.hosts, h)
 	return h
 }
 
 const loopback = "127.0.0.1"
 
-// freeAddress returns an address on the IP that nothing listens on now.
+// freeAddress returns an address on the IP with an unused port.
 func freeAddress(t *testing.T, ip string) string {
 	t.Helper()
 	address, err := freeport.Address(ip)
@@ -270,7 +275,8 @@
 	return address
 }
 
-// cutPeers cuts a host from all other entry hosts, both ways.
+// cutPeers cuts the connections between a host and all other entry hosts, in
+// both directions.
 func (s *system) cutPeers(h *entryHost) {
 	h.fromPeers.cutAll()
 	for _, other := range s.hosts {
@@ -280,7 +286,7 @@
 	}
 }
 
-// healPeers ends all cuts between entry hosts.
+// healPeers ends all cuts of connections between entry hosts.
 func (s *system) healPeers() {
 	for _, h := range s.hosts {
 		h.fromPeers.heal()
@@ -299,37 +305,38 @@
 	s.t.Helper()
 	var answer entry.SubmitResponse
 	eventually(s.t, "submit", func() bool {
-		req, err := http.NewRequest(http.MethodPost, "http://"+h.operators+entry.PathManifest, bytes.NewReader(data))
+		req, err := http.NewRequest(http.MethodPost, "http://"+h.operatorAddr+entry.PathManifest, bytes.NewReader(data))
 		if err != nil {
 			return false
 		}
 		req.Header.Set(entry.HeaderSubmitToken, manifest.Digest(data))
-		return s.operator(req, &answer) == nil
+		return s.sendToOperatorAPI(req, &answer) == nil
 	})
 	return answer.Head
 }
 
 func (s *system) waitReady() {
 	s.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), stepTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	for _, h := range s.hosts {
-		if err := devenv.WaitReady(ctx, h.operators); err != nil {
+		if err := devenv.WaitReady(ctx, h.operatorAddr); err != nil {
 			s.t.Fatalf("%s isn't ready: %v", h.id, err)
 		}
 	}
 }
 
-// get calls the operators' API of a host.
-func (s *system) get(h *entryHost, path string, into any) error {
-	req, err := http.NewRequest(http.MethodGet, "http://"+h.operators+path, nil)
+// operatorGet sends a GET request to the operators' API of a host and decodes
+// the response.
+func (s *system) operatorGet(h *entryHost, path string, into any) error {
+	req, err := http.NewRequest(http.MethodGet, "http://"+h.operatorAddr+path, nil)
 	if err != nil {
 		return err
 	}
-	return s.operator(req, into)
+	return s.sendToOperatorAPI(req, into)
 }
 
-func (s *system) operator(req *http.Request, into any) error {
+func (s *system) sendToOperatorAPI(req *http.Request, into any) error {
 	req.Header.Set("Authorization", "Bearer "+devenv.OperatorKey)
 	resp, err := client.Do(req)
 	if err != nil {
@@ -353,8 +360,8 @@
 	return json.NewDecoder(r).Decode(into)
 }
 
-// fault sets the faults of a stand-in.
-func (s *system) fault(address string, faults any) {
+// setFaults sets the faults of the stand-in at the address.
+func (s *system) setFaults(address string, faults any) {
 	s.t.Helper()
 	body, err := json.Marshal(faults)
 	if err != nil {
@@ -366,17 +373,17 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode/100 != 2 {
-		s.t.Fatalf("faults of %s: %s", address, resp.Status)
+		s.t.Fatalf("set the faults of %s: %s", address, resp.Status)
 	}
 }
 
-// client is the callers' HTTP client; its bounds are those of a patient caller.
+// client is the HTTP client of callers and operators.
 var client = &http.Client{
-	Timeout:   stepTimeout,
+	Timeout:   waitTimeout,
 	Transport: &http.Transport{MaxIdleConnsPerHost: 64},
 }
 
-// answer is what a caller got.
+// answer is the HTTP response that a caller got.
 type answer struct {
 	status  int
 	header  http.Header
@@ -384,7 +391,8 @@
 	body    string
 }
 
-// get returns a header, or the trailer of a streamed answer.
+// get returns the value of a header, or of a trailer if there is no such header:
+// streamed answers have some values in their trailer.
 func (a answer) get(name string) string {
 	if v := a.header.Get(name); v != "" {
 		return v
@@ -418,18 +426,19 @@
 	return c
 }
 
-// send sends a call to a host. An error means that no whole answer came.
+// send sends the request to a host. It returns an error if the answer is missing
+// or incomplete.
 func (c call) send(h *entryHost) (answer, error) {
 	return c.sendContext(context.Background(), h)
 }
 
-// sendContext is send for a caller that leaves when ctx ends.
+// sendContext is like send, but the caller disconnects when ctx ends.
 func (c call) sendContext(ctx context.Context, h *entryHost) (answer, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+h.callers+c.path, strings.NewReader(c.body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+h.callerAddr+c.path, strings.NewReader(c.body))
 	if err != nil {
 		return answer{}, err
 	}
-	// The caller's library must not repeat a call by itself.
+	// Without GetBody the HTTP client can't repeat the request by itself.
 	req.GetBody = nil
 	req.Header.Set("Authorization", "Bearer "+devenv.AccountKey)
 	for k, v := range c.header {
--- a/internal/e2e/keys_test.go
+++ b/internal/e2e/keys_test.go
@@ -11,11 +11,11 @@
 	"github.com/quetzalweir/quetzalweir/internal/devenv"
 )
 
-const secondKey = "k2:7765697277656972776569727765697277656972776569727765697277656972"
+const secondSampleKey = "k2:7765697277656972776569727765697277656972776569727765697277656972"
 
-// TestKeysRotateWithoutACut replaces the keys between hosts and of session
-// tokens in three rolls through all hosts, under load: no request fails, and a
-// session keeps its version though its tokens change keys.
+// TestKeysRotateWithoutACut replaces the keys for peers and session tokens by
+// restarting all hosts three times, one after the other, under load. No request
+// may fail, and a session must keep its version while its tokens change keys.
 func TestKeysRotateWithoutACut(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, 2)
@@ -27,15 +27,15 @@
 
 	load := startLoad(t, b)
 	load.add(first)
-	for step, keys := range []string{secret + "," + secondKey, secondKey + "," + secret, secondKey} {
+	for step, keys := range []string{sampleKey + "," + secondSampleKey, secondSampleKey + "," + sampleKey, secondSampleKey} {
 		for _, old := range fleet.list() {
 			id := fmt.Sprintf("%s-%d", old.id[:len("entry-1")], step)
 			fleet.add(s.addHost(id, zone(step), "--peer-keys="+keys, "--session-keys="+keys))
-			eventually(t, "the new host is ready", func() bool { return ready(fleet.last()) })
+			eventually(t, "the new host is ready", func() bool { return isReady(fleet.last()) })
 			is.NoErr(old.terminate())
 			fleet.remove(old)
 		}
-		load.more(5)
+		load.waitForAnswers(5)
 		a, err := chat("small", "again tokens=1", false).with("Quetzalweir-Session", token).send(fleet.last())
 		is.NoErr(err)
 		is.Equal(a.get("Quetzalweir-Version"), version)
@@ -44,19 +44,19 @@
 	}
 	s.checkBills(fleet.last(), head.Epoch, load.stop())
 	for _, h := range s.hosts {
-		for _, key := range []string{secret, secondKey} {
+		for _, key := range []string{sampleKey, secondSampleKey} {
 			is.True(!strings.Contains(h.output(), strings.SplitN(key, ":", 2)[1])) // no key in any log
 		}
 	}
 }
 
-// TestUnknownCallerIsToldSo: who has no account learns nothing of what a body
-// should be.
-func TestUnknownCallerIsToldSo(t *testing.T) {
+// TestUnknownCallerGetsUnauthorized checks that a caller without an account gets
+// the status 401 whatever its body is, and so no information about valid bodies.
+func TestUnknownCallerGetsUnauthorized(t *testing.T) {
 	s := startSystem(t, 1)
 	s.submit(devenv.Manifest())
 	for key, want := range map[string]int{"nobody": http.StatusUnauthorized, devenv.AccountKey: http.StatusBadRequest} {
-		req, err := http.NewRequest("POST", "http://"+s.hosts[0].callers+"/v1/chat/completions", strings.NewReader("not JSON"))
+		req, err := http.NewRequest("POST", "http://"+s.hosts[0].callerAddr+"/v1/chat/completions", strings.NewReader("not JSON"))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/e2e/limit_test.go
+++ b/internal/e2e/limit_test.go
@@ -11,8 +11,9 @@
 	"github.com/quetzalweir/quetzalweir/internal/devenv"
 )
 
-// TestLimitHoldsOverAllHosts sends far more than an account's limit through
-// three hosts and counts what was answered in the time that passed.
+// TestLimitHoldsOverAllHosts sends requests far above an account's limit through
+// three hosts and checks that no more are answered than the limit allows in the
+// elapsed time.
 func TestLimitHoldsOverAllHosts(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, 3)
@@ -32,7 +33,7 @@
 				answered++
 			case http.StatusTooManyRequests:
 				is.Equal(a.get("Quetzalweir-Run-State"), "not-run")
-				is.True(a.get("Retry-After") != "") // says when to come back
+				is.True(a.get("Retry-After") != "") // with the time until a retry
 			default:
 				t.Fatalf("status %d: %s", a.status, a.body)
 			}
--- a/internal/e2e/measure_test.go
+++ b/internal/e2e/measure_test.go
@@ -16,32 +16,33 @@
 	"github.com/quetzalweir/quetzalweir/internal/experiment/path"
 )
 
-// The flags of the measurements, which print figures and assert only that all
-// answers were whole: go test ./internal/e2e -run TestMeasure -measure -v
+// The flags of the measurements, which print figures and check only that all
+// answers are complete: go test ./internal/e2e -run TestMeasure -measure -v
 var (
 	measure     = flag.Bool("measure", false, "run the measurements")
 	measureRuns = flag.Int("measure-runs", 5, "runs of each measurement")
 	measureLog  = flag.String("measure-log", "info", "log level of the entry hosts")
-	// measureAgainst is another build of the binary, whose runs alternate with
-	// those of this one, so that both meet the same state of the machine.
-	measureAgainst = flag.String("measure-against", "", "another binary to measure beside")
-	// measureAgainstLog measures beside hosts that log from another level.
-	measureAgainstLog = flag.String("measure-against-log", "", "log level of the entry hosts to measure beside")
-	measurePeriod     = flag.Duration("measure-period", 0, "duration of each load; 0 means the default")
-	measureStreams    = flag.Int("measure-streams", 1000, "streams read at once; 0 measures none")
-	// measureProcs is GOMAXPROCS of the entry hosts; empty leaves it alone.
+	// measureAgainst is another build of the binary to compare with. Its runs
+	// alternate with those of this build, so that both have the same load on the
+	// machine.
+	measureAgainst = flag.String("measure-against", "", "another binary to compare with")
+	// measureAgainstLog is another log level to compare with.
+	measureAgainstLog = flag.String("measure-against-log", "", "log level of the entry hosts to compare with")
+	measurePeriod     = flag.Duration("measure-period", 0, "duration of each load level; 0 means the default")
+	measureStreams    = flag.Int("measure-streams", 1000, "number of concurrent streams; 0 skips the measurement")
+	// measureProcs is GOMAXPROCS of the entry hosts; empty leaves the default.
 	measureProcs = flag.String("measure-procs", "", "GOMAXPROCS of the entry hosts")
 )
 
-func needMeasure(t *testing.T) {
+func requireMeasureFlag(t *testing.T) {
 	t.Helper()
 	if !*measure {
 		t.Skip("needs -measure")
 	}
 }
 
-// startMeasured starts a platform, one engine and entry hosts that are joined
-// without the relays of the other tests, which would be measured too.
+// startMeasured starts a platform, one engine and entry hosts. They are connected
+// without the relays of the other tests, whose cost would be measured, too.
 func startMeasured(t *testing.T, hosts int) (s *system, measured []path.Host) {
 	t.Helper()
 	s = &system{t: t}
@@ -50,7 +51,7 @@
 		"--zone=zone-a", "--versions=large@v1,small@v1", "--capacity=4096"))
 	for i := range hosts {
 		h := s.addMeasured(i)
-		measured = append(measured, path.Host{Callers: h.callers, Operators: h.operators})
+		measured = append(measured, path.Host{Callers: h.callerAddr, Operators: h.operatorAddr})
 	}
 	s.submit(devenv.Manifest())
 	return s, measured
@@ -59,19 +60,19 @@
 func (s *system) addMeasured(i int) *entryHost {
 	s.t.Helper()
 	id := fmt.Sprintf("entry-%d", i+1)
-	h := &entryHost{id: id, callers: freeAddress(s.t, loopback), operators: freeAddress(s.t, loopback)}
+	h := &entryHost{id: id, callerAddr: freeAddress(s.t, loopback), operatorAddr: freeAddress(s.t, loopback)}
 	env := entryEnv
 	if *measureProcs != "" {
 		env = append([]string{"GOMAXPROCS=" + *measureProcs}, entryEnv...)
 	}
 	h.process = start(s.t, id, env, "serve", "--id="+id, "--zone="+zone(i), "--platform=http://"+s.platform,
-		"--callers="+h.callers, "--operators="+h.operators, "--peers="+freeAddress(s.t, loopback),
+		"--callers="+h.callerAddr, "--operators="+h.operatorAddr, "--peers="+freeAddress(s.t, loopback),
 		"--capacity=4096", "--log-level="+*measureLog)
 	s.hosts = append(s.hosts, h)
 	return h
 }
 
-// loadAverage is the machine's, as the kernel tells it.
+// loadAverage returns the machine's load averages as the kernel reports them.
 func loadAverage() string {
 	data, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -80,35 +81,35 @@
 	return strings.Join(strings.Fields(string(data))[:3], " ")
 }
 
-// build is a measured build of the binary.
-type build struct {
+// measuredBuild is a system that runs one build of the binary, and its results.
+type measuredBuild struct {
 	name    string
 	engine  string
 	hosts   []path.Host
 	summary path.Summary
 }
 
-// startBuilds starts a system for this build, and one for the other build or
-// log level if there is one.
-func startBuilds(t *testing.T) []*build {
+// startBuilds starts a system for this build, and a second one if another build
+// or log level to compare with is set.
+func startBuilds(t *testing.T) []*measuredBuild {
 	t.Helper()
-	builds := []*build{startBuild(t, binary, *measureLog)}
+	builds := []*measuredBuild{startBuild(t, binary, *measureLog)}
 	if *measureAgainst != "" || *measureAgainstLog != "" {
 		builds = append(builds, startBuild(t, cmp.Or(*measureAgainst, binary), cmp.Or(*measureAgainstLog, *measureLog)))
 	}
 	return builds
 }
 
-func startBuild(t *testing.T, file, logLevel string) *build {
+func startBuild(t *testing.T, file, logLevel string) *measuredBuild {
 	t.Helper()
 	defer func(b, l string) { binary, *measureLog = b, l }(binary, *measureLog)
 	binary, *measureLog = file, logLevel
 	s, hosts := startMeasured(t, 3)
-	return &build{name: file + " at " + logLevel, engine: s.engines[0].address, hosts: hosts}
+	return &measuredBuild{name: file + " at " + logLevel, engine: s.engines[0].address, hosts: hosts}
 }
 
 func TestMeasurePath(t *testing.T) {
-	needMeasure(t)
+	requireMeasureFlag(t)
 	builds := startBuilds(t)
 	for i := range *measureRuns {
 		for _, b := range builds {
@@ -126,7 +127,7 @@
 	}
 }
 
-func (b *build) options(seed uint64) path.Options {
+func (b *measuredBuild) options(seed uint64) path.Options {
 	return path.Options{
 		Entry:   b.hosts[0],
 		Others:  b.hosts[1:],
@@ -149,11 +150,11 @@
 	t.Logf("load average at the end %s\n%s", loadAverage(), out.String())
 }
 
-// idlePeriod is how long idle hosts are watched.
+// idlePeriod is how long idle hosts are measured.
 const idlePeriod = 10 * time.Second
 
 func TestMeasureIdle(t *testing.T) {
-	needMeasure(t)
+	requireMeasureFlag(t)
 	_, hosts := startMeasured(t, 7)
 	var summary path.Summary
 	t.Logf("load average %s", loadAverage())
@@ -184,7 +185,7 @@
 }
 
 func TestMeasureStart(t *testing.T) {
-	needMeasure(t)
+	requireMeasureFlag(t)
 	s, _ := startMeasured(t, 2)
 	var summary path.Summary
 	for i := range *measureRuns {
@@ -195,8 +196,8 @@
 		command := time.Since(began)
 		began = time.Now()
 		h := s.addMeasured(2 + i)
-		ctx, cancel := context.WithTimeout(context.Background(), stepTimeout)
-		err := devenv.WaitReady(ctx, h.operators)
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
+		err := devenv.WaitReady(ctx, h.operatorAddr)
 		cancel()
 		if err != nil {
 			t.Fatal(err)
--- a/internal/e2e/memory_test.go
+++ b/internal/e2e/memory_test.go
@@ -15,36 +15,39 @@
 )
 
 const (
-	// heapLooks is the number of readings of which the least counts, since what
-	// waits for the collector is in each.
-	heapLooks = 40
-	// heapGrowth is what a host may keep of 3,000 requests, in bytes: caches and
-	// counters. A tenth of their answers and records alone would be more.
-	heapGrowth = 6 << 20
+	// heapReadings is the number of heap readings of which the lowest is used,
+	// since each includes garbage that isn't collected yet.
+	heapReadings = 40
+	// maxHeapGrowth is the number of bytes that a host may retain after 3,000
+	// requests, for caches and counters. A tenth of their answers and records
+	// would exceed it.
+	maxHeapGrowth = 6 << 20
 )
 
-// TestMemoryReturnsToItsStart sends ten times as many requests as a host has
-// seen to warm up, and compares the least heap after both.
+// TestMemoryReturnsToItsStart checks that a host does not retain memory per
+// request. It compares the lowest heap after some warm-up requests with that
+// after ten times as many.
 func TestMemoryReturnsToItsStart(t *testing.T) {
 	is := is.New(t)
 	t.Setenv("GOGC", "20")
 	s := startSystem(t, 2)
 	s.submit(devenv.Manifest())
-	s.many(300)
+	s.sendLongChats(300)
 	before := s.leastHeap()
-	s.many(3000)
+	s.sendLongChats(3000)
 	after := s.leastHeap()
-	t.Logf("least heap: %d bytes, and %d after 3,000 requests more", before, after)
-	is.True(after < before+heapGrowth)
+	t.Logf("lowest heap: %d bytes, %d after 3,000 further requests", before, after)
+	is.True(after < before+maxHeapGrowth)
 }
 
-// many sends chats with long prompts, sessions and request keys to a host.
-func (s *system) many(n int) {
+// sendLongChats sends n chats with long prompts to the first host, each in a new
+// session.
+func (s *system) sendLongChats(n int) {
 	s.t.Helper()
 	var wait sync.WaitGroup
-	for c := range callers {
+	for c := range loadCallers {
 		wait.Go(func() {
-			for i := range n / callers {
+			for i := range n / loadCallers {
 				prompt := fmt.Sprintf("%d %d %s tokens=20", c, i, strings.Repeat("stock sheet ", 300))
 				a, err := chat("small", prompt, i%2 == 0).with("Quetzalweir-Session", "new").send(s.hosts[0])
 				if err != nil || a.status != 200 {
@@ -60,7 +63,7 @@
 func (s *system) leastHeap() int {
 	s.t.Helper()
 	least := 0
-	for range heapLooks {
+	for range heapReadings {
 		if n := s.heap(); least == 0 || n < least {
 			least = n
 		}
@@ -69,10 +72,10 @@
 	return least
 }
 
-// heap reads the heap in use of the first host.
+// heap returns the heap in use of the first host, in bytes.
 func (s *system) heap() int {
 	s.t.Helper()
-	resp, err := client.Get("http://" + s.hosts[0].operators + "/metrics")
+	resp, err := client.Get("http://" + s.hosts[0].operatorAddr + "/metrics")
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -87,6 +90,6 @@
 			return int(n)
 		}
 	}
-	s.t.Fatal("no heap among the metrics")
+	s.t.Fatal("go_memstats_heap_alloc_bytes is not among the metrics")
 	return 0
 }
--- a/internal/e2e/namedlimit_test.go
+++ b/internal/e2e/namedlimit_test.go
@@ -12,38 +12,41 @@
 )
 
 const (
-	// limitWindow is the time in which what an upstream is sent is counted.
+	// limitWindow is the length of the windows in which requests to an upstream are counted.
 	limitWindow = 4 * time.Second
-	// toldGrace is how long a host that passed on a limit has to heed it, limitDue the time
-	// from the first naming to the first window that counts.
-	toldGrace = 500 * time.Millisecond
-	limitDue  = 3 * time.Second
+	// limitGrace is the time from a host's first answer with a limit until the host must
+	// keep it, limitDueTime the time from the upstream's first limit to the end of the first
+	// window that is checked.
+	limitGrace   = 500 * time.Millisecond
+	limitDueTime = 3 * time.Second
 )
 
-// limitPermits is how many requests may reach an upstream with the limit in any window.
-func limitPermits(limit float64) int { return int(1.5*limitWindow.Seconds()*limit) + 5 }
+// maxRunsInWindow returns the number of requests that may reach an upstream with the limit in
+// any window.
+func maxRunsInWindow(limit float64) int { return int(1.5*limitWindow.Seconds()*limit) + 5 }
 
-// toldAt is when each host passed on the first answer that names a limit.
-func toldAt(answers []fleetAnswer) map[string]time.Time {
-	told := make(map[string]time.Time)
+// limitFirstReceived returns, by host, when its first answer with a limit reached the caller.
+func limitFirstReceived(answers []gatewayAnswer) map[string]time.Time {
+	firstReceived := make(map[string]time.Time)
 	for _, a := range answers {
-		if first, ok := told[a.host]; a.limit != "" && (!ok || a.head.Before(first)) {
-			told[a.host] = a.head
+		if first, ok := firstReceived[a.host]; a.limit != "" && (!ok || a.headAt.Before(first)) {
+			firstReceived[a.host] = a.headAt
 		}
 	}
-	return told
+	return firstReceived
 }
 
-// sentByTold are the times of the runs that hosts sent which had been told for a while.
-func sentByTold(runs []platformtest.Run, answers []fleetAnswer) []time.Time {
-	told := toldAt(answers)
+// runsFromInformedHosts returns the start times, in order, of the runs that were sent by hosts
+// which had received a limit more than limitGrace before.
+func runsFromInformedHosts(runs []platformtest.Run, answers []gatewayAnswer) []time.Time {
+	firstReceived := limitFirstReceived(answers)
 	hosts := make(map[string]string, len(answers))
 	for _, a := range answers {
 		hosts[a.id] = a.host
 	}
 	var at []time.Time
 	for _, r := range runs {
-		if first, ok := told[hosts[r.ID]]; ok && r.At.After(first.Add(toldGrace)) {
+		if first, ok := firstReceived[hosts[r.ID]]; ok && r.At.After(first.Add(limitGrace)) {
 			at = append(at, r.At)
 		}
 	}
@@ -51,28 +54,28 @@
 	return at
 }
 
-// mostInWindow is the greatest number in a window that ends later than a time.
-func mostInWindow(at []time.Time, after time.Time) int {
-	most, from := 0, 0
+// maxInWindow returns the greatest number of times in any window that ends after a time.
+func maxInWindow(at []time.Time, after time.Time) int {
+	greatest, from := 0, 0
 	for i := range at {
 		for at[i].Sub(at[from]) >= limitWindow {
 			from++
 		}
 		if at[from].Add(limitWindow).After(after) {
-			most = max(most, i-from+1)
+			greatest = max(greatest, i-from+1)
 		}
 	}
-	return most
+	return greatest
 }
 
-// An upstream in need names the rate that it takes from all hosts together. No host knows
-// what the others send.
+// An upstream that is overloaded sends a limit for the requests of all hosts together. The
+// hosts must keep it although none of them receives the request rates of the others.
 func TestLimitOfAnUpstreamIsSharedByAllHosts(t *testing.T) {
 	is := is.New(t)
 	const limit = 1.9
-	s := newFleetSystem(t, 9, 1)
-	time.Sleep(3 * time.Second) // hubs answer, and what they granted before is known
-	stop := s.callers(27)
+	s := newGatewaySystem(t, 9, 1)
+	time.Sleep(3 * time.Second) // until hubs answer and earlier grants are known
+	stop := s.startCallers(27)
 	time.Sleep(time.Second)
 	limited := s.upstreams[1]
 	limited.SetLimit("1.9")
@@ -84,19 +87,19 @@
 	answers := stop()
 	runs := limited.StartedRuns()
 	during := slices.DeleteFunc(slices.Clone(runs), func(r platformtest.Run) bool { return r.At.Before(named) || r.At.After(until) })
-	at := sentByTold(during, answers)
+	at := runsFromInformedHosts(during, answers)
 	later := slices.DeleteFunc(slices.Clone(runs), func(r platformtest.Run) bool { return r.At.Before(until.Add(8 * time.Second)) })
-	most := mostInWindow(at, named.Add(limitDue))
-	t.Logf("%d runs in 12 s, %d by hosts that were told; %d in a window at most, %d permitted; %d in two seconds without the limit; %d of %d requests served",
-		len(during), len(at), most, limitPermits(limit), len(later), served(answers), len(answers))
+	greatest := maxInWindow(at, named.Add(limitDueTime))
+	t.Logf("%d runs in 12 s, %d by hosts that had the limit; %d in a window at most, %d permitted; %d in two seconds without the limit; %d of %d requests served",
+		len(during), len(at), greatest, maxRunsInWindow(limit), len(later), countServed(answers), len(answers))
 	for _, h := range s.gateways {
 		line := regexp.MustCompile(`event=upstream-limited .*`).FindString(h.output())
-		is.True(line != "") // a log tells who knew of the limit
+		is.True(line != "") // each host logs that it received the limit
 		t.Logf("%s: %s", h.name, line)
 	}
-	is.True(most <= limitPermits(limit))
-	is.True(float64(len(at)) >= limit*12/2)     // it isn't left idle
-	is.True(len(later) > 2*limitPermits(limit)) // nor held back later
-	is.Equal(served(answers), len(answers))     // others took the rest
+	is.True(greatest <= maxRunsInWindow(limit))
+	is.True(float64(len(at)) >= limit*12/2)        // the upstream is still used
+	is.True(len(later) > 2*maxRunsInWindow(limit)) // and is not limited afterwards
+	is.Equal(countServed(answers), len(answers))   // other upstreams served the rest
 	is.Equal(s.problems(), nil)
 }
--- a/internal/e2e/orders_test.go
+++ b/internal/e2e/orders_test.go
@@ -9,9 +9,9 @@
 	"github.com/quetzalweir/quetzalweir/upstream"
 )
 
-// TestWithdrawnVersionIsUnloaded withdraws a version and kills the host that
-// gives the orders: engines that check fencing numbers and engines that don't
-// drop the version all the same.
+// TestWithdrawnVersionIsUnloaded withdraws a version and kills the host that has
+// the lease for sending orders to engines. All engines must still unload the
+// version, whether or not they check fencing numbers.
 func TestWithdrawnVersionIsUnloaded(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, 3)
@@ -21,22 +21,22 @@
 	first := devenv.Manifest()
 	s.submit(first)
 	s.submitTo(s.hosts[0], edit(t, first, withdrawV1))
-	var orderer *entryHost
-	eventually(t, "a host gives orders", func() bool {
+	var leaseHolder *entryHost
+	eventually(t, "a host has the orders lease", func() bool {
 		for _, h := range s.hosts {
 			if findField(h.output(), "event=orders-lease", "fencing=") != "" {
-				orderer = h
+				leaseHolder = h
 			}
 		}
-		return orderer != nil
+		return leaseHolder != nil
 	})
-	orderer.kill()
-	eventually(t, "no engine has the version", func() bool { return s.loadedOn("small@v1") == 0 })
-	is.Equal(s.loadedOn("small@v2"), len(s.engines)) // and only that one is gone
+	leaseHolder.kill()
+	eventually(t, "no engine has the version", func() bool { return s.enginesWithVersion("small@v1") == 0 })
+	is.Equal(s.enginesWithVersion("small@v2"), len(s.engines)) // only the withdrawn version is unloaded
 }
 
-// loadedOn counts the engines that have a version loaded.
-func (s *system) loadedOn(versioned string) int {
+// enginesWithVersion counts the engines that have a version loaded.
+func (s *system) enginesWithVersion(versioned string) int {
 	s.t.Helper()
 	n := 0
 	for _, e := range s.engines {
--- a/internal/e2e/path_test.go
+++ b/internal/e2e/path_test.go
@@ -17,7 +17,7 @@
 	"github.com/quetzalweir/quetzalweir/internal/standin/service"
 )
 
-// TestWholePath sends streamed and unstreamed requests to three hosts at once
+// TestWholePath sends streamed and unstreamed requests to three hosts concurrently
 // and checks each answer, its version, its bill and the trace.
 func TestWholePath(t *testing.T) {
 	s := startSystem(t, 3)
@@ -55,38 +55,39 @@
 	return "small"
 }
 
-// checkChat checks a whole answer against what the engines give.
+// checkChat checks that an answer is complete and what the engines send for the
+// prompt.
 func checkChat(t *testing.T, a answer, model, prompt string) {
 	t.Helper()
 	version := a.get("Quetzalweir-Version")
 	want := engine.ExpectedAnswer(model, version, prompt)
-	if a.status != http.StatusOK || text(t, a.body) != want {
-		t.Errorf("%s: status %d, answer %q, want %q", prompt, a.status, text(t, a.body), want)
+	if a.status != http.StatusOK || contentOfAnswer(t, a.body) != want {
+		t.Errorf("%s: status %d, answer %q, want %q", prompt, a.status, contentOfAnswer(t, a.body), want)
 	}
 	if a.get("Quetzalweir-Model") != model || a.get("Quetzalweir-Run-State") != "ran" || a.get("Quetzalweir-Result-Code") != "0" {
 		t.Errorf("%s: header %v trailer %v", prompt, a.header, a.trailer)
 	}
 }
 
-// text is the content of an answer, streamed or not.
-func text(t *testing.T, body string) string {
+// contentOfAnswer returns the generated text of an answer, streamed or not.
+func contentOfAnswer(t *testing.T, body string) string {
 	t.Helper()
 	if !strings.HasPrefix(body, "data: ") {
-		return content(t, body)
+		return contentOfChunk(t, body)
 	}
 	if !strings.HasSuffix(body, "data: [DONE]\n\n") {
-		t.Errorf("a streamed answer without its end mark: %q", body)
+		t.Errorf("streamed answer without [DONE]: %q", body)
 	}
 	var b strings.Builder
 	for _, event := range strings.Split(strings.TrimSuffix(body, "data: [DONE]\n\n"), "\n\n") {
 		if event != "" {
-			b.WriteString(content(t, strings.TrimPrefix(event, "data: ")))
+			b.WriteString(contentOfChunk(t, strings.TrimPrefix(event, "data: ")))
 		}
 	}
 	return b.String()
 }
 
-func content(t *testing.T, body string) string {
+func contentOfChunk(t *testing.T, body string) string {
 	t.Helper()
 	var c struct {
 		Choices []struct {
@@ -103,8 +104,8 @@
 	return c.Choices[0].Message.Content + c.Choices[0].Delta.Content
 }
 
-// checkBid repeats a bid on other hosts: each gets the first answer, and the
-// service ran it once.
+// checkBid repeats a bid on other hosts. Each must return the first answer, and the
+// service must have run the bid once.
 func checkBid(t *testing.T, s *system) {
 	t.Helper()
 	is := is.New(t)
@@ -124,7 +125,7 @@
 	is.Equal(a.get("Quetzalweir-Run-State"), "not-run")
 }
 
-// serviceRuns returns how often each request key ran on the services.
+// serviceRuns returns the number of runs on all services by request key.
 func (s *system) serviceRuns() map[string]int {
 	s.t.Helper()
 	runs := map[string]int{}
@@ -150,13 +151,14 @@
 	}
 }
 
-// checkTrace follows the manifest to its bills and each request back.
+// checkTrace checks that the trace of the manifest's epoch has the bills of all
+// answers, and that the trace of a request leads back to the manifest.
 func checkTrace(t *testing.T, s *system, head config.Head, served map[string]answer) {
 	t.Helper()
 	h := s.hosts[1]
 	var trace entry.EpochTrace
 	eventually(t, "all bills are in the ledger", func() bool {
-		err := s.get(h, fmt.Sprintf("/v1/trace/epochs/%d", head.Epoch), &trace)
+		err := s.operatorGet(h, fmt.Sprintf("/v1/trace/epochs/%d", head.Epoch), &trace)
 		return err == nil && len(trace.Bills) >= len(served)+1
 	})
 	if len(trace.Bills) != len(served)+1 {
@@ -168,12 +170,12 @@
 			continue
 		}
 		if !ok || bill.Version != a.get("Quetzalweir-Version") || bill.CostMicro <= 0 || bill.Code != 0 {
-			t.Errorf("bill %+v doesn't fit its answer", bill)
+			t.Errorf("bill %+v does not match its answer", bill)
 		}
 	}
 	for id := range served {
 		var request entry.RequestTrace
-		if err := s.get(h, "/v1/trace/requests/"+id, &request); err != nil {
+		if err := s.operatorGet(h, "/v1/trace/requests/"+id, &request); err != nil {
 			t.Fatal(err)
 		}
 		if request.Head.Digest != head.Digest || request.Bill.RequestID != id {
--- a/internal/e2e/quarantine_test.go
+++ b/internal/e2e/quarantine_test.go
@@ -15,94 +15,95 @@
 )
 
 const (
-	// fatalBody is the body of the request that ends upstreams.
-	fatalBody = "the request that ends upstreams"
-	// toldWithin is the time after the third end within which every host has to know
-	// the request, and permittedLater how often it may still be sent after that.
-	toldWithin     = 3 * time.Second
-	permittedLater = 3
-	// quarantined is the text of an answer to a request that is kept away from upstreams.
-	quarantined = "request-quarantined"
+	// poisonBody is the body of the poison request: an upstream that runs it crashes.
+	poisonBody = "the request that ends upstreams"
+	// verdictBound is the time from the third crash until every host must have the verdict,
+	// maxLateSends how often the request may still be sent after that.
+	verdictBound = 3 * time.Second
+	maxLateSends = 3
+	// quarantinedCode is in the answer to a request that is in quarantine.
+	quarantinedCode = "request-quarantined"
 )
 
-// fragilePool are upstreams that one request ends, and that come back under other ids.
-type fragilePool struct {
-	*fleetSystem
+// crashingPool is a pool of upstreams that crash when they run the poison request. Each is
+// replaced after a delay by one with another id.
+type crashingPool struct {
+	*gatewaySystem
 	mu   sync.Mutex
 	pool []*platformtest.Upstream
-	// ends is when upstreams ended.
-	ends []time.Time
-	over bool
+	// crashes is when upstreams crashed.
+	crashes []time.Time
+	stopped bool
 }
 
-func newFragilePool(s *fleetSystem, size int, back time.Duration) *fragilePool {
-	p := &fragilePool{fleetSystem: s}
+func newCrashingPool(s *gatewaySystem, size int, restartDelay time.Duration) *crashingPool {
+	p := &crashingPool{gatewaySystem: s}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := range size {
-		p.add(zone(i), back)
+		p.add(zone(i), restartDelay)
 	}
 	return p
 }
 
-// add starts an upstream. The lock is held.
-func (p *fragilePool) add(zone string, back time.Duration) {
-	p.made++
+// add starts an upstream. The caller holds the lock.
+func (p *crashingPool) add(zone string, restartDelay time.Duration) {
+	p.upstreamsAdded++
 	u := &platformtest.Upstream{
-		ID: fmt.Sprintf("u-%d", p.made), Service: "pool", Version: "v1", Zone: zone,
+		ID: fmt.Sprintf("u-%d", p.upstreamsAdded), Service: "pool", Version: "v1", Zone: zone,
 		Events: streamEvents, Pause: 30 * time.Millisecond, LowConfidenceModel: "weak", Confidence: 20,
 	}
-	u.SetCrashRequest(fatalBody, 40*time.Millisecond, func() {
+	u.SetCrashRequest(poisonBody, 40*time.Millisecond, func() {
 		p.mu.Lock()
-		p.ends = append(p.ends, time.Now())
+		p.crashes = append(p.crashes, time.Now())
 		p.mu.Unlock()
-		time.AfterFunc(back, func() {
+		time.AfterFunc(restartDelay, func() {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			if !p.over {
+			if !p.stopped {
 				p.store.Remove("servers", u.ID)
-				p.add(zone, back)
+				p.add(zone, restartDelay)
 			}
 		})
 	})
 	if err := u.Start(loopback); err != nil {
-		panic(err) // not in the test's goroutine
+		panic(err) // add may run outside the test's goroutine, where t.Fatal isn't allowed
 	}
 	p.store.Put("servers", u.ID, u.Entry("available"))
 	p.pool = append(p.pool, u)
 }
 
-func (p *fragilePool) stop() {
+func (p *crashingPool) stop() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.over = true
+	p.stopped = true
 	for _, u := range p.pool {
 		u.Kill()
 	}
 }
 
-// sends is when the request that ends upstreams came to any, in order; thirdEnd when the
-// third upstream ended.
-func (p *fragilePool) sends() (sends []time.Time, ends []time.Time) {
+// sendsAndCrashes returns when the poison request arrived at upstreams and when upstreams
+// crashed, both in order.
+func (p *crashingPool) sendsAndCrashes() (sends []time.Time, crashes []time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, u := range p.pool {
 		sends = append(sends, u.CrashRequestTimes()...)
 	}
 	slices.SortFunc(sends, time.Time.Compare)
-	return sends, slices.Clone(p.ends)
+	return sends, slices.Clone(p.crashes)
 }
 
-// replacePool puts a fragile pool in the place of the usual one.
-func (s *fleetSystem) replacePool() *fragilePool {
+// replacePool replaces the upstreams of the pool by a crashingPool.
+func (s *gatewaySystem) replacePool() *crashingPool {
 	s.t.Helper()
 	for _, u := range s.upstreams {
 		if u.Service == "pool" {
 			s.store.Remove("servers", u.ID)
-			u.Kill() // it would go on for a moment, and answer the request that ends the others
+			u.Kill() // else it would serve for a moment longer and answer the poison request
 		}
 	}
-	p := newFragilePool(s, 12, 1500*time.Millisecond)
+	p := newCrashingPool(s, 12, 1500*time.Millisecond)
 	s.t.Cleanup(p.stop)
 	for _, h := range s.gateways {
 		eventually(s.t, h.name+" serves", func() bool { return s.send(h, "stream", "key-a").status == 200 })
@@ -110,26 +111,27 @@
 	return p
 }
 
-// late is how often the request that ends upstreams was sent later than permitted, and how
-// many upstreams ended.
-func (p *fragilePool) late() (late, ended int) {
-	sends, ends := p.sends()
-	if len(ends) < 3 {
-		return 0, len(ends)
+// countLateSends returns how often the poison request was sent more than verdictBound after
+// the third crash, and how many upstreams crashed.
+func (p *crashingPool) countLateSends() (late, crashed int) {
+	sends, crashes := p.sendsAndCrashes()
+	if len(crashes) < 3 {
+		return 0, len(crashes)
 	}
 	for _, at := range sends {
-		if at.After(ends[2].Add(toldWithin)) {
+		if at.After(crashes[2].Add(verdictBound)) {
 			late++
 		}
 	}
-	return late, len(ends)
+	return late, len(crashes)
 }
 
-// spoil sends the request that ends upstreams to one host after the other.
-func (p *fragilePool) spoil(times int, gap time.Duration) (refused int) {
+// sendPoison sends the poison request to one host after the other and returns how often it
+// was refused as quarantined.
+func (p *crashingPool) sendPoison(times int, gap time.Duration) (refused int) {
 	for i := range times {
-		a := p.sendBody(p.gateways[i%len(p.gateways)], "stream", "key-a", fatalBody)
-		if strings.Contains(a.body, quarantined) {
+		a := p.sendBody(p.gateways[i%len(p.gateways)], "stream", "key-a", poisonBody)
+		if strings.Contains(a.body, quarantinedCode) {
 			refused++
 		}
 		time.Sleep(gap)
@@ -137,25 +139,25 @@
 	return refused
 }
 
-// One caller's request ended every engine that began to run it, and came again under
-// other ids at all hosts; each host took it for a new request and sent it on to up to three
-// engines. Of 25 engines that ended 24 had been sent one with the same account, route and
-// size up to 0.1 s before:
+// Guards against a poison request: one caller's request crashed every engine that began to run
+// it. The caller repeated it with other ids at all hosts, and each host treated it as a new
+// request and sent it to up to three engines. Of 25 engines that crashed, 24 had received a
+// request with the same account, route and size up to 0.1 s before:
 //
 //	event=attempt request=03445637c6fcb335 attempt=1 upstream=i-f8177002db outcome=abandoned first_ms=81 error="gateway: confidence below the threshold"
 //	event=attempt request=03445637c6fcb335 attempt=2 upstream=i-523d2664da outcome=broken first_ms=263 took_ms=298 error="unexpected EOF"
 //	event=attempt request=03445637c6fcb335 attempt=3 upstream=i-d3f8111bc2 outcome=broken first_ms=274 took_ms=348 error="unexpected EOF"
 //
-// The first engine ended 91 ms after the host itself had dropped its answer. The requests
-// that ran beside it were broken off, one of them three times, and none of them is to blame.
-func TestRequestThatEndsUpstreamsIsKeptAway(t *testing.T) {
+// The first engine crashed 91 ms after the host had abandoned its answer. Other requests on
+// the same engines were broken off, one of them three times; they must not be quarantined.
+func TestPoisonRequestIsQuarantined(t *testing.T) {
 	is := is.New(t)
-	s := newFleetSystem(t, 7, 3)
+	s := newGatewaySystem(t, 7, 3)
 	p := s.replacePool()
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
 	var mu sync.Mutex
-	var sound []fleetAnswer
+	var others []gatewayAnswer
 	for i := range 3 * len(s.gateways) {
 		callers.Go(func() {
 			for {
@@ -166,66 +168,66 @@
 				}
 				a := s.send(s.gateways[i%len(s.gateways)], []string{"stream", "many", "stream"}[i/len(s.gateways)], "key-a")
 				mu.Lock()
-				sound = append(sound, a)
+				others = append(others, a)
 				mu.Unlock()
 			}
 		})
 	}
 	for i := range 40 {
-		callers.Go(func() { s.sendBody(s.gateways[i%len(s.gateways)], "stream", "key-a", fatalBody) })
+		callers.Go(func() { s.sendBody(s.gateways[i%len(s.gateways)], "stream", "key-a", poisonBody) })
 		time.Sleep(200 * time.Millisecond)
 	}
 	close(stop)
 	callers.Wait()
 
-	late, ended := p.late()
-	is.True(ended >= 3)
+	late, crashed := p.countLateSends()
+	is.True(crashed >= 3)
 	refused, served := 0, 0
-	for _, a := range sound {
-		if strings.Contains(a.body, quarantined) {
+	for _, a := range others {
+		if strings.Contains(a.body, quarantinedCode) {
 			refused++
 		}
 		if a.status == 200 && a.err == nil {
 			served++
 		}
 	}
-	sends, _ := p.sends()
-	t.Logf("%d upstreams ended, the request was sent %d times, %d of them late; %d of %d sound requests were served",
-		ended, len(sends), late, served, len(sound))
-	is.True(late <= permittedLater)
+	sends, _ := p.sendsAndCrashes()
+	t.Logf("%d upstreams crashed, the poison request was sent %d times, %d of them late; %d of %d other requests were served",
+		crashed, len(sends), late, served, len(others))
+	is.True(late <= maxLateSends)
 	is.Equal(refused, 0)
 }
 
-// Hosts that can't reach each other, but the store, keep the request away as well: a verdict
-// of one reaches the others through the store.
+// Hosts that can reach the store but not each other must also quarantine the request: a
+// verdict reaches the other hosts through the store.
 func TestVerdictReachesHostsThatAreCutFromEachOther(t *testing.T) {
 	is := is.New(t)
-	s := newFleetSystem(t, 3, 3)
+	s := newGatewaySystem(t, 3, 3)
 	p := s.replacePool()
-	for _, way := range s.toHubs {
-		way.inner.Silence(tcprelay.ToTarget)
-		way.inner.Silence(tcprelay.FromTarget)
+	for _, link := range s.toHubs {
+		link.inner.Silence(tcprelay.ToTarget)
+		link.inner.Silence(tcprelay.FromTarget)
 	}
 	time.Sleep(2 * time.Second)
-	p.spoil(40, 150*time.Millisecond)
-	late, ended := p.late()
-	t.Logf("%d upstreams ended, %d sends were late", ended, late)
-	is.True(ended >= 3)
-	is.True(late <= permittedLater)
+	p.sendPoison(40, 150*time.Millisecond)
+	late, crashed := p.countLateSends()
+	t.Logf("%d upstreams crashed, %d sends were late", crashed, late)
+	is.True(crashed >= 3)
+	is.True(late <= maxLateSends)
 	for _, h := range s.gateways {
-		is.True(strings.Contains(s.sendBody(h, "stream", "key-a", fatalBody).body, quarantined))
+		is.True(strings.Contains(s.sendBody(h, "stream", "key-a", poisonBody).body, quarantinedCode))
 	}
 }
 
-// A verdict outlives all hosts: they read it from the store when they start.
+// A verdict must persist when all hosts restart: they read it from the store.
 func TestVerdictOutlivesAllHosts(t *testing.T) {
 	is := is.New(t)
-	s := newFleetSystem(t, 3, 3)
+	s := newGatewaySystem(t, 3, 3)
 	p := s.replacePool()
-	p.spoil(20, 100*time.Millisecond)
-	eventually(t, "the request is kept away", func() bool { return p.spoil(3, 0) == 3 })
+	p.sendPoison(20, 100*time.Millisecond)
+	eventually(t, "the request is quarantined", func() bool { return p.sendPoison(3, 0) == 3 })
 	eventually(t, "the store has the verdict", func() bool { return len(s.store.Keys("status", "quarantine/")) == 1 })
-	sends, _ := p.sends()
+	sends, _ := p.sendsAndCrashes()
 	for _, h := range s.gateways {
 		h.kill()
 	}
@@ -233,18 +235,18 @@
 		s.startGateway(h)
 	}
 	for _, h := range s.gateways {
-		// The balancer sends callers to hosts that are ready, which know the store's verdicts.
+		// The balancer sends callers only to hosts that are ready and have read the verdicts.
 		eventually(t, h.name+" is ready", func() bool { return s.isReady(h) })
-		eventually(t, h.name+" keeps it away", func() bool {
-			return strings.Contains(s.sendBody(h, "stream", "key-a", fatalBody).body, quarantined)
+		eventually(t, h.name+" refuses the request", func() bool {
+			return strings.Contains(s.sendBody(h, "stream", "key-a", poisonBody).body, quarantinedCode)
 		})
 	}
-	after, _ := p.sends()
+	after, _ := p.sendsAndCrashes()
 	is.Equal(len(after), len(sends))
 
-	// Operators lift it by the removal of its row.
+	// Operators lift the quarantine by removing its row.
 	for _, key := range s.store.Keys("status", "quarantine/") {
 		s.store.Remove("status", key)
 	}
-	eventually(t, "it is lifted", func() bool { return p.spoil(3, 0) == 0 })
+	eventually(t, "it is lifted", func() bool { return p.sendPoison(3, 0) == 0 })
 }
--- a/internal/e2e/race_on_test.go
+++ b/internal/e2e/race_on_test.go
@@ -2,5 +2,5 @@
 
 package e2e
 
-// buildFlags builds the processes with the race detector, as the test is.
+// buildFlags enables the race detector in the binary if the test has it.
 var buildFlags = []string{"-race"}
--- a/internal/e2e/refusal_test.go
+++ b/internal/e2e/refusal_test.go
@@ -18,19 +18,22 @@
 	"github.com/quetzalweir/quetzalweir/resultcode"
 )
 
-// arrived is what the upstreams got of one request: heads read, and runs.
-type arrived struct {
+// arrivalCounts has the number of heads that upstreams read for one request, and of
+// its runs.
+type arrivalCounts struct {
 	heads, runs int
 }
 
-// arrivedOf sums over all upstreams and attempts.
-func (s *system) arrivedOf(requestID string) arrived {
+// arrivalsOfRequest returns the counts of a request, summed over all upstreams and
+// attempts.
+func (s *system) arrivalsOfRequest(requestID string) arrivalCounts {
 	s.t.Helper()
 	e, svc := s.engineArrivals()[requestID], s.serviceArrivals()[requestID]
-	return arrived{heads: e.Heads + svc.Heads, runs: e.Began + svc.Runs}
+	return arrivalCounts{heads: e.Heads + svc.Heads, runs: e.Began + svc.Runs}
 }
 
-// outcome is a caller's answer in the terms of the promises.
+// outcome is the answer or error that a caller got, with the parsed values of its
+// header.
 type outcome struct {
 	answer
 	err      error
@@ -40,14 +43,14 @@
 	id       string
 }
 
-// farDeadline is a deadline that no refusal of the test may wait for, and
-// atOnce is far below it.
+// longDeadline is a deadline that no refusal may wait for. A refusal must come
+// within refusalBound, which is far below it.
 const (
-	farDeadline = 25 * time.Second
-	atOnce      = 10 * time.Second
+	longDeadline = 25 * time.Second
+	refusalBound = 10 * time.Second
 )
 
-func (c call) patient(d time.Duration) call {
+func (c call) withDeadline(d time.Duration) call {
 	return c.with("Quetzalweir-Deadline-Ms", strconv.FormatInt(d.Milliseconds(), 10))
 }
 
@@ -62,27 +65,28 @@
 	return o
 }
 
-// checkRefusal compares what a caller was told with what the upstreams got.
-// claimed says that the request may run only once.
-func checkRefusal(o outcome, got arrived, claimed bool) []string {
+// checkRefusal compares the refusal that a caller got with the arrivals at upstreams
+// and returns a description of each contradiction. claimed is true if the request
+// may run only once.
+func checkRefusal(o outcome, got arrivalCounts, claimed bool) []string {
 	var found []string
 	report := func(format string, args ...any) {
 		found = append(found, fmt.Sprintf("%d %s: ", int(o.code), o.runState)+fmt.Sprintf(format, args...))
 	}
-	if o.took >= atOnce {
-		report("told after %v, with a deadline of %v", o.took, farDeadline)
+	if o.took >= refusalBound {
+		report("refused after %v, with a deadline of %v", o.took, longDeadline)
 	}
 	spec := resultcode.Lookup(o.code)
 	if o.code == resultcode.OK || o.status != spec.Status {
 		report("status %d: %s", o.status, o.body)
 	}
-	if comeBack := o.get("Retry-After") != ""; comeBack != helpsToComeBack(o, claimed) {
-		report("told to come back: %t", comeBack)
+	if hasRetryAfter := o.get("Retry-After") != ""; hasRetryAfter != shouldHaveRetryAfter(o, claimed) {
+		report("has a Retry-After header: %t", hasRetryAfter)
 	}
 	switch o.runState {
 	case "not-run":
 		if got.heads > 0 {
-			report("the request arrived: %+v", got)
+			report("the request arrived at an upstream: %+v", got)
 		}
 	case "may-have-run":
 	case "ran":
@@ -95,8 +99,9 @@
 	return found
 }
 
-// helpsToComeBack says whether a refused request can be served later.
-func helpsToComeBack(o outcome, claimed bool) bool {
+// shouldHaveRetryAfter reports whether the refusal must have a Retry-After header,
+// because the request can be served if it is repeated later.
+func shouldHaveRetryAfter(o outcome, claimed bool) bool {
 	switch o.code {
 	case resultcode.OutcomeUnknown, resultcode.AnswerIncomplete, resultcode.AnswerMismatch:
 		return !claimed
@@ -108,7 +113,8 @@
 	}
 }
 
-// The checker finds what it is for.
+// TestCheckRefusalRejects checks that checkRefusal reports each kind of
+// contradiction.
 func TestCheckRefusalRejects(t *testing.T) {
 	good := func(code resultcode.Code, runState, retryAfter string) outcome {
 		o := outcome{code: code, runState: runState}
@@ -117,22 +123,22 @@
 		return o
 	}
 	slow := good(resultcode.QueueFull, "not-run", "1")
-	slow.took = atOnce
+	slow.took = refusalBound
 	status := good(resultcode.QueueFull, "not-run", "1")
 	status.status = http.StatusOK
 	tests := []struct {
 		desc    string
 		o       outcome
-		got     arrived
+		got     arrivalCounts
 		claimed bool
 		want    int
 	}{
 		{desc: "good refusal", o: good(resultcode.QueueFull, "not-run", "1")},
-		{desc: "good refusal of what broke off", o: good(resultcode.AnswerIncomplete, "ran", ""), got: arrived{1, 1}, claimed: true},
-		{desc: "it arrived", o: good(resultcode.QueueFull, "not-run", "1"), got: arrived{heads: 1}, want: 1},
-		{desc: "no time to come back", o: good(resultcode.QueueFull, "not-run", ""), want: 1},
-		{desc: "never run again", o: good(resultcode.UpstreamRefused, "may-have-run", "1"), got: arrived{heads: 1}, claimed: true, want: 1},
-		{desc: "may be repeated", o: good(resultcode.OutcomeUnknown, "may-have-run", ""), got: arrived{heads: 1}, want: 1},
+		{desc: "good refusal of what broke off", o: good(resultcode.AnswerIncomplete, "ran", ""), got: arrivalCounts{1, 1}, claimed: true},
+		{desc: "it arrived", o: good(resultcode.QueueFull, "not-run", "1"), got: arrivalCounts{heads: 1}, want: 1},
+		{desc: "no Retry-After header", o: good(resultcode.QueueFull, "not-run", ""), want: 1},
+		{desc: "never run again", o: good(resultcode.UpstreamRefused, "may-have-run", "1"), got: arrivalCounts{heads: 1}, claimed: true, want: 1},
+		{desc: "may be repeated", o: good(resultcode.OutcomeUnknown, "may-have-run", ""), got: arrivalCounts{heads: 1}, want: 1},
 		{desc: "it didn't run", o: good(resultcode.AnswerIncomplete, "ran", ""), claimed: true, want: 1},
 		{desc: "no run state", o: good(resultcode.QueueFull, "", "1"), want: 1},
 		{desc: "late", o: slow, want: 1},
@@ -147,14 +153,16 @@
 	}
 }
 
-// refusalCase is a fault under which requests are refused, or answered whole.
+// refusalCase is a fault under which each request must be refused, or answered
+// completely.
 type refusalCase struct {
 	desc string
-	// engines and services are the faults in force.
+	// engines and services are the faults of the upstreams.
 	engines  engine.Faults
 	services service.Faults
-	// gone says that the upstreams don't come back, and others take their place.
-	gone bool
+	// replaced is true if the upstreams don't recover, and others are started
+	// instead.
+	replaced bool
 }
 
 func refusalCases() []refusalCase {
@@ -164,7 +172,7 @@
 		plan := cut.Plan{At: at, Times: everyTime, Frames: 2}
 		cases = append(cases, refusalCase{desc: string(at), engines: engine.Faults{Cut: plan}, services: service.Faults{Cut: plan}})
 	}
-	leaving := refusalCase{desc: "leaving", engines: engine.Faults{Leaving: true}, services: service.Faults{Leaving: true}, gone: true}
+	leaving := refusalCase{desc: "leaving", engines: engine.Faults{Leaving: true}, services: service.Faults{Leaving: true}, replaced: true}
 	return append(cases, leaving)
 }
 
@@ -181,43 +189,44 @@
 	}
 }
 
-// TestRefusalsAreTrue cuts connections to engines and services at each
-// boundary, and has them leave, with a far deadline. What a caller is told is
-// compared with what arrived, and a caller that is told to come back is served
-// when it does, after the fault.
-func TestRefusalsAreTrue(t *testing.T) {
+// TestRefusalsMatchWhatArrived cuts connections to engines and services at each
+// boundary, and makes these leave, while requests with a long deadline are sent.
+// The run state in each refusal must match what arrived at upstreams, and a request
+// that was refused with a Retry-After header must be served after the fault.
+func TestRefusalsMatchWhatArrived(t *testing.T) {
 	t.Parallel()
 	s := startSystem(t, 2)
 	s.addService("lanes-2", "zone-b")
 	s.submit(devenv.Manifest())
 	s.waitUpstreams()
 	for _, test := range refusalCases() {
-		s.engineFaults(test.engines)
-		s.serviceFaults(test.services)
+		s.setEngineFaults(test.engines)
+		s.setServiceFaults(test.services)
 		calls := refusalCalls(test.desc)
-		outcomes := s.sendAll(calls, farDeadline)
-		if test.gone {
+		outcomes := s.sendAll(calls, longDeadline)
+		if test.replaced {
 			s.addEngine("engine-new", "zone-a")
 			s.addService("lanes-new", "zone-a")
 		} else {
-			s.engineFaults(engine.Faults{})
-			s.serviceFaults(service.Faults{})
+			s.setEngineFaults(engine.Faults{})
+			s.setServiceFaults(service.Faults{})
 		}
 		for name, o := range outcomes {
 			s.checkOutcome(test.desc+": "+name, calls[name], o)
 		}
-		s.comeBack(calls, outcomes)
+		s.retryRefused(calls, outcomes)
 	}
 }
 
-// sendAll sends all calls at once.
+// sendAll sends all calls concurrently to the first host and returns their outcomes
+// by name.
 func (s *system) sendAll(calls map[string]call, deadline time.Duration) map[string]outcome {
 	outcomes := map[string]outcome{}
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	for name, c := range calls {
 		wait.Go(func() {
-			o := c.patient(deadline).outcome(context.Background(), s.hosts[0])
+			o := c.withDeadline(deadline).outcome(context.Background(), s.hosts[0])
 			mu.Lock()
 			defer mu.Unlock()
 			outcomes[name] = o
@@ -227,14 +236,15 @@
 	return outcomes
 }
 
-// checkOutcome accepts a whole answer and a true refusal.
+// checkOutcome checks that the outcome is a complete answer, a refusal that matches
+// what arrived, or a stream that was broken off in time.
 func (s *system) checkOutcome(desc string, c call, o outcome) {
 	s.t.Helper()
-	got := s.arrivedOf(o.id)
+	got := s.arrivalsOfRequest(o.id)
 	s.t.Logf("%s: status %d code %d %s, retry after %q, in %v, arrived %+v", desc, o.status, o.code, o.runState, o.get("Retry-After"), o.took.Round(time.Millisecond), got)
 	if o.err != nil {
-		// A stream that broke off: its end mark is missing.
-		if o.took >= atOnce {
+		// The stream was broken off, so that its last chunk is missing.
+		if o.took >= refusalBound {
 			s.t.Errorf("%s: broke off after %v", desc, o.took)
 		}
 		return
@@ -251,23 +261,24 @@
 	}
 }
 
-// comeBack sends again what the caller was told to come back with.
-func (s *system) comeBack(calls map[string]call, outcomes map[string]outcome) {
+// retryRefused repeats the calls that were refused with a Retry-After header until
+// they are served.
+func (s *system) retryRefused(calls map[string]call, outcomes map[string]outcome) {
 	s.t.Helper()
 	for name, o := range outcomes {
 		if o.err != nil || o.get("Retry-After") == "" {
 			continue
 		}
-		eventually(s.t, name+" is served after coming back", func() bool {
+		eventually(s.t, name+" is served when repeated", func() bool {
 			again := calls[name].outcome(context.Background(), s.hosts[0])
 			return again.err == nil && again.status == http.StatusOK && again.code == resultcode.OK
 		})
 	}
 }
 
-// TestRefusalsOfHosts has the host itself refuse: an expired deadline, a full
-// queue, a caller that leaves, a table that can't be reached, and upstreams
-// that are dead.
+// TestRefusalsOfHosts checks refusals that a host itself decides: for an expired
+// deadline, a full queue, a caller that disconnects, an unreachable table, and dead
+// upstreams.
 func TestRefusalsOfHosts(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -282,15 +293,15 @@
 		s.checkOutcome("expired: "+name, c, o)
 		is.Equal(o.code, resultcode.DeadlineExpired)
 	}
-	s.fullQueue(small)
-	s.passedDeadline()
-	s.callerGone(h)
-	s.noTable(h)
-	s.deadUpstreams(h)
+	s.checkFullQueue(small)
+	s.checkPassedDeadline()
+	s.checkRepeatAfterDisconnect(h)
+	s.checkWithoutTable(h)
+	s.checkDeadUpstreams(h)
 }
 
-// fullQueue sends more to a host than it runs and queues.
-func (s *system) fullQueue(h *entryHost) {
+// checkFullQueue sends more requests to a host than it can run and queue.
+func (s *system) checkFullQueue(h *entryHost) {
 	s.t.Helper()
 	var wait sync.WaitGroup
 	var mu sync.Mutex
@@ -298,7 +309,7 @@
 	for i := range 8 {
 		wait.Go(func() {
 			c := chat("large", fmt.Sprintf("full %d tokens=400", i), false)
-			o := c.patient(farDeadline).outcome(context.Background(), h)
+			o := c.withDeadline(longDeadline).outcome(context.Background(), h)
 			s.checkOutcome("full queue", c, o)
 			mu.Lock()
 			defer mu.Unlock()
@@ -309,15 +320,15 @@
 	}
 	wait.Wait()
 	if refused == 0 {
-		s.t.Error("no request met a full queue")
+		s.t.Error("no request was refused because of a full queue")
 	}
 }
 
-// passedDeadline has deadlines pass while requests are with upstreams.
-func (s *system) passedDeadline() {
+// checkPassedDeadline sends requests whose deadline passes while upstreams run them.
+func (s *system) checkPassedDeadline() {
 	s.t.Helper()
-	s.engineFaults(engine.Faults{StallMs: 1500})
-	s.serviceFaults(service.Faults{SlowMs: 1500})
+	s.setEngineFaults(engine.Faults{StallMs: 1500})
+	s.setServiceFaults(service.Faults{SlowMs: 1500})
 	calls := refusalCalls("passed")
 	for name, o := range s.sendAll(calls, 300*time.Millisecond) {
 		s.checkOutcome("passed: "+name, calls[name], o)
@@ -325,16 +336,16 @@
 			s.t.Errorf("passed: %s: code %d", name, o.code)
 		}
 	}
-	s.engineFaults(engine.Faults{})
-	s.serviceFaults(service.Faults{})
+	s.setEngineFaults(engine.Faults{})
+	s.setServiceFaults(service.Faults{})
 }
 
-// callerGone has a caller leave with its bid in the service. Its repeat is
-// never told that the bid wasn't run.
-func (s *system) callerGone(h *entryHost) {
+// checkRepeatAfterDisconnect has a caller disconnect while the service runs its bid.
+// A repetition of the bid must never be refused as not run.
+func (s *system) checkRepeatAfterDisconnect(h *entryHost) {
 	s.t.Helper()
-	s.serviceFaults(service.Faults{SlowMs: 800})
-	defer s.serviceFaults(service.Faults{})
+	s.setServiceFaults(service.Faults{SlowMs: 800})
+	defer s.setServiceFaults(service.Faults{})
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
 	c := bid("gone", `{}`)
@@ -342,10 +353,10 @@
 	if s.runsOfKey("gone") != 1 {
 		s.t.Errorf("the bid ran %d times", s.runsOfKey("gone"))
 	}
-	eventually(s.t, "the repeat has a definite answer", func() bool {
+	eventually(s.t, "the repetition gets a definite answer", func() bool {
 		o := c.outcome(context.Background(), h)
 		if o.runState == "not-run" {
-			s.t.Errorf("the repeat is told %d not-run", o.code)
+			s.t.Errorf("the repetition was refused with %d as not run", o.code)
 		}
 		return o.code == resultcode.EarlierOutcomeUnknown || o.code == resultcode.OK
 	})
@@ -354,27 +365,28 @@
 	}
 }
 
-// noTable cuts the host from the table. Bids are refused at once and nothing
-// of them arrives.
-func (s *system) noTable(h *entryHost) {
+// checkWithoutTable cuts the host's connections to the table. A bid must be refused
+// without delay and must not arrive at the service.
+func (s *system) checkWithoutTable(h *entryHost) {
 	s.t.Helper()
 	h.toPlatform.cutAll()
 	c := bid("no table", `{}`)
-	o := c.patient(farDeadline).outcome(context.Background(), h)
+	o := c.withDeadline(longDeadline).outcome(context.Background(), h)
 	s.checkOutcome("no table", c, o)
-	if got := s.arrivedOf(o.id); got.heads > 0 || o.code != resultcode.StoreUnavailable {
+	if got := s.arrivalsOfRequest(o.id); got.heads > 0 || o.code != resultcode.StoreUnavailable {
 		s.t.Errorf("code %d, arrived %+v", o.code, got)
 	}
 	h.toPlatform.heal()
 	s.waitReady()
-	s.comeBack(map[string]call{"no table": c}, map[string]outcome{"no table": o})
+	s.retryRefused(map[string]call{"no table": c}, map[string]outcome{"no table": o})
 }
 
-// deadUpstreams kills the engines within a stream and the service, and then
-// sends to them.
-func (s *system) deadUpstreams(h *entryHost) {
+// checkDeadUpstreams kills the engines during a stream, and then the services. The
+// stream must not look complete, and no refusal of a later request may imply that the
+// request arrived.
+func (s *system) checkDeadUpstreams(h *entryHost) {
 	s.t.Helper()
-	long := chat("large", "dead tokens=4000", true).patient(farDeadline)
+	long := chat("large", "dead tokens=4000", true).withDeadline(longDeadline)
 	before := s.runsOf("large@v1")
 	done := make(chan outcome)
 	go func() { done <- long.outcome(context.Background(), h) }()
@@ -383,19 +395,19 @@
 		e.kill()
 	}
 	o := <-done
-	// Killed after its first byte the stream breaks off. Before that the caller is told by a
-	// status, and that the request ran; never is it told a whole answer.
-	told := o.err == nil && o.status == http.StatusBadGateway && o.code == resultcode.AnswerIncomplete && o.runState == "ran"
-	if o.err == nil && !told || o.took >= atOnce {
+	// If the engine is killed after the first byte, the stream is broken off. Before that, the
+	// caller gets an error status and the run state "ran". The answer must never look complete.
+	reported := o.err == nil && o.status == http.StatusBadGateway && o.code == resultcode.AnswerIncomplete && o.runState == "ran"
+	if o.err == nil && !reported || o.took >= refusalBound {
 		s.t.Errorf("the stream ended with %v in %v: status %d, code %d, run state %s", o.err, o.took, o.status, o.code, o.runState)
 	}
 	for _, svc := range s.services {
 		svc.kill()
 	}
 	for name, c := range refusalCalls("dead") {
-		o := c.patient(farDeadline).outcome(context.Background(), h)
-		// Nothing arrives at a process that is gone.
-		for _, f := range checkRefusal(o, arrived{}, c.header["Quetzalweir-Request-Key"] != "") {
+		o := c.withDeadline(longDeadline).outcome(context.Background(), h)
+		// Nothing can arrive at a killed process.
+		for _, f := range checkRefusal(o, arrivalCounts{}, c.header["Quetzalweir-Request-Key"] != "") {
 			s.t.Errorf("dead: %s: %s", name, f)
 		}
 	}
--- a/internal/e2e/relay_test.go
+++ b/internal/e2e/relay_test.go
@@ -6,10 +6,10 @@
 	tcprelay "github.com/quetzalweir/quetzalweir/internal/standin/relay"
 )
 
-// relay is a relay that ends with its test.
+// relay is a TCP relay that is closed when its test ends.
 type relay struct{ inner *tcprelay.Relay }
 
-// newRelay starts a relay on the IP.
+// newRelay starts a relay that listens on the IP and forwards to the target.
 func newRelay(t *testing.T, ip, target string) *relay {
 	t.Helper()
 	inner, err := tcprelay.Listen(ip, target)
--- a/internal/e2e/schedule_test.go
+++ b/internal/e2e/schedule_test.go
@@ -17,7 +17,8 @@
 	"github.com/quetzalweir/quetzalweir/manifest"
 )
 
-// mixedFault begins a fault and returns what ends it; nil if it ends itself.
+// mixedFault is a kind of fault of the mixed run. begin starts the fault and returns
+// the function that ends it, or nil if it ends by itself.
 type mixedFault struct {
 	name  string
 	begin func(m *mixed, r *rand.Rand) (end func())
@@ -38,59 +39,62 @@
 	}
 }
 
-// deck deals the faults in a random order, each once before any comes again.
-type deck struct {
-	random *rand.Rand
-	all    []mixedFault
-	left   []int
+// faultShuffle returns the faults in a random order: each once before any is repeated.
+type faultShuffle struct {
+	random    *rand.Rand
+	all       []mixedFault
+	remaining []int
 }
 
-func (d *deck) next() mixedFault {
-	if len(d.left) == 0 {
-		d.left = d.random.Perm(len(d.all))
+func (d *faultShuffle) next() mixedFault {
+	if len(d.remaining) == 0 {
+		d.remaining = d.random.Perm(len(d.all))
 	}
-	i := d.left[0]
-	d.left = d.left[1:]
+	i := d.remaining[0]
+	d.remaining = d.remaining[1:]
 	return d.all[i]
 }
 
-// schedule has two or three faults at a time, sometimes one of them twice, and
-// ends them all. Meanwhile a version is shifted and withdrawn, and two engines
-// leave, early enough that the rest of the run shows whether they get work.
+// schedule injects faults for a duration, two or three at a time and sometimes one of
+// them twice. In the first rounds sessions are shifted to another version, a version
+// is withdrawn, and two engines leave; the rest of the run shows whether these still
+// get requests.
 func (m *mixed) schedule(r *rand.Rand, duration time.Duration) {
-	steps := []func(){m.shift, m.withdraw, m.leave, m.leave}
-	faults := &deck{random: r, all: mixedFaults()}
+	steps := []func(){m.shift, m.withdraw, m.makeEngineLeave, m.makeEngineLeave}
+	faults := &faultShuffle{random: r, all: mixedFaults()}
 	began := time.Now()
 	for round := 0; time.Since(began) < duration; round++ {
-		m.step(&steps, round)
+		m.startNextChange(&steps, round)
 		var ends []func()
 		first := faults.next()
 		ends = append(ends, m.begin(first, r))
 		for range 1 + r.IntN(2) {
 			ends = append(ends, m.begin(faults.next(), r))
 		}
-		rest(r, 1200)
+		sleepAbout(r, 1200)
 		if r.IntN(3) == 0 {
 			ends = append(ends, m.begin(first, r))
-			rest(r, 600)
+			sleepAbout(r, 600)
 		}
 		for _, end := range ends {
 			end()
 		}
-		rest(r, 600)
+		sleepAbout(r, 600)
 	}
 }
 
-// rest sleeps for about the time.
-func rest(r *rand.Rand, ms int) {
+// sleepAbout sleeps for a random time between half and one and a half of ms
+// milliseconds.
+func sleepAbout(r *rand.Rand, ms int) {
 	time.Sleep(time.Duration(ms/2+r.IntN(ms)) * time.Millisecond)
 }
 
-// step does the next planned change, or submits a manifest that changes nothing
-// but its build. It doesn't wait, so that the change meets the faults.
-func (m *mixed) step(steps *[]func(), round int) {
+// startNextChange queues the next of the steps, or, without one, a manifest that differs
+// only in its build. It doesn't wait for the change, which so coincides with the
+// faults of the round.
+func (m *mixed) startNextChange(steps *[]func(), round int) {
 	next := func() {
-		m.accept(edit(m.s.t, m.current, func(doc *manifest.Document) { doc.Build = fmt.Sprintf("round %d", round) }))
+		m.submitUntilAccepted(edit(m.s.t, m.current, func(doc *manifest.Document) { doc.Build = fmt.Sprintf("round %d", round) }))
 	}
 	if len(*steps) > 0 {
 		next, *steps = (*steps)[0], (*steps)[1:]
@@ -107,18 +111,18 @@
 	return end
 }
 
-// impair records that a host isn't expected to learn of manifests.
+// impair records that a host isn't expected to receive new manifests for now.
 func (m *mixed) impair(id string) {
 	m.impaired[id]++
 	if m.impaired[id] == 1 {
-		m.line.add(history.Event{Kind: history.HostImpaired, Host: id})
+		m.timeline.add(history.Event{Kind: history.HostImpaired, Host: id})
 	}
 }
 
 func (m *mixed) recover(id string) {
 	m.impaired[id]--
 	if m.impaired[id] == 0 {
-		m.line.add(history.Event{Kind: history.HostHealed, Host: id})
+		m.timeline.add(history.Event{Kind: history.HostHealed, Host: id})
 	}
 }
 
@@ -137,14 +141,14 @@
 func (m *mixed) kill(r *rand.Rand) func() {
 	i := r.IntN(len(m.s.hosts))
 	old := m.s.hosts[i]
-	m.line.add(history.Event{Kind: history.HostGone, Host: old.id})
+	m.timeline.add(history.Event{Kind: history.HostGone, Host: old.id})
 	m.killed = append(m.killed, old)
-	fresh := m.s.replace(i)
+	fresh := m.s.replaceHost(i)
 	m.hosts.remove(old)
 	m.hosts.add(fresh)
-	m.line.add(history.Event{Kind: history.HostStarted, Host: fresh.id})
+	m.timeline.add(history.Event{Kind: history.HostStarted, Host: fresh.id})
 	if m.impaired[fresh.id] > 0 {
-		m.line.add(history.Event{Kind: history.HostImpaired, Host: fresh.id})
+		m.timeline.add(history.Event{Kind: history.HostImpaired, Host: fresh.id})
 	}
 	return nil
 }
@@ -180,18 +184,18 @@
 
 func (m *mixed) tableDown(*rand.Rand) func() {
 	m.impairAll()
-	m.s.tableFaults(platformd.Faults{Down: to(true), ObjectsDown: to(true)})
+	m.s.addPlatformFaults(platformd.Faults{Down: pointer(true), ObjectsDown: pointer(true)})
 	return func() {
-		m.s.tableFaults(platformd.Faults{Down: to(false), ObjectsDown: to(false)})
+		m.s.addPlatformFaults(platformd.Faults{Down: pointer(false), ObjectsDown: pointer(false)})
 		m.recoverAll()
 	}
 }
 
 func (m *mixed) tableSlow(r *rand.Rand) func() {
 	m.impairAll()
-	m.s.tableFaults(platformd.Faults{DelayMS: to(100 + r.Int64N(900))})
+	m.s.addPlatformFaults(platformd.Faults{DelayMS: pointer(100 + r.Int64N(900))})
 	return func() {
-		m.s.tableFaults(platformd.Faults{DelayMS: to[int64](0)})
+		m.s.addPlatformFaults(platformd.Faults{DelayMS: pointer[int64](0)})
 		m.recoverAll()
 	}
 }
@@ -200,77 +204,78 @@
 	n := 3 + r.IntN(12)
 	switch r.IntN(3) {
 	case 0:
-		m.s.tableFaults(platformd.Faults{LoseNext: &n})
+		m.s.addPlatformFaults(platformd.Faults{LoseNext: &n})
 	case 1:
-		m.s.tableFaults(platformd.Faults{DropNext: &n})
+		m.s.addPlatformFaults(platformd.Faults{DropNext: &n})
 	default:
-		m.s.tableFaults(platformd.Faults{DelayNext: &n, DelayNextMS: 200 + r.Int64N(1000)})
+		m.s.addPlatformFaults(platformd.Faults{DelayNext: &n, DelayNextMS: 200 + r.Int64N(1000)})
 	}
 	return nil
 }
 
-func anyCut(r *rand.Rand) cut.Plan {
+func randomCut(r *rand.Rand) cut.Plan {
 	all := cut.Boundaries()
 	return cut.Plan{At: all[r.IntN(len(all))], Times: 3 + r.IntN(10), Frames: r.IntN(4)}
 }
 
 func (m *mixed) enginesCut(r *rand.Rand) func() {
-	m.setEngines(engine.Faults{Cut: anyCut(r)})
-	return func() { m.setEngines(engine.Faults{}) }
+	m.setEngineFaults(engine.Faults{Cut: randomCut(r)})
+	return func() { m.setEngineFaults(engine.Faults{}) }
 }
 
 func (m *mixed) enginesCross(r *rand.Rand) func() {
 	n := func() int { return 2 + r.IntN(5) }
-	m.setEngines(engine.Faults{CrossEvery: n(), LateEvery: n(), LateBy: n(), DuplicateEvery: n(), ReorderEvery: n(), LoseEvery: 5 + n()})
-	return func() { m.setEngines(engine.Faults{}) }
+	m.setEngineFaults(engine.Faults{CrossEvery: n(), LateEvery: n(), LateBy: n(), DuplicateEvery: n(), ReorderEvery: n(), LoseEvery: 5 + n()})
+	return func() { m.setEngineFaults(engine.Faults{}) }
 }
 
-// setEngines sets the faults of all engines; those that leave go on leaving.
-func (m *mixed) setEngines(f engine.Faults) {
-	m.leaving.Lock()
-	defer m.leaving.Unlock()
+// setEngineFaults sets the faults of all engines. Engines that leave keep that state.
+func (m *mixed) setEngineFaults(f engine.Faults) {
+	m.engineMu.Lock()
+	defer m.engineMu.Unlock()
 	m.engineFaults = f
-	m.applyEngines()
+	m.applyEngineFaults()
 }
 
-func (m *mixed) applyEngines() {
+func (m *mixed) applyEngineFaults() {
 	for i, e := range m.s.engines {
 		f := m.engineFaults
-		f.Leaving = m.left[i]
-		m.s.fault(e.address, f)
+		f.Leaving = m.leavingEngines[i]
+		m.s.setFaults(e.address, f)
 	}
 }
 
 func (m *mixed) servicesCut(r *rand.Rand) func() {
-	m.s.serviceFaults(service.Faults{Cut: anyCut(r), Crossed: r.IntN(4), SlowMs: r.Int64N(300)})
-	return func() { m.s.serviceFaults(service.Faults{}) }
+	m.s.setServiceFaults(service.Faults{Cut: randomCut(r), Crossed: r.IntN(4), SlowMs: r.Int64N(300)})
+	return func() { m.s.setServiceFaults(service.Faults{}) }
 }
 
-func (m *mixed) shift() { m.accept(edit(m.s.t, m.current, shift)) }
+func (m *mixed) shift() { m.submitUntilAccepted(edit(m.s.t, m.current, shiftToV2)) }
 
-func (m *mixed) withdraw() { m.accept(edit(m.s.t, m.current, withdrawV1)) }
+func (m *mixed) withdraw() { m.submitUntilAccepted(edit(m.s.t, m.current, withdrawV1)) }
 
-// leave has the last engine that stays leave; it says so itself, and the
-// operators tell one host.
-func (m *mixed) leave() {
-	id := m.leaveNext()
-	ctx, cancel := context.WithTimeout(context.Background(), watchTimeout)
+// makeEngineLeave makes the last engine that isn't leaving leave. The engine reports
+// that itself, and operators inform one host.
+func (m *mixed) makeEngineLeave() {
+	id := m.markNextLeaving()
+	ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
 	defer cancel()
 	path := strings.Replace(entry.PathLeaving, "{upstream}", id, 1)
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+m.hosts.last().operators+path, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+m.hosts.last().operatorAddr+path, nil)
 	if err == nil {
-		// A host that is cut off or gone doesn't matter: the engine says it too.
-		_ = m.s.operator(req, nil)
+		// The request may fail if the host is isolated or was killed: the engine reports
+		// that it leaves, too.
+		_ = m.s.sendToOperatorAPI(req, nil)
 	}
 }
 
-func (m *mixed) leaveNext() string {
-	m.leaving.Lock()
-	defer m.leaving.Unlock()
-	i := len(m.s.engines) - 1 - len(m.left)
+func (m *mixed) markNextLeaving() string {
+	m.engineMu.Lock()
+	defer m.engineMu.Unlock()
+	i := len(m.s.engines) - 1 - len(m.leavingEngines)
 	id := fmt.Sprintf("engine-%d", i+1)
-	m.line.add(history.Event{Kind: history.UpstreamLeaving, Upstream: id})
-	m.left[i] = true
-	m.applyEngines()
+	m.timeline.add(history.Event{Kind: history.UpstreamLeaving, Upstream: id})
+	m.leavingEngines[i] = true
+	m.applyEngineFaults()
 	return id
 }
--- a/internal/e2e/stop_test.go
+++ b/internal/e2e/stop_test.go
@@ -16,46 +16,47 @@
 	"github.com/quetzalweir/quetzalweir/internal/entry"
 )
 
-// balancer sends to hosts that were ready when it last looked, so for a while
-// also to hosts that have turned it away, as the platform's balancer does.
+// balancer picks among the hosts that were ready at its last check. Like the
+// platform's balancer, it still picks a host for a while after that stopped being
+// ready.
 type balancer struct {
-	mu   sync.Mutex
-	open []*entryHost
-	next int
+	mu    sync.Mutex
+	ready []*entryHost
+	picks int
 }
 
-// balancerLag is the time between the balancer's looks; hosts are started with
-// a longer allowance for it.
-const balancerLag = 100 * time.Millisecond
+// balancerInterval is the time between the balancer's readiness checks. The setting
+// QUETZALWEIR_BALANCER_LAG of the hosts is longer.
+const balancerInterval = 100 * time.Millisecond
 
 func (b *balancer) run(ctx context.Context, hosts func() []*entryHost) {
 	for ctx.Err() == nil {
-		var open []*entryHost
+		var ready []*entryHost
 		for _, h := range hosts() {
-			if ready(h) {
-				open = append(open, h)
+			if isReady(h) {
+				ready = append(ready, h)
 			}
 		}
 		b.mu.Lock()
-		b.open = open
+		b.ready = ready
 		b.mu.Unlock()
-		time.Sleep(balancerLag)
+		time.Sleep(balancerInterval)
 	}
 }
 
-// startBalancer puts all hosts of the system in service behind a balancer,
-// until the test ends.
+// startBalancer starts a balancer for all hosts of the system, which runs until the
+// test ends. Changes of the returned fleet change the balancer's hosts.
 func (s *system) startBalancer() (*fleet, *balancer) {
 	s.t.Helper()
 	f := &fleet{hosts: append([]*entryHost(nil), s.hosts...)}
 	b := new(balancer)
 	go b.run(s.t.Context(), f.list)
-	eventually(s.t, "the balancer sees a host", func() bool { return b.pick() != nil })
+	eventually(s.t, "the balancer has a ready host", func() bool { return b.pick() != nil })
 	return f, b
 }
 
-func ready(h *entryHost) bool {
-	resp, err := client.Get("http://" + h.operators + entry.PathReady)
+func isReady(h *entryHost) bool {
+	resp, err := client.Get("http://" + h.operatorAddr + entry.PathReady)
 	if err != nil {
 		return false
 	}
@@ -66,15 +67,15 @@
 func (b *balancer) pick() *entryHost {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.open) == 0 {
+	if len(b.ready) == 0 {
 		return nil
 	}
-	b.next++
-	return b.open[b.next%len(b.open)]
+	b.picks++
+	return b.ready[b.picks%len(b.ready)]
 }
 
-// TestRollThroughAllHosts replaces every host, one after the other, under a
-// load with long streams. No request fails and no bill is lost.
+// TestRollThroughAllHosts replaces every host, one after the other, under a load
+// with long streams. No request may fail and no bill may be lost.
 func TestRollThroughAllHosts(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, 3)
@@ -84,16 +85,16 @@
 	for i := range 3 {
 		old := fleet.list()[0]
 		fleet.add(s.addHost(fmt.Sprintf("entry-new-%d", i+1), zone(i)))
-		eventually(t, "the new host is ready", func() bool { return ready(fleet.last()) })
-		load.more(20)
-		is.NoErr(old.terminate()) // exits 0: nothing was cut, nothing left unsettled
+		eventually(t, "the new host is ready", func() bool { return isReady(fleet.last()) })
+		load.waitForAnswers(20)
+		is.NoErr(old.terminate()) // exits with 0: no request was broken off and no bill is unwritten
 		fleet.remove(old)
-		load.more(20)
+		load.waitForAnswers(20)
 	}
 	s.checkBills(fleet.last(), head.Epoch, load.stop())
 }
 
-// fleet is the hosts in service.
+// fleet is a list of the hosts in service. It is safe for concurrent use.
 type fleet struct {
 	mu    sync.Mutex
 	hosts []*entryHost
@@ -127,7 +128,8 @@
 	}
 }
 
-// load is callers that send without a pause, one request after the other.
+// load runs concurrent callers that send one request after the other without a
+// pause, and collects their answers.
 type load struct {
 	t       *testing.T
 	stopped atomic.Bool
@@ -136,27 +138,27 @@
 	answers map[string]answer
 }
 
-// callers is the number of concurrent callers of a load.
-const callers = 8
+// loadCallers is the number of concurrent callers of a load.
+const loadCallers = 8
 
-// startLoad sends streams of about 200 ms through the balancer. Every request
-// must be answered whole.
+// startLoad starts callers that send chats of about 200 ms, half of them streamed,
+// through the balancer. Every request must get a complete answer.
 func startLoad(t *testing.T, b *balancer) *load {
 	l := &load{t: t, answers: map[string]answer{}}
-	for c := range callers {
+	for c := range loadCallers {
 		l.wait.Go(func() {
 			for i := 0; !l.stopped.Load(); i++ {
-				l.one(b, fmt.Sprintf("caller %d request %d tokens=200", c, i), i%2 == 0)
+				l.sendOne(b, fmt.Sprintf("caller %d request %d tokens=200", c, i), i%2 == 0)
 			}
 		})
 	}
 	return l
 }
 
-func (l *load) one(b *balancer, prompt string, stream bool) {
+func (l *load) sendOne(b *balancer, prompt string, stream bool) {
 	h := b.pick()
 	if h == nil {
-		time.Sleep(balancerLag)
+		time.Sleep(balancerInterval)
 		return
 	}
 	a, err := chat("large", prompt, stream).send(h)
@@ -174,8 +176,8 @@
 	l.answers[a.get("Quetzalweir-Request-Id")] = a
 }
 
-// more waits for n further answers.
-func (l *load) more(n int) {
+// waitForAnswers waits for n further answers.
+func (l *load) waitForAnswers(n int) {
 	l.t.Helper()
 	want := l.count() + n
 	eventually(l.t, "further answers", func() bool { return l.count() >= want })
@@ -193,8 +195,8 @@
 	return l.answers
 }
 
-// checkBills compares the ledger with what callers got: one bill for each whole
-// answer, and none of another request that cost something.
+// checkBills checks that the ledger has one bill for each complete answer, and no bill
+// with a cost for any other request.
 func (s *system) checkBills(h *entryHost, epoch uint64, answers map[string]answer) {
 	s.t.Helper()
 	var trace entry.EpochTrace
@@ -208,7 +210,7 @@
 		return n
 	}
 	eventually(s.t, "all answers are billed", func() bool {
-		err := s.get(h, fmt.Sprintf("/v1/trace/epochs/%d", epoch), &trace)
+		err := s.operatorGet(h, fmt.Sprintf("/v1/trace/epochs/%d", epoch), &trace)
 		return err == nil && missing() <= 0
 	})
 	seen := map[string]bool{}
@@ -218,14 +220,14 @@
 		}
 		seen[bill.RequestID] = true
 		if _, ok := answers[bill.RequestID]; !ok && bill.CostMicro > 0 {
-			s.t.Errorf("bill of %d for request %s, which no caller got a whole answer to", bill.CostMicro, bill.RequestID)
+			s.t.Errorf("bill of %d for request %s, which got no complete answer", bill.CostMicro, bill.RequestID)
 		}
 	}
 }
 
-// TestSecondSignalCutsShort asks a host twice to stop while a stream runs that
-// would take minutes. It says how many requests it cut and exits with an error;
-// the caller sees a broken answer, not a whole one, and isn't charged.
+// TestSecondSignalCutsShort sends a host two SIGTERM while a stream runs that would
+// take minutes. The host must log how many requests it broke off and exit with an
+// error. The caller must get an incomplete answer and must not be charged.
 func TestSecondSignalCutsShort(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, 2)
@@ -238,11 +240,11 @@
 	}()
 	eventually(t, "the stream runs", func() bool { return s.runsOf("large@v1") == 1 })
 	h.signal(syscall.SIGTERM)
-	is.Equal(h.field("event=stopping", "event="), "stopping")
+	is.Equal(h.waitForField("event=stopping", "event="), "stopping")
 	h.signal(syscall.SIGTERM)
 	<-h.done
-	is.True(h.err != nil)                            // not a clean stop
-	is.Equal(h.field("event=cut", "requests="), "1") // and it says so
-	is.True(<-ended != nil)                          // no cut answer looks whole
+	is.True(h.err != nil)                                   // not a clean stop
+	is.Equal(h.waitForField("event=cut", "requests="), "1") // and the host logs it
+	is.True(<-ended != nil)                                 // the incomplete answer must not look complete
 	s.checkBills(s.hosts[1], head.Epoch, nil)
 }
