--- a/internal/e2e/timeline_test.go
+++ b/internal/e2e/timeline_test.go
@@ -18,8 +18,8 @@
 	"github.com/quetzalweir/quetzalweir/internal/standin/service"
 )
 
-// timeline collects the events of a run, each with its own time. It is safe for
-// concurrent use.
+// timeline collects the events of a run with their times since its start. It is safe
+// for concurrent use.
 type timeline struct {
 	start  time.Time
 	mu     sync.Mutex
@@ -28,13 +28,13 @@
 
 func newTimeline() *timeline { return &timeline{start: time.Now()} }
 
-// now is the time of an event that happens now.
+// now returns the current time of the run.
 func (l *timeline) now() time.Duration { return time.Since(l.start) }
 
-// add records an event of now.
+// add records an event with the current time.
 func (l *timeline) add(e history.Event) { l.addAt(l.now(), e) }
 
-// addAt records an event of an earlier time.
+// addAt records an event with an earlier time.
 func (l *timeline) addAt(at time.Duration, e history.Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -42,14 +42,14 @@
 	l.events = append(l.events, e)
 }
 
-// record returns the events in order of their times.
-func (l *timeline) record() []history.Event {
+// sorted returns the events in the order of their times, numbered.
+func (l *timeline) sorted() []history.Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return inOrder(slices.Clone(l.events))
+	return sortAndNumber(slices.Clone(l.events))
 }
 
-func inOrder(events []history.Event) []history.Event {
+func sortAndNumber(events []history.Event) []history.Event {
 	slices.SortStableFunc(events, func(a, b history.Event) int { return cmp.Compare(a.At, b.At) })
 	for i := range events {
 		events[i].Seq = uint64(i + 1)
@@ -57,73 +57,73 @@
 	return events
 }
 
-// digest identifies a text.
+// digest returns a hash that identifies the text.
 func digest(text string) string { return fmt.Sprintf("%016x", xxhash.Sum64String(text)) }
 
-// arrival is what an upstream got of one attempt.
+// arrival is the arrival of one attempt at an upstream.
 type arrival struct {
 	upstream string
 	key      string
-	// model and version are empty for services, and where the body wasn't read.
+	// model and version are empty for services, and if the body wasn't read.
 	model, version string
 	runs           int
-	// at is when it was not yet there.
+	// at is the last time at which it had not yet arrived.
 	at time.Duration
 }
 
-// watch polls what the upstreams got. Of each arrival it knows a time before
-// which it can't have come, and that is enough: the rules on arrivals forbid
-// late ones.
-type watch struct {
-	s    *system
-	line *timeline
-	mu   sync.Mutex
-	// arrivals are by the attempt's id and the upstream.
+// arrivalPoller polls the arrivals at upstreams. The time that it records for an arrival
+// is a lower bound. That is sufficient, since the rules on arrivals only forbid late
+// ones.
+type arrivalPoller struct {
+	system   *system
+	timeline *timeline
+	mu       sync.Mutex
+	// arrivals are by the attempt's id and the upstream, separated by a space.
 	arrivals map[string]*arrival
-	looked   time.Duration
+	lastPoll time.Duration
 }
 
 const (
-	watchPause   = 250 * time.Millisecond
-	watchTimeout = 2 * time.Second
+	pollInterval = 250 * time.Millisecond
+	pollTimeout  = 2 * time.Second
 )
 
-func (w *watch) run(ctx context.Context) {
+func (w *arrivalPoller) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		w.look()
-		time.Sleep(watchPause)
+		w.poll()
+		time.Sleep(pollInterval)
 	}
 }
 
-// look reads the arrivals once.
-func (w *watch) look() {
+// poll reads the arrivals once. It stops at the first upstream that doesn't answer.
+func (w *arrivalPoller) poll() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	began := w.line.now()
-	for i, e := range w.s.engines {
+	began := w.timeline.now()
+	for i, e := range w.system.engines {
 		var list engine.Arrivals
 		if getJSON("http://"+e.address+"/arrivals", &list) != nil {
 			return
 		}
 		for _, a := range list.Arrivals {
 			model, version, _ := strings.Cut(a.Model, "@")
-			w.note(a.RequestID, arrival{upstream: fmt.Sprintf("engine-%d", i+1), model: model, version: version, runs: a.Began})
+			w.record(a.RequestID, arrival{upstream: fmt.Sprintf("engine-%d", i+1), model: model, version: version, runs: a.Began})
 		}
 	}
-	for i, svc := range w.s.services {
+	for i, svc := range w.system.services {
 		var list service.Arrivals
 		if getJSON("http://"+svc.address+"/arrivals", &list) != nil {
 			return
 		}
 		for _, a := range list.Arrivals {
-			w.note(a.RequestID, arrival{upstream: fmt.Sprintf("lanes-%d", i+1), key: a.RequestKey, runs: a.Runs})
+			w.record(a.RequestID, arrival{upstream: fmt.Sprintf("lanes-%d", i+1), key: a.RequestKey, runs: a.Runs})
 		}
 	}
-	w.looked = began
+	w.lastPoll = began
 }
 
-func (w *watch) note(attemptID string, a arrival) {
-	a.at = w.looked
+func (w *arrivalPoller) record(attemptID string, a arrival) {
+	a.at = w.lastPoll
 	if known := w.arrivals[attemptID+" "+a.upstream]; known != nil {
 		a.at = known.at
 	}
@@ -131,7 +131,7 @@
 }
 
 func getJSON(url string, into any) error {
-	ctx, cancel := context.WithTimeout(context.Background(), watchTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -145,26 +145,26 @@
 	return json.NewDecoder(resp.Body).Decode(into)
 }
 
-// sightings are the callers' view of the requests that they sent.
-type sightings struct {
-	line *timeline
-	mu   sync.Mutex
+// callerRecord records the requests that callers sent and the answers that they got.
+type callerRecord struct {
+	timeline *timeline
+	mu       sync.Mutex
 	// sent and prompts are by request id.
 	sent    map[string]history.Event
 	prompts map[string]string
-	// unseen counts the requests whose id the caller never saw.
-	unseen int
+	// unidentified counts the requests whose id the caller never got.
+	unidentified int
 	// codes counts the answers by result code and run state.
 	codes map[string]int
 }
 
-// request records a request and its answer. Without an answer the caller knows
-// no id, and the record has a name of its own for it.
-func (v *sightings) request(at time.Duration, sent, answered history.Event, prompt string) {
+// add records a request and its answer. Without an answer the caller doesn't have the
+// request's id, and add makes up one.
+func (v *callerRecord) add(at time.Duration, sent, answered history.Event, prompt string) {
 	v.mu.Lock()
 	if answered.RequestID == "" {
-		v.unseen++
-		answered.RequestID = fmt.Sprintf("unseen-%d", v.unseen)
+		v.unidentified++
+		answered.RequestID = fmt.Sprintf("unseen-%d", v.unidentified)
 		answered.Lost = true
 	}
 	sent.Kind, sent.RequestID, sent.At = history.RequestSent, answered.RequestID, at
@@ -173,8 +173,8 @@
 	v.prompts[sent.RequestID] = prompt
 	v.codes[codeName(answered)]++
 	v.mu.Unlock()
-	v.line.addAt(at, sent)
-	v.line.add(answered)
+	v.timeline.addAt(at, sent)
+	v.timeline.add(answered)
 }
 
 func codeName(e history.Event) string {
@@ -184,22 +184,22 @@
 	return fmt.Sprintf("%d %s", e.Code, e.RunState)
 }
 
-// unseenAllowance is how long before its arrival a request can have been sent
-// whose caller never saw its id.
-const unseenAllowance = 10 * time.Second
+// maxArrivalDelay is the maximum time from the sending to the arrival of a request
+// whose caller never got its id.
+const maxArrivalDelay = 10 * time.Second
 
-// join adds the arrivals to the callers' record. Requests that no caller saw
-// an id of are recorded as sent before their arrival; there can't be more of
-// them than callers lost.
-func (v *sightings) join(events []history.Event, arrivals map[string]*arrival) []history.Event {
-	hidden := map[string]bool{}
+// withArrivals adds the arrivals to the events. Requests whose id no caller got are
+// recorded as sent maxArrivalDelay before their arrival; there can't be more of them
+// than requests without an answer.
+func (v *callerRecord) withArrivals(events []history.Event, arrivals map[string]*arrival) []history.Event {
+	unidentified := map[string]bool{}
 	for name, a := range arrivals {
-		id := requestOf(name)
+		id := requestIDOf(name)
 		sent, known := v.sent[id]
-		if !known && !hidden[id] {
-			hidden[id] = true
+		if !known && !unidentified[id] {
+			unidentified[id] = true
 			sent = history.Event{Kind: history.RequestSent, RequestID: id, Account: "dev", Key: a.key, Idempotent: a.key == ""}
-			sent.At = max(0, a.at-unseenAllowance)
+			sent.At = max(0, a.at-maxArrivalDelay)
 			events = append(events, sent)
 		}
 		e := history.Event{Kind: history.UpstreamArrived, RequestID: id, Account: "dev", Key: a.key, Upstream: a.upstream, Model: a.model, Version: a.version}
--- a/internal/e2e/versions_test.go
+++ b/internal/e2e/versions_test.go
@@ -18,7 +18,7 @@
 	"github.com/quetzalweir/quetzalweir/manifest"
 )
 
-// edit returns the manifest that follows data, changed.
+// edit returns a changed manifest whose parent is data.
 func edit(t *testing.T, data []byte, change func(*manifest.Document)) []byte {
 	t.Helper()
 	doc, err := manifest.Parse(data)
@@ -34,26 +34,27 @@
 	return next
 }
 
-// withdrawV1 leaves v2 as the only version of the small model.
+// withdrawV1 withdraws v1 of the small model, so that v2 is its only version.
 func withdrawV1(doc *manifest.Document) {
 	v := doc.Models[0].Versions
 	v[0].State, v[0].Share = manifest.Withdrawn, 0
 	v[1].State, v[1].Share, v[1].Exposure = manifest.Serving, 100, nil
 }
 
-// shift moves all new sessions to v2 without ending those on v1.
-func shift(doc *manifest.Document) {
+// shiftToV2 assigns all new sessions to v2; existing ones remain on v1.
+func shiftToV2(doc *manifest.Document) {
 	v := doc.Models[0].Versions
 	v[0].State, v[0].Share = manifest.RollingOut, 0
 	v[1].State, v[1].Share, v[1].Exposure = manifest.Serving, 100, nil
 }
 
-// inForceBound is how long after its acceptance a manifest may go unheeded by a
-// host that still takes work: the freshness bound of 5 s, and a second for the
-// request that was being decided.
-const inForceBound = 6 * time.Second
+// staleManifestBound is how long after the acceptance of a manifest a host may still
+// serve requests by the previous one: the freshness bound of 5 s, and a second for a
+// request that was being routed at that time.
+const staleManifestBound = 6 * time.Second
 
-// runsOf counts the requests of a version that began on any engine.
+// runsOf returns the number of requests that began to run on a version, on all
+// engines.
 func (s *system) runsOf(versioned string) int {
 	s.t.Helper()
 	n := 0
@@ -69,9 +70,9 @@
 	return n
 }
 
-// TestWithdrawnVersionUnderFaults withdraws a version while one host is frozen
-// and another is cut from the platform and from its peers. Past the bound no
-// engine gets work of the version from any host, thawed or cut off.
+// TestWithdrawnVersionUnderFaults withdraws a version while one host is frozen and
+// another is cut from the platform and from its peers. After staleManifestBound no host,
+// not even the thawed or the cut off one, may send requests for the version.
 func TestWithdrawnVersionUnderFaults(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, 4)
@@ -83,7 +84,7 @@
 	s.cutPeers(cutOff)
 	frozen.signal(syscall.SIGSTOP)
 	s.submitTo(s.hosts[0], edit(t, first, withdrawV1))
-	time.Sleep(inForceBound)
+	time.Sleep(staleManifestBound)
 	before := s.runsOf("small@v1")
 	frozen.signal(syscall.SIGCONT)
 
@@ -106,10 +107,10 @@
 		})
 	}
 	wait.Wait()
-	is.Equal(s.runsOf("small@v1"), before) // no work of the withdrawn version
+	is.Equal(s.runsOf("small@v1"), before) // no request ran on the withdrawn version
 	a, err := chat("small", "cut off", false).send(cutOff)
 	is.NoErr(err)
-	is.Equal(a.get("Quetzalweir-Result-Code"), "5004") // says that its manifest is stale
+	is.Equal(a.get("Quetzalweir-Result-Code"), "5004") // the code for a stale manifest
 
 	cutOff.toPlatform.heal()
 	s.healPeers()
@@ -119,50 +120,50 @@
 	is.Equal(a.get("Quetzalweir-Version"), "v2")
 }
 
-// TestSessionsKeepTheirVersion opens sessions, shifts all new ones to another
-// version, kills a host, and checks that every session stays where it was until
-// its version is withdrawn, and is told when it is.
+// TestSessionsKeepTheirVersion opens sessions, assigns all new ones to another version
+// and kills a host. Every session must keep its version until that is withdrawn, and
+// the answer must report when a session was moved.
 func TestSessionsKeepTheirVersion(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, 3)
 	first := devenv.Manifest()
 	s.submit(first)
 	const sessions = 30
-	bound := make([]string, sessions)
-	token := make([]string, sessions)
+	versions := make([]string, sessions)
+	tokens := make([]string, sessions)
 	for i := range sessions {
-		bound[i], token[i] = s.firstRequests(i)
+		versions[i], tokens[i] = s.openSession(i)
 	}
-	is.True(strings.Contains(strings.Join(bound, " "), "v1")) // some are on the version to be shifted
+	is.True(strings.Contains(strings.Join(versions, " "), "v1")) // some sessions are on v1
 
-	second := edit(t, first, shift)
+	second := edit(t, first, shiftToV2)
 	s.submit(second)
-	eventually(t, "the shift is in force", func() bool { return s.epochs(2) })
+	eventually(t, "the shift is in force", func() bool { return s.epochInForce(2) })
 	s.hosts[0].kill()
-	rest := s.hosts[1:]
+	remaining := s.hosts[1:]
 	for i := range sessions {
-		for _, arg := range []string{fmt.Sprintf("session-%d", i), token[i]} {
-			a, err := chat("small", "again tokens=1", false).with("Quetzalweir-Session", arg).send(rest[i%2])
+		for _, arg := range []string{fmt.Sprintf("session-%d", i), tokens[i]} {
+			a, err := chat("small", "again tokens=1", false).with("Quetzalweir-Session", arg).send(remaining[i%2])
 			is.NoErr(err)
-			is.Equal(a.get("Quetzalweir-Version"), bound[i])
+			is.Equal(a.get("Quetzalweir-Version"), versions[i])
 			is.Equal(a.get("Quetzalweir-Session-Moved"), "")
 		}
 	}
 
-	s.hosts = rest
+	s.hosts = remaining
 	s.submit(edit(t, second, withdrawV1))
-	eventually(t, "the withdrawal is in force", func() bool { return s.epochs(3) })
+	eventually(t, "the withdrawal is in force", func() bool { return s.epochInForce(3) })
 	for i := range sessions {
-		a, err := chat("small", "after tokens=1", false).with("Quetzalweir-Session", token[i]).send(rest[i%2])
+		a, err := chat("small", "after tokens=1", false).with("Quetzalweir-Session", tokens[i]).send(remaining[i%2])
 		is.NoErr(err)
 		is.Equal(a.get("Quetzalweir-Version"), "v2")
-		is.Equal(a.get("Quetzalweir-Session-Moved") != "", bound[i] == "v1") // told, if it had to move
+		is.Equal(a.get("Quetzalweir-Session-Moved") != "", versions[i] == "v1") // reported if the session was moved
 	}
 }
 
-// firstRequests sends concurrent first requests of a bare session id to all
-// hosts; they must agree on a version.
-func (s *system) firstRequests(i int) (version, token string) {
+// openSession concurrently sends the first requests of a session, with an id that the
+// caller chose, to all hosts. The hosts must agree on a version.
+func (s *system) openSession(i int) (version, token string) {
 	s.t.Helper()
 	answers := make([]answer, len(s.hosts))
 	var wait sync.WaitGroup
@@ -184,24 +185,24 @@
 	return answers[0].get("Quetzalweir-Version"), answers[0].get("Quetzalweir-Session")
 }
 
-// epochs says whether all hosts have at least this epoch in force.
-func (s *system) epochs(epoch uint64) bool {
+// epochInForce reports whether all hosts have at least this epoch in force.
+func (s *system) epochInForce(epoch uint64) bool {
 	for _, h := range s.hosts {
 		var view struct{ Epoch uint64 }
-		if s.get(h, "/v1/hosts", &view) != nil || view.Epoch < epoch {
+		if s.operatorGet(h, "/v1/hosts", &view) != nil || view.Epoch < epoch {
 			return false
 		}
 	}
 	return true
 }
 
-// leavingBound is how long after one host learnt that an upstream leaves the
-// others may still send to it.
+// leavingBound is how long other hosts may still send requests to an upstream after
+// one host was informed that it leaves.
 const leavingBound = 3 * time.Second
 
-// TestLeavingUpstreamGetsNoNewWork tells one host that an engine leaves, while
-// the platform's list goes on showing it as live and two other hosts are cut
-// from each other.
+// TestLeavingUpstreamGetsNoNewWork informs one host that an engine leaves. The other
+// hosts must stop using it although the platform's list still has it as live and the
+// connections between two of them are cut.
 func TestLeavingUpstreamGetsNoNewWork(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, 3)
@@ -210,36 +211,36 @@
 	a.fromPeers.cutFrom(func(ip string) bool { return ip == b.ip })
 	b.fromPeers.cutFrom(func(ip string) bool { return ip == a.ip })
 
-	req, err := http.NewRequest(http.MethodPost, "http://"+s.hosts[0].operators+"/v1/upstreams/engine-2/leaving", nil)
+	req, err := http.NewRequest(http.MethodPost, "http://"+s.hosts[0].operatorAddr+"/v1/upstreams/engine-2/leaving", nil)
 	is.NoErr(err)
-	is.NoErr(s.operator(req, nil))
+	is.NoErr(s.sendToOperatorAPI(req, nil))
 	time.Sleep(leavingBound)
-	before := s.arrivals(s.engines[1])
+	before := s.countArrivals(s.engines[1])
 	for i := range 60 {
 		answer, err := chat("large", fmt.Sprintf("%d tokens=1", i), false).send(s.hosts[i%3])
 		is.NoErr(err)
 		is.Equal(answer.status, http.StatusOK)
 		is.True(answer.get("Quetzalweir-Upstream") != "engine-2")
 	}
-	is.Equal(s.arrivals(s.engines[1]), before)
+	is.Equal(s.countArrivals(s.engines[1]), before)
 }
 
-func (s *system) arrivals(e standin) int {
+func (s *system) countArrivals(e standin) int {
 	s.t.Helper()
 	var arrivals engine.Arrivals
 	s.standinGet(e.address, "/arrivals", &arrivals)
 	return len(arrivals.Arrivals)
 }
 
-// TestServiceThatLeavesIsReported has a service say in its load report that it
-// leaves; calls are refused at once, truthfully and with when to come back.
+// TestServiceThatLeavesIsReported has a service report in its load that it leaves. Calls
+// must be refused without delay, as not run, and with a Retry-After header.
 func TestServiceThatLeavesIsReported(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, 2)
 	s.submit(devenv.Manifest())
-	s.fault(s.services[0].address, service.Faults{Leaving: true})
+	s.setFaults(s.services[0].address, service.Faults{Leaving: true})
 	tries := 0
-	eventually(t, "both hosts know", func() bool {
+	eventually(t, "both hosts refuse calls", func() bool {
 		for _, h := range s.hosts {
 			tries++
 			a, err := bid(fmt.Sprintf("early-%d", tries), "{}").send(h)
