--- a/internal/devenv/examples.go
+++ b/internal/devenv/examples.go
@@ -30,7 +30,7 @@
 	key := http.Header{"Authorization": {"Bearer " + AccountKey}}
 	return []Example{
 		{
-			Title:    "a chat, answered whole",
+			Title:    "a chat, not streamed",
 			Path:     chatPath,
 			Header:   key,
 			Body:     `{"model":"small","messages":[{"role":"user","content":"describe lot 7"}]}`,
