--- a/internal/experiment/admission/report.go
+++ b/internal/experiment/admission/report.go
@@ -98,11 +98,11 @@
 }
 
 func printScenario(t *simulate.Tables, s scenario, seeds int) {
-	t.Title(s.name)
-	t.Head(2, "policy", "class", "in time %", "late %", "lost %", "goodput % of capacity",
+	t.Section(s.name)
+	t.Header(2, "policy", "class", "in time %", "late %", "lost %", "goodput % of capacity",
 		"in time %, large / small accounts", "refused with a place free", "mean ms to a refusal")
 	for _, p := range candidates() {
-		runs := simulate.Seeds(seeds, func(seed int) figures {
+		runs := simulate.RunSeeds(seeds, func(seed int) figures {
 			return measure(s, run(s, p.make(), uint64(seed+1)))
 		})
 		for class, l := range loads {
@@ -115,7 +115,7 @@
 // of the whole run too.
 func classCells(runs []figures, class int) []string {
 	percent := func(value func(figures) float64) string {
-		return simulate.Deviation(simulate.Values(runs, func(f figures) float64 { return 100 * value(f) }))
+		return simulate.FormatDeviation(simulate.Values(runs, func(f figures) float64 { return 100 * value(f) }))
 	}
 	cells := []string{
 		percent(func(f figures) float64 { return f.good[class] }),
@@ -130,6 +130,6 @@
 	return append(cells,
 		percent(func(f figures) float64 { return f.goodput }),
 		large+" / "+small,
-		simulate.Deviation(simulate.Values(runs, func(f figures) float64 { return f.freeRefusals })),
-		simulate.Deviation(simulate.Values(runs, func(f figures) float64 { return f.refusalWait })))
+		simulate.FormatDeviation(simulate.Values(runs, func(f figures) float64 { return f.freeRefusals })),
+		simulate.FormatDeviation(simulate.Values(runs, func(f figures) float64 { return f.refusalWait })))
 }
--- a/internal/experiment/balance/report.go
+++ b/internal/experiment/balance/report.go
@@ -57,8 +57,8 @@
 }
 
 func (r *report) head(title string) {
-	r.Title(title, "First token in milliseconds, mean over seeds (least to most).")
-	r.Head(1, "policy", "p50", "p95", "p99", "prefix blocks from cache", "failed")
+	r.Section(title, "First token in milliseconds, mean over seeds (least to most).")
+	r.Header(1, "policy", "p50", "p95", "p99", "prefix blocks from cache", "failed")
 }
 
 func (r *report) faults() {
@@ -100,10 +100,10 @@
 
 // cell runs one cell and prints its row.
 func (r *report) cell(s setting, c contender) {
-	results := simulate.Seeds(r.seeds, func(seed int) result { return run(s, c, seed) })
+	results := simulate.RunSeeds(r.seeds, func(seed int) result { return run(s, c, seed) })
 	row := []string{c.name}
 	for _, quantile := range []float64{50, 95, 99} {
-		row = append(row, simulate.Spread(simulate.Values(results, func(r result) float64 {
+		row = append(row, simulate.FormatRange(simulate.Values(results, func(r result) float64 {
 			return float64(r.firstToken.ValueAtQuantile(quantile)) / 1000
 		})))
 	}
--- a/internal/experiment/balance/world.go
+++ b/internal/experiment/balance/world.go
@@ -80,7 +80,7 @@
 	for i := range s.hosts {
 		w.addHost(i, c, list, seed)
 	}
-	t := &traffic{queue: w.queue, rnd: simulate.Random(seed), rate: s.rate, hosts: s.hosts, submit: w.submit}
+	t := &traffic{queue: w.queue, rnd: simulate.NewRand(seed), rate: s.rate, hosts: s.hosts, submit: w.submit}
 	t.start()
 	w.queue.Run(length)
 	return w.result
--- a/internal/experiment/cascade/report.go
+++ b/internal/experiment/cascade/report.go
@@ -49,12 +49,12 @@
 }
 
 func table(t *simulate.Tables, name string, s setting, seeds int) {
-	t.Title(name)
-	t.Head(1, "way", "cost of always best", "least to most", "reach the target", "mean quality",
+	t.Section(name)
+	t.Header(1, "way", "cost of always best", "least to most", "reach the target", "mean quality",
 		"seconds, mean", "late", "ratings a request")
-	best := simulate.Seeds(seeds, func(seed int) result { return run(s, fixedAt(len(prices)-1, false), seed) })
+	best := simulate.RunSeeds(seeds, func(seed int) result { return run(s, fixedAt(len(prices)-1, false), seed) })
 	for _, c := range contenders {
-		results := simulate.Seeds(seeds, func(seed int) result { return run(s, c.build, seed) })
+		results := simulate.RunSeeds(seeds, func(seed int) result { return run(s, c.build, seed) })
 		t.Row(row(c.name, results, best)...)
 	}
 }
@@ -73,7 +73,7 @@
 	return []string{
 		name,
 		fmt.Sprintf("%.1f%%", cost.Mean),
-		fmt.Sprintf("%.1f to %.1f", cost.Least, cost.Worst),
+		fmt.Sprintf("%.1f to %.1f", cost.Min, cost.Max),
 		fmt.Sprintf("%.1f%%", 100*mean(func(r result) float64 { return r.target })),
 		fmt.Sprintf("%.3f", mean(func(r result) float64 { return r.quality })),
 		fmt.Sprintf("%.2f", mean(func(r result) float64 { return r.seconds })),
--- a/internal/experiment/cascade/run_test.go
+++ b/internal/experiment/cascade/run_test.go
@@ -35,7 +35,7 @@
 		t.Run(tt.desc, func(t *testing.T) {
 			is := is.New(t)
 			j := job{prompt: 1000, quality: []float64{tt.cheap, 0.9}, latency: []time.Duration{1, 2}}
-			got := serve(simulate.Random(1), tt.setting, fixed{0, true}, j)
+			got := serve(simulate.NewRand(1), tt.setting, fixed{0, true}, j)
 			is.Equal(got.quality, tt.quality)
 			is.Equal(got.cost, tt.cost)
 			is.Equal(got.ratings, 1)
--- a/internal/experiment/cascade/world.go
+++ b/internal/experiment/cascade/world.go
@@ -184,7 +184,7 @@
 	now := simulate.Epoch
 	w := build(s, func() time.Time { return now }, seed)
 	// The requests have a source of their own, so that every way gets the same.
-	rnd, raterRnd := simulate.Random(seed), rand.New(rand.NewPCG(uint64(seed), 1))
+	rnd, raterRnd := simulate.NewRand(seed), rand.New(rand.NewPCG(uint64(seed), 1))
 	var sum result
 	for i := range requests {
 		now = now.Add(simulate.Exponential(rnd, arrival))
--- a/internal/experiment/deployment/run.go
+++ b/internal/experiment/deployment/run.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		return err
 	}
-	r.Title("Capacity", fmt.Sprintf("%.0f answers/s of the usual mix (%d callers in turn, one run).", capacity, capacityCallers), machineLoad())
+	r.Section("Capacity", fmt.Sprintf("%.0f answers/s of the usual mix (%d callers in turn, one run).", capacity, capacityCallers), machineLoad())
 	if err := r.loads(ctx, capacity); err != nil {
 		return err
 	}
@@ -81,10 +81,10 @@
 // exposures runs the seeds of two cells at once: counts are measured, not
 // latencies.
 func (r *report) exposures(ctx context.Context) error {
-	r.Title("A version of the small model turns bad in the middle of its roll-out",
+	r.Section("A version of the small model turns bad in the middle of its roll-out",
 		fmt.Sprintf("%d%% of the sessions, %d requests/s, %v good, then bad until all hosts stopped it or for %v.", exposureShare, exposureRate, goodTime, r.options.Horizon),
 		machineLoad())
-	r.Head(2, "fault", "condition", "answers while good", "answers after", "stopped on all hosts", "after, s", "hosts at the end", "in time %", "lost %")
+	r.Header(2, "fault", "condition", "answers while good", "answers after", "stopped on all hosts", "after, s", "hosts at the end", "in time %", "lost %")
 	for pair := range slices.Chunk(exposureCells, 2) {
 		results, err := r.runExposures(ctx, pair)
 		if err != nil {
--- a/internal/experiment/deployment/tables.go
+++ b/internal/experiment/deployment/tables.go
@@ -10,7 +10,7 @@
 // over is the mean of a figure over the runs, with the least and the greatest.
 func over[T any](runs []T, figure func(T) float64) string {
 	s := simulate.Summarize(simulate.Values(runs, figure))
-	return fmt.Sprintf("%.1f (%.1f-%.1f)", s.Mean, s.Least, s.Worst)
+	return fmt.Sprintf("%.1f (%.1f-%.1f)", s.Mean, s.Min, s.Max)
 }
 
 // overCells is over for a figure of one scenario's cells.
@@ -20,8 +20,8 @@
 
 // classTable has a row for each scenario, policy and class.
 func (r *report) classTable(runs [][]loadRun) {
-	r.Title(fmt.Sprintf("Classes, in percent of the requests sent: mean (least-greatest) of %d runs", r.options.Seeds), machineLoad())
-	r.Head(3, "load", "policy", "class", "in time", "late", "refused", "lost")
+	r.Section(fmt.Sprintf("Classes, in percent of the requests sent: mean (least-greatest) of %d runs", r.options.Seeds), machineLoad())
+	r.Header(3, "load", "policy", "class", "in time", "late", "refused", "lost")
 	for i, sc := range scenarios {
 		for p, pol := range policies {
 			for _, c := range classes {
@@ -37,8 +37,8 @@
 
 // totalTable has a row for each scenario and policy.
 func (r *report) totalTable(runs [][]loadRun) {
-	r.Title("Goodput, first token, accounts")
-	r.Head(2, "load", "policy", "in time, /s", "first token p50, ms", "p95", "p99", "in time, large accounts %",
+	r.Section("Goodput, first token, accounts")
+	r.Header(2, "load", "policy", "in time, /s", "first token p50, ms", "p95", "p99", "in time, large accounts %",
 		"small %", "refused with a place free, % of requests", "ms to a refusal")
 	for i, sc := range scenarios {
 		for p, pol := range policies {
@@ -65,8 +65,8 @@
 }
 
 func (r *report) costTable(runs []loadRun) {
-	r.Title(fmt.Sprintf("Cost: the same requests to each route, target %.2f", target))
-	r.Head(1, "route", "cost an answer, micro units", "mean rating", "at the target %", "first token p95, ms")
+	r.Section(fmt.Sprintf("Cost: the same requests to each route, target %.2f", target))
+	r.Header(1, "route", "cost an answer, micro units", "mean rating", "at the target %", "first token p95, ms")
 	for i, route := range costRoutes {
 		figure := func(f func(costResult) float64) string {
 			return over(runs, func(run loadRun) float64 { return f(run.costs[i]) })
@@ -82,13 +82,13 @@
 // meanRating is the mean rating of a route, whose digits stand behind the point.
 func meanRating(runs []loadRun, route int) string {
 	s := simulate.Summarize(simulate.Values(runs, func(run loadRun) float64 { return run.costs[route].rating }))
-	return fmt.Sprintf("%.3f (%.3f-%.3f)", s.Mean, s.Least, s.Worst)
+	return fmt.Sprintf("%.3f (%.3f-%.3f)", s.Mean, s.Min, s.Max)
 }
 
 // bookTable tells how the ledger and the callers' answers agree.
 func (r *report) bookTable(runs [][]loadRun) {
-	r.Title("The ledger against the callers' whole answers, all cells and runs together")
-	r.Head(1, "policy", "whole answers", "without a bill", "billed twice", "billed, caller left before the end")
+	r.Section("The ledger against the callers' whole answers, all cells and runs together")
+	r.Header(1, "policy", "whole answers", "without a bill", "billed twice", "billed, caller left before the end")
 	for p, pol := range policies {
 		var sum books
 		whole := 0
--- a/internal/experiment/rollout/comparison.go
+++ b/internal/experiment/rollout/comparison.go
@@ -61,8 +61,8 @@
 
 // comparisons prints the operating curves of the comparison of two versions.
 func (r *report) comparisons() {
-	r.Title("A new version beside the old one, looked at after each answer: how often and after how many of its answers it is stopped, and cleared")
-	r.Head(3, "old version, bad", "new version, bad", "its part", "stopped", "answers until then, mean", "cleared", "answers until then, mean")
+	r.Section("A new version beside the old one, looked at after each answer: how often and after how many of its answers it is stopped, and cleared")
+	r.Header(3, "old version, bad", "new version, bad", "its part", "stopped", "answers until then, mean", "cleared", "answers until then, mean")
 	for _, rates := range [][2]float64{{0, 0}, {0.02, 0.02}, {0.2, 0.2}, {0.5, 0.5}, {0, 0.1}, {0, 0.2}, {0, 0.5}, {0, 1}, {0.2, 0.35}, {0.2, 0.55}, {0.2, 0.9}} {
 		for _, share := range []float64{0.05, 0.18, 0.5} {
 			r.comparisonRow(versions{rates[0], rates[1], share})
@@ -71,7 +71,7 @@
 }
 
 func (r *report) comparisonRow(v versions) {
-	results := simulate.Seeds(r.seeds, func(seed int) []comparison {
+	results := simulate.RunSeeds(r.seeds, func(seed int) []comparison {
 		rng := rand.New(rand.NewPCG(uint64(seed), 17))
 		runs := make([]comparison, comparisonRuns)
 		for i := range runs {
--- a/internal/experiment/rollout/report.go
+++ b/internal/experiment/rollout/report.go
@@ -68,8 +68,8 @@
 }
 
 func (r *report) head(title string) {
-	r.Title(title)
-	r.Head(3, "version", "setting", "policy", "answers, mean", "median", "worst", "bad ones, mean", "stopped")
+	r.Section(title)
+	r.Header(3, "version", "setting", "policy", "answers, mean", "median", "worst", "bad ones, mean", "stopped")
 }
 
 // cell runs one cell and prints its row.
@@ -78,7 +78,7 @@
 	exposed := simulate.Summarize(simulate.Values(results, answersOf))
 	bad := simulate.Summarize(simulate.Values(results, func(r result) float64 { return r.bad }))
 	r.Row(s.version.name, label, c.name, fmt.Sprintf("%.1f", exposed.Mean), fmt.Sprintf("%.0f", exposed.Median),
-		fmt.Sprintf("%.0f", exposed.Worst), fmt.Sprintf("%.1f", bad.Mean), r.share(results, isStopped))
+		fmt.Sprintf("%.0f", exposed.Max), fmt.Sprintf("%.1f", bad.Mean), r.share(results, isStopped))
 }
 
 func answersOf(r result) float64 { return r.exposed }
@@ -97,7 +97,7 @@
 }
 
 func (r *report) results(s setting, c contender) []result {
-	return simulate.Seeds(r.seeds, func(seed int) result { return run(s, c.build, seed) })
+	return simulate.RunSeeds(r.seeds, func(seed int) result { return run(s, c.build, seed) })
 }
 
 func (r *report) mechanisms() {
@@ -172,8 +172,8 @@
 
 // good prints how often a good version is stopped, and what clearing costs.
 func (r *report) good() {
-	r.Title("A good version, 10 minutes")
-	r.Head(2, "setting", "policy", "falsely stopped", "cleared", "answers until cleared, median", "worst", "answers in all, mean")
+	r.Section("A good version, 10 minutes")
+	r.Header(2, "setting", "policy", "falsely stopped", "cleared", "answers until cleared, median", "worst", "answers in all, mean")
 	near := goodVersion
 	near.errorRate = 0.015
 	for _, v := range []behaviour{goodVersion, near} {
@@ -200,7 +200,7 @@
 	}
 	exposed := simulate.Summarize(simulate.Values(results, answersOf))
 	r.Row(label, c.name, r.share(results, isStopped), r.share(results, isCleared),
-		fmt.Sprintf("%.0f", cleared.Median), fmt.Sprintf("%.0f", cleared.Worst), fmt.Sprintf("%.0f", exposed.Mean))
+		fmt.Sprintf("%.0f", cleared.Median), fmt.Sprintf("%.0f", cleared.Max), fmt.Sprintf("%.0f", exposed.Mean))
 }
 
 func isCleared(r result) bool { return r.cleared > 0 }
--- a/internal/experiment/rollout/tracked.go
+++ b/internal/experiment/rollout/tracked.go
@@ -48,7 +48,7 @@
 
 func tracked(v variant) newCluster {
 	return func(s setting, clock func() time.Time) cluster {
-		c := &trackers{variant: v, fanout: s.fanout, rnd: simulate.Random(s.hosts)}
+		c := &trackers{variant: v, fanout: s.fanout, rnd: simulate.NewRand(s.hosts)}
 		c.marks = make([]uint64, s.hosts)
 		table := memory.New()
 		for i := range s.hosts {
--- a/internal/experiment/rollout/world.go
+++ b/internal/experiment/rollout/world.go
@@ -113,7 +113,7 @@
 
 // run simulates one seed.
 func run(s setting, build newCluster, seed int) result {
-	w := &world{setting: s, queue: simulate.New(), rnd: simulate.Random(seed)}
+	w := &world{setting: s, queue: simulate.New(), rnd: simulate.NewRand(seed)}
 	w.cluster = build(s, w.queue.Now)
 	w.arrive()
 	w.queue.Every(s.exchange, func() bool {
--- a/internal/experiment/simulate/example_test.go
+++ b/internal/experiment/simulate/example_test.go
@@ -7,21 +7,21 @@
 	"github.com/quetzalweir/quetzalweir/internal/experiment/simulate"
 )
 
-// Three runs of a server that answers one request after the other.
+// Simulates a server that answers one request at a time, with three seeds.
 func Example() {
-	runs := simulate.Seeds(3, func(seed int) float64 {
-		queue := simulate.New()
+	runs := simulate.RunSeeds(3, func(seed int) float64 {
+		events := simulate.New()
 		answered := 0.0
-		queue.Every(time.Duration(seed+1)*time.Second, func() bool {
+		events.Every(time.Duration(seed+1)*time.Second, func() bool {
 			answered++
 			return true
 		})
-		queue.Run(time.Minute)
+		events.Run(time.Minute)
 		return answered
 	})
 	tables := simulate.NewTables(os.Stdout)
-	tables.Head(1, "server", "answers")
-	tables.Row("one at a time", simulate.Spread(runs))
+	tables.Header(1, "server", "answers")
+	tables.Row("one at a time", simulate.FormatRange(runs))
 	// Output:
 	// | server | answers |
 	// |---|---:|
--- a/internal/experiment/simulate/parallel.go
+++ b/internal/experiment/simulate/parallel.go
@@ -2,14 +2,14 @@
 
 import "sync"
 
-// parallel is how many runs go on at once.
-const parallel = 4
+// maxParallelRuns is the number of runs that execute concurrently.
+const maxParallelRuns = 4
 
-// Seeds runs f for each seed from 0 to n-1, several at once, and returns the
-// results in the order of the seeds.
-func Seeds[T any](n int, f func(seed int) T) []T {
+// RunSeeds calls f for each seed from 0 to n-1, several concurrently, and
+// returns the results in the order of the seeds.
+func RunSeeds[T any](n int, f func(seed int) T) []T {
 	results := make([]T, n)
-	slots := make(chan struct{}, parallel)
+	slots := make(chan struct{}, maxParallelRuns)
 	var wg sync.WaitGroup
 	for seed := range n {
 		slots <- struct{}{}
--- a/internal/experiment/simulate/simulate.go
+++ b/internal/experiment/simulate/simulate.go
@@ -1,8 +1,8 @@
-// Package simulate is a queue of events in virtual time, for experiments that
-// run policies in one goroutine with seeded randomness.
+// Package simulate provides an event queue in virtual time, for experiments
+// that run policies in one goroutine with seeded random numbers.
 //
-// Tables prints what the runs come to. Nothing here models the network; each
-// experiment does that for itself.
+// Tables prints the results of the runs. Nothing here models the network; each
+// experiment has its own model.
 package simulate
 
 import (
@@ -16,27 +16,27 @@
 // Epoch is the start of virtual time.
 var Epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// Queue runs events in the order of their times; events of the same time run
+// Queue runs events in the order of their times; events with the same time run
 // in the order in which they were added.
 type Queue struct {
-	now    time.Time
-	added  int
-	events events
+	now        time.Time
+	insertions int
+	events     events
 }
 
 // New returns an empty queue at Epoch.
 func New() *Queue { return &Queue{now: Epoch} }
 
-// Now returns the virtual time. It serves as a platform.Clock.
+// Now returns the virtual time. It can be used as a storage.Clock.
 func (q *Queue) Now() time.Time { return q.now }
 
-// After runs f after d, at once if d is negative.
+// After schedules f to run after d. A negative d counts as 0.
 func (q *Queue) After(d time.Duration, f func()) {
-	q.added++
-	heap.Push(&q.events, event{at: q.now.Add(max(0, d)), order: q.added, run: f})
+	q.insertions++
+	heap.Push(&q.events, event{at: q.now.Add(max(0, d)), order: q.insertions, run: f})
 }
 
-// Every runs f every d, first after d, while it returns true.
+// Every schedules f to run every d, first after d, until f returns false.
 func (q *Queue) Every(d time.Duration, f func() bool) {
 	q.After(d, func() {
 		if f() {
@@ -45,7 +45,8 @@
 	})
 }
 
-// Run runs all events up to and including the time Epoch plus d.
+// Run runs all events up to and including the time Epoch plus d, and sets the
+// virtual time to it.
 func (q *Queue) Run(d time.Duration) {
 	end := Epoch.Add(d)
 	for len(q.events) > 0 && !q.events[0].at.After(end) {
@@ -62,7 +63,7 @@
 	run   func()
 }
 
-// events implements heap.Interface.
+// events implements heap.Interface, ordered by time and then by insertion.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -87,26 +88,26 @@
 	return x
 }
 
-// Random returns a source seeded by a run's number.
-func Random(seed int) *rand.Rand { return rand.New(rand.NewPCG(uint64(seed), 0)) }
+// NewRand returns a random number generator with the given seed.
+func NewRand(seed int) *rand.Rand { return rand.New(rand.NewPCG(uint64(seed), 0)) }
 
-// Exponential draws a duration with the given mean.
+// Exponential draws an exponentially distributed duration with the given mean.
 func Exponential(rnd *rand.Rand, mean time.Duration) time.Duration {
 	return time.Duration(rnd.ExpFloat64() * float64(mean))
 }
 
-// LogNormal draws a duration with the given median and the standard deviation
-// sigma of its logarithm.
+// LogNormal draws a log-normally distributed duration with the given median;
+// sigma is the standard deviation of its natural logarithm.
 func LogNormal(rnd *rand.Rand, median time.Duration, sigma float64) time.Duration {
 	return time.Duration(float64(median) * math.Exp(sigma*rnd.NormFloat64()))
 }
 
-// Summary describes the results of several runs.
+// Summary holds statistics over the results of several runs.
 type Summary struct {
-	Mean, Least, Median, Worst float64
+	Mean, Min, Median, Max float64
 }
 
-// Summarize sums up results; it panics without any.
+// Summarize returns the statistics of results, which must not be empty.
 func Summarize(results []float64) Summary {
 	sorted := slices.Sorted(slices.Values(results))
 	sum := 0.0
@@ -115,8 +116,8 @@
 	}
 	return Summary{
 		Mean:   sum / float64(len(sorted)),
-		Least:  sorted[0],
+		Min:    sorted[0],
 		Median: sorted[len(sorted)/2],
-		Worst:  sorted[len(sorted)-1],
+		Max:    sorted[len(sorted)-1],
 	}
 }
--- a/internal/experiment/simulate/tables.go
+++ b/internal/experiment/simulate/tables.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Tables writes tables in Markdown and keeps the first error.
+// Tables writes Markdown tables. After a failed write it writes nothing more.
 type Tables struct {
 	w   io.Writer
 	err error
@@ -19,23 +19,23 @@
 // Err returns the first error of a write.
 func (t *Tables) Err() error { return t.err }
 
-// Title starts a section with notes, each a paragraph.
-func (t *Tables) Title(title string, notes ...string) {
-	t.printf("\n### %s\n", title)
-	for _, note := range notes {
-		t.printf("\n%s\n", note)
+// Section writes a heading and the paragraphs below it.
+func (t *Tables) Section(heading string, paragraphs ...string) {
+	t.printf("\n### %s\n", heading)
+	for _, paragraph := range paragraphs {
+		t.printf("\n%s\n", paragraph)
 	}
 }
 
-// Head starts a table. The first columns, texts in number, are aligned to the
-// left, the others to the right.
-func (t *Tables) Head(texts int, columns ...string) {
+// Header starts a table with its header row. The first textColumns columns are
+// aligned to the left, the others to the right.
+func (t *Tables) Header(textColumns int, columns ...string) {
 	t.printf("\n")
 	t.Row(columns...)
-	t.printf("|%s%s\n", strings.Repeat("---|", texts), strings.Repeat("---:|", len(columns)-texts))
+	t.printf("|%s%s\n", strings.Repeat("---|", textColumns), strings.Repeat("---:|", len(columns)-textColumns))
 }
 
-// Row writes one row.
+// Row writes one row of a table.
 func (t *Tables) Row(cells ...string) {
 	t.printf("| %s |\n", strings.Join(cells, " | "))
 }
@@ -46,14 +46,14 @@
 	}
 }
 
-// Spread writes a value of each run as its mean, least and greatest.
-func Spread(values []float64) string {
+// FormatRange formats the mean, the least and the greatest of values.
+func FormatRange(values []float64) string {
 	s := Summarize(values)
-	return fmt.Sprintf("%.0f (%.0f to %.0f)", s.Mean, s.Least, s.Worst)
+	return fmt.Sprintf("%.0f (%.0f to %.0f)", s.Mean, s.Min, s.Max)
 }
 
-// Deviation writes a value of each run as its mean and standard deviation.
-func Deviation(values []float64) string {
+// FormatDeviation formats the mean and the standard deviation of values.
+func FormatDeviation(values []float64) string {
 	mean := Summarize(values).Mean
 	squares := 0.0
 	for _, x := range values {
@@ -62,7 +62,7 @@
 	return fmt.Sprintf("%.1f ± %.1f", mean, math.Sqrt(squares/float64(len(values))))
 }
 
-// Values takes one value of each run.
+// Values applies value to each run and returns the results in order.
 func Values[T any](runs []T, value func(T) float64) []float64 {
 	var values []float64
 	for _, run := range runs {
