--- a/internal/experiment/admission/admission.go
+++ b/internal/experiment/admission/admission.go
@@ -1,5 +1,5 @@
-// Package admission measures the admission scheduler against queues without
-// admission, in virtual time with seeded workloads, and prints tables in
+// Package admission compares the admission scheduler with queues that admit
+// every request, in virtual time with seeded workloads, and prints tables in
 // Markdown.
 package admission
 
@@ -14,7 +14,8 @@
 
 // Options are the settings of Run.
 type Options struct {
-	// Seeds is the number of runs for each cell; 0 means DefaultSeeds.
+	// Seeds is the number of runs for each scenario and policy; 0 means
+	// DefaultSeeds.
 	Seeds int
 }
 
--- a/internal/experiment/admission/policy.go
+++ b/internal/experiment/admission/policy.go
@@ -6,103 +6,104 @@
 	"github.com/quetzalweir/quetzalweir/admission"
 )
 
-// policy decides which requests run. Each method returns the requests that it
-// made run; refusals are marked on the request.
+// policy decides which requests run. Each method except nextEvent returns the
+// requests that it started; a refused request is marked as such.
 type policy interface {
 	submit(now time.Duration, r *request) []*request
 	finish(now time.Duration, r *request) []*request
 	setCapacity(now time.Duration, n int) []*request
-	// next is when advance is to be called.
-	next() (time.Duration, bool)
+	// nextEvent returns the time at which advance must be called, if any.
+	nextEvent() (time.Duration, bool)
 	advance(now time.Duration) []*request
 }
 
-// candidate is a way of queueing under comparison.
-type candidate struct {
+// namedPolicy is a compared policy with its name in the tables.
+type namedPolicy struct {
 	name string
 	make func() policy
 }
 
-func candidates() []candidate {
-	return []candidate{
-		{"FIFO", func() policy { return &fixed{capacity: places, rank: sameRank} }},
-		{"FIFO, callers leave", func() policy { return &fixed{capacity: places, rank: sameRank, leave: true} }},
-		{"strict priority", func() policy { return &fixed{capacity: places, rank: classRank} }},
-		{"strict priority, callers leave", func() policy { return &fixed{capacity: places, rank: classRank, leave: true} }},
-		{"admission", func() policy { return newScheduled() }},
+func policies() []namedPolicy {
+	return []namedPolicy{
+		{"FIFO", func() policy { return &rankedQueue{capacity: slots, rank: sameRank} }},
+		{"FIFO, callers leave", func() policy { return &rankedQueue{capacity: slots, rank: sameRank, dropExpired: true} }},
+		{"strict priority", func() policy { return &rankedQueue{capacity: slots, rank: classRank} }},
+		{"strict priority, callers leave", func() policy { return &rankedQueue{capacity: slots, rank: classRank, dropExpired: true} }},
+		{"admission", func() policy { return newSchedulerPolicy() }},
 	}
 }
 
 func sameRank(*request) int    { return 0 }
 func classRank(r *request) int { return r.class }
 
-// fixed is a queue without admission, in order of rank and arrival.
-type fixed struct {
+// rankedQueue admits every request and starts them in order of rank, then of
+// arrival.
+type rankedQueue struct {
 	capacity, running int
 	rank              func(*request) int
-	// leave drops a waiting request when its deadline has passed.
-	leave   bool
-	waiting [3][]*request
+	// dropExpired drops requests whose deadline passed while they waited.
+	dropExpired bool
+	waiting     [3][]*request
 }
 
-func (f *fixed) submit(now time.Duration, r *request) []*request {
-	rank := f.rank(r)
-	f.waiting[rank] = append(f.waiting[rank], r)
-	return f.start(now)
+func (q *rankedQueue) submit(now time.Duration, r *request) []*request {
+	rank := q.rank(r)
+	q.waiting[rank] = append(q.waiting[rank], r)
+	return q.start(now)
 }
 
-func (f *fixed) finish(now time.Duration, _ *request) []*request {
-	f.running--
-	return f.start(now)
+func (q *rankedQueue) finish(now time.Duration, _ *request) []*request {
+	q.running--
+	return q.start(now)
 }
 
-func (f *fixed) setCapacity(now time.Duration, n int) []*request {
-	f.capacity = n
-	return f.start(now)
+func (q *rankedQueue) setCapacity(now time.Duration, n int) []*request {
+	q.capacity = n
+	return q.start(now)
 }
 
-func (f *fixed) next() (time.Duration, bool)      { return 0, false }
-func (f *fixed) advance(time.Duration) []*request { return nil }
+func (q *rankedQueue) nextEvent() (time.Duration, bool) { return 0, false }
+func (q *rankedQueue) advance(time.Duration) []*request { return nil }
 
-func (f *fixed) start(now time.Duration) []*request {
+func (q *rankedQueue) start(now time.Duration) []*request {
 	var started []*request
-	for rank := range f.waiting {
-		for f.running < f.capacity && len(f.waiting[rank]) > 0 {
-			r := f.waiting[rank][0]
-			f.waiting[rank] = f.waiting[rank][1:]
-			if f.leave && now > r.deadline {
+	for rank := range q.waiting {
+		for q.running < q.capacity && len(q.waiting[rank]) > 0 {
+			r := q.waiting[rank][0]
+			q.waiting[rank] = q.waiting[rank][1:]
+			if q.dropExpired && now > r.deadline {
 				continue
 			}
 			started = append(started, r)
-			f.running++
+			q.running++
 		}
 	}
 	return started
 }
 
-// scheduled is the scheduler under test.
-type scheduled struct {
-	core    *admission.Scheduler
-	entries map[*request]*admission.Entry
-	owners  map[*admission.Entry]*request
+// schedulerPolicy runs the admission scheduler.
+type schedulerPolicy struct {
+	scheduler *admission.Scheduler
+	entries   map[*request]*admission.Entry
+	requests  map[*admission.Entry]*request
 }
 
-// origin is the wall time of virtual time 0.
+// origin is the time that the scheduler gets for virtual time 0.
 var origin = time.Unix(0, 0)
 
-func newScheduled() *scheduled {
+func newSchedulerPolicy() *schedulerPolicy {
 	var classes []admission.ClassOptions
 	for _, l := range loads {
 		classes = append(classes, admission.ClassOptions{Name: l.name, MinShare: l.minShare})
 	}
-	return &scheduled{
-		core:    admission.NewScheduler(admission.Options{Capacity: places, Classes: classes, MaxQueue: 2048}),
-		entries: make(map[*request]*admission.Entry),
-		owners:  make(map[*admission.Entry]*request),
+	return &schedulerPolicy{
+		scheduler: admission.NewScheduler(admission.Options{Capacity: slots, Classes: classes, MaxQueue: 2048}),
+		entries:   make(map[*request]*admission.Entry),
+		requests:  make(map[*admission.Entry]*request),
 	}
 }
 
-func (s *scheduled) submit(now time.Duration, r *request) []*request {
+func (s *schedulerPolicy) submit(now time.Duration, r *request) []*request {
 	e := &admission.Entry{Ticket: admission.Ticket{
 		Account:  r.account,
 		Weight:   1,
@@ -111,54 +112,54 @@
 		Estimate: r.estimate,
 	}}
 	s.entries[r] = e
-	s.owners[e] = r
-	stats := s.core.Stats()
-	settled := s.core.Submit(origin.Add(now), e)
-	started := s.settle(now, settled)
+	s.requests[e] = r
+	stats := s.scheduler.Stats()
+	decided := s.scheduler.Submit(origin.Add(now), e)
+	started := s.applyDecisions(now, decided)
 	switch e.State() {
 	case admission.Running:
 		started = append(started, r)
 	case admission.Refused:
-		s.refuse(now, r)
-		r.freeAtRefusal = stats.Running < stats.Capacity && now+r.estimate <= r.deadline
+		s.markRefused(now, r)
+		r.hadFreeSlot = stats.Running < stats.Capacity && now+r.estimate <= r.deadline
 	}
 	return started
 }
 
-func (s *scheduled) finish(now time.Duration, r *request) []*request {
+func (s *schedulerPolicy) finish(now time.Duration, r *request) []*request {
 	e := s.entries[r]
 	delete(s.entries, r)
-	delete(s.owners, e)
-	return s.settle(now, s.core.Finish(origin.Add(now), e))
+	delete(s.requests, e)
+	return s.applyDecisions(now, s.scheduler.Finish(origin.Add(now), e))
 }
 
-func (s *scheduled) setCapacity(now time.Duration, n int) []*request {
-	return s.settle(now, s.core.SetCapacity(origin.Add(now), n))
+func (s *schedulerPolicy) setCapacity(now time.Duration, n int) []*request {
+	return s.applyDecisions(now, s.scheduler.SetCapacity(origin.Add(now), n))
 }
 
-func (s *scheduled) next() (time.Duration, bool) {
-	at, ok := s.core.Next()
+func (s *schedulerPolicy) nextEvent() (time.Duration, bool) {
+	at, ok := s.scheduler.Next()
 	return at.Sub(origin), ok
 }
 
-func (s *scheduled) advance(now time.Duration) []*request {
-	return s.settle(now, s.core.Advance(origin.Add(now)))
+func (s *schedulerPolicy) advance(now time.Duration) []*request {
+	return s.applyDecisions(now, s.scheduler.Advance(origin.Add(now)))
 }
 
-func (s *scheduled) settle(now time.Duration, settled []*admission.Entry) []*request {
+func (s *schedulerPolicy) applyDecisions(now time.Duration, decided []*admission.Entry) []*request {
 	var started []*request
-	for _, e := range settled {
-		r := s.owners[e]
+	for _, e := range decided {
+		r := s.requests[e]
 		if e.State() == admission.Running {
 			started = append(started, r)
 			continue
 		}
-		s.refuse(now, r)
+		s.markRefused(now, r)
 	}
 	return started
 }
 
-func (s *scheduled) refuse(now time.Duration, r *request) {
+func (s *schedulerPolicy) markRefused(now time.Duration, r *request) {
 	r.refused = true
 	r.refusedAt = now
 }
--- a/internal/experiment/admission/report.go
+++ b/internal/experiment/admission/report.go
@@ -6,49 +6,52 @@
 	"github.com/quetzalweir/quetzalweir/internal/experiment/simulate"
 )
 
-// figures are the results of one run.
-type figures struct {
-	// good, late and lost are parts of the class's requests.
-	good, late, lost [3]float64
-	// goodput is the work answered in time over the work of the capacity.
+// metrics are the results of one run. totals uses the same fields for sums.
+type metrics struct {
+	// inTime, late and lost are fractions of each class's requests: answered
+	// within the deadline, answered after it, and not answered.
+	inTime, late, lost [3]float64
+	// goodput is the service time of answers in time as a fraction of the
+	// available service time.
 	goodput float64
-	// goodLarge and goodSmall are parts of the accounts' requests.
-	goodLarge, goodSmall float64
-	// freeRefusals counts refusals while a place was free.
-	freeRefusals float64
-	// refusalWait is the mean time until a refusal, in milliseconds.
-	refusalWait float64
+	// inTimeLarge and inTimeSmall are the fractions of the requests of large
+	// and small accounts that were answered in time.
+	inTimeLarge, inTimeSmall float64
+	// refusedWithFreeSlot counts refusals while a slot was free.
+	refusedWithFreeSlot float64
+	// msToRefusal is the mean time until a refusal, in milliseconds.
+	msToRefusal float64
 }
 
-// sums are what the requests of one run add up to.
-type sums struct {
-	figures
-	// count is the number of each class's requests, large and small that of the
-	// accounts' requests.
+// totals holds sums over the requests of one run.
+type totals struct {
+	metrics
+	// count is the number of requests of each class; large and small are those
+	// of the large and small accounts.
 	count        [3]float64
 	large, small float64
 	refused      float64
-	// work is the service time of answers in time, in seconds.
-	work float64
+	// usefulWork is the service time of answers in time, in seconds.
+	usefulWork float64
 }
 
-func measure(s scenario, requests []*request) figures {
-	var sum sums
+func measure(s scenario, requests []*request) metrics {
+	var total totals
 	for _, r := range requests {
 		if r.arrival >= warmUp {
-			sum.add(r)
+			total.add(r)
 		}
 	}
-	return sum.parts(capacityWork(s))
+	return total.normalize(availableWork(s))
 }
 
-func (s *sums) add(r *request) {
-	good := r.finished > 0 && r.finished <= r.deadline
+func (s *totals) add(r *request) {
+	inTime := r.finished > 0 && r.finished <= r.deadline
 	s.count[r.class]++
 	switch {
-	case good:
-		s.good[r.class]++
-		s.work += r.service.Seconds()
+	case inTime:
+		s.inTime[r.class]++
+		s.usefulWork += r.service.Seconds()
 	case r.finished > 0:
 		s.late[r.class]++
 	default:
@@ -56,53 +59,54 @@
 	}
 	if strings.HasPrefix(r.account, "large") {
 		s.large++
-		s.goodLarge += asNumber(good)
+		s.inTimeLarge += indicator(inTime)
 	} else {
 		s.small++
-		s.goodSmall += asNumber(good)
+		s.inTimeSmall += indicator(inTime)
 	}
 	if r.refused {
 		s.refused++
-		s.refusalWait += (r.refusedAt - r.arrival).Seconds() * 1000
+		s.msToRefusal += (r.refusedAt - r.arrival).Seconds() * 1000
 	}
-	s.freeRefusals += asNumber(r.freeAtRefusal)
+	s.refusedWithFreeSlot += indicator(r.hadFreeSlot)
 }
 
-// parts turns the sums into parts of what was asked for.
-func (s *sums) parts(capacity float64) figures {
-	f := s.figures
+// normalize divides the sums by the numbers of requests, and the useful work by
+// capacity, the available service time in seconds.
+func (s *totals) normalize(capacity float64) metrics {
+	f := s.metrics
 	for i, n := range s.count {
-		f.good[i] /= n
+		f.inTime[i] /= n
 		f.late[i] /= n
 		f.lost[i] /= n
 	}
-	f.goodLarge /= s.large
-	f.goodSmall /= s.small
+	f.inTimeLarge /= s.large
+	f.inTimeSmall /= s.small
 	if s.refused > 0 {
-		f.refusalWait /= s.refused
+		f.msToRefusal /= s.refused
 	}
-	f.goodput = s.work / capacity
+	f.goodput = s.usefulWork / capacity
 	return f
 }
 
-func asNumber(b bool) float64 {
+func indicator(b bool) float64 {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-func capacityWork(s scenario) float64 {
+func availableWork(s scenario) float64 {
 	lost := (s.lossUntil - s.lossFrom).Seconds() / 3
-	return places * ((runTime - warmUp).Seconds() - lost)
+	return slots * ((runDuration - warmUp).Seconds() - lost)
 }
 
 func printScenario(t *simulate.Tables, s scenario, seeds int) {
 	t.Section(s.name)
 	t.Header(2, "policy", "class", "in time %", "late %", "lost %", "goodput % of capacity",
 		"in time %, large / small accounts", "refused with a place free", "mean ms to a refusal")
-	for _, p := range candidates() {
-		runs := simulate.RunSeeds(seeds, func(seed int) figures {
+	for _, p := range policies() {
+		runs := simulate.RunSeeds(seeds, func(seed int) metrics {
 			return measure(s, run(s, p.make(), uint64(seed+1)))
 		})
 		for class, l := range loads {
@@ -111,25 +115,25 @@
 	}
 }
 
-// classCells returns the figures of a class; the first class's row has those
-// of the whole run too.
-func classCells(runs []figures, class int) []string {
-	percent := func(value func(figures) float64) string {
-		return simulate.FormatDeviation(simulate.Values(runs, func(f figures) float64 { return 100 * value(f) }))
+// classCells formats the metrics of a class. The row of the first class also
+// has those of the whole run.
+func classCells(runs []metrics, class int) []string {
+	percent := func(value func(metrics) float64) string {
+		return simulate.FormatDeviation(simulate.Values(runs, func(f metrics) float64 { return 100 * value(f) }))
 	}
 	cells := []string{
-		percent(func(f figures) float64 { return f.good[class] }),
-		percent(func(f figures) float64 { return f.late[class] }),
-		percent(func(f figures) float64 { return f.lost[class] }),
+		percent(func(f metrics) float64 { return f.inTime[class] }),
+		percent(func(f metrics) float64 { return f.late[class] }),
+		percent(func(f metrics) float64 { return f.lost[class] }),
 	}
 	if class > 0 {
 		return append(cells, "", "", "", "")
 	}
-	large := percent(func(f figures) float64 { return f.goodLarge })
-	small := percent(func(f figures) float64 { return f.goodSmall })
+	large := percent(func(f metrics) float64 { return f.inTimeLarge })
+	small := percent(func(f metrics) float64 { return f.inTimeSmall })
 	return append(cells,
-		percent(func(f figures) float64 { return f.goodput }),
+		percent(func(f metrics) float64 { return f.goodput }),
 		large+" / "+small,
-		simulate.FormatDeviation(simulate.Values(runs, func(f figures) float64 { return f.freeRefusals })),
-		simulate.FormatDeviation(simulate.Values(runs, func(f figures) float64 { return f.refusalWait })))
+		simulate.FormatDeviation(simulate.Values(runs, func(f metrics) float64 { return f.refusedWithFreeSlot })),
+		simulate.FormatDeviation(simulate.Values(runs, func(f metrics) float64 { return f.msToRefusal })))
 }
--- a/internal/experiment/admission/run.go
+++ b/internal/experiment/admission/run.go
@@ -6,29 +6,30 @@
 	"time"
 )
 
-// run plays one seed of a scenario against a policy.
+// run simulates a scenario with one seed under a policy and returns all its
+// requests.
 func run(s scenario, p policy, seed uint64) []*request {
 	requests := arrivals(s, rand.New(rand.NewPCG(seed, 1)))
 	var events eventQueue
 	for _, r := range requests {
-		events.add(r.arrival, eventArrival, r)
+		events.schedule(r.arrival, eventArrival, r)
 	}
 	if s.lossUntil > 0 {
-		events.add(s.lossFrom, eventLoss, nil)
-		events.add(s.lossUntil, eventRecovery, nil)
+		events.schedule(s.lossFrom, eventLoss, nil)
+		events.schedule(s.lossUntil, eventRecovery, nil)
 	}
 	for len(events) > 0 {
-		if at, ok := p.next(); ok && at < events[0].at {
-			events.start(at, p.advance(at))
+		if at, ok := p.nextEvent(); ok && at < events[0].at {
+			events.scheduleEnds(at, p.advance(at))
 			continue
 		}
 		e := heap.Pop(&events).(event)
-		events.start(e.at, step(p, e))
+		events.scheduleEnds(e.at, handle(p, e))
 	}
 	return requests
 }
 
-func step(p policy, e event) []*request {
+func handle(p policy, e event) []*request {
 	switch e.kind {
 	case eventArrival:
 		return p.submit(e.at, e.request)
@@ -36,9 +37,9 @@
 		e.request.finished = e.at
 		return p.finish(e.at, e.request)
 	case eventLoss:
-		return p.setCapacity(e.at, places*2/3)
+		return p.setCapacity(e.at, slots*2/3)
 	default:
-		return p.setCapacity(e.at, places)
+		return p.setCapacity(e.at, slots)
 	}
 }
 
@@ -58,7 +59,7 @@
 	request *request
 }
 
-// eventQueue implements heap.Interface, by time and then by insertion.
+// eventQueue implements heap.Interface, ordered by time and then by kind.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -77,12 +78,12 @@
 	return last
 }
 
-func (q *eventQueue) add(at time.Duration, kind eventKind, r *request) {
+func (q *eventQueue) schedule(at time.Duration, kind eventKind, r *request) {
 	heap.Push(q, event{at: at, kind: kind, request: r})
 }
 
-func (q *eventQueue) start(now time.Duration, started []*request) {
+func (q *eventQueue) scheduleEnds(now time.Duration, started []*request) {
 	for _, r := range started {
-		q.add(now+r.service, eventEnd, r)
+		q.schedule(now+r.service, eventEnd, r)
 	}
 }
--- a/internal/experiment/admission/workload.go
+++ b/internal/experiment/admission/workload.go
@@ -8,13 +8,15 @@
 )
 
 const (
-	// places is the capacity in concurrent requests.
-	places = 48
-	// runTime is the virtual time of one run; the first warmUp isn't counted.
-	runTime = 90 * time.Second
-	warmUp  = 10 * time.Second
-	// estimateSigma and serviceSigma are of the lognormal spreads of the
-	// estimates around the class's mean, and of the service around estimates.
+	// slots is the capacity in concurrent requests.
+	slots = 48
+	// runDuration is the virtual time of one run; requests that arrive in the
+	// first warmUp of it aren't counted.
+	runDuration = 90 * time.Second
+	warmUp      = 10 * time.Second
+	// estimateSigma and serviceSigma are the standard deviations of the
+	// logarithms of estimate/class median and service time/estimate, both
+	// log-normally distributed.
 	estimateSigma = 0.5
 	serviceSigma  = 0.3
 )
@@ -23,31 +25,31 @@
 type classLoad struct {
 	name     string
 	minShare float64
-	// part is the class's part of the offered work.
-	part     float64
-	mean     time.Duration
-	deadline time.Duration
+	// workShare is the class's fraction of the offered work.
+	workShare     float64
+	medianService time.Duration
+	deadline      time.Duration
 }
 
 var loads = []classLoad{
-	{name: "report", minShare: 0.10, part: 0.2, mean: time.Second, deadline: 4 * time.Second},
-	{name: "question", minShare: 0.10, part: 0.3, mean: 600 * time.Millisecond, deadline: 3 * time.Second},
-	{name: "narration", minShare: 0.10, part: 0.5, mean: 300 * time.Millisecond, deadline: time.Second},
+	{name: "report", minShare: 0.10, workShare: 0.2, medianService: time.Second, deadline: 4 * time.Second},
+	{name: "question", minShare: 0.10, workShare: 0.3, medianService: 600 * time.Millisecond, deadline: 3 * time.Second},
+	{name: "narration", minShare: 0.10, workShare: 0.5, medianService: 300 * time.Millisecond, deadline: time.Second},
 }
 
-// accountLoad is one client account's part of the requests.
+// accountLoad is one client account's fraction of the requests.
 type accountLoad struct {
-	name string
-	part float64
+	name         string
+	requestShare float64
 }
 
 // scenario is a workload over time.
 type scenario struct {
 	name string
-	// load is the offered work over the capacity.
+	// load is the offered work as a multiple of the capacity.
 	load float64
-	// lossFrom and lossUntil bound the time in which a third of the capacity
-	// is lost; both zero means never.
+	// lossFrom and lossUntil bound the period in which a third of the capacity
+	// is missing; if both are zero there is none.
 	lossFrom, lossUntil time.Duration
 	accounts            []accountLoad
 }
@@ -72,14 +74,14 @@
 		lossUntil: 60 * time.Second,
 		accounts:  usualAccounts(),
 	})
-	flood := []accountLoad{{"large-1", 0.9}}
+	skewedAccounts := []accountLoad{{"large-1", 0.9}}
 	for i := range 8 {
-		flood = append(flood, accountLoad{fmt.Sprint("small-", i+1), 0.1 / 8})
+		skewedAccounts = append(skewedAccounts, accountLoad{fmt.Sprint("small-", i+1), 0.1 / 8})
 	}
-	return append(all, scenario{name: "load 2.0, nine tenths of it from one account", load: 2.0, accounts: flood})
+	return append(all, scenario{name: "load 2.0, nine tenths of it from one account", load: 2.0, accounts: skewedAccounts})
 }
 
-// request is one arrival and its fate.
+// request is one request and its outcome.
 type request struct {
 	arrival  time.Duration
 	class    int
@@ -88,61 +90,63 @@
 	service  time.Duration
 	deadline time.Duration
 
-	// refused, finished and refusedAt are filled by the run.
+	// The run sets the fields below. refusedAt and finished are virtual times;
+	// finished is 0 if the request never ended.
 	refused   bool
 	refusedAt time.Duration
-	// freeAtRefusal says that a place was free when it was refused although
-	// its estimate alone was within the deadline.
-	freeAtRefusal bool
-	finished      time.Duration
+	// hadFreeSlot is true if the request was refused on arrival although a slot
+	// was free and its estimate alone would have met the deadline.
+	hadFreeSlot bool
+	finished    time.Duration
 }
 
-// arrivals draws the requests of a scenario, in order of time.
+// arrivals draws the requests of a scenario in order of arrival.
 func arrivals(s scenario, rng *rand.Rand) []*request {
 	var rates [3]float64
 	total := 0.0
 	for i, l := range loads {
-		// The lognormal mean is exp(sigma²/2) of its median.
-		mean := l.mean.Seconds() * math.Exp((estimateSigma*estimateSigma+serviceSigma*serviceSigma)/2)
-		rates[i] = s.load * places * l.part / mean
+		// The mean of a log-normal distribution is its median times
+		// exp(sigma²/2).
+		mean := l.medianService.Seconds() * math.Exp((estimateSigma*estimateSigma+serviceSigma*serviceSigma)/2)
+		rates[i] = s.load * slots * l.workShare / mean
 		total += rates[i]
 	}
 	var all []*request
 	for at := 0.0; ; {
 		at += rng.ExpFloat64() / total
 		arrival := time.Duration(at * float64(time.Second))
-		if arrival >= runTime {
+		if arrival >= runDuration {
 			return all
 		}
-		all = append(all, draw(s, rng, arrival, rates, total))
+		all = append(all, drawRequest(s, rng, arrival, rates, total))
 	}
 }
 
-func draw(s scenario, rng *rand.Rand, arrival time.Duration, rates [3]float64, total float64) *request {
+func drawRequest(s scenario, rng *rand.Rand, arrival time.Duration, rates [3]float64, total float64) *request {
 	u := rng.Float64() * total
 	class := 0
 	for class < len(rates)-1 && u >= rates[class] {
 		u -= rates[class]
 		class++
 	}
-	estimate := float64(loads[class].mean) * math.Exp(estimateSigma*rng.NormFloat64())
+	estimate := float64(loads[class].medianService) * math.Exp(estimateSigma*rng.NormFloat64())
 	service := estimate * math.Exp(serviceSigma*rng.NormFloat64())
 	return &request{
 		arrival:  arrival,
 		class:    class,
-		account:  account(s.accounts, rng.Float64()),
+		account:  drawAccount(s.accounts, rng.Float64()),
 		estimate: time.Duration(estimate),
 		service:  time.Duration(service),
 		deadline: arrival + loads[class].deadline,
 	}
 }
 
-func account(accounts []accountLoad, u float64) string {
+func drawAccount(accounts []accountLoad, u float64) string {
 	for _, a := range accounts {
-		if u < a.part {
+		if u < a.requestShare {
 			return a.name
 		}
-		u -= a.part
+		u -= a.requestShare
 	}
 	return accounts[len(accounts)-1].name
 }
