--- a/internal/experiment/balance/doc.go
+++ b/internal/experiment/balance/doc.go
@@ -1,5 +1,5 @@
-// Package balance measures how policies that choose an upstream affect the
-// time to the first token and the use of prefix caches. Traffic is open-loop
-// and seeded, engines are models with continuous batching and a prefix cache,
-// and latency counts from the intended start of a request.
+// Package balance measures how policies that choose an upstream affect the time
+// to the first token and the hit rate of prefix caches. Traffic is open-loop
+// and seeded, engines are simulated with continuous batching and a prefix
+// cache, and latency is measured from the intended start of a request.
 package balance
--- a/internal/experiment/balance/engine.go
+++ b/internal/experiment/balance/engine.go
@@ -10,67 +10,68 @@
 	"github.com/quetzalweir/quetzalweir/upstream"
 )
 
-// The modelled engine.
+// Parameters of the simulated engine.
 const (
-	slots            = 24   // requests in a batch
-	cacheBlocks      = 3000 // of the prefix cache
+	batchSlots       = 24   // concurrent requests in the batch
+	cacheBlocks      = 3000 // capacity of the prefix cache
 	blockTokens      = 64
-	prefillPerSecond = 9000.0 // uncached tokens
+	prefillPerSecond = 9000.0 // uncached tokens/s
 	tokenTime        = 12 * time.Millisecond
-	// batchSlowdown is by how much a full batch lengthens the time per token.
+	// batchSlowdown is the increase of the time per token in a full batch, as a
+	// multiple of tokenTime.
 	batchSlowdown = 1.5
-	failDelay     = 5 * time.Millisecond
+	failureDelay  = 5 * time.Millisecond
 )
 
-// fault is what is wrong with an engine.
+// fault is a kind of engine failure.
 type fault int
 
 const (
-	healthy fault = iota
-	slow          // four times slower
-	lying         // reports no load
-	failing       // fails each request at once
+	healthy       fault = iota
+	slowed              // prefill and decoding take slowFactor times as long
+	reportsNoLoad       // load reports have no running and no queued requests
+	failing             // fails every request after failureDelay
 )
 
 const slowFactor = 4
 
-// request is one request of the traffic.
+// request is one simulated request.
 type request struct {
-	account string
-	session string
-	hashes  []uint64
-	output  int // tokens
-	started time.Time
-	host    int
-	tried   []string
-	cached  int // blocks found in the engine's cache
-	answer  func(firstToken bool, ok bool)
-}
-
-// engine batches continuously: prefills run one after the other, and the
-// decoding requests advance together at a speed that falls with their number.
+	account       string
+	session       string
+	hashes        []uint64
+	outputTokens  int // to generate
+	intendedStart time.Time
+	host          int
+	tried         []string
+	cachedBlocks  int // leading blocks found in the engine's cache
+	onProgress    func(firstToken bool, ok bool)
+}
+
+// engine simulates continuous batching: prefills run one after the other, and
+// the decoding requests advance together, more slowly the more there are.
 type engine struct {
-	id     string
-	fault  fault
-	queue  *simulate.Queue
-	cache  *simplelru.LRU[uint64, struct{}]
-	evicts func(e *engine, stored, removed []uint64)
+	id            string
+	fault         fault
+	queue         *simulate.Queue
+	cache         *simplelru.LRU[uint64, struct{}]
+	onCacheChange func(e *engine, stored, removed []uint64)
 
 	waiting    []*request
-	prefilling int // holding a slot, prefill not done
+	prefilling int // requests that hold a slot and whose prefill has not finished
 	prefillEnd time.Time
-	decoding   decodes
-	// progress is how many tokens a decoding request has produced since the
-	// start of the run, as of the time progressAt.
-	progress   float64
-	progressAt time.Time
-	generation int
-	removed    []uint64
+	decoding   decodeHeap
+	// progress is the number of tokens that a request decoding since the start
+	// of the run would have produced by progressAt.
+	progress        float64
+	progressAt      time.Time
+	scheduleVersion int
+	evicted         []uint64
 }
 
 func newEngine(id string, q *simulate.Queue) *engine {
 	e := &engine{id: id, queue: q, progressAt: q.Now()}
-	cache, err := simplelru.NewLRU(cacheBlocks, func(h uint64, _ struct{}) { e.removed = append(e.removed, h) })
+	cache, err := simplelru.NewLRU(cacheBlocks, func(h uint64, _ struct{}) { e.evicted = append(e.evicted, h) })
 	if err != nil {
 		panic(err) // the size is positive
 	}
@@ -78,47 +79,48 @@
 	return e
 }
 
-func (e *engine) factor() float64 {
-	if e.fault == slow {
+func (e *engine) timeFactor() float64 {
+	if e.fault == slowed {
 		return slowFactor
 	}
 	return 1
 }
 
-// send takes a request.
-func (e *engine) send(r *request) {
+// accept queues a request, or fails it if the engine is failing.
+func (e *engine) accept(r *request) {
 	if e.fault == failing {
-		e.queue.After(failDelay, func() { r.answer(false, false) })
+		e.queue.After(failureDelay, func() { r.onProgress(false, false) })
 		return
 	}
 	e.waiting = append(e.waiting, r)
-	e.admit()
+	e.startWaiting()
 }
 
-// admit moves waiting requests into free slots.
-func (e *engine) admit() {
-	for len(e.waiting) > 0 && e.prefilling+len(e.decoding) < slots {
+// startWaiting starts waiting requests while slots are free.
+func (e *engine) startWaiting() {
+	for len(e.waiting) > 0 && e.prefilling+len(e.decoding) < batchSlots {
 		r := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		e.prefill(r)
+		e.startPrefill(r)
 	}
 }
 
-func (e *engine) prefill(r *request) {
+func (e *engine) startPrefill(r *request) {
 	e.prefilling++
-	r.cached = e.lookup(r.hashes)
-	tokens := float64((len(r.hashes)-r.cached)*blockTokens + blockTokens)
-	length := time.Duration(tokens / prefillPerSecond * e.factor() * float64(time.Second))
+	r.cachedBlocks = e.lookupAndStore(r.hashes)
+	tokens := float64((len(r.hashes)-r.cachedBlocks)*blockTokens + blockTokens)
+	length := time.Duration(tokens / prefillPerSecond * e.timeFactor() * float64(time.Second))
 	begin := e.queue.Now()
 	if e.prefillEnd.After(begin) {
 		begin = e.prefillEnd
 	}
 	e.prefillEnd = begin.Add(length)
-	e.queue.After(e.prefillEnd.Sub(e.queue.Now()), func() { e.decode(r) })
+	e.queue.After(e.prefillEnd.Sub(e.queue.Now()), func() { e.startDecoding(r) })
 }
 
-// lookup returns how many leading blocks are cached, and stores all of them.
-func (e *engine) lookup(hashes []uint64) int {
+// lookupAndStore returns the number of leading blocks that were cached, and
+// stores all blocks.
+func (e *engine) lookupAndStore(hashes []uint64) int {
 	cached := 0
 	for cached < len(hashes) && e.cache.Contains(hashes[cached]) {
 		cached++
@@ -126,85 +128,86 @@
 	for i := len(hashes) - 1; i >= 0; i-- {
 		e.cache.Add(hashes[i], struct{}{})
 	}
-	if e.evicts != nil {
-		e.evicts(e, hashes, e.removed)
+	if e.onCacheChange != nil {
+		e.onCacheChange(e, hashes, e.evicted)
 	}
-	e.removed = nil
+	e.evicted = nil
 	return cached
 }
 
-func (e *engine) decode(r *request) {
-	e.advance()
+func (e *engine) startDecoding(r *request) {
+	e.updateProgress()
 	e.prefilling--
-	heap.Push(&e.decoding, decode{request: r, end: e.progress + float64(r.output)})
-	r.answer(true, true)
-	e.schedule()
+	heap.Push(&e.decoding, decodingRequest{request: r, endProgress: e.progress + float64(r.outputTokens)})
+	r.onProgress(true, true)
+	e.scheduleFinish()
 }
 
-// advance brings progress up to now.
-func (e *engine) advance() {
+// updateProgress adds the progress made since progressAt.
+func (e *engine) updateProgress() {
 	now := e.queue.Now()
 	if n := len(e.decoding); n > 0 {
-		e.progress += float64(now.Sub(e.progressAt)) / e.perToken(n)
+		e.progress += float64(now.Sub(e.progressAt)) / e.timePerToken(n)
 	}
 	e.progressAt = now
 }
 
-func (e *engine) perToken(batch int) float64 {
-	return float64(tokenTime) * e.factor() * (1 + batchSlowdown*float64(batch)/slots)
+func (e *engine) timePerToken(batch int) float64 {
+	return float64(tokenTime) * e.timeFactor() * (1 + batchSlowdown*float64(batch)/batchSlots)
 }
 
-// schedule sets the event of the next end of a decoding request.
-func (e *engine) schedule() {
-	e.generation++
+// scheduleFinish schedules the end of the decoding request that ends first, and
+// invalidates the event scheduled before.
+func (e *engine) scheduleFinish() {
+	e.scheduleVersion++
 	if len(e.decoding) == 0 {
 		return
 	}
-	generation := e.generation
-	left := e.decoding[0].end - e.progress
-	e.queue.After(time.Duration(left*e.perToken(len(e.decoding)))+1, func() {
-		if generation == e.generation {
-			e.finish()
+	scheduleVersion := e.scheduleVersion
+	remaining := e.decoding[0].endProgress - e.progress
+	e.queue.After(time.Duration(remaining*e.timePerToken(len(e.decoding)))+1, func() {
+		if scheduleVersion == e.scheduleVersion {
+			e.finishRequests()
 		}
 	})
 }
 
-func (e *engine) finish() {
-	e.advance()
-	for len(e.decoding) > 0 && e.decoding[0].end <= e.progress {
-		heap.Pop(&e.decoding).(decode).request.answer(false, true)
+func (e *engine) finishRequests() {
+	e.updateProgress()
+	for len(e.decoding) > 0 && e.decoding[0].endProgress <= e.progress {
+		heap.Pop(&e.decoding).(decodingRequest).request.onProgress(false, true)
 	}
-	e.admit()
-	e.schedule()
+	e.startWaiting()
+	e.scheduleFinish()
 }
 
-// load is the engine's report.
-func (e *engine) load() upstream.Load {
-	load := upstream.Load{Capacity: slots, Versions: []string{version}}
-	if e.fault != lying {
+// reportedLoad returns the load that the engine reports.
+func (e *engine) reportedLoad() upstream.Load {
+	load := upstream.Load{Capacity: batchSlots, Versions: []string{version}}
+	if e.fault != reportsNoLoad {
 		load.Running = e.prefilling + len(e.decoding)
 		load.Queued = len(e.waiting)
 	}
 	return load
 }
 
-type decode struct {
-	request *request
-	end     float64
+type decodingRequest struct {
+	request     *request
+	endProgress float64
 }
 
-// decodes implements heap.Interface by the ends.
-type decodes []decode
+// decodeHeap implements heap.Interface, ordered by endProgress.
+type decodeHeap []decodingRequest
 
-func (d decodes) Len() int           { return len(d) }
-func (d decodes) Less(i, j int) bool { return d[i].end < d[j].end }
-func (d decodes) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
+func (d decodeHeap) Len() int           { return len(d) }
+func (d decodeHeap) Less(i, j int) bool { return d[i].endProgress < d[j].endProgress }
+func (d decodeHeap) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
 
 // Push implements heap.Interface.
-func (d *decodes) Push(x any) { *d = append(*d, x.(decode)) }
+func (d *decodeHeap) Push(x any) { *d = append(*d, x.(decodingRequest)) }
 
 // Pop implements heap.Interface.
-func (d *decodes) Pop() any {
+func (d *decodeHeap) Pop() any {
 	last := len(*d) - 1
 	x := (*d)[last]
 	*d = (*d)[:last]
--- a/internal/experiment/balance/policies.go
+++ b/internal/experiment/balance/policies.go
@@ -7,20 +7,21 @@
 	choose "github.com/quetzalweir/quetzalweir/balance"
 )
 
-// chooser chooses on one entry host.
+// chooser chooses an upstream for a request on one entry host.
 type chooser func(pool *choose.Pool, req *choose.Request) (id string, ok bool)
 
-// contender is a policy under its name in the tables.
-type contender struct {
+// namedPolicy is a compared policy with its name in the tables.
+type namedPolicy struct {
 	name string
-	// selector is the pool's chain; nil for baselines.
-	selector func(pool *choose.PrefixIndex) *choose.Selector
-	// chooser makes the baseline of one host; nil means the pool's chain.
-	chooser func(rnd *rand.Rand) chooser
+	// newSelector builds the pool's selector; nil for baselines.
+	newSelector func(index *choose.PrefixIndex) *choose.Selector
+	// newChooser builds the baseline of one host; nil means that the pool's
+	// selector chooses.
+	newChooser func(rnd *rand.Rand) chooser
 }
 
-// open returns the members that haven't been tried.
-func open(pool *choose.Pool, req *choose.Request) []*choose.Upstream {
+// untried returns the upstreams of the pool that the request hasn't tried.
+func untried(pool *choose.Pool, req *choose.Request) []*choose.Upstream {
 	return slices.DeleteFunc(pool.View(), func(u *choose.Upstream) bool {
 		return slices.Contains(req.Exclude, u.ID)
 	})
@@ -28,7 +29,7 @@
 
 func random(rnd *rand.Rand) chooser {
 	return func(pool *choose.Pool, req *choose.Request) (string, bool) {
-		list := open(pool, req)
+		list := untried(pool, req)
 		return list[rnd.IntN(len(list))].ID, true
 	}
 }
@@ -36,17 +37,18 @@
 func roundRobin(rnd *rand.Rand) chooser {
 	next := rnd.IntN(1000)
 	return func(pool *choose.Pool, req *choose.Request) (string, bool) {
-		list := open(pool, req)
+		list := untried(pool, req)
 		next++
 		return list[next%len(list)].ID, true
 	}
 }
 
-// least makes a baseline that takes the lowest value; ties go at random.
-func least(value func(u *choose.Upstream) int) func(rnd *rand.Rand) chooser {
+// lowest returns a baseline that chooses the upstream with the lowest value,
+// and at random among equals.
+func lowest(value func(u *choose.Upstream) int) func(rnd *rand.Rand) chooser {
 	return func(rnd *rand.Rand) chooser {
 		return func(pool *choose.Pool, req *choose.Request) (string, bool) {
-			list := open(pool, req)
+			list := untried(pool, req)
 			rnd.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 			best := slices.MinFunc(list, func(a, b *choose.Upstream) int { return value(a) - value(b) })
 			return best.ID, true
@@ -54,41 +56,43 @@
 	}
 }
 
-func ownInFlight(u *choose.Upstream) int { return u.InFlight }
-func reported(u *choose.Upstream) int    { return u.Reported.Running + u.Reported.Queued }
+func ownInFlight(u *choose.Upstream) int      { return u.InFlight }
+func reportedRequests(u *choose.Upstream) int { return u.Reported.Running + u.Reported.Queued }
 
-// without returns the default chain without some of its affinity scorers.
-func without(names ...string) func(*choose.PrefixIndex) *choose.Selector {
+// withoutScorers returns the default chain (the default filters, scorers and
+// picker) without the named scorers.
+func withoutScorers(names ...string) func(*choose.PrefixIndex) *choose.Selector {
 	return func(index *choose.PrefixIndex) *choose.Selector {
 		s := choose.NewSelector(index)
-		drop := func(w choose.Weighted) bool { return slices.Contains(names, w.Scorer.Name()) }
-		s.Affinity = slices.DeleteFunc(s.Affinity, drop)
-		s.Scorers = slices.DeleteFunc(s.Scorers, drop)
+		excluded := func(w choose.Weighted) bool { return slices.Contains(names, w.Scorer.Name()) }
+		s.Affinity = slices.DeleteFunc(s.Affinity, excluded)
+		s.Scorers = slices.DeleteFunc(s.Scorers, excluded)
 		return s
 	}
 }
 
-// unbounded is the default chain without the bound on affinity.
-func unbounded(index *choose.PrefixIndex) *choose.Selector {
+// withoutLoadBound returns the default chain with a load bound that is never
+// reached, so that affinity always applies.
+func withoutLoadBound(index *choose.PrefixIndex) *choose.Selector {
 	s := choose.NewSelector(index)
 	s.Bound = choose.LoadBound{Factor: 1e9}
 	return s
 }
 
 var (
-	chain     = contender{name: "default chain", selector: defaultChain}
-	baselines = []contender{
-		{name: "random", chooser: random},
-		{name: "round robin", chooser: roundRobin},
-		{name: "least own in flight", chooser: least(ownInFlight)},
+	fullChain = namedPolicy{name: "default chain", newSelector: defaultChain}
+	baselines = []namedPolicy{
+		{name: "random", newChooser: random},
+		{name: "round robin", newChooser: roundRobin},
+		{name: "least own in flight", newChooser: lowest(ownInFlight)},
 	}
-	variants = []contender{
-		{name: "least reported load", chooser: least(reported)},
-		{name: "chain without affinity", selector: without("prefix", "session")},
-		{name: "chain without prefix", selector: without("prefix")},
-		{name: "chain without session", selector: without("session")},
-		{name: "chain without bound", selector: unbounded},
-		{name: "chain without latency", selector: without("latency")},
+	chainVariants = []namedPolicy{
+		{name: "least reported load", newChooser: lowest(reportedRequests)},
+		{name: "chain without affinity", newSelector: withoutScorers("prefix", "session")},
+		{name: "chain without prefix", newSelector: withoutScorers("prefix")},
+		{name: "chain without session", newSelector: withoutScorers("session")},
+		{name: "chain without bound", newSelector: withoutLoadBound},
+		{name: "chain without latency", newSelector: withoutScorers("latency")},
 	}
 )
 
--- a/internal/experiment/balance/report.go
+++ b/internal/experiment/balance/report.go
@@ -13,38 +13,38 @@
 
 // Options are the settings of the experiment.
 type Options struct {
-	// Seeds is the number of runs a cell; 0 means DefaultSeeds.
+	// Seeds is the number of runs for each table row; 0 means DefaultSeeds.
 	Seeds int
 }
 
-// perEngine is the rate for each engine outside the peak, in requests/s.
-const perEngine = 3.6
+// ratePerEngine is the request rate per engine outside the peak, in requests/s.
+const ratePerEngine = 3.6
 
-func settingOf(engines int) setting {
-	return setting{engines: engines, hosts: 7, rate: perEngine * float64(engines)}
+func settingFor(engines int) setting {
+	return setting{engines: engines, hosts: 7, rate: ratePerEngine * float64(engines)}
 }
 
-// Run prints all tables in Markdown.
+// Run runs the experiment and prints all tables in Markdown.
 func Run(w io.Writer, options Options) error {
 	if options.Seeds <= 0 {
 		options.Seeds = DefaultSeeds
 	}
 	r := &report{Tables: simulate.NewTables(w), seeds: options.Seeds}
-	r.head("18 engines, a third of the load")
-	light := settingOf(18)
-	light.rate /= 3
-	for _, c := range append(append([]contender{}, baselines...), chain) {
-		r.cell(light, c)
+	r.startTable("18 engines, a third of the load")
+	lightLoad := settingFor(18)
+	lightLoad.rate /= 3
+	for _, c := range append(append([]namedPolicy{}, baselines...), fullChain) {
+		r.printRow(lightLoad, c)
 	}
 	for _, engines := range []int{18, 12, 3} {
-		r.head(fmt.Sprintf("%d engines, all healthy", engines))
-		for _, c := range append(append([]contender{}, baselines...), chain) {
-			r.cell(settingOf(engines), c)
+		r.startTable(fmt.Sprintf("%d engines, all healthy", engines))
+		for _, c := range append(append([]namedPolicy{}, baselines...), fullChain) {
+			r.printRow(settingFor(engines), c)
 		}
 	}
-	r.head("18 engines, parts of the chain")
-	for _, c := range variants {
-		r.cell(settingOf(18), c)
+	r.startTable("18 engines, parts of the chain")
+	for _, c := range chainVariants {
+		r.printRow(settingFor(18), c)
 	}
 	r.faults()
 	r.cacheEvents()
@@ -56,7 +56,7 @@
 	seeds int
 }
 
-func (r *report) head(title string) {
+func (r *report) startTable(title string) {
 	r.Section(title, "First token in milliseconds, mean over seeds (least to most).")
 	r.Header(1, "policy", "p50", "p95", "p99", "prefix blocks from cache", "failed")
 }
@@ -66,21 +66,21 @@
 		name  string
 		fault fault
 	}{
-		{"four times slower", slow},
-		{"reporting no load", lying},
+		{"four times slower", slowed},
+		{"reporting no load", reportsNoLoad},
 		{"failing every request at once", failing},
 	} {
-		r.head("18 engines, one " + f.name)
-		s := settingOf(18)
+		r.startTable("18 engines, one " + f.name)
+		s := settingFor(18)
 		s.fault = f.fault
-		for _, c := range append(append([]contender{}, baselines...), variants[0], chain) {
-			r.cell(s, c)
+		for _, c := range append(append([]namedPolicy{}, baselines...), chainVariants[0], fullChain) {
+			r.printRow(s, c)
 		}
 	}
 }
 
 func (r *report) cacheEvents() {
-	r.head("18 engines, default chain, cache events")
+	r.startTable("18 engines, default chain, cache events")
 	for _, e := range []struct {
 		name   string
 		events events
@@ -88,18 +88,18 @@
 		{"none", events{}},
 		{"at once", events{enabled: true}},
 		{"5 s late", events{enabled: true, delay: 5 * time.Second}},
-		{"5 s late, one in five lost", events{enabled: true, delay: 5 * time.Second, loss: 0.2}},
+		{"5 s late, one in five lost", events{enabled: true, delay: 5 * time.Second, lossRate: 0.2}},
 	} {
-		s := settingOf(18)
+		s := settingFor(18)
 		s.events = e.events
-		c := chain
+		c := fullChain
 		c.name = e.name
-		r.cell(s, c)
+		r.printRow(s, c)
 	}
 }
 
-// cell runs one cell and prints its row.
-func (r *report) cell(s setting, c contender) {
+// printRow runs a setting under a policy with all seeds and prints the row.
+func (r *report) printRow(s setting, c namedPolicy) {
 	results := simulate.RunSeeds(r.seeds, func(seed int) result { return run(s, c, seed) })
 	row := []string{c.name}
 	for _, quantile := range []float64{50, 95, 99} {
--- a/internal/experiment/balance/run_test.go
+++ b/internal/experiment/balance/run_test.go
@@ -10,37 +10,38 @@
 
 func TestRunsAreRepeatable(t *testing.T) {
 	is := is.New(t)
-	s := settingOf(3)
-	a, b := run(s, chain, 2), run(s, chain, 2)
+	s := settingFor(3)
+	a, b := run(s, fullChain, 2), run(s, fullChain, 2)
 	is.Equal(a.requests, b.requests)
 	is.Equal(a.firstToken.Max(), b.firstToken.Max())
 	is.Equal(a.cached, b.cached)
 	is.True(a.requests > 0)
 }
 
-// TestEngineModel compares with times worked out by hand.
+// TestEngineModel compares the times of one request with the values computed
+// from the parameters.
 func TestEngineModel(t *testing.T) {
 	is := is.New(t)
 	q := simulate.New()
 	e := newEngine("e", q)
-	var first, end float64
-	r := &request{hashes: blocks(nil, 9, 1), output: 10}
-	r.answer = func(isFirst, ok bool) {
+	var firstToken, end float64
+	r := &request{hashes: appendBlocks(nil, 9, 1), outputTokens: 10}
+	r.onProgress = func(isFirst, ok bool) {
 		is.True(ok)
 		if isFirst {
-			first = q.Now().Sub(simulate.Epoch).Seconds()
+			firstToken = q.Now().Sub(simulate.Epoch).Seconds()
 			return
 		}
 		end = q.Now().Sub(simulate.Epoch).Seconds()
 	}
-	e.send(r)
-	q.Run(length)
+	e.accept(r)
+	q.Run(runDuration)
 	prefill := 10 * blockTokens / prefillPerSecond
-	perToken := tokenTime.Seconds() * (1 + batchSlowdown/slots)
-	is.True(near(first, prefill))
-	is.True(near(end, prefill+10*perToken))
-	is.Equal(e.lookup(r.hashes), 9) // the prompt is cached now
-	is.Equal(e.load().Running, 0)
+	perToken := tokenTime.Seconds() * (1 + batchSlowdown/batchSlots)
+	is.True(approximatelyEqual(firstToken, prefill))
+	is.True(approximatelyEqual(end, prefill+10*perToken))
+	is.Equal(e.lookupAndStore(r.hashes), 9) // the prompt is cached now
+	is.Equal(e.reportedLoad().Running, 0)
 }
 
-func near(a, b float64) bool { return a-b < 1e-6 && b-a < 1e-6 }
+func approximatelyEqual(a, b float64) bool { return a-b < 1e-6 && b-a < 1e-6 }
--- a/internal/experiment/balance/traffic.go
+++ b/internal/experiment/balance/traffic.go
@@ -9,89 +9,93 @@
 	"github.com/quetzalweir/quetzalweir/internal/experiment/simulate"
 )
 
-// The traffic.
+// Parameters of the traffic.
 const (
-	accounts       = 10
-	documents      = 12  // of an account, shared by its sessions
-	systemBlocks   = 16  // of an account's system prompt
-	documentBlocks = 60  // mean
-	turnBlocks     = 3   // added by each turn of a session
-	meanTurns      = 6.0 // of a session
-	outputTokens   = 120 // mean
-	thinkTime      = 8 * time.Second
-	length         = 4 * time.Minute
-	warmUp         = 30 * time.Second
-	// The peak lasts from a half to three quarters of the run.
+	accounts            = 10
+	documentsPerAccount = 12  // shared by the account's sessions
+	systemBlocks        = 16  // in an account's system prompt
+	meanDocumentBlocks  = 60  // per document
+	turnBlocks          = 3   // added to the prompt by each turn of a session
+	meanTurns           = 6.0 // per session
+	meanOutputTokens    = 120 // per answer
+	meanThinkTime       = 8 * time.Second
+	runDuration         = 4 * time.Minute
+	warmUp              = 30 * time.Second
+	// peakFactor multiplies the rate of new sessions in the third quarter of
+	// the run.
 	peakFactor = 1.6
 )
 
-// traffic makes sessions of turns. Turns are open-loop: the next one starts
-// some time after the intended start of the one before.
+// traffic generates sessions of several turns. Turns are open-loop: the next
+// one starts a think time after the intended start of the one before, whether
+// that was answered or not.
 type traffic struct {
 	queue  *simulate.Queue
 	rnd    *rand.Rand
 	rate   float64 // requests/s outside the peak
 	hosts  int
 	submit func(r *request)
-	serial int
+	lastID int
 }
 
-// start schedules the next session.
-func (t *traffic) start() {
+// scheduleSession schedules the next session.
+func (t *traffic) scheduleSession() {
 	rate := t.rate / meanTurns
 	at := t.queue.Now().Sub(simulate.Epoch)
-	if at > length/2 && at < length*3/4 {
+	if at > runDuration/2 && at < runDuration*3/4 {
 		rate *= peakFactor
 	}
 	t.queue.After(simulate.Exponential(t.rnd, time.Duration(float64(time.Second)/rate)), func() {
-		t.session()
-		t.start()
+		t.startSession()
+		t.scheduleSession()
 	})
 }
 
-// session begins a session of an account; few accounts have most of them.
-func (t *traffic) session() {
-	t.serial++
+// startSession starts a session of a randomly drawn account; a few accounts
+// have most of the sessions.
+func (t *traffic) startSession() {
+	t.lastID++
 	account := int(accounts * math.Pow(t.rnd.Float64(), 2.5))
-	document := int(documents * math.Pow(t.rnd.Float64(), 1.5))
-	hashes := blocks(nil, systemBlocks, uint64(account+1))
-	size := documentBlocks/2 + (account*7+document*13)%documentBlocks
-	hashes = blocks(hashes, size, uint64(document+1)<<16)
-	t.turn(fmt.Sprint("account-", account), fmt.Sprint("session-", t.serial), hashes)
+	document := int(documentsPerAccount * math.Pow(t.rnd.Float64(), 1.5))
+	hashes := appendBlocks(nil, systemBlocks, uint64(account+1))
+	size := meanDocumentBlocks/2 + (account*7+document*13)%meanDocumentBlocks
+	hashes = appendBlocks(hashes, size, uint64(document+1)<<16)
+	t.sendTurn(fmt.Sprint("account-", account), fmt.Sprint("session-", t.lastID), hashes)
 }
 
-func (t *traffic) turn(account, session string, hashes []uint64) {
-	t.serial++
-	hashes = blocks(hashes, turnBlocks, uint64(t.serial)<<32)
+func (t *traffic) sendTurn(account, session string, hashes []uint64) {
+	t.lastID++
+	hashes = appendBlocks(hashes, turnBlocks, uint64(t.lastID)<<32)
 	t.submit(&request{
-		account: account,
-		session: session,
-		hashes:  hashes,
-		output:  1 + int(outputTokens*t.rnd.ExpFloat64()),
-		started: t.queue.Now(),
-		host:    t.rnd.IntN(t.hosts),
+		account:       account,
+		session:       session,
+		hashes:        hashes,
+		outputTokens:  1 + int(meanOutputTokens*t.rnd.ExpFloat64()),
+		intendedStart: t.queue.Now(),
+		host:          t.rnd.IntN(t.hosts),
 	})
 	if t.rnd.Float64() < 1-1/meanTurns {
-		t.queue.After(simulate.Exponential(t.rnd, thinkTime), func() { t.turn(account, session, hashes) })
+		t.queue.After(simulate.Exponential(t.rnd, meanThinkTime), func() { t.sendTurn(account, session, hashes) })
 	}
 }
 
-// blocks appends n block hashes that depend on all before and on the content.
-func blocks(before []uint64, n int, content uint64) []uint64 {
-	hashes := append([]uint64(nil), before...)
+// appendBlocks returns prefix with n more block hashes, each of which depends
+// on all hashes before it and on content.
+func appendBlocks(prefix []uint64, n int, content uint64) []uint64 {
+	hashes := append([]uint64(nil), prefix...)
 	previous := uint64(0)
-	if len(before) > 0 {
-		previous = before[len(before)-1]
+	if len(prefix) > 0 {
+		previous = prefix[len(prefix)-1]
 	}
 	for range n {
-		previous = mix(previous ^ content)
+		previous = mixBits(previous ^ content)
 		hashes = append(hashes, previous)
 	}
 	return hashes
 }
 
-// mix is the finalizer of splitmix64.
-func mix(x uint64) uint64 {
+// mixBits is one step of splitmix64.
+func mixBits(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
