--- a/internal/experiment/cascade/doc.go
+++ b/internal/experiment/cascade/doc.go
@@ -1,4 +1,4 @@
-// Package cascade measures cost at the quality target and latency of ways to
-// run a cascade of a cheap and a dear model, on seeded requests whose true
-// quality is known.
+// Package cascade measures the cost at the quality target and the latency of
+// strategies for a cascade of a cheap and an expensive model, on seeded
+// requests whose true answer quality is known.
 package cascade
--- a/internal/experiment/cascade/run_test.go
+++ b/internal/experiment/cascade/run_test.go
@@ -15,7 +15,7 @@
 func TestRunsAreRepeatable(t *testing.T) {
 	is := is.New(t)
 	s := settings[0].setting
-	is.Equal(run(s, learnt(policy.Policy{}), 2), run(s, learnt(policy.Policy{}), 2))
+	is.Equal(run(s, learnStart(policy.Policy{}), 2), run(s, learnStart(policy.Policy{}), 2))
 }
 
 func TestServe(t *testing.T) {
@@ -34,8 +34,8 @@
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
 			is := is.New(t)
-			j := job{prompt: 1000, quality: []float64{tt.cheap, 0.9}, latency: []time.Duration{1, 2}}
-			got := serve(simulate.NewRand(1), tt.setting, fixed{0, true}, j)
+			req := request{promptTokens: 1000, quality: []float64{tt.cheap, 0.9}, latency: []time.Duration{1, 2}}
+			got := serve(simulate.NewRand(1), tt.setting, fixedStart{0, true}, req)
 			is.Equal(got.quality, tt.quality)
 			is.Equal(got.cost, tt.cost)
 			is.Equal(got.ratings, 1)
