--- a/internal/experiment/path/client.go
+++ b/internal/experiment/path/client.go
@@ -12,10 +12,11 @@
 	"github.com/quetzalweir/quetzalweir/upstream"
 )
 
-// endMark is the end of a whole stream.
-var endMark = []byte("data: [DONE]")
+// endMarker is the line that ends a complete stream.
+var endMarker = []byte("data: [DONE]")
 
-// send sends one streamed request and reads it to its end mark.
+// send sends one streamed request and reads the response. It fails without the
+// end marker.
 func (r *run) send(ctx context.Context, kind int, prompt string) error {
 	address, model := r.Entry.Callers, r.Model
 	if kind == direct {
@@ -33,14 +34,14 @@
 		return err
 	}
 	defer resp.Body.Close()
-	return readToEnd(resp)
+	return readStream(resp)
 }
 
-func readToEnd(resp *http.Response) error {
+func readStream(resp *http.Response) error {
 	lines := bufio.NewScanner(resp.Body)
 	ended := false
 	for lines.Scan() {
-		if bytes.Equal(lines.Bytes(), endMark) {
+		if bytes.Equal(lines.Bytes(), endMarker) {
 			ended = true
 		}
 	}
@@ -48,31 +49,33 @@
 		return err
 	}
 	if !ended {
-		return fmt.Errorf("%s: the answer has no end mark", resp.Status)
+		return fmt.Errorf("%s: the stream ended without its end marker", resp.Status)
 	}
 	return nil
 }
 
-// Usage is what a process has taken since its start, and what it holds now.
+// Usage holds the processor time and allocations of a process since its start,
+// and its resident memory now.
 type Usage struct {
-	// CPU is in seconds, Resident in bytes.
+	// CPU is in seconds, Resident in bytes; Mallocs is a count.
 	CPU      float64
 	Mallocs  float64
 	Resident float64
 }
 
-// usage is what the measured host has taken, and the other hosts together.
-type usage struct {
-	entry, others taken
+// hostUsage holds the resources used by the measured host and, summed, by the
+// other hosts.
+type hostUsage struct {
+	measured, others resources
 }
 
-type taken struct {
+type resources struct {
 	cpu, mallocs float64
 }
 
-func (r *run) usage(ctx context.Context) (usage, error) {
-	var u usage
-	if err := r.addUsage(ctx, r.Entry, &u.entry); err != nil {
+func (r *run) usage(ctx context.Context) (hostUsage, error) {
+	var u hostUsage
+	if err := r.addUsage(ctx, r.Entry, &u.measured); err != nil {
 		return u, err
 	}
 	for _, h := range r.Others {
@@ -83,14 +86,14 @@
 	return u, nil
 }
 
-func (r *run) addUsage(ctx context.Context, h Host, sum *taken) error {
+func (r *run) addUsage(ctx context.Context, h Host, sum *resources) error {
 	u, err := ReadUsage(ctx, r.client, h)
 	sum.cpu += u.CPU
 	sum.mallocs += u.Mallocs
 	return err
 }
 
-// ReadUsage reads a host's usage from its metrics.
+// ReadUsage reads a host's usage from its metrics endpoint.
 func ReadUsage(ctx context.Context, client *http.Client, h Host) (Usage, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+h.Operators+"/metrics", nil)
 	if err != nil {
--- a/internal/experiment/path/path.go
+++ b/internal/experiment/path/path.go
@@ -1,6 +1,6 @@
-// Package path measures what an entry host adds to a request: latency against
-// the same request sent straight to the engine, in one run with mixed arrivals,
-// and the processor time and allocations of the hosts.
+// Package path measures the overhead of an entry host: the latency that it adds
+// to requests, relative to requests sent directly to the engine in the same
+// run, and the processor time and allocations of the hosts.
 package path
 
 import (
@@ -13,61 +13,63 @@
 	"github.com/quetzalweir/quetzalweir/internal/loadgen"
 )
 
-// Host is an entry host that is measured, or one that works for it.
+// Host holds the addresses of an entry host.
 type Host struct {
-	// Callers and Operators are IP and port of its addresses.
+	// Callers and Operators are the IP and port at which it serves callers and
+	// operators.
 	Callers   string
 	Operators string
 }
 
-// Options say what is measured.
+// Options are the settings of Run.
 type Options struct {
 	// Entry is the measured host. Others are the other entry hosts, one of
-	// which holds its bills.
+	// which stores its bills.
 	Entry  Host
 	Others []Host
-	// Engine is IP and port of the one engine.
+	// Engine is the IP and port of the only engine.
 	Engine string
 	// Key is the account key.
 	Key string
-	// Model is the route at the entry host, Version the "model@version" that
-	// the engine is asked for.
+	// Model is the model that callers request from the entry host, Version the
+	// "model@version" that direct requests name to the engine.
 	Model   string
 	Version string
-	// Shares are the loads of the measured host, as parts of the requests a
-	// second that one core carries.
+	// Shares are the loads of the measured host, as fractions of the requests a
+	// second that one core can process.
 	Shares []float64
 	// Period is how long each load lasts. Default: 4 s.
 	Period time.Duration
-	// Seed fixes the arrivals.
+	// Seed seeds the arrival times.
 	Seed uint64
-	// Streams is the number of concurrent streams, Tokens the length of each;
-	// with zero streams none are measured.
+	// Streams is the number of concurrent streams, Tokens the number of tokens
+	// in each. With 0 streams, streams aren't measured.
 	Streams int
 	Tokens  int
 }
 
-// Figure is one measured value.
+// Figure is one measured value with its name in the table.
 type Figure struct {
 	Name  string
 	Value float64
 }
 
-// The kinds of requests that are mixed.
+// The kinds of requests: sent directly to the engine, or through the entry
+// host.
 const (
 	direct = iota
 	routed
-	kinds
+	kindCount
 )
 
 const (
 	defaultPeriod = 4 * time.Second
-	// probeRate is the load, in requests a second, under which the cost of a
-	// request is found that the shares are parts of.
-	probeRate = 300
-	// tokensUnit is the number of tokens whose cost is told.
-	tokensUnit = 10_000
-	// maxIdleConns keeps the connections of all streams for the next ones.
+	// costRate is the load, in requests a second, at which the processor time
+	// of a request is measured. Options.Shares are relative to it.
+	costRate = 300
+	// costTokens is the number of tokens for which processor time is reported.
+	costTokens = 10_000
+	// maxIdleConns is large enough to reuse the connections of all streams.
 	maxIdleConns = 2048
 )
 
@@ -77,7 +79,8 @@
 	figures []Figure
 }
 
-// Run measures once.
+// Run measures the cost of a request, then the latency at each load of
+// options.Shares, then streams.
 func Run(ctx context.Context, options Options) ([]Figure, error) {
 	if options.Period == 0 {
 		options.Period = defaultPeriod
@@ -87,12 +90,12 @@
 		client:  &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns}},
 	}
 	defer r.client.CloseIdleConnections()
-	carries, err := r.cost(ctx)
+	coreRate, err := r.measureCost(ctx)
 	if err != nil {
 		return nil, err
 	}
 	for _, share := range r.Shares {
-		if err := r.latency(ctx, share, carries); err != nil {
+		if err := r.measureLatency(ctx, share, coreRate); err != nil {
 			return nil, err
 		}
 	}
@@ -100,26 +103,26 @@
 		if r.Streams == 0 {
 			break
 		}
-		if err := r.streams(ctx, n); err != nil {
+		if err := r.measureStreams(ctx, n); err != nil {
 			return nil, err
 		}
 	}
 	return r.figures, nil
 }
 
-func (r *run) add(value float64, format string, args ...any) {
+func (r *run) addFigure(value float64, format string, args ...any) {
 	r.figures = append(r.figures, Figure{Name: fmt.Sprintf(format, args...), Value: value})
 }
 
-// cost counts what routed requests alone take of the hosts, and returns how
-// many a second one core carries.
-func (r *run) cost(ctx context.Context) (carries float64, err error) {
+// measureCost measures the processor time and allocations of routed requests,
+// and returns how many of them a second one core can process.
+func (r *run) measureCost(ctx context.Context) (coreRate float64, err error) {
 	before, err := r.usage(ctx)
 	if err != nil {
 		return 0, err
 	}
-	n := int(probeRate * r.Period.Seconds())
-	results, err := r.load(ctx, probeRate, n, 1, func(int) int { return routed })
+	n := int(costRate * r.Period.Seconds())
+	results, err := r.runLoad(ctx, costRate, n, 1, func(int) int { return routed })
 	if err != nil {
 		return 0, err
 	}
@@ -127,24 +130,25 @@
 	if err != nil {
 		return 0, err
 	}
-	cpu := (after.entry.cpu - before.entry.cpu) / float64(n)
-	r.add(cpu*1e6, "a request at %d/s: processor time, us", probeRate)
-	r.add((after.others.cpu-before.others.cpu)/float64(n)*1e6, "a request at %d/s: processor time of the other hosts, us", probeRate)
-	r.add((after.entry.mallocs-before.entry.mallocs)/float64(n), "a request: allocations")
-	r.add(1/cpu, "requests a second on a core")
-	r.add(milliseconds(results[0].Quantile(50)), "alone at %d/s: whole request p50, ms", probeRate)
+	cpu := (after.measured.cpu - before.measured.cpu) / float64(n)
+	r.addFigure(cpu*1e6, "a request at %d/s: processor time, us", costRate)
+	r.addFigure((after.others.cpu-before.others.cpu)/float64(n)*1e6, "a request at %d/s: processor time of the other hosts, us", costRate)
+	r.addFigure((after.measured.mallocs-before.measured.mallocs)/float64(n), "a request: allocations")
+	r.addFigure(1/cpu, "requests a second on a core")
+	r.addFigure(milliseconds(results[0].Quantile(50)), "alone at %d/s: whole request p50, ms", costRate)
 	return 1 / cpu, nil
 }
 
-// latency mixes routed and direct requests, as many of each.
-func (r *run) latency(ctx context.Context, share, carries float64) error {
-	rate := share * carries
+// measureLatency sends routed and direct requests mixed at random, at the same
+// rate each.
+func (r *run) measureLatency(ctx context.Context, share, coreRate float64) error {
+	rate := share * coreRate
 	before, err := r.usage(ctx)
 	if err != nil {
 		return err
 	}
-	n := int(kinds * rate * r.Period.Seconds())
-	results, err := r.load(ctx, kinds*rate, n, kinds, func(kind int) int { return kind })
+	n := int(kindCount * rate * r.Period.Seconds())
+	results, err := r.runLoad(ctx, kindCount*rate, n, kindCount, func(kind int) int { return kind })
 	if err != nil {
 		return err
 	}
@@ -153,19 +157,19 @@
 		return err
 	}
 	name := fmt.Sprintf("%.0f%% of a core", 100*share)
-	r.add(rate, "%s: routed requests a second", name)
+	r.addFigure(rate, "%s: routed requests a second", name)
 	for _, q := range []float64{50, 95, 99} {
-		straight, via := results[direct].Quantile(q), results[routed].Quantile(q)
-		r.add(milliseconds(straight), "%s: direct p%.0f, ms", name, q)
-		r.add(milliseconds(via-straight), "%s: added p%.0f, ms", name, q)
+		directLatency, routedLatency := results[direct].Quantile(q), results[routed].Quantile(q)
+		r.addFigure(milliseconds(directLatency), "%s: direct p%.0f, ms", name, q)
+		r.addFigure(milliseconds(routedLatency-directLatency), "%s: added p%.0f, ms", name, q)
 	}
-	sent := float64(results[routed].Latency.TotalCount())
-	r.add((after.entry.cpu-before.entry.cpu)/sent*1e6, "%s: processor time a request, us", name)
+	routedCount := float64(results[routed].Latency.TotalCount())
+	r.addFigure((after.measured.cpu-before.measured.cpu)/routedCount*1e6, "%s: processor time a request, us", name)
 	return nil
 }
 
-// load sends n requests and fails on the first error in any answer.
-func (r *run) load(ctx context.Context, rate float64, n, kinds int, kindOf func(int) int) ([]loadgen.Result, error) {
+// runLoad sends n requests and fails if any of them failed.
+func (r *run) runLoad(ctx context.Context, rate float64, n, kinds int, kindOf func(int) int) ([]loadgen.Result, error) {
 	results := loadgen.Run(ctx, loadgen.Options{
 		Rate:     rate,
 		Requests: n,
@@ -183,8 +187,8 @@
 	return results, nil
 }
 
-// streams reads n streams at once.
-func (r *run) streams(ctx context.Context, n int) error {
+// measureStreams reads n streams concurrently.
+func (r *run) measureStreams(ctx context.Context, n int) error {
 	before, err := r.usage(ctx)
 	if err != nil {
 		return err
@@ -198,7 +202,7 @@
 		})
 	}
 	wait.Wait()
-	took := time.Since(started).Seconds()
+	seconds := time.Since(started).Seconds()
 	for _, err := range errs {
 		if err != nil {
 			return err
@@ -209,8 +213,8 @@
 		return err
 	}
 	tokens := float64(n * r.Tokens)
-	r.add(tokens/took, "%d streams: tokens a second", n)
-	r.add((after.entry.cpu-before.entry.cpu)/tokens*tokensUnit, "%d streams: processor time of %d tokens, s", n, tokensUnit)
+	r.addFigure(tokens/seconds, "%d streams: tokens a second", n)
+	r.addFigure((after.measured.cpu-before.measured.cpu)/tokens*costTokens, "%d streams: processor time of %d tokens, s", n, costTokens)
 	return nil
 }
 
--- a/internal/experiment/path/summary.go
+++ b/internal/experiment/path/summary.go
@@ -7,13 +7,13 @@
 	"strconv"
 )
 
-// Summary puts the figures of several runs together.
+// Summary collects the figures of several runs.
 type Summary struct {
 	names  []string
 	values map[string][]float64
 }
 
-// Add takes the figures of a run.
+// Add adds the figures of a run.
 func (s *Summary) Add(figures []Figure) {
 	if s.values == nil {
 		s.values = make(map[string][]float64)
@@ -32,12 +32,13 @@
 	for _, name := range s.names {
 		values := slices.Sorted(slices.Values(s.values[name]))
 		n := len(values)
-		fmt.Fprintf(w, "| %s | %s | %s | %s | %d |\n", name, short(values[n/2]), short(values[0]), short(values[n-1]), n)
+		fmt.Fprintf(w, "| %s | %s | %s | %s | %d |\n", name, formatValue(values[n/2]), formatValue(values[0]), formatValue(values[n-1]), n)
 	}
 }
 
-// short writes three digits or all of the whole part.
-func short(v float64) string {
+// formatValue formats v with three significant digits, or rounded to an integer
+// if it has three or more digits before the point.
+func formatValue(v float64) string {
 	if v >= 100 || v <= -100 {
 		return strconv.FormatFloat(v, 'f', 0, 64)
 	}
--- a/internal/experiment/path/summary_test.go
+++ b/internal/experiment/path/summary_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestSummaryTellsMedianAndRange(t *testing.T) {
+func TestSummaryPrintsMedianAndRange(t *testing.T) {
 	is := is.New(t)
 	var s Summary
 	for _, v := range []float64{3, 1234.6, 0.12345} {
