--- a/internal/experiment/deployment/caller.go
+++ b/internal/experiment/deployment/caller.go
@@ -17,47 +17,48 @@
 	"github.com/quetzalweir/quetzalweir/runstate"
 )
 
-// callerGrace is how long after the deadline a caller still waits, so that the
-// host's word on it arrives.
+// callerGrace is the time that a caller waits after its deadline, so that a
+// refusal because of the deadline still arrives.
 const callerGrace = 200 * time.Millisecond
 
-// verdict is what a request came to.
-type verdict int
+// outcome is the outcome of a request as its caller sees it.
+type outcome int
 
 const (
-	// answered is a whole answer in time.
-	answered verdict = iota
-	// late is a whole answer after the deadline, or none by then.
+	// inTime is a complete answer within the deadline.
+	inTime outcome = iota
+	// late is a complete answer after the deadline, or none until the deadline.
 	late
-	// refused was turned away and didn't run.
+	// refused is a refusal because of load, without a run.
 	refused
-	// lost is anything else: an error, or an answer that isn't whole or right.
+	// lost is anything else: an error, or an incomplete or wrong answer.
 	lost
-	verdicts
+	outcomeCount
 )
 
-// reply is what a caller got.
-type reply struct {
+// answer is what a caller got, possibly incomplete.
+type answer struct {
 	requestID      string
 	model, version string
 	text           string
-	// whole says that the answer came with its end and the code 0.
-	whole bool
-	code  resultcode.Code
-	state string
-	// firstToken and end count from the intended start; firstToken is zero
-	// without a token.
+	// complete is true if the answer arrived up to its end, with the result
+	// code 0.
+	complete bool
+	code     resultcode.Code
+	runState string
+	// firstToken and total are the times from the intended start to the first
+	// token and to the end; firstToken is 0 if there was no token.
 	firstToken time.Duration
-	end        time.Duration
+	total      time.Duration
 }
 
-// send sends a request and reads what comes. The reply counts as far as it came
-// if the caller left.
-func (s *system) send(ctx context.Context, r request, host string) reply {
+// send sends a request and reads the answer. If the caller leaves, it returns
+// the part that arrived before.
+func (s *system) send(ctx context.Context, r request, host string) answer {
 	due := loadgen.IntendedStart(ctx)
 	ctx, cancel := context.WithDeadline(ctx, due.Add(r.class.deadline+callerGrace))
 	defer cancel()
-	got := reply{code: resultcode.Internal}
+	got := answer{code: resultcode.Internal}
 	req, err := s.newRequest(ctx, r, host, due)
 	if err != nil {
 		return got
@@ -67,7 +68,7 @@
 		defer resp.Body.Close()
 		got.read(resp, due)
 	}
-	got.end = time.Since(due)
+	got.total = time.Since(due)
 	return got
 }
 
@@ -82,7 +83,7 @@
 	if err != nil {
 		return nil, err
 	}
-	req.GetBody = nil // the client must not repeat a request by itself
+	req.GetBody = nil // prevents http.Transport from retrying the request
 	h := req.Header
 	h.Set("Authorization", "Bearer "+accountKey(r.account))
 	h.Set("Quetzalweir-Class", r.class.name)
@@ -94,14 +95,14 @@
 	if r.session != "" {
 		h.Set("Quetzalweir-Session", r.session)
 	}
-	if r.key != "" {
-		h.Set("Quetzalweir-Request-Key", r.key)
+	if r.requestKey != "" {
+		h.Set("Quetzalweir-Request-Key", r.requestKey)
 	}
 	return req, nil
 }
 
-// read takes the answer in, streamed or not.
-func (a *reply) read(resp *http.Response, due time.Time) {
+// read reads a response, streamed or not.
+func (a *answer) read(resp *http.Response, due time.Time) {
 	a.requestID = resp.Header.Get("Quetzalweir-Request-Id")
 	a.model = resp.Header.Get("Quetzalweir-Model")
 	a.version = resp.Header.Get("Quetzalweir-Version")
@@ -116,14 +117,14 @@
 			ended = true
 			continue
 		}
-		a.event(data, due)
+		a.addChunk(data, due)
 	}
-	a.code, a.state = outcome(resp)
-	a.whole = ended && lines.Err() == nil && a.code == resultcode.OK
+	a.code, a.runState = readResult(resp)
+	a.complete = ended && lines.Err() == nil && a.code == resultcode.OK
 }
 
-// event takes in one chunk of a streamed answer.
-func (a *reply) event(data []byte, due time.Time) {
+// addChunk adds one chunk of a streamed answer.
+func (a *answer) addChunk(data []byte, due time.Time) {
 	var chunk struct {
 		Choices []struct {
 			Delta struct {
@@ -140,8 +141,9 @@
 	a.text += chunk.Choices[0].Delta.Content
 }
 
-// outcome reads the code and the run state, which follow a streamed answer.
-func outcome(resp *http.Response) (resultcode.Code, string) {
+// readResult reads the result code and the run state, which are in the trailer
+// of a streamed answer and in the header of others.
+func readResult(resp *http.Response) (resultcode.Code, string) {
 	const codeHeader, stateHeader = "Quetzalweir-Result-Code", "Quetzalweir-Run-State"
 	from := resp.Header
 	if resp.Trailer.Get(codeHeader) != "" {
@@ -154,24 +156,26 @@
 	return resultcode.Code(code), from.Get(stateHeader)
 }
 
-// judge says what a request came to.
-func judge(r request, got reply) verdict {
+// classify returns the outcome of a request.
+func classify(r request, got answer) outcome {
 	switch {
-	case got.whole && !right(r, got):
+	case got.complete && !isExpectedAnswer(r, got):
 		return lost
-	case got.whole && got.end <= r.class.deadline:
-		return answered
-	case got.whole, got.code == resultcode.DeadlineExpired, got.end >= r.class.deadline:
+	case got.complete && got.total <= r.class.deadline:
+		return inTime
+	case got.complete, got.code == resultcode.DeadlineExpired, got.total >= r.class.deadline:
 		return late
-	case refusedCode(got.code) && got.state == runstate.NotRun.String():
+	case isLoadRefusal(got.code) && got.runState == runstate.NotRun.String():
 		return refused
 	default:
 		return lost
 	}
 }
 
-// right says whether an answer is the one to its own request.
-func right(r request, got reply) bool {
+// isExpectedAnswer reports whether an answer belongs to its request. The
+// stand-in engine's answers, good and bad, are a function of the prompt;
+// answers of the service aren't checked.
+func isExpectedAnswer(r request, got answer) bool {
 	if r.route == serviceDesk {
 		return true
 	}
--- a/internal/experiment/deployment/cell.go
+++ b/internal/experiment/deployment/cell.go
@@ -8,41 +8,41 @@
 	"github.com/quetzalweir/quetzalweir/internal/loadgen"
 )
 
-// cell is one load on a system.
+// cell holds the parameters of one load on a system.
 type cell struct {
 	label string
-	// rate is in requests a second, for the time that requests start.
-	rate float64
-	time time.Duration
-	mix  mix
-	seed int
-	keep bool
+	// rate is the number of requests a second that start during duration.
+	rate        float64
+	duration    time.Duration
+	mix         routeMix
+	seed        int
+	keepAnswers bool
 }
 
-// load runs a cell to the end of its last request. When ctx ends no more
+// runCell runs a cell until its last request has ended. When ctx ends, no more
 // requests start.
-func (s *system) load(ctx context.Context, c cell) *tally {
-	n := int(c.rate * c.time.Seconds())
-	requests := plan(n, c.seed, c.label, c.mix)
+func (s *system) runCell(ctx context.Context, c cell) *cellStats {
+	n := int(c.rate * c.duration.Seconds())
+	requests := planRequests(n, c.seed, c.label, c.mix)
 	hosts := drawHosts(n, c.seed)
-	t := newTally()
-	t.keep = c.keep
+	stats := newCellStats()
+	stats.keepAnswers = c.keepAnswers
 	loadgen.Run(ctx, loadgen.Options{
 		Rate:     c.rate,
 		Requests: n,
 		Seed:     uint64(c.seed),
 		Send: func(ctx context.Context, i, _ int) error {
 			r := requests[i]
-			// A request that started goes on to its own end.
+			// Requests that have started aren't cancelled with ctx.
 			got := s.send(context.WithoutCancel(ctx), r, s.host(hosts[i]).CallerAddr())
-			t.add(r, got, s.idleFor(r))
+			stats.add(r, got, s.freeSlotsFor(r))
 			return nil
 		},
 	})
-	return t
+	return stats
 }
 
-// drawHosts draws the host that each request goes to.
+// drawHosts draws the host of each of n requests.
 func drawHosts(n, seed int) []int {
 	rnd := rand.New(rand.NewPCG(uint64(seed), 2))
 	draws := make([]int, n)
@@ -52,11 +52,12 @@
 	return draws
 }
 
-// idleFor counts free places for a request of one model; other routes need
-// more than one.
-func (s *system) idleFor(r request) int {
+// freeSlotsFor returns the number of free slots for a request to a single
+// model. It returns 0 for the cascade and the service, which depend on several
+// models or on no engine.
+func (s *system) freeSlotsFor(r request) int {
 	if r.route != modelSmall && r.route != modelLarge {
 		return 0
 	}
-	return s.idle(r.route)
+	return s.freeSlots(r.route)
 }
--- a/internal/experiment/deployment/cost.go
+++ b/internal/experiment/deployment/cost.go
@@ -7,40 +7,42 @@
 	"github.com/quetzalweir/quetzalweir/storage/memory"
 )
 
-// costResult is what answers of a route cost and how good they are.
+// costResult holds the cost and the quality of the answers of a route.
 type costResult struct {
-	// cost is the mean bill of a whole answer in micro units of currency.
-	cost float64
-	// rating is the answers' mean, atTarget the part that reaches the
-	// cascade's target, in percent.
-	rating, atTarget float64
-	// p95 is the first token's latency in milliseconds.
-	p95 float64
+	// meanCost is the mean bill of a complete answer, in millionths of the
+	// currency unit.
+	meanCost float64
+	// meanRating is the mean rating of the answers, atTarget the percentage
+	// whose rating reaches the cascade's target.
+	meanRating, atTarget float64
+	// firstTokenP95 is the 95th percentile of the time to the first token, in
+	// milliseconds.
+	firstTokenP95 float64
 }
 
-// costOf rates the kept answers and sums their bills.
-func costOf(ctx context.Context, t *tally, bills []ledger.Bill) (costResult, error) {
+// routeCost rates the kept answers of a cell and averages their bills.
+func routeCost(ctx context.Context, stats *cellStats, bills []ledger.Bill) (costResult, error) {
 	byRequest := map[string]int64{}
 	for _, b := range bills {
 		byRequest[b.RequestID] = b.CostMicro
 	}
 	rater := markedRater{memory.NewRater(raterOptions())}
 	var r costResult
-	for _, k := range t.replies {
-		rating, err := rater.Rate(ctx, k.reply.model, k.reply.version, k.request.prompt, k.reply.text)
+	for _, kept := range stats.answers {
+		rating, err := rater.Rate(ctx, kept.answer.model, kept.answer.version, kept.request.prompt, kept.answer.text)
 		if err != nil {
 			return r, err
 		}
-		r.rating += rating.Score
-		r.cost += float64(byRequest[k.reply.requestID])
+		r.meanRating += rating.Score
+		r.meanCost += float64(byRequest[kept.answer.requestID])
 		if rating.Score >= target {
 			r.atTarget += 100
 		}
 	}
-	n := float64(max(1, len(t.replies)))
-	r.cost /= n
-	r.rating /= n
+	n := float64(max(1, len(stats.answers)))
+	r.meanCost /= n
+	r.meanRating /= n
 	r.atTarget /= n
-	r.p95 = t.quantile(95)
+	r.firstTokenP95 = stats.firstTokenMs(95)
 	return r, nil
 }
--- a/internal/experiment/deployment/deployment_test.go
+++ b/internal/experiment/deployment/deployment_test.go
@@ -17,83 +17,86 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// One small cell on the whole deployment: each request has one verdict, none is
-// lost, and the ledger has one bill for each whole answer and no other.
+// Runs one small cell on the whole deployment: each request has one outcome,
+// none is lost, and the ledger has one bill for each complete answer and no
+// other.
 func TestCellIsAccountedFor(t *testing.T) {
 	is := is.New(t)
 	s, err := newSystem(t.Context(), product, nil, 1)
 	is.NoErr(err)
 	const rate, seconds = 40, 1
-	got := s.load(t.Context(), cell{label: "test", rate: rate, time: seconds * time.Second, mix: usualMix, seed: 1})
+	got := s.runCell(t.Context(), cell{label: "test", rate: rate, duration: seconds * time.Second, mix: usualMix, seed: 1})
 	is.NoErr(s.close())
-	t.Logf("in time, late, refused, lost: %v; example of a lost one: %q", got.all, got.example)
+	t.Logf("in time, late, refused, lost: %v; example of a lost one: %q", got.all, got.lostExample)
 	is.Equal(got.all.sent(), rate*seconds)
-	is.Equal(got.all[answered]+got.all[late]+got.all[refused]+got.all[lost], rate*seconds)
+	is.Equal(got.all[inTime]+got.all[late]+got.all[refused]+got.all[lost], rate*seconds)
 	is.Equal(got.all[lost], 0)
-	is.True(got.all[answered] > 0)
-	bills, err := s.bills(context.Background())
+	is.True(got.all[inTime] > 0)
+	bills, err := s.readBills(context.Background())
 	is.NoErr(err)
-	b := compare(bills, got.whole)
-	is.Equal(b.whole, got.all[answered]+got.all[late]-noAnswer(got))
+	b := checkBills(bills, got.complete)
+	is.Equal(b.complete, got.all[inTime]+got.all[late]-lateWithoutAnswer(got))
 	is.Equal(b.unbilled, 0)
-	is.Equal(b.twice, 0)
-	// Only a caller that left in the moment of the bill may miss the answer.
-	is.True(b.unseen <= noAnswer(got))
+	is.Equal(b.billedTwice, 0)
+	// A billed answer may be missing at its caller only if the caller left
+	// while the bill was written.
+	is.True(b.callerLeft <= lateWithoutAnswer(got))
 }
 
-// noAnswer counts the late requests that got no whole answer at all.
-func noAnswer(t *tally) int { return t.all[answered] + t.all[late] - len(t.whole) }
+// lateWithoutAnswer returns the number of late requests without a complete
+// answer.
+func lateWithoutAnswer(s *cellStats) int { return s.all[inTime] + s.all[late] - len(s.complete) }
 
-func TestCompareFindsWhatDisagrees(t *testing.T) {
+func TestCheckBillsFindsDifferences(t *testing.T) {
 	ok := func(id string) ledger.Bill { return ledger.Bill{ID: id, RequestID: id} }
 	failed := ledger.Bill{ID: "c", RequestID: "c", Code: int(resultcode.AnswerIncomplete)}
-	whole := map[string]bool{"a": true, "b": true}
+	complete := map[string]bool{"a": true, "b": true}
 	tests := []struct {
 		desc  string
 		bills []ledger.Bill
-		want  books
+		want  billingCheck
 	}{
-		{"agrees", []ledger.Bill{ok("a"), ok("b"), failed}, books{whole: 2}},
-		{"no bill", []ledger.Bill{ok("a")}, books{whole: 2, unbilled: 1}},
-		{"twice", []ledger.Bill{ok("a"), ok("b"), ok("b")}, books{whole: 2, twice: 1}},
-		{"no answer", []ledger.Bill{ok("a"), ok("b"), ok("d")}, books{whole: 2, unseen: 1}},
+		{"agrees", []ledger.Bill{ok("a"), ok("b"), failed}, billingCheck{complete: 2}},
+		{"no bill", []ledger.Bill{ok("a")}, billingCheck{complete: 2, unbilled: 1}},
+		{"twice", []ledger.Bill{ok("a"), ok("b"), ok("b")}, billingCheck{complete: 2, billedTwice: 1}},
+		{"no answer", []ledger.Bill{ok("a"), ok("b"), ok("d")}, billingCheck{complete: 2, callerLeft: 1}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
-			is.New(t).Equal(compare(tt.bills, whole), tt.want)
+			is.New(t).Equal(checkBills(tt.bills, complete), tt.want)
 		})
 	}
 }
 
-func TestJudge(t *testing.T) {
+func TestClassify(t *testing.T) {
 	desk := request{class: classes[2], route: serviceDesk}
 	tests := []struct {
 		desc string
 		r    request
-		got  reply
-		want verdict
+		got  answer
+		want outcome
 	}{
-		{"in time", desk, reply{whole: true, end: time.Second}, answered},
-		{"too late", desk, reply{whole: true, end: time.Second + 1}, late},
-		{"another's answer", request{class: classes[2], route: modelSmall, prompt: "a"}, reply{whole: true, model: modelSmall, version: versionOld, text: "b"}, lost},
-		{"refused", desk, reply{code: resultcode.QueueFull, state: runstate.NotRun.String()}, refused},
-		{"refused after it may have run", desk, reply{code: resultcode.NoUpstream, state: runstate.MayHaveRun.String()}, lost},
-		{"caller left", desk, reply{code: resultcode.Internal, end: time.Second}, late},
-		{"broken", desk, reply{code: resultcode.AnswerIncomplete}, lost},
+		{"in time", desk, answer{complete: true, total: time.Second}, inTime},
+		{"too late", desk, answer{complete: true, total: time.Second + 1}, late},
+		{"another's answer", request{class: classes[2], route: modelSmall, prompt: "a"}, answer{complete: true, model: modelSmall, version: versionOld, text: "b"}, lost},
+		{"refused", desk, answer{code: resultcode.QueueFull, runState: runstate.NotRun.String()}, refused},
+		{"refused after it may have run", desk, answer{code: resultcode.NoUpstream, runState: runstate.MayHaveRun.String()}, lost},
+		{"caller left", desk, answer{code: resultcode.Internal, total: time.Second}, late},
+		{"broken", desk, answer{code: resultcode.AnswerIncomplete}, lost},
 	}
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
-			is.New(t).Equal(judge(tt.r, tt.got), tt.want)
+			is.New(t).Equal(classify(tt.r, tt.got), tt.want)
 		})
 	}
 }
 
 func TestPlansAreRepeatable(t *testing.T) {
 	is := is.New(t)
-	is.Equal(plan(50, 3, "x", usualMix), plan(50, 3, "x", usualMix))
+	is.Equal(planRequests(50, 3, "x", usualMix), planRequests(50, 3, "x", usualMix))
 	large := 0
-	for _, r := range plan(1000, 3, "x", usualMix) {
-		if r.large() {
+	for _, r := range planRequests(1000, 3, "x", usualMix) {
+		if r.fromLargeAccount() {
 			large++
 		}
 	}
@@ -102,7 +105,7 @@
 
 func ExampleRun() {
 	ctx, cancel := context.WithCancel(context.Background())
-	cancel() // a whole run takes minutes
+	cancel() // a full run takes minutes
 	fmt.Println(Run(ctx, io.Discard, Options{Seeds: 1}))
 	// Output: context canceled
 }
--- a/internal/experiment/deployment/exposure.go
+++ b/internal/experiment/deployment/exposure.go
@@ -14,22 +14,22 @@
 	"github.com/quetzalweir/quetzalweir/rollout"
 )
 
-// The roll-out that turns bad.
+// Parameters of the roll-out of a version that turns bad.
 const (
 	exposureShare   = 50
 	exposureBudget  = 2000
 	exposureMaxErr  = 0.05
 	exposureRating  = 0.55
-	exposureLatency = 250 // ms, the limit of the first token's 95th percentile
-	// exposureRate is in requests a second, all to the small model.
+	exposureLatency = 250 // ms, limit of the 95th percentile of the time to the first token
+	// exposureRate is the load in requests a second, all to the small model.
 	exposureRate = 90
-	// goodTime is how long the version is good.
+	// goodTime is the time before the version turns bad.
 	goodTime = 2 * time.Second
-	// stopPoll is the time between looks for the stop on all hosts.
+	// stopPoll is the interval at which hosts are asked for their stops.
 	stopPoll = 50 * time.Millisecond
 )
 
-// fault is how the version turns bad.
+// fault is the fault of the version after it turned bad.
 type fault struct {
 	name    string
 	version engine.VersionFault
@@ -38,61 +38,64 @@
 var (
 	tenPercent = fault{"10% errors", engine.VersionFault{ErrorRate: 0.1}}
 	slow       = fault{"six times slower", engine.VersionFault{Slow: 6}}
-	poor       = fault{"poorly rated", engine.VersionFault{Bad: true}}
+	poorRating = fault{"poorly rated", engine.VersionFault{Bad: true}}
 )
 
-// condition is what is wrong beside the version.
+// condition is a further failure beside that of the version.
 type condition struct {
 	name string
-	// settings changes the hosts' settings from the start; nil changes none.
+	// settings changes the hosts' settings before the start; nil changes none.
 	settings func(*entry.Settings)
-	// begins is called when the version turns bad; nil does nothing.
-	begins func(*devenv.Env)
-	// unwatched rolls the version in by its share alone, without evidence.
-	unwatched bool
+	// onFault is called when the version turns bad; nil does nothing.
+	onFault func(*devenv.Env)
+	// withoutExposure rolls the version in by its share alone, without an
+	// exposure budget and evidence.
+	withoutExposure bool
 }
 
-// nowhere is an address that nothing listens on.
-const nowhere = "127.0.0.1:1"
+// unreachableAddr is an address that nothing listens on.
+const unreachableAddr = "127.0.0.1:1"
 
-// raterDelay is how late a slow rater's word comes.
+// raterDelay is the delay of ratings under raterSlow.
 const raterDelay = 2 * time.Second
 
 var (
 	connected = condition{name: "7 hosts"}
-	peersCut  = condition{name: "7 hosts, none reaches another", settings: func(s *entry.Settings) { s.AdvertisePeers = nowhere }}
-	tableDown = condition{name: "7 hosts, table down", begins: func(e *devenv.Env) { e.Platform.Table().SetDown(true) }}
-	raterSlow = condition{name: "7 hosts, ratings 2 s late", begins: func(e *devenv.Env) { e.Platform.Rater().SetDelay(raterDelay) }}
-	byShare   = condition{name: "share only, no evidence", unwatched: true}
+	peersCut  = condition{name: "7 hosts, none reaches another", settings: func(s *entry.Settings) { s.AdvertisePeers = unreachableAddr }}
+	tableDown = condition{name: "7 hosts, table down", onFault: func(e *devenv.Env) { e.Platform.Table().SetDown(true) }}
+	raterSlow = condition{name: "7 hosts, ratings 2 s late", onFault: func(e *devenv.Env) { e.Platform.Rater().SetDelay(raterDelay) }}
+	shareOnly = condition{name: "share only, no evidence", withoutExposure: true}
 )
 
-// exposureCell is one row of the table.
+// exposureCell holds the parameters of one table row.
 type exposureCell struct {
 	fault     fault
 	condition condition
 }
 
 var exposureCells = []exposureCell{
-	{tenPercent, byShare}, {tenPercent, connected}, {tenPercent, peersCut}, {tenPercent, tableDown},
-	{slow, byShare}, {slow, connected}, {slow, tableDown},
-	{poor, byShare}, {poor, connected}, {poor, peersCut}, {poor, tableDown}, {poor, raterSlow},
+	{tenPercent, shareOnly}, {tenPercent, connected}, {tenPercent, peersCut}, {tenPercent, tableDown},
+	{slow, shareOnly}, {slow, connected}, {slow, tableDown},
+	{poorRating, shareOnly}, {poorRating, connected}, {poorRating, peersCut}, {poorRating, tableDown}, {poorRating, raterSlow},
 }
 
-// exposed is what came of a version that turned bad.
-type exposed struct {
-	// before are runs of the version while it was good, after those since.
+// exposureResult holds the results of one run with a version that turned bad.
+type exposureResult struct {
+	// before is the number of runs of the version while it was good, after the
+	// number since.
 	before, after float64
-	// stoppedAfter is when all hosts had stopped it, stopped whether they had.
+	// stopped is true if all hosts stopped the version within the horizon,
+	// stoppedAfter the time until then, or the horizon.
 	stoppedAfter time.Duration
 	stopped      bool
-	// hosts is how many had stopped it at the end.
-	hosts int
-	all   counts
+	// stoppedHosts is the number of hosts that had stopped it at the end.
+	stoppedHosts int
+	outcomes     outcomeCounts
 }
 
-func (c exposureCell) run(ctx context.Context, o Options, seed int) (exposed, error) {
+func (c exposureCell) run(ctx context.Context, o Options, seed int) (exposureResult, error) {
 	roll := &rollIn{share: exposureShare}
-	if !c.condition.unwatched {
+	if !c.condition.withoutExposure {
 		roll.exposure = &manifest.Exposure{
 			Round: 1, Answers: exposureBudget, MaxErrorRate: exposureMaxErr, MinRating: exposureRating, MaxLatencyMs: exposureLatency,
 		}
@@ -100,49 +103,50 @@
 	p := policy{name: c.condition.name, settings: c.condition.settings}
 	s, err := newSystem(ctx, p, roll, seed)
 	if err != nil {
-		return exposed{}, err
+		return exposureResult{}, err
 	}
-	result := s.exposeTo(ctx, o, c, seed)
-	s.env.Platform.Table().Heal() // the planned stop writes bills
+	result := s.runExposure(ctx, o, c, seed)
+	s.env.Platform.Table().Heal() // close writes the last bills to the table
 	return result, s.close()
 }
 
-// exposeTo turns the version bad in the middle of a load and watches for its
-// stop.
-func (s *system) exposeTo(ctx context.Context, o Options, c exposureCell, seed int) exposed {
-	loaded := make(chan *tally, 1)
+// runExposure runs a load, turns the version bad after goodTime and waits until
+// all hosts have stopped it.
+func (s *system) runExposure(ctx context.Context, o Options, c exposureCell, seed int) exposureResult {
+	loaded := make(chan *cellStats, 1)
 	loadCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
-		loaded <- s.load(loadCtx, cell{label: "exposure", rate: exposureRate, time: goodTime + o.Horizon, mix: only(modelSmall), seed: seed})
+		loaded <- s.runCell(loadCtx, cell{label: "exposure", rate: exposureRate, duration: goodTime + o.Horizon, mix: onlyRoute(modelSmall), seed: seed})
 	}()
 	time.Sleep(goodTime)
-	result := exposed{before: float64(s.runsOfNew())}
-	s.turnBad(c)
-	result.stoppedAfter, result.stopped = s.watchStop(ctx, o.Horizon)
+	result := exposureResult{before: float64(s.newVersionRuns())}
+	s.injectFault(c)
+	result.stoppedAfter, result.stopped = s.waitStopped(ctx, o.Horizon)
 	cancel()
-	t := <-loaded
-	result.hosts = s.hostsStopped(ctx)
-	result.after = float64(s.runsOfNew()) - result.before
-	result.all = t.all
+	stats := <-loaded
+	result.stoppedHosts = s.countStopped(ctx)
+	result.after = float64(s.newVersionRuns()) - result.before
+	result.outcomes = stats.all
 	return result
 }
 
-func (s *system) turnBad(c exposureCell) {
+func (s *system) injectFault(c exposureCell) {
 	faults := engine.Faults{Versions: map[string]engine.VersionFault{modelSmall + "@" + versionNew: c.fault.version}}
 	for _, e := range s.env.Engines {
 		e.SetFaults(faults)
 	}
-	if c.condition.begins != nil {
-		c.condition.begins(s.env)
+	if c.condition.onFault != nil {
+		c.condition.onFault(s.env)
 	}
 }
 
-// watchStop waits until all hosts have stopped the version, or for the horizon.
-func (s *system) watchStop(ctx context.Context, horizon time.Duration) (time.Duration, bool) {
+// waitStopped waits until all hosts have stopped the version, at most for the
+// horizon.
+func (s *system) waitStopped(ctx context.Context, horizon time.Duration) (time.Duration, bool) {
 	started := time.Now()
 	for time.Since(started) < horizon {
-		if s.hostsStopped(ctx) == len(s.env.Hosts) {
+		if s.countStopped(ctx) == len(s.env.Hosts) {
 			return time.Since(started), true
 		}
 		time.Sleep(stopPoll)
@@ -150,11 +154,11 @@
 	return horizon, false
 }
 
-// hostsStopped counts the hosts that have stopped the version.
-func (s *system) hostsStopped(ctx context.Context) int {
+// countStopped returns the number of hosts that have stopped the version.
+func (s *system) countStopped(ctx context.Context) int {
 	n := 0
 	for _, h := range s.env.Hosts {
-		stops, err := s.stops(ctx, h)
+		stops, err := s.fetchStops(ctx, h)
 		if err == nil && len(stops) > 0 {
 			n++
 		}
@@ -162,7 +166,7 @@
 	return n
 }
 
-func (s *system) stops(ctx context.Context, h *entry.Host) (stops []rollout.Stop, err error) {
+func (s *system) fetchStops(ctx context.Context, h *entry.Host) (stops []rollout.Stop, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+h.OperatorAddr()+entry.PathStops, nil)
 	if err != nil {
 		return nil, err
@@ -179,9 +183,9 @@
 	return stops, json.NewDecoder(resp.Body).Decode(&stops)
 }
 
-// runsOfNew counts the runs of the version that rolls in, as the engines saw
-// them.
-func (s *system) runsOfNew() int {
+// newVersionRuns returns the number of runs of the new version, as counted by
+// the engines.
+func (s *system) newVersionRuns() int {
 	n := 0
 	for _, e := range s.env.Engines {
 		for _, a := range e.Arrivals().Arrivals {
--- a/internal/experiment/deployment/load.go
+++ b/internal/experiment/deployment/load.go
@@ -8,60 +8,61 @@
 	"time"
 )
 
-// scenario is a load in multiples of the measured capacity.
+// scenario is a load relative to the measured capacity.
 type scenario struct {
-	name   string
-	factor float64
-	// kill ends a third of the engines in the middle.
-	kill bool
+	name       string
+	loadFactor float64
+	// killEngines kills a third of the engines halfway through.
+	killEngines bool
 }
 
-// scenarios in the order in which they run on one system; the one that kills
-// engines is the last.
+// scenarios run in this order on one system, so the one that kills engines must
+// be the last.
 var scenarios = []scenario{
-	{name: "0.8", factor: 0.8},
-	{name: "1.0", factor: 1},
-	{name: "1.3", factor: 1.3},
-	{name: "2.0", factor: 2},
-	{name: "1.3, a third of the engines killed", factor: 1.3, kill: true},
+	{name: "0.8", loadFactor: 0.8},
+	{name: "1.0", loadFactor: 1},
+	{name: "1.3", loadFactor: 1.3},
+	{name: "2.0", loadFactor: 2},
+	{name: "1.3, a third of the engines killed", loadFactor: 1.3, killEngines: true},
 }
 
-// settle is the pause between cells on one system, so that load reports and
-// predictions follow.
-const settle = 600 * time.Millisecond
+// settleTime is the pause between cells on one system, in which load reports
+// and predictions adapt to the end of the load.
+const settleTime = 600 * time.Millisecond
 
-// loadRun is one system's run through all scenarios.
+// loadRun holds the results of all scenarios on one system.
 type loadRun struct {
-	cells []*tally
-	// costs has a result for each of costRoutes, for the product only.
-	costs []costResult
-	books books
+	cells []*cellStats
+	// costs has a result for each of costRoutes, or none if the policy isn't
+	// product.
+	costs   []costResult
+	billing billingCheck
 }
 
-// runLoads runs all scenarios on one system.
+// runLoads starts a system and runs all scenarios on it.
 func runLoads(ctx context.Context, o Options, p policy, capacity float64, seed int) (run loadRun, err error) {
 	s, err := newSystem(ctx, p, nil, seed)
 	if err != nil {
 		return run, err
 	}
-	var byRoute []*tally
+	var costCells []*cellStats
 	if p.name == product.name {
-		byRoute = s.costs(ctx, o, capacity, seed)
+		costCells = s.runCostCells(ctx, o, capacity, seed)
 	}
 	for _, sc := range scenarios {
-		time.Sleep(settle)
-		run.cells = append(run.cells, s.scenario(ctx, o, sc, capacity, seed))
+		time.Sleep(settleTime)
+		run.cells = append(run.cells, s.runScenario(ctx, o, sc, capacity, seed))
 	}
 	if err := errors.Join(s.close(), ctx.Err()); err != nil {
 		return run, err
 	}
-	bills, err := s.bills(ctx)
+	bills, err := s.readBills(ctx)
 	if err != nil {
 		return run, err
 	}
-	run.books = compare(bills, wholeOf(run.cells, byRoute))
-	for _, t := range byRoute {
-		r, err := costOf(ctx, t, bills)
+	run.billing = checkBills(bills, completeRequests(run.cells, costCells))
+	for _, stats := range costCells {
+		r, err := routeCost(ctx, stats, bills)
 		if err != nil {
 			return run, err
 		}
@@ -70,45 +71,45 @@
 	return run, nil
 }
 
-// wholeOf unites the ids of requests with whole answers.
-func wholeOf(lists ...[]*tally) map[string]bool {
-	whole := map[string]bool{}
+// completeRequests returns the ids of all requests with complete answers.
+func completeRequests(lists ...[]*cellStats) map[string]bool {
+	complete := map[string]bool{}
 	for _, list := range lists {
-		for _, t := range list {
-			maps.Copy(whole, t.whole)
+		for _, stats := range list {
+			maps.Copy(complete, stats.complete)
 		}
 	}
-	return whole
+	return complete
 }
 
-func (s *system) scenario(ctx context.Context, o Options, sc scenario, capacity float64, seed int) *tally {
-	if sc.kill {
+func (s *system) runScenario(ctx context.Context, o Options, sc scenario, capacity float64, seed int) *cellStats {
+	if sc.killEngines {
 		timer := time.AfterFunc(o.CellTime/2, s.killThird)
 		defer timer.Stop()
 	}
-	return s.load(ctx, cell{
-		label: fmt.Sprintf("%.1f-%t", sc.factor, sc.kill),
-		rate:  sc.factor * capacity,
-		time:  o.CellTime,
-		mix:   usualMix,
-		seed:  seed,
+	return s.runCell(ctx, cell{
+		label:    fmt.Sprintf("%.1f-%t", sc.loadFactor, sc.killEngines),
+		rate:     sc.loadFactor * capacity,
+		duration: o.CellTime,
+		mix:      usualMix,
+		seed:     seed,
 	})
 }
 
-// costLoad is the load, as a part of capacity, at which costs are compared:
-// the large model alone must carry it.
-const costLoad = 0.15
+// costLoadFactor is the load, relative to the capacity, at which costs are
+// compared. The large model alone must be able to serve it.
+const costLoadFactor = 0.15
 
-// costRoutes are what the same requests are sent to.
+// costRoutes are the routes whose costs are compared.
 var costRoutes = []string{modelSmall, cascadeAsk, modelLarge}
 
-// costs sends the same requests to each of costRoutes.
-func (s *system) costs(ctx context.Context, o Options, capacity float64, seed int) []*tally {
-	var list []*tally
+// runCostCells sends the same requests to each of costRoutes.
+func (s *system) runCostCells(ctx context.Context, o Options, capacity float64, seed int) []*cellStats {
+	var list []*cellStats
 	for _, route := range costRoutes {
-		time.Sleep(settle)
-		list = append(list, s.load(ctx, cell{
-			label: "cost-" + route, rate: costLoad * capacity, time: o.CellTime, mix: only(route), seed: seed, keep: true,
+		time.Sleep(settleTime)
+		list = append(list, s.runCell(ctx, cell{
+			label: "cost-" + route, rate: costLoadFactor * capacity, duration: o.CellTime, mix: onlyRoute(route), seed: seed, keepAnswers: true,
 		}))
 	}
 	return list
--- a/internal/experiment/deployment/options.go
+++ b/internal/experiment/deployment/options.go
@@ -11,12 +11,13 @@
 
 // Options are the settings of Run.
 type Options struct {
-	// Seeds is the number of runs a cell; 0 means DefaultSeeds.
+	// Seeds is the number of runs for each cell; 0 means DefaultSeeds.
 	Seeds int
-	// CellTime is how long requests start in a load cell; 0 means
-	// DefaultCellTime.
+	// CellTime is the period in which the requests of a load cell start; 0
+	// means DefaultCellTime.
 	CellTime time.Duration
-	// Horizon is how long a bad version is watched at most; 0 means DefaultHorizon.
+	// Horizon is the longest time to wait until all hosts have stopped a bad
+	// version; 0 means DefaultHorizon.
 	Horizon time.Duration
 }
 
--- a/internal/experiment/deployment/plan.go
+++ b/internal/experiment/deployment/plan.go
@@ -13,55 +13,58 @@
 	// route is a model, the cascade or the service.
 	route  string
 	prompt string
-	// session is empty without one; key is the request key of a service call.
-	session string
-	key     string
+	// session is the session id, or empty; requestKey is the request key of a
+	// service call, or empty.
+	session    string
+	requestKey string
 }
 
-// large says whether a large account sends it.
-func (r request) large() bool { return r.account < largeAccounts }
+// fromLargeAccount reports whether a large account sends the request.
+func (r request) fromLargeAccount() bool { return r.account < largeAccounts }
 
-// mix is the part of the requests that each route gets.
-type mix map[string]float64
+// routeMix maps each route to its fraction of the requests.
+type routeMix map[string]float64
 
 var (
-	usualMix = mix{modelSmall: 0.6, modelLarge: 0.2, cascadeAsk: 0.15, serviceDesk: 0.05}
-	// routes fixes the order in which a mix is drawn from.
+	usualMix = routeMix{modelSmall: 0.6, modelLarge: 0.2, cascadeAsk: 0.15, serviceDesk: 0.05}
+	// routes fixes the order in which drawRoute visits the routes of a mix, so
+	// that plans are repeatable.
 	routes = []string{modelSmall, modelLarge, cascadeAsk, serviceDesk}
 )
 
-func only(route string) mix { return mix{route: 1} }
+func onlyRoute(route string) routeMix { return routeMix{route: 1} }
 
 const (
-	// sheets is the number of stock sheets that sessions share, each of
-	// sheetWords words.
-	sheets     = 8
-	sheetWords = 300
-	// turns is the length of a session in requests.
-	turns = 4
-	// openSessions is how many sessions of each account go on at once.
-	openSessions = 4
+	// documents is the number of documents with which sessions of all accounts
+	// start their prompts; documentWords is the length of each.
+	documents     = 8
+	documentWords = 300
+	// turnsPerSession is the number of requests of a session.
+	turnsPerSession = 4
+	// sessionsPerAccount is the number of concurrent sessions of each account.
+	sessionsPerAccount = 4
 )
 
-// planner draws requests from a seed.
+// planner draws requests from a seeded random source.
 type planner struct {
-	rnd      *rand.Rand
-	mix      mix
-	label    string
-	sessions [accounts][openSessions]conversation
-	opened   int
-	made     int
+	rnd          *rand.Rand
+	mix          routeMix
+	label        string
+	sessions     [accounts][sessionsPerAccount]sessionState
+	sessionCount int
+	requestCount int
 }
 
-// conversation is a session whose prompt grows with each turn.
-type conversation struct {
+// sessionState is the state of a session, whose prompt grows with each turn.
+type sessionState struct {
 	id     string
 	prompt string
 	turns  int
 }
 
-// plan draws n requests. The label keeps sessions and keys of cells apart.
-func plan(n, seed int, label string, m mix) []request {
+// planRequests draws n requests. Session ids and request keys contain the
+// label, so that those of different cells differ.
+func planRequests(n, seed int, label string, m routeMix) []request {
 	p := &planner{rnd: rand.New(rand.NewPCG(uint64(seed), 1)), mix: m, label: fmt.Sprintf("%s-%d", label, seed)}
 	list := make([]request, n)
 	for i := range list {
@@ -71,38 +74,38 @@
 }
 
 func (p *planner) next() request {
-	p.made++
-	r := request{account: p.account(), class: p.class(), route: p.route()}
+	p.requestCount++
+	r := request{account: p.drawAccount(), class: p.drawClass(), route: p.drawRoute()}
 	if r.route == serviceDesk {
-		r.key = fmt.Sprintf("%s-%d", p.label, p.made)
+		r.requestKey = fmt.Sprintf("%s-%d", p.label, p.requestCount)
 		return r
 	}
-	c := &p.sessions[r.account][p.rnd.IntN(openSessions)]
-	if c.turns%turns == 0 {
-		p.open(c)
+	s := &p.sessions[r.account][p.rnd.IntN(sessionsPerAccount)]
+	if s.turns%turnsPerSession == 0 {
+		p.startSession(s)
 	}
-	c.turns++
-	c.prompt += fmt.Sprintf(" turn %d asks about part %d", c.turns, p.rnd.IntN(1000))
-	r.session = c.id
-	r.prompt = fmt.Sprintf("%s tokens=%d", c.prompt, r.class.tokens)
+	s.turns++
+	s.prompt += fmt.Sprintf(" turn %d asks about part %d", s.turns, p.rnd.IntN(1000))
+	r.session = s.id
+	r.prompt = fmt.Sprintf("%s tokens=%d", s.prompt, r.class.tokens)
 	return r
 }
 
-func (p *planner) open(c *conversation) {
-	p.opened++
-	*c = conversation{id: fmt.Sprintf("%s-%d", p.label, p.opened), prompt: sheet(p.rnd.IntN(sheets))}
+func (p *planner) startSession(s *sessionState) {
+	p.sessionCount++
+	*s = sessionState{id: fmt.Sprintf("%s-%d", p.label, p.sessionCount), prompt: documentText(p.rnd.IntN(documents))}
 }
 
-// sheet is the text of a stock sheet.
-func sheet(n int) string {
-	words := make([]string, sheetWords)
+// documentText returns the text of document n.
+func documentText(n int) string {
+	words := make([]string, documentWords)
 	for i := range words {
 		words[i] = fmt.Sprintf("s%di%d", n, i)
 	}
 	return strings.Join(words, " ")
 }
 
-func (p *planner) account() int {
+func (p *planner) drawAccount() int {
 	x := p.rnd.Float64()
 	if x < largeAccounts*largeShare {
 		return int(x / largeShare)
@@ -110,7 +113,7 @@
 	return largeAccounts + p.rnd.IntN(accounts-largeAccounts)
 }
 
-func (p *planner) class() class {
+func (p *planner) drawClass() class {
 	x := p.rnd.Float64()
 	for _, c := range classes {
 		if x -= c.share; x < 0 {
@@ -120,7 +123,7 @@
 	return classes[len(classes)-1]
 }
 
-func (p *planner) route() string {
+func (p *planner) drawRoute() string {
 	x := p.rnd.Float64()
 	last := ""
 	for _, route := range routes {
--- a/internal/experiment/deployment/run.go
+++ b/internal/experiment/deployment/run.go
@@ -14,32 +14,32 @@
 	"github.com/quetzalweir/quetzalweir/internal/experiment/simulate"
 )
 
-// Run measures everything and prints it in Markdown.
+// Run runs the experiment and prints all tables in Markdown.
 func Run(ctx context.Context, w io.Writer, o Options) error {
 	if err := ctx.Err(); err != nil {
 		return err
 	}
 	r := &report{Tables: simulate.NewTables(w), options: o.withDefaults()}
-	capacity, err := measureCapacity(ctx)
+	capacity, err := runCapacity(ctx)
 	if err != nil {
 		return err
 	}
-	r.Section("Capacity", fmt.Sprintf("%.0f answers/s of the usual mix (%d callers in turn, one run).", capacity, capacityCallers), machineLoad())
-	if err := r.loads(ctx, capacity); err != nil {
+	r.Section("Capacity", fmt.Sprintf("%.0f answers/s of the usual mix (%d callers in turn, one run).", capacity, capacityCallers), loadAverageNote())
+	if err := r.measureLoads(ctx, capacity); err != nil {
 		return err
 	}
-	if err := r.exposures(ctx); err != nil {
+	if err := r.measureExposures(ctx); err != nil {
 		return err
 	}
 	return r.Err()
 }
 
-func measureCapacity(ctx context.Context) (float64, error) {
+func runCapacity(ctx context.Context) (float64, error) {
 	s, err := newSystem(ctx, product, nil, 0)
 	if err != nil {
 		return 0, err
 	}
-	capacity := s.capacity(ctx)
+	capacity := s.measureCapacity(ctx)
 	return capacity, errors.Join(s.close(), ctx.Err())
 }
 
@@ -48,19 +48,20 @@
 	options Options
 }
 
-// loadFile holds the machine's load.
-const loadFile = "/proc/loadavg"
+// loadAverageFile holds the load average of the machine.
+const loadAverageFile = "/proc/loadavg"
 
-// machineLoad tells the machine's load, under which latencies are to be read.
-func machineLoad() string {
-	data, err := os.ReadFile(loadFile)
+// loadAverageNote returns a paragraph with the machine's load average, without
+// which the measured latencies can't be interpreted.
+func loadAverageNote() string {
+	data, err := os.ReadFile(loadAverageFile)
 	if err != nil {
 		return "The machine's load is unknown."
 	}
 	return "The machine's load by now, over 1, 5 and 15 minutes: " + strings.TrimSpace(string(data))
 }
 
-func (r *report) loads(ctx context.Context, capacity float64) error {
+func (r *report) measureLoads(ctx context.Context, capacity float64) error {
 	runs := make([][]loadRun, len(policies))
 	for seed := range r.options.Seeds {
 		for i, p := range policies {
@@ -71,38 +72,38 @@
 			runs[i] = append(runs[i], run)
 		}
 	}
-	r.classTable(runs)
-	r.totalTable(runs)
-	r.costTable(runs[0])
-	r.bookTable(runs)
+	r.printClassTable(runs)
+	r.printTotalTable(runs)
+	r.printCostTable(runs[0])
+	r.printBillingTable(runs)
 	return nil
 }
 
-// exposures runs the seeds of two cells at once: counts are measured, not
-// latencies.
-func (r *report) exposures(ctx context.Context) error {
+// measureExposures runs all seeds of two cells concurrently, which is possible
+// because it measures counts rather than latencies.
+func (r *report) measureExposures(ctx context.Context) error {
 	r.Section("A version of the small model turns bad in the middle of its roll-out",
 		fmt.Sprintf("%d%% of the sessions, %d requests/s, %v good, then bad until all hosts stopped it or for %v.", exposureShare, exposureRate, goodTime, r.options.Horizon),
-		machineLoad())
+		loadAverageNote())
 	r.Header(2, "fault", "condition", "answers while good", "answers after", "stopped on all hosts", "after, s", "hosts at the end", "in time %", "lost %")
-	for pair := range slices.Chunk(exposureCells, 2) {
-		results, err := r.runExposures(ctx, pair)
+	for batch := range slices.Chunk(exposureCells, 2) {
+		results, err := r.runExposures(ctx, batch)
 		if err != nil {
 			return err
 		}
-		for i, c := range pair {
-			r.exposureRow(c, results[i])
+		for i, c := range batch {
+			r.printExposureRow(c, results[i])
 		}
 	}
 	return nil
 }
 
-// runExposures returns the runs of each cell.
-func (r *report) runExposures(ctx context.Context, cells []exposureCell) ([][]exposed, error) {
-	results := make([][]exposed, len(cells))
+// runExposures returns the results of each cell by seed.
+func (r *report) runExposures(ctx context.Context, cells []exposureCell) ([][]exposureResult, error) {
+	results := make([][]exposureResult, len(cells))
 	var group errgroup.Group
 	for i, c := range cells {
-		results[i] = make([]exposed, r.options.Seeds)
+		results[i] = make([]exposureResult, r.options.Seeds)
 		for seed := range results[i] {
 			group.Go(func() (err error) {
 				results[i][seed], err = c.run(ctx, r.options, seed)
@@ -113,7 +114,7 @@
 	return results, group.Wait()
 }
 
-func (r *report) exposureRow(c exposureCell, results []exposed) {
+func (r *report) printExposureRow(c exposureCell, results []exposureResult) {
 	stopped := 0
 	for _, e := range results {
 		if e.stopped {
@@ -121,11 +122,11 @@
 		}
 	}
 	r.Row(c.fault.name, c.condition.name,
-		over(results, func(e exposed) float64 { return e.before }),
-		over(results, func(e exposed) float64 { return e.after }),
+		meanAndRange(results, func(e exposureResult) float64 { return e.before }),
+		meanAndRange(results, func(e exposureResult) float64 { return e.after }),
 		fmt.Sprintf("%d/%d", stopped, len(results)),
-		over(results, func(e exposed) float64 { return e.stoppedAfter.Seconds() }),
-		over(results, func(e exposed) float64 { return float64(e.hosts) }),
-		over(results, func(e exposed) float64 { return e.all.part(answered) }),
-		over(results, func(e exposed) float64 { return e.all.part(lost) }))
+		meanAndRange(results, func(e exposureResult) float64 { return e.stoppedAfter.Seconds() }),
+		meanAndRange(results, func(e exposureResult) float64 { return float64(e.stoppedHosts) }),
+		meanAndRange(results, func(e exposureResult) float64 { return e.outcomes.percent(inTime) }),
+		meanAndRange(results, func(e exposureResult) float64 { return e.outcomes.percent(lost) }))
 }
--- a/internal/experiment/deployment/system.go
+++ b/internal/experiment/deployment/system.go
@@ -21,7 +21,7 @@
 
 const (
 	startTimeout = 30 * time.Second
-	// callerConns bounds the idle connections to each host.
+	// callerConns is the maximum number of idle connections to each host.
 	callerConns = 512
 )
 
@@ -31,10 +31,10 @@
 	policy policy
 	client *http.Client
 	stop   context.CancelFunc
-	ended  chan error
+	done   chan error
 
 	mu sync.Mutex
-	// killed are the engines that are no more.
+	// killed holds the engines that killThird has killed.
 	killed map[*engine.Engine]bool
 }
 
@@ -59,16 +59,17 @@
 		env:    env,
 		policy: p,
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callerConns}},
-		ended:  make(chan error, 1),
+		done:   make(chan error, 1),
 		killed: map[*engine.Engine]bool{},
 	}
 	ctx, s.stop = context.WithCancel(ctx)
-	go func() { s.ended <- env.Run(ctx) }()
+	go func() { s.done <- env.Run(ctx) }()
 	if err := s.waitReady(ctx); err != nil {
 		return nil, errors.Join(err, s.close())
 	}
-	// Only now, since the list lags for those that were there at the start too.
-	env.Platform.Hosts().SetLag(hostListLag)
+	// The lag is set after the start, since it also delays the engines that are
+	// in the list from the beginning.
+	env.Platform.Hosts().SetLag(hostListDelay)
 	return s, nil
 }
 
@@ -81,10 +82,10 @@
 	return nil
 }
 
-// close stops the hosts as planned, which writes their bills.
+// close shuts the hosts down gracefully, which writes their bills.
 func (s *system) close() error {
 	s.stop()
-	err := <-s.ended
+	err := <-s.done
 	s.client.CloseIdleConnections()
 	if errors.Is(err, context.Canceled) {
 		return nil
@@ -92,13 +93,14 @@
 	return err
 }
 
-// host stands in for the balancer: it takes any host. None stops in a cell.
+// host returns the host for a drawn number, in place of an external load
+// balancer. No host stops during a cell, so every host can be chosen.
 func (s *system) host(draw int) *entry.Host {
 	return s.env.Hosts[draw%len(s.env.Hosts)]
 }
 
-// killThird ends every third engine at once. The platform's list says so only
-// after its lag.
+// killThird kills every third engine without a shutdown. The platform's host
+// list shows it only after its lag.
 func (s *system) killThird() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,41 +112,43 @@
 	}
 }
 
-// idle counts the places that are free on engines of the model.
-func (s *system) idle(model string) int {
+// freeSlots returns the number of free slots on engines of the model.
+func (s *system) freeSlots(model string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
 	for _, e := range s.env.Engines {
 		load := e.Load()
-		has := slices.ContainsFunc(load.Versions, func(v string) bool { return strings.HasPrefix(v, model+"@") })
-		if has && !s.killed[e] {
+		serves := slices.ContainsFunc(load.Versions, func(v string) bool { return strings.HasPrefix(v, model+"@") })
+		if serves && !s.killed[e] {
 			n += max(0, load.Capacity-load.Running)
 		}
 	}
 	return n
 }
 
-// markedRater rates by the answer alone, whose noise a caller can then compute
-// too: the hosts' form of a prompt isn't the caller's. It gives answers that bear the mark of a bad version a low rating.
+// markedRater rates an answer without its prompt. Hosts and callers have
+// different forms of the same prompt; without it, a caller computes the same
+// rating, noise included. Answers with the mark of a bad version get a lower
+// rating.
 type markedRater struct {
 	inner storage.Rater
 }
 
-// badRating is what such an answer loses.
-const badRating = 0.35
+// badMarkPenalty is subtracted from the rating of an answer with the mark.
+const badMarkPenalty = 0.35
 
 // Rate implements storage.Rater.
 func (r markedRater) Rate(ctx context.Context, model, version, _, answer string) (storage.Rating, error) {
 	rating, err := r.inner.Rate(ctx, model, version, "", answer)
 	if strings.HasPrefix(answer, engine.BadMark) {
-		rating.Score = max(0, rating.Score-badRating)
+		rating.Score = max(0, rating.Score-badMarkPenalty)
 	}
 	return rating, err
 }
 
-// refusedCodes are the result codes of a refusal by which load is turned away.
-func refusedCode(code resultcode.Code) bool {
+// isLoadRefusal reports whether code is that of a refusal because of load.
+func isLoadRefusal(code resultcode.Code) bool {
 	switch code {
 	case resultcode.QueueFull, resultcode.DeadlineUnmeetable, resultcode.NoUpstream, resultcode.ExposureSpent:
 		return true
--- a/internal/experiment/deployment/topology.go
+++ b/internal/experiment/deployment/topology.go
@@ -15,34 +15,36 @@
 	"github.com/quetzalweir/quetzalweir/storage/memory"
 )
 
-// The deployment's size.
+// The size of the deployment.
 const (
 	entryHosts   = 7
 	smallEngines = 12
 	largeEngines = 6
 	deskHosts    = 3
 	accounts     = 10
-	// largeAccounts are the first accounts; each makes largeShare of the
-	// requests and the others share the rest.
+	// largeAccounts is the number of large accounts, which come first. Each
+	// sends the fraction largeShare of the requests; the others send the rest.
 	largeAccounts = 2
 	largeShare    = 0.3
 )
 
-// The engines' times, scaled.
+// Parameters of the engines, with times scaled down, and of the services.
 const (
 	engineCapacity  = 4
-	smallToken      = 12 * time.Millisecond
+	smallTokenTime  = 12 * time.Millisecond
 	largeSlowdown   = 2
 	prefillPerToken = 20 * time.Microsecond
 	batchSlowdown   = 0.1
-	loadLag         = 500 * time.Millisecond
-	hostListLag     = 2 * time.Second
-	// cacheBlocks hold about twelve stock sheets on an engine.
+	loadReportDelay = 500 * time.Millisecond
+	hostListDelay   = 2 * time.Second
+	// cacheBlocks is the size of the prefix cache of an engine, enough for
+	// about twelve documents.
 	cacheBlocks = 256
 	deskTime    = 20 * time.Millisecond
 )
 
-// The models' quality as the rater sees it, and what the cascade asks for.
+// The rater's mean rating and noise for each model, and the target of the
+// cascade.
 const (
 	smallQuality = 0.65
 	largeQuality = 0.85
@@ -60,15 +62,15 @@
 	versionNew  = "v2"
 )
 
-// class is a priority class and what its requests are like.
+// class is a priority class with the properties of its requests.
 type class struct {
 	name     string
 	deadline time.Duration
-	// share is the part of the requests.
+	// share is the fraction of the requests.
 	share float64
-	// tokens is the length of an answer.
+	// tokens is the length of an answer in tokens.
 	tokens int
-	// minShare is the part of capacity kept for it, in percent.
+	// minShare is the percentage of the capacity reserved for the class.
 	minShare int
 }
 
@@ -78,15 +80,15 @@
 	{name: "narration", deadline: time.Second, share: 0.5, tokens: 10, minShare: 10},
 }
 
-// rollIn is how the second version of the small model rolls in; nil leaves it
-// out.
+// rollIn describes the roll-out of the second version of the small model; nil
+// means no roll-out.
 type rollIn struct {
 	share    int
 	exposure *manifest.Exposure
 }
 
 func topology(roll *rollIn) (*devenv.Topology, error) {
-	document, err := json.Marshal(declared(roll))
+	document, err := json.Marshal(manifestDocument(roll))
 	if err != nil {
 		return nil, err
 	}
@@ -111,10 +113,10 @@
 	return engine.Options{
 		Capacity:        engineCapacity,
 		PrefillPerToken: prefillPerToken,
-		TimePerToken:    smallToken,
+		TimePerToken:    smallTokenTime,
 		BatchSlowdown:   batchSlowdown,
 		CacheBlocks:     cacheBlocks,
-		LoadLag:         loadLag,
+		LoadLag:         loadReportDelay,
 		Seed:            uint64(seed),
 	}
 }
@@ -130,7 +132,7 @@
 	}
 }
 
-func declared(roll *rollIn) manifest.Document {
+func manifestDocument(roll *rollIn) manifest.Document {
 	doc := manifest.Document{
 		Format: manifest.Format,
 		Build:  "deployment",
@@ -155,7 +157,7 @@
 		doc.Classes = append(doc.Classes, manifest.Class{Name: c.name, DeadlineMs: int(c.deadline.Milliseconds()), MinShare: c.minShare})
 	}
 	for i := range accounts {
-		doc.Accounts = append(doc.Accounts, account(i, names))
+		doc.Accounts = append(doc.Accounts, accountEntry(i, names))
 	}
 	return doc
 }
@@ -174,7 +176,7 @@
 	return []manifest.Version{old, next}
 }
 
-func account(i int, classNames []string) manifest.Account {
+func accountEntry(i int, classNames []string) manifest.Account {
 	sum := sha256.Sum256([]byte(accountKey(i)))
 	return manifest.Account{
 		Name:      fmt.Sprint("account-", i),
