--- a/internal/experiment/deployment/tables.go
+++ b/internal/experiment/deployment/tables.go
@@ -93,13 +93,13 @@
 	r.Header(1, "policy", "whole answers", "without a bill", "billed twice", "billed, caller left before the end")
 	for p, pol := range policies {
 		var sum billingCheck
-		whole := 0
+		complete := 0
 		for _, run := range runs[p] {
 			sum.unbilled += run.billing.unbilled
 			sum.billedTwice += run.billing.billedTwice
 			sum.callerLeft += run.billing.callerLeft
-			whole += run.billing.complete
+			complete += run.billing.complete
 		}
-		r.Row(pol.name, strconv.Itoa(whole), strconv.Itoa(sum.unbilled), strconv.Itoa(sum.billedTwice), strconv.Itoa(sum.callerLeft))
+		r.Row(pol.name, strconv.Itoa(complete), strconv.Itoa(sum.unbilled), strconv.Itoa(sum.billedTwice), strconv.Itoa(sum.callerLeft))
 	}
 }
