--- a/internal/experiment/rollout/canary.go
+++ b/internal/experiment/rollout/canary.go
@@ -6,46 +6,48 @@
 	exposure "github.com/quetzalweir/quetzalweir/rollout"
 )
 
-// The usual analysis of a share-based canary: at fixed intervals, means are
-// compared with fixed thresholds; it passes after a number of intervals.
+// Parameters of the usual analysis of a share-based canary: at fixed intervals,
+// means are compared with fixed thresholds, and the canary passes after a
+// number of intervals.
 const (
-	canaryInterval  = time.Minute
-	canaryAnswers   = 20
-	canaryIntervals = 5
+	canaryInterval     = time.Minute
+	canaryMinAnswers   = 20
+	canaryMinIntervals = 5
 )
 
-// canary is the baseline on one host: it knows its own answers only.
-type canary struct {
-	clock    func() time.Time
-	counters exposure.Counters
-	rated    int
-	ratings  float64
-	next     time.Time
-	passed   int
-	failed   bool
+// hostCanary is the baseline policy on one host. It uses the answers of this
+// host only.
+type hostCanary struct {
+	clock             func() time.Time
+	counters          exposure.Counters
+	ratingCount       int
+	ratingSum         float64
+	nextAnalysis      time.Time
+	analysedIntervals int
+	failed            bool
 }
 
-type canaries []*canary
+type hostCanaries []*hostCanary
 
-// shareCanary builds hosts that each take the version's whole share until
+// newHostCanaries builds hosts that each send the version its full share until
 // their own analysis fails.
-func shareCanary(s setting, clock func() time.Time) cluster {
-	var c canaries
+func newHostCanaries(s setting, clock func() time.Time) cluster {
+	var c hostCanaries
 	for range s.hosts {
-		c = append(c, &canary{clock: clock, next: clock().Add(canaryInterval)})
+		c = append(c, &hostCanary{clock: clock, nextAnalysis: clock().Add(canaryInterval)})
 	}
 	return c
 }
 
-func (c canaries) host(i int) policy { return c[i] }
-func (c canaries) exchange(int)      {}
+func (c hostCanaries) host(i int) policy { return c[i] }
+func (c hostCanaries) exchange(int)      {}
 
-func (c *canary) take() bool {
+func (c *hostCanary) take() bool {
 	c.analyse()
 	return !c.failed
 }
 
-func (c *canary) observe(o exposure.Outcome) {
+func (c *hostCanary) observe(o exposure.Outcome) {
 	c.counters.Answers++
 	if o.Failed {
 		c.counters.Errors++
@@ -55,31 +57,31 @@
 	}
 }
 
-func (c *canary) rate(rating float64) {
-	c.rated++
-	c.ratings += rating
+func (c *hostCanary) observeRating(rating float64) {
+	c.ratingCount++
+	c.ratingSum += rating
 }
 
-func (c *canary) stopped() bool { return c.failed }
-func (c *canary) cleared() bool { return !c.failed && c.passed >= canaryIntervals }
+func (c *hostCanary) stopped() bool { return c.failed }
+func (c *hostCanary) cleared() bool { return !c.failed && c.analysedIntervals >= canaryMinIntervals }
 
-func (c *canary) analyse() {
-	if c.failed || c.clock().Before(c.next) {
+func (c *hostCanary) analyse() {
+	if c.failed || c.clock().Before(c.nextAnalysis) {
 		return
 	}
-	c.next = c.clock().Add(canaryInterval)
-	if c.counters.Answers < canaryAnswers {
+	c.nextAnalysis = c.clock().Add(canaryInterval)
+	if c.counters.Answers < canaryMinAnswers {
 		return
 	}
-	c.failed = c.violated()
-	c.passed++
+	c.failed = c.violatesLimits()
+	c.analysedIntervals++
 	c.counters = exposure.Counters{}
-	c.rated, c.ratings = 0, 0
+	c.ratingCount, c.ratingSum = 0, 0
 }
 
-func (c *canary) violated() bool {
+func (c *hostCanary) violatesLimits() bool {
 	answers := float64(c.counters.Answers)
-	poor := c.rated > 0 && c.ratings/float64(c.rated) < minRating
+	lowRating := c.ratingCount > 0 && c.ratingSum/float64(c.ratingCount) < minRating
 	return float64(c.counters.Errors)/answers > maxErrorRate ||
-		float64(c.counters.Slow)/answers > 0.05 || poor
+		float64(c.counters.Slow)/answers > 0.05 || lowRating
 }
--- a/internal/experiment/rollout/report.go
+++ b/internal/experiment/rollout/report.go
@@ -13,52 +13,52 @@
 
 // Options are the settings of the experiment.
 type Options struct {
-	// Seeds is the number of runs a cell; 0 means DefaultSeeds.
+	// Seeds is the number of runs for each table row; 0 means DefaultSeeds.
 	Seeds int
 }
 
-// contender is a policy under its name in the tables.
-type contender struct {
+// namedPolicy is a compared policy with its name in the tables.
+type namedPolicy struct {
 	name  string
-	build newCluster
+	build clusterBuilder
 }
 
 var (
-	full    = contender{"evidence shared, paced", tracked(variant{})}
-	grants  = contender{"the same, budget granted by the table", tracked(variant{granted: true})}
-	noTable = contender{"granted, the table down after a second", tracked(variant{granted: true, tableDown: true})}
-	unpaced = contender{"evidence shared, not paced", tracked(variant{unpaced: true})}
-	alone   = contender{"stops shared only, paced", tracked(variant{alone: true})}
-	silent  = contender{"nothing shared, paced", tracked(variant{silent: true})}
-	bare    = contender{"nothing shared, not paced", tracked(variant{silent: true, unpaced: true})}
-	usual   = contender{"share-based canary, each host by itself", shareCanary}
+	sharedPaced      = namedPolicy{"evidence shared, paced", newTrackers(variant{})}
+	sharedGranted    = namedPolicy{"the same, budget granted by the table", newTrackers(variant{granted: true})}
+	grantedTableDown = namedPolicy{"granted, the table down after a second", newTrackers(variant{granted: true, tableDown: true})}
+	sharedUnpaced    = namedPolicy{"evidence shared, not paced", newTrackers(variant{unpaced: true})}
+	stopsSharedPaced = namedPolicy{"stops shared only, paced", newTrackers(variant{stopsOnly: true})}
+	unsharedPaced    = namedPolicy{"nothing shared, paced", newTrackers(variant{noExchange: true})}
+	unsharedUnpaced  = namedPolicy{"nothing shared, not paced", newTrackers(variant{noExchange: true, unpaced: true})}
+	perHostCanary    = namedPolicy{"share-based canary, each host by itself", newHostCanaries}
 )
 
-// usualSetting is the middle of each table.
-func usualSetting(version behaviour) setting {
+// usualSetting returns the setting that the tables vary.
+func usualSetting(version versionBehaviour) setting {
 	return setting{
-		version:    version,
-		hosts:      7,
-		exchange:   time.Second,
-		raterDelay: 2 * time.Second,
-		ratedShare: 1,
+		version:          version,
+		hosts:            7,
+		exchangeInterval: time.Second,
+		raterDelay:       2 * time.Second,
+		ratedShare:       1,
 	}
 }
 
-// Run prints all tables in Markdown.
+// Run runs the experiment and prints all tables in Markdown.
 func Run(w io.Writer, options Options) error {
 	if options.Seeds <= 0 {
 		options.Seeds = DefaultSeeds
 	}
 	r := &report{Tables: simulate.NewTables(w), seeds: options.Seeds}
-	r.mechanisms()
-	r.hosts()
-	r.exchange()
-	r.rater()
-	r.turnsBad()
-	r.good()
-	r.large()
-	r.comparisons()
+	r.printMechanisms()
+	r.printHostCounts()
+	r.printExchangeIntervals()
+	r.printRaterDelays()
+	r.printTurnsBad()
+	r.printGoodVersions()
+	r.printLargeDeployment()
+	r.printComparisons()
 	return r.Err()
 }
 
@@ -67,26 +67,26 @@
 	seeds int
 }
 
-func (r *report) head(title string) {
+func (r *report) startTable(title string) {
 	r.Section(title)
 	r.Header(3, "version", "setting", "policy", "answers, mean", "median", "worst", "bad ones, mean", "stopped")
 }
 
-// cell runs one cell and prints its row.
-func (r *report) cell(label string, s setting, c contender) {
-	results := r.results(s, c)
-	exposed := simulate.Summarize(simulate.Values(results, answersOf))
-	bad := simulate.Summarize(simulate.Values(results, func(r result) float64 { return r.bad }))
+// printRow runs a setting under a policy with all seeds and prints the row.
+func (r *report) printRow(label string, s setting, c namedPolicy) {
+	results := r.runSeeds(s, c)
+	exposed := simulate.Summarize(simulate.Values(results, exposedAnswers))
+	bad := simulate.Summarize(simulate.Values(results, func(r result) float64 { return r.badAnswers }))
 	r.Row(s.version.name, label, c.name, fmt.Sprintf("%.1f", exposed.Mean), fmt.Sprintf("%.0f", exposed.Median),
-		fmt.Sprintf("%.0f", exposed.Max), fmt.Sprintf("%.1f", bad.Mean), r.share(results, isStopped))
+		fmt.Sprintf("%.0f", exposed.Max), fmt.Sprintf("%.1f", bad.Mean), r.fraction(results, isStopped))
 }
 
-func answersOf(r result) float64 { return r.exposed }
+func exposedAnswers(r result) float64 { return r.answers }
 
 func isStopped(r result) bool { return r.stopped }
 
-// share writes how many of the runs fulfil the condition.
-func (r *report) share(results []result, condition func(result) bool) string {
+// fraction formats how many of the runs fulfil the condition.
+func (r *report) fraction(results []result, condition func(result) bool) string {
 	n := 0
 	for _, result := range results {
 		if condition(result) {
@@ -96,52 +96,52 @@
 	return fmt.Sprintf("%d/%d", n, r.seeds)
 }
 
-func (r *report) results(s setting, c contender) []result {
+func (r *report) runSeeds(s setting, c namedPolicy) []result {
 	return simulate.RunSeeds(r.seeds, func(seed int) result { return run(s, c.build, seed) })
 }
 
-func (r *report) mechanisms() {
-	r.head("What each mechanism does: 7 hosts, exchange every second")
+func (r *report) printMechanisms() {
+	r.startTable("What each mechanism does: 7 hosts, exchange every second")
 	for _, v := range badVersions {
-		for _, c := range []contender{usual, bare, silent, alone, unpaced, full, grants} {
-			r.cell("-", usualSetting(v), c)
+		for _, c := range []namedPolicy{perHostCanary, unsharedUnpaced, unsharedPaced, stopsSharedPaced, sharedUnpaced, sharedPaced, sharedGranted} {
+			r.printRow("-", usualSetting(v), c)
 		}
 	}
 }
 
-func (r *report) hosts() {
-	r.head("Number of hosts, and hosts cut from each other")
+func (r *report) printHostCounts() {
+	r.startTable("Number of hosts, and hosts cut from each other")
 	for _, v := range badVersions {
 		for _, hosts := range []int{1, 3, 7} {
 			s := usualSetting(v)
 			s.hosts = hosts
-			r.cell(fmt.Sprint("hosts: ", hosts), s, full)
+			r.printRow(fmt.Sprint("hosts: ", hosts), s, sharedPaced)
 		}
 		s := usualSetting(v)
-		s.cut = 3
-		r.cell("7 hosts, 3 of them cut from all", s, full)
-		r.cell("7 hosts, 3 of them cut from all", s, grants)
-		s.cut = 7
-		r.cell("7 hosts, all cut", s, full)
-		r.cell("7 hosts, all cut", s, grants)
-		r.cell("7 hosts, all cut", s, noTable)
-		r.cell("7 hosts, all cut", s, usual)
+		s.partitioned = 3
+		r.printRow("7 hosts, 3 of them cut from all", s, sharedPaced)
+		r.printRow("7 hosts, 3 of them cut from all", s, sharedGranted)
+		s.partitioned = 7
+		r.printRow("7 hosts, all cut", s, sharedPaced)
+		r.printRow("7 hosts, all cut", s, sharedGranted)
+		r.printRow("7 hosts, all cut", s, grantedTableDown)
+		r.printRow("7 hosts, all cut", s, perHostCanary)
 	}
 }
 
-func (r *report) exchange() {
-	r.head("Exchange interval, 7 hosts")
+func (r *report) printExchangeIntervals() {
+	r.startTable("Exchange interval, 7 hosts")
 	for _, v := range badVersions {
 		for _, interval := range []time.Duration{200 * time.Millisecond, time.Second, 5 * time.Second, 20 * time.Second} {
 			s := usualSetting(v)
-			s.exchange = interval
-			r.cell(interval.String(), s, full)
+			s.exchangeInterval = interval
+			r.printRow(interval.String(), s, sharedPaced)
 		}
 	}
 }
 
-func (r *report) rater() {
-	r.head("A slow rater, or few answers rated, 7 hosts")
+func (r *report) printRaterDelays() {
+	r.startTable("A slow rater, or few answers rated, 7 hosts")
 	poor := badVersions[len(badVersions)-1]
 	for _, delay := range []time.Duration{2 * time.Second, 30 * time.Second, 2 * time.Minute} {
 		for _, share := range []float64{1, 0.2} {
@@ -149,84 +149,85 @@
 			s.raterDelay = delay
 			s.ratedShare = share
 			label := fmt.Sprintf("rating after %v, %.0f%% rated", delay, 100*share)
-			for _, c := range []contender{usual, unpaced, full} {
-				r.cell(label, s, c)
+			for _, c := range []namedPolicy{perHostCanary, sharedUnpaced, sharedPaced} {
+				r.printRow(label, s, c)
 			}
 		}
 	}
 	s := usualSetting(poor)
 	s.ratedShare = 0
-	r.cell("rater down", s, unpaced)
-	r.cell("rater down", s, full)
+	r.printRow("rater down", s, sharedUnpaced)
+	r.printRow("rater down", s, sharedPaced)
 }
 
-func (r *report) turnsBad() {
-	r.head("A version that turns bad after 5 minutes, once cleared; answers after that")
+func (r *report) printTurnsBad() {
+	r.startTable("A version that turns bad after 5 minutes, once cleared; answers after that")
 	for _, v := range badVersions {
-		v.badAfter = horizon / 2
-		for _, c := range []contender{usual, silent, full} {
-			r.cell("-", usualSetting(v), c)
+		v.turnsBadAfter = defaultHorizon / 2
+		for _, c := range []namedPolicy{perHostCanary, unsharedPaced, sharedPaced} {
+			r.printRow("-", usualSetting(v), c)
 		}
 	}
 }
 
-// good prints how often a good version is stopped, and what clearing costs.
-func (r *report) good() {
+// printGoodVersions prints how often a good version is stopped, and after how
+// many answers it is cleared.
+func (r *report) printGoodVersions() {
 	r.Section("A good version, 10 minutes")
 	r.Header(2, "setting", "policy", "falsely stopped", "cleared", "answers until cleared, median", "worst", "answers in all, mean")
-	near := goodVersion
-	near.errorRate = 0.015
-	for _, v := range []behaviour{goodVersion, near} {
+	nearLimit := goodVersion
+	nearLimit.errorRate = 0.015
+	for _, v := range []versionBehaviour{goodVersion, nearLimit} {
 		s := usualSetting(v)
-		for _, c := range []contender{usual, silent, full, grants} {
-			r.goodCell(fmt.Sprintf("%.1f%% errors of 2%% permitted", 100*v.errorRate), s, c)
+		for _, c := range []namedPolicy{perHostCanary, unsharedPaced, sharedPaced, sharedGranted} {
+			r.printGoodRow(fmt.Sprintf("%.1f%% errors of 2%% permitted", 100*v.errorRate), s, c)
 		}
 		s.ratedShare = 0.2
-		r.goodCell(fmt.Sprintf("%.1f%% errors, 20%% rated", 100*v.errorRate), s, full)
+		r.printGoodRow(fmt.Sprintf("%.1f%% errors, 20%% rated", 100*v.errorRate), s, sharedPaced)
 	}
 }
 
-func (r *report) goodCell(label string, s setting, c contender) {
-	results := r.results(s, c)
-	var until []float64
+func (r *report) printGoodRow(label string, s setting, c namedPolicy) {
+	results := r.runSeeds(s, c)
+	var answersUntilCleared []float64
 	for _, result := range results {
 		if isCleared(result) {
-			until = append(until, result.cleared)
+			answersUntilCleared = append(answersUntilCleared, result.clearedAfter)
 		}
 	}
 	cleared := simulate.Summary{}
-	if len(until) > 0 {
-		cleared = simulate.Summarize(until)
+	if len(answersUntilCleared) > 0 {
+		cleared = simulate.Summarize(answersUntilCleared)
 	}
-	exposed := simulate.Summarize(simulate.Values(results, answersOf))
-	r.Row(label, c.name, r.share(results, isStopped), r.share(results, isCleared),
+	exposed := simulate.Summarize(simulate.Values(results, exposedAnswers))
+	r.Row(label, c.name, r.fraction(results, isStopped), r.fraction(results, isCleared),
 		fmt.Sprintf("%.0f", cleared.Median), fmt.Sprintf("%.0f", cleared.Max), fmt.Sprintf("%.0f", exposed.Mean))
 }
 
-func isCleared(r result) bool { return r.cleared > 0 }
+func isCleared(r result) bool { return r.clearedAfter > 0 }
 
-// largeHosts and largeRate are the size to design for. Few seeds do: a run
-// has many hosts.
+// largeHosts and largeRate are the size that the system is designed for. A few
+// seeds suffice, since each run has many hosts.
 const (
-	largeHosts = 440
-	largeRate  = 14_000.0 / 20 // one model of twenty
-	largeSeeds = 4
-	largeTime  = time.Minute
-	fanout     = 4
+	largeHosts   = 440
+	largeRate    = 14_000.0 / 20 // requests/s to one of 20 models
+	largeSeeds   = 4
+	largeHorizon = time.Minute
+	largeFanout  = 4
 )
 
-func (r *report) large() {
-	r.head("440 hosts, 700 requests/s to the model, each sends to 4 others every second; 1 minute")
+func (r *report) printLargeDeployment() {
+	r.startTable("440 hosts, 700 requests/s to the model, each sends to 4 others every second; 1 minute")
 	seeds := r.seeds
 	r.seeds = min(seeds, largeSeeds)
 	for _, v := range badVersions {
 		s := usualSetting(v)
 		s.hosts = largeHosts
-		s.rate = largeRate
-		s.fanout = fanout
-		s.horizon = largeTime
-		for _, c := range []contender{unpaced, full, grants} {
-			r.cell("-", s, c)
+		s.requestRate = largeRate
+		s.fanout = largeFanout
+		s.horizon = largeHorizon
+		for _, c := range []namedPolicy{sharedUnpaced, sharedPaced, sharedGranted} {
+			r.printRow("-", s, c)
 		}
 	}
 	r.seeds = seeds
--- a/internal/experiment/rollout/run_test.go
+++ b/internal/experiment/rollout/run_test.go
@@ -11,45 +11,45 @@
 func TestRunsAreRepeatable(t *testing.T) {
 	is := is.New(t)
 	s := usualSetting(badVersions[0])
-	is.Equal(run(s, full.build, 3), run(s, full.build, 3))
+	is.Equal(run(s, sharedPaced.build, 3), run(s, sharedPaced.build, 3))
 }
 
 func TestExposureStaysWithinTheBudget(t *testing.T) {
 	tests := []struct {
-		desc string
-		cut  int
-		c    contender
+		desc        string
+		partitioned int
+		c           namedPolicy
 	}{
-		{"connected", 0, full},
-		{"all cut", 7, full},
-		{"nothing shared", 0, bare},
-		{"granted", 0, grants},
+		{"connected", 0, sharedPaced},
+		{"all cut", 7, sharedPaced},
+		{"nothing shared", 0, unsharedUnpaced},
+		{"granted", 0, sharedGranted},
 	}
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
 			s := usualSetting(badVersions[3])
-			s.cut = tt.cut
+			s.partitioned = tt.partitioned
 			s.ratedShare = 0 // nothing stops or clears it
-			s.exchange = 5 * time.Second
-			is.New(t).True(run(s, tt.c.build, 1).exposed <= budget)
+			s.exchangeInterval = 5 * time.Second
+			is.New(t).True(run(s, tt.c.build, 1).answers <= budget)
 		})
 	}
 }
 
-// A version like the old one is hardly ever stopped, one that fails half of its requests
-// soon and always.
+// A new version as good as the old one is almost never stopped; one that fails half of its
+// requests is always stopped within 60 answers.
 func TestComparisonDecides(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 17))
-	alike, worse := 0, 0
+	falseStops, promptStops := 0, 0
 	for range 200 {
-		if (versions{0.02, 0.02, 0.18}).compare(rng).stopped > 0 {
-			alike++
+		if (versionPair{0.02, 0.02, 0.18}).compare(rng).stoppedAfter > 0 {
+			falseStops++
 		}
-		if c := (versions{0.02, 0.5, 0.18}).compare(rng); c.stopped > 0 && c.stopped <= 60 && c.cleared == 0 {
-			worse++
+		if c := (versionPair{0.02, 0.5, 0.18}).compare(rng); c.stoppedAfter > 0 && c.stoppedAfter <= 60 && c.clearedAfter == 0 {
+			promptStops++
 		}
 	}
-	is.True(alike <= 2)
-	is.Equal(worse, 200)
+	is.True(falseStops <= 2)
+	is.Equal(promptStops, 200)
 }
--- a/internal/experiment/rollout/tracked.go
+++ b/internal/experiment/rollout/tracked.go
@@ -21,70 +21,72 @@
 	MaxLatencyMs: int(maxLatency / time.Millisecond),
 }
 
-// variant switches mechanisms of the trackers off.
+// variant selects which mechanisms of the trackers are active.
 type variant struct {
 	unpaced bool
-	// alone keeps evidence from being exchanged, but not stops.
-	alone bool
-	// silent keeps stops from being exchanged as well.
-	silent bool
-	// granted takes the budget's parts from the table.
+	// stopsOnly makes hosts exchange stops but no evidence.
+	stopsOnly bool
+	// noExchange makes hosts exchange neither stops nor evidence.
+	noExchange bool
+	// granted makes hosts use the budget only as far as the table grants it.
 	granted bool
-	// tableDown makes every claim fail after the first second.
+	// tableDown skips all claims of grants after the first exchange, as if the
+	// table had failed then.
 	tableDown bool
 }
 
-// trackers is a cluster of real trackers.
-type trackers struct {
+// trackerCluster is a cluster whose hosts run exposure.Tracker.
+type trackerCluster struct {
 	variant  variant
 	hosts    []*exposure.Tracker
 	granters []*exposure.Granter
 	fanout   int
-	// exchanges counts the exchanges so far.
+	// exchanges is the number of exchanges so far.
 	exchanges int
 	rnd       *rand.Rand
-	marks     []uint64
+	cursors   []uint64
 }
 
-func tracked(v variant) newCluster {
+func newTrackers(v variant) clusterBuilder {
 	return func(s setting, clock func() time.Time) cluster {
-		c := &trackers{variant: v, fanout: s.fanout, rnd: simulate.NewRand(s.hosts)}
-		c.marks = make([]uint64, s.hosts)
+		c := &trackerCluster{variant: v, fanout: s.fanout, rnd: simulate.NewRand(s.hosts)}
+		c.cursors = make([]uint64, s.hosts)
 		table := memory.New()
 		for i := range s.hosts {
 			name := fmt.Sprint("host-", i)
-			host := exposure.New(exposure.Options{
+			tracker := exposure.New(exposure.Options{
 				Host:        name,
 				Clock:       clock,
 				GrantedOnly: v.granted,
 				Pacing:      exposure.Pacing{Off: v.unpaced},
 			})
-			host.SetHosts(s.hosts)
-			host.SetVersions([]exposure.VersionRule{rule})
-			c.hosts = append(c.hosts, host)
+			tracker.SetHosts(s.hosts)
+			tracker.SetVersions([]exposure.VersionRule{rule})
+			c.hosts = append(c.hosts, tracker)
 			c.granters = append(c.granters, exposure.NewGranter(table, name))
 		}
 		return c
 	}
 }
 
-func (c *trackers) host(i int) policy { return trackedHost{c.hosts[i]} }
+func (c *trackerCluster) host(i int) policy { return trackerPolicy{c.hosts[i]} }
 
-// exchange sends what changed on each host to others.
-func (c *trackers) exchange(reachable int) {
+// exchange sends the changes of each host to others. The hosts from connected
+// on send and receive nothing, but still claim grants from the table.
+func (c *trackerCluster) exchange(connected int) {
 	c.exchanges++
 	for i, from := range c.hosts {
 		if c.variant.granted && !(c.variant.tableDown && c.exchanges > 1) {
 			// A failed claim is tried again at the next exchange.
 			_ = from.ClaimGrants(context.Background(), c.granters[i])
 		}
-		if i >= reachable || c.variant.silent {
+		if i >= connected || c.variant.noExchange {
 			continue
 		}
-		evidence, next := c.export(from, c.marks[i])
-		c.marks[i] = next
+		evidence, next := c.exportEvidence(from, c.cursors[i])
+		c.cursors[i] = next
 		stops := from.Stops()
-		for _, j := range c.receivers(reachable) {
+		for _, j := range c.receivers(connected) {
 			if i != j {
 				c.send(evidence, stops, c.hosts[j])
 			}
@@ -92,25 +94,26 @@
 	}
 }
 
-// export relays others' evidence only where not all hosts are sent to.
-func (c *trackers) export(from *exposure.Tracker, mark uint64) ([]exposure.Evidence, uint64) {
+// exportEvidence returns the evidence that changed since cursor, with that of
+// other hosts only if a host doesn't send to all.
+func (c *trackerCluster) exportEvidence(from *exposure.Tracker, cursor uint64) ([]exposure.Evidence, uint64) {
 	if c.fanout > 0 {
-		return from.ExportSince(mark)
+		return from.ExportSince(cursor)
 	}
-	return from.ExportOwn(mark)
+	return from.ExportOwn(cursor)
 }
 
-// receivers draws whom a host sends to.
-func (c *trackers) receivers(reachable int) []int {
-	all := c.rnd.Perm(reachable)
+// receivers draws the hosts that a host sends to.
+func (c *trackerCluster) receivers(connected int) []int {
+	all := c.rnd.Perm(connected)
 	if c.fanout > 0 {
-		return all[:min(c.fanout, reachable)]
+		return all[:min(c.fanout, connected)]
 	}
 	return all
 }
 
-func (c *trackers) send(evidence []exposure.Evidence, stops []exposure.Stop, to *exposure.Tracker) {
-	if !c.variant.alone {
+func (c *trackerCluster) send(evidence []exposure.Evidence, stops []exposure.Stop, to *exposure.Tracker) {
+	if !c.variant.stopsOnly {
 		to.Merge(evidence)
 	}
 	for _, stop := range stops {
@@ -118,14 +121,14 @@
 	}
 }
 
-type trackedHost struct{ tracker *exposure.Tracker }
+type trackerPolicy struct{ tracker *exposure.Tracker }
 
-func (h trackedHost) take() bool                 { return h.tracker.Take(rule.Model, rule.Version) }
-func (h trackedHost) observe(o exposure.Outcome) { h.tracker.Observe(rule.Model, rule.Version, o) }
-func (h trackedHost) rate(r float64)             { h.tracker.Rate(rule.Model, rule.Version, r) }
-func (h trackedHost) cleared() bool              { return h.tracker.Cleared(rule.Model, rule.Version) }
+func (p trackerPolicy) take() bool                 { return p.tracker.Take(rule.Model, rule.Version) }
+func (p trackerPolicy) observe(o exposure.Outcome) { p.tracker.Observe(rule.Model, rule.Version, o) }
+func (p trackerPolicy) observeRating(r float64)    { p.tracker.Rate(rule.Model, rule.Version, r) }
+func (p trackerPolicy) cleared() bool              { return p.tracker.Cleared(rule.Model, rule.Version) }
 
-func (h trackedHost) stopped() bool {
-	_, stopped := h.tracker.Stopped(rule.Model, rule.Version)
+func (p trackerPolicy) stopped() bool {
+	_, stopped := p.tracker.Stopped(rule.Model, rule.Version)
 	return stopped
 }
