--- a/balance/balance.go
+++ b/balance/balance.go
@@ -98,7 +98,7 @@
 }
 
 // Weighted is a scorer and its weight in the total score.
-type Weighted struct {
+type WeightedScorer struct {
 	Scorer Scorer
 	// Weight is at least 0.
 	Weight float64
@@ -113,7 +113,7 @@
 // DropCount is the number of candidates that a filter removed.
 type DropCount struct {
 	Filter string
-	N      int
+	Count  int
 }
 
 // Choice is the result of a selection.
@@ -133,13 +133,13 @@
 	Filters []Filter
 	// Affinity scorers rate every candidate. For each scorer, the best among
 	// the candidates whose load is within Bound is added to the picker's sample.
-	Affinity []Weighted
+	AffinityScorers []WeightedScorer
 	// Scorers rate the candidates in the picker's sample, including those that
 	// affinity scorers added.
-	Scorers []Weighted
+	Scorers []WeightedScorer
 	Picker  Picker
 	// Bound is the maximum load of candidates that affinity scorers add.
-	Bound LoadBound
+	AffinityBound LoadBound
 }
 
 // Select selects an upstream for req; ok is false if no candidate passes the
@@ -150,7 +150,7 @@
 		before := len(candidates)
 		candidates = f.Filter(req, candidates, now)
 		if n := before - len(candidates); n > 0 {
-			choice.Dropped = append(choice.Dropped, DropCount{Filter: f.Name(), N: n})
+			choice.Dropped = append(choice.Dropped, DropCount{Filter: f.Name(), Count: n})
 		}
 	}
 	choice.Eligible = len(candidates)
@@ -174,8 +174,8 @@
 // whose load is within the bound.
 func (s *Selector) preferred(req *Request, candidates []*Upstream, now time.Time) []preference {
 	var preferred []preference
-	limit := s.Bound.limit(candidates)
-	for _, w := range s.Affinity {
+	limit := s.AffinityBound.limit(candidates)
+	for _, w := range s.AffinityScorers {
 		i, score := bestAffinity(w.Scorer, req, candidates, limit, now)
 		if i >= 0 {
 			preferred = append(preferred, preference{index: i, bonus: w.Weight * score})
@@ -233,7 +233,7 @@
 	return sum
 }
 
-func weightedSum(scorers []Weighted, req *Request, u *Upstream, now time.Time) float64 {
+func weightedSum(scorers []WeightedScorer, req *Request, u *Upstream, now time.Time) float64 {
 	sum := 0.0
 	for _, w := range scorers {
 		sum += w.Weight * w.Scorer.Score(req, u, now)
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -23,7 +23,7 @@
 	}
 	for i, h := range list {
 		pool.Report(h.ID, newLoad(i%10), time.Now())
-		pool.Index().Sent(h.ID, hashes[:i%80])
+		pool.Index().RecordSent(h.ID, hashes[:i%80])
 	}
 	return pool, &Request{Model: "m", Version: "1", SessionID: "s", PrefixHashes: hashes}
 }
@@ -63,7 +63,7 @@
 		for pb.Next() {
 			choice, _ := pool.Choose(req)
 			pool.Begin(choice.Upstream.ID)
-			pool.End(choice.Upstream.ID, Outcome{FirstToken: time.Millisecond})
+			pool.End(choice.Upstream.ID, Outcome{TimeToFirstToken: time.Millisecond})
 		}
 	})
 }
--- a/balance/chain.go
+++ b/balance/chain.go
@@ -20,11 +20,11 @@
 			EjectedFilter{},
 			CapacityFilter{},
 		},
-		Affinity: []Weighted{
+		AffinityScorers: []WeightedScorer{
 			{Scorer: PrefixScorer{Matcher: matcher}, Weight: prefixWeight},
 			{Scorer: SessionScorer{}, Weight: sessionWeight},
 		},
-		Scorers: []Weighted{
+		Scorers: []WeightedScorer{
 			{Scorer: LoadScorer{}, Weight: loadWeight},
 			{Scorer: ErrorScorer{}, Weight: errorWeight},
 			{Scorer: LatencyScorer{}, Weight: latencyWeight},
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -22,7 +22,7 @@
 	choice, ok := pool.Choose(&balance.Request{Model: "quotes", Version: "2", Zone: "a"})
 	fmt.Println(choice.Upstream.ID, choice.Dropped, ok)
 	if pool.Begin(choice.Upstream.ID) {
-		pool.End(choice.Upstream.ID, balance.Outcome{FirstToken: 80 * time.Millisecond})
+		pool.End(choice.Upstream.ID, balance.Outcome{TimeToFirstToken: 80 * time.Millisecond})
 	}
 	// Output: e1 [{leaving 1}] true
 }
--- a/balance/pool.go
+++ b/balance/pool.go
@@ -44,9 +44,9 @@
 // Outcome is the result of a request at an upstream.
 type Outcome struct {
 	// Err reports whether the request failed at the upstream.
-	Err bool
+	Failed bool
 	// FirstToken is the time to the first token; 0 if there was none.
-	FirstToken time.Duration
+	TimeToFirstToken time.Duration
 	// Refused reports whether the upstream temporarily refused the request.
 	Refused bool
 	// Leaving reports whether the upstream answered that it takes no new
--- a/balance/pool_entry.go
+++ b/balance/pool_entry.go
@@ -129,12 +129,12 @@
 	if outcome.Leaving {
 		e.state.Leaving = true
 	}
-	failed := outcome.Err && !outcome.Leaving
+	failed := outcome.Failed && !outcome.Leaving
 	if outcome.Refused {
 		failed = failed && !e.loadExplainsRefusal()
 		e.markFull()
 	}
-	e.observeLatency(outcome.FirstToken)
+	e.observeLatency(outcome.TimeToFirstToken)
 	e.observeError(failed, now)
 	e.state.EjectedUntil = e.ejection.observe(failed, e.state.ErrorRate, now, ejection, jitter)
 	e.updateCounters()
--- a/balance/pool_test.go
+++ b/balance/pool_test.go
@@ -89,7 +89,7 @@
 	is.Equal(CorrectedLoad(findUpstream(pool, "a")), 6)
 	pool.Report("a", newLoad(0), clock.Now().Add(2*time.Second))
 	is.Equal(CorrectedLoad(findUpstream(pool, "a")), 1) // not below this host's requests in flight
-	pool.End("a", Outcome{FirstToken: 80 * time.Millisecond})
+	pool.End("a", Outcome{TimeToFirstToken: 80 * time.Millisecond})
 	is.Equal(CorrectedLoad(findUpstream(pool, "a")), 0)
 	is.Equal(findUpstream(pool, "a").LatencyMs, 80.0)
 }
@@ -117,7 +117,7 @@
 		is.True(pool.Begin(id))
 		counts[id]++
 		if id == "a" { // fails at once; the requests at the others stay in flight
-			pool.End(id, Outcome{Err: true})
+			pool.End(id, Outcome{Failed: true})
 		}
 	}
 	is.True(counts["a"] <= DefaultConsecutiveErrors)
@@ -128,7 +128,7 @@
 	pool, clock, _ := newTestPool(t, "a", "b")
 	fail := func() {
 		pool.Begin("a")
-		pool.End("a", Outcome{Err: true})
+		pool.End("a", Outcome{Failed: true})
 	}
 	for range DefaultConsecutiveErrors {
 		fail()
@@ -150,7 +150,7 @@
 	is := is.New(t)
 	pool, clock, _ := newTestPool(t, "a", "b")
 	pool.Begin("a")
-	pool.End("a", Outcome{Err: true, Refused: true})
+	pool.End("a", Outcome{Failed: true, Refused: true})
 	for range 20 {
 		choice, _ := pool.Choose(modelRequest)
 		is.Equal(choice.Upstream.ID, "b")
@@ -167,7 +167,7 @@
 	clock.Advance(time.Second)
 	pool.Report("a", newLoad(10), clock.Now())
 	pool.Begin("a")
-	pool.End("a", Outcome{Err: true, Refused: true})
+	pool.End("a", Outcome{Failed: true, Refused: true})
 	is.Equal(findUpstream(pool, "a").ErrorRate, 0.0)
 }
 
@@ -190,9 +190,9 @@
 				if !ok || !pool.Begin(choice.Upstream.ID) {
 					continue
 				}
-				pool.Index().Sent(choice.Upstream.ID, []uint64{uint64(i)})
+				pool.Index().RecordSent(choice.Upstream.ID, []uint64{uint64(i)})
 				pool.Report(choice.Upstream.ID, newLoad(i%10), time.Now())
-				pool.End(choice.Upstream.ID, Outcome{FirstToken: time.Millisecond})
+				pool.End(choice.Upstream.ID, Outcome{TimeToFirstToken: time.Millisecond})
 			}
 		})
 	}
--- a/balance/prefix_index.go
+++ b/balance/prefix_index.go
@@ -83,7 +83,7 @@
 }
 
 // Sent records that a prompt with these block hashes was sent to the upstream.
-func (p *PrefixIndex) Sent(upstreamID string, hashes []uint64) {
+func (p *PrefixIndex) RecordSent(upstreamID string, hashes []uint64) {
 	if len(hashes) == 0 {
 		return
 	}
--- a/balance/prefix_test.go
+++ b/balance/prefix_test.go
@@ -46,7 +46,7 @@
 		t.Run(tt.desc, func(t *testing.T) {
 			is := is.New(t)
 			index := NewPrefixIndex(0, func() time.Time { return start })
-			index.Sent("u", hashes)
+			index.RecordSent("u", hashes)
 			for _, e := range tt.events {
 				index.Apply(e)
 			}
@@ -62,7 +62,7 @@
 	is := is.New(t)
 	index := NewPrefixIndex(4, func() time.Time { return start })
 	index.Apply(newCacheEvent(1, 0, nil, nil))
-	index.Sent("u", []uint64{1, 2, 3, 4})
-	index.Sent("u", []uint64{1, 9})
+	index.RecordSent("u", []uint64{1, 2, 3, 4})
+	index.RecordSent("u", []uint64{1, 9})
 	is.Equal(index.Match("u", []uint64{1, 2, 3, 4}), 3.0) // the end of the prompt is evicted first
 }
--- a/balance/selector_test.go
+++ b/balance/selector_test.go
@@ -68,7 +68,7 @@
 	is.True(ok)
 	is.Equal(choice.Upstream.ID, "c")
 	is.Equal(choice.Eligible, 2)
-	is.Equal(choice.Dropped, []DropCount{{Filter: "leaving", N: 1}})
+	is.Equal(choice.Dropped, []DropCount{{Filter: "leaving", Count: 1}})
 	is.Equal(upstreamIDs(list), []string{"a", "b", "c"}) // the caller's list is unchanged
 	_, ok = NewSelector(NewPrefixIndex(0, time.Now)).Select(modelRequest, list[:1], start, newSeededRand())
 	is.True(!ok)
@@ -98,7 +98,7 @@
 	is := is.New(t)
 	index := NewPrefixIndex(0, func() time.Time { return start })
 	req := &Request{Model: "m", Version: "1", PrefixHashes: []uint64{1, 2, 3, 4}}
-	index.Sent("b", []uint64{1, 2, 3})
+	index.RecordSent("b", []uint64{1, 2, 3})
 	list := []*Upstream{newEngine("a", 1), newEngine("b", 1), newEngine("c", 1)}
 	rnd := newSeededRand()
 	for range 50 {
--- a/cascade/example_test.go
+++ b/cascade/example_test.go
@@ -19,6 +19,6 @@
 		learner.Observe(cascade.Sample{Cascade: "quotes", Account: "desk-1", Class: "chat", Rating: 0.3})
 	}
 	plan := learner.Decide(view)
-	fmt.Println(plan.Start, plan.Reason, cascade.Accept(0.3, view.Target))
+	fmt.Println(plan.Start, plan.Reason, cascade.IsAccepted(0.3, view.Target))
 	// Output: 1 lowest-expected-cost false
 }
--- a/cascade/policy.go
+++ b/cascade/policy.go
@@ -13,7 +13,7 @@
 const Unrated = -1.0
 
 // Accept reports whether a rating reaches the target.
-func Accept(rating, target float64) bool { return rating >= target }
+func IsAccepted(rating, target float64) bool { return rating >= target }
 
 // StepInfo holds the cost and latency that are expected of a step before there
 // are statistics.
--- a/claim/bench_test.go
+++ b/claim/bench_test.go
@@ -29,11 +29,11 @@
 }
 
 func benchmarkClaims(b *testing.B, concurrency, repeatEvery int) {
-	table := faulty.New(memory.New())
+	table := faulty.NewTable(memory.NewTable())
 	table.SetDelay(4 * time.Millisecond)
 	committer := groupcommit.New(table, groupcommit.Options{})
 	defer func() { _ = committer.Close() }()
-	store := claim.New(claim.Options{Table: committer, Objects: memory.NewObjects(), Host: "host-a"})
+	store := claim.NewStore(claim.Options{Table: committer, Objects: memory.NewObjects(), Host: "host-a"})
 	var next, acquireNanos atomic.Int64
 	var workers sync.WaitGroup
 	b.ResetTimer()
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -32,7 +32,7 @@
 
 func newTestPlatform(options claim.Options) *testPlatform {
 	p := &testPlatform{
-		table:   faulty.New(memory.New()),
+		table:   faulty.NewTable(memory.NewTable()),
 		objects: faulty.NewObjects(memory.NewObjects()),
 		dead:    newDeadHosts(),
 	}
@@ -43,8 +43,8 @@
 
 func (p *testPlatform) newStore(options claim.Options, host string) *claim.Store {
 	options.Table, options.Objects = p.table, p.objects
-	options.Host, options.Alive = host, p.dead
-	return claim.New(options)
+	options.Host, options.Liveness = host, p.dead
+	return claim.NewStore(options)
 }
 
 // withTestPlatform runs a test with a testPlatform in its own synctest bubble.
@@ -191,18 +191,18 @@
 		healed string
 	}{
 		{"down", func(f *faulty.Table) { f.SetDown(true) }, "unavailable", "claimed"},
-		{"response lost", func(f *faulty.Table) { f.LoseNext(1) }, "claimed", "in flight"},
-		{"write lost", func(f *faulty.Table) { f.DropNext(1) }, "claimed", "in flight"},
-		{"all writes lost", func(f *faulty.Table) { f.DropNext(100) }, "unavailable", "claimed"},
-		{"write late", func(f *faulty.Table) { f.DelayNext(1, time.Second) }, "claimed", "in flight"},
-		{"all writes late", func(f *faulty.Table) { f.DelayNext(4, time.Second) }, "unavailable", "claimed"},
+		{"response lost", func(f *faulty.Table) { f.LoseNextResponses(1) }, "claimed", "in flight"},
+		{"write lost", func(f *faulty.Table) { f.DropNextCommits(1) }, "claimed", "in flight"},
+		{"all writes lost", func(f *faulty.Table) { f.DropNextCommits(100) }, "unavailable", "claimed"},
+		{"write late", func(f *faulty.Table) { f.DelayNextCommits(1, time.Second) }, "claimed", "in flight"},
+		{"all writes late", func(f *faulty.Table) { f.DelayNextCommits(4, time.Second) }, "unavailable", "claimed"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
 			withTestPlatform(t, func(t *testing.T, is *is.I, p *testPlatform) {
 				tt.fault(p.table)
 				is.Equal(acquireResult(p.a), tt.first)
-				p.table.Heal()
+				p.table.ClearFaults()
 				is.NoErr(p.a.Flush(t.Context()))
 				time.Sleep(2 * time.Second) // late writes are applied
 				is.Equal(acquireResult(p.b), tt.healed)
@@ -223,9 +223,9 @@
 		before, after string
 	}{
 		{"down", func(f *faulty.Table) { f.SetDown(true) }, 1, "unavailable", "done"},
-		{"response lost", func(f *faulty.Table) { f.LoseNext(1) }, 0, "done", "done"},
-		{"write lost", func(f *faulty.Table) { f.DropNext(1) }, 1, "in flight", "done"},
-		{"write late", func(f *faulty.Table) { f.DelayNext(1, time.Second) }, 1, "in flight", "done"},
+		{"response lost", func(f *faulty.Table) { f.LoseNextResponses(1) }, 0, "done", "done"},
+		{"write lost", func(f *faulty.Table) { f.DropNextCommits(1) }, 1, "in flight", "done"},
+		{"write late", func(f *faulty.Table) { f.DelayNextCommits(1, time.Second) }, 1, "in flight", "done"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
@@ -237,7 +237,7 @@
 				is.Equal(p.a.Pending(), tt.pending)
 				is.Equal(acquireResult(p.a), "done")
 				is.Equal(acquireResult(p.b), tt.before)
-				p.table.Heal()
+				p.table.ClearFaults()
 				is.NoErr(p.a.Flush(t.Context()))
 				is.Equal(acquireResult(p.b), tt.after)
 				time.Sleep(2 * time.Second) // late writes are applied
@@ -253,7 +253,7 @@
 	is := is.New(t)
 	p := newTestPlatform(claim.Options{})
 	mustAcquire(t, p.a)
-	withoutReads := claim.New(claim.Options{Table: unreadableTable{p.table}, Host: "host-b"})
+	withoutReads := claim.NewStore(claim.Options{Table: unreadableTable{p.table}, Host: "host-b"})
 	is.Equal(acquireResult(withoutReads), "in flight")
 }
 
--- a/claim/example_test.go
+++ b/claim/example_test.go
@@ -12,8 +12,8 @@
 
 func Example() {
 	ctx := context.Background()
-	store := claim.New(claim.Options{
-		Table:   memory.New(),
+	store := claim.NewStore(claim.Options{
+		Table:   memory.NewTable(),
 		Objects: memory.NewObjects(),
 		Host:    "host-a",
 	})
--- a/claim/history_test.go
+++ b/claim/history_test.go
@@ -99,7 +99,7 @@
 func newSimulation(seed uint64, grouped bool) *simulation {
 	s := &simulation{
 		seed:  seed,
-		table: faulty.New(memory.New()),
+		table: faulty.NewTable(memory.NewTable()),
 		dead:  newDeadHosts(),
 	}
 	for i := range historyHosts {
@@ -112,17 +112,17 @@
 }
 
 func (s *simulation) newHost(i int, grouped bool) *host {
-	h := &host{process: pause.New()}
+	h := &host{process: pause.NewProcess()}
 	table := h.process.Table(s.table)
 	if grouped {
 		h.committer = groupcommit.New(table, groupcommit.Options{})
 		table = h.process.Table(h.committer)
 	}
-	h.store = claim.New(claim.Options{
+	h.store = claim.NewStore(claim.Options{
 		Table:       table,
 		Objects:     memory.NewObjects(),
 		Host:        hostName(i),
-		Alive:       s.dead,
+		Liveness:    s.dead,
 		InlineBytes: math.MaxInt32,
 	})
 	return h
@@ -178,14 +178,14 @@
 			total.killedHosts++
 		}
 	default:
-		s.table.SetRandom(random, faulty.Bounds{Commits: 5, Delay: 1500 * time.Millisecond, Late: 3 * time.Second})
+		s.table.SetRandomFault(random, faulty.Bounds{Commits: 5, Delay: 1500 * time.Millisecond, Late: 3 * time.Second})
 	}
 }
 
 // flushAndVerify ends the faults, flushes the outcomes on the hosts that weren't
 // killed, and sends one more request per key, whose result the model checks.
 func (s *simulation) flushAndVerify(t *testing.T) {
-	s.table.Heal()
+	s.table.ClearFaults()
 	for i, h := range s.hosts {
 		h.process.Resume()
 		if h.process.Killed() {
--- a/claim/machine_test.go
+++ b/claim/machine_test.go
@@ -131,7 +131,7 @@
 
 // heal ends the faults and flushes the pending writes of both hosts.
 func (m *machine) heal(t *rapid.T) {
-	m.platform.table.Heal()
+	m.platform.table.ClearFaults()
 	m.faultsActive = false
 	for _, s := range m.stores {
 		if err := s.Flush(context.Background()); err != nil {
--- a/claim/options.go
+++ b/claim/options.go
@@ -38,7 +38,7 @@
 	// Host is the name of this host in rows and for Liveness.
 	Host string
 	// Alive reports which owners may still be running; nil means that all may.
-	Alive Liveness
+	Liveness Liveness
 	// Clock returns the wall time, used for expiry; default time.Now.
 	Clock storage.Clock
 	// Retention is how long after the claim its result is kept; default 24 h.
@@ -82,5 +82,5 @@
 
 // alive reports whether the process of the host may still be running.
 func (o Options) alive(host string) bool {
-	return o.Alive == nil || o.Alive.Alive(host)
+	return o.Liveness == nil || o.Liveness.Alive(host)
 }
--- a/claim/store.go
+++ b/claim/store.go
@@ -33,7 +33,7 @@
 }
 
 // New returns a Store. The caller must run Run in a goroutine.
-func New(options Options) *Store {
+func NewStore(options Options) *Store {
 	options = options.withDefaults()
 	return &Store{
 		options:    options,
--- a/config/bench_test.go
+++ b/config/bench_test.go
@@ -15,7 +15,7 @@
 func BenchmarkCheck(b *testing.B) {
 	f := newFixture()
 	f.submit(b, config.Head{}, "1")
-	w := config.NewWatcher(config.WatcherOptions{Store: f.store, Bound: time.Hour})
+	w := config.NewWatcher(config.WatcherOptions{Store: f.store, FreshnessBound: time.Hour})
 	configtest.Run(b, w)
 	for errors.Is(w.Check(), config.ErrNoManifest) {
 		time.Sleep(time.Millisecond)
@@ -59,7 +59,7 @@
 			}
 			before := f.table.Counts().Lists
 			for b.Loop() {
-				report, err := f.store.Report(context.Background(), head, names)
+				report, err := f.store.ReportConfirmations(context.Background(), head, names)
 				if err != nil || len(report.Confirmed) != hosts {
 					b.Fatal(report, err)
 				}
--- a/config/body.go
+++ b/config/body.go
@@ -71,7 +71,7 @@
 // so that the body may come from an untrusted source.
 func verifyAndCompile(body []byte, head Head) (*manifest.Policy, error) {
 	if digest := manifest.DigestCanonical(body); digest != head.Digest {
-		return nil, fmt.Errorf("%w: body of epoch %d has digest %s, not %s", ErrDamaged, head.Epoch, digest, head.Digest)
+		return nil, fmt.Errorf("%w: body of epoch %d has digest %s, not %s", ErrCorrupt, head.Epoch, digest, head.Digest)
 	}
 	doc, err := manifest.Parse(body)
 	if err != nil {
--- a/config/configtest/example_test.go
+++ b/config/configtest/example_test.go
@@ -29,7 +29,7 @@
 // Hosts without a manifest accept no requests.
 func Example() {
 	network := configtest.NewNetwork()
-	store := config.NewStore(memory.New(), memory.NewObjects())
+	store := config.NewStore(memory.NewTable(), memory.NewObjects())
 	for _, host := range []string{"a", "b"} {
 		network.NewWatcher(config.WatcherOptions{Store: store}, host)
 	}
@@ -42,19 +42,19 @@
 func TestIsolate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		table := faulty.New(memory.New())
+		table := faulty.NewTable(memory.NewTable())
 		store := config.NewStore(table, memory.NewObjects())
 		_, err := store.Submit(context.Background(), document(), "job-1")
 		is.NoErr(err)
 		network := configtest.NewNetwork()
 		network.Start(t, config.WatcherOptions{Store: store}, "a", "b", "c")
-		time.Sleep(config.DefaultBound)
+		time.Sleep(config.DefaultFreshnessBound)
 		table.SetDown(true)
 		network.Isolate("c")
-		time.Sleep(2 * config.DefaultBound)
+		time.Sleep(2 * config.DefaultFreshnessBound)
 		is.Equal(network.States(), map[string]string{"a": "1", "b": "1", "c": "1 stopped"})
 		network.Isolate()
-		time.Sleep(config.DefaultBound)
+		time.Sleep(config.DefaultFreshnessBound)
 		is.Equal(network.States(), map[string]string{"a": "1", "b": "1", "c": "1"})
 	})
 }
--- a/config/confirm.go
+++ b/config/confirm.go
@@ -21,7 +21,7 @@
 }
 
 // InForce lists which hosts have confirmed a head.
-type InForce struct {
+type ConfirmationReport struct {
 	// Confirmed hosts had the head or a later one in force when they wrote their
 	// row. A host never returns to an earlier head.
 	Confirmed []string
@@ -83,23 +83,23 @@
 func decodeConfirmation(row storage.Row) (confirmation, error) {
 	var c confirmation
 	if err := json.Unmarshal(row.Value, &c); err != nil {
-		return confirmation{}, fmt.Errorf("%w: row %s: %w", ErrDamaged, row.Key, err)
+		return confirmation{}, fmt.Errorf("%w: row %s: %w", ErrCorrupt, row.Key, err)
 	}
 	return c, nil
 }
 
 // Report returns which of the hosts have confirmed head or a later one, sorted by
 // name.
-func (s *Store) Report(ctx context.Context, head Head, hosts []string) (InForce, error) {
+func (s *Store) ReportConfirmations(ctx context.Context, head Head, hosts []string) (ConfirmationReport, error) {
 	epochs := map[string]uint64{}
 	err := s.forEachConfirmation(ctx, func(row storage.Row, c confirmation) error {
 		epochs[strings.TrimPrefix(row.Key, confirmPrefix)] = c.Epoch
 		return nil
 	})
 	if err != nil {
-		return InForce{}, err
+		return ConfirmationReport{}, err
 	}
-	var report InForce
+	var report ConfirmationReport
 	for _, host := range slices.Sorted(slices.Values(hosts)) {
 		if epochs[host] >= head.Epoch {
 			report.Confirmed = append(report.Confirmed, host)
--- a/config/example_test.go
+++ b/config/example_test.go
@@ -13,7 +13,7 @@
 // ConflictError with the current head.
 func Example() {
 	ctx := context.Background()
-	store := config.NewStore(memory.New(), memory.NewObjects())
+	store := config.NewStore(memory.NewTable(), memory.NewObjects())
 
 	first, err := store.Submit(ctx, document("", "build-1"), "job-1")
 	fmt.Println(first.Head.Epoch, first.AlreadyAccepted, err)
--- a/config/freshness_test.go
+++ b/config/freshness_test.go
@@ -125,8 +125,8 @@
 			t.Fatalf("host %d went from epoch %d to %d", i, s.maxEpochs[i], epoch)
 		}
 		s.maxEpochs[i] = epoch
-		required := s.acceptedBefore(s.now.Add(-DefaultBound))
-		if s.hosts[i].check(s.now, DefaultBound) == nil && epoch < required {
+		required := s.acceptedBefore(s.now.Add(-DefaultFreshnessBound))
+		if s.hosts[i].check(s.now, DefaultFreshnessBound) == nil && epoch < required {
 			t.Fatalf("host %d accepts requests with epoch %d, but epoch %d is required", i, epoch, required)
 		}
 	}
@@ -198,7 +198,7 @@
 		{"too many hosts for the budget", 2000, 200, 2500 * time.Millisecond},
 	} {
 		t.Run(tc.desc, func(t *testing.T) {
-			got := sharedInterval(tc.hostCount, tc.perSecond, DefaultPoll, DefaultBound/readsPerBound)
+			got := sharedInterval(tc.hostCount, tc.perSecond, DefaultPollInterval, DefaultFreshnessBound/readsPerBound)
 			is.New(t).Equal(got, tc.want)
 		})
 	}
--- a/config/head.go
+++ b/config/head.go
@@ -60,9 +60,9 @@
 // Errors of the Store, besides those of package storage.
 var (
 	// ErrToken means that a submission's token is empty or too long.
-	ErrToken = errors.New("config: the token is empty or too long")
+	ErrInvalidToken = errors.New("config: the token is empty or too long")
 	// ErrDamaged means that a stored row or body is corrupt.
-	ErrDamaged = errors.New("config: corrupt data")
+	ErrCorrupt = errors.New("config: corrupt data")
 )
 
 // ConflictError means that the document's parent isn't the head. The document was
@@ -95,7 +95,7 @@
 func decodeHead(row storage.Row) (Head, error) {
 	var head Head
 	if err := json.Unmarshal(row.Value, &head); err != nil {
-		return Head{}, fmt.Errorf("%w: row %s: %w", ErrDamaged, row.Key, err)
+		return Head{}, fmt.Errorf("%w: row %s: %w", ErrCorrupt, row.Key, err)
 	}
 	return head, nil
 }
--- a/config/helpers_test.go
+++ b/config/helpers_test.go
@@ -42,8 +42,8 @@
 }
 
 func newFixture() *fixture {
-	inner := memory.New()
-	f := &fixture{rawTable: inner, table: faulty.New(inner), objects: faulty.NewObjects(memory.NewObjects())}
+	inner := memory.NewTable()
+	f := &fixture{rawTable: inner, table: faulty.NewTable(inner), objects: faulty.NewObjects(memory.NewObjects())}
 	f.store = f.newStore()
 	return f
 }
--- a/config/history_test.go
+++ b/config/history_test.go
@@ -111,9 +111,9 @@
 	start := h.Tick()
 	out := run()
 	if out.outcome == unknown {
-		h.Open(client, start, in, out) // the call may still take effect
+		h.AddPending(client, start, in, out) // the call may still take effect
 	} else {
-		h.End(client, start, in, out)
+		h.AddCompleted(client, start, in, out)
 	}
 	return out
 }
@@ -129,17 +129,17 @@
 
 // injectFault sets a random table fault, or none, for the next calls.
 func (s *submitter) injectFault() {
-	s.table.Heal()
+	s.table.ClearFaults()
 	n := 1 + s.random.IntN(3)
 	switch s.random.IntN(6) {
 	case 0:
-		s.table.LoseNext(n)
+		s.table.LoseNextResponses(n)
 	case 1:
-		s.table.DropNext(n)
+		s.table.DropNextCommits(n)
 	case 2:
-		s.table.DelayNext(n, time.Duration(s.random.IntN(3000))*time.Millisecond)
+		s.table.DelayNextCommits(n, time.Duration(s.random.IntN(3000))*time.Millisecond)
 	case 3:
-		s.table.DelayNext(100, 10*time.Second)
+		s.table.DelayNextCommits(100, 10*time.Second)
 	case 4:
 		s.table.SetDelay(time.Duration(s.random.IntN(300)) * time.Millisecond)
 	}
@@ -201,7 +201,7 @@
 			h := new(storagetest.History)
 			var group sync.WaitGroup
 			for client := range submitters {
-				table := faulty.New(f.rawTable)
+				table := faulty.NewTable(f.rawTable)
 				s := &submitter{
 					client: client, table: table, history: h,
 					store:  config.NewStore(table, f.objects),
--- a/config/submit.go
+++ b/config/submit.go
@@ -61,7 +61,7 @@
 // that nothing was accepted.
 func (s *Store) Submit(ctx context.Context, data []byte, token string) (Submission, error) {
 	if token == "" || len(token) > maxTokenBytes {
-		return Submission{}, ErrToken
+		return Submission{}, ErrInvalidToken
 	}
 	doc, err := manifest.Parse(data)
 	if err != nil {
@@ -97,7 +97,7 @@
 			return nil
 		}
 		if errors.Is(err, storage.ErrConflict) {
-			return fmt.Errorf("%w: another body is stored under %s", ErrDamaged, p.head.Digest)
+			return fmt.Errorf("%w: another body is stored under %s", ErrCorrupt, p.head.Digest)
 		}
 		if backOff(ctx, attempt) != nil {
 			break
@@ -119,7 +119,7 @@
 			return Submission{}, err
 		}
 		last = err
-		if errors.Is(err, ErrDamaged) {
+		if errors.Is(err, ErrCorrupt) {
 			break // a retry can't succeed
 		}
 		if backOff(ctx, attempt) != nil {
@@ -129,7 +129,7 @@
 	if p.outcomeUnknown {
 		return Submission{}, fmt.Errorf("config: submit the document again to learn its outcome: %w: %v", storage.ErrUnknown, last)
 	}
-	if errors.Is(last, ErrDamaged) {
+	if errors.Is(last, ErrCorrupt) {
 		return Submission{}, last
 	}
 	return Submission{}, fmt.Errorf("config: nothing was submitted: %w: %v", storage.ErrUnavailable, last)
@@ -168,7 +168,7 @@
 	}
 	epoch, err := strconv.ParseUint(string(row.Value), 10, 64)
 	if err != nil {
-		return Head{}, false, fmt.Errorf("%w: row %s: %w", ErrDamaged, row.Key, err)
+		return Head{}, false, fmt.Errorf("%w: row %s: %w", ErrCorrupt, row.Key, err)
 	}
 	head, err := s.readEpoch(ctx, epoch)
 	return head, err == nil, err
--- a/config/submit_test.go
+++ b/config/submit_test.go
@@ -54,12 +54,12 @@
 		epoch uint64
 	}{
 		{desc: "accepted", body: "2", epoch: 2},
-		{desc: "response lost", prepare: func(_ *testing.T, f *fixture) { f.table.LoseNext(1) }, body: "2", epoch: 2},
-		{desc: "transaction lost", prepare: func(_ *testing.T, f *fixture) { f.table.DropNext(1) }, body: "2", epoch: 2},
-		{desc: "delayed effect", prepare: func(_ *testing.T, f *fixture) { f.table.DelayNext(1, late) }, body: "2", epoch: 2},
-		{desc: "effect delayed by a minute", prepare: func(_ *testing.T, f *fixture) { f.table.DelayNext(1, time.Minute) }, body: "2", epoch: 2},
-		{desc: "all effects delayed", prepare: func(_ *testing.T, f *fixture) { f.table.DelayNext(100, time.Minute) }, body: "2", want: storage.ErrUnknown, epoch: 2},
-		{desc: "all transactions lost", prepare: func(_ *testing.T, f *fixture) { f.table.DropNext(100) }, body: "2", want: storage.ErrUnknown, epoch: 1},
+		{desc: "response lost", prepare: func(_ *testing.T, f *fixture) { f.table.LoseNextResponses(1) }, body: "2", epoch: 2},
+		{desc: "transaction lost", prepare: func(_ *testing.T, f *fixture) { f.table.DropNextCommits(1) }, body: "2", epoch: 2},
+		{desc: "delayed effect", prepare: func(_ *testing.T, f *fixture) { f.table.DelayNextCommits(1, late) }, body: "2", epoch: 2},
+		{desc: "effect delayed by a minute", prepare: func(_ *testing.T, f *fixture) { f.table.DelayNextCommits(1, time.Minute) }, body: "2", epoch: 2},
+		{desc: "all effects delayed", prepare: func(_ *testing.T, f *fixture) { f.table.DelayNextCommits(100, time.Minute) }, body: "2", want: storage.ErrUnknown, epoch: 2},
+		{desc: "all transactions lost", prepare: func(_ *testing.T, f *fixture) { f.table.DropNextCommits(100) }, body: "2", want: storage.ErrUnknown, epoch: 1},
 		{desc: "table down", prepare: func(_ *testing.T, f *fixture) { f.table.SetDown(true) }, body: "2", want: storage.ErrUnavailable, epoch: 1},
 		{desc: "object store down", prepare: func(_ *testing.T, f *fixture) { f.objects.SetDown(true) }, body: "2", want: storage.ErrUnavailable, epoch: 1},
 		{desc: "accepted by another caller", prepare: acceptManifest("2", "other"), body: "2", already: true, epoch: 2},
@@ -67,9 +67,9 @@
 		{desc: "another manifest accepted first", prepare: acceptManifest("3", "other"), body: "2", want: storage.ErrConflict, epoch: 2},
 		{desc: "another manifest accepted first and the response lost", prepare: func(t *testing.T, f *fixture) {
 			acceptManifest("3", "other")(t, f)
-			f.table.LoseNext(1)
+			f.table.LoseNextResponses(1)
 		}, body: "2", want: storage.ErrConflict, epoch: 2},
-		{desc: "no token", body: "2", token: "-", want: config.ErrToken, epoch: 1},
+		{desc: "no token", body: "2", token: "-", want: config.ErrInvalidToken, epoch: 1},
 	} {
 		t.Run(tc.desc, func(t *testing.T) {
 			runWithFixture(t, func(t *testing.T, is *is.I, f *fixture) {
@@ -85,7 +85,7 @@
 				is.True(errors.Is(err, tc.want)) // the expected kind of error
 				is.Equal(result.AlreadyAccepted, tc.already)
 				time.Sleep(2 * time.Minute) // until delayed transactions have taken effect
-				f.table.Heal()
+				f.table.ClearFaults()
 				head, headErr := f.store.Head(t.Context())
 				is.NoErr(headErr)
 				is.Equal(head.Epoch, tc.epoch)
@@ -146,14 +146,14 @@
 		after time.Duration
 		want  error
 	}{
-		{"before the transaction", 0, config.ErrDamaged},
+		{"before the transaction", 0, config.ErrCorrupt},
 		{"after a transaction without response", 5 * time.Millisecond, storage.ErrUnknown},
 	} {
 		t.Run(tc.desc, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFixture()
 				first := f.submit(t, config.Head{}, "1")
-				f.table.DropNext(1)
+				f.table.DropNextCommits(1)
 				time.AfterFunc(tc.after, func() {
 					txn := storage.Txn{Puts: []storage.Put{{Key: "config/head", Value: []byte("{")}}}
 					_, _ = f.rawTable.Commit(context.Background(), txn)
@@ -174,16 +174,16 @@
 		is.NoErr(f.store.Confirm(ctx, "a", second))
 		is.NoErr(f.store.Confirm(ctx, "a", first)) // an older head has no effect
 		is.NoErr(f.store.Confirm(ctx, "b", first))
-		f.table.LoseNext(1)
+		f.table.LoseNextResponses(1)
 		is.NoErr(f.store.Confirm(ctx, "d", second))
-		report, err := f.store.Report(ctx, second, []string{"d", "c", "b", "a"})
+		report, err := f.store.ReportConfirmations(ctx, second, []string{"d", "c", "b", "a"})
 		is.NoErr(err)
-		is.Equal(report, config.InForce{Confirmed: []string{"a", "d"}, Unconfirmed: []string{"b", "c"}})
+		is.Equal(report, config.ConfirmationReport{Confirmed: []string{"a", "d"}, Unconfirmed: []string{"b", "c"}})
 
 		time.Sleep(time.Hour)
 		is.NoErr(f.store.Confirm(ctx, "b", second))
 		is.NoErr(f.store.PruneConfirmations(ctx, time.Now().Add(-time.Minute)))
-		report, err = f.store.Report(ctx, second, []string{"a", "b", "c", "d"})
+		report, err = f.store.ReportConfirmations(ctx, second, []string{"a", "b", "c", "d"})
 		is.NoErr(err)
 		is.Equal(report.Confirmed, []string{"b"})
 	})
--- a/config/watcher.go
+++ b/config/watcher.go
@@ -15,8 +15,8 @@
 
 // Defaults of WatcherOptions, and constants of the Watcher's intervals and timeouts.
 const (
-	DefaultPoll              = time.Second
-	DefaultBound             = 5 * time.Second
+	DefaultPollInterval      = time.Second
+	DefaultFreshnessBound    = 5 * time.Second
 	DefaultReadsPerSecond    = 200
 	DefaultConfirmsPerSecond = 40
 
@@ -73,10 +73,10 @@
 	Bodies Bodies
 	// Poll is the interval between reads of the head; default 1 s. It is longer
 	// if ReadsPerSecond requires it.
-	Poll time.Duration
+	PollInterval time.Duration
 	// Bound is the maximum age of the evidence that the manifest in force is the
 	// newest; default 5 s.
-	Bound time.Duration
+	FreshnessBound time.Duration
 	// ReadsPerSecond is the budget of reads of the head for all hosts together;
 	// default 200. At least two reads per host start within Bound even if that
 	// exceeds the budget.
@@ -94,8 +94,8 @@
 }
 
 func (o WatcherOptions) withDefaults() WatcherOptions {
-	defaults.Positive(&o.Poll, DefaultPoll)
-	defaults.Positive(&o.Bound, DefaultBound)
+	defaults.Positive(&o.PollInterval, DefaultPollInterval)
+	defaults.Positive(&o.FreshnessBound, DefaultFreshnessBound)
 	defaults.Positive(&o.ReadsPerSecond, DefaultReadsPerSecond)
 	defaults.Positive(&o.ConfirmsPerSecond, DefaultConfirmsPerSecond)
 	if o.OnChange == nil {
@@ -128,7 +128,7 @@
 	w := &Watcher{
 		options:   o,
 		newHead:   make(chan struct{}, 1),
-		readSlots: make(chan struct{}, int(o.Bound/o.Poll)+1),
+		readSlots: make(chan struct{}, int(o.FreshnessBound/o.PollInterval)+1),
 	}
 	w.view.Store(&view{})
 	return w
@@ -153,7 +153,7 @@
 // ErrNoManifest or a *StaleError. Call it for each request, as late as possible
 // before the request is sent.
 func (w *Watcher) Check() error {
-	return w.view.Load().check(boottime.Now(), w.options.Bound)
+	return w.view.Load().check(boottime.Now(), w.options.FreshnessBound)
 }
 
 // ObserveHead informs the Watcher of an accepted head that another host has reported. A
--- a/config/watcher_helpers_test.go
+++ b/config/watcher_helpers_test.go
@@ -58,4 +58,4 @@
 }
 
 // beyondBound is a duration after which evidence is older than the bound.
-const beyondBound = config.DefaultBound + 2*time.Second
+const beyondBound = config.DefaultFreshnessBound + 2*time.Second
--- a/config/watcher_loops.go
+++ b/config/watcher_loops.go
@@ -27,7 +27,7 @@
 		default: // all slots are in use by slow reads
 		}
 		o := w.options
-		if !sleepJittered(ctx, sharedInterval(w.hostCount(), o.ReadsPerSecond, o.Poll, o.Bound/readsPerBound)) {
+		if !sleepJittered(ctx, sharedInterval(w.hostCount(), o.ReadsPerSecond, o.PollInterval, o.FreshnessBound/readsPerBound)) {
 			return
 		}
 	}
@@ -35,7 +35,7 @@
 
 func (w *Watcher) readHead(ctx context.Context) {
 	start := boottime.Now()
-	ctx, cancel := context.WithTimeout(ctx, w.options.Bound)
+	ctx, cancel := context.WithTimeout(ctx, w.options.FreshnessBound)
 	defer cancel()
 	head, err := w.options.Store.Head(ctx)
 	if err != nil {
@@ -58,7 +58,7 @@
 			w.queryPeers(ctx)
 		}
 		o := w.options
-		if !sleepJittered(ctx, sharedInterval(w.hostCount(), peerViewsPerSecond, o.Poll, o.Bound/peerPollsPerBound)) {
+		if !sleepJittered(ctx, sharedInterval(w.hostCount(), peerViewsPerSecond, o.PollInterval, o.FreshnessBound/peerPollsPerBound)) {
 			return
 		}
 	}
@@ -66,12 +66,12 @@
 
 func (w *Watcher) shouldQueryPeers() bool {
 	v := w.view.Load()
-	return v.policy == nil || boottime.Since(v.tableReadAt) > w.options.Bound/2
+	return v.policy == nil || boottime.Since(v.tableReadAt) > w.options.FreshnessBound/2
 }
 
 func (w *Watcher) queryPeers(ctx context.Context) {
 	start := boottime.Now()
-	ctx, cancel := context.WithTimeout(ctx, w.options.Poll)
+	ctx, cancel := context.WithTimeout(ctx, w.options.PollInterval)
 	defer cancel()
 	peers := w.withoutSelf(w.options.Peers.QueryViews(ctx))
 	for _, p := range peers {
@@ -123,15 +123,15 @@
 // runLoader loads the newest known manifest and puts it in force, until the context
 // ends.
 func (w *Watcher) runLoader(ctx context.Context) {
-	retry := time.NewTimer(w.options.Poll)
+	retry := time.NewTimer(w.options.PollInterval)
 	defer retry.Stop()
-	timeout := loadTimeout{bound: w.options.Bound}
+	timeout := loadTimeout{bound: w.options.FreshnessBound}
 	for {
 		v := w.view.Load()
 		if v.newest.Epoch > v.epoch() {
 			w.load(ctx, v.newest, &timeout)
 		}
-		retry.Reset(w.options.Poll)
+		retry.Reset(w.options.PollInterval)
 		select {
 		case <-w.newHead:
 		case <-retry.C:
@@ -236,7 +236,7 @@
 			}
 		}
 		o := w.options
-		if !sleepJittered(ctx, sharedInterval(w.hostCount(), o.ConfirmsPerSecond, o.Poll/readsPerBound, confirmInterval)) {
+		if !sleepJittered(ctx, sharedInterval(w.hostCount(), o.ConfirmsPerSecond, o.PollInterval/readsPerBound, confirmInterval)) {
 			return
 		}
 	}
--- a/config/watcher_test.go
+++ b/config/watcher_test.go
@@ -48,7 +48,7 @@
 		settle()
 		is.Equal(w.Current().Epoch, second.Epoch)
 		is.Equal(epochs, []uint64{1, 2})
-		report, err := f.store.Report(t.Context(), second, []string{"a"})
+		report, err := f.store.ReportConfirmations(t.Context(), second, []string{"a"})
 		is.NoErr(err)
 		is.Equal(report.Confirmed, []string{"a"})
 	})
@@ -81,7 +81,7 @@
 					is.Equal(isStale(w.Check()), tc.stale)
 				}
 				is.Equal(w.Current().Epoch, uint64(1))
-				f.table.Heal()
+				f.table.ClearFaults()
 				f.objects.SetDown(false)
 				time.Sleep(beyondBound)
 				is.NoErr(w.Check())
@@ -117,7 +117,7 @@
 // while epoch 1 was in force.
 func TestSlowlyLoadedManifestIsPutInForce(t *testing.T) {
 	runWithFixture(t, func(t *testing.T, is *is.I, f *fixture) {
-		const readDelay = 2 * config.DefaultBound
+		const readDelay = 2 * config.DefaultFreshnessBound
 		first := f.submit(t, config.Head{}, "1")
 		w := run(t, config.WatcherOptions{Store: f.store})
 		settle()
@@ -142,7 +142,7 @@
 // loads are of different manifests.
 func TestManifestsThatChangeFasterThanTheyLoad(t *testing.T) {
 	runWithFixture(t, func(t *testing.T, is *is.I, f *fixture) {
-		const readDelay = config.DefaultBound
+		const readDelay = config.DefaultFreshnessBound
 		head := f.submit(t, config.Head{}, "1")
 		w := run(t, config.WatcherOptions{Store: f.store})
 		settle()
@@ -185,7 +185,7 @@
 			f.objects.SetReadDelay(0) // no delay for the submitter
 			head = f.submit(t, head, build)
 			f.objects.SetReadDelay(time.Hour)
-			time.Sleep(config.DefaultBound)
+			time.Sleep(config.DefaultFreshnessBound)
 			is.Equal(w.Current().Epoch, head.Epoch)
 		}
 	})
@@ -208,7 +208,7 @@
 func TestSuspendedHostRejectsStaleReads(t *testing.T) {
 	runWithFixture(t, func(t *testing.T, is *is.I, f *fixture) {
 		first := f.submit(t, config.Head{}, "1")
-		table := faulty.New(f.table)
+		table := faulty.NewTable(f.table)
 		w := run(t, config.WatcherOptions{Store: config.NewStore(table, f.objects)})
 		settle()
 		is.NoErr(w.Check())
@@ -234,17 +234,17 @@
 func TestConfirmationsStayWithinBudget(t *testing.T) {
 	runWithFixture(t, func(t *testing.T, is *is.I, f *fixture) {
 		head := f.submit(t, config.Head{}, "0")
-		table := faulty.New(f.rawTable)
+		table := faulty.NewTable(f.rawTable)
 		run(t, config.WatcherOptions{
 			Store: config.NewStore(table, f.objects), Host: "a",
-			Poll: 100 * time.Millisecond, ConfirmsPerSecond: 1,
+			PollInterval: 100 * time.Millisecond, ConfirmsPerSecond: 1,
 		})
 		for i := range 100 {
 			head = f.submit(t, head, fmt.Sprint(i+1))
 			time.Sleep(100 * time.Millisecond)
 		}
 		settle()
-		report, err := f.store.Report(t.Context(), head, []string{"a"})
+		report, err := f.store.ReportConfirmations(t.Context(), head, []string{"a"})
 		is.NoErr(err)
 		is.Equal(report.Confirmed, []string{"a"})
 		commits := table.Counts().Commits
--- a/history/billing.go
+++ b/history/billing.go
@@ -9,7 +9,7 @@
 // code; a request that was dispatched and failed has one bill without a charge;
 // one that wasn't dispatched has none; and if a caller's connection was lost or
 // the run ended before the answer, there is at most one.
-func BilledOnce(events []Event) []Violation {
+func CheckBilling(events []Event) []Violation {
 	byID, sent := requests(events)
 	groups, order := billGroups(byID, sent)
 	var found []Violation
--- a/history/check.go
+++ b/history/check.go
@@ -69,7 +69,7 @@
 		CheckPermissions(events, bounds.InForce),
 		CheckWithdrawn(events, bounds.InForce),
 		CheckSessions(events),
-		BilledOnce(events),
+		CheckBilling(events),
 		CheckAnswers(events),
 		CheckRefusals(events),
 		CheckAtMostOnce(events),
--- a/history/check_test.go
+++ b/history/check_test.go
@@ -50,12 +50,12 @@
 	})
 }
 
-func TestBilledOnce(t *testing.T) {
+func TestCheckBilling(t *testing.T) {
 	failed := billed("r1", "r1")
 	failed.Code, failed.CostMicro = 4002, 0
 	other := billed("r1", "r1")
 	other.Account = "valley"
-	runCases(t, BilledOnce, []checkCase{
+	runCases(t, CheckBilling, []checkCase{
 		{"complete answer", []Event{sent("r1"), arrived("r1", v1), answered("r1"), billed("r1", "r1")}, ""},
 		{"complete answer without a bill", []Event{sent("r1"), arrived("r1", v1), answered("r1")}, "a complete answer wasn't billed"},
 		{"two bills", []Event{sent("r1"), answered("r1"), billed("r1", "r1"), billed("r1", "r1")}, "billed 2 times"},
--- a/history/manifest.go
+++ b/history/manifest.go
@@ -4,7 +4,7 @@
 
 // Accepted returns the event for the acceptance of a manifest document, with
 // lists of the versions that the document permits and withdraws.
-func Accepted(epoch uint64, digest string, document manifest.Document) Event {
+func NewManifestAccepted(epoch uint64, digest string, document manifest.Document) Event {
 	return Event{
 		Kind:      ManifestAccepted,
 		Epoch:     epoch,
--- a/history/run_test.go
+++ b/history/run_test.go
@@ -32,7 +32,7 @@
 
 func runCallers(t *testing.T, random *rand.Rand) {
 	is := is.New(t)
-	table, objects, r := faulty.New(memory.New()), memory.NewObjects(), NewRecorder()
+	table, objects, r := faulty.NewTable(memory.NewTable()), memory.NewObjects(), NewRecorder()
 	ctx, cancel := context.WithCancel(t.Context())
 	var running, callers sync.WaitGroup
 	ledgers := make([]*ledger.Ledger, 2)
@@ -54,10 +54,10 @@
 	for range 10 {
 		time.Sleep(time.Duration(random.IntN(6000)) * time.Millisecond)
 		table.SetDown(random.IntN(3) == 0)
-		table.LoseNext(random.IntN(2))
-		table.DropNext(random.IntN(2))
+		table.LoseNextResponses(random.IntN(2))
+		table.DropNextCommits(random.IntN(2))
 	}
-	table.Heal()
+	table.ClearFaults()
 	callers.Wait()
 	for _, l := range ledgers {
 		is.NoErr(l.Drain(t.Context()))
@@ -65,7 +65,7 @@
 	cancel()
 	running.Wait()
 	is.NoErr(r.AddBills(ledger.Read(t.Context(), table, objects, ledger.Query{})))
-	is.Equal(BilledOnce(r.Events()), nil)
+	is.Equal(CheckBilling(r.Events()), nil)
 }
 
 // call records a request, its bill and its answer.
@@ -89,7 +89,7 @@
 			{Name: "valley", Models: []manifest.Permission{{Model: "quote", Versions: []string{"v2"}}}},
 		},
 	}
-	e := Accepted(7, "a", document)
+	e := NewManifestAccepted(7, "a", document)
 	is := is.New(t)
 	is.Equal(e.Permits, []Permit{{"clydegate", v1}, {"clydegate", v2}, {"valley", v2}})
 	is.Equal(e.Withdrawn, []Version{v1})
--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return fmt.Errorf("--log-level: %w", err)
 	}
-	out := logline.NewBounded(os.Stdout)
+	out := logline.NewBoundedWriter(os.Stdout)
 	defer out.Close()
 	log := logline.New(out, level).With().Str("host", fileSettings.Host).Logger()
 	stopReloads := c.logReloads(fileSettings, log)
@@ -79,7 +79,7 @@
 }
 
 func (c *gatewayCmd) settings(fileSettings platform.Settings) gateway.Settings {
-	store := platform.NewStore(fileSettings.Store)
+	store := platform.NewStore(fileSettings.StoreAddress)
 	tables := platform.Tables()
 	s := gateway.Settings{
 		Host:          fileSettings.Host,
@@ -88,14 +88,14 @@
 		CallerAddress: fileSettings.CallerAddress,
 		ReadyAddress:  fileSettings.ReadyAddress,
 		ReadyPath:     platform.ReadinessPath,
-		Source:        store,
-		Statuses:      store.Table(tables.Status),
+		TableSource:   store,
+		StatusTable:   store.Table(tables.Status),
 		Tables:        tables,
 		Codec:         platform.Codec(),
 		Headers:       platform.Headers(),
 		AnyModel:      platform.AnyModel,
 		Peers: gateway.Peers{
-			Listen: fileSettings.Peers, Seeds: fileSettings.Seeds, FirstStart: fileSettings.FirstStart, Cores: fileSettings.Cores, LinkMbps: fileSettings.LinkMbps,
+			Listen: fileSettings.PeerAddress, Seeds: fileSettings.Seeds, FirstStart: fileSettings.FirstStart, Cores: fileSettings.Cores, LinkMbps: fileSettings.LinkMbps,
 			Keys: store.Table(platform.SharedKeyTable),
 		},
 		StopTimeout:      fileSettings.StopTimeout,
--- a/internal/cli/manifest.go
+++ b/internal/cli/manifest.go
@@ -52,7 +52,7 @@
 
 func readFile(path string) ([]byte, error) {
 	if path == "-" {
-		return io.ReadAll(io.LimitReader(os.Stdin, manifest.MaxBytes+1))
+		return io.ReadAll(io.LimitReader(os.Stdin, manifest.MaxDocumentBytes+1))
 	}
 	return os.ReadFile(path)
 }
@@ -149,7 +149,7 @@
 func waitInForce(ctx context.Context, s *streams, client *operatorClient, epoch uint64, wait time.Duration) error {
 	deadline := time.Now().Add(wait)
 	for {
-		var status config.InForce
+		var status config.ConfirmationReport
 		err := client.get(ctx, epochPath(entry.PathInForce, epoch), &status)
 		if err == nil && len(status.Unconfirmed) == 0 {
 			fmt.Fprintf(s.out, "in force on %s\n", strings.Join(status.Confirmed, " "))
@@ -245,7 +245,7 @@
 
 // Run implements the command.
 func (c *manifestInForceCmd) Run(ctx context.Context, s *streams) error {
-	var status config.InForce
+	var status config.ConfirmationReport
 	if err := c.client().get(ctx, epochPath(entry.PathInForce, c.Epoch), &status); err != nil {
 		return err
 	}
--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -29,7 +29,7 @@
 	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	for _, v := range verdicts {
 		fmt.Fprintf(w, "%v\tuntil %s\tevents %d\tupstreams %d\ttrials %d\tby %s\n",
-			v.Digest, time.Unix(0, int64(v.Until)).UTC().Format(time.RFC3339), v.Events, v.Upstreams, v.Trials, v.By)
+			v.Digest, time.Unix(0, int64(v.ExpiresAt)).UTC().Format(time.RFC3339), v.Events, v.Upstreams, v.TrialCount, v.MadeBy)
 	}
 	return w.Flush()
 }
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -152,9 +152,9 @@
 		PrefillPerToken: c.PrefillPerToken,
 		TimePerToken:    c.TimePerToken,
 		LoadLag:         c.LoadLag,
-		Fatal:           c.Fatal,
-		FatalAfter:      fatalAfter,
-		End:             func() { os.Exit(1) },
+		PoisonText:      c.Fatal,
+		PoisonDelay:     fatalAfter,
+		OnPoison:        func() { os.Exit(1) },
 		Fenced:          c.Fenced,
 	})
 	e.SetFaults(faults)
@@ -184,7 +184,7 @@
 	if err := parseFaults(c.Faults, &faults); err != nil {
 		return err
 	}
-	svc := service.New(service.Options{Listen: c.Listen, ID: c.ID, Name: c.Name, Zone: c.Zone, Time: c.Time})
+	svc := service.New(service.Options{Listen: c.Listen, ID: c.ID, Name: c.Name, Zone: c.Zone, RunTime: c.Time})
 	svc.SetFaults(faults)
 	if err := svc.Bind(); err != nil {
 		return err
--- a/internal/cli/stops.go
+++ b/internal/cli/stops.go
@@ -22,7 +22,7 @@
 	w := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	for _, stop := range stops {
 		fmt.Fprintf(w, "%s@%s\tround %d\t%s\tby %s\tanswers %d\terrors %d\tslow %d\tmean rating %.2f\n",
-			stop.Model, stop.Version, stop.Epoch, stop.Reason, stop.Host,
+			stop.Model, stop.Version, stop.Round, stop.Reason, stop.Host,
 			stop.Summary.Answers, stop.Summary.Errors, stop.Summary.Slow, stop.Summary.MeanRating)
 	}
 	return w.Flush()
--- a/internal/e2e/gateway_test.go
+++ b/internal/e2e/gateway_test.go
@@ -430,7 +430,7 @@
 	s := newGatewaySystem(t, 9, 1)
 	isolated := s.gateways[8]
 	s.waitUntilHubIsUsed(isolated)
-	isolated.toStore.inner.Silence(tcprelay.ToTarget)
+	isolated.toStore.inner.Block(tcprelay.ToTarget)
 	s.document["tenants"] = []any{map[string]any{"name": "acme", "api_keys": []string{"key-new"}}}
 	s.publish(9)
 	for _, h := range s.gateways {
--- a/internal/e2e/gatewaysoak_test.go
+++ b/internal/e2e/gatewaysoak_test.go
@@ -372,11 +372,11 @@
 		s.replaceUpstream(s.faultRand.IntN(2) == 0)
 	case 7, 8, 9, 10:
 		u := s.upstreams[s.faultRand.IntN(len(s.upstreams))]
-		fault := platformtest.UpstreamFault(1 + s.faultRand.IntN(platformtest.Faults-1))
+		fault := platformtest.UpstreamFault(1 + s.faultRand.IntN(platformtest.UpstreamFaultCount-1))
 		s.logFault("upstream %s fault %d for %v", u.ID, fault, duration)
 		s.recordHarmfulFault(duration)
 		u.SetFault(fault, 2)
-		time.AfterFunc(duration, func() { u.SetFault(platformtest.None, 1) })
+		time.AfterFunc(duration, func() { u.SetFault(platformtest.NoFault, 1) })
 	case 11:
 		i := s.faultRand.IntN(len(s.toHubs))
 		s.logFault("link to hub %d fails for %v", i+1, duration)
@@ -437,9 +437,9 @@
 	case 0:
 		link.cutAll()
 	case 1:
-		link.inner.Silence(tcprelay.ToTarget)
+		link.inner.Block(tcprelay.ToTarget)
 	case 2:
-		link.inner.Silence(tcprelay.FromTarget)
+		link.inner.Block(tcprelay.FromTarget)
 	case 3:
 		link.inner.Delay(tcprelay.FromTarget, 300*time.Millisecond)
 	}
@@ -480,7 +480,7 @@
 		link.heal()
 	}
 	for _, u := range s.upstreams {
-		u.SetFault(platformtest.None, 1)
+		u.SetFault(platformtest.NoFault, 1)
 	}
 }
 
--- a/internal/e2e/measure_test.go
+++ b/internal/e2e/measure_test.go
@@ -51,7 +51,7 @@
 		"--zone=zone-a", "--versions=large@v1,small@v1", "--capacity=4096"))
 	for i := range hosts {
 		h := s.addMeasured(i)
-		measured = append(measured, path.Host{Callers: h.callerAddr, Operators: h.operatorAddr})
+		measured = append(measured, path.Host{CallerAddr: h.callerAddr, OperatorAddr: h.operatorAddr})
 	}
 	s.submit(devenv.Manifest())
 	return s, measured
@@ -129,17 +129,17 @@
 
 func (b *measuredBuild) options(seed uint64) path.Options {
 	return path.Options{
-		Entry:   b.hosts[0],
-		Others:  b.hosts[1:],
-		Engine:  b.engine,
-		Key:     devenv.AccountKey,
-		Model:   "large",
-		Version: "large@v1",
-		Shares:  []float64{0.1, 0.5, 0.9},
-		Period:  *measurePeriod,
-		Seed:    seed,
-		Streams: *measureStreams,
-		Tokens:  1000,
+		Entry:      b.hosts[0],
+		Others:     b.hosts[1:],
+		EngineAddr: b.engine,
+		AccountKey: devenv.AccountKey,
+		Model:      "large",
+		Version:    "large@v1",
+		CoreLoads:  []float64{0.1, 0.5, 0.9},
+		Period:     *measurePeriod,
+		Seed:       seed,
+		Streams:    *measureStreams,
+		Tokens:     1000,
 	}
 }
 
@@ -163,8 +163,8 @@
 		time.Sleep(idlePeriod)
 		for i, after := range usages(t, hosts) {
 			summary.Add([]path.Figure{
-				{Name: "an idle host: processor, % of a core", Value: 100 * (after.CPU - before[i].CPU) / idlePeriod.Seconds()},
-				{Name: "an idle host: resident memory, MB", Value: after.Resident / 1e6},
+				{Name: "an idle host: processor, % of a core", Value: 100 * (after.CPUSeconds - before[i].CPUSeconds) / idlePeriod.Seconds()},
+				{Name: "an idle host: resident memory, MB", Value: after.ResidentBytes / 1e6},
 			})
 		}
 	}
--- a/internal/e2e/mixed_test.go
+++ b/internal/e2e/mixed_test.go
@@ -158,7 +158,7 @@
 		hosts := m.hosts.list()
 		var got entry.SubmitResponse
 		if err = m.submit(hosts[try%len(hosts)], data, &got); err == nil {
-			m.timeline.add(history.Accepted(got.Head.Epoch, id, *doc))
+			m.timeline.add(history.NewManifestAccepted(got.Head.Epoch, id, *doc))
 			m.lastAccepted.Store(&acceptance{got.Head.Epoch, time.Now()})
 			m.current = data
 			return
@@ -383,7 +383,7 @@
 	deadline := time.Now().Add(billWait)
 	for {
 		withBills = sortAndNumber(append(slices.Clone(events), m.readBills(events)...))
-		if len(history.BilledOnce(withBills)) == 0 {
+		if len(history.CheckBilling(withBills)) == 0 {
 			return withBills, true
 		}
 		if time.Now().After(deadline) {
--- a/internal/e2e/quarantine_test.go
+++ b/internal/e2e/quarantine_test.go
@@ -205,8 +205,8 @@
 	s := newGatewaySystem(t, 3, 3)
 	p := s.replacePool()
 	for _, link := range s.toHubs {
-		link.inner.Silence(tcprelay.ToTarget)
-		link.inner.Silence(tcprelay.FromTarget)
+		link.inner.Block(tcprelay.ToTarget)
+		link.inner.Block(tcprelay.FromTarget)
 	}
 	time.Sleep(2 * time.Second)
 	p.sendPoison(40, 150*time.Millisecond)
--- a/internal/entry/chooseversion.go
+++ b/internal/entry/chooseversion.go
@@ -67,7 +67,7 @@
 	model, version := r.Model, r.Version.Name
 	switch {
 	case !sent || r.state.State() == runstate.NotRun:
-		f.rollout.Return(model, version)
+		f.rollout.Refund(model, version)
 	case err != nil && ctx.Err() != nil:
 		f.rollout.Abandon(model, version)
 	default:
@@ -93,8 +93,8 @@
 		return
 	}
 	f.guard.AttributeInterruption(*r.brokenUpstream, guard.Attribution{
-		Version: func() { f.rollout.Observe(model, version, outcome) },
-		Request: func() { f.rollout.Abandon(model, version) },
+		OnVersionCause: func() { f.rollout.Observe(model, version, outcome) },
+		OnRequestCause: func() { f.rollout.Abandon(model, version) },
 	})
 }
 
@@ -130,7 +130,7 @@
 // withdrawn, and that the hosts haven't stopped because of their error rate, latency
 // or ratings.
 func (f *chooseVersion) eligibleVersions(r *Request) []manifest.Version {
-	permitted := r.Policy.Permitted(r.Account.Name, r.Model)
+	permitted := r.Policy.PermittedVersions(r.Account.Name, r.Model)
 	eligible := make([]manifest.Version, 0, len(permitted))
 	for _, v := range permitted {
 		if _, stopped := f.rollout.Stopped(r.Model, v.Name); !stopped {
@@ -146,7 +146,7 @@
 	point := session.SessionHash(r.Account.Name, seed, r.Model)
 	remaining := eligible
 	for {
-		v, ok := session.Choose(remaining, point)
+		v, ok := session.ChooseVersion(remaining, point)
 		if !ok {
 			return manifest.Version{}, resultcode.New(resultcode.ExposureSpent, "no version of %q takes new work now", r.Model)
 		}
@@ -199,7 +199,7 @@
 // Otherwise the answer would stay open, since no result would ever be recorded for it.
 func (f *chooseVersion) returnExposure(model string, v manifest.Version) {
 	if hasExposureBudget(v) {
-		f.rollout.Return(model, v.Name)
+		f.rollout.Refund(model, v.Name)
 	}
 }
 
--- a/internal/entry/chooseversion_test.go
+++ b/internal/entry/chooseversion_test.go
@@ -37,7 +37,7 @@
 	tracker.SetVersions(versionRules(policy))
 	f := &chooseVersion{
 		rollout:  tracker,
-		sessions: session.NewRegistry(session.Options{Table: memory.New()}),
+		sessions: session.NewRegistry(session.Options{Table: memory.NewTable()}),
 		codec:    session.NewCodec([]session.Key{{ID: "k", Secret: make([]byte, 32)}}, time.Hour, nil),
 		log:      zerolog.Nop(),
 	}
--- a/internal/entry/countrequest.go
+++ b/internal/entry/countrequest.go
@@ -28,7 +28,7 @@
 		err = coded
 	}
 	if !r.Billed && !r.Replayed {
-		f.ledger.Refuse(r.AccountName(), r.Epoch(), int(code))
+		f.ledger.CountRefusal(r.AccountName(), r.Epoch(), int(code))
 	}
 	f.metrics.record(r, code)
 	f.logEnd(r, code, err)
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -117,7 +117,7 @@
 	if policy == r.Policy || r.Kind == KindService {
 		return nil
 	}
-	for _, v := range policy.Permitted(r.Account.Name, r.Model) {
+	for _, v := range policy.PermittedVersions(r.Account.Name, r.Model) {
 		if v.Name == r.Version.Name {
 			r.Policy = policy
 			return nil
@@ -147,7 +147,7 @@
 	if !f.pool.Begin(id) {
 		return errUpstreamLeft
 	}
-	f.pool.Index().Sent(id, r.prefixHashes)
+	f.pool.Index().RecordSent(id, r.prefixHashes)
 	r.Target = upstream.Target{ID: id, Address: choice.Upstream.Address}
 	r.Attempts++
 	started := time.Now()
@@ -263,13 +263,13 @@
 
 func (f *dispatch) balanceOutcome(ctx context.Context, r *Request, started time.Time, err error) balance.Outcome {
 	var status *upstream.StatusError
-	o := balance.Outcome{Err: err != nil && ctx.Err() == nil}
+	o := balance.Outcome{Failed: err != nil && ctx.Err() == nil}
 	if errors.As(err, &status) {
 		o.Leaving = status.Leaving
 		o.Refused = true
 	}
 	if !r.FirstFrame.IsZero() {
-		o.FirstToken = r.FirstFrame.Sub(started)
+		o.TimeToFirstToken = r.FirstFrame.Sub(started)
 	}
 	return o
 }
@@ -307,7 +307,7 @@
 		event = event.Str("upstream", c.Upstream.ID).Str("zone", c.Upstream.Zone).Float64("score", c.Score)
 	}
 	for _, d := range c.Dropped {
-		event = event.Int("dropped_"+d.Filter, d.N)
+		event = event.Int("dropped_"+d.Filter, d.Count)
 	}
 	event.Msg("")
 }
--- a/internal/entry/evidence.go
+++ b/internal/entry/evidence.go
@@ -148,14 +148,14 @@
 // storeStops writes the stopped versions to the table, where they outlive the hosts.
 func (e *evidenceExchange) storeStops(ctx context.Context) {
 	for _, s := range e.host.rollout.Stops() {
-		if e.storedEpochs[s.Key()] >= s.Epoch {
+		if e.storedEpochs[s.Key()] >= s.Round {
 			continue
 		}
 		if err := e.putStop(ctx, s); err != nil {
 			e.host.log.Warn().Str("event", "stop-store").Str("model", s.Model).Str("version", s.Version).Err(err).Msg("")
 			continue
 		}
-		e.storedEpochs[s.Key()] = s.Epoch
+		e.storedEpochs[s.Key()] = s.Round
 		e.host.logStop(s, false)
 	}
 }
@@ -167,7 +167,7 @@
 	if err != nil {
 		return err
 	}
-	key := fmt.Sprintf("%s%s/%s/%d", stopKeyPrefix, s.Model, s.Version, s.Epoch)
+	key := fmt.Sprintf("%s%s/%s/%d", stopKeyPrefix, s.Model, s.Version, s.Round)
 	_, err = e.host.committer.Commit(ctx, storage.Txn{
 		Conditions: []storage.Condition{{Key: key}},
 		Puts:       []storage.Put{{Key: key, Value: value}},
@@ -224,7 +224,7 @@
 
 func (h *Host) logStop(s rollout.Stop, received bool) {
 	h.log.Warn().Str("event", "version-stopped").Str("model", s.Model).Str("version", s.Version).
-		Uint64("round", s.Epoch).Str("reason", string(s.Reason)).Str("by", s.Host).Bool("told", received).
+		Uint64("round", s.Round).Str("reason", string(s.Reason)).Str("by", s.Host).Bool("told", received).
 		Uint64("answers", s.Summary.Answers).Uint64("errors", s.Summary.Errors).
 		Float64("mean_rating", s.Summary.MeanRating).Msg("")
 }
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -59,7 +59,7 @@
 	peerServer      *peer.Server
 	claims          *claim.Store
 	ledger          *ledger.Ledger
-	custody         *ledger.Custody
+	custody         *ledger.CopyStore
 	quota           *quota.Limiter
 	sessionCodec    *session.Codec
 	sessions        *session.Registry
@@ -174,7 +174,7 @@
 	h.service = upstream.NewService(upstream.ServiceOptions{})
 	h.evidence = newEvidenceExchange(h)
 	h.quarantine = newQuarantineExchange(h)
-	leases := lease.New(lease.Options{Table: h.platform.Table})
+	leases := lease.NewManager(lease.Options{Table: h.platform.Table})
 	h.unloader = &unloader{host: h, leases: leases}
 	h.maintenance = &maintenance{host: h, leases: leases}
 	h.handlePeers()
@@ -189,33 +189,33 @@
 func (h *Host) provisionManifest() {
 	h.manifestStore = config.NewStore(h.platform.Table, h.platform.Objects)
 	h.manifestWatcher = config.NewWatcher(config.WatcherOptions{
-		Store:    h.manifestStore,
-		Host:     h.settings.ID,
-		Peers:    &peerViews{host: h},
-		Bodies:   &peerBodies{host: h},
-		Poll:     h.settings.PollHead,
-		Bound:    h.settings.FreshnessBound,
-		OnChange: h.applyPolicy,
-		OnError:  func(err error) { h.log.Warn().Str("event", "manifest-watch").Err(err).Msg("") },
+		Store:          h.manifestStore,
+		Host:           h.settings.ID,
+		Peers:          &peerViews{host: h},
+		Bodies:         &peerBodies{host: h},
+		PollInterval:   h.settings.PollHead,
+		FreshnessBound: h.settings.FreshnessBound,
+		OnChange:       h.applyPolicy,
+		OnError:        func(err error) { h.log.Warn().Str("event", "manifest-watch").Err(err).Msg("") },
 	})
 }
 
 // provisionRecords creates the stores of claims, bills and sessions, whose data
 // outlives the host.
 func (h *Host) provisionRecords() {
-	h.claims = claim.New(claim.Options{
-		Table:   h.committer,
-		Objects: h.platform.Objects,
-		Host:    h.incarnation,
-		Alive:   &liveness{members: h.members, processes: &h.processes},
+	h.claims = claim.NewStore(claim.Options{
+		Table:    h.committer,
+		Objects:  h.platform.Objects,
+		Host:     h.incarnation,
+		Liveness: &liveness{members: h.members, processes: &h.processes},
 	})
 	h.ledger = ledger.New(ledger.Options{
-		Table:   h.platform.Table,
-		Objects: h.platform.Objects,
-		Host:    h.settings.ID,
-		Holders: &peerHolders{host: h},
+		Table:      h.platform.Table,
+		Objects:    h.platform.Objects,
+		Host:       h.settings.ID,
+		Replicator: &peerHolders{host: h},
 	})
-	h.custody = ledger.NewCustody(h.ledger, ledger.CustodyOptions{})
+	h.custody = ledger.NewCopyStore(h.ledger, ledger.CopyStoreOptions{})
 	h.sessionCodec = session.NewCodec(h.settings.SessionKeys, defaultSessionTTL, nil)
 	h.sessions = session.NewRegistry(session.Options{Table: h.committer})
 }
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -108,8 +108,8 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case id := <-h.downHosts:
-			h.ledger.HolderDown(id)
-			settling.Go(func() { h.logCustodyError(h.custody.Settle(ctx, id)) })
+			h.ledger.PeerDown(id)
+			settling.Go(func() { h.logCustodyError(h.custody.TakeOver(ctx, id)) })
 		case <-sweep.C:
 			settling.Go(func() { h.logCustodyError(h.custody.Sweep(ctx)) })
 		}
--- a/internal/entry/members_test.go
+++ b/internal/entry/members_test.go
@@ -20,12 +20,12 @@
 func TestHostsThatGoDownTogetherAreSettledTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		table := faulty.New(memory.New())
+		table := faulty.NewTable(memory.NewTable())
 		table.SetDelay(time.Hour)
 		l := ledger.New(ledger.Options{Table: table, Objects: memory.NewObjects(), Host: "self"})
-		h := &Host{ledger: l, custody: ledger.NewCustody(l, ledger.CustodyOptions{}), downHosts: make(chan string, 2)}
+		h := &Host{ledger: l, custody: ledger.NewCopyStore(l, ledger.CopyStoreOptions{}), downHosts: make(chan string, 2)}
 		for _, owner := range []string{"a/1", "b/1"} {
-			is.NoErr(h.custody.Hold(owner, 1, []ledger.Bill{{ID: owner, Account: "x", RequestID: owner, At: time.Now()}}))
+			is.NoErr(h.custody.Store(owner, 1, []ledger.Bill{{ID: owner, Account: "x", RequestID: owner, At: time.Now()}}))
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
@@ -33,7 +33,7 @@
 		h.downHosts <- "a"
 		h.downHosts <- "b"
 		time.Sleep(time.Second)
-		is.Equal(h.custody.Held(), 0)
+		is.Equal(h.custody.Count(), 0)
 		is.Equal(l.Pending(), 2)
 		cancel()
 		<-done
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -85,7 +85,7 @@
 }
 
 func (h *Host) submitManifest(w http.ResponseWriter, req *http.Request) {
-	body, err := readBody(w, req, manifest.MaxBytes)
+	body, err := readBody(w, req, manifest.MaxDocumentBytes)
 	if err != nil {
 		writeOperatorError(w, http.StatusBadRequest, err)
 		return
@@ -217,7 +217,7 @@
 		writeOperatorError(w, httpStatus(err), err)
 		return
 	}
-	report, err := h.manifestStore.Report(req.Context(), head, h.memberIDs())
+	report, err := h.manifestStore.ReportConfirmations(req.Context(), head, h.memberIDs())
 	if err != nil {
 		writeOperatorError(w, httpStatus(err), err)
 		return
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -96,10 +96,10 @@
 		if err != nil {
 			return empty{}, err
 		}
-		return empty{}, h.custody.Hold(p.Owner, p.Seq, bills)
+		return empty{}, h.custody.Store(p.Owner, p.Seq, bills)
 	})
 	peer.Handle(h.peerServer, methodDrop, func(_ context.Context, _ string, p dropParams) (empty, error) {
-		h.custody.Drop(p.Owner, p.UpTo)
+		h.custody.Release(p.Owner, p.UpTo)
 		return empty{}, nil
 	})
 }
@@ -185,7 +185,7 @@
 var errNoOtherHost = errors.New("no other host is up")
 
 // Hold implements ledger.Holder.
-func (p *peerHolders) Hold(ctx context.Context, owner string, seq uint64, bills []ledger.Bill) (string, error) {
+func (p *peerHolders) Replicate(ctx context.Context, owner string, seq uint64, bills []ledger.Bill) (string, error) {
 	data, err := ledger.EncodeBills(bills)
 	if err != nil {
 		return "", err
@@ -245,7 +245,7 @@
 }
 
 // Drop implements ledger.Holder.
-func (p *peerHolders) Drop(ctx context.Context, holder, owner string, upTo uint64) error {
+func (p *peerHolders) Release(ctx context.Context, holder, owner string, upTo uint64) error {
 	m, ok := p.host.members.Lookup(holder)
 	if !ok {
 		return nil
--- a/internal/entry/policy.go
+++ b/internal/entry/policy.go
@@ -72,7 +72,7 @@
 	return rollout.VersionRule{
 		Model:        model,
 		Version:      v.Name,
-		Epoch:        uint64(v.Exposure.Round),
+		Round:        uint64(v.Exposure.Round),
 		Budget:       v.Exposure.Answers,
 		MaxErrorRate: v.Exposure.MaxErrorRate,
 		MinRating:    v.Exposure.MinRating,
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -130,7 +130,7 @@
 		}
 	}
 	for _, v := range status.Verdicts {
-		if _, ok := e.sentAt[v.Digest]; !ok && v.By == e.host.incarnation {
+		if _, ok := e.sentAt[v.Digest]; !ok && v.MadeBy == e.host.incarnation {
 			due.Verdicts = append(due.Verdicts, v)
 			e.sentAt[v.Digest] = now
 		}
@@ -141,7 +141,7 @@
 // readVerdicts applies the rows for verdicts in the table. It reads them once after
 // the start, and then at verdictsInterval while this host has verdicts.
 func (e *quarantineExchange) readVerdicts(ctx context.Context) {
-	if !e.readAt.IsZero() && (e.guard.Len() == 0 || time.Since(e.readAt) < verdictsInterval) {
+	if !e.readAt.IsZero() && (e.guard.VerdictCount() == 0 || time.Since(e.readAt) < verdictsInterval) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
@@ -158,7 +158,7 @@
 			e.host.log.Error().Str("event", "verdict-unreadable").Str("key", row.Key).Err(err).Msg("")
 		}
 	}
-	e.guard.LiftMissingRows(keys)
+	e.guard.DropMissingVerdicts(keys)
 }
 
 // quarantineContent returns the parts of the request from which its digest for the
--- a/internal/entry/runcascade.go
+++ b/internal/entry/runcascade.go
@@ -103,7 +103,7 @@
 // expectedCost returns the estimated cost of an answer by the model's first
 // permitted version.
 func expectedCost(r *Request, model string, promptTokens int) float64 {
-	versions := r.Policy.Permitted(r.Account.Name, model)
+	versions := r.Policy.PermittedVersions(r.Account.Name, model)
 	if len(versions) == 0 {
 		return 0
 	}
@@ -152,7 +152,7 @@
 	if err != nil {
 		return c.OnRaterFailure == manifest.Accept
 	}
-	return cascade.Accept(score, c.Target)
+	return cascade.IsAccepted(score, c.Target)
 }
 
 func (f *runCascade) rate(ctx context.Context, r *Request, plan cascade.Plan, answer string) (float64, error) {
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -94,7 +94,7 @@
 // countUndecoded counts a request that was refused before it reached the pipeline.
 func (h *Host) countUndecoded(r *Request, err error) {
 	code := resultcode.FromError(err).Code
-	h.ledger.Refuse(r.AccountName(), r.Epoch(), int(code))
+	h.ledger.CountRefusal(r.AccountName(), r.Epoch(), int(code))
 	h.metrics.record(r, code)
 }
 
--- a/internal/entry/unloader.go
+++ b/internal/entry/unloader.go
@@ -125,7 +125,7 @@
 		return u.host.engine.Unload(ctx, target, pending.model, pending.version, fencing)
 	})
 	fenced := u.host.upstreams.checksFencing(pending.engine.ID)
-	err := orders.Send(ctx, lease.Receiver{ID: pending.engine.ID, Fenced: fenced})
+	err := orders.Send(ctx, lease.Receiver{ID: pending.engine.ID, ChecksFencing: fenced})
 	var early *lease.TooEarlyError
 	if errors.As(err, &early) {
 		return // The next check tries again.
--- a/internal/entry/upstreams.go
+++ b/internal/entry/upstreams.go
@@ -60,7 +60,7 @@
 func (d *upstreamDirectory) checksFencing(id string) bool {
 	for _, host := range d.list() {
 		if host.ID == id {
-			return host.Fenced
+			return host.ChecksFencing
 		}
 	}
 	return false
@@ -107,7 +107,7 @@
 	hosts := h.countHostsUp()
 	h.pool.SetHosts(hosts)
 	h.queues.setFleet(h.pool.View(), len(h.upstreams.list()), hosts)
-	h.ledger.SetFlushEvery(ledger.FlushPeriod(hosts))
+	h.ledger.SetFlushInterval(ledger.FlushIntervalFor(hosts))
 }
 
 // countHostsUp returns the number of entry hosts that are up.
--- a/internal/exchange/assign.go
+++ b/internal/exchange/assign.go
@@ -89,8 +89,8 @@
 		h.zones[zone] = z
 	}
 	z.appointed = slices.DeleteFunc(z.appointed, func(name string) bool { _, ok := h.reports[name]; return !ok })
-	maps.DeleteFunc(z.reassignedAt, func(_ string, at time.Time) bool { return now.Sub(at) > WorkAge })
-	if z.recentAssignments == nil || now.Sub(z.recentAssignmentsSince) > WorkAge {
+	maps.DeleteFunc(z.reassignedAt, func(_ string, at time.Time) bool { return now.Sub(at) > MaxWorkAge })
+	if z.recentAssignments == nil || now.Sub(z.recentAssignmentsSince) > MaxWorkAge {
 		z.recentAssignments, z.recentAssignmentsSince = make(map[string]int), now
 	}
 	return z
--- a/internal/exchange/assign_test.go
+++ b/internal/exchange/assign_test.go
@@ -59,7 +59,7 @@
 
 		// The appointed hub reports for nine hosts. The seed counts them, and assigns a new host
 		// to it.
-		time.Sleep(WorkAge + time.Millisecond)
+		time.Sleep(MaxWorkAge + time.Millisecond)
 		_, err := h.handleReport(t.Context(), "strong", Report{Zone: "z2", Address: "to strong", Hosts: 9})
 		is.NoErr(err)
 		is.Equal(reportAll(t, h, "z2", "newcomer")["newcomer"], "to strong")
@@ -89,7 +89,7 @@
 		reportAll(t, h, "z2", append(names, "strong")...)
 		time.Sleep(appointmentDelay)
 		is.Equal(reportAll(t, h, "z2", append(names, "strong")...)["host-0"], "to strong")
-		time.Sleep(WorkAge + time.Millisecond) // the hub's report expires; its hosts report here again
+		time.Sleep(MaxWorkAge + time.Millisecond) // the hub's report expires; its hosts report here again
 		reportAll(t, h, "z2", names...)
 		to := reportAll(t, h, "z2", names...)["host-0"]
 		is.True(to != "" && to != "to strong")
@@ -138,7 +138,7 @@
 		time.Sleep(10 * time.Second)
 		seeds, hubs := 0, 0
 		for _, h := range f.hosts {
-			n := h.member.Followers()
+			n := h.member.ReporterCount()
 			switch {
 			case slices.Contains(f.seeds, h.address):
 				seeds++
--- a/internal/exchange/evidence.go
+++ b/internal/exchange/evidence.go
@@ -26,23 +26,23 @@
 }
 
 // AddSource records the upstream that gave a failed or slow answer.
-func (t *Tally) AddSource(upstream string) {
+func (t *Tally) AddBadUpstream(upstream string) {
 	t.BadUpstreamBits |= 1 << (hash(upstream) % 64)
 }
 
 // Sources returns a lower bound of the number of upstreams that gave failed or slow answers.
 // Two upstreams may have the same bit.
-func (t *Tally) Sources() int { return bits.OnesCount64(t.BadUpstreamBits) }
+func (t *Tally) MinBadUpstreams() int { return bits.OnesCount64(t.BadUpstreamBits) }
 
 // Versions holds, for one route, the counts of the version that is being rolled out and of the
 // previous one.
-type Versions struct {
+type VersionTallies struct {
 	Old Tally `json:"old"`
 	New Tally `json:"new"`
 }
 
 // Add adds another host's counts.
-func (v *Versions) Add(o Versions) {
+func (v *VersionTallies) Add(o VersionTallies) {
 	v.Old.Add(o.Old)
 	v.New.Add(o.New)
 }
@@ -55,7 +55,7 @@
 	// that belong to different orders aren't added up.
 	Order storage.Revision `json:"order"`
 	// Routes holds the counts by route.
-	Routes map[string]Versions `json:"routes"`
+	Routes map[string]VersionTallies `json:"routes"`
 }
 
 // evidenceKey identifies the roll-out that counts belong to.
@@ -66,11 +66,11 @@
 
 // addEvidence adds the counts in the list to sums, which holds the counts of each roll-out by
 // route.
-func addEvidence(sums map[evidenceKey]map[string]Versions, list []Evidence) {
+func addEvidence(sums map[evidenceKey]map[string]VersionTallies, list []Evidence) {
 	for _, e := range list {
 		key := evidenceKey{e.Service, e.Order}
 		if sums[key] == nil {
-			sums[key] = make(map[string]Versions)
+			sums[key] = make(map[string]VersionTallies)
 		}
 		for route, counts := range e.Routes {
 			sum := sums[key][route]
@@ -85,7 +85,7 @@
 func (h *hub) otherEvidence(self string, to audience) []Evidence {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	sums := make(map[evidenceKey]map[string]Versions)
+	sums := make(map[evidenceKey]map[string]VersionTallies)
 	for host, received := range h.reports {
 		if host != self && to.includes(received) {
 			addEvidence(sums, received.report.Evidence)
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -30,7 +30,7 @@
 	callTimeout = 600 * time.Millisecond
 	// WorkAge is the maximum age at which a report, or a hub's sum, still counts. It allows for
 	// one exchange that times out and the next one.
-	WorkAge = 900 * time.Millisecond
+	MaxWorkAge = 900 * time.Millisecond
 	// minHostsPerHub is the number of hosts, including the hub, from which a hub relays table
 	// updates, and from which a seed appoints a hub for another zone. A relaying hub queries
 	// the store six times as often as a host does for itself, so with fewer hosts the total
@@ -79,8 +79,8 @@
 	// reports for, has sent to upstreams for the first time since the last report.
 	// SentPrefixesSince is the sequence number of the last entry in the hub's prefix log that
 	// the reporting host has received.
-	SentPrefixes      Reads  `json:"reads,omitempty"`
-	SentPrefixesSince uint64 `json:"reads_since,omitempty"`
+	SentPrefixes      SentPrefixes `json:"reads,omitempty"`
+	SentPrefixesSince uint64       `json:"reads_since,omitempty"`
 	// Limits are the changes of the rate limits that the host's upstreams announced.
 	// LimitsCursor is the position in the hub's limit log up to which the host has received the
 	// log. GrantsDigest is the digest of the grants that the host received with the hub's last
@@ -117,8 +117,8 @@
 	Evidence []Evidence `json:"evidence,omitempty"`
 	// SentPrefixes lists the shared prompt prefixes that other hosts have sent to upstreams for
 	// the first time, up to the sequence number SentPrefixesLast in the hub's prefix log.
-	SentPrefixes     Reads  `json:"reads,omitempty"`
-	SentPrefixesLast uint64 `json:"reads_last,omitempty"`
+	SentPrefixes     SentPrefixes `json:"reads,omitempty"`
+	SentPrefixesLast uint64       `json:"reads_last,omitempty"`
 	// Timings holds, for each service and model, the sums over the other hosts' measurements.
 	Timings Timings `json:"timings,omitempty"`
 	// Sightings are the losses and survivals that the hub received, up to the sequence number
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -39,7 +39,7 @@
 		is.Equal(reply.Work, Work{HashID("u1"): 52, HashID("u2"): 1})
 		is.Equal(report("a", "z1", nil).Work, Work{HashID("u1"): 54}) // only b's newest report counts
 
-		time.Sleep(WorkAge + time.Millisecond) // the others' reports expire
+		time.Sleep(MaxWorkAge + time.Millisecond) // the others' reports expire
 		is.Equal(len(report("a", "z1", nil).Work), 0)
 	})
 }
@@ -49,7 +49,7 @@
 	is := is.New(t)
 	one, two, three := newHub(Options{Zone: "z1"}, zerolog.Nop()), newHub(Options{Zone: "z2"}, zerolog.Nop()), newHub(Options{Zone: "z3"}, zerolog.Nop())
 	hubs := map[string]*hub{"one": one, "two": two, "three": three}
-	bad := Evidence{Service: "s", Order: 7, Routes: map[string]Versions{"r": {New: Tally{Answers: 2, Failed: 1}}}}
+	bad := Evidence{Service: "s", Order: 7, Routes: map[string]VersionTallies{"r": {New: Tally{Answers: 2, Failed: 1}}}}
 	for name, h := range hubs {
 		h.record("host of "+name, Report{Work: Work{HashID("u"): 10}, Evidence: []Evidence{bad}})
 	}
@@ -98,7 +98,7 @@
 		m := New(Options{Zone: "z1", Work: func() Work { return nil }, Evidence: func() []Evidence { return counted }}, zerolog.Nop())
 		m.hubChosenAt = time.Now()
 		is.Equal(len(m.ownReport().Evidence), 0)
-		time.Sleep(WorkAge + time.Millisecond)
+		time.Sleep(MaxWorkAge + time.Millisecond)
 		is.Equal(m.ownReport().Evidence, counted)
 	})
 }
@@ -106,19 +106,19 @@
 func TestTallyCountsSources(t *testing.T) {
 	is := is.New(t)
 	var one, other Tally
-	one.AddSource("u1")
-	one.AddSource("u1")
-	is.Equal(one.Sources(), 1)
-	other.AddSource("u2")
+	one.AddBadUpstream("u1")
+	one.AddBadUpstream("u1")
+	is.Equal(one.MinBadUpstreams(), 1)
+	other.AddBadUpstream("u2")
 	one.Add(other)
-	is.Equal(one.Sources(), 2)
+	is.Equal(one.MinBadUpstreams(), 2)
 }
 
 func TestHubAddsEvidence(t *testing.T) {
 	is := is.New(t)
 	h := newHub(Options{Zone: "z1"}, zerolog.Nop())
 	evidence := func(service string, order storage.Revision, failed int) Evidence {
-		return Evidence{Service: service, Order: order, Routes: map[string]Versions{"r": {New: Tally{Answers: 2 * failed, Failed: failed}}}}
+		return Evidence{Service: service, Order: order, Routes: map[string]VersionTallies{"r": {New: Tally{Answers: 2 * failed, Failed: failed}}}}
 	}
 	h.record("a", Report{Zone: "z1", Evidence: []Evidence{evidence("s", 7, 1)}})
 	h.record("b", Report{Zone: "z2", Evidence: []Evidence{evidence("s", 7, 2)}}) // the sums include all zones
@@ -172,7 +172,7 @@
 			h.record(fmt.Sprint(i), Report{Zone: "z1"})
 		}
 		is.True(h.relays())
-		time.Sleep(WorkAge + time.Millisecond)
+		time.Sleep(MaxWorkAge + time.Millisecond)
 		is.True(!h.relays())
 	})
 }
@@ -229,7 +229,7 @@
 }
 
 func newInstallation(t *testing.T, seeds int) *installation {
-	in := &installation{t: t, keys: memory.New()}
+	in := &installation{t: t, keys: memory.NewTable()}
 	for range seeds {
 		in.seeds = append(in.seeds, freeAddress(t))
 	}
@@ -338,7 +338,7 @@
 	follower := in.start("host", freeAddress(t), nil, nil)
 	eventually(t, "the host receives work from the hub", func() bool { _, at := follower.otherWork(); return !at.IsZero() })
 	hub.stop()
-	eventually(t, "the received work is too old to count", func() bool { _, at := follower.otherWork(); return time.Since(at) > 2*WorkAge })
+	eventually(t, "the received work is too old to count", func() bool { _, at := follower.otherWork(); return time.Since(at) > 2*MaxWorkAge })
 	_, at := follower.otherWork()
 	is.True(!at.IsZero())
 }
@@ -349,11 +349,11 @@
 	calls int
 }
 
-func (f *fixedTable) List(context.Context, string, string, feed.Received) (feed.Page, error) {
+func (f *fixedTable) List(context.Context, string, string, feed.OnReceived) (feed.Page, error) {
 	return feed.Page{Revision: 3, Rows: []feed.Row{{Key: "k", Revision: 3}}}, nil
 }
 
-func (f *fixedTable) Changes(ctx context.Context, _ string, _ storage.Revision, wait time.Duration, _ feed.Received) (feed.Page, error) {
+func (f *fixedTable) Changes(ctx context.Context, _ string, _ storage.Revision, wait time.Duration, _ feed.OnReceived) (feed.Page, error) {
 	f.mu.Lock()
 	f.calls++
 	f.mu.Unlock()
@@ -424,7 +424,7 @@
 
 func TestSharedKey(t *testing.T) {
 	is := is.New(t)
-	table := memory.New()
+	table := memory.NewTable()
 	_, err := sharedKey(t.Context(), table, false)
 	is.True(errors.Is(err, storage.ErrNotFound)) // without mayCreate the key isn't created
 	keys := make([]peer.Key, 8)
@@ -468,7 +468,7 @@
 			total, since := 0, uint64(0)
 			for range 7 { // the exchanges of about one second
 				for i := range test.hosts {
-					r := Report{Zone: "z1", Work: make(Work), SentPrefixes: make(Reads)}
+					r := Report{Zone: "z1", Work: make(Work), SentPrefixes: make(SentPrefixes)}
 					for j := range max(1, test.engines/test.hosts*2) {
 						r.Work[HashID(fmt.Sprintf("i-%010d", (i+j*7)%test.engines))] = 1234
 					}
@@ -500,7 +500,7 @@
 	is := is.New(t)
 	report := Report{
 		Work:         Work{HashID("a"): 12.4, HashID("b"): 1e9},
-		SentPrefixes: Reads{HashID("a"): {1, 4123456789}, HashID("b"): {7}},
+		SentPrefixes: SentPrefixes{HashID("a"): {1, 4123456789}, HashID("b"): {7}},
 	}
 	data, err := json.Marshal(report)
 	is.NoErr(err)
--- a/internal/exchange/exchangeloop.go
+++ b/internal/exchange/exchangeloop.go
@@ -53,7 +53,7 @@
 	m.setHasFollowers(hasFollowers)
 	report, upTo := m.nextReport(), forwardedPositions{}
 	sentLimits := len(report.Limits)
-	report.SentPrefixesSince, report.LimitsCursor, report.GrantsDigest = m.hubPrefixSeq, m.hubLimitReader.Cursor(), ratelease.Digest(m.hubGrants)
+	report.SentPrefixesSince, report.LimitsCursor, report.GrantsDigest = m.hubPrefixSeq, m.hubLimitReader.Cursor(), ratelease.GrantsDigest(m.hubGrants)
 	if hasFollowers {
 		report, upTo = m.aggregateReport(report)
 	}
@@ -95,7 +95,7 @@
 // has expired.
 func (m *Member) aggregateReport(own Report) (report Report, upTo forwardedPositions) {
 	m.recordOwnReport(own)
-	m.unsentPrefixes = make(Reads) // this host's own hub has them
+	m.unsentPrefixes = make(SentPrefixes) // this host's own hub has them
 	report, upTo.prefixes = m.ownHub.subtreeReport(own, m.forwardedPrefixSeq, m.hubAddress)
 	report.Sightings, upTo.sightings = m.ownHub.sightingsSince(m.forwardedSightingSeq, m.hubAddress)
 	limits := m.ownHub.limitsSince(m.forwardedLimitsCursor, toHub)
@@ -158,10 +158,10 @@
 
 // deliverPrefixes passes the prefixes that other hosts sent to upstreams to OnReads. It also
 // drops this host's unsent prefixes, which the hub has received by then.
-func (m *Member) deliverPrefixes(prefixes Reads) {
-	m.unsentPrefixes = make(Reads)
-	if m.options.OnReads != nil && len(prefixes) > 0 {
-		m.options.OnReads(prefixes)
+func (m *Member) deliverPrefixes(prefixes SentPrefixes) {
+	m.unsentPrefixes = make(SentPrefixes)
+	if m.options.OnSentPrefixes != nil && len(prefixes) > 0 {
+		m.options.OnSentPrefixes(prefixes)
 	}
 }
 
--- a/internal/exchange/fleet_test.go
+++ b/internal/exchange/fleet_test.go
@@ -63,7 +63,7 @@
 	storeDelay = 5 * time.Millisecond
 )
 
-func (s *fleetStore) List(_ context.Context, _, from string, received feed.Received) (feed.Page, error) {
+func (s *fleetStore) List(_ context.Context, _, from string, received feed.OnReceived) (feed.Page, error) {
 	time.Sleep(storeDelay)
 	received(1)
 	s.mu.Lock()
@@ -83,7 +83,7 @@
 	return page, nil
 }
 
-func (s *fleetStore) Changes(ctx context.Context, _ string, since storage.Revision, wait time.Duration, received feed.Received) (feed.Page, error) {
+func (s *fleetStore) Changes(ctx context.Context, _ string, since storage.Revision, wait time.Duration, received feed.OnReceived) (feed.Page, error) {
 	time.Sleep(storeDelay)
 	s.mu.Lock()
 	s.calls++
@@ -267,7 +267,7 @@
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			h.holding = holding
-			h.contact = h.contact.Answered(time.Now(), rooted)
+			h.contact = h.contact.WithReply(time.Now(), rooted)
 		},
 		OnWork: func(w Work, _ time.Time) {
 			h.mu.Lock()
@@ -297,7 +297,7 @@
 	parts := coldBound.Parts(roots)
 	var grants []ratelease.Grant
 	for _, u := range f.cold {
-		grants = append(grants, ratelease.Grant{Upstream: u, Parts: parts, Of: parts})
+		grants = append(grants, ratelease.Grant{Upstream: u, Parts: parts, PartsPerRoot: parts})
 	}
 	return grants
 }
--- a/internal/exchange/hub.go
+++ b/internal/exchange/hub.go
@@ -150,7 +150,7 @@
 
 // sentPrefixesSince returns the entries of the prefix log after the sequence number that came
 // from hosts other than self, and the last sequence number.
-func (h *hub) sentPrefixesSince(seq uint64, self string, to audience) (Reads, uint64) {
+func (h *hub) sentPrefixesSince(seq uint64, self string, to audience) (SentPrefixes, uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.sentPrefixes.since(seq, self, to), h.sentPrefixes.lastSeq
@@ -257,7 +257,7 @@
 // dropExpired drops the reports that are older than WorkAge. The caller holds the lock.
 func (h *hub) dropExpired() {
 	for host, received := range h.reports {
-		if boottime.Since(received.at) > WorkAge {
+		if boottime.Since(received.at) > MaxWorkAge {
 			delete(h.reports, host)
 		}
 	}
--- a/internal/exchange/key_test.go
+++ b/internal/exchange/key_test.go
@@ -22,11 +22,11 @@
 	return feed.Page{Revision: storage.NewRevision(r.era.Load(), 5)}
 }
 
-func (r *restoredTable) List(context.Context, string, string, feed.Received) (feed.Page, error) {
+func (r *restoredTable) List(context.Context, string, string, feed.OnReceived) (feed.Page, error) {
 	return r.page(), nil
 }
 
-func (r *restoredTable) Changes(ctx context.Context, _ string, since storage.Revision, _ time.Duration, _ feed.Received) (feed.Page, error) {
+func (r *restoredTable) Changes(ctx context.Context, _ string, since storage.Revision, _ time.Duration, _ feed.OnReceived) (feed.Page, error) {
 	time.Sleep(100 * time.Millisecond)
 	if since.Era() < r.era.Load() {
 		return feed.Page{}, feed.ErrHistoryLost
@@ -38,7 +38,7 @@
 func TestKeyIsWrittenAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		source, keys := &restoredTable{}, memory.New()
+		source, keys := &restoredTable{}, memory.NewTable()
 		key, err := sharedKey(t.Context(), keys, true)
 		is.NoErr(err)
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/exchange/lease.go
+++ b/internal/exchange/lease.go
@@ -33,7 +33,7 @@
 	packed := make([]byte, 0, grantSize*len(g))
 	for _, grant := range g {
 		packed = binary.BigEndian.AppendUint64(packed, uint64(grant.Upstream))
-		packed = append(packed, byte(grant.Parts), byte(grant.Of))
+		packed = append(packed, byte(grant.Parts), byte(grant.PartsPerRoot))
 	}
 	return marshalPacked(packed)
 }
@@ -46,7 +46,7 @@
 	}
 	*g = make(Grants, 0, len(packed)/grantSize)
 	for grant := range slices.Chunk(packed, grantSize) {
-		*g = append(*g, ratelease.Grant{Upstream: ratelease.UpstreamID(binary.BigEndian.Uint64(grant)), Parts: int(grant[8]), Of: int(grant[9])})
+		*g = append(*g, ratelease.Grant{Upstream: ratelease.UpstreamID(binary.BigEndian.Uint64(grant)), Parts: int(grant[8]), PartsPerRoot: int(grant[9])})
 	}
 	return nil
 }
@@ -60,7 +60,7 @@
 	if len(l.Grants) == 0 {
 		return Lease{}
 	}
-	wire := Lease{ForMs: l.For.Milliseconds(), Roots: l.Roots}
+	wire := Lease{ForMs: l.Duration.Milliseconds(), Roots: l.Roots}
 	if wire.Unchanged = digest == knownDigest; !wire.Unchanged {
 		wire.Grants = l.Grants
 	}
@@ -74,7 +74,7 @@
 	if l.Unchanged {
 		grants = previous
 	}
-	return ratelease.Lease{Grants: grants, For: time.Duration(l.ForMs) * time.Millisecond, Roots: l.Roots}
+	return ratelease.Lease{Grants: grants, Duration: time.Duration(l.ForMs) * time.Millisecond, Roots: l.Roots}
 }
 
 // divideLease starts the lease that this host was granted with a reply to a report sent at
--- a/internal/exchange/lease_test.go
+++ b/internal/exchange/lease_test.go
@@ -21,7 +21,7 @@
 // permit, so the maximum number that reaches an upstream in a second is what the leases permit.
 
 // coldBound permits 32 requests a second to a cold upstream.
-var coldBound = ratelease.Bound{Rate: 18, Overrun: 1.5, Headroom: 5}
+var coldBound = ratelease.ColdBound{Rate: 18, Overrun: 1.5, Headroom: 5}
 
 // coldRequests records the requests that hosts send to cold upstreams.
 type coldRequests struct {
@@ -241,7 +241,7 @@
 func TestLeaseOnTheWire(t *testing.T) {
 	is := is.New(t)
 	for _, lease := range []Lease{
-		{Grants: Grants{{Upstream: 1, Parts: 1, Of: 4}, {Upstream: 1 << 63, Parts: 16, Of: 16}}, ForMs: 900, Roots: 3},
+		{Grants: Grants{{Upstream: 1, Parts: 1, PartsPerRoot: 4}, {Upstream: 1 << 63, Parts: 16, PartsPerRoot: 16}}, ForMs: 900, Roots: 3},
 		{Unchanged: true, ForMs: 1200, Roots: 3},
 	} {
 		data, err := json.Marshal(Reply{Lease: lease})
@@ -258,22 +258,22 @@
 	h := newHub(Options{Host: "hub"}, zerolog.Nop())
 	h.lessor = ratelease.NewLessor(boottime.Now().Add(-time.Minute))
 	h.reports["host"] = receivedReport{at: boottime.Now(), hosts: 1}
-	grants := []ratelease.Grant{{Upstream: 1, Parts: 4, Of: 4}, {Upstream: 2, Parts: 4, Of: 4}, {Upstream: 3, Parts: 4, Of: 4}}
+	grants := []ratelease.Grant{{Upstream: 1, Parts: 4, PartsPerRoot: 4}, {Upstream: 2, Parts: 4, PartsPerRoot: 4}, {Upstream: 3, Parts: 4, PartsPerRoot: 4}}
 	h.divideLease(ratelease.RootLease(grants, 3), boottime.Now())
 	first := h.leaseFor("host", 0)
 	is.True(len(first.Grants) > 0 && !first.Unchanged)
-	again := h.leaseFor("host", ratelease.Digest(first.Grants))
+	again := h.leaseFor("host", ratelease.GrantsDigest(first.Grants))
 	is.Equal(again, Lease{Unchanged: true, ForMs: again.ForMs, Roots: 3})
 	is.Equal(again.decode(first.Grants).Grants, []ratelease.Grant(first.Grants))
 	h.divideLease(ratelease.RootLease(grants[:1], 3), boottime.Now())
-	is.True(!h.leaseFor("host", ratelease.Digest(first.Grants)).Unchanged)
+	is.True(!h.leaseFor("host", ratelease.GrantsDigest(first.Grants)).Unchanged)
 }
 
 // A seed that reports to another seed of its zone uses the part that it holds as a root hub
 // itself, since no other host is granted it.
 func TestSeedThatReportsToAnotherUsesItsPart(t *testing.T) {
 	is := is.New(t)
-	grant := ratelease.Grant{Upstream: 1, Parts: 1, Of: 1}
+	grant := ratelease.Grant{Upstream: 1, Parts: 1, PartsPerRoot: 1}
 	var held ratelease.Holding
 	m := New(Options{
 		Host: "second", Listen: "b", Seeds: []string{"a", "b", "c"},
@@ -288,7 +288,7 @@
 	}
 	is.Equal(share().Parts, 0) // leases that it granted before a restart may still be valid
 	m.ownHub.startedAt = boottime.Now().Add(-ratelease.HandoverDelay)
-	is.Equal(share().Part(), 1.0/3)
+	is.Equal(share().Fraction(), 1.0/3)
 	m.options.Listen = "d"
 	is.Equal(share().Parts, 0) // the host isn't a seed
 }
--- a/internal/exchange/limits_test.go
+++ b/internal/exchange/limits_test.go
@@ -42,7 +42,7 @@
 	for u, l := range h.limits {
 		if l.state.Limited(h.contact, time.Now()) {
 			parts := l.state.PartCount(roots)
-			grants = append(grants, ratelease.Grant{Upstream: u, Parts: parts, Of: parts})
+			grants = append(grants, ratelease.Grant{Upstream: u, Parts: parts, PartsPerRoot: parts})
 		}
 	}
 	return grants
--- a/internal/exchange/member.go
+++ b/internal/exchange/member.go
@@ -44,8 +44,8 @@
 	// Reads returns the shared prompt prefixes that this host has sent to upstreams for the
 	// first time since the last call. OnReads receives those of the other hosts. Both may be
 	// nil.
-	Reads   func() Reads
-	OnReads func(Reads)
+	SentPrefixes   func() SentPrefixes
+	OnSentPrefixes func(SentPrefixes)
 	// Timings returns the speeds of models that this host measured. OnTimings receives the sums
 	// over the other hosts' measurements. Both may be nil.
 	Timings   func() Timings
@@ -103,7 +103,7 @@
 	// host received. For a host with followers, ownHubPrefixSeq is the sequence number of the
 	// last entry in its own hub's prefix log that was passed to OnReads, and forwardedPrefixSeq
 	// that of the last one that was forwarded to the hub that it reports to.
-	unsentPrefixes     Reads
+	unsentPrefixes     SentPrefixes
 	hubPrefixSeq       uint64
 	ownHubPrefixSeq    uint64
 	forwardedPrefixSeq uint64
@@ -146,7 +146,7 @@
 func New(options Options, log zerolog.Logger) *Member {
 	return &Member{
 		options: options, log: log, ownHub: newHub(options, log), seedZones: make(map[string]string),
-		avoidUntil: make(map[string]time.Time), unsentPrefixes: make(Reads), seedQueries: make(map[string]*seedQuery),
+		avoidUntil: make(map[string]time.Time), unsentPrefixes: make(SentPrefixes), seedQueries: make(map[string]*seedQuery),
 	}
 }
 
@@ -165,7 +165,7 @@
 }
 
 // Followers returns the number of hosts that report to this one, including itself.
-func (m *Member) Followers() int { return m.ownHub.reporterCount() }
+func (m *Member) ReporterCount() int { return m.ownHub.reporterCount() }
 
 // Run takes part in the exchange until the context ends.
 func (m *Member) Run(ctx context.Context) {
@@ -201,8 +201,8 @@
 // nextReport returns the next report to the hub: this host's state, and its unsent prefixes,
 // sightings and limits.
 func (m *Member) nextReport() Report {
-	if m.options.Reads != nil {
-		m.unsentPrefixes.add(m.options.Reads())
+	if m.options.SentPrefixes != nil {
+		m.unsentPrefixes.add(m.options.SentPrefixes())
 	}
 	m.collectSightings()
 	report := m.ownReport()
@@ -228,7 +228,7 @@
 
 // previousHubExpired reports whether the previous hub has dropped this host's last report by
 // now, so that only the current hub counts this host.
-func (m *Member) previousHubExpired() bool { return boottime.Since(m.hubChosenAt) > WorkAge }
+func (m *Member) previousHubExpired() bool { return boottime.Since(m.hubChosenAt) > MaxWorkAge }
 
 // revisions returns, by table name, the newest revisions of the store's tables that this host
 // has.
--- a/internal/exchange/prefixlog.go
+++ b/internal/exchange/prefixlog.go
@@ -25,7 +25,7 @@
 }
 
 // add appends the prefixes that a host or another hub sent.
-func (l *prefixLog) add(from string, fromHub bool, prefixes Reads) {
+func (l *prefixLog) add(from string, fromHub bool, prefixes SentPrefixes) {
 	for upstream, keys := range prefixes {
 		for _, key := range keys {
 			l.entries = append(l.entries, loggedPrefix{upstream: upstream, key: key, from: from, fromHub: fromHub})
@@ -40,12 +40,12 @@
 // since returns the entries after the sequence number that came from hosts other than self. A
 // number above the last one refers to another hub, or to this one before a restart; all entries
 // are returned then.
-func (l *prefixLog) since(seq uint64, self string, to audience) Reads {
+func (l *prefixLog) since(seq uint64, self string, to audience) SentPrefixes {
 	count := len(l.entries)
 	if seq <= l.lastSeq {
 		count = int(min(uint64(count), l.lastSeq-seq))
 	}
-	prefixes := make(Reads)
+	prefixes := make(SentPrefixes)
 	for _, e := range l.entries[len(l.entries)-count:] {
 		if e.from == self || to == toHub && e.fromHub {
 			continue
--- a/internal/exchange/quarantine.go
+++ b/internal/exchange/quarantine.go
@@ -54,13 +54,15 @@
 
 // QuarantineStatus lists the upstreams that terminated, the suspects and the verdicts.
 type QuarantineStatus struct {
-	Ended    Endings              `json:"ended,omitempty"`
-	Suspects Suspects             `json:"suspects,omitempty"`
-	Verdicts []quarantine.Verdict `json:"verdicts,omitempty"`
+	Terminated Terminations         `json:"ended,omitempty"`
+	Suspects   Suspects             `json:"suspects,omitempty"`
+	Verdicts   []quarantine.Verdict `json:"verdicts,omitempty"`
 }
 
 // IsZero reports whether all three lists are empty; messages leave them out then.
-func (s QuarantineStatus) IsZero() bool { return len(s.Ended)+len(s.Suspects)+len(s.Verdicts) == 0 }
+func (s QuarantineStatus) IsZero() bool {
+	return len(s.Terminated)+len(s.Suspects)+len(s.Verdicts) == 0
+}
 
 // recordSightings passes the sightings of a host or another hub to the quarantine, and adds
 // those that were new to the log for other hubs.
--- a/internal/exchange/quarantine_test.go
+++ b/internal/exchange/quarantine_test.go
@@ -37,16 +37,16 @@
 	is.Equal(read.Sightings, report.Sightings)
 
 	reply := Reply{QuarantineStatus: QuarantineStatus{
-		Ended:    Endings{{Incarnation: 7, Age: 20 * time.Millisecond, Explained: true}, {Incarnation: 8, Age: time.Hour}},
-		Suspects: Suspects{{Digest: testDigest(1), Events: 3, Age: 40 * time.Millisecond, FirstAge: 2 * time.Second}, {Digest: testDigest(2), Events: 1000}},
-		Verdicts: []quarantine.Verdict{{Digest: testDigest(1), By: "h", Events: 3, Upstreams: 3, Judged: time.Second, Until: time.Hour}},
+		Terminated: Terminations{{Incarnation: 7, Age: 20 * time.Millisecond, Explained: true}, {Incarnation: 8, Age: time.Hour}},
+		Suspects:   Suspects{{Digest: testDigest(1), Events: 3, Age: 40 * time.Millisecond, FirstAge: 2 * time.Second}, {Digest: testDigest(2), Events: 1000}},
+		Verdicts:   []quarantine.Verdict{{Digest: testDigest(1), MadeBy: "h", Events: 3, Upstreams: 3, MadeAt: time.Second, ExpiresAt: time.Hour}},
 	}}
 	data, err = json.Marshal(reply)
 	is.NoErr(err)
 	var back Reply
 	is.NoErr(json.Unmarshal(data, &back))
 	want := reply.QuarantineStatus
-	want.Ended[1].Age = 65535 * time.Millisecond // the greatest age that a message can hold
+	want.Terminated[1].Age = 65535 * time.Millisecond // the greatest age that a message can hold
 	want.Suspects[1].Events = 255
 	is.Equal(back.QuarantineStatus, want)
 
--- a/internal/exchange/quarantinewire.go
+++ b/internal/exchange/quarantinewire.go
@@ -68,11 +68,11 @@
 }
 
 // Endings lists terminated upstreams on the wire.
-type Endings []Ending
+type Terminations []Termination
 
 // Ending is a terminated upstream: its incarnation, the time since it terminated, and whether a
 // request with a verdict ran there, which explains the termination.
-type Ending struct {
+type Termination struct {
 	Incarnation quarantine.Incarnation
 	Age         time.Duration
 	Explained   bool
@@ -81,8 +81,8 @@
 const endingSize = 4 + 2 + 1
 
 // MarshalJSON implements json.Marshaler.
-func (e Endings) MarshalJSON() ([]byte, error) {
-	return marshalList(e, endingSize, func(packed []byte, ending Ending) []byte {
+func (e Terminations) MarshalJSON() ([]byte, error) {
+	return marshalList(e, endingSize, func(packed []byte, ending Termination) []byte {
 		packed = binary.BigEndian.AppendUint32(packed, uint32(ending.Incarnation))
 		packed = appendAge(packed, ending.Age)
 		explained := byte(0)
@@ -95,9 +95,9 @@
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
-func (e *Endings) UnmarshalJSON(data []byte) (err error) {
-	*e, err = unmarshalList(data, endingSize, func(entry []byte) Ending {
-		return Ending{Incarnation: quarantine.Incarnation(binary.BigEndian.Uint32(entry)), Age: decodeAge(entry[4:]), Explained: entry[6] != 0}
+func (e *Terminations) UnmarshalJSON(data []byte) (err error) {
+	*e, err = unmarshalList(data, endingSize, func(entry []byte) Termination {
+		return Termination{Incarnation: quarantine.Incarnation(binary.BigEndian.Uint32(entry)), Age: decodeAge(entry[4:]), Explained: entry[6] != 0}
 	})
 	return err
 }
--- a/internal/exchange/work.go
+++ b/internal/exchange/work.go
@@ -56,14 +56,14 @@
 
 // Reads lists, by upstream, the shared prompt prefixes that hosts sent to the upstream for the
 // first time.
-type Reads map[IDHash][]placement.PrefixKey
+type SentPrefixes map[IDHash][]placement.PrefixKey
 
 // prefixEntrySize is the size of an encoded entry of Reads in bytes, before base64: two hashes,
 // of the upstream and of the prefix.
 const prefixEntrySize = 8
 
 // MarshalJSON implements json.Marshaler.
-func (r Reads) MarshalJSON() ([]byte, error) {
+func (r SentPrefixes) MarshalJSON() ([]byte, error) {
 	var packed []byte
 	for id, keys := range r {
 		for _, key := range keys {
@@ -75,12 +75,12 @@
 }
 
 // UnmarshalJSON implements json.Unmarshaler.
-func (r *Reads) UnmarshalJSON(data []byte) error {
+func (r *SentPrefixes) UnmarshalJSON(data []byte) error {
 	packed, err := unmarshalPacked(data, prefixEntrySize)
 	if err != nil {
 		return err
 	}
-	*r = make(Reads)
+	*r = make(SentPrefixes)
 	for entry := range slices.Chunk(packed, prefixEntrySize) {
 		id := IDHash(binary.BigEndian.Uint32(entry))
 		(*r)[id] = append((*r)[id], placement.PrefixKey(binary.BigEndian.Uint32(entry[4:])))
@@ -89,7 +89,7 @@
 }
 
 // add adds the prefixes in o.
-func (r Reads) add(o Reads) {
+func (r SentPrefixes) add(o SentPrefixes) {
 	for upstream, keys := range o {
 		r[upstream] = append(r[upstream], keys...)
 	}
--- a/internal/experiment/balance/policies.go
+++ b/internal/experiment/balance/policies.go
@@ -64,8 +64,8 @@
 func withoutScorers(names ...string) func(*choose.PrefixIndex) *choose.Selector {
 	return func(index *choose.PrefixIndex) *choose.Selector {
 		s := choose.NewSelector(index)
-		excluded := func(w choose.Weighted) bool { return slices.Contains(names, w.Scorer.Name()) }
-		s.Affinity = slices.DeleteFunc(s.Affinity, excluded)
+		excluded := func(w choose.WeightedScorer) bool { return slices.Contains(names, w.Scorer.Name()) }
+		s.AffinityScorers = slices.DeleteFunc(s.AffinityScorers, excluded)
 		s.Scorers = slices.DeleteFunc(s.Scorers, excluded)
 		return s
 	}
@@ -75,7 +75,7 @@
 // reached, so that affinity always applies.
 func withoutLoadBound(index *choose.PrefixIndex) *choose.Selector {
 	s := choose.NewSelector(index)
-	s.Bound = choose.LoadBound{Factor: 1e9}
+	s.AffinityBound = choose.LoadBound{Factor: 1e9}
 	return s
 }
 
--- a/internal/experiment/balance/simulation.go
+++ b/internal/experiment/balance/simulation.go
@@ -169,7 +169,7 @@
 		sim.recordFailure(r)
 		return
 	}
-	pool.Index().Sent(id, r.hashes)
+	pool.Index().RecordSent(id, r.hashes)
 	sent := sim.queue.Now()
 	var firstToken time.Duration
 	r.onProgress = func(isFirstToken, ok bool) {
@@ -178,7 +178,7 @@
 			sim.recordFirstToken(r)
 			return
 		}
-		pool.End(id, choose.Outcome{Err: !ok, FirstToken: firstToken})
+		pool.End(id, choose.Outcome{Failed: !ok, TimeToFirstToken: firstToken})
 		if !ok {
 			sim.retry(r, id)
 		}
--- a/internal/experiment/cascade/simulation.go
+++ b/internal/experiment/cascade/simulation.go
@@ -160,7 +160,7 @@
 	if !ok {
 		return s.onFailure == manifest.Accept
 	}
-	return policy.Accept(rating, target)
+	return policy.IsAccepted(rating, target)
 }
 
 // rate simulates a rating and returns it with its latency. It returns false
--- a/internal/experiment/deployment/exposure.go
+++ b/internal/experiment/deployment/exposure.go
@@ -106,7 +106,7 @@
 		return exposureResult{}, err
 	}
 	result := s.runExposure(ctx, o, c, seed)
-	s.env.Platform.Table().Heal() // close writes the last bills to the table
+	s.env.Platform.Table().ClearFaults() // close writes the last bills to the table
 	return result, s.close()
 }
 
--- a/internal/experiment/deployment/system.go
+++ b/internal/experiment/deployment/system.go
@@ -141,7 +141,7 @@
 // Rate implements storage.Rater.
 func (r markedRater) Rate(ctx context.Context, model, version, _, answer string) (storage.Rating, error) {
 	rating, err := r.inner.Rate(ctx, model, version, "", answer)
-	if strings.HasPrefix(answer, engine.BadMark) {
+	if strings.HasPrefix(answer, engine.BadAnswerPrefix) {
 		rating.Score = max(0, rating.Score-badMarkPenalty)
 	}
 	return rating, err
--- a/internal/experiment/deployment/topology.go
+++ b/internal/experiment/deployment/topology.go
@@ -95,7 +95,7 @@
 	t := &devenv.Topology{
 		Manifest:       document,
 		Platform:       platformd.Options{Rater: raterOptions()},
-		ServiceOptions: service.Options{Time: deskTime},
+		ServiceOptions: service.Options{RunTime: deskTime},
 	}
 	for range smallEngines {
 		t.Engines = append(t.Engines, devenv.Engine{Versions: []string{modelSmall + "@" + versionOld, modelSmall + "@" + versionNew}})
--- a/internal/experiment/path/client.go
+++ b/internal/experiment/path/client.go
@@ -18,16 +18,16 @@
 // send sends one streamed request and reads the response. It fails without the
 // end marker.
 func (r *run) send(ctx context.Context, kind int, prompt string) error {
-	address, model := r.Entry.Callers, r.Model
+	address, model := r.Entry.CallerAddr, r.Model
 	if kind == direct {
-		address, model = r.Engine, r.Version
+		address, model = r.EngineAddr, r.Version
 	}
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"messages":[{"role":"user","content":%q}]}`, model, prompt)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
 		return err
 	}
-	req.Header.Set("Authorization", "Bearer "+r.Key)
+	req.Header.Set("Authorization", "Bearer "+r.AccountKey)
 	req.Header.Set(upstream.HeaderRequestID, prompt)
 	resp, err := r.client.Do(req)
 	if err != nil {
@@ -58,9 +58,9 @@
 // and its resident memory now.
 type Usage struct {
 	// CPU is in seconds, Resident in bytes; Mallocs is a count.
-	CPU      float64
-	Mallocs  float64
-	Resident float64
+	CPUSeconds    float64
+	Mallocs       float64
+	ResidentBytes float64
 }
 
 // hostUsage holds the resources used by the measured host and, summed, by the
@@ -88,14 +88,14 @@
 
 func (r *run) addUsage(ctx context.Context, h Host, sum *resources) error {
 	u, err := ReadUsage(ctx, r.client, h)
-	sum.cpu += u.CPU
+	sum.cpu += u.CPUSeconds
 	sum.mallocs += u.Mallocs
 	return err
 }
 
 // ReadUsage reads a host's usage from its metrics endpoint.
 func ReadUsage(ctx context.Context, client *http.Client, h Host) (Usage, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+h.Operators+"/metrics", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+h.OperatorAddr+"/metrics", nil)
 	if err != nil {
 		return Usage{}, err
 	}
@@ -111,11 +111,11 @@
 		n, _ := strconv.ParseFloat(value, 64)
 		switch name {
 		case "process_cpu_seconds_total":
-			u.CPU = n
+			u.CPUSeconds = n
 		case "go_memstats_mallocs_total":
 			u.Mallocs = n
 		case "process_resident_memory_bytes":
-			u.Resident = n
+			u.ResidentBytes = n
 		}
 	}
 	return u, lines.Err()
--- a/internal/experiment/path/path.go
+++ b/internal/experiment/path/path.go
@@ -17,8 +17,8 @@
 type Host struct {
 	// Callers and Operators are the IP and port at which it serves callers and
 	// operators.
-	Callers   string
-	Operators string
+	CallerAddr   string
+	OperatorAddr string
 }
 
 // Options are the settings of Run.
@@ -28,16 +28,16 @@
 	Entry  Host
 	Others []Host
 	// Engine is the IP and port of the only engine.
-	Engine string
+	EngineAddr string
 	// Key is the account key.
-	Key string
+	AccountKey string
 	// Model is the model that callers request from the entry host, Version the
 	// "model@version" that direct requests name to the engine.
 	Model   string
 	Version string
 	// Shares are the loads of the measured host, as fractions of the requests a
 	// second that one core can process.
-	Shares []float64
+	CoreLoads []float64
 	// Period is how long each load lasts. Default: 4 s.
 	Period time.Duration
 	// Seed seeds the arrival times.
@@ -94,7 +94,7 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, share := range r.Shares {
+	for _, share := range r.CoreLoads {
 		if err := r.measureLatency(ctx, share, coreRate); err != nil {
 			return nil, err
 		}
--- a/internal/experiment/rollout/comparison.go
+++ b/internal/experiment/rollout/comparison.go
@@ -36,7 +36,7 @@
 // compare draws answers until the new version is stopped or has given
 // comparisonMaxAnswers.
 func (v versionPair) compare(rng *rand.Rand) comparison {
-	var baseline, candidate exposure.Sample
+	var baseline, candidate exposure.AnswerCounts
 	var c comparison
 	for candidate.Total < comparisonMaxAnswers && c.stoppedAfter == 0 {
 		if rng.Float64() >= v.newShare {
@@ -44,17 +44,17 @@
 			continue
 		}
 		addAnswer(&candidate, rng.Float64() < v.newBadRate)
-		if exposure.Worse(baseline, candidate, stopAlpha) {
+		if exposure.IsWorse(baseline, candidate, stopAlpha) {
 			c.stoppedAfter = candidate.Total
 		}
-		if c.clearedAfter == 0 && exposure.NotWorse(baseline, candidate, clearTolerance, clearAlpha) {
+		if c.clearedAfter == 0 && exposure.IsNotWorse(baseline, candidate, clearTolerance, clearAlpha) {
 			c.clearedAfter = candidate.Total
 		}
 	}
 	return c
 }
 
-func addAnswer(s *exposure.Sample, bad bool) {
+func addAnswer(s *exposure.AnswerCounts, bad bool) {
 	s.Total++
 	if bad {
 		s.Bad++
--- a/internal/experiment/rollout/tracked.go
+++ b/internal/experiment/rollout/tracked.go
@@ -14,7 +14,7 @@
 var rule = exposure.VersionRule{
 	Model:        "m",
 	Version:      "2",
-	Epoch:        1,
+	Round:        1,
 	Budget:       budget,
 	MaxErrorRate: maxErrorRate,
 	MinRating:    minRating,
@@ -51,7 +51,7 @@
 	return func(s setting, clock func() time.Time) cluster {
 		c := &trackerCluster{variant: v, fanout: s.fanout, rnd: simulate.NewRand(s.hosts)}
 		c.cursors = make([]uint64, s.hosts)
-		table := memory.New()
+		table := memory.NewTable()
 		for i := range s.hosts {
 			name := fmt.Sprint("host-", i)
 			tracker := exposure.New(exposure.Options{
--- a/internal/feed/answerparts_test.go
+++ b/internal/feed/answerparts_test.go
@@ -15,7 +15,7 @@
 )
 
 // receiveParts reports a part of an answer at the end of each interval, until the span is over.
-func receiveParts(ctx context.Context, received Received, span time.Duration) error {
+func receiveParts(ctx context.Context, received OnReceived, span time.Duration) error {
 	const interval = answerTimeout / 2
 	for end := time.Now().Add(span); time.Now().Before(end); {
 		select {
--- a/internal/feed/call.go
+++ b/internal/feed/call.go
@@ -40,7 +40,7 @@
 	// part has answerTimeout, so that the whole answer may take as long as the link needs for
 	// its size.
 	firstPartTimeout time.Duration
-	do               func(ctx context.Context, received Received) (Page, error)
+	do               func(ctx context.Context, received OnReceived) (Page, error)
 
 	started time.Time
 	// answeredAt is when the first part of the answer arrived, in nanoseconds since the
--- a/internal/feed/calllog_test.go
+++ b/internal/feed/calllog_test.go
@@ -37,15 +37,15 @@
 func TestFailedCallIsExplained(t *testing.T) {
 	tests := []struct {
 		desc     string
-		changes  func(ctx context.Context, received Received) (Page, error)
+		changes  func(ctx context.Context, received OnReceived) (Page, error)
 		received float64
 	}{
-		{"the answer stops midway", func(ctx context.Context, received Received) (Page, error) {
+		{"the answer stops midway", func(ctx context.Context, received OnReceived) (Page, error) {
 			received(700)
 			received(300)
 			return hang(ctx)
 		}, 1000},
-		{"refused", func(context.Context, Received) (Page, error) { return Page{}, errors.New("refused") }, 0},
+		{"refused", func(context.Context, OnReceived) (Page, error) { return Page{}, errors.New("refused") }, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -41,17 +41,17 @@
 }
 
 // Received is called with the size in bytes of each part of an answer when the part arrives.
-type Received func(bytes int)
+type OnReceived func(bytes int)
 
 // Source reads tables of the store. Its calls end when the context ends.
 type Source interface {
 	// List returns the rows whose keys are equal to or after from, as many as fit into one
 	// page.
-	List(ctx context.Context, table, from string, received Received) (Page, error)
+	List(ctx context.Context, table, from string, received OnReceived) (Page, error)
 	// Changes returns the changes after the revision as soon as there are any; after the wait
 	// it returns a page without changes. It returns ErrHistoryLost if the store no longer has
 	// the changes.
-	Changes(ctx context.Context, table string, since storage.Revision, wait time.Duration, received Received) (Page, error)
+	Changes(ctx context.Context, table string, since storage.Revision, wait time.Duration, received OnReceived) (Page, error)
 }
 
 // Handler receives the rows that a watcher reads. Its calls don't overlap.
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -21,17 +21,17 @@
 	listCalls int
 	// hold and received are the arguments of the last call.
 	hold         time.Duration
-	received     Received
+	received     OnReceived
 	changesCalls int
 }
 
-func (s *scriptedSource) List(_ context.Context, _, _ string, received Received) (Page, error) {
+func (s *scriptedSource) List(_ context.Context, _, _ string, received OnReceived) (Page, error) {
 	s.listCalls++
 	s.received = received
 	return s.list(s.listCalls)
 }
 
-func (s *scriptedSource) Changes(ctx context.Context, _ string, since storage.Revision, hold time.Duration, received Received) (Page, error) {
+func (s *scriptedSource) Changes(ctx context.Context, _ string, since storage.Revision, hold time.Duration, received OnReceived) (Page, error) {
 	s.changesCalls++
 	s.hold = hold
 	s.received = received
--- a/internal/feed/fleetstart_test.go
+++ b/internal/feed/fleetstart_test.go
@@ -75,7 +75,7 @@
 	bytesPerSecond float64
 }
 
-func (l *hostLink) List(ctx context.Context, _, from string, received Received) (Page, error) {
+func (l *hostLink) List(ctx context.Context, _, from string, received OnReceived) (Page, error) {
 	time.Sleep(storeLatency)
 	if !l.store.allow() {
 		return Page{}, errRateLimited
@@ -95,7 +95,7 @@
 }
 
 // receive waits for as long as the link needs for an answer, and reports its parts.
-func (l *hostLink) receive(ctx context.Context, bytes int, received Received) error {
+func (l *hostLink) receive(ctx context.Context, bytes int, received OnReceived) error {
 	const part = 16 << 10
 	l.store.mu.Lock()
 	l.store.bytes += bytes
@@ -112,7 +112,7 @@
 	return nil
 }
 
-func (l *hostLink) Changes(ctx context.Context, _ string, since storage.Revision, wait time.Duration, received Received) (Page, error) {
+func (l *hostLink) Changes(ctx context.Context, _ string, since storage.Revision, wait time.Duration, received OnReceived) (Page, error) {
 	time.Sleep(storeLatency)
 	if !l.store.allow() {
 		return Page{}, errRateLimited
--- a/internal/feed/list.go
+++ b/internal/feed/list.go
@@ -86,7 +86,7 @@
 
 func (w *Watcher) listPage(ctx context.Context, from string) (Page, time.Duration, error) {
 	return w.call(ctx, &storeCall{kind: "list", firstPartTimeout: listTimeout,
-		do: func(ctx context.Context, received Received) (Page, error) {
+		do: func(ctx context.Context, received OnReceived) (Page, error) {
 			return w.source.List(ctx, w.table, from, received)
 		}})
 }
--- a/internal/feed/relay.go
+++ b/internal/feed/relay.go
@@ -142,7 +142,7 @@
 }
 
 // UsesRelay reports whether the last update from another host is recent enough to rely on.
-func (w *Watcher) UsesRelay() bool {
+func (w *Watcher) HasFreshUpdate() bool {
 	_, _, ok := w.freshUpdate()
 	return ok
 }
--- a/internal/feed/watcher.go
+++ b/internal/feed/watcher.go
@@ -157,7 +157,7 @@
 
 // RecoveredWithin reports whether the store is unreachable or was at some time within the last
 // span, as shown by the calls of this watcher or of another one on the link.
-func (w *Watcher) RecoveredWithin(within time.Duration) bool {
+func (w *Watcher) UnreachableWithin(within time.Duration) bool {
 	return w.failingSince.Load() != 0 || w.options.Link.unreachableWithin(within)
 }
 
@@ -247,7 +247,7 @@
 // until there are any.
 func (w *Watcher) changes(ctx context.Context, hold time.Duration) (Page, time.Duration, error) {
 	return w.call(ctx, &storeCall{kind: "changes", hold: hold, firstPartTimeout: hold + answerTimeout,
-		do: func(ctx context.Context, received Received) (Page, error) {
+		do: func(ctx context.Context, received OnReceived) (Page, error) {
 			return w.source.Changes(ctx, w.table, w.revision, hold, received)
 		}})
 }
--- a/internal/gateway/cold.go
+++ b/internal/gateway/cold.go
@@ -78,7 +78,7 @@
 		service := &services[i]
 		s := f.shard(service.Name)
 		s.mu.Lock()
-		s.coldBound = ratelease.Bound{Rate: service.ColdRate, Overrun: f.policy.coldOverrun, Headroom: f.policy.coldHeadroom}
+		s.coldBound = ratelease.ColdBound{Rate: service.ColdRate, Overrun: f.policy.coldOverrun, Headroom: f.policy.coldHeadroom}
 		s.coldStart = service.ColdStart
 		for _, m := range s.members {
 			m.markCold(m.ColdFor-boottime.Since(m.updatedAt), coldReasonEntry, f.log)
--- a/internal/gateway/cold_test.go
+++ b/internal/gateway/cold_test.go
@@ -31,7 +31,7 @@
 	parts := tg.gateway.fleet.shard("svc").coldBound.Parts(roots)
 	var grants []ratelease.Grant
 	for _, id := range ids {
-		grants = append(grants, ratelease.Grant{Upstream: ratelease.NewUpstreamID(id), Parts: parts, Of: parts})
+		grants = append(grants, ratelease.Grant{Upstream: ratelease.NewUpstreamID(id), Parts: parts, PartsPerRoot: parts})
 	}
 	now := boottime.Now()
 	tg.gateway.fleet.SetHolding(ratelease.NewHolding(ratelease.RootLease(grants, roots), now, nil), now)
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -161,7 +161,7 @@
 		choice:      picked,
 		startedAt:   time.Now(),
 		bestModel:   models.atBest(),
-		headTimeout: max(g.responseTimes.get(r.responseTimeKey()).headTimeout(r.Route.Target), expectedFactor*picked.placement.Expected),
+		headTimeout: max(g.responseTimes.get(r.responseTimeKey()).headTimeout(r.Route.Target), expectedFactor*picked.placement.ExpectedTime),
 		mayGiveUp:   func() bool { return canRetry && g.retryBudgets.get(r.Service).tryTake() },
 	}, nil
 }
@@ -228,7 +228,7 @@
 	}
 	if g.rollouts.evaluating(r.Service) {
 		g.guard.AttributeInterruption(a.choice.upstream.guardUpstream(), guard.Attribution{
-			Version: func() { g.rollouts.observeResult(r, &a.choice, result, a.headCounted) },
+			OnVersionCause: func() { g.rollouts.observeResult(r, &a.choice, result, a.headCounted) },
 		})
 	}
 }
@@ -244,7 +244,7 @@
 		return true // no upstream is available for the better model
 	}
 	escalation.Threshold = float64(d.gateway.settings.AcceptConfidence)
-	escalation.Expected += boottime.Since(r.Arrived)
+	escalation.ExpectedTime += boottime.Since(r.Arrived)
 	escalation.Target = r.Route.Target
 	a.minConfidence, a.queuePressure = int(escalation.RequiredConfidence()), escalation.Pressure
 	if head.confidence >= a.minConfidence {
--- a/internal/gateway/evidence.go
+++ b/internal/gateway/evidence.go
@@ -56,14 +56,14 @@
 	// ownRoutes holds the answers that this host counted, by route; remoteRoutes those that the
 	// other hosts counted.
 	ownRoutes    map[string]*routeEvidence
-	remoteRoutes map[string]exchange.Versions
+	remoteRoutes map[string]exchange.VersionTallies
 	// cutOffAt holds for each upstream, by id, the time of the last counted answer that it cut off.
 	cutOffAt map[string]time.Time
 }
 
 // routeEvidence holds the answers that this host counted on one route.
 type routeEvidence struct {
-	exchange.Versions
+	exchange.VersionTallies
 	// oldMeanTime is the decayed mean time to the first byte on the old version, without slow
 	// answers; it is computed for plain services only.
 	oldMeanTime time.Duration
@@ -154,21 +154,21 @@
 		tally.Slow++
 	}
 	if failed || slow {
-		tally.AddSource(o.upstream)
+		tally.AddBadUpstream(o.upstream)
 	}
 }
 
 // ownCounts returns the answers that this host counted per version, by route.
-func (e *evidence) ownCounts() map[string]exchange.Versions {
-	routes := make(map[string]exchange.Versions, len(e.ownRoutes))
+func (e *evidence) ownCounts() map[string]exchange.VersionTallies {
+	routes := make(map[string]exchange.VersionTallies, len(e.ownRoutes))
 	for name, re := range e.ownRoutes {
-		routes[name] = re.Versions
+		routes[name] = re.VersionTallies
 	}
 	return routes
 }
 
 // allCounts returns the answers counted per version, by route, summed over all hosts.
-func (e *evidence) allCounts() map[string]exchange.Versions {
+func (e *evidence) allCounts() map[string]exchange.VersionTallies {
 	routes := e.ownCounts()
 	for name, counts := range e.remoteRoutes {
 		sum := routes[name]
@@ -193,8 +193,8 @@
 	return ""
 }
 
-func sumRoutes(routes map[string]exchange.Versions) exchange.Versions {
-	var sum exchange.Versions
+func sumRoutes(routes map[string]exchange.VersionTallies) exchange.VersionTallies {
+	var sum exchange.VersionTallies
 	for _, counts := range routes {
 		sum.Add(counts)
 	}
@@ -203,12 +203,12 @@
 
 // isWorse reports whether the new version's answers fail or are slow more often than can be
 // explained by chance or by a single bad upstream.
-func isWorse(v exchange.Versions, upstreams int) bool {
-	if v.New.Sources() < min(minBadUpstreams, upstreams) {
+func isWorse(v exchange.VersionTallies, upstreams int) bool {
+	if v.New.MinBadUpstreams() < min(minBadUpstreams, upstreams) {
 		return false
 	}
-	return v.New.Failed >= minBadAnswers && rollout.Worse(failureSample(v.Old), failureSample(v.New), failedAlpha) ||
-		v.New.Slow >= minBadAnswers && rollout.Worse(slowSample(v.Old), slowSample(v.New), slowAlpha)
+	return v.New.Failed >= minBadAnswers && rollout.IsWorse(failureSample(v.Old), failureSample(v.New), failedAlpha) ||
+		v.New.Slow >= minBadAnswers && rollout.IsWorse(slowSample(v.Old), slowSample(v.New), slowAlpha)
 }
 
 // suspectAlpha is the probability with which a route is suspected, at any time during the roll-out,
@@ -221,21 +221,21 @@
 func (e *evidence) sufficesToComplete() bool {
 	routes := e.allCounts()
 	for _, v := range routes {
-		if rollout.Worse(failureSample(v.Old), failureSample(v.New), suspectAlpha) {
+		if rollout.IsWorse(failureSample(v.Old), failureSample(v.New), suspectAlpha) {
 			return false
 		}
 	}
 	v := sumRoutes(routes)
-	return rollout.NotWorse(failureSample(v.Old), failureSample(v.New), failedTolerance, completionAlpha) &&
-		rollout.NotWorse(slowSample(v.Old), slowSample(v.New), slowTolerance, completionAlpha)
+	return rollout.IsNotWorse(failureSample(v.Old), failureSample(v.New), failedTolerance, completionAlpha) &&
+		rollout.IsNotWorse(slowSample(v.Old), slowSample(v.New), slowTolerance, completionAlpha)
 }
 
-func failureSample(t exchange.Tally) rollout.Sample {
-	return rollout.Sample{Bad: min(t.Failed, t.Answers), Total: t.Answers}
+func failureSample(t exchange.Tally) rollout.AnswerCounts {
+	return rollout.AnswerCounts{Bad: min(t.Failed, t.Answers), Total: t.Answers}
 }
 
-func slowSample(t exchange.Tally) rollout.Sample {
-	return rollout.Sample{Bad: min(t.Slow, t.Answers), Total: t.Answers}
+func slowSample(t exchange.Tally) rollout.AnswerCounts {
+	return rollout.AnswerCounts{Bad: min(t.Slow, t.Answers), Total: t.Answers}
 }
 
 // String returns, for log lines, the numbers of failed, slow and all answers of the old and the new
@@ -244,6 +244,6 @@
 	return countsText(sumRoutes(e.ownCounts())) + " of all " + countsText(sumRoutes(e.allCounts()))
 }
 
-func countsText(v exchange.Versions) string {
+func countsText(v exchange.VersionTallies) string {
 	return fmt.Sprintf("old %d+%d/%d new %d+%d/%d", v.Old.Failed, v.Old.Slow, v.Old.Answers, v.New.Failed, v.New.Slow, v.New.Answers)
 }
--- a/internal/gateway/evidence_test.go
+++ b/internal/gateway/evidence_test.go
@@ -35,8 +35,8 @@
 	return &choice{upstream: Upstream{ID: id, Service: "svc", Version: version}}
 }
 
-func versionCounts(old, bad, newAnswers, newBad int) exchange.Versions {
-	return exchange.Versions{
+func versionCounts(old, bad, newAnswers, newBad int) exchange.VersionTallies {
+	return exchange.VersionTallies{
 		Old: exchange.Tally{Answers: old, Failed: bad},
 		New: exchange.Tally{Answers: newAnswers, Failed: newBad},
 	}
@@ -44,9 +44,9 @@
 
 // withBothSources returns the counts with both upstreams of the new version added as sources of bad
 // answers.
-func withBothSources(v exchange.Versions) exchange.Versions {
-	v.New.AddSource("b")
-	v.New.AddSource("c")
+func withBothSources(v exchange.VersionTallies) exchange.VersionTallies {
+	v.New.AddBadUpstream("b")
+	v.New.AddBadUpstream("c")
 	return v
 }
 
@@ -63,11 +63,11 @@
 	}
 	is.True(!ro.byService["svc"].stopped)
 	own := versionCounts(50, 0, minBadAnswers-1, minBadAnswers-1)
-	own.New.AddSource("b")
-	is.Equal(ro.ownEvidence(), []exchange.Evidence{{Service: "svc", Order: 5, Routes: map[string]exchange.Versions{"r": own}}})
+	own.New.AddBadUpstream("b")
+	is.Equal(ro.ownEvidence(), []exchange.Evidence{{Service: "svc", Order: 5, Routes: map[string]exchange.VersionTallies{"r": own}}})
 	others := versionCounts(100, 0, 1, 1)
-	others.New.AddSource("c")
-	ro.setRemoteEvidence([]exchange.Evidence{{Service: "svc", Order: 5, Routes: map[string]exchange.Versions{"r": others}}})
+	others.New.AddBadUpstream("c")
+	ro.setRemoteEvidence([]exchange.Evidence{{Service: "svc", Order: 5, Routes: map[string]exchange.VersionTallies{"r": others}}})
 	is.True(ro.byService["svc"].stopped)
 }
 
@@ -182,7 +182,7 @@
 func TestCompletionNeedsEvidence(t *testing.T) {
 	tests := []struct {
 		desc string
-		seen exchange.Versions
+		seen exchange.VersionTallies
 		want bool
 	}{
 		{"nothing", versionCounts(0, 0, 0, 0), false},
@@ -190,12 +190,12 @@
 		{"forty good answers", versionCounts(400, 0, 40, 0), true},
 		{"some bad ones", versionCounts(400, 0, 60, 9), false},
 		{"as many as with the old version", versionCounts(400, 80, 120, 20), true},
-		{"slow ones", exchange.Versions{Old: exchange.Tally{Answers: 400}, New: exchange.Tally{Answers: 60, Slow: 25}}, false},
+		{"slow ones", exchange.VersionTallies{Old: exchange.Tally{Answers: 400}, New: exchange.Tally{Answers: 60, Slow: 25}}, false},
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
 			e := newEvidence()
-			e.remoteRoutes = map[string]exchange.Versions{"r": test.seen}
+			e.remoteRoutes = map[string]exchange.VersionTallies{"r": test.seen}
 			is.New(t).Equal(e.sufficesToComplete(), test.want)
 		})
 	}
@@ -206,7 +206,7 @@
 func TestSuspectedRouteDelaysCompletion(t *testing.T) {
 	is := is.New(t)
 	e := newEvidence()
-	e.remoteRoutes = map[string]exchange.Versions{"good": versionCounts(400, 0, 60, 0), "poor": versionCounts(100, 0, 4, 2)}
+	e.remoteRoutes = map[string]exchange.VersionTallies{"good": versionCounts(400, 0, 60, 0), "poor": versionCounts(100, 0, 4, 2)}
 	is.True(!e.sufficesToComplete())
 	is.Equal(e.stopReason(2), "") // there are too few bad answers to stop it
 	e.remoteRoutes["poor"] = versionCounts(100, 0, 40, 2)
@@ -217,7 +217,7 @@
 	tests := []struct {
 		desc  string
 		order storage.Revision
-		seen  exchange.Versions
+		seen  exchange.VersionTallies
 		want  bool
 	}{
 		{"bad", 5, withBothSources(versionCounts(100, 1, 12, 6)), true},
@@ -229,7 +229,7 @@
 		t.Run(test.desc, func(t *testing.T) {
 			is := is.New(t)
 			ro := newRolloutInProgress()
-			ro.setRemoteEvidence([]exchange.Evidence{{Service: "svc", Order: test.order, Routes: map[string]exchange.Versions{"r": test.seen}}})
+			ro.setRemoteEvidence([]exchange.Evidence{{Service: "svc", Order: test.order, Routes: map[string]exchange.VersionTallies{"r": test.seen}}})
 			is.Equal(ro.byService["svc"].stopped, test.want)
 			is.Equal(len(ro.ownEvidence()[0].Routes), 0) // doesn't include what other hosts counted
 		})
@@ -242,7 +242,7 @@
 	is := is.New(t)
 	ro := newRolloutInProgress()
 	for range 10 {
-		ro.setRemoteEvidence([]exchange.Evidence{{Service: "svc", Order: 5, Routes: map[string]exchange.Versions{"r": withBothSources(versionCounts(100, 0, 2, 2))}}})
+		ro.setRemoteEvidence([]exchange.Evidence{{Service: "svc", Order: 5, Routes: map[string]exchange.VersionTallies{"r": withBothSources(versionCounts(100, 0, 2, 2))}}})
 	}
 	is.True(!ro.byService["svc"].stopped)
 }
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -84,7 +84,7 @@
 	// declared by the operators.
 	policy    *sendPolicy
 	topology  *zoneTopology
-	coldBound ratelease.Bound
+	coldBound ratelease.ColdBound
 	coldStart time.Duration
 	// baseVersion is the version that serves requests while there is no roll-out; empty before the
 	// first upstream is listed.
@@ -105,7 +105,7 @@
 	queueStats     queueStats
 	// sentPrefixes are the shared prefixes that this host sent, since its last report to the other
 	// hosts, to upstreams that didn't have them cached by its own data.
-	sentPrefixes exchange.Reads
+	sentPrefixes exchange.SentPrefixes
 	// rankAdmission distributes the permitted requests by rank where the rate limits don't suffice
 	// for all. permittedRate is the sum of this host's parts of the upstreams' limits, in requests
 	// a second, as of permittedRateAt.
@@ -143,7 +143,7 @@
 		policy: p, topology: t, members: make(map[string]*member), membersByAddress: make(map[string]*member),
 		membersByHash: make(map[exchange.IDHash]*member), membersByLease: make(map[ratelease.UpstreamID]*member),
 		inUse: make(map[*member]struct{}), coldOrLimited: make(map[*member]struct{}), unreportedLimits: make(map[*member]struct{}),
-		cachedPrompts: placement.NewCacheTracker[*member](placement.MaxCachedPrefixes), sentPrefixes: make(exchange.Reads), prefillRates: placement.NewPrefillEstimator(),
+		cachedPrompts: placement.NewCacheTracker[*member](placement.MaxCachedPrefixes), sentPrefixes: make(exchange.SentPrefixes), prefillRates: placement.NewPrefillEstimator(),
 	}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -101,7 +101,7 @@
 	g.streamPauses.make = func() *meanTime { return new(meanTime) }
 	g.promptSizes.make = func() *promptSizes { return new(promptSizes) }
 	g.guard = guard.New(guard.Options{
-		Host: s.Host, Table: s.Statuses, Prefix: s.Tables.VerdictsPrefix, Clock: g.storeClock, OnEvent: g.metrics.countGuardEvent, Log: log,
+		Host: s.Host, Table: s.StatusTable, Prefix: s.Tables.VerdictsPrefix, Clock: g.storeClock, OnEvent: g.metrics.countGuardEvent, Log: log,
 		OnTermination: func(i quarantine.Incarnation) { g.fleet.ejectEnded(exchange.IDHash(i)) },
 	})
 	g.transport = newTransport()
@@ -188,7 +188,7 @@
 // startWatchers starts the goroutines that keep the host's data up to date: the watchers of the
 // tables, the exchange with other hosts, the roll-outs and the periodic tasks.
 func (g *Gateway) startWatchers(ctx context.Context) *sync.WaitGroup {
-	tables, store := g.settings.Tables, g.settings.Source
+	tables, store := g.settings.Tables, g.settings.TableSource
 	link := feed.NewLink()
 	upstreamBatchDelay := time.Duration(upstreamBatchFraction * float64(g.settings.DrainTime))
 	// An entry that states that its upstream is leaving has to take effect within DrainTime.
@@ -223,8 +223,8 @@
 			Host: g.settings.Host, Zone: g.settings.Zone, Listen: peers.Listen, Seeds: peers.Seeds, Keys: peers.Keys,
 			FirstStart: peers.FirstStart, LinkMbps: peers.LinkMbps, Cores: peers.Cores,
 			Tables: watchers, Work: g.fleet.workInFlight, OnWork: g.fleet.setRemoteWork,
-			OnHostCount: func(n int) { g.hostCount.Store(int64(n)) },
-			Reads:       g.fleet.takeSentPrefixes, OnReads: g.fleet.addRemotePrefixes,
+			OnHostCount:  func(n int) { g.hostCount.Store(int64(n)) },
+			SentPrefixes: g.fleet.takeSentPrefixes, OnSentPrefixes: g.fleet.addRemotePrefixes,
 			RootGrants: g.fleet.LeaseGrants, OnHolding: g.fleet.SetHolding,
 			Limits: g.fleet.takeLimitUpdates, KnownLimits: g.fleet.currentLimits, OnLimits: g.fleet.applyLimits,
 			Timings: g.fleet.ownTimings, OnTimings: g.fleet.setRemoteTimings,
@@ -253,7 +253,7 @@
 	if _, received := g.rollouts.statuses.Age(); !received {
 		return true
 	}
-	return g.rollouts.hasUnfinished() || g.guard.Len() > 0 || g.peers == nil || !g.peers.ReceivesVerdicts()
+	return g.rollouts.hasUnfinished() || g.guard.VerdictCount() > 0 || g.peers == nil || !g.peers.ReceivesVerdicts()
 }
 
 // outageRecoveryWindow is the time after an outage of the store in which the removal of an entry is
@@ -264,7 +264,7 @@
 // storeRecentlyRecovered reports whether an outage of the store ended within the last
 // outageRecoveryWindow.
 func (g *Gateway) storeRecentlyRecovered() bool {
-	return g.upstreamWatcher != nil && g.upstreamWatcher.RecoveredWithin(outageRecoveryWindow)
+	return g.upstreamWatcher != nil && g.upstreamWatcher.UnreachableWithin(outageRecoveryWindow)
 }
 
 // storeClock returns the store's monotonic clock; 0 while it is unknown.
--- a/internal/gateway/helpers_test.go
+++ b/internal/gateway/helpers_test.go
@@ -52,7 +52,7 @@
 	t.Helper()
 	store := newFakeStore()
 	g := New(Settings{
-		Host: "h1", Zone: "z1", ReadyPath: "/ready", Source: store, Statuses: statusTable{store}, Tables: testTables(), Codec: testCodec(),
+		Host: "h1", Zone: "z1", ReadyPath: "/ready", TableSource: store, StatusTable: statusTable{store}, Tables: testTables(), Codec: testCodec(),
 		Headers: testHeaders(), AnyModel: "*", RetryRatio: 0.5, RetryWindow: 10 * time.Second,
 		CanaryShare: 0.2, AcceptConfidence: 50, StopTimeout: 2 * time.Second,
 	}, zerolog.Nop())
@@ -175,7 +175,7 @@
 
 // listUnreachable lists an upstream with an address where nothing listens.
 func (tg *testGateway) listUnreachable(id string) {
-	address, release, err := freeport.Refused("127.0.0.1")
+	address, release, err := freeport.RefusingAddress("127.0.0.1")
 	if err != nil {
 		tg.t.Fatal(err)
 	}
@@ -344,7 +344,7 @@
 	return nil, nil
 }
 
-func (s *fakeStore) List(_ context.Context, table, _ string, _ feed.Received) (feed.Page, error) {
+func (s *fakeStore) List(_ context.Context, table, _ string, _ feed.OnReceived) (feed.Page, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls["list "+table]++
@@ -358,7 +358,7 @@
 	return page, nil
 }
 
-func (s *fakeStore) Changes(ctx context.Context, table string, since storage.Revision, wait time.Duration, _ feed.Received) (feed.Page, error) {
+func (s *fakeStore) Changes(ctx context.Context, table string, since storage.Revision, wait time.Duration, _ feed.OnReceived) (feed.Page, error) {
 	deadline := time.After(wait)
 	s.mu.Lock()
 	s.calls["changes "+table]++
--- a/internal/gateway/incarnation_test.go
+++ b/internal/gateway/incarnation_test.go
@@ -82,7 +82,7 @@
 	f.ApplyEntry(engineStartedAt(secondStart), 2)
 	keys := promptCriteria().keys
 	f.setRemoteWork(exchange.Work{formerName: 900}, time.Now())
-	f.addRemotePrefixes(exchange.Reads{formerName: keys})
+	f.addRemotePrefixes(exchange.SentPrefixes{formerName: keys})
 	m := f.memberOf("svc", "e")
 	is.Equal(m.remainingRemoteWork(time.Now()), time.Duration(0))
 	is.Equal(m.cachedParts(keys), 0)
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -47,7 +47,7 @@
 func (tg *testGateway) lease(since time.Duration, of, roots int, ids ...string) {
 	var grants []ratelease.Grant
 	for _, id := range ids {
-		grants = append(grants, ratelease.Grant{Upstream: ratelease.NewUpstreamID(id), Parts: 1, Of: of})
+		grants = append(grants, ratelease.Grant{Upstream: ratelease.NewUpstreamID(id), Parts: 1, PartsPerRoot: of})
 	}
 	now := boottime.Now()
 	var holding ratelease.Holding
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -24,7 +24,7 @@
 	m := &gatewayMetrics{set: metrics.NewSet()}
 	m.verdicts = m.set.NewCounter("quetzalweir_gateway_verdicts_total")
 	m.startWaits = m.set.NewCounter("quetzalweir_gateway_start_waits_total")
-	m.set.NewGauge("quetzalweir_gateway_requests_quarantined", func() float64 { return float64(g.guard.Len()) })
+	m.set.NewGauge("quetzalweir_gateway_requests_quarantined", func() float64 { return float64(g.guard.VerdictCount()) })
 	m.set.NewGauge("quetzalweir_gateway_document_version", func() float64 {
 		if table := g.routingTable.Load(); table != nil {
 			return float64(table.Version)
@@ -45,7 +45,7 @@
 		if g.peers == nil {
 			return 0
 		}
-		return float64(g.peers.Followers())
+		return float64(g.peers.ReporterCount())
 	})
 	return m
 }
--- a/internal/gateway/notreached_test.go
+++ b/internal/gateway/notreached_test.go
@@ -99,7 +99,7 @@
 	near := tg.startUpstream("near", respondOK("near"))
 	tg.startUpstreamOf(Upstream{ID: "far", Zone: "z2", Version: "v1"}, respondOK("far"))
 	u := Upstream{ID: "near"}
-	tg.gateway.guard.ApplyStatus(exchange.QuarantineStatus{Ended: []exchange.Ending{{Incarnation: quarantine.Incarnation(u.exchangeHash()), Age: 100 * time.Millisecond}}})
+	tg.gateway.guard.ApplyStatus(exchange.QuarantineStatus{Terminated: []exchange.Termination{{Incarnation: quarantine.Incarnation(u.exchangeHash()), Age: 100 * time.Millisecond}}})
 	for range 5 {
 		is.Equal(tg.do(tg.newRequest("GET", "/many/x", "")).body, "far")
 	}
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -139,6 +139,6 @@
 	}
 	c := choice{criteria: crit}
 	s.place(list, &c, now)
-	u.Expected = c.placement.Expected
+	u.ExpectedTime = c.placement.ExpectedTime
 	return u, true
 }
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -258,7 +258,7 @@
 		route:    r.Route.Name,
 		upstream: c.upstream.ID,
 		isNew:    c.upstream.Version == sr.order.Version,
-		expected: c.placement.Expected,
+		expected: c.placement.ExpectedTime,
 	})
 	ro.evaluate(sr)
 }
--- a/internal/gateway/rollouts_test.go
+++ b/internal/gateway/rollouts_test.go
@@ -28,7 +28,7 @@
 	h.store.put("upstreams", "new", Upstream{Service: "svc", Version: "v2", Address: "127.0.0.1:2", Slots: 4})
 	for i := range n {
 		g := New(Settings{
-			Host: fmt.Sprint("h", i), Source: h.store, Statuses: statusTable{h.store}, Tables: testTables(), Codec: testCodec(),
+			Host: fmt.Sprint("h", i), TableSource: h.store, StatusTable: statusTable{h.store}, Tables: testTables(), Codec: testCodec(),
 			Headers: testHeaders(), CanaryShare: 0.3, DrainTime: 2 * time.Second,
 		}, zerolog.Nop())
 		group := g.startWatchers(ctx)
@@ -248,7 +248,7 @@
 		h.order("v2", time.Minute)
 		h.store.put("status", "order/svc", RolloutStatus{Service: "svc", Version: "v2", State: state, OrderRevision: h.store.revision})
 		again := &rolloutHosts{store: h.store}
-		g := New(Settings{Source: h.store, Statuses: statusTable{h.store}, Tables: testTables(), Codec: testCodec(), Headers: testHeaders()}, zerolog.Nop())
+		g := New(Settings{TableSource: h.store, StatusTable: statusTable{h.store}, Tables: testTables(), Codec: testCodec(), Headers: testHeaders()}, zerolog.Nop())
 		ctx, cancel := context.WithCancel(context.Background())
 		group := g.startWatchers(ctx)
 		again.hosts = []*Gateway{g}
--- a/internal/gateway/rolloutstatus.go
+++ b/internal/gateway/rolloutstatus.go
@@ -82,9 +82,9 @@
 	switch {
 	case ro.hasFollowers():
 		return rand.N(hubWriteSpread)
-	case ro.statuses.UsesRelay() && final:
+	case ro.statuses.HasFreshUpdate() && final:
 		return followerFinalWriteDelay + rand.N(followerFinalWriteDelay)
-	case ro.statuses.UsesRelay():
+	case ro.statuses.HasFreshUpdate():
 		return followerWriteDelay + rand.N(firstWriteSpread)
 	case next == RolloutReverted:
 		return 0 // without a hub, the other hosts may not have the evidence to stop the version
@@ -158,7 +158,7 @@
 		return err
 	}
 	key := ro.settings.Tables.OrdersPrefix + next.Service
-	_, err = ro.settings.Statuses.Commit(ctx, storage.Txn{
+	_, err = ro.settings.StatusTable.Commit(ctx, storage.Txn{
 		Conditions: []storage.Condition{{Key: key, Version: uint64(expected)}},
 		Puts:       []storage.Put{{Key: key, Value: data}},
 	})
--- a/internal/gateway/scale_test.go
+++ b/internal/gateway/scale_test.go
@@ -37,7 +37,7 @@
 	is.Equal(len(s.inUse), 0)
 
 	m := f.memberOf("svc", c.upstream.ID)
-	s.coldBound = ratelease.Bound{Rate: 10, Overrun: 1.5}
+	s.coldBound = ratelease.ColdBound{Rate: 10, Overrun: 1.5}
 	m.markCold(time.Minute, coldReasonEntry, f.log)
 	is.Equal(len(s.coldOrLimited), 1)
 	f.logEndedRestrictions()
@@ -182,7 +182,7 @@
 func TestRemotePrefixesAreBounded(t *testing.T) {
 	is := is.New(t)
 	f := largeFleet(12_000, 5)
-	reads := make(exchange.Reads)
+	reads := make(exchange.SentPrefixes)
 	key := placement.PrefixKey(0)
 	for i := range 12_000 {
 		for range 4 {
--- a/internal/gateway/sendpolicy.go
+++ b/internal/gateway/sendpolicy.go
@@ -38,7 +38,7 @@
 // SetHolding sets the leases of this host and the time at which a root hub last confirmed them. It
 // is called for each reply from a hub.
 func (f *Fleet) SetHolding(h ratelease.Holding, confirmedAt time.Time) {
-	c := f.policy.currentContact().Answered(boottime.Now(), confirmedAt)
+	c := f.policy.currentContact().WithReply(boottime.Now(), confirmedAt)
 	f.policy.holding.Store(&h)
 	f.policy.hubContact.Store(&c)
 }
@@ -108,7 +108,7 @@
 		for m := range s.coldOrLimited {
 			parts := m.leaseParts(roots, now)
 			if parts > 0 && m.inService(now, f.removalGrace) && !f.policy.isEvacuated(m.Zone) {
-				grants = append(grants, ratelease.Grant{Upstream: m.leaseID, Parts: parts, Of: parts})
+				grants = append(grants, ratelease.Grant{Upstream: m.leaseID, Parts: parts, PartsPerRoot: parts})
 			}
 		}
 	})
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -26,11 +26,11 @@
 
 	// Source reads the tables that the gateway follows; Statuses is the table to which it writes
 	// the statuses of roll-outs.
-	Source   feed.Source
-	Statuses storage.Table
-	Tables   Tables
-	Codec    Codec
-	Headers  Headers
+	TableSource feed.Source
+	StatusTable storage.Table
+	Tables      Tables
+	Codec       Codec
+	Headers     Headers
 	// AnyModel is the model name by which callers leave the choice of the model to the gateway.
 	AnyModel string
 
--- a/internal/gateway/start_memory_test.go
+++ b/internal/gateway/start_memory_test.go
@@ -19,11 +19,11 @@
 	pages chan []feed.Row
 }
 
-func (s *pagedStore) List(context.Context, string, string, feed.Received) (feed.Page, error) {
+func (s *pagedStore) List(context.Context, string, string, feed.OnReceived) (feed.Page, error) {
 	return feed.Page{}, nil
 }
 
-func (s *pagedStore) Changes(ctx context.Context, _ string, since storage.Revision, _ time.Duration, _ feed.Received) (feed.Page, error) {
+func (s *pagedStore) Changes(ctx context.Context, _ string, since storage.Revision, _ time.Duration, _ feed.OnReceived) (feed.Page, error) {
 	select {
 	case rows := <-s.pages:
 		return feed.Page{Rows: rows, Revision: rows[len(rows)-1].Revision}, nil
@@ -35,11 +35,11 @@
 // emptyStore is a store whose table is empty and never changes.
 type emptyStore struct{}
 
-func (emptyStore) List(context.Context, string, string, feed.Received) (feed.Page, error) {
+func (emptyStore) List(context.Context, string, string, feed.OnReceived) (feed.Page, error) {
 	return feed.Page{}, nil
 }
 
-func (emptyStore) Changes(ctx context.Context, _ string, _ storage.Revision, _ time.Duration, _ feed.Received) (feed.Page, error) {
+func (emptyStore) Changes(ctx context.Context, _ string, _ storage.Revision, _ time.Duration, _ feed.OnReceived) (feed.Page, error) {
 	<-ctx.Done()
 	return feed.Page{}, ctx.Err()
 }
--- a/internal/gateway/statusrows.go
+++ b/internal/gateway/statusrows.go
@@ -31,14 +31,14 @@
 		keys[row.Key] = true
 		h.Change(row)
 	}
-	h.gateway.guard.LiftMissingRows(keys)
+	h.gateway.guard.DropMissingVerdicts(keys)
 }
 
 // applyVerdict applies the row of a quarantine verdict. A row that can't be decoded is ignored.
 func (h *statusRows) applyVerdict(row feed.Row) {
 	var err error
 	if row.Deleted {
-		err = h.gateway.guard.RowRemoved(row.Key)
+		err = h.gateway.guard.ApplyRowRemoval(row.Key)
 	} else {
 		err = h.gateway.guard.ApplyRow(row.Key, row.Data, row.Revision)
 	}
--- a/internal/gateway/suspend_test.go
+++ b/internal/gateway/suspend_test.go
@@ -87,10 +87,10 @@
 		tg := newTestGateway(t, testDocument())
 		statuses := tg.gateway.rollouts.statuses
 		statuses.Offer(feed.Update{Revision: 1, Complete: true, Clock: time.Minute}, boottime.Now())
-		is.True(statuses.UsesRelay())
+		is.True(statuses.HasFreshUpdate())
 		clock := statuses.StoreClock()
 		endSuspension := boottime.SimulateSuspension(d + time.Second)
-		is.True(!statuses.UsesRelay())
+		is.True(!statuses.HasFreshUpdate())
 		is.True(statuses.StoreClock()-clock >= d) // the store's clock advanced
 		endSuspension()
 	}
--- a/internal/gateway/work.go
+++ b/internal/gateway/work.go
@@ -124,7 +124,7 @@
 func (m *member) remainingRemoteWork(now time.Time) time.Duration {
 	s := m.shard
 	age := now.Sub(s.remoteWorkAt)
-	if age > exchange.WorkAge {
+	if age > exchange.MaxWorkAge {
 		return 0
 	}
 	return max(0, time.Duration(s.remoteWork[m.idHash]*float64(time.Millisecond))-age)
@@ -221,8 +221,8 @@
 
 // takeSentPrefixes returns the shared prefixes that this host sent for the first time to each
 // upstream since the last call.
-func (f *Fleet) takeSentPrefixes() exchange.Reads {
-	prefixes := make(exchange.Reads)
+func (f *Fleet) takeSentPrefixes() exchange.SentPrefixes {
+	prefixes := make(exchange.SentPrefixes)
 	f.eachShard(func(s *shard) {
 		maps.Copy(prefixes, s.sentPrefixes)
 		clear(s.sentPrefixes)
@@ -231,7 +231,7 @@
 }
 
 // addRemotePrefixes records the prefixes that other hosts sent to the upstreams.
-func (f *Fleet) addRemotePrefixes(prefixes exchange.Reads) {
+func (f *Fleet) addRemotePrefixes(prefixes exchange.SentPrefixes) {
 	f.eachShard(func(s *shard) {
 		for name, keys := range prefixes {
 			if m := s.membersByHash[name]; m != nil {
@@ -263,7 +263,7 @@
 // since the load that upstreams report with their answers is more accurate then.
 func (m *member) totalWork(now time.Time) (float64, bool) {
 	s := m.shard
-	if s.meanRequestTime < exchange.Interval || now.Sub(s.remoteWorkAt) > exchange.WorkAge {
+	if s.meanRequestTime < exchange.Interval || now.Sub(s.remoteWorkAt) > exchange.MaxWorkAge {
 		return 0, false
 	}
 	return m.ownWork(now) + s.remoteWork[m.idHash], true
--- a/internal/gateway/work_test.go
+++ b/internal/gateway/work_test.go
@@ -140,7 +140,7 @@
 		{"of this zone, recent", "z1", time.Second, now, true},
 		{"of another zone", "z2", time.Second, now, true},
 		{"never received", "z1", time.Second, time.Time{}, false},
-		{"too old", "z1", time.Second, now.Add(-exchange.WorkAge - time.Millisecond), false},
+		{"too old", "z1", time.Second, now.Add(-exchange.MaxWorkAge - time.Millisecond), false},
 		{"requests shorter than the interval", "z1", 50 * time.Millisecond, now, false},
 	}
 	for _, test := range tests {
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -157,7 +157,7 @@
 		g.register.Add(v, now)
 		g.options.OnEvent(CountVerdict, "")
 		g.log.Warn().Str("event", "request-judged").Stringer("digest", f.Digest).Int("events", f.Events).
-			Int("upstreams", f.Upstreams).Int("lost", f.UnexplainedTerminations).Int64("until_ms", v.Until.Milliseconds()).Msg("")
+			Int("upstreams", f.Upstreams).Int("lost", f.UnexplainedTerminations).Int64("until_ms", v.ExpiresAt.Milliseconds()).Msg("")
 		g.notifyWaiting()
 	}
 }
@@ -165,8 +165,8 @@
 // applyVerdict processes a new verdict that came from another host or from the store.
 func (g *Guard) applyVerdict(v quarantine.Verdict, source string) {
 	g.tracker.SetVerdict(v.Digest)
-	g.log.Warn().Str("event", "request-judged-elsewhere").Stringer("digest", v.Digest).Str("by", v.By).Str("from", source).
-		Int("events", v.Events).Int("upstreams", v.Upstreams).Int64("until_ms", v.Until.Milliseconds()).Msg("")
+	g.log.Warn().Str("event", "request-judged-elsewhere").Stringer("digest", v.Digest).Str("by", v.MadeBy).Str("from", source).
+		Int("events", v.Events).Int("upstreams", v.Upstreams).Int64("until_ms", v.ExpiresAt.Milliseconds()).Msg("")
 	g.notifyWaiting()
 }
 
@@ -199,7 +199,7 @@
 		}
 		g.addLoss(loss)
 		g.verdictRows.renewIfTried(d)
-		if n := g.tracker.Events(d, now); n > 1 {
+		if n := g.tracker.EventCount(d, now); n > 1 {
 			g.log.Warn().Str("event", "request-suspected").Stringer("digest", d).Int("events", n).Str("upstream", u.ID).Msg("")
 		}
 	}
@@ -224,7 +224,7 @@
 // eventCount returns the number of events in which upstreams terminated with the request. It is
 // the number found by this host's tracker or the number sent by its hub, whichever is higher.
 func (g *Guard) eventCount(d quarantine.Digest, now time.Duration) int {
-	n := g.tracker.Events(d, now)
+	n := g.tracker.EventCount(d, now)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if suspect, ok := g.hubSuspects[d]; ok && now-suspect.reportedAt < hubSuspectTTL {
@@ -238,8 +238,8 @@
 	// Version is called if no request with a verdict explains the interruption, so that only the
 	// upstream's version can be the cause. Request is called if such a request ran at the
 	// upstream when it terminated; it may be nil.
-	Version func()
-	Request func()
+	OnVersionCause func()
+	OnRequestCause func()
 }
 
 // AttributeInterruption finds the cause of an interrupted response of the upstream and calls the
@@ -248,15 +248,15 @@
 func (g *Guard) AttributeInterruption(u Upstream, callbacks Attribution) {
 	time.AfterFunc(checkDuration, func() {
 		if !g.runs.hasTerminated(u) {
-			callbacks.Version()
+			callbacks.OnVersionCause()
 			return
 		}
 		time.AfterFunc(verdictWait, func() {
 			switch {
 			case !g.tracker.Explained(u.Incarnation):
-				callbacks.Version()
-			case callbacks.Request != nil:
-				callbacks.Request()
+				callbacks.OnVersionCause()
+			case callbacks.OnRequestCause != nil:
+				callbacks.OnRequestCause()
 			}
 		})
 	})
@@ -266,4 +266,4 @@
 func (g *Guard) Verdicts() []quarantine.Entry { return g.register.All() }
 
 // Len returns the number of verdicts.
-func (g *Guard) Len() int { return g.register.Len() }
+func (g *Guard) VerdictCount() int { return g.register.Len() }
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -75,7 +75,7 @@
 			t.Fatal(err)
 		}
 	}
-	g.LiftMissingRows(keys)
+	g.DropMissingVerdicts(keys)
 }
 
 // terminateWith records that the given number of upstreams terminated with the request, 200 ms
@@ -92,7 +92,7 @@
 	g := newTestGuard(host, table)
 	g.terminateWith(d, 1, 3)
 	g.makeVerdicts()
-	if g.Len() != 1 {
+	if g.VerdictCount() != 1 {
 		t.Fatal("no verdict was made")
 	}
 	return g
@@ -267,7 +267,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx := t.Context()
-		g := newTestGuard("h", memory.New())
+		g := newTestGuard("h", memory.NewTable())
 		start := time.Now()
 		for range 100 {
 			is.NoErr(g.Admit(ctx, digest(1), "svc"))
@@ -337,7 +337,7 @@
 // by the removal of its row.
 func TestVerdictsAreStored(t *testing.T) {
 	is := is.New(t)
-	table, d := memory.New(), digest(1)
+	table, d := memory.NewTable(), digest(1)
 	g := guardWithVerdict(t, "h1", table, d)
 	is.True(errors.Is(g.Admit(t.Context(), d, "svc"), ErrQuarantined))
 	g.verdictRows.writeMissing(t.Context(), true)
@@ -363,7 +363,7 @@
 // within takeoverAge, another host that makes verdicts does.
 func TestVerdictWhileTheStoreIsUnavailable(t *testing.T) {
 	is := is.New(t)
-	table, d := memory.New(), digest(1)
+	table, d := memory.NewTable(), digest(1)
 	g := guardWithVerdict(t, "h1", table, d)
 	undo := boottime.SimulateSuspension(time.Minute)
 	t.Cleanup(undo)
@@ -388,7 +388,7 @@
 // the verdict is renewed with a longer term; if it is answered, the verdict is withdrawn.
 func TestTrial(t *testing.T) {
 	is := is.New(t)
-	table, d := memory.New(), digest(1)
+	table, d := memory.NewTable(), digest(1)
 	a := guardWithVerdict(t, "h1", table, d)
 	a.verdictRows.writeMissing(t.Context(), true)
 	b := newTestGuard("h2", table)
@@ -411,7 +411,7 @@
 	}
 	until := func() time.Duration {
 		e, _ := a.register.Get(d)
-		return e.Until
+		return e.ExpiresAt
 	}
 
 	advance(11 * time.Minute)
@@ -442,13 +442,13 @@
 // The row of a verdict is removed if its request wasn't received for a week after the expiry.
 func TestUnusedVerdictsAreRemoved(t *testing.T) {
 	is := is.New(t)
-	table := memory.New()
+	table := memory.NewTable()
 	g := guardWithVerdict(t, "h1", table, digest(1))
 	g.verdictRows.writeMissing(t.Context(), true)
 	g.advance(8 * 24 * time.Hour)
 	t.Cleanup(boottime.SimulateSuspension(2 * cleanupInterval))
 	g.verdictRows.writeMissing(t.Context(), true)
-	is.Equal(g.Len(), 0)
+	is.Equal(g.VerdictCount(), 0)
 	_, err := table.Get(t.Context(), "quarantine/"+digest(1).String())
 	is.True(errors.Is(err, storage.ErrNotFound))
 }
@@ -457,19 +457,19 @@
 // nothing.
 func TestUnreadableRows(t *testing.T) {
 	is := is.New(t)
-	g := newTestGuard("h", memory.New())
+	g := newTestGuard("h", memory.NewTable())
 	is.True(g.ApplyRow("quarantine/zz", []byte("{}"), 1) != nil)
 	is.True(g.ApplyRow("quarantine/"+digest(1).String(), []byte("["), 1) != nil)
 	is.True(g.ApplyRow("quarantine/"+digest(1).String(), []byte(`{"digest":"`+digest(2).String()+`","until_ms":1}`), 1) != nil)
-	is.True(g.RowRemoved("quarantine/zz") != nil)
-	is.Equal(g.Len(), 0)
+	is.True(g.ApplyRowRemoval("quarantine/zz") != nil)
+	is.Equal(g.VerdictCount(), 0)
 }
 
 // A suspect that the hub sent isn't one for a host that answered the request after the suspect's
 // first event. The host reports the answer to the hub, where the request stops being a suspect.
 func TestLocallyAnsweredSuspect(t *testing.T) {
 	is := is.New(t)
-	hub, host := newTestGuard("hub", memory.New()), newTestGuard("host", memory.New())
+	hub, host := newTestGuard("hub", memory.NewTable()), newTestGuard("host", memory.NewTable())
 	d := digest(1)
 	hub.terminateWith(d, 1, 2)
 	host.recordSurvival(d)
@@ -495,7 +495,7 @@
 // the suspect's age with every message, so that both keep it forever.
 func TestExchangedSuspectsExpire(t *testing.T) {
 	is := is.New(t)
-	a, b := newTestGuard("a", memory.New()), newTestGuard("b", memory.New())
+	a, b := newTestGuard("a", memory.NewTable()), newTestGuard("b", memory.NewTable())
 	d := digest(1)
 	a.terminateWith(d, 1, 2)
 	for range 10 {
@@ -513,7 +513,7 @@
 // The status for followers is cached, and built again after statusCacheTTL.
 func TestStatusIsCached(t *testing.T) {
 	is := is.New(t)
-	g := newTestGuard("h", memory.New())
+	g := newTestGuard("h", memory.NewTable())
 	is.True(g.Status().IsZero())
 	g.terminateWith(digest(1), 1, 2)
 	is.True(g.Status().IsZero())
@@ -548,7 +548,7 @@
 // host that are recorded already aren't forwarded.
 func TestRecentSightings(t *testing.T) {
 	is := is.New(t)
-	g := newTestGuard("h", memory.New())
+	g := newTestGuard("h", memory.NewTable())
 	g.terminateWith(digest(1), 1, 2)
 	is.Equal(len(g.Sightings().Losses), 2)
 	is.Equal(len(g.Sightings().Losses), 0)
@@ -564,10 +564,10 @@
 func TestAttributeInterruption(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		g := newTestGuard("h", memory.New())
+		g := newTestGuard("h", memory.NewTable())
 		attributed := make(chan string, 10)
 		alive := Upstream{ID: "lives", Incarnation: 100}
-		g.AttributeInterruption(alive, Attribution{Version: func() { attributed <- "lives" }})
+		g.AttributeInterruption(alive, Attribution{OnVersionCause: func() { attributed <- "lives" }})
 		time.Sleep(checkDelay + checkTimeout + time.Millisecond)
 		is.Equal(<-attributed, "lives") // the response was interrupted, but the upstream is alive
 
@@ -577,18 +577,18 @@
 			g.Begin(u, d)
 			g.runs.upstreams[incarnation].terminatedAt = boottime.Now()
 			g.recordTermination(u, 0, []candidateRun{{digest: d, ran: time.Second}})
-			g.AttributeInterruption(u, Attribution{Version: func() { attributed <- "ended" }})
+			g.AttributeInterruption(u, Attribution{OnVersionCause: func() { attributed <- "ended" }})
 			time.Sleep(100 * time.Millisecond)
 		}
 		other := Upstream{ID: "other", Service: "svc", Incarnation: 200}
 		g.Begin(other, digest(2))
 		g.runs.upstreams[200].terminatedAt = boottime.Now()
 		g.recordTermination(other, 0, []candidateRun{{digest: digest(2), ran: time.Second}})
-		g.AttributeInterruption(other, Attribution{Version: func() { attributed <- "other" }})
+		g.AttributeInterruption(other, Attribution{OnVersionCause: func() { attributed <- "other" }})
 		time.Sleep(quarantine.SettleDelay + time.Millisecond)
 		g.makeVerdicts()
 		time.Sleep(2 * verdictWait)
-		is.Equal(g.Len(), 1)
+		is.Equal(g.VerdictCount(), 1)
 		is.Equal(len(attributed), 1)
 		is.Equal(<-attributed, "other")
 	})
--- a/internal/guard/hubexchange.go
+++ b/internal/guard/hubexchange.go
@@ -199,7 +199,7 @@
 		}
 		kept = append(kept, known)
 		if explained := g.tracker.Explained(known.incarnation); explained || now-known.recordedAt < terminationTTL {
-			s.Ended = append(s.Ended, exchange.Ending{Incarnation: known.incarnation, Age: now - known.terminatedAt, Explained: explained})
+			s.Terminated = append(s.Terminated, exchange.Termination{Incarnation: known.incarnation, Age: now - known.terminatedAt, Explained: explained})
 		}
 	}
 	g.terminations = kept
@@ -209,7 +209,7 @@
 // ApplyStatus implements exchange.Quarantine.
 func (g *Guard) ApplyStatus(s exchange.QuarantineStatus) {
 	now := boottime.Elapsed()
-	for _, e := range s.Ended {
+	for _, e := range s.Terminated {
 		if e.Explained {
 			g.tracker.MarkExplained(e.Incarnation, now-e.Age)
 		}
--- a/internal/guard/verdictrows.go
+++ b/internal/guard/verdictrows.go
@@ -95,7 +95,7 @@
 }
 
 // RowRemoved processes the removal of a verdict's row from the store.
-func (g *Guard) RowRemoved(key string) error {
+func (g *Guard) ApplyRowRemoval(key string) error {
 	d, err := g.verdictRows.digestFromKey(key)
 	if err != nil {
 		return err
@@ -111,7 +111,7 @@
 
 // LiftMissingRows drops the verdicts that were stored and whose row isn't among the keys, which
 // are those of all rows in the store.
-func (g *Guard) LiftMissingRows(keys map[string]bool) { g.verdictRows.dropMissing(keys) }
+func (g *Guard) DropMissingVerdicts(keys map[string]bool) { g.verdictRows.dropMissing(keys) }
 
 // digestFromKey returns the digest in a row's key.
 func (v *verdictRows) digestFromKey(key string) (quarantine.Digest, error) {
@@ -147,7 +147,7 @@
 			return false
 		}
 		t.sent = true
-		v.log.Info().Str("event", "quarantine-trial").Stringer("digest", e.Digest).Int("trial", e.Trials).Msg("")
+		v.log.Info().Str("event", "quarantine-trial").Stringer("digest", e.Digest).Int("trial", e.TrialCount).Msg("")
 		return true
 	}
 	if e.InForce(v.clock()) {
@@ -214,7 +214,7 @@
 	}
 	wrote := false
 	for _, e := range v.register.All() {
-		own := e.By == v.host
+		own := e.MadeBy == v.host
 		takeover := makesVerdicts && boottime.Elapsed()-e.ReceivedAt > takeoverAge
 		if e.Unsaved() && (own || takeover) {
 			wrote = true
--- a/internal/logline/bounded.go
+++ b/internal/logline/bounded.go
@@ -13,7 +13,7 @@
 
 // Bounded is a writer that queues lines and writes them to its output in the background. If the
 // queue is full, it drops and counts further lines, so that Write never blocks.
-type Bounded struct {
+type BoundedWriter struct {
 	out       io.Writer
 	lines     chan []byte
 	dropped   atomic.Uint64
@@ -22,14 +22,14 @@
 }
 
 // NewBounded returns a writer to out. Close stops it.
-func NewBounded(out io.Writer) *Bounded {
-	b := &Bounded{out: out, lines: make(chan []byte, queueLines), drained: make(chan struct{})}
+func NewBoundedWriter(out io.Writer) *BoundedWriter {
+	b := &BoundedWriter{out: out, lines: make(chan []byte, queueLines), drained: make(chan struct{})}
 	go b.run()
 	return b
 }
 
 // Write implements io.Writer; it never blocks and never fails.
-func (b *Bounded) Write(line []byte) (int, error) {
+func (b *BoundedWriter) Write(line []byte) (int, error) {
 	select {
 	case b.lines <- append([]byte(nil), line...):
 	default:
@@ -39,15 +39,15 @@
 }
 
 // Dropped returns the number of dropped lines.
-func (b *Bounded) Dropped() uint64 { return b.dropped.Load() }
+func (b *BoundedWriter) Dropped() uint64 { return b.dropped.Load() }
 
 // Close writes the queued lines and stops the writer. Write must not be called after it.
-func (b *Bounded) Close() {
+func (b *BoundedWriter) Close() {
 	b.closeOnce.Do(func() { close(b.lines) })
 	<-b.drained
 }
 
-func (b *Bounded) run() {
+func (b *BoundedWriter) run() {
 	defer close(b.drained)
 	reportedDrops := uint64(0)
 	for line := range b.lines {
--- a/internal/pause/example_test.go
+++ b/internal/pause/example_test.go
@@ -12,8 +12,8 @@
 
 func Example() {
 	ctx := context.Background()
-	process := pause.New()
-	table := process.TableFailingAfterKill(memory.New())
+	process := pause.NewProcess()
+	table := process.TableFailingAfterKill(memory.NewTable())
 
 	process.Pause()
 	done := make(chan error)
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -24,7 +24,7 @@
 }
 
 // New returns a running process.
-func New() *Process {
+func NewProcess() *Process {
 	p := &Process{running: make(chan struct{})}
 	close(p.running)
 	return p
--- a/internal/peer/membership_transport_test.go
+++ b/internal/peer/membership_transport_test.go
@@ -28,7 +28,7 @@
 		c := newClient(t, ClientOptions{Self: id, Keys: keys})
 		m, err := membership.New(membership.Options{
 			Self: membership.Member{ID: id, Zone: "z", PeerAddr: s.Addr()}, Seeds: []string{seed},
-			Transport: NewMembershipTransport(c), Interval: 20 * time.Millisecond, SyncInterval: 20 * time.Millisecond,
+			Transport: NewMembershipTransport(c), RoundInterval: 20 * time.Millisecond, SyncInterval: 20 * time.Millisecond,
 		})
 		is.NoErr(err)
 		HandleMembership(s, m)
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -61,14 +61,14 @@
 type Reader struct {
 	io.Reader
 	// Received is called with the size of each part, in bytes.
-	Received func(bytes int)
+	OnReceived func(bytes int)
 }
 
 // Read implements io.Reader.
 func (r Reader) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p[:min(len(p), maxPartBytes)])
 	if n > 0 {
-		r.Received(n)
+		r.OnReceived(n)
 	}
 	return n, err
 }
--- a/internal/stall/stall_test.go
+++ b/internal/stall/stall_test.go
@@ -55,7 +55,7 @@
 func TestReaderReportsEachPart(t *testing.T) {
 	is := is.New(t)
 	total := 0
-	data, err := io.ReadAll(stall.Reader{Reader: strings.NewReader("answer"), Received: func(n int) { total += n }})
+	data, err := io.ReadAll(stall.Reader{Reader: strings.NewReader("answer"), OnReceived: func(n int) { total += n }})
 	is.NoErr(err)
 	is.Equal(string(data), "answer")
 	is.Equal(total, len(data))
@@ -86,8 +86,8 @@
 		ctx, guard := stall.WithTimeout(t.Context(), silence)
 		defer guard.Stop()
 		data, err := io.ReadAll(stall.Reader{
-			Reader:   &fillingReader{left: size, rate: rate},
-			Received: func(int) { guard.Progress(silence) },
+			Reader:     &fillingReader{left: size, rate: rate},
+			OnReceived: func(int) { guard.Progress(silence) },
 		})
 		is.NoErr(err)
 		is.NoErr(ctx.Err())
--- a/internal/standin/cut/cut.go
+++ b/internal/standin/cut/cut.go
@@ -80,7 +80,7 @@
 }
 
 // Now aborts the HTTP handler that calls it, which closes its connection.
-func Now() {
+func Abort() {
 	panic(http.ErrAbortHandler)
 }
 
@@ -88,11 +88,11 @@
 // has a cut at AfterHead or MidBody.
 func (c *Cutter) ReadBody(r *http.Request) ([]byte, error) {
 	if c.Take(AfterHead) {
-		Now()
+		Abort()
 	}
 	if c.Take(MidBody) {
 		_, _ = io.CopyN(io.Discard, r.Body, r.ContentLength/2)
-		Now()
+		Abort()
 	}
 	return io.ReadAll(r.Body)
 }
--- a/internal/standin/cut/cut_test.go
+++ b/internal/standin/cut/cut_test.go
@@ -69,7 +69,7 @@
 	got, err = io.ReadAll(clientConn)
 	is.NoErr(err)
 	is.Equal(string(got), "xy")
-	requestBytes, answerBytes := listener.Passed()
+	requestBytes, answerBytes := listener.BytesPassed()
 	is.Equal(requestBytes, int64(3))
 	is.Equal(answerBytes, int64(2))
 }
--- a/internal/standin/cut/limit.go
+++ b/internal/standin/cut/limit.go
@@ -18,14 +18,14 @@
 type LimitListener struct {
 	net.Listener
 	// Plan returns the limits of the next connection.
-	Plan func() Limits
+	NextLimits func() Limits
 
 	requestBytes, answerBytes atomic.Int64
 }
 
 // Passed returns the total number of bytes read from (requests) and written to
 // (answers) all connections.
-func (l *LimitListener) Passed() (requestBytes, answerBytes int64) {
+func (l *LimitListener) BytesPassed() (requestBytes, answerBytes int64) {
 	return l.requestBytes.Load(), l.answerBytes.Load()
 }
 
@@ -35,7 +35,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &limitConn{Conn: conn, listener: l, remaining: l.Plan()}, nil
+	return &limitConn{Conn: conn, listener: l, remaining: l.NextLimits()}, nil
 }
 
 // limitConn is the server side of a connection.
--- a/internal/standin/engine/answer.go
+++ b/internal/standin/engine/answer.go
@@ -12,7 +12,7 @@
 
 // BadMark is the prefix of every answer of a version with the fault Bad, so
 // that the rater's stand-in can give the answer a low score.
-const BadMark = "[bad]"
+const BadAnswerPrefix = "[bad]"
 
 // lengthPrefix is the prefix of a word in a prompt that sets the length of the
 // answer, for example "tokens=200".
@@ -63,7 +63,7 @@
 
 // ExpectedBadAnswer returns the answer of a version with the fault Bad.
 func ExpectedBadAnswer(model, version, prompt string) string {
-	return BadMark + " " + ExpectedAnswer(model, version, prompt)
+	return BadAnswerPrefix + " " + ExpectedAnswer(model, version, prompt)
 }
 
 // answerTokens returns the tokens of the answer: words with a trailing space,
--- a/internal/standin/engine/completions.go
+++ b/internal/standin/engine/completions.go
@@ -91,8 +91,8 @@
 	ctx, cancel := context.WithCancel(e.ctx)
 	j := newJob(requestID, req.Model, cancel)
 	e.jobs.put(j)
-	if e.opts.Fatal != "" && strings.Contains(req.prompt(), e.opts.Fatal) {
-		time.AfterFunc(e.opts.FatalAfter, e.opts.End)
+	if e.opts.PoisonText != "" && strings.Contains(req.prompt(), e.opts.PoisonText) {
+		time.AfterFunc(e.opts.PoisonDelay, e.opts.OnPoison)
 	}
 	e.runs.Add(1)
 	go func() {
@@ -101,7 +101,7 @@
 		e.run(ctx, j, req.prompt())
 	}()
 	if e.cutter.Take(cut.BeforeAnswer) {
-		cut.Now()
+		cut.Abort()
 	}
 	e.writeHeaders(w, j)
 	e.sendFrames(w, r, j, 0, false)
--- a/internal/standin/engine/deliver.go
+++ b/internal/standin/engine/deliver.go
@@ -131,7 +131,7 @@
 		return
 	}
 	_ = http.NewResponseController(d.w).Flush()
-	cut.Now()
+	cut.Abort()
 }
 
 func writeEvent(w http.ResponseWriter, id string, data []byte) {
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -130,12 +130,12 @@
 		state = storage.HostLeaving
 	}
 	return storage.Host{
-		ID:      e.opts.ID,
-		Kind:    storage.KindEngine,
-		Name:    e.opts.Name,
-		Zone:    e.opts.Zone,
-		Address: e.Address(),
-		State:   state,
-		Fenced:  e.opts.Fenced,
+		ID:            e.opts.ID,
+		Kind:          storage.KindEngine,
+		Name:          e.opts.Name,
+		Zone:          e.opts.Zone,
+		Address:       e.Address(),
+		State:         state,
+		ChecksFencing: e.opts.Fenced,
 	}
 }
--- a/internal/standin/engine/model_test.go
+++ b/internal/standin/engine/model_test.go
@@ -151,7 +151,7 @@
 	e := New(Options{Versions: []string{"m@1", "m@2"}})
 	defer e.Close()
 	is.Equal(serve(e, "POST", "/faults", `{"versions":{"m@1":{"bad":true},"m@2":{"error_rate":1}}}`).Code, http.StatusNoContent)
-	is.True(strings.Contains(complete(e, "r1", "m@1", "p", 0).Body.String(), BadMark))
+	is.True(strings.Contains(complete(e, "r1", "m@1", "p", 0).Body.String(), BadAnswerPrefix))
 	is.Equal(complete(e, "r2", "m@2", "p", 0).Code, http.StatusInternalServerError)
 	is.Equal(e.Arrival("r2").Began, 1)
 	is.Equal(serve(e, "POST", "/faults", `{"unknown":1}`).Code, http.StatusBadRequest)
--- a/internal/standin/engine/options.go
+++ b/internal/standin/engine/options.go
@@ -60,9 +60,9 @@
 	// Fatal is a text that makes a request a poison request: End is called
 	// FatalAfter after the start of a run whose prompt contains it. Default:
 	// none.
-	Fatal      string
-	FatalAfter time.Duration
-	End        func()
+	PoisonText  string
+	PoisonDelay time.Duration
+	OnPoison    func()
 	// AnswerRetention is how long a complete answer can be resumed. Default:
 	// 30 s.
 	AnswerRetention time.Duration
--- a/internal/standin/engine/run.go
+++ b/internal/standin/engine/run.go
@@ -20,7 +20,7 @@
 	}
 	tokens := answerTokens(j.modelVersion, prompt)
 	if e.faults.get().Versions[j.modelVersion].Bad {
-		tokens = append([]string{BadMark + " "}, tokens...)
+		tokens = append([]string{BadAnswerPrefix + " "}, tokens...)
 	}
 	for _, token := range tokens {
 		e.faults.waitWhileStalled()
--- a/internal/standin/freeport/refused_test.go
+++ b/internal/standin/freeport/refused_test.go
@@ -13,7 +13,7 @@
 // port that the system chooses.
 func TestRefused(t *testing.T) {
 	is := is.New(t)
-	address, release, err := Refused("127.0.0.1")
+	address, release, err := RefusingAddress("127.0.0.1")
 	is.NoErr(err)
 	for range 1000 {
 		other, err := net.Listen("tcp", "127.0.0.1:0")
@@ -33,6 +33,6 @@
 
 func TestRefusedNeedsIPv4(t *testing.T) {
 	is := is.New(t)
-	_, _, err := Refused("::1")
+	_, _, err := RefusingAddress("::1")
 	is.True(errors.Is(err, ErrNotIPv4))
 }
--- a/internal/standin/platformd/calls.go
+++ b/internal/standin/platformd/calls.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return response{}, err
 	}
-	return response{json: protocol.Rows{Rows: rows}}, nil
+	return response{json: protocol.RowsResponse{Rows: rows}}, nil
 }
 
 // commit ignores the cancellation of the request: a real table doesn't undo a
@@ -50,7 +50,7 @@
 	if err != nil {
 		return response{}, err
 	}
-	return response{json: protocol.Committed{Revision: revision}}, nil
+	return response{json: protocol.CommitResponse{Revision: revision}}, nil
 }
 
 func (s *Server) writeObject(r *http.Request) (response, error) {
@@ -78,7 +78,7 @@
 	if err != nil {
 		return response{}, err
 	}
-	return response{json: protocol.Hosts{
+	return response{json: protocol.HostsResponse{
 		Cursor:  s.formatCursor(changes.Revision),
 		Full:    changes.Full,
 		Hosts:   changes.Hosts,
--- a/internal/standin/platformd/faults.go
+++ b/internal/standin/platformd/faults.go
@@ -35,9 +35,9 @@
 func (s *Server) SetFaults(f Faults) {
 	applyIfSet(f.Down, s.table.SetDown)
 	applyMilliseconds(f.DelayMS, s.table.SetDelay)
-	applyIfSet(f.LoseNext, s.table.LoseNext)
-	applyIfSet(f.DropNext, s.table.DropNext)
-	applyIfSet(f.DelayNext, func(n int) { s.table.DelayNext(n, milliseconds(f.DelayNextMS)) })
+	applyIfSet(f.LoseNext, s.table.LoseNextResponses)
+	applyIfSet(f.DropNext, s.table.DropNextCommits)
+	applyIfSet(f.DelayNext, func(n int) { s.table.DelayNextCommits(n, milliseconds(f.DelayNextMS)) })
 	applyIfSet(f.ObjectsDown, s.objects.SetDown)
 	applyMilliseconds(f.LagMS, s.hosts.SetLag)
 	applyIfSet(f.RaterDown, s.rater.SetDown)
@@ -46,7 +46,7 @@
 
 // Heal ends all faults and resets the lag of the host list to Options.HostLag.
 func (s *Server) Heal() {
-	s.table.Heal()
+	s.table.ClearFaults()
 	s.objects.SetDown(false)
 	s.hosts.SetLag(s.options.HostLag)
 	s.rater.SetDown(false)
--- a/internal/standin/platformd/response.go
+++ b/internal/standin/platformd/response.go
@@ -106,7 +106,7 @@
 // no effect.
 func writeProblem(w http.ResponseWriter, status int, err error) {
 	w.Header().Set(protocol.HeaderEffect, protocol.EffectNone)
-	writeJSON(w, status, protocol.Problem{Error: err.Error()})
+	writeJSON(w, status, protocol.ErrorResponse{Error: err.Error()})
 }
 
 func writeJSON(w http.ResponseWriter, status int, message any) {
--- a/internal/standin/platformd/server.go
+++ b/internal/standin/platformd/server.go
@@ -47,7 +47,7 @@
 	options = options.withDefaults()
 	s := &Server{
 		options: options,
-		table:   faulty.New(memory.New()),
+		table:   faulty.NewTable(memory.NewTable()),
 		objects: faulty.NewObjects(memory.NewObjects()),
 		hosts:   memory.NewHosts(options.HostLag),
 		rater:   faulty.NewRater(memory.NewRater(options.Rater)),
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -46,7 +46,7 @@
 	// 64.
 	Capacity int
 	// Time is the duration of each run. Default: 0.
-	Time time.Duration
+	RunTime time.Duration
 }
 
 // Answer is the body of the response to each request that was run.
@@ -125,9 +125,9 @@
 	s.arrivals.record(id, key, func(a *Arrival) { a.Runs++ })
 	s.running.Add(1)
 	defer s.running.Add(-1)
-	s.faults.simulateRun(s.opts.Time)
+	s.faults.simulateRun(s.opts.RunTime)
 	if s.cutter.Take(cut.BeforeAnswer) {
-		cut.Now()
+		cut.Abort()
 	}
 	s.answer(w, r, id, body)
 }
@@ -156,7 +156,7 @@
 	if s.cutter.Take(cut.MidAnswer) {
 		_, _ = w.Write(data[:len(data)/2])
 		_ = http.NewResponseController(w).Flush()
-		cut.Now()
+		cut.Abort()
 	}
 	_, _ = w.Write(data)
 }
--- a/lease/example_test.go
+++ b/lease/example_test.go
@@ -12,9 +12,9 @@
 
 func Example() {
 	ctx := context.Background()
-	table := memory.New()
-	first := lease.New(lease.Options{Table: table})
-	second := lease.New(lease.Options{Table: table})
+	table := memory.NewTable()
+	first := lease.NewManager(lease.Options{Table: table})
+	second := lease.NewManager(lease.Options{Table: table})
 
 	held, err := first.Acquire(ctx, "pool/report", "host-a", 10*time.Second)
 	if err != nil {
--- a/lease/history_test.go
+++ b/lease/history_test.go
@@ -70,7 +70,7 @@
 func recordOperation(h *storagetest.History, client int, do func() (operation, bool)) {
 	start := h.Tick()
 	if op, ok := do(); ok {
-		h.End(client, start, op, nil)
+		h.AddCompleted(client, start, op, nil)
 	}
 }
 
@@ -131,17 +131,17 @@
 
 func runHistory(t *testing.T, seed uint64) []porcupine.Operation {
 	const hosts, length = 4, 2 * time.Minute
-	table := faulty.New(memory.New())
+	table := faulty.NewTable(memory.NewTable())
 	history := new(storagetest.History)
 	ctx, cancel := context.WithTimeout(t.Context(), length)
 	defer cancel()
 	processes := make([]*pause.Process, hosts)
 	var wg sync.WaitGroup
 	for i := range processes {
-		processes[i] = pause.New()
+		processes[i] = pause.NewProcess()
 		random := rand.New(rand.NewPCG(seed, uint64(i)))
 		c := &contender{history: history, id: i, process: processes[i], random: random}
-		c.manager = lease.New(lease.Options{Table: processes[i].Table(table)})
+		c.manager = lease.NewManager(lease.Options{Table: processes[i].Table(table)})
 		wg.Go(func() { c.run(ctx) })
 	}
 	random := rand.New(rand.NewPCG(seed, hosts))
@@ -163,7 +163,7 @@
 	case 1:
 		process.Resume()
 	default:
-		table.SetRandom(random, faulty.Bounds{Commits: 5, Delay: 8 * time.Second, Late: 15 * time.Second})
+		table.SetRandomFault(random, faulty.Bounds{Commits: 5, Delay: 8 * time.Second, Late: 15 * time.Second})
 	}
 }
 
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -28,11 +28,11 @@
 }
 
 func newManagerPair() managerPair {
-	table := faulty.New(memory.New())
+	table := faulty.NewTable(memory.NewTable())
 	return managerPair{
 		table: table,
-		a:     lease.New(lease.Options{Table: table}),
-		b:     lease.New(lease.Options{Table: table}),
+		a:     lease.NewManager(lease.Options{Table: table}),
+		b:     lease.NewManager(lease.Options{Table: table}),
 	}
 }
 
@@ -100,13 +100,13 @@
 		}, false, 0},
 		{"response to renewal lost", func(t *testing.T, p managerPair, l *lease.Lease) {
 			time.Sleep(8 * time.Second)
-			p.table.LoseNext(1)
+			p.table.LoseNextResponses(1)
 			is.New(t).NoErr(l.Renew(t.Context()))
 			time.Sleep(8 * time.Second)
 		}, true, ttl},
 		{"renewal lost", func(t *testing.T, p managerPair, l *lease.Lease) {
 			time.Sleep(8 * time.Second)
-			p.table.DropNext(1)
+			p.table.DropNextCommits(1)
 			is.New(t).True(errors.Is(l.Renew(t.Context()), storage.ErrUnknown))
 			time.Sleep(time.Second)
 		}, false, time.Second},
@@ -114,12 +114,12 @@
 			time.Sleep(8 * time.Second)
 			p.table.SetDelay(2 * time.Second)
 			is.New(t).True(errors.Is(l.Renew(t.Context()), lease.ErrLapsed))
-			p.table.Heal()
+			p.table.ClearFaults()
 		}, false, ttl},
 		{"renewal extends from its start", func(t *testing.T, p managerPair, l *lease.Lease) {
 			p.table.SetDelay(4 * time.Second)
 			is.New(t).NoErr(l.Renew(t.Context()))
-			p.table.Heal()
+			p.table.ClearFaults()
 			time.Sleep(5 * time.Second)
 		}, false, ttl},
 	}
@@ -143,10 +143,10 @@
 func TestLateRenewalIsNotMistakenForANewerOne(t *testing.T) {
 	withManagerPair(t, func(t *testing.T, is *is.I, p managerPair) {
 		l := p.acquireA(t)
-		p.table.DelayNext(1, time.Second)
+		p.table.DelayNextCommits(1, time.Second)
 		is.True(errors.Is(l.Renew(t.Context()), storage.ErrUnknown)) // renewal 1
 		time.Sleep(6 * time.Second)
-		p.table.DropNext(1)
+		p.table.DropNextCommits(1)
 		is.True(errors.Is(l.Renew(t.Context()), storage.ErrUnknown)) // renewal 2
 		is.Equal(l.Remaining(), usableTTL-6*time.Second)
 		is.NoErr(l.Renew(t.Context())) // renewal 3 replaces the late renewal 1
@@ -156,7 +156,7 @@
 
 func TestLateAcquisitionBlocksForOneTTLOnly(t *testing.T) {
 	withManagerPair(t, func(t *testing.T, is *is.I, p managerPair) {
-		p.table.DelayNext(1, time.Second)
+		p.table.DelayNextCommits(1, time.Second)
 		_, err := p.a.Acquire(t.Context(), name, "host-a", ttl)
 		is.True(errors.Is(err, storage.ErrUnknown))
 		time.Sleep(2 * time.Second)
@@ -189,7 +189,7 @@
 				time.Sleep(10 * time.Second)
 				p.table.SetDown(true)
 				time.Sleep(tt.outage)
-				p.table.Heal()
+				p.table.ClearFaults()
 				time.Sleep(time.Minute)
 				is.Equal(l.Valid(), tt.want == nil)
 				if tt.want != nil {
@@ -205,7 +205,7 @@
 func TestLeaseLapsesDuringASuspension(t *testing.T) {
 	is := is.New(t)
 	for _, d := range []time.Duration{time.Second, 5 * time.Second, 20 * time.Second} {
-		l, err := lease.New(lease.Options{Table: memory.New()}).Acquire(t.Context(), name, "host-a", 4*time.Second)
+		l, err := lease.NewManager(lease.Options{Table: memory.NewTable()}).Acquire(t.Context(), name, "host-a", 4*time.Second)
 		is.NoErr(err)
 		undo := boottime.SimulateSuspension(d)
 		is.Equal(l.Valid(), d < 4*time.Second*9/10)
@@ -218,7 +218,7 @@
 	// The wall clock advances by an hour while the monotonic clock stands still.
 	start := time.Now()
 	now := start
-	m := lease.New(lease.Options{Table: memory.New(), Clock: func() time.Time { return now }})
+	m := lease.NewManager(lease.Options{Table: memory.NewTable(), Clock: func() time.Time { return now }})
 	l, err := m.Acquire(t.Context(), name, "host-a", ttl)
 	is.NoErr(err)
 	is.True(l.Valid())
--- a/lease/manager.go
+++ b/lease/manager.go
@@ -47,7 +47,7 @@
 }
 
 // New returns a Manager that stores leases in options.Table.
-func New(options Options) *Manager {
+func NewManager(options Options) *Manager {
 	if options.Clock == nil {
 		options.Clock = boottime.Now
 	}
--- a/lease/orders.go
+++ b/lease/orders.go
@@ -12,7 +12,7 @@
 	// Fenced is true if the receiver rejects an order whose fencing number is
 	// lower than one that it has received before. It must be false if it isn't
 	// known whether the receiver does so.
-	Fenced bool
+	ChecksFencing bool
 }
 
 // SendFunc sends one order with the fencing number to the receiver. It must return
@@ -56,7 +56,7 @@
 }
 
 func (o *Orders) remainingWait(receiver Receiver) time.Duration {
-	if receiver.Fenced {
+	if receiver.ChecksFencing {
 		return 0
 	}
 	return o.lease.unfencedWait()
--- a/lease/orders_test.go
+++ b/lease/orders_test.go
@@ -86,7 +86,7 @@
 		t.Run(tt.desc, func(t *testing.T) {
 			withManagerPair(t, func(t *testing.T, is *is.I, p managerPair) {
 				engine := &fakeEngine{fenced: tt.fenced}
-				receiver := lease.Receiver{ID: "engine-1", Fenced: tt.fenced}
+				receiver := lease.Receiver{ID: "engine-1", ChecksFencing: tt.fenced}
 				a := lease.NewOrders(p.acquireA(t), engine.pausedSend(tt.afterCheck))
 				resultOfA := make(chan error, 1)
 				go func() {
--- a/ledger/bench_test.go
+++ b/ledger/bench_test.go
@@ -11,22 +11,22 @@
 )
 
 // localPeer is a Holder in the same process, without a network.
-type localPeer struct{ custody *Custody }
+type localPeer struct{ custody *CopyStore }
 
-func (p localPeer) Hold(_ context.Context, owner string, seq uint64, bills []Bill) (string, error) {
-	return "peer", p.custody.Hold(owner, seq, bills)
+func (p localPeer) Replicate(_ context.Context, owner string, seq uint64, bills []Bill) (string, error) {
+	return "peer", p.custody.Store(owner, seq, bills)
 }
 
-func (p localPeer) Drop(_ context.Context, _, owner string, upTo uint64) error {
-	p.custody.Drop(owner, upTo)
+func (p localPeer) Release(_ context.Context, _, owner string, upTo uint64) error {
+	p.custody.Release(owner, upTo)
 	return nil
 }
 
 func BenchmarkRecord(b *testing.B) {
-	table, objects := memory.New(), memory.NewObjects()
+	table, objects := memory.NewTable(), memory.NewObjects()
 	peer := New(Options{Table: table, Objects: objects, Host: "h1"})
-	custody := NewCustody(peer, CustodyOptions{MaxBills: 1 << 30})
-	l := New(Options{Table: table, Objects: objects, Host: "h0", Holders: localPeer{custody}})
+	custody := NewCopyStore(peer, CopyStoreOptions{MaxBills: 1 << 30})
+	l := New(Options{Table: table, Objects: objects, Host: "h0", Replicator: localPeer{custody}})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error)
 	go func() { done <- l.Run(ctx) }()
@@ -83,7 +83,7 @@
 // BenchmarkFlush measures a flush of 320 bills: those of ten seconds on one of
 // 440 hosts that together serve 14,000 requests per second.
 func BenchmarkFlush(b *testing.B) {
-	table, objects := memory.New(), memory.NewObjects()
+	table, objects := memory.NewTable(), memory.NewObjects()
 	l := New(Options{Table: table, Objects: objects, Host: "h0"})
 	bills := manyBills(320)
 	for b.Loop() {
@@ -101,7 +101,7 @@
 	bills := manyBills(size)
 	for b.Loop() {
 		b.StopTimer()
-		table, objects := memory.New(), memory.NewObjects()
+		table, objects := memory.NewTable(), memory.NewObjects()
 		l := New(Options{Table: table, Objects: objects, Host: "h0"})
 		for range segments {
 			l.addAll(bills)
@@ -139,10 +139,10 @@
 func BenchmarkHeldMemory(b *testing.B) {
 	const n = 20_000
 	for b.Loop() {
-		c := NewCustody(New(Options{Host: "h1"}), CustodyOptions{})
+		c := NewCopyStore(New(Options{Host: "h1"}), CopyStoreOptions{})
 		before := heap()
 		for i := range n {
-			if err := c.Hold("h0/x", uint64(i+1), []Bill{distinctBill(i)}); err != nil {
+			if err := c.Store("h0/x", uint64(i+1), []Bill{distinctBill(i)}); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/ledger/custody.go
+++ b/ledger/custody.go
@@ -14,7 +14,7 @@
 const (
 	// DefaultMaxHeld is the maximum number of bills that a host holds for its
 	// peers.
-	DefaultMaxHeld = 20_000
+	DefaultMaxCopies = 20_000
 	// DefaultMaxAge is the time since the last message of an owner after which
 	// its bills are written.
 	DefaultMaxAge = time.Minute
@@ -22,10 +22,10 @@
 
 // ErrCustodyFull means that a host already holds the maximum number of bills
 // for its peers.
-var ErrCustodyFull = errors.New("ledger: too many bills held for other hosts")
+var ErrCopyStoreFull = errors.New("ledger: too many bills held for other hosts")
 
 // CustodyOptions configure a Custody.
-type CustodyOptions struct {
+type CopyStoreOptions struct {
 	// MaxBills bounds the held bills; default DefaultMaxHeld.
 	MaxBills int
 	// MaxAge is the time since the last message of an owner after which Sweep
@@ -36,9 +36,9 @@
 // Custody is the receiving side of Holder: it stores copies of other hosts'
 // bills and writes them to the table when their owner is down. It is safe for
 // concurrent use.
-type Custody struct {
+type CopyStore struct {
 	ledger *Ledger
-	opts   CustodyOptions
+	opts   CopyStoreOptions
 
 	mu     sync.Mutex
 	owners map[string]*ownerCopies
@@ -59,19 +59,19 @@
 }
 
 // NewCustody returns a Custody that writes through l.
-func NewCustody(l *Ledger, opts CustodyOptions) *Custody {
-	defaults.Positive(&opts.MaxBills, DefaultMaxHeld)
+func NewCopyStore(l *Ledger, opts CopyStoreOptions) *CopyStore {
+	defaults.Positive(&opts.MaxBills, DefaultMaxCopies)
 	defaults.Positive(&opts.MaxAge, DefaultMaxAge)
-	return &Custody{ledger: l, opts: opts, owners: make(map[string]*ownerCopies)}
+	return &CopyStore{ledger: l, opts: opts, owners: make(map[string]*ownerCopies)}
 }
 
 // Hold stores copies of the owner's bills in message seq. It returns
 // ErrCustodyFull, and stores none, if they would exceed MaxBills.
-func (c *Custody) Hold(owner string, seq uint64, bills []Bill) error {
+func (c *CopyStore) Store(owner string, seq uint64, bills []Bill) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.held+len(bills) > c.opts.MaxBills {
-		return ErrCustodyFull
+		return ErrCopyStoreFull
 	}
 	o := c.owner(owner)
 	if seq <= o.released {
@@ -83,7 +83,7 @@
 }
 
 // Drop deletes the copies of the owner's messages up to number upTo.
-func (c *Custody) Drop(owner string, upTo uint64) {
+func (c *CopyStore) Release(owner string, upTo uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	o := c.owner(owner)
@@ -92,7 +92,7 @@
 }
 
 // Held returns the number of bills held.
-func (c *Custody) Held() int {
+func (c *CopyStore) Count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.held
@@ -102,7 +102,7 @@
 // or the Owner of one of its incarnations. The bills move to this host's ledger,
 // which copies them to another peer and retries until they are written; an
 // error means only that they aren't written yet.
-func (c *Custody) Settle(ctx context.Context, host string) error {
+func (c *CopyStore) TakeOver(ctx context.Context, host string) error {
 	return c.takeOver(ctx, func(owner string, _ *ownerCopies) bool {
 		return owner == host || strings.HasPrefix(owner, host+"/")
 	})
@@ -110,7 +110,7 @@
 
 // Sweep writes the bills of owners that haven't sent a message for MaxAge, such
 // as a process that was restarted, and removes these owners.
-func (c *Custody) Sweep(ctx context.Context) error {
+func (c *CopyStore) Sweep(ctx context.Context) error {
 	oldest := c.ledger.opts.Clock().Add(-c.opts.MaxAge)
 	return c.takeOver(ctx, func(_ string, o *ownerCopies) bool {
 		return o.lastContact.Before(oldest)
@@ -119,7 +119,7 @@
 
 // takeOver moves the copies of the owners that match to the ledger and flushes
 // it.
-func (c *Custody) takeOver(ctx context.Context, match func(name string, o *ownerCopies) bool) error {
+func (c *CopyStore) takeOver(ctx context.Context, match func(name string, o *ownerCopies) bool) error {
 	if !c.moveToLedger(match) {
 		return nil
 	}
@@ -130,7 +130,7 @@
 // these owners and reports whether there was a bill to move. It adds the bills
 // to the ledger before it releases Custody.mu, so that no caller finds a bill in
 // neither of the two.
-func (c *Custody) moveToLedger(match func(name string, o *ownerCopies) bool) bool {
+func (c *CopyStore) moveToLedger(match func(name string, o *ownerCopies) bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	moved := false
@@ -149,7 +149,7 @@
 
 // release removes the batches of messages up to number upTo and returns them.
 // Custody.mu is held.
-func (c *Custody) release(o *ownerCopies, upTo uint64) []copyBatch {
+func (c *CopyStore) release(o *ownerCopies, upTo uint64) []copyBatch {
 	released := o.release(upTo)
 	for _, b := range released {
 		c.held -= b.count
@@ -159,7 +159,7 @@
 
 // owner returns the record of an owner, creating it if needed, and updates its
 // lastContact. Custody.mu is held.
-func (c *Custody) owner(name string) *ownerCopies {
+func (c *CopyStore) owner(name string) *ownerCopies {
 	o := c.owners[name]
 	if o == nil {
 		o = &ownerCopies{}
--- a/ledger/custody_test.go
+++ b/ledger/custody_test.go
@@ -12,19 +12,19 @@
 
 func TestCustody(t *testing.T) {
 	is := is.New(t)
-	c := NewCustody(New(Options{Table: memory.New(), Objects: memory.NewObjects(), Host: "h1"}), CustodyOptions{MaxBills: 2})
+	c := NewCopyStore(New(Options{Table: memory.NewTable(), Objects: memory.NewObjects(), Host: "h1"}), CopyStoreOptions{MaxBills: 2})
 	one := []Bill{testBill("1")}
-	is.NoErr(c.Hold("h0/x", 1, one))
-	is.NoErr(c.Hold("h0/x", 2, one))
-	is.True(errors.Is(c.Hold("h0/x", 3, one), ErrCustodyFull))
-	c.Drop("h0/x", 4)
-	is.Equal(c.Held(), 0)
-	is.NoErr(c.Hold("h0/x", 4, one)) // arrives after its own release
-	is.Equal(c.Held(), 0)
-	is.NoErr(c.Hold("h0/y", 1, one))
-	is.NoErr(c.Hold("h00/x", 1, one))
-	is.NoErr(c.Settle(t.Context(), "h0"))
-	is.Equal(c.Held(), 1) // the bill of h00, which isn't an incarnation of h0
+	is.NoErr(c.Store("h0/x", 1, one))
+	is.NoErr(c.Store("h0/x", 2, one))
+	is.True(errors.Is(c.Store("h0/x", 3, one), ErrCopyStoreFull))
+	c.Release("h0/x", 4)
+	is.Equal(c.Count(), 0)
+	is.NoErr(c.Store("h0/x", 4, one)) // arrives after its own release
+	is.Equal(c.Count(), 0)
+	is.NoErr(c.Store("h0/y", 1, one))
+	is.NoErr(c.Store("h00/x", 1, one))
+	is.NoErr(c.TakeOver(t.Context(), "h0"))
+	is.Equal(c.Count(), 1) // the bill of h00, which isn't an incarnation of h0
 }
 
 // TestCustodyPacks checks that Drop and Settle treat packed and unpacked copies
@@ -34,17 +34,17 @@
 	for _, dropped := range []int{0, 1, packThreshold, packThreshold + 1, bills - 1, bills} {
 		t.Run(fmt.Sprint(dropped), func(t *testing.T) {
 			is := is.New(t)
-			table, objects := memory.New(), memory.NewObjects()
-			c := NewCustody(New(Options{Table: table, Objects: objects, Host: "h1"}), CustodyOptions{})
+			table, objects := memory.NewTable(), memory.NewObjects()
+			c := NewCopyStore(New(Options{Table: table, Objects: objects, Host: "h1"}), CopyStoreOptions{})
 			for i := range bills {
-				is.NoErr(c.Hold("h0/x", uint64(i+1), []Bill{testBill(fmt.Sprint(i))}))
+				is.NoErr(c.Store("h0/x", uint64(i+1), []Bill{testBill(fmt.Sprint(i))}))
 			}
-			c.Drop("h0/x", uint64(dropped))
-			is.NoErr(c.Hold("h0/x", bills+1, []Bill{testBill("last")}))
-			kept := c.Held()
+			c.Release("h0/x", uint64(dropped))
+			is.NoErr(c.Store("h0/x", bills+1, []Bill{testBill("last")}))
+			kept := c.Count()
 			is.True(kept > bills-dropped && kept <= bills-dropped+packThreshold)
-			is.NoErr(c.Settle(t.Context(), "h0"))
-			is.Equal(c.Held(), 0)
+			is.NoErr(c.TakeOver(t.Context(), "h0"))
+			is.Equal(c.Count(), 0)
 			written := make(map[string]bool)
 			for b, err := range Read(t.Context(), table, objects, Query{}) {
 				is.NoErr(err)
--- a/ledger/example_test.go
+++ b/ledger/example_test.go
@@ -11,7 +11,7 @@
 
 func Example() {
 	ctx, cancel := context.WithCancel(context.Background())
-	table, objects := memory.New(), memory.NewObjects()
+	table, objects := memory.NewTable(), memory.NewObjects()
 	l := ledger.New(ledger.Options{Table: table, Objects: objects, Host: "entry-1"})
 	done := make(chan error)
 	go func() { done <- l.Run(ctx) }()
@@ -27,7 +27,7 @@
 	if err := l.Record(ctx, bill); err != nil {
 		fmt.Println(err)
 	}
-	l.Refuse("valley-auction", 41, 3001)
+	l.CountRefusal("valley-auction", 41, 3001)
 	if err := l.Drain(ctx); err != nil {
 		fmt.Println(err)
 	}
--- a/ledger/failure_test.go
+++ b/ledger/failure_test.go
@@ -51,7 +51,7 @@
 			c.killHost(0)
 			c.hostDown(0)
 			time.Sleep(5 * time.Minute)
-			c.table.Heal()
+			c.table.ClearFaults()
 			time.Sleep(time.Minute)
 			return want
 		}},
@@ -64,7 +64,7 @@
 			c.killHost(0)
 			c.hostDown(0)
 			time.Sleep(time.Minute)
-			c.table.Heal()
+			c.table.ClearFaults()
 			time.Sleep(time.Minute)
 			return want
 		}},
@@ -72,14 +72,14 @@
 			c.table.SetDown(true)
 			want := record(t, c.hosts[0], 0, 20)
 			time.Sleep(5 * time.Minute)
-			c.table.Heal()
+			c.table.ClearFaults()
 			time.Sleep(time.Minute)
 			return want
 		}},
 		{"answers lost, writes dropped, writes late", func(t *testing.T, c *testCluster) map[string]Bill {
-			c.table.LoseNext(2)
-			c.table.DropNext(2)
-			c.table.DelayNext(2, 3*time.Second)
+			c.table.LoseNextResponses(2)
+			c.table.DropNextCommits(2)
+			c.table.DelayNextCommits(2, 3*time.Second)
 			want := record(t, c.hosts[0], 0, 20)
 			time.Sleep(time.Minute)
 			return want
@@ -124,7 +124,7 @@
 				t.Errorf("Drain: %v", err)
 			}
 			c.killHost(0)
-			c.table.Heal()
+			c.table.ClearFaults()
 			c.hostDown(0)
 			return want
 		}},
@@ -160,12 +160,12 @@
 		}
 		time.Sleep(5 * time.Minute)              // without new bills
 		is.Equal(c.hosts[1].ledger.Pending(), 0) // the owner is alive, so its bills aren't taken over
-		is.Equal(c.hosts[1].custody.Held(), minutes*6)
+		is.Equal(c.hosts[1].custody.Count(), minutes*6)
 		before := c.table.Counts().Commits
-		c.table.Heal()
+		c.table.ClearFaults()
 		time.Sleep(time.Minute)
 		is.Equal(len(c.readAll(t)), minutes*6)
-		is.Equal(c.hosts[1].custody.Held(), 0)
+		is.Equal(c.hosts[1].custody.Count(), 0)
 		is.True(c.table.Counts().Commits-before <= minutes+2) // about one segment per minute
 	})
 }
--- a/ledger/flush.go
+++ b/ledger/flush.go
@@ -211,14 +211,14 @@
 // table is unavailable upTo doesn't advance, but the message shows the peers
 // that the owner is alive.
 func (l *Ledger) releaseCopies(ctx context.Context, upTo uint64) {
-	if l.opts.Holders == nil {
+	if l.opts.Replicator == nil {
 		return
 	}
 	for _, holder := range l.currentHolders(upTo) {
 		callCtx, cancel := context.WithTimeout(ctx, l.opts.ReplicateTimeout)
 		// An error is ignored, because the next message to the same peer
 		// releases these copies too.
-		_ = l.opts.Holders.Drop(callCtx, holder, l.Owner(), upTo)
+		_ = l.opts.Replicator.Release(callCtx, holder, l.Owner(), upTo)
 		cancel()
 	}
 }
--- a/ledger/helper_test.go
+++ b/ledger/helper_test.go
@@ -23,7 +23,7 @@
 	*pause.Process
 	name    string
 	ledger  *Ledger
-	custody *Custody
+	custody *CopyStore
 	stop    context.CancelFunc
 	done    chan struct{}
 }
@@ -43,7 +43,7 @@
 	offset  int
 }
 
-func (p *testReplicator) Hold(ctx context.Context, owner string, seq uint64, bills []Bill) (string, error) {
+func (p *testReplicator) Replicate(ctx context.Context, owner string, seq uint64, bills []Bill) (string, error) {
 	if err := p.cluster.hosts[p.self].WaitWhilePaused(); err != nil {
 		return "", err
 	}
@@ -61,15 +61,15 @@
 			p.offset++
 			return peer.name, ctx.Err()
 		}
-		return peer.name, peer.custody.Hold(owner, seq, bills)
+		return peer.name, peer.custody.Store(owner, seq, bills)
 	}
 	return "", errUnreachable
 }
 
-func (p *testReplicator) Drop(_ context.Context, holder, owner string, upTo uint64) error {
+func (p *testReplicator) Release(_ context.Context, holder, owner string, upTo uint64) error {
 	for _, peer := range p.cluster.hosts {
 		if peer.name == holder && peer.running() {
-			peer.custody.Drop(owner, upTo)
+			peer.custody.Release(owner, upTo)
 		}
 	}
 	return nil
@@ -77,16 +77,16 @@
 
 // newCluster starts n hosts; stopAll stops them.
 func newCluster(n int, opts Options) *testCluster {
-	c := &testCluster{table: faulty.New(memory.New()), objects: memory.NewObjects()}
+	c := &testCluster{table: faulty.NewTable(memory.NewTable()), objects: memory.NewObjects()}
 	for i := range n {
-		h := &testHost{Process: pause.New(), name: fmt.Sprintf("h%d", i), done: make(chan struct{})}
+		h := &testHost{Process: pause.NewProcess(), name: fmt.Sprintf("h%d", i), done: make(chan struct{})}
 		o := opts
 		o.Table, o.Objects, o.Host = h.TableFailingAfterKill(c.table), c.objects, h.name
 		if n > 1 {
-			o.Holders = &testReplicator{cluster: c, self: i}
+			o.Replicator = &testReplicator{cluster: c, self: i}
 		}
 		h.ledger = New(o)
-		h.custody = NewCustody(h.ledger, CustodyOptions{})
+		h.custody = NewCopyStore(h.ledger, CopyStoreOptions{})
 		c.hosts = append(c.hosts, h)
 	}
 	for _, h := range c.hosts {
@@ -128,9 +128,9 @@
 func (c *testCluster) hostDown(i int) {
 	for _, h := range c.hosts {
 		if !h.Killed() {
-			h.ledger.HolderDown(c.hosts[i].name)
+			h.ledger.PeerDown(c.hosts[i].name)
 			// An error means only that the table is still unavailable.
-			_ = h.custody.Settle(context.Background(), c.hosts[i].name)
+			_ = h.custody.TakeOver(context.Background(), c.hosts[i].name)
 		}
 	}
 }
--- a/ledger/hold.go
+++ b/ledger/hold.go
@@ -44,13 +44,13 @@
 	if len(entries) == 0 {
 		return false, nil
 	}
-	if l.opts.Holders == nil {
+	if l.opts.Replicator == nil {
 		signal(l.earlyFlush)
 		return true, nil
 	}
 	callCtx, cancel := context.WithTimeout(ctx, l.opts.ReplicateTimeout)
 	defer cancel()
-	holder, err := l.opts.Holders.Hold(callCtx, l.Owner(), seq, billsOf(entries))
+	holder, err := l.opts.Replicator.Replicate(callCtx, l.Owner(), seq, billsOf(entries))
 	l.finishMessage(entries, seq, holder, err)
 	return true, err
 }
@@ -100,7 +100,7 @@
 // HolderDown records that a peer is down and the copies on it are lost. Bills
 // of which it had the copy are sent to another peer, unless they are in the
 // table.
-func (l *Ledger) HolderDown(host string) {
+func (l *Ledger) PeerDown(host string) {
 	l.mu.Lock()
 	l.drainShards()
 	delete(l.holders, host)
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -39,15 +39,15 @@
 )
 
 // Holder sends copies of bills to peers in other availability zones.
-type Holder interface {
+type Replicator interface {
 	// Hold sends the bills of message seq to a peer that the implementation
 	// selects and returns the name of that peer's host. If it returns both an
 	// error and a host name, that host may have stored the bills. After a
 	// failed call an implementation selects another peer.
-	Hold(ctx context.Context, owner string, seq uint64, bills []Bill) (holder string, err error)
+	Replicate(ctx context.Context, owner string, seq uint64, bills []Bill) (holder string, err error)
 	// Drop tells holder that the owner's bills in the messages up to and
 	// including number upTo are in the table, so their copies can be deleted.
-	Drop(ctx context.Context, holder, owner string, upTo uint64) error
+	Release(ctx context.Context, holder, owner string, upTo uint64) error
 }
 
 // Options configure a Ledger. Table, Objects and Host are required.
@@ -58,7 +58,7 @@
 	Host string
 	// Holders copies bills to peers. It is nil if there are no peers; Record
 	// then waits for a flush.
-	Holders Holder
+	Replicator Replicator
 	// FlushInterval is the time between flushes; default DefaultFlushInterval.
 	FlushInterval time.Duration
 	// MinFlushInterval is the minimum time between flushes while there are
@@ -159,7 +159,7 @@
 		flushing:    make(chan struct{}, 1),
 		holders:     make(map[string]uint64),
 	}
-	l.SetFlushEvery(opts.FlushInterval)
+	l.SetFlushInterval(opts.FlushInterval)
 	return l
 }
 
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -38,7 +38,7 @@
 func TestCompactUnderRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		table, objects := memory.New(), memory.NewObjects()
+		table, objects := memory.NewTable(), memory.NewObjects()
 		l := New(Options{Table: table, Objects: objects, Host: "~h/0", MaxSegmentBills: 1})
 		const bills = 300
 		for i := range bills {
@@ -85,15 +85,15 @@
 func TestCompactBounds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		table, objects := memory.New(), memory.NewObjects()
+		table, objects := memory.NewTable(), memory.NewObjects()
 		l := New(Options{Table: table, Objects: objects, Host: "h0", MaxSegmentBills: 1})
 		const bills = 700
 		for i := range bills {
 			time.Sleep(4 * time.Minute)
 			l.add(testBill(fmt.Sprint(i)))
 		}
-		l.Refuse("valley-auction", 41, 3001)
-		l.Refuse("valley-auction", 41, 3001)
+		l.CountRefusal("valley-auction", 41, 3001)
+		l.CountRefusal("valley-auction", 41, 3001)
 		l.buildSegments()
 		segments := l.pendingSegments
 		is.NoErr(l.Flush(t.Context()))
@@ -134,7 +134,7 @@
 		})
 		is.True(errors.Is(err, context.DeadlineExceeded))
 		is.True(failures > 30 && failures < 120) // one a minute on average
-		c.table.Heal()
+		c.table.ClearFaults()
 		rows, err := c.table.List(t.Context(), keyPrefix, "", 100)
 		is.NoErr(err)
 		is.Equal(len(rows), 1)
@@ -142,23 +142,23 @@
 	})
 }
 
-func TestFlushPeriod(t *testing.T) {
+func TestFlushIntervalFor(t *testing.T) {
 	tests := []struct {
 		hosts int
 		want  time.Duration
 	}{{0, time.Second}, {7, time.Second}, {100, 2 * time.Second}, {440, 8800 * time.Millisecond}}
 	for _, tc := range tests {
-		is.New(t).Equal(FlushPeriod(tc.hosts), tc.want)
+		is.New(t).Equal(FlushIntervalFor(tc.hosts), tc.want)
 	}
 }
 
 // TestSetFlushEvery checks the number of commits in ten minutes.
-func TestSetFlushEvery(t *testing.T) {
+func TestSetFlushInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(3, Options{})
 		defer c.stopAll()
 		l := c.hosts[0].ledger
-		l.SetFlushEvery(10 * time.Second)
+		l.SetFlushInterval(10 * time.Second)
 		time.Sleep(time.Minute)
 		before := c.table.Counts().Commits
 		for range 600 {
@@ -173,7 +173,7 @@
 }
 
 func TestQuery(t *testing.T) {
-	table, objects := memory.New(), memory.NewObjects()
+	table, objects := memory.NewTable(), memory.NewObjects()
 	l := New(Options{Table: table, Objects: objects, Host: "h0"})
 	start := time.Date(2026, 12, 2, 23, 50, 0, 0, time.UTC)
 	add := func(id, requestID string, minutes, code int) {
@@ -246,7 +246,7 @@
 		is.True(errors.Is(l.Admit(), ErrFull))
 		is.Equal(l.AtRisk(), 3)
 		is.Equal(l.Pending(), 3)
-		c.table.Heal()
+		c.table.ClearFaults()
 		time.Sleep(time.Minute)
 		is.NoErr(l.Admit())
 		is.Equal(l.AtRisk(), 0)
@@ -256,9 +256,9 @@
 }
 
 func TestRefusalKeysAreBounded(t *testing.T) {
-	l := New(Options{Table: memory.New(), Objects: memory.NewObjects(), Host: "h0"})
+	l := New(Options{Table: memory.NewTable(), Objects: memory.NewObjects(), Host: "h0"})
 	for i := range maxRefusalKeys + 10 {
-		l.Refuse(fmt.Sprint("account-", i), 1, 1001)
+		l.CountRefusal(fmt.Sprint("account-", i), 1, 1001)
 	}
 	list := l.refusals.take()
 	is := is.New(t)
--- a/ledger/refusal.go
+++ b/ledger/refusal.go
@@ -29,7 +29,7 @@
 
 // Refuse counts a request that was refused before anything was sent to an
 // upstream.
-func (l *Ledger) Refuse(account string, epoch uint64, code int) {
+func (l *Ledger) CountRefusal(account string, epoch uint64, code int) {
 	l.refusals.add(refusalKey{account: account, epoch: epoch, code: code}, 1)
 }
 
