--- a/ledger/sequence_test.go
+++ b/ledger/sequence_test.go
@@ -101,9 +101,9 @@
 }
 
 func (s *faultSequence) tableFaults(rt *rapid.T) {
-	s.cluster.table.LoseNext(rapid.IntRange(0, 3).Draw(rt, "lost"))
-	s.cluster.table.DropNext(rapid.IntRange(0, 3).Draw(rt, "dropped"))
-	s.cluster.table.DelayNext(rapid.IntRange(0, 3).Draw(rt, "late"), drawDuration(rt))
+	s.cluster.table.LoseNextResponses(rapid.IntRange(0, 3).Draw(rt, "lost"))
+	s.cluster.table.DropNextCommits(rapid.IntRange(0, 3).Draw(rt, "dropped"))
+	s.cluster.table.DelayNextCommits(rapid.IntRange(0, 3).Draw(rt, "late"), drawDuration(rt))
 }
 
 // pause pauses a host for a while and reports it as down to its peers.
@@ -166,7 +166,7 @@
 
 // check ends the faults and compares the ledger with the recorded bills.
 func (s *faultSequence) check(rt *rapid.T) {
-	s.cluster.table.Heal()
+	s.cluster.table.ClearFaults()
 	time.Sleep(5 * time.Minute)
 	if err := Compact(context.Background(), s.cluster.table, s.cluster.objects, time.Now()); err != nil {
 		rt.Fatal(err)
--- a/manifest/bench_test.go
+++ b/manifest/bench_test.go
@@ -87,7 +87,7 @@
 			account := p.Document.Accounts[accounts/2]
 			b.ReportAllocs()
 			for b.Loop() {
-				if len(p.Permitted(account.Name, account.Models[0].Model)) == 0 {
+				if len(p.PermittedVersions(account.Name, account.Models[0].Model)) == 0 {
 					b.Fatal("no version")
 				}
 			}
--- a/manifest/decode.go
+++ b/manifest/decode.go
@@ -22,8 +22,8 @@
 	r := &report{}
 	doc := &Document{}
 	root := &location{}
-	if len(data) > MaxBytes {
-		r.add(root, strconv.Itoa(len(data)), fmt.Sprintf("at most %d", MaxBytes), "too many bytes")
+	if len(data) > MaxDocumentBytes {
+		r.add(root, strconv.Itoa(len(data)), fmt.Sprintf("at most %d", MaxDocumentBytes), "too many bytes")
 		return nil, r.err()
 	}
 	if !utf8.Valid(data) {
--- a/manifest/delta.go
+++ b/manifest/delta.go
@@ -100,8 +100,8 @@
 			out.Write(line)
 		}
 		out.WriteString(step.Text)
-		if out.Len() > MaxBytes {
-			return nil, fmt.Errorf("%w: the result has more than %d bytes", ErrInvalidDelta, MaxBytes)
+		if out.Len() > MaxDocumentBytes {
+			return nil, fmt.Errorf("%w: the result has more than %d bytes", ErrInvalidDelta, MaxDocumentBytes)
 		}
 	}
 	return out.Bytes(), nil
--- a/manifest/limits.go
+++ b/manifest/limits.go
@@ -4,7 +4,7 @@
 // the largest fleet that the system is designed for.
 const (
 	// MaxBytes is the largest size of a document's text, in bytes.
-	MaxBytes = 8 << 20
+	MaxDocumentBytes = 8 << 20
 	// MaxDepth is the largest nesting depth of objects and arrays.
 	MaxDepth = 16
 	// MaxProblems is the largest number of entries in Errors; the last entry
--- a/manifest/manifest_test.go
+++ b/manifest/manifest_test.go
@@ -47,11 +47,11 @@
 	_, ok = p.AccountByKey("Key")
 	is.True(!ok)
 
-	is.Equal(versionNames(p.Permitted("north-desk", "chat-small")), []string{"v7", "v8", "v6"})
-	is.Equal(versionNames(p.Permitted("north-desk", "chat-large")), []string{"v3"})
-	is.Equal(versionNames(p.Permitted("archive", "chat-small")), []string{"v7"})
-	is.Equal(versionNames(p.Permitted("archive", "chat-large")), nil) // not permitted
-	is.Equal(versionNames(p.Permitted("nobody", "chat-small")), nil)
+	is.Equal(versionNames(p.PermittedVersions("north-desk", "chat-small")), []string{"v7", "v8", "v6"})
+	is.Equal(versionNames(p.PermittedVersions("north-desk", "chat-large")), []string{"v3"})
+	is.Equal(versionNames(p.PermittedVersions("archive", "chat-small")), []string{"v7"})
+	is.Equal(versionNames(p.PermittedVersions("archive", "chat-large")), nil) // not permitted
+	is.Equal(versionNames(p.PermittedVersions("nobody", "chat-small")), nil)
 
 	class, priority, ok := p.Class("question")
 	is.True(ok)
--- a/manifest/random_test.go
+++ b/manifest/random_test.go
@@ -114,7 +114,7 @@
 					}
 				}
 			}
-			is.Equal(p.Permitted(a.Name, m.Name), want)
+			is.Equal(p.PermittedVersions(a.Name, m.Name), want)
 		}
 	}
 }
--- a/manifest/refusal_test.go
+++ b/manifest/refusal_test.go
@@ -130,7 +130,7 @@
 		{"trailing garbage", example + "]", ": data after the end"},
 		{"array", "[]", ": wrong type: an array"},
 		{"null", "null", ": wrong type: null"},
-		{"too large", strings.Repeat(" ", manifest.MaxBytes+1), ": too many bytes"},
+		{"too large", strings.Repeat(" ", manifest.MaxDocumentBytes+1), ": too many bytes"},
 		{"nothing to serve", `{"format":1,"parent":"","build":"b","models":[],"classes":[{"name":"a","deadline_ms":1,"min_share":0}],"accounts":[],"sessions":{"ttl_seconds":1,"on_withdrawn":"refuse"}}`, "models: neither a model nor a service"},
 	} {
 		t.Run(tc.desc, func(t *testing.T) {
--- a/membership/discover.go
+++ b/membership/discover.go
@@ -57,7 +57,7 @@
 	o := m.options
 	switch {
 	case len(m.rings.global) == 0:
-		return min(o.DiscoverInterval, o.Interval)
+		return min(o.DiscoverInterval, o.RoundInterval)
 	case m.isolated(boottime.Now()):
 		return o.DiscoverInterval
 	default:
--- a/membership/fact_test.go
+++ b/membership/fact_test.go
@@ -41,7 +41,7 @@
 		var hosts []*host
 		for i := range hostCount {
 			hosts = append(hosts, n.startHost(t, i, zoneCount, func(o *Options) {
-				o.Interval = 24 * time.Hour
+				o.RoundInterval = 24 * time.Hour
 				o.PushFanout = hostCount
 			}))
 		}
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -39,7 +39,7 @@
 	defer workers.Wait()
 	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
-	round := time.NewTimer(m.jitter(m.options.Interval) / 4)
+	round := time.NewTimer(m.jitter(m.options.RoundInterval) / 4)
 	defer round.Stop()
 	lastSweep := boottime.Now()
 	for {
@@ -59,7 +59,7 @@
 		case <-round.C:
 			m.blockHook()
 			m.round(ctx, &workers)
-			round.Reset(m.jitter(m.options.Interval))
+			round.Reset(m.jitter(m.options.RoundInterval))
 		}
 	}
 }
--- a/membership/options.go
+++ b/membership/options.go
@@ -9,7 +9,7 @@
 
 // Defaults of Options.
 const (
-	DefaultInterval           = time.Second
+	DefaultRoundInterval      = time.Second
 	DefaultProbeTimeout       = 500 * time.Millisecond
 	DefaultIndirectTimeout    = 900 * time.Millisecond
 	DefaultSuspicionTimeout   = 2500 * time.Millisecond
@@ -43,7 +43,7 @@
 	Transport Transport
 
 	// Interval is the time between rounds; default 1 s, jittered by a tenth.
-	Interval time.Duration
+	RoundInterval time.Duration
 	// ProbeTimeout is the timeout of one exchange; default 500 ms.
 	ProbeTimeout time.Duration
 	// IndirectTimeout is the timeout of an indirect probe; default 900 ms.
@@ -105,7 +105,7 @@
 }
 
 func (o Options) withDefaults() Options {
-	setDefault(&o.Interval, DefaultInterval)
+	setDefault(&o.RoundInterval, DefaultRoundInterval)
 	setDefault(&o.ProbeTimeout, DefaultProbeTimeout)
 	setDefault(&o.IndirectTimeout, DefaultIndirectTimeout)
 	setDefault(&o.SuspicionTimeout, DefaultSuspicionTimeout)
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -130,7 +130,7 @@
 	if len(m.rings.global) <= maxPeersWithoutIsolation {
 		return false
 	}
-	return now.Sub(m.lastContact) > isolationIntervals*m.options.Interval
+	return now.Sub(m.lastContact) > isolationIntervals*m.options.RoundInterval
 }
 
 // sweep applies the timeouts of suspicions, of the retention of records, and of
--- a/membership/scale_test.go
+++ b/membership/scale_test.go
@@ -79,7 +79,7 @@
 	beforeBytes, beforeMessages := n.traffic()
 	beforeCPU := cpuTime()
 	time.Sleep(idle)
-	result.cpuPerRound = ((cpuTime() - beforeCPU) / time.Duration(count) / time.Duration(idle/DefaultInterval)).Round(time.Microsecond)
+	result.cpuPerRound = ((cpuTime() - beforeCPU) / time.Duration(count) / time.Duration(idle/DefaultRoundInterval)).Round(time.Microsecond)
 	afterBytes, afterMessages := n.traffic()
 	result.bytesPerSecond = perHost(afterBytes-beforeBytes) / idle.Seconds()
 	result.messagesPerSecond = perHost(afterMessages-beforeMessages) / idle.Seconds()
--- a/placement/escalation.go
+++ b/placement/escalation.go
@@ -9,8 +9,8 @@
 	Threshold float64
 	// Expected is the expected time from the request's arrival to the better model's first
 	// event. Target is the target for that time; 0 means none.
-	Expected time.Duration
-	Target   time.Duration
+	ExpectedTime time.Duration
+	Target       time.Duration
 	// Pressure is the mean queueing time of the service's prompts divided by their mean
 	// prefill time.
 	Pressure float64
@@ -34,7 +34,7 @@
 // serve callers worse: it would accept answers of medium confidence, and most answers below the
 // usual threshold are poor.
 func (e *Escalation) RequiredConfidence() float64 {
-	if e.Target <= 0 || float64(e.Expected) <= lateFraction*float64(e.Target) {
+	if e.Target <= 0 || float64(e.ExpectedTime) <= lateFraction*float64(e.Target) {
 		return e.Threshold
 	}
 	return e.Threshold * lateThresholdFactor * max(0, 1-e.Pressure/maxLatePressure)
--- a/placement/escalation_test.go
+++ b/placement/escalation_test.go
@@ -25,7 +25,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
-			escalation := Escalation{Threshold: 50, Expected: test.expected, Target: test.target, Pressure: test.pressure}
+			escalation := Escalation{Threshold: 50, ExpectedTime: test.expected, Target: test.target, Pressure: test.pressure}
 			got := escalation.RequiredConfidence()
 			is.New(t).True(got > test.want-1e-9 && got < test.want+1e-9)
 		})
--- a/placement/place.go
+++ b/placement/place.go
@@ -37,7 +37,7 @@
 	// Index is the engine's index in the list of candidates.
 	Index int
 	// Expected is the expected time to the first event.
-	Expected time.Duration
+	ExpectedTime time.Duration
 	// ExpectedUnqueued is the expected time to the first event without queued work.
 	// PrefillTime is the portion of it during which the engine works on this prompt alone and
 	// other prompts wait: the prefill and the minimum overhead.
@@ -46,7 +46,7 @@
 	// UncachedTokens is the number of tokens to prefill.
 	UncachedTokens int
 	// Owner reports whether the engine is the owner of the prompt's shared parts.
-	Owner bool
+	IsOwner bool
 }
 
 // defaultTarget is used for requests without a target.
@@ -66,9 +66,9 @@
 	lowestCost := time.Duration(0)
 	for i := range candidates {
 		c := r.evaluate(estimator, &candidates[i])
-		c.Index, c.Owner = i, i == owner
+		c.Index, c.IsOwner = i, i == owner
 		cost := r.cost(&c, &candidates[i])
-		if local && c.Owner {
+		if local && c.IsOwner {
 			cost -= r.sharedPrefillTime(estimator, &candidates[i])
 		}
 		if best.Index < 0 || cost < lowestCost || cost == lowestCost && candidates[i].OwnerRank > candidates[best.Index].OwnerRank {
@@ -81,11 +81,11 @@
 func (r *Request) evaluate(estimator *PrefillEstimator, c *Candidate) Choice {
 	uncached := r.Prompt.uncachedTokens(c.CachedParts)
 	unqueued := estimator.TimeToFirstEvent(r.Model, uncached)
-	return Choice{Expected: c.QueuedWork + unqueued, ExpectedUnqueued: unqueued, PrefillTime: overhead + estimator.PrefillTime(r.Model, uncached), UncachedTokens: uncached}
+	return Choice{ExpectedTime: c.QueuedWork + unqueued, ExpectedUnqueued: unqueued, PrefillTime: overhead + estimator.PrefillTime(r.Model, uncached), UncachedTokens: uncached}
 }
 
 func (r *Request) cost(choice *Choice, c *Candidate) time.Duration {
-	cost := choice.PrefillTime + r.latencyCost(choice.Expected)
+	cost := choice.PrefillTime + r.latencyCost(choice.ExpectedTime)
 	if c.OtherZone {
 		cost += r.ZoneCost
 	}
--- a/quarantine/example_test.go
+++ b/quarantine/example_test.go
@@ -24,7 +24,7 @@
 	for _, finding := range tracker.FindPoisonRequests(2*time.Second + quarantine.SettleDelay) {
 		fmt.Println(finding.Digest == name("fatal"), finding.Events, "events")
 	}
-	fmt.Println("b at", tracker.Events(name("b"), 3*time.Second))
+	fmt.Println("b at", tracker.EventCount(name("b"), 3*time.Second))
 	// Output:
 	// true 3 events
 	// b at 0
--- a/quarantine/register.go
+++ b/quarantine/register.go
@@ -33,56 +33,56 @@
 	Digest Digest
 	// By is the host that made the verdict. Events and Upstreams are the evidence, as in
 	// Finding.
-	By        string
+	MadeBy    string
 	Events    int
 	Upstreams int
 	// Judged and Until are when the verdict was made and when it expires, on the clock that all
 	// hosts share.
-	Judged time.Duration
-	Until  time.Duration
+	MadeAt    time.Duration
+	ExpiresAt time.Duration
 	// Trials is the number of trials so far: sends of the request after the verdict expired.
-	Trials int
+	TrialCount int
 }
 
 // NewVerdict returns the first verdict on a request.
 func NewVerdict(f Finding, by string, now time.Duration) Verdict {
 	return Verdict{
-		Digest: f.Digest, By: by, Events: f.Events, Upstreams: f.Upstreams,
-		Judged: now, Until: now + initialTerm,
+		Digest: f.Digest, MadeBy: by, Events: f.Events, Upstreams: f.Upstreams,
+		MadeAt: now, ExpiresAt: now + initialTerm,
 	}
 }
 
 // ForTrial returns the verdict that is in force during a trial. It applies to all hosts but the
 // one that tries the request.
 func (v Verdict) ForTrial(now time.Duration) Verdict {
-	v.Trials++
-	v.Until = now + trialTimeout
+	v.TrialCount++
+	v.ExpiresAt = now + trialTimeout
 	return v
 }
 
 // Renewed returns the verdict after a trial that terminated an upstream.
 func (v Verdict) Renewed(now time.Duration) Verdict {
 	term := initialTerm
-	for range v.Trials {
+	for range v.TrialCount {
 		term = min(termFactor*term, maxTerm)
 	}
-	v.Until = now + term
+	v.ExpiresAt = now + term
 	return v
 }
 
 // InForce reports whether the verdict is in force at the given time.
-func (v Verdict) InForce(now time.Duration) bool { return now < v.Until }
+func (v Verdict) InForce(now time.Duration) bool { return now < v.ExpiresAt }
 
 // Unused reports whether the verdict expired more than unusedRetention ago. There was no trial
 // since, so the request wasn't received in that time.
-func (v Verdict) Unused(now time.Duration) bool { return now-v.Until > unusedRetention }
+func (v Verdict) Unused(now time.Duration) bool { return now-v.ExpiresAt > unusedRetention }
 
 // supersedes reports whether the verdict is later than another one on the same request.
 func (v Verdict) supersedes(other Verdict) bool {
-	if v.Trials != other.Trials {
-		return v.Trials > other.Trials
+	if v.TrialCount != other.TrialCount {
+		return v.TrialCount > other.TrialCount
 	}
-	return v.Until > other.Until
+	return v.ExpiresAt > other.ExpiresAt
 }
 
 // verdictRow is the stored form of a verdict, which operators read.
@@ -99,8 +99,8 @@
 // MarshalJSON implements json.Marshaler.
 func (v Verdict) MarshalJSON() ([]byte, error) {
 	return json.Marshal(verdictRow{
-		Digest: v.Digest.String(), By: v.By, Events: v.Events, Upstreams: v.Upstreams,
-		MadeAtMs: v.Judged.Milliseconds(), UntilMs: v.Until.Milliseconds(), Trials: v.Trials,
+		Digest: v.Digest.String(), By: v.MadeBy, Events: v.Events, Upstreams: v.Upstreams,
+		MadeAtMs: v.MadeAt.Milliseconds(), UntilMs: v.ExpiresAt.Milliseconds(), Trials: v.TrialCount,
 	})
 }
 
@@ -121,9 +121,9 @@
 		return fmt.Errorf("%w: until %d, %d trials", errInvalidVerdict, r.UntilMs, r.Trials)
 	}
 	*v = Verdict{
-		Digest: d, By: r.By, Events: r.Events, Upstreams: r.Upstreams,
-		Judged: time.Duration(r.MadeAtMs) * time.Millisecond, Until: time.Duration(r.UntilMs) * time.Millisecond,
-		Trials: r.Trials,
+		Digest: d, MadeBy: r.By, Events: r.Events, Upstreams: r.Upstreams,
+		MadeAt: time.Duration(r.MadeAtMs) * time.Millisecond, ExpiresAt: time.Duration(r.UntilMs) * time.Millisecond,
+		TrialCount: r.Trials,
 	}
 	return nil
 }
@@ -230,7 +230,7 @@
 	}
 	first := e
 	for _, other := range r.entries {
-		if other.Until < first.Until {
+		if other.ExpiresAt < first.ExpiresAt {
 			first = other
 		}
 	}
--- a/quarantine/register_test.go
+++ b/quarantine/register_test.go
@@ -11,7 +11,7 @@
 )
 
 func verdict(n uint64, until time.Duration) Verdict {
-	return Verdict{Digest: digest(n), By: "host", Events: 3, Upstreams: 4, Judged: time.Second, Until: until}
+	return Verdict{Digest: digest(n), MadeBy: "host", Events: 3, Upstreams: 4, MadeAt: time.Second, ExpiresAt: until}
 }
 
 // A verdict expires. One host then tries the request, and the term of the renewed verdict is
@@ -27,18 +27,18 @@
 		v = v.ForTrial(now)
 		is.True(v.InForce(now)) // for the other hosts
 		v = v.Renewed(now)
-		terms = append(terms, v.Until-now)
-		now = v.Until
+		terms = append(terms, v.ExpiresAt-now)
+		now = v.ExpiresAt
 	}
 	is.Equal(terms, []time.Duration{time.Hour, 6 * time.Hour, maxTerm, maxTerm})
-	is.True(!v.Unused(v.Until + unusedRetention))
-	is.True(v.Unused(v.Until + unusedRetention + 1))
+	is.True(!v.Unused(v.ExpiresAt + unusedRetention))
+	is.True(v.Unused(v.ExpiresAt + unusedRetention + 1))
 }
 
 func TestVerdictRow(t *testing.T) {
 	is := is.New(t)
 	v := verdict(7, time.Hour)
-	v.Trials = 2
+	v.TrialCount = 2
 	data, err := json.Marshal(v)
 	is.NoErr(err)
 	var read Verdict
@@ -92,7 +92,7 @@
 	is := is.New(t)
 	r := NewRegister()
 	earlier, later := verdict(1, 10*time.Minute), verdict(1, time.Hour)
-	later.Trials = 1
+	later.TrialCount = 1
 	r.ApplyRow(later, 80, 0)
 	r.ApplyRow(verdict(2, time.Hour), 81, 0)
 	r.MarkUnsaved()
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -296,7 +296,7 @@
 
 // Events returns the number of unexplained events in which upstreams terminated with the
 // request.
-func (t *Tracker) Events(d Digest, now time.Duration) int {
+func (t *Tracker) EventCount(d Digest, now time.Duration) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	h := t.lostRepeatedly[d]
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -41,7 +41,7 @@
 	// Terminations with a request that has a verdict don't count against the requests that ran
 	// next to it, whether they happened before or after the verdict.
 	loseAll(tr, 4, time.Second, 1, 11)
-	is.Equal(tr.Events(digest(11), time.Second), 0)
+	is.Equal(tr.EventCount(digest(11), time.Second), 0)
 	is.Equal(tr.FindPoisonRequests(10*time.Second), nil)
 }
 
@@ -79,7 +79,7 @@
 	for upstream := range Incarnation(20) {
 		loseAll(tr, upstream, time.Duration(upstream)*ms, 1)
 	}
-	is.Equal(tr.Events(digest(1), 0), 1)
+	is.Equal(tr.EventCount(digest(1), 0), 1)
 	is.Equal(tr.FindPoisonRequests(time.Minute), nil)
 }
 
@@ -95,8 +95,8 @@
 		tr.RecordLoss(Loss{Digest: digest(1), Incarnation: Incarnation(i), At: at, Ran: 2 * ms})
 		tr.RecordLoss(Loss{Digest: digest(2), Incarnation: Incarnation(i), At: at, Ran: 500 * ms})
 	}
-	is.Equal(tr.Events(digest(1), time.Second), 3)
-	is.Equal(tr.Events(digest(2), time.Second), 1)
+	is.Equal(tr.EventCount(digest(1), time.Second), 3)
+	is.Equal(tr.EventCount(digest(2), time.Second), 1)
 	findings := tr.FindPoisonRequests(2 * time.Second)
 	is.Equal(len(findings), 1)
 	is.Equal(findings[0].Digest, digest(1))
@@ -187,7 +187,7 @@
 		is.True(!tr.RecordLoss(Loss{Digest: digest(1), Incarnation: 5, At: at + 300*ms})) // a late report of the same termination
 		tr.RecordLoss(Loss{Digest: digest(uint64(100 + i)), Incarnation: 5, At: at + 20*ms})
 	}
-	is.Equal(tr.Events(digest(1), 9*time.Second), 3)
+	is.Equal(tr.EventCount(digest(1), 9*time.Second), 3)
 	is.Equal(len(tr.FindPoisonRequests(10*time.Second)), 1)
 	is.True(tr.Explained(5))
 }
@@ -202,5 +202,5 @@
 	tr.ClearVerdict(digest(1))
 	loseAll(tr, 2, time.Second, 1)
 	is.True(!tr.Explained(2))
-	is.Equal(tr.Events(digest(1), time.Second), 1) // the loss before the verdict was withdrawn doesn't count
+	is.Equal(tr.EventCount(digest(1), time.Second), 1) // the loss before the verdict was withdrawn doesn't count
 }
--- a/quota/example_test.go
+++ b/quota/example_test.go
@@ -10,7 +10,7 @@
 )
 
 func Example() {
-	limiter := quota.New(quota.Options{Table: memory.New(), Host: "host-1"})
+	limiter := quota.New(quota.Options{Table: memory.NewTable(), Host: "host-1"})
 	limiter.SetLimits(1, []quota.Limit{{Account: "acme", Rate: 10, Burst: 4}})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/quota/limiter_test.go
+++ b/quota/limiter_test.go
@@ -67,18 +67,18 @@
 			break
 		}
 		s.now = s.now.Add(simInterval)
-		s.table.HoldNext(1)
+		s.table.HoldNextCommits(1)
 		_ = first.reconcile(t.Context())
 	}
 	is.True(bucket.state.unresolved != nil) // a commit that gives back half of the slots and may still take effect
-	s.table.HoldNext(0)
+	s.table.HoldNextCommits(0)
 	s.now = s.now.Add(time.Second)
 	takeMany(first)
-	s.table.DropNext(1)
+	s.table.DropNextCommits(1)
 	_ = first.reconcile(t.Context()) // demand has risen, so the host decides to keep all slots
 	is.Equal(bucket.state.held, Slots)
-	s.table.Heal()
-	s.table.Deliver()
+	s.table.ClearFaults()
+	s.table.ApplyHeldCommits()
 	for range 10 {
 		s.now = s.now.Add(time.Second)
 		takeMany(second)
@@ -195,7 +195,7 @@
 func TestRunAndLeave(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		table := memory.New()
+		table := memory.NewTable()
 		newLimiter := func(host string) *Limiter {
 			l := New(Options{Table: table, Host: host})
 			l.SetLimits(1, []Limit{{Account: "acme", Rate: 100, Burst: 100}})
--- a/quota/property_test.go
+++ b/quota/property_test.go
@@ -93,8 +93,8 @@
 
 func (s *spendingSim) networkFaults() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
-		"late commits": func(t *rapid.T) { s.table.HoldNext(rapid.IntRange(1, 3).Draw(t, "n")) },
-		"deliver":      func(*rapid.T) { s.table.Deliver() },
+		"late commits": func(t *rapid.T) { s.table.HoldNextCommits(rapid.IntRange(1, 3).Draw(t, "n")) },
+		"deliver":      func(*rapid.T) { s.table.ApplyHeldCommits() },
 		"cut":          func(t *rapid.T) { s.partitioned = rapid.Bool().Draw(t, "cut") },
 		"slow loans":   func(t *rapid.T) { s.loanDelay = drawDuration(t, time.Second, 0, 6) },
 		"lose loans":   func(t *rapid.T) { s.loseLoans = rapid.Bool().Draw(t, "lose") },
--- a/quota/sim_test.go
+++ b/quota/sim_test.go
@@ -73,7 +73,7 @@
 }
 
 func newSim(hosts int, limits []Limit) *sim {
-	s := &sim{now: simStart, limits: limits, ttl: simTTL, table: faulty.New(memory.New())}
+	s := &sim{now: simStart, limits: limits, ttl: simTTL, table: faulty.NewTable(memory.NewTable())}
 	for i := range hosts {
 		s.hosts = append(s.hosts, s.newHost(i))
 	}
--- a/ratelease/bound.go
+++ b/ratelease/bound.go
@@ -1,7 +1,7 @@
 package ratelease
 
 // Bound is the load that operators permit for a cold upstream.
-type Bound struct {
+type ColdBound struct {
 	// Rate is the rate that one cold upstream tolerates, in requests a second; 0 if the service
 	// has no cold upstreams.
 	Rate float64
@@ -16,7 +16,7 @@
 const allocatedFraction = 0.75
 
 // Permitted returns how many requests may reach a cold upstream in any second.
-func (b Bound) Permitted() float64 { return max(1, b.Overrun)*b.Rate + b.Headroom }
+func (b ColdBound) Permitted() float64 { return max(1, b.Overrun)*b.Rate + b.Headroom }
 
 const (
 	// maxColdParts is the maximum number of parts that a root's requests for a cold upstream are
@@ -28,19 +28,19 @@
 )
 
 // rootBudget returns how many requests for an upstream one of the roots leases.
-func (b Bound) rootBudget(roots int) int {
+func (b ColdBound) rootBudget(roots int) int {
 	return int(allocatedFraction * b.Permitted() / float64(max(1, roots)))
 }
 
 // Parts returns the number of parts that a root splits its requests into.
-func (b Bound) Parts(roots int) int {
+func (b ColdBound) Parts(roots int) int {
 	return min(maxColdParts, max(1, b.rootBudget(roots)/minPartRequests))
 }
 
 // RequestsPerSpan returns how many requests the holder of the share may send in any WindowSpan.
-func (b Bound) RequestsPerSpan(s Share) int {
-	if s.Of == 0 {
+func (b ColdBound) RequestsPerSpan(s Share) int {
+	if s.PartsPerRoot == 0 {
 		return 0
 	}
-	return s.Parts * (b.rootBudget(s.Roots) / s.Of)
+	return s.Parts * (b.rootBudget(s.Roots) / s.PartsPerRoot)
 }
--- a/ratelease/lease.go
+++ b/ratelease/lease.go
@@ -38,18 +38,18 @@
 	Upstream UpstreamID
 	// Parts is the number of parts granted, by one root or more. Of is the number of parts into
 	// which each root splits the requests.
-	Parts int
-	Of    int
+	Parts        int
+	PartsPerRoot int
 }
 
 // digest returns a uniformly distributed hash of the grant.
 func (g Grant) digest() uint64 {
-	return evenhash.Mix(uint64(g.Upstream) ^ uint64(g.Parts)<<32 ^ uint64(g.Of))
+	return evenhash.Mix(uint64(g.Upstream) ^ uint64(g.Parts)<<32 ^ uint64(g.PartsPerRoot))
 }
 
 // Digest returns a hash of a list of grants that doesn't depend on their order; it is 0 for an
 // empty list.
-func Digest(grants []Grant) uint64 {
+func GrantsDigest(grants []Grant) uint64 {
 	sum := uint64(0)
 	for _, g := range grants {
 		sum += g.digest()
@@ -70,7 +70,7 @@
 		switch {
 		case !known:
 			merged = append(merged, g)
-		case merged[i].Of == g.Of:
+		case merged[i].PartsPerRoot == g.PartsPerRoot:
 			merged[i].Parts += g.Parts
 		}
 	}
@@ -81,7 +81,7 @@
 type Lease struct {
 	Grants []Grant
 	// For is the duration of the lease, counted from when it was requested.
-	For time.Duration
+	Duration time.Duration
 	// Roots is the number of root hubs that grant leases.
 	Roots int
 }
@@ -89,30 +89,30 @@
 // RootLease returns the lease that a root hub holds without being granted it: all of its own
 // parts.
 func RootLease(grants []Grant, roots int) Lease {
-	return Lease{Grants: grants, For: LeaseDuration, Roots: max(1, roots)}
+	return Lease{Grants: grants, Duration: LeaseDuration, Roots: max(1, roots)}
 }
 
 // Share is the fraction of an upstream's requests that a host may send.
 type Share struct {
 	// Parts is the number of parts that the host holds, from all roots together. Each of the
 	// Roots roots splits the upstream's requests into Of parts.
-	Parts, Of, Roots int
+	Parts, PartsPerRoot, Roots int
 	// Since is the time from which the host has held the share without interruption.
 	Since time.Time
 }
 
 // Part returns the share as a fraction of all requests for the upstream.
-func (s Share) Part() float64 {
-	if s.Of == 0 || s.Roots == 0 {
+func (s Share) Fraction() float64 {
+	if s.PartsPerRoot == 0 || s.Roots == 0 {
 		return 0
 	}
-	return float64(s.Parts) / float64(s.Of) / float64(s.Roots)
+	return float64(s.Parts) / float64(s.PartsPerRoot) / float64(s.Roots)
 }
 
 // FullShare returns the share of the only host of an installation: all of the given number of
 // parts.
 func FullShare(of int, since time.Time) Share {
-	return Share{Parts: of, Of: of, Roots: 1, Since: since}
+	return Share{Parts: of, PartsPerRoot: of, Roots: 1, Since: since}
 }
 
 // Holding is a lease that a host was granted, with its expiry by the host's own clock.
@@ -127,9 +127,9 @@
 // most LeaseDuration after that. A share that was in the previous holding and hadn't expired by
 // then keeps its Since.
 func NewHolding(l Lease, requestedAt time.Time, previous *Holding) Holding {
-	h := Holding{shares: make(map[UpstreamID]Share, len(l.Grants)), grants: l.Grants, expiresAt: requestedAt.Add(min(l.For, LeaseDuration)), roots: max(1, l.Roots)}
+	h := Holding{shares: make(map[UpstreamID]Share, len(l.Grants)), grants: l.Grants, expiresAt: requestedAt.Add(min(l.Duration, LeaseDuration)), roots: max(1, l.Roots)}
 	for _, g := range l.Grants {
-		share := Share{Parts: g.Parts, Of: g.Of, Roots: h.roots, Since: requestedAt}
+		share := Share{Parts: g.Parts, PartsPerRoot: g.PartsPerRoot, Roots: h.roots, Since: requestedAt}
 		if previous != nil {
 			if previousShare, ok := previous.Share(g.Upstream, requestedAt); ok {
 				share.Since = previousShare.Since
@@ -156,5 +156,5 @@
 	if remaining <= 0 {
 		return Lease{Roots: h.roots}
 	}
-	return Lease{For: remaining, Roots: h.roots, Grants: h.grants}
+	return Lease{Duration: remaining, Roots: h.roots, Grants: h.grants}
 }
--- a/ratelease/lease_test.go
+++ b/ratelease/lease_test.go
@@ -14,22 +14,22 @@
 
 func TestBound(t *testing.T) {
 	tests := []struct {
-		bound           ratelease.Bound
+		bound           ratelease.ColdBound
 		roots           int
 		parts           int
 		requestsPerPart int // part
 	}{
-		{ratelease.Bound{Rate: 18, Overrun: 1.5, Headroom: 5}, 1, 4, 6},
-		{ratelease.Bound{Rate: 18, Overrun: 1.5, Headroom: 5}, 3, 4, 2},
-		{ratelease.Bound{Rate: 18, Overrun: 1.5, Headroom: 5}, 0, 4, 6}, // a host with no root hubs in its settings
-		{ratelease.Bound{Rate: 4, Overrun: 1.5, Headroom: 5}, 3, 1, 2},
-		{ratelease.Bound{Rate: 1, Overrun: 1}, 3, 1, 0}, // less than one request for each of three roots
-		{ratelease.Bound{Rate: 4}, 1, 1, 3},             // an Overrun below 1 counts as 1
+		{ratelease.ColdBound{Rate: 18, Overrun: 1.5, Headroom: 5}, 1, 4, 6},
+		{ratelease.ColdBound{Rate: 18, Overrun: 1.5, Headroom: 5}, 3, 4, 2},
+		{ratelease.ColdBound{Rate: 18, Overrun: 1.5, Headroom: 5}, 0, 4, 6}, // a host with no root hubs in its settings
+		{ratelease.ColdBound{Rate: 4, Overrun: 1.5, Headroom: 5}, 3, 1, 2},
+		{ratelease.ColdBound{Rate: 1, Overrun: 1}, 3, 1, 0}, // less than one request for each of three roots
+		{ratelease.ColdBound{Rate: 4}, 1, 1, 3},             // an Overrun below 1 counts as 1
 	}
 	for _, test := range tests {
 		is := is.New(t)
 		is.Equal(test.bound.Parts(test.roots), test.parts)
-		share := ratelease.Share{Parts: 1, Of: test.parts, Roots: test.roots}
+		share := ratelease.Share{Parts: 1, PartsPerRoot: test.parts, Roots: test.roots}
 		is.Equal(test.bound.RequestsPerSpan(share), test.requestsPerPart)
 		share.Parts = test.parts
 		leasedRequests := max(1, test.roots) * test.bound.RequestsPerSpan(share)
@@ -57,11 +57,11 @@
 
 func TestHoldingExpiresByTheHoldersClock(t *testing.T) {
 	is := is.New(t)
-	h := ratelease.NewHolding(ratelease.Lease{Grants: wholeGrants(1), For: time.Hour, Roots: 3}, start, nil)
+	h := ratelease.NewHolding(ratelease.Lease{Grants: wholeGrants(1), Duration: time.Hour, Roots: 3}, start, nil)
 	is.Equal(heldParts(&h, 1, start.Add(ratelease.LeaseDuration-1)), 1)
 	is.Equal(heldParts(&h, 1, start.Add(ratelease.LeaseDuration)), 0) // although the lease names an hour
 	is.Equal(heldParts(&h, 2, start), 0)
-	is.Equal(h.Lease(start.Add(ratelease.LeaseDuration-time.Millisecond)).For, time.Millisecond)
+	is.Equal(h.Lease(start.Add(ratelease.LeaseDuration-time.Millisecond)).Duration, time.Millisecond)
 	is.Equal(len(h.Lease(start.Add(ratelease.LeaseDuration)).Grants), 0)
 	var none ratelease.Holding
 	is.Equal(heldParts(&none, 0, start), 0)
@@ -71,7 +71,7 @@
 func wholeGrants(upstreams ...ratelease.UpstreamID) []ratelease.Grant {
 	var grants []ratelease.Grant
 	for _, u := range upstreams {
-		grants = append(grants, ratelease.Grant{Upstream: u, Parts: 1, Of: 1})
+		grants = append(grants, ratelease.Grant{Upstream: u, Parts: 1, PartsPerRoot: 1})
 	}
 	return grants
 }
@@ -84,7 +84,7 @@
 // requestLease returns the lease that the lessor grants to a reporter, and checks the digest.
 func requestLease(l *ratelease.Lessor, reporter string, now time.Time) ratelease.Lease {
 	lease, digest := l.Lease(reporter, now)
-	if digest != ratelease.Digest(lease.Grants) {
+	if digest != ratelease.GrantsDigest(lease.Grants) {
 		panic("the digest isn't that of the grants")
 	}
 	return lease
@@ -161,7 +161,7 @@
 	const upstreams = 12_000
 	var grants []ratelease.Grant
 	for u := range ratelease.UpstreamID(upstreams) {
-		grants = append(grants, ratelease.Grant{Upstream: u, Parts: 2, Of: 2})
+		grants = append(grants, ratelease.Grant{Upstream: u, Parts: 2, PartsPerRoot: 2})
 	}
 	l := ratelease.NewLessor(start)
 	l.Assign(ratelease.RootLease(grants, 3), map[string]int{"a": 1, "b": 1}, start.Add(ratelease.HandoverDelay))
@@ -175,7 +175,7 @@
 	is := is.New(t)
 	now := start.Add(ratelease.HandoverDelay)
 	root, hub := ratelease.NewLessor(start), ratelease.NewLessor(start)
-	rootLease := ratelease.RootLease([]ratelease.Grant{{Upstream: 7, Parts: 4, Of: 4}}, 3)
+	rootLease := ratelease.RootLease([]ratelease.Grant{{Upstream: 7, Parts: 4, PartsPerRoot: 4}}, 3)
 	reporters := map[string]int{"hub": 3, "host": 1}
 	root.Assign(rootLease, reporters, now)
 	toHub, toHost := requestLease(root, "hub", now), requestLease(root, "host", now)
@@ -190,7 +190,7 @@
 	}
 	is.Equal(total, countParts(toHub.Grants))
 	// The leases of parts that the hub no longer holds aren't renewed.
-	smallerLease := ratelease.Lease{Grants: []ratelease.Grant{{Upstream: 7, Parts: 1, Of: 4}}, For: ratelease.LeaseDuration, Roots: 3}
+	smallerLease := ratelease.Lease{Grants: []ratelease.Grant{{Upstream: 7, Parts: 1, PartsPerRoot: 4}}, Duration: ratelease.LeaseDuration, Roots: 3}
 	total = 0
 	hub.Assign(smallerLease, followers, now)
 	for name := range followers {
@@ -207,7 +207,7 @@
 	l := ratelease.NewLessor(start)
 	reporters := map[string]int{"a": 1, "b": 1, "c": 1}
 	leasedParts := func(of int) int {
-		l.Assign(ratelease.RootLease([]ratelease.Grant{{Upstream: 7, Parts: of, Of: of}}, 3), reporters, now)
+		l.Assign(ratelease.RootLease([]ratelease.Grant{{Upstream: 7, Parts: of, PartsPerRoot: of}}, 3), reporters, now)
 		n := 0
 		for name := range reporters {
 			n += countParts(requestLease(l, name, now).Grants)
@@ -225,9 +225,9 @@
 
 func TestMerge(t *testing.T) {
 	is := is.New(t)
-	first := []ratelease.Grant{{Upstream: 1, Parts: 2, Of: 2}, {Upstream: 2, Parts: 1, Of: 1}}
-	second := []ratelease.Grant{{Upstream: 1, Parts: 1, Of: 2}, {Upstream: 2, Parts: 2, Of: 4}, {Upstream: 3, Parts: 1, Of: 1}}
-	is.Equal(ratelease.Merge(first, second), []ratelease.Grant{{Upstream: 1, Parts: 3, Of: 2}, {Upstream: 2, Parts: 1, Of: 1}, {Upstream: 3, Parts: 1, Of: 1}})
+	first := []ratelease.Grant{{Upstream: 1, Parts: 2, PartsPerRoot: 2}, {Upstream: 2, Parts: 1, PartsPerRoot: 1}}
+	second := []ratelease.Grant{{Upstream: 1, Parts: 1, PartsPerRoot: 2}, {Upstream: 2, Parts: 2, PartsPerRoot: 4}, {Upstream: 3, Parts: 1, PartsPerRoot: 1}}
+	is.Equal(ratelease.Merge(first, second), []ratelease.Grant{{Upstream: 1, Parts: 3, PartsPerRoot: 2}, {Upstream: 2, Parts: 1, PartsPerRoot: 1}, {Upstream: 3, Parts: 1, PartsPerRoot: 1}})
 	is.Equal(first[0].Parts, 2) // the arguments aren't modified
 }
 
@@ -235,7 +235,7 @@
 // again.
 func TestShareSince(t *testing.T) {
 	is := is.New(t)
-	lease := ratelease.Lease{Grants: wholeGrants(7), For: ratelease.LeaseDuration, Roots: 3}
+	lease := ratelease.Lease{Grants: wholeGrants(7), Duration: ratelease.LeaseDuration, Roots: 3}
 	first := ratelease.NewHolding(lease, start, nil)
 	second := ratelease.NewHolding(lease, start.Add(time.Second), &first)
 	share, _ := second.Share(7, start.Add(time.Second))
@@ -250,11 +250,11 @@
 	l := ratelease.NewLessor(start)
 	now := start.Add(ratelease.HandoverDelay)
 	reporters := map[string]int{"host-1": 1}
-	l.Assign(ratelease.RootLease([]ratelease.Grant{{Upstream: 7, Parts: 4, Of: 4}}, 3), reporters, now)
+	l.Assign(ratelease.RootLease([]ratelease.Grant{{Upstream: 7, Parts: 4, PartsPerRoot: 4}}, 3), reporters, now)
 	lease, _ := l.Lease("host-1", now)
 	holding := ratelease.NewHolding(lease, now, nil)
 	share, _ := holding.Share(7, now)
-	bound := ratelease.Bound{Rate: 18, Overrun: 1.5, Headroom: 5}
+	bound := ratelease.ColdBound{Rate: 18, Overrun: 1.5, Headroom: 5}
 	fmt.Println(bound.RequestsPerSpan(share))
 	// Output: 8
 }
--- a/ratelease/lessor.go
+++ b/ratelease/lessor.go
@@ -58,7 +58,7 @@
 // Assign assigns the parts of the holding to reporters. The map has the names of the hosts that
 // report now, with the number of hosts that each represents: itself and its followers.
 func (l *Lessor) Assign(holding Lease, reporters map[string]int, now time.Time) {
-	l.allotments, l.expiresAt, l.roots = make(map[string]*allotment, len(reporters)), now.Add(min(holding.For, LeaseDuration)), holding.Roots
+	l.allotments, l.expiresAt, l.roots = make(map[string]*allotment, len(reporters)), now.Add(min(holding.Duration, LeaseDuration)), holding.Roots
 	picker := newWeightedPicker(reporters)
 	for _, g := range holding.Grants {
 		a := l.assignmentFor(g, now)
@@ -73,7 +73,7 @@
 		}
 	}
 	for _, allotted := range l.allotments {
-		allotted.digest = Digest(allotted.grants)
+		allotted.digest = GrantsDigest(allotted.grants)
 	}
 	maps.DeleteFunc(l.assignments, func(_ UpstreamID, a *assignment) bool {
 		return now.Sub(a.lastHeldAt) > HandoverDelay && a.allAvailable(now)
@@ -84,14 +84,14 @@
 // returns nil while leases of parts of another size may be in use.
 func (l *Lessor) assignmentFor(g Grant, now time.Time) *assignment {
 	a := l.assignments[g.Upstream]
-	if a != nil && a.partCount != g.Of {
+	if a != nil && a.partCount != g.PartsPerRoot {
 		if !a.allAvailable(now) {
 			return nil
 		}
 		a = nil
 	}
 	if a == nil {
-		a = &assignment{partCount: g.Of, lessees: make([]lessee, g.Of)}
+		a = &assignment{partCount: g.PartsPerRoot, lessees: make([]lessee, g.PartsPerRoot)}
 		l.assignments[g.Upstream] = a
 	}
 	a.lastHeldAt = now
@@ -134,15 +134,15 @@
 		allotted.grants[last].Parts++
 		return
 	}
-	allotted.grants = append(allotted.grants, Grant{Upstream: g.Upstream, Parts: 1, Of: g.Of})
+	allotted.grants = append(allotted.grants, Grant{Upstream: g.Upstream, Parts: 1, PartsPerRoot: g.PartsPerRoot})
 }
 
 // Lease returns the lease that the reporter gets for the remaining time of the holding, and the
 // digest of its grants.
 func (l *Lessor) Lease(reporter string, now time.Time) (lease Lease, digest uint64) {
-	lease = Lease{For: l.expiresAt.Sub(now), Roots: l.roots}
+	lease = Lease{Duration: l.expiresAt.Sub(now), Roots: l.roots}
 	allotted := l.allotments[reporter]
-	if lease.For <= 0 || allotted == nil {
+	if lease.Duration <= 0 || allotted == nil {
 		return Lease{Roots: l.roots}, 0
 	}
 	for _, part := range allotted.lessees {
--- a/ratelease/limit.go
+++ b/ratelease/limit.go
@@ -47,7 +47,7 @@
 
 // Allowance returns the rate and the burst at which the holder of a share may send requests.
 func (l Limit) Allowance(s Share) Allowance {
-	part := s.Part()
+	part := s.Fraction()
 	return Allowance{Rate: part * max(probeRate, float64(l)), Burst: part * l.burst(), Since: s.Since}
 }
 
--- a/ratelease/limit_test.go
+++ b/ratelease/limit_test.go
@@ -43,7 +43,7 @@
 				of := limit.Parts(roots)
 				var holders []*holder
 				for range roots * of {
-					holders = append(holders, &holder{share: ratelease.Share{Parts: 1, Of: of, Roots: roots, Since: start}})
+					holders = append(holders, &holder{share: ratelease.Share{Parts: 1, PartsPerRoot: of, Roots: roots, Since: start}})
 				}
 				var sent []time.Time
 				const span = 60 * time.Second
@@ -75,7 +75,7 @@
 func TestMovedShareStartsWithoutTokens(t *testing.T) {
 	is := is.New(t)
 	const limit = ratelease.Limit(3)
-	share := ratelease.Share{Parts: 1, Of: 1, Roots: 1, Since: start}
+	share := ratelease.Share{Parts: 1, PartsPerRoot: 1, Roots: 1, Since: start}
 	var b ratelease.Bucket
 	later := start.Add(time.Minute)
 	is.True(b.Allows(limit.Allowance(share), later))
--- a/ratelease/limitstate.go
+++ b/ratelease/limitstate.go
@@ -51,7 +51,7 @@
 
 // Answered returns the contact after a reply from the hub, where rootSeenAt is when the hub was
 // last connected to a root hub.
-func (c HubContact) Answered(now, rootSeenAt time.Time) HubContact {
+func (c HubContact) WithReply(now, rootSeenAt time.Time) HubContact {
 	if now.Sub(c.repliedAt) > LeaseDuration {
 		c.replyingSince = now
 	}
--- a/ratelease/log.go
+++ b/ratelease/log.go
@@ -20,8 +20,8 @@
 // LogCursor is a position in a hub's log. Epoch identifies the run of the hub, Last is the sequence
 // number of the last update received.
 type LogCursor struct {
-	Epoch uint64 `json:"epoch,omitempty"`
-	Last  uint64 `json:"last,omitempty"`
+	Epoch   uint64 `json:"epoch,omitempty"`
+	LastSeq uint64 `json:"last,omitempty"`
 }
 
 // LimitBatch is a batch of updates from a hub's log.
@@ -114,10 +114,10 @@
 // gets these from the hubs themselves.
 func (l *LimitLog) Since(cursor LogCursor, limit int, toHub bool, now time.Time) LimitBatch {
 	if cursor.Epoch != l.epoch {
-		cursor.Last = 0
+		cursor.LastSeq = 0
 	}
-	batch := LimitBatch{Cursor: LogCursor{Epoch: l.epoch, Last: l.lastSeq}, Complete: true}
-	first, _ := slices.BinarySearchFunc(l.entries, cursor.Last+1, func(e *logEntry, seq uint64) int {
+	batch := LimitBatch{Cursor: LogCursor{Epoch: l.epoch, LastSeq: l.lastSeq}, Complete: true}
+	first, _ := slices.BinarySearchFunc(l.entries, cursor.LastSeq+1, func(e *logEntry, seq uint64) int {
 		return int(int64(e.seq) - int64(seq))
 	})
 	for _, e := range l.entries[first:] {
@@ -131,9 +131,9 @@
 		update := e.update
 		update.Age = now.Sub(e.observedAt)
 		batch.Updates = append(batch.Updates, update)
-		batch.Cursor.Last = e.seq
+		batch.Cursor.LastSeq = e.seq
 	}
-	batch.Cursor.Last = l.lastSeq
+	batch.Cursor.LastSeq = l.lastSeq
 	return batch
 }
 
--- a/ratelease/log_test.go
+++ b/ratelease/log_test.go
@@ -32,7 +32,7 @@
 	updates, cursor = updatesSince(cursor, false)
 	is.True(len(updates) == 1 && updates[0].Ended) // an outdated update has the current entry sent again
 	// A host whose cursor is from another run of the hub receives the whole log.
-	updates, _ = updatesSince(ratelease.LogCursor{Epoch: cursor.Epoch + 1, Last: cursor.Last}, false)
+	updates, _ = updatesSince(ratelease.LogCursor{Epoch: cursor.Epoch + 1, LastSeq: cursor.LastSeq}, false)
 	is.Equal(len(updates), 1)
 }
 
--- a/rollout/answers.go
+++ b/rollout/answers.go
@@ -49,7 +49,7 @@
 
 // Return refunds an answer that was taken and whose request was never sent to
 // an upstream.
-func (t *Tracker) Return(model, version string) {
+func (t *Tracker) Refund(model, version string) {
 	t.withEntry(Key{model, version}, func(_ *shard, e *entry, _ time.Time) {
 		e.returnUnsent()
 		t.recordChange(e, e.own.Host)
--- a/rollout/budget_test.go
+++ b/rollout/budget_test.go
@@ -17,7 +17,7 @@
 var smallRule = VersionRule{
 	Model:        "m",
 	Version:      "2",
-	Epoch:        5,
+	Round:        5,
 	Budget:       40,
 	MaxErrorRate: 0.05,
 	MinRating:    0.6,
@@ -40,7 +40,7 @@
 }
 
 func newCluster(n int, grantedOnly bool) *cluster {
-	c := &cluster{clock: newClock(), grantedOnly: grantedOnly, size: n, table: faulty.New(memory.New())}
+	c := &cluster{clock: newClock(), grantedOnly: grantedOnly, size: n, table: faulty.NewTable(memory.NewTable())}
 	for range n {
 		c.hosts = append(c.hosts, nil)
 		c.granters = append(c.granters, nil)
@@ -74,7 +74,7 @@
 		"return": func(t *rapid.T) {
 			host := c.hosts[pick(t)]
 			if host.Take("m", "2") {
-				host.Return("m", "2")
+				host.Refund("m", "2")
 			}
 		},
 		"send":    func(t *rapid.T) { c.exports = append(c.exports, c.hosts[pick(t)].Export()) },
@@ -99,14 +99,14 @@
 }
 
 func (c *cluster) claimGrants(t *rapid.T, i int) {
-	c.table.Heal()
+	c.table.ClearFaults()
 	switch rapid.SampledFrom([]string{"", "", "down", "lost", "dropped"}).Draw(t, "fault") {
 	case "down":
 		c.table.SetDown(true)
 	case "lost":
-		c.table.LoseNext(1)
+		c.table.LoseNextResponses(1)
 	case "dropped":
-		c.table.DropNext(1)
+		c.table.DropNextCommits(1)
 	}
 	_ = c.hosts[i].ClaimGrants(context.Background(), c.granters[i])
 }
@@ -154,10 +154,10 @@
 	is := is.New(t)
 	c := newCluster(1, true)
 	is.True(!c.hosts[0].Take("m", "2")) // nothing granted yet
-	c.table.LoseNext(1)
+	c.table.LoseNextResponses(1)
 	is.True(c.hosts[0].ClaimGrants(t.Context(), c.granters[0]) != nil)
 	is.NoErr(c.hosts[0].ClaimGrants(t.Context(), c.granters[0]))
-	row, _, err := c.granters[0].read(t.Context(), grantKey(Claim{Key: smallRule.Key(), Epoch: smallRule.Epoch}))
+	row, _, err := c.granters[0].read(t.Context(), grantKey(Claim{Key: smallRule.Key(), Round: smallRule.Round}))
 	is.NoErr(err)
 	is.Equal(uint64(c.takeUntilRefused(c.hosts[0])), row.sum()) // includes the grant whose response was lost
 }
--- a/rollout/compare.go
+++ b/rollout/compare.go
@@ -4,14 +4,14 @@
 
 // Sample holds the number of answers of one version and of the bad ones among
 // them.
-type Sample struct {
+type AnswerCounts struct {
 	Bad   int
 	Total int
 }
 
 // counts returns the numbers of good and of bad answers, in the order that a meanTest with
 // binaryValues expects.
-func (s Sample) counts() []uint64 {
+func (s AnswerCounts) counts() []uint64 {
 	return []uint64{uint64(max(0, s.Total-s.Bad)), uint64(s.Bad)}
 }
 
@@ -27,7 +27,7 @@
 // candidate with 50% bad answers is found worse after 7 to 16 of its answers if the baseline
 // is healthy, and after 30 to 40 if the baseline has 20% bad answers (seeded runs, see the
 // tests).
-func Worse(baseline, candidate Sample, alpha float64) bool {
+func IsWorse(baseline, candidate AnswerCounts, alpha float64) bool {
 	test := newMeanTest(above, min(maxTestedRate, upperRate(baseline)), binaryValues)
 	return test.logWealth(candidate.counts()) >= math.Log(1/alpha)
 }
@@ -38,7 +38,7 @@
 // baseline's rate against one that is higher by the tolerance. With a tolerance of 0.2 and an
 // alpha of 0.05, it returns true for a healthy candidate after 15 answers, and for one as good
 // as the baseline after about 45 if the baseline has 20% bad answers.
-func NotWorse(baseline, candidate Sample, tolerance, alpha float64) bool {
+func IsNotWorse(baseline, candidate AnswerCounts, tolerance, alpha float64) bool {
 	limit := min(maxTestedRate, lowerRate(baseline)+tolerance)
 	healthyRate := max(minHealthyRate, lowerRate(baseline))
 	good, bad := float64(candidate.Total-candidate.Bad), float64(candidate.Bad)
@@ -58,7 +58,7 @@
 // of them bad, are added to the sample, so that there is an estimate if the baseline has no
 // answers, and so that a single failure of the candidate isn't significant after only a few
 // good answers of the baseline.
-func upperRate(s Sample) float64 {
+func upperRate(s AnswerCounts) float64 {
 	total := float64(s.Total + 5)
 	rate := float64(s.Bad+1) / total
 	return rate + math.Sqrt(rate*(1-rate)/total)
@@ -66,7 +66,7 @@
 
 // lowerRate returns the rate of bad answers, estimated low for small samples, so that a few
 // early bad answers of the baseline don't clear a bad candidate.
-func lowerRate(s Sample) float64 {
+func lowerRate(s AnswerCounts) float64 {
 	const priorGoodAnswers = 10
 	return float64(s.Bad) / float64(s.Total+priorGoodAnswers)
 }
--- a/rollout/compare_test.go
+++ b/rollout/compare_test.go
@@ -35,7 +35,7 @@
 // compare draws answers until the candidate is stopped or has given maxCandidateAnswers. The
 // result is cleared if the candidate was cleared at any time before.
 func (versions simulatedVersions) compare(rng *rand.Rand) comparisonResult {
-	var baseline, candidate Sample
+	var baseline, candidate AnswerCounts
 	var result comparisonResult
 	for candidate.Total < maxCandidateAnswers {
 		if rng.Float64() >= versions.share {
@@ -43,17 +43,17 @@
 			continue
 		}
 		candidate.add(rng.Float64() < versions.candidateRate)
-		if Worse(baseline, candidate, testAlpha) {
+		if IsWorse(baseline, candidate, testAlpha) {
 			result.stopped = true
 			break
 		}
-		result.cleared = result.cleared || NotWorse(baseline, candidate, testTolerance, testClearAlpha)
+		result.cleared = result.cleared || IsNotWorse(baseline, candidate, testTolerance, testClearAlpha)
 	}
 	result.candidateAnswers = candidate.Total
 	return result
 }
 
-func (s *Sample) add(bad bool) {
+func (s *AnswerCounts) add(bad bool) {
 	s.Total++
 	if bad {
 		s.Bad++
@@ -128,22 +128,22 @@
 func TestComparisonDependsOnSums(t *testing.T) {
 	tests := []struct {
 		desc                string
-		baseline, candidate Sample
+		baseline, candidate AnswerCounts
 		want                bool
 	}{
-		{"nothing yet", Sample{}, Sample{}, false},
-		{"two failures can be chance", Sample{0, 30}, Sample{2, 2}, false},
-		{"four failures of ten", Sample{0, 100}, Sample{4, 10}, true},
-		{"as bad as the baseline", Sample{20, 100}, Sample{4, 20}, false},
-		{"far worse than a poor baseline", Sample{14, 100}, Sample{11, 16}, true},
-		{"rare failures", Sample{0, 100}, Sample{3, 100}, false},
-		{"no answers of the baseline", Sample{}, Sample{3, 3}, false},
-		{"many failures without answers of the baseline", Sample{}, Sample{10, 10}, true},
+		{"nothing yet", AnswerCounts{}, AnswerCounts{}, false},
+		{"two failures can be chance", AnswerCounts{0, 30}, AnswerCounts{2, 2}, false},
+		{"four failures of ten", AnswerCounts{0, 100}, AnswerCounts{4, 10}, true},
+		{"as bad as the baseline", AnswerCounts{20, 100}, AnswerCounts{4, 20}, false},
+		{"far worse than a poor baseline", AnswerCounts{14, 100}, AnswerCounts{11, 16}, true},
+		{"rare failures", AnswerCounts{0, 100}, AnswerCounts{3, 100}, false},
+		{"no answers of the baseline", AnswerCounts{}, AnswerCounts{3, 3}, false},
+		{"many failures without answers of the baseline", AnswerCounts{}, AnswerCounts{10, 10}, true},
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(Worse(test.baseline, test.candidate, testAlpha), test.want)
+			is.Equal(IsWorse(test.baseline, test.candidate, testAlpha), test.want)
 		})
 	}
 }
--- a/rollout/entry.go
+++ b/rollout/entry.go
@@ -55,7 +55,7 @@
 		rule:          rule,
 		criteria:      newCriteria(rule, options.Confidence),
 		pacing:        options.Pacing.withDefaults(),
-		own:           Evidence{Host: host, Model: rule.Model, Version: rule.Version, Epoch: rule.Epoch},
+		own:           Evidence{Host: host, Model: rule.Model, Version: rule.Version, Round: rule.Round},
 		peers:         make(map[string]*Evidence),
 		lastChanges:   make(map[string]uint64),
 		servedDenials: make(map[string]uint64),
@@ -240,7 +240,7 @@
 	return Stop{
 		Model:   e.rule.Model,
 		Version: e.rule.Version,
-		Epoch:   e.rule.Epoch,
+		Round:   e.rule.Round,
 		Reason:  reason,
 		Summary: summarize(counters, strength),
 		Host:    e.own.Host,
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -40,7 +40,7 @@
 	Host    string `json:"host"`
 	Model   string `json:"model"`
 	Version string `json:"version"`
-	Epoch   uint64 `json:"epoch"`
+	Round   uint64 `json:"epoch"`
 	// Granted is the number of answers that the host was granted of the budget,
 	// Transfers what it transferred of them to other hosts.
 	Granted   uint64     `json:"granted"`
--- a/rollout/example_test.go
+++ b/rollout/example_test.go
@@ -10,7 +10,7 @@
 	rules := []rollout.VersionRule{{
 		Model:        "quotes",
 		Version:      "2",
-		Epoch:        7,
+		Round:        7,
 		Budget:       1000,
 		MaxErrorRate: 0.02,
 	}}
--- a/rollout/exchange.go
+++ b/rollout/exchange.go
@@ -75,10 +75,10 @@
 	defer s.mu.Unlock()
 	e := s.entries[key]
 	switch {
-	case e == nil || evidence.Epoch > e.rule.Epoch:
+	case e == nil || evidence.Round > e.rule.Round:
 		s.storePendingEvidence(evidence)
 		return false
-	case evidence.Epoch < e.rule.Epoch || evidence.Host == e.own.Host:
+	case evidence.Round < e.rule.Round || evidence.Host == e.own.Host:
 		return false
 	}
 	if !e.merge(evidence) {
--- a/rollout/grant.go
+++ b/rollout/grant.go
@@ -20,7 +20,7 @@
 // Claim is a request for a part of a version's budget.
 type Claim struct {
 	Key   Key
-	Epoch uint64
+	Round uint64
 	// Budget is the rule's budget.
 	Budget int
 	// Hosts is the number of entry hosts.
@@ -115,7 +115,7 @@
 }
 
 func grantKey(claim Claim) string {
-	return fmt.Sprintf("%s%s/%s/%d", GrantPrefix, claim.Key.Model, claim.Key.Version, claim.Epoch)
+	return fmt.Sprintf("%s%s/%s/%d", GrantPrefix, claim.Key.Model, claim.Key.Version, claim.Round)
 }
 
 func (r grantRow) sum() uint64 {
@@ -179,7 +179,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := s.entries[key]
-	if e == nil || e.rule.Epoch != epoch {
+	if e == nil || e.rule.Round != epoch {
 		return
 	}
 	if total <= e.own.Granted {
@@ -203,7 +203,7 @@
 			errs = errors.Join(errs, err)
 			continue
 		}
-		t.Grant(claim.Key, claim.Epoch, total)
+		t.Grant(claim.Key, claim.Round, total)
 	}
 	return errs
 }
@@ -222,7 +222,7 @@
 func (e *entry) claim(hosts int) Claim {
 	return Claim{
 		Key:    e.rule.Key(),
-		Epoch:  e.rule.Epoch,
+		Round:  e.rule.Round,
 		Budget: e.rule.Budget,
 		Hosts:  hosts,
 		Good:   e.epochSum.good(),
--- a/rollout/helpers_test.go
+++ b/rollout/helpers_test.go
@@ -30,7 +30,7 @@
 var testRule = VersionRule{
 	Model:        "m",
 	Version:      "2",
-	Epoch:        5,
+	Round:        5,
 	Budget:       700,
 	MaxErrorRate: 0.05,
 	MinRating:    0.6,
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -20,7 +20,7 @@
 	// manifest: a new manifest with the same number keeps the budget, the
 	// evidence and the stop, a higher number starts with a full budget, no
 	// evidence and no stop.
-	Epoch uint64
+	Round uint64
 	// Budget is the number of answers that all hosts together may give before
 	// the version is cleared; 0 means no limit.
 	Budget int
@@ -83,7 +83,7 @@
 type Stop struct {
 	Model   string  `json:"model"`
 	Version string  `json:"version"`
-	Epoch   uint64  `json:"epoch"`
+	Round   uint64  `json:"epoch"`
 	Reason  Reason  `json:"reason"`
 	Summary Summary `json:"summary"`
 	// Host is the ID of the entry host that stopped the version, and At is the
--- a/rollout/rules.go
+++ b/rollout/rules.go
@@ -39,13 +39,13 @@
 
 func (t *Tracker) setRule(s *shard, previous *entry, rule VersionRule, now time.Time) {
 	key := rule.Key()
-	if previous != nil && previous.rule.Epoch >= rule.Epoch {
+	if previous != nil && previous.rule.Round >= rule.Round {
 		s.entries[key] = previous
 		return
 	}
 	e := newEntry(t.options.Host, rule, t.options)
 	s.entries[key] = e
-	if stop, ok := s.stops[key]; ok && stop.Epoch < rule.Epoch {
+	if stop, ok := s.stops[key]; ok && stop.Round < rule.Round {
 		delete(s.stops, key)
 	}
 	t.applyPendingEvidence(s, e, now)
@@ -55,7 +55,7 @@
 func (t *Tracker) applyPendingEvidence(s *shard, e *entry, now time.Time) {
 	key := e.rule.Key()
 	for host, evidence := range s.pendingEvidence[key] {
-		if evidence.Epoch != e.rule.Epoch {
+		if evidence.Round != e.rule.Round {
 			continue
 		}
 		if host == e.own.Host {
@@ -96,10 +96,10 @@
 	}
 	stored := hosts[evidence.Host]
 	switch {
-	case stored == nil || stored.Epoch < evidence.Epoch:
+	case stored == nil || stored.Round < evidence.Round:
 		copied := evidence.clone()
 		hosts[evidence.Host] = &copied
-	case stored.Epoch == evidence.Epoch:
+	case stored.Round == evidence.Round:
 		stored.merge(evidence)
 	}
 }
@@ -110,7 +110,7 @@
 	for key, hosts := range s.pendingEvidence {
 		epoch := uint64(0)
 		for _, evidence := range hosts {
-			epoch = max(epoch, evidence.Epoch)
+			epoch = max(epoch, evidence.Round)
 		}
 		if lowest == 0 || epoch < lowest {
 			oldest, lowest = key, epoch
--- a/rollout/sequential_test.go
+++ b/rollout/sequential_test.go
@@ -71,7 +71,7 @@
 
 func drawEvidence(t *rapid.T, host string) Evidence {
 	number := func(name string) uint64 { return rapid.Uint64Range(0, 9).Draw(t, name) }
-	e := Evidence{Host: host, Model: "m", Version: "2", Epoch: 5, Granted: number("granted")}
+	e := Evidence{Host: host, Model: "m", Version: "2", Round: 5, Granted: number("granted")}
 	e.Taken = number("taken")
 	e.Total = Counters{Answers: number("answers"), Errors: number("errors")}
 	e.Total.addRatings(rapid.IntRange(0, RatingBuckets-1).Draw(t, "bucket"), number("ratings"))
--- a/rollout/stops.go
+++ b/rollout/stops.go
@@ -38,7 +38,7 @@
 	s := t.shard(stop.Key())
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if e := s.entries[stop.Key()]; e != nil && e.rule.Epoch > stop.Epoch {
+	if e := s.entries[stop.Key()]; e != nil && e.rule.Round > stop.Round {
 		return false
 	}
 	return s.addStop(stop)
@@ -59,10 +59,10 @@
 // without a rule are stored up to maxVersionsWithoutRule.
 func (s *shard) addStop(stop Stop) bool {
 	stored, ok := s.stops[stop.Key()]
-	if ok && stored.Epoch > stop.Epoch {
+	if ok && stored.Round > stop.Round {
 		return false
 	}
-	if ok && stored.Epoch == stop.Epoch && !stop.before(stored) {
+	if ok && stored.Round == stop.Round && !stop.before(stored) {
 		return false
 	}
 	if !ok && s.entries[stop.Key()] == nil && len(s.stops) >= maxVersionsWithoutRule {
--- a/rollout/tracker_test.go
+++ b/rollout/tracker_test.go
@@ -78,7 +78,7 @@
 	is.Equal(takeOnly(), DefaultInitial)
 	tracker.Observe("m", "2", goodOutcome)
 	is.Equal(takeOnly(), 2) // one answer ended, and its evidence allows one more
-	tracker.Return("m", "2")
+	tracker.Refund("m", "2")
 	is.Equal(takeOnly(), 1)
 	clock.Advance(DefaultObserveTimeout)
 	is.Equal(takeOnly(), DefaultInitial+1)
@@ -96,7 +96,7 @@
 func TestStopHoldsUntilANewEpoch(t *testing.T) {
 	is := is.New(t)
 	tracker := newTracker("a", newClock(), testRule)
-	stop := Stop{Model: "m", Version: "2", Epoch: testRule.Epoch, Reason: ReasonErrors, Host: "b", At: start}
+	stop := Stop{Model: "m", Version: "2", Round: testRule.Round, Reason: ReasonErrors, Host: "b", At: start}
 	is.True(tracker.AdoptStop(stop))
 	is.True(!tracker.AdoptStop(stop)) // already stored
 	is.True(!tracker.Take("m", "2"))
@@ -107,7 +107,7 @@
 	is.True(!tracker.Take("m", "2"))
 
 	renewed := testRule
-	renewed.Epoch++
+	renewed.Round++
 	tracker.SetVersions([]VersionRule{renewed})
 	is.True(tracker.Take("m", "2"))
 	is.True(!tracker.AdoptStop(stop)) // outdated
@@ -118,7 +118,7 @@
 func TestStopReceivedBeforeItsRuleApplies(t *testing.T) {
 	is := is.New(t)
 	tracker := newTracker("a", newClock())
-	tracker.AdoptStop(Stop{Model: "m", Version: "2", Epoch: testRule.Epoch, At: start})
+	tracker.AdoptStop(Stop{Model: "m", Version: "2", Round: testRule.Round, At: start})
 	is.Equal(len(tracker.Stops()), 1) // exported before its rule is set
 	tracker.SetVersions([]VersionRule{testRule})
 	is.True(!tracker.Take("m", "2"))
@@ -126,8 +126,8 @@
 
 func TestStopsConverge(t *testing.T) {
 	is := is.New(t)
-	first := Stop{Model: "m", Version: "2", Epoch: 5, Reason: ReasonErrors, Host: "b", At: start}
-	second := Stop{Model: "m", Version: "2", Epoch: 5, Reason: ReasonRating, Host: "a", At: start.Add(1)}
+	first := Stop{Model: "m", Version: "2", Round: 5, Reason: ReasonErrors, Host: "b", At: start}
+	second := Stop{Model: "m", Version: "2", Round: 5, Reason: ReasonRating, Host: "a", At: start.Add(1)}
 	a, b := newTracker("a", newClock(), testRule), newTracker("b", newClock(), testRule)
 	a.AdoptStop(first)
 	a.AdoptStop(second)
--- a/session/choose.go
+++ b/session/choose.go
@@ -30,7 +30,7 @@
 // returns the version with the lowest score. The choice doesn't depend on the order
 // of the versions or on versions without a share. Choose returns false if no
 // version accepts new sessions.
-func Choose(versions []manifest.Version, sessionHash float64) (manifest.Version, bool) {
+func ChooseVersion(versions []manifest.Version, sessionHash float64) (manifest.Version, bool) {
 	best := -1
 	lowest := math.Inf(1)
 	for i, v := range versions {
--- a/session/choose_test.go
+++ b/session/choose_test.go
@@ -76,7 +76,7 @@
 		t.Run(tc.desc, func(t *testing.T) {
 			before, after := versions(tc.before...), versions(tc.after...)
 			minimum := minMovedFraction(before, after)
-			rendezvous := movedFraction(Choose, before, after)
+			rendezvous := movedFraction(ChooseVersion, before, after)
 			intervals := movedFraction(chooseByInterval, before, after)
 			t.Logf("moved fraction: minimum %.3f, rendezvous %.3f, intervals %.3f", minimum, rendezvous, intervals)
 			is.New(t).True(rendezvous <= tc.maxRatio*minimum)
@@ -89,7 +89,7 @@
 	vs := versions(60, 30, 9, 1)
 	count := map[string]int{}
 	for i := range sampledSessions {
-		v, _ := Choose(vs, SessionHash("acme", fmt.Sprint(i), "small"))
+		v, _ := ChooseVersion(vs, SessionHash("acme", fmt.Sprint(i), "small"))
 		count[v.Name]++
 	}
 	for _, v := range vs {
--- a/session/cost_test.go
+++ b/session/cost_test.go
@@ -36,7 +36,7 @@
 	for _, tc := range cases {
 		t.Run(tc.desc, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				table := faulty.New(memory.New())
+				table := faulty.NewTable(memory.NewTable())
 				table.SetDelay(tableDelay)
 				var registries []*Registry
 				for range hosts {
--- a/session/example_test.go
+++ b/session/example_test.go
@@ -22,7 +22,7 @@
 		{Name: "v1", State: manifest.Serving, Share: 90},
 		{Name: "v2", State: manifest.RollingIn, Share: 10},
 	}
-	version, _ := session.Choose(versions, session.SessionHash("acme", "call-17", "small"))
+	version, _ := session.ChooseVersion(versions, session.SessionHash("acme", "call-17", "small"))
 	token := codec.Mint(session.Binding{
 		Account:   "acme",
 		SessionID: "call-17",
@@ -40,7 +40,7 @@
 }
 
 func ExampleRegistry() {
-	registry := session.NewRegistry(session.Options{Table: memory.New()})
+	registry := session.NewRegistry(session.Options{Table: memory.NewTable()})
 	ctx := context.Background()
 	for _, version := range []string{"v1", "v2"} {
 		binding, durable, err := registry.Bind(ctx, session.Binding{
--- a/session/registry_test.go
+++ b/session/registry_test.go
@@ -29,7 +29,7 @@
 // withTable runs a test with an empty table in its own synctest bubble.
 func withTable(t *testing.T, test func(t *testing.T, is *is.I, table *faulty.Table)) {
 	t.Helper()
-	synctest.Test(t, func(t *testing.T) { test(t, is.New(t), faulty.New(memory.New())) })
+	synctest.Test(t, func(t *testing.T) { test(t, is.New(t), faulty.NewTable(memory.NewTable())) })
 }
 
 func proposal(version string) Binding {
@@ -52,9 +52,9 @@
 		fault func(*faulty.Table)
 	}{
 		{desc: "no fault", fault: func(*faulty.Table) {}},
-		{desc: "responses lost after commit", fault: func(f *faulty.Table) { f.LoseNext(4) }},
-		{desc: "delayed commit", fault: func(f *faulty.Table) { f.DelayNext(1, time.Second) }},
-		{desc: "commits dropped without response", fault: func(f *faulty.Table) { f.DropNext(2) }},
+		{desc: "responses lost after commit", fault: func(f *faulty.Table) { f.LoseNextResponses(4) }},
+		{desc: "delayed commit", fault: func(f *faulty.Table) { f.DelayNextCommits(1, time.Second) }},
+		{desc: "commits dropped without response", fault: func(f *faulty.Table) { f.DropNextCommits(2) }},
 		{desc: "slow calls", fault: func(f *faulty.Table) { f.SetDelay(100 * time.Millisecond) }},
 	}
 	for _, tc := range cases {
@@ -62,7 +62,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				const hosts = 8
-				table := faulty.New(memory.New())
+				table := faulty.NewTable(memory.NewTable())
 				tc.fault(table)
 				var got [hosts]Binding
 				var durable [hosts]bool
@@ -96,7 +96,7 @@
 		is.Equal(v, "v1") // the host keeps its local binding
 		is.True(!durable)
 		is.Equal(table.Counts().Gets, 1) // no table call during the backoff
-		table.Heal()
+		table.ClearFaults()
 		time.Sleep(2 * defaultBackoff)
 		v, durable = mustBind(t, hostA, "v2")
 		is.Equal(v, "v1")
@@ -114,9 +114,9 @@
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, _, err := testRegistry(memory.New()).Bind(ctx, proposal("v1"))
+	_, _, err := testRegistry(memory.NewTable()).Bind(ctx, proposal("v1"))
 	is.True(errors.Is(err, context.Canceled))
-	_, _, err = testRegistry(memory.New()).Bind(t.Context(), Binding{})
+	_, _, err = testRegistry(memory.NewTable()).Bind(t.Context(), Binding{})
 	is.True(errors.Is(err, ErrInvalidBinding))
 }
 
@@ -194,7 +194,7 @@
 		is.Equal(b.Version, "v2") // the first host to move the session determines the version
 		third := testRegistry(table)
 		mustBind(t, third, "v1")
-		table.LoseNext(1)
+		table.LoseNextResponses(1)
 		b, durable, err = third.Rebind(t.Context(), proposal("v2"), proposal("v4"))
 		is.NoErr(err)
 		is.True(durable)
@@ -222,7 +222,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := testTime
 		clock := func() time.Time { return now }
-		table := faulty.New(memory.New())
+		table := faulty.NewTable(memory.NewTable())
 		var hosts []*Registry
 		for range 3 {
 			hosts = append(hosts, NewRegistry(Options{Table: table, TTL: testTTL, Clock: clock, CacheSize: cacheShards}))
@@ -254,7 +254,7 @@
 			"time": func(t *rapid.T) {
 				// Each step is followed by a use, so that the session doesn't expire.
 				now = now.Add(time.Duration(rapid.IntRange(1, 59).Draw(t, "minutes")) * time.Minute)
-				table.Heal()
+				table.ClearFaults()
 				b, durable, err := hosts[0].Bind(context.Background(), proposal("v9"))
 				if err != nil || !durable {
 					t.Skip("the table is in backoff after a failed call")
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -179,11 +179,11 @@
 	vs[2].State = manifest.RollingOut
 	vs[3].State = manifest.RollingIn
 	for i := range 1000 {
-		v, ok := Choose(vs, SessionHash("acme", fmt.Sprint(i), "small"))
+		v, ok := ChooseVersion(vs, SessionHash("acme", fmt.Sprint(i), "small"))
 		is.True(ok)
 		is.True(v.Name == "v1" || v.Name == "v4")
 	}
-	_, ok := Choose(vs[1:3], 0)
+	_, ok := ChooseVersion(vs[1:3], 0)
 	is.True(!ok)
 }
 
@@ -212,6 +212,6 @@
 	vs := versions(60, 30, 10)
 	b.ReportAllocs()
 	for b.Loop() {
-		Choose(vs, SessionHash("acme", "s-1", "small"))
+		ChooseVersion(vs, SessionHash("acme", "s-1", "small"))
 	}
 }
--- a/storage/client/benchmark_test.go
+++ b/storage/client/benchmark_test.go
@@ -14,7 +14,7 @@
 func BenchmarkTable(b *testing.B) {
 	_, url := startStandin(b, unlimitedOptions())
 	table := newClient(b, url, client.Options{MaxIdle: client.DefaultMaxConnections}).Table()
-	row := storagetest.Put(key, strings.Repeat("a", rowBytes))
+	row := storagetest.PutTxn(key, strings.Repeat("a", rowBytes))
 	b.Run("commit", func(b *testing.B) {
 		benchmarkCall(b, func() error {
 			_, err := table.Commit(b.Context(), row)
--- a/storage/client/call.go
+++ b/storage/client/call.go
@@ -75,8 +75,8 @@
 func (p *Platform) do(ctx context.Context, c call) (callResponse, error) {
 	start := time.Now()
 	result, err := p.exchange(ctx, c)
-	if p.options.Observe != nil {
-		p.options.Observe(Observation{
+	if p.options.OnCall != nil {
+		p.options.OnCall(CallResult{
 			Op:       c.op,
 			Elapsed:  time.Since(start),
 			Sent:     len(c.body),
@@ -157,7 +157,7 @@
 		// look complete.
 		return nil, errUnframed
 	}
-	parts := stall.Reader{Reader: response.Body, Received: func(int) { progress() }}
+	parts := stall.Reader{Reader: response.Body, OnReceived: func(int) { progress() }}
 	body, err := io.ReadAll(io.LimitReader(parts, p.options.MaxBody+1))
 	if err != nil {
 		return nil, err
@@ -189,7 +189,7 @@
 	if r.status == http.StatusTooManyRequests {
 		return &RateLimitedError{RetryAfter: parseRetryAfter(r.header)}
 	}
-	var body protocol.Problem
+	var body protocol.ErrorResponse
 	if json.Unmarshal(r.body, &body) != nil {
 		return fmt.Errorf("%w: status %d", errServerStatus, r.status)
 	}
--- a/storage/client/cut_test.go
+++ b/storage/client/cut_test.go
@@ -49,7 +49,7 @@
 func serveCut(t testing.TB, handler http.Handler, plan func() cut.Limits) (*httptest.Server, *cut.LimitListener) {
 	t.Helper()
 	web := httptest.NewUnstartedServer(handler)
-	listener := &cut.LimitListener{Listener: web.Listener, Plan: plan}
+	listener := &cut.LimitListener{Listener: web.Listener, NextLimits: plan}
 	web.Listener = listener
 	web.Start()
 	return web, listener
@@ -71,10 +71,10 @@
 func commitOnce(t *testing.T, server *platformd.Server, limits cut.Limits, row string) outcome {
 	web, listener := serveCut(t, server.Handler(), func() cut.Limits { return limits })
 	p := client.New(web.URL, client.Options{})
-	_, err := p.Table().Commit(t.Context(), storagetest.Put(row, "value"))
+	_, err := p.Table().Commit(t.Context(), storagetest.PutTxn(row, "value"))
 	p.Close()
 	web.Close()
-	requests, answers := listener.Passed()
+	requests, answers := listener.BytesPassed()
 	return outcome{limits, err, rowExists(t, server.Table(), row), requests, answers}
 }
 
@@ -89,7 +89,7 @@
 	if o.rowExists && errors.Is(o.err, storage.ErrUnavailable) {
 		t.Errorf("%v: took effect but returned %v", o.cut, o.err)
 	}
-	if o.err != nil && !storagetest.IsClass(o.err, storage.ErrUnavailable) && !storagetest.IsClass(o.err, storage.ErrUnknown) {
+	if o.err != nil && !storagetest.HasErrorClass(o.err, storage.ErrUnavailable) && !storagetest.HasErrorClass(o.err, storage.ErrUnknown) {
 		t.Errorf("%v: unexpected class: %v", o.cut, o.err)
 	}
 }
@@ -117,9 +117,9 @@
 }
 
 func injectFaults(table *faulty.Table) {
-	table.LoseNext(2)
-	table.DropNext(2)
-	table.DelayNext(1, 1)
+	table.LoseNextResponses(2)
+	table.DropNextCommits(2)
+	table.DelayNextCommits(1, 1)
 }
 
 // randomCuts returns limits that let several calls through before the connection
--- a/storage/client/example_test.go
+++ b/storage/client/example_test.go
@@ -21,7 +21,7 @@
 	defer p.Close()
 
 	ctx := context.Background()
-	server.Table().LoseNext(1)
+	server.Table().LoseNextResponses(1)
 	_, err := p.Table().Commit(ctx, storage.Txn{
 		Conditions: []storage.Condition{{Key: "claim"}},
 		Puts:       []storage.Put{{Key: "claim", Value: []byte("attempt-1")}},
--- a/storage/client/hosts.go
+++ b/storage/client/hosts.go
@@ -45,7 +45,7 @@
 	if l.cursor != "" {
 		c.query = url.Values{protocol.QuerySince: {l.cursor}}
 	}
-	var changes protocol.Hosts
+	var changes protocol.HostsResponse
 	if err := l.platform.callJSON(ctx, c, &changes); err != nil {
 		return nil, err
 	}
@@ -58,7 +58,7 @@
 }
 
 // apply updates the list and reports whether the response was valid.
-func (l *hostList) apply(changes protocol.Hosts) bool {
+func (l *hostList) apply(changes protocol.HostsResponse) bool {
 	if changes.Cursor == "" {
 		return false
 	}
@@ -80,7 +80,7 @@
 
 // replace replaces the whole list. It rejects a response without a list: taken
 // for an empty list, it would put every upstream out of service.
-func (l *hostList) replace(changes protocol.Hosts) bool {
+func (l *hostList) replace(changes protocol.HostsResponse) bool {
 	if changes.Hosts == nil {
 		return false
 	}
--- a/storage/client/hosts_test.go
+++ b/storage/client/hosts_test.go
@@ -81,10 +81,10 @@
 				_, err := p.Hosts().Hosts(t.Context())
 				return err
 			}
-			is.True(storagetest.IsClass(list(test.body), storage.ErrUnavailable))
-			is.True(storagetest.IsClass(list(`{"cursor": "1"}`), storage.ErrUnavailable)) // changes, but there is no list yet
+			is.True(storagetest.HasErrorClass(list(test.body), storage.ErrUnavailable))
+			is.True(storagetest.HasErrorClass(list(`{"cursor": "1"}`), storage.ErrUnavailable)) // changes, but there is no list yet
 			is.NoErr(list(full))
-			is.True(storagetest.IsClass(list(test.body), storage.ErrUnavailable))
+			is.True(storagetest.HasErrorClass(list(test.body), storage.ErrUnavailable))
 			is.NoErr(list(full))
 			is.NoErr(list(`{"cursor": "2", "removed": ["a", "x"]}`))
 			is.Equal(since, []string{"", "", "", "1", "", "1"})
@@ -110,14 +110,14 @@
 				}
 			}
 			list()
-			_, before := listener.Passed()
+			_, before := listener.BytesPassed()
 			for b.Loop() {
 				for i := range changed {
 					server.Hosts().Set(benchmarkHost(i))
 				}
 				list()
 			}
-			_, after := listener.Passed()
+			_, after := listener.BytesPassed()
 			b.ReportMetric(float64(after-before)/float64(b.N), "answer-B/op")
 		})
 	}
--- a/storage/client/options.go
+++ b/storage/client/options.go
@@ -41,11 +41,11 @@
 	MaxBody int64
 	// Observe is called after each call, in the caller's goroutine, for metrics
 	// and logs; default none.
-	Observe func(Observation)
+	OnCall func(CallResult)
 }
 
 // Observation describes one call that has ended.
-type Observation struct {
+type CallResult struct {
 	// Op names the call: "get", "list", "commit", "write object", "read object",
 	// "list hosts" or "rate".
 	Op string
--- a/storage/client/outcome_test.go
+++ b/storage/client/outcome_test.go
@@ -38,9 +38,9 @@
 	}{
 		{desc: "no fault", fault: func(*platformd.Server) {}, rowExists: true},
 		{desc: "down", fault: func(s *platformd.Server) { s.Table().SetDown(true) }, want: storage.ErrUnavailable},
-		{desc: "answer lost", fault: func(s *platformd.Server) { s.Table().LoseNext(1) }, want: storage.ErrUnknown, rowExists: true},
-		{desc: "dropped", fault: func(s *platformd.Server) { s.Table().DropNext(1) }, want: storage.ErrUnknown},
-		{desc: "late", fault: func(s *platformd.Server) { s.Table().DelayNext(1, delay) }, want: storage.ErrUnknown, rowExists: true},
+		{desc: "answer lost", fault: func(s *platformd.Server) { s.Table().LoseNextResponses(1) }, want: storage.ErrUnknown, rowExists: true},
+		{desc: "dropped", fault: func(s *platformd.Server) { s.Table().DropNextCommits(1) }, want: storage.ErrUnknown},
+		{desc: "late", fault: func(s *platformd.Server) { s.Table().DelayNextCommits(1, delay) }, want: storage.ErrUnknown, rowExists: true},
 		{desc: "slow", fault: func(s *platformd.Server) { s.Table().SetDelay(delay) }, rowExists: true},
 		{desc: "slow and abandoned", fault: func(s *platformd.Server) { s.Table().SetDelay(20 * delay) }, canceled: true, want: storage.ErrUnknown, rowExists: true},
 	}
@@ -55,13 +55,13 @@
 			if test.canceled {
 				go cancelAfterCommit(server, cancel)
 			}
-			_, err := p.Table().Commit(ctx, storagetest.Put(key, "value"))
+			_, err := p.Table().Commit(ctx, storagetest.PutTxn(key, "value"))
 			server.Heal()
 			if test.rowExists {
 				waitForRow(t, server.Table(), key)
 			}
 			is.Equal(rowExists(t, server.Table(), key), test.rowExists)
-			is.True(storagetest.IsClass(err, test.want)) // class of the error
+			is.True(storagetest.HasErrorClass(err, test.want)) // class of the error
 		})
 	}
 }
@@ -80,7 +80,7 @@
 	server.Table().SetDelay(time.Hour)
 	p := newClient(t, url, client.Options{Timeout: 50 * time.Millisecond})
 	_, err := p.Table().Get(t.Context(), key)
-	if !storagetest.IsClass(err, storage.ErrUnavailable) || !errors.Is(err, context.DeadlineExceeded) {
+	if !storagetest.HasErrorClass(err, storage.ErrUnavailable) || !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("got %v", err)
 	}
 }
@@ -106,7 +106,7 @@
 }
 
 func TestUnsentCommitIsUnavailable(t *testing.T) {
-	refusedAddress, release, err := freeport.Refused("127.0.0.1")
+	refusedAddress, release, err := freeport.RefusingAddress("127.0.0.1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -120,17 +120,17 @@
 		ctx  context.Context
 		txn  storage.Txn
 	}{
-		{"connection refused", "http://" + refusedAddress, t.Context(), storagetest.Put(key, "value")},
-		{"bad URL", "http://127.0.0.1:bad", t.Context(), storagetest.Put(key, "value")},
-		{"context ended", url, canceledCtx, storagetest.Put(key, "value")},
-		{"key isn't UTF-8", url, t.Context(), storagetest.Put("\xff", "value")},
-		{"too large", url, t.Context(), storagetest.Put(strings.Repeat("a", 2000), "value")},
+		{"connection refused", "http://" + refusedAddress, t.Context(), storagetest.PutTxn(key, "value")},
+		{"bad URL", "http://127.0.0.1:bad", t.Context(), storagetest.PutTxn(key, "value")},
+		{"context ended", url, canceledCtx, storagetest.PutTxn(key, "value")},
+		{"key isn't UTF-8", url, t.Context(), storagetest.PutTxn("\xff", "value")},
+		{"too large", url, t.Context(), storagetest.PutTxn(strings.Repeat("a", 2000), "value")},
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
 			p := newClient(t, test.url, client.Options{MaxBody: 1000})
 			_, err := p.Table().Commit(test.ctx, test.txn)
-			if !storagetest.IsClass(err, storage.ErrUnavailable) {
+			if !storagetest.HasErrorClass(err, storage.ErrUnavailable) {
 				t.Errorf("got %v", err)
 			}
 		})
@@ -141,10 +141,10 @@
 	is := is.New(t)
 	server, url := startStandin(t, platformd.Options{CommitsPerSecond: 1e-9, ReadsPerSecond: 1e-9})
 	p := newClient(t, url, client.Options{})
-	_, err := p.Table().Commit(t.Context(), storagetest.Put("first", "value"))
+	_, err := p.Table().Commit(t.Context(), storagetest.PutTxn("first", "value"))
 	is.NoErr(err)
-	_, err = p.Table().Commit(t.Context(), storagetest.Put(key, "value"))
-	is.True(storagetest.IsClass(err, storage.ErrUnavailable))
+	_, err = p.Table().Commit(t.Context(), storagetest.PutTxn(key, "value"))
+	is.True(storagetest.HasErrorClass(err, storage.ErrUnavailable))
 	var limited *client.RateLimitedError
 	is.True(errors.As(err, &limited))
 	is.Equal(limited.RetryAfter, time.Second)
@@ -200,8 +200,8 @@
 			}))
 			defer web.Close()
 			p := newClient(t, web.URL, client.Options{MaxBody: 1000})
-			_, err := p.Table().Commit(t.Context(), storagetest.Put(key, "value"))
-			if !storagetest.IsClass(err, test.want) {
+			_, err := p.Table().Commit(t.Context(), storagetest.PutTxn(key, "value"))
+			if !storagetest.HasErrorClass(err, test.want) {
 				t.Errorf("got %v, want %v", err, test.want)
 			}
 			if requests.Load() != 1 {
@@ -226,7 +226,7 @@
 	defer web.Close()
 	p := newClient(t, web.URL, client.Options{})
 	data, err := p.Objects().Read(t.Context(), "name")
-	if !storagetest.IsClass(err, storage.ErrUnavailable) {
+	if !storagetest.HasErrorClass(err, storage.ErrUnavailable) {
 		t.Errorf("got %q, %v", data, err)
 	}
 }
@@ -247,32 +247,32 @@
 	hosts, err := p.Hosts().Hosts(t.Context())
 	is.NoErr(err)
 	is.Equal(len(hosts), 0)
-	host := storage.Host{ID: "h", Kind: storage.KindEngine, Name: "m", Zone: "z", Address: "127.0.0.1:1", State: storage.HostLive, Fenced: true}
+	host := storage.Host{ID: "h", Kind: storage.KindEngine, Name: "m", Zone: "z", Address: "127.0.0.1:1", State: storage.HostLive, ChecksFencing: true}
 	server.Hosts().Set(host)
 	hosts, err = p.Hosts().Hosts(t.Context())
 	is.NoErr(err)
 	is.Equal(hosts, []storage.Host{host})
 
 	server.Objects().SetDown(true)
-	is.True(storagetest.IsClass(p.Objects().Write(t.Context(), "b", nil), storage.ErrUnavailable))
+	is.True(storagetest.HasErrorClass(p.Objects().Write(t.Context(), "b", nil), storage.ErrUnavailable))
 
 	rating, err := p.Rater().Rate(t.Context(), "m", "1", "prompt", "answer")
 	is.NoErr(err)
 	is.Equal(rating.Score, 0.5)
 	server.Rater().SetDown(true)
 	_, err = p.Rater().Rate(t.Context(), "m", "1", "prompt", "answer")
-	is.True(storagetest.IsClass(err, storage.ErrUnavailable))
+	is.True(storagetest.HasErrorClass(err, storage.ErrUnavailable))
 }
 
 func TestObserve(t *testing.T) {
 	is := is.New(t)
 	server, url := startStandin(t, unlimitedOptions())
-	var observations []client.Observation
-	p := newClient(t, url, client.Options{Observe: func(o client.Observation) { observations = append(observations, o) }})
-	_, err := p.Table().Commit(t.Context(), storagetest.Put(key, "value"))
+	var observations []client.CallResult
+	p := newClient(t, url, client.Options{OnCall: func(o client.CallResult) { observations = append(observations, o) }})
+	_, err := p.Table().Commit(t.Context(), storagetest.PutTxn(key, "value"))
 	is.NoErr(err)
-	server.Table().LoseNext(1)
-	_, err = p.Table().Commit(t.Context(), storagetest.Put(key, "value"))
+	server.Table().LoseNextResponses(1)
+	_, err = p.Table().Commit(t.Context(), storagetest.PutTxn(key, "value"))
 	is.Equal(len(observations), 2)
 	is.Equal(observations[0].Op, "commit")
 	is.True(observations[0].Sent > 0 && observations[0].Received > 0)
@@ -286,9 +286,9 @@
 	server.Table().SetDown(true)
 	table := newClient(t, url, client.Options{}).Table()
 	_, err := table.List(t.Context(), "", "", 5)
-	is.True(storagetest.IsClass(err, storage.ErrUnavailable))
+	is.True(storagetest.HasErrorClass(err, storage.ErrUnavailable))
 	_, err = table.Get(t.Context(), "absent")
-	is.True(storagetest.IsClass(err, storage.ErrUnavailable))
+	is.True(storagetest.HasErrorClass(err, storage.ErrUnavailable))
 }
 
 // The server reads a commit on a connection that was idle, and closes it. In such
@@ -307,8 +307,8 @@
 	defer web.Close()
 	p := newClient(t, web.URL, client.Options{})
 	for i, want := range []error{nil, storage.ErrUnknown} {
-		_, err := p.Table().Commit(t.Context(), storagetest.Put(key, "value"))
-		if !storagetest.IsClass(err, want) {
+		_, err := p.Table().Commit(t.Context(), storagetest.PutTxn(key, "value"))
+		if !storagetest.HasErrorClass(err, want) {
 			t.Errorf("commit %d: got %v, want %v", i, err, want)
 		}
 	}
--- a/storage/client/table.go
+++ b/storage/client/table.go
@@ -52,7 +52,7 @@
 	if !utf8.ValidString(prefix) || !utf8.ValidString(after) {
 		return nil, c.unavailableError(errInvalidUTF8)
 	}
-	var result protocol.Rows
+	var result protocol.RowsResponse
 	if err := t.platform.callJSON(ctx, c, &result); err != nil {
 		return nil, err
 	}
@@ -93,7 +93,7 @@
 		return 0, c.unavailableError(err)
 	}
 	c.body = body
-	var result protocol.Committed
+	var result protocol.CommitResponse
 	if err := t.platform.callJSON(ctx, c, &result); err != nil {
 		return 0, err
 	}
--- a/storage/faulty/example_test.go
+++ b/storage/faulty/example_test.go
@@ -11,10 +11,10 @@
 )
 
 // The response to a commit is lost after the write took effect.
-func ExampleTable_LoseNext() {
+func ExampleTable_LoseNextResponses() {
 	ctx := context.Background()
-	table := faulty.New(memory.New())
-	table.LoseNext(1)
+	table := faulty.NewTable(memory.NewTable())
+	table.LoseNextResponses(1)
 	_, err := table.Commit(ctx, storage.Txn{Puts: []storage.Put{{Key: "a", Value: []byte("1")}}})
 	fmt.Println(errors.Is(err, storage.ErrUnknown))
 	row, err := table.Get(ctx, "a")
--- a/storage/faulty/random.go
+++ b/storage/faulty/random.go
@@ -18,7 +18,7 @@
 
 // SetRandom sets one random fault or ends all faults, each with the same
 // probability. A new fault is added to those set before.
-func (t *Table) SetRandom(random *rand.Rand, bounds Bounds) {
+func (t *Table) SetRandomFault(random *rand.Rand, bounds Bounds) {
 	commits := 1 + random.IntN(bounds.Commits-1)
 	switch random.IntN(6) {
 	case 0:
@@ -26,12 +26,12 @@
 	case 1:
 		t.SetDelay(time.Duration(random.Int64N(int64(bounds.Delay))))
 	case 2:
-		t.LoseNext(commits)
+		t.LoseNextResponses(commits)
 	case 3:
-		t.DropNext(commits)
+		t.DropNextCommits(commits)
 	case 4:
-		t.DelayNext(commits, time.Duration(random.Int64N(int64(bounds.Late))))
+		t.DelayNextCommits(commits, time.Duration(random.Int64N(int64(bounds.Late))))
 	default:
-		t.Heal()
+		t.ClearFaults()
 	}
 }
--- a/storage/faulty/random_test.go
+++ b/storage/faulty/random_test.go
@@ -21,11 +21,11 @@
 		type outcome struct{ unavailable, unknown, slow, exists, existsLater bool }
 		observed := map[outcome]bool{}
 		for seed := range uint64(100) {
-			inner := memory.New()
-			table := faulty.New(inner)
-			table.SetRandom(rand.New(rand.NewPCG(seed, 0)), faulty.Bounds{Commits: 3, Delay: delay, Late: delay})
+			inner := memory.NewTable()
+			table := faulty.NewTable(inner)
+			table.SetRandomFault(rand.New(rand.NewPCG(seed, 0)), faulty.Bounds{Commits: 3, Delay: delay, Late: delay})
 			start := time.Now()
-			_, err := table.Commit(t.Context(), storagetest.Put(key, "value"))
+			_, err := table.Commit(t.Context(), storagetest.PutTxn(key, "value"))
 			o := outcome{unavailable: errors.Is(err, storage.ErrUnavailable), unknown: errors.Is(err, storage.ErrUnknown), slow: time.Since(start) > 0}
 			_, err = inner.Get(t.Context(), key)
 			o.exists = err == nil
--- a/storage/faulty/table.go
+++ b/storage/faulty/table.go
@@ -76,7 +76,7 @@
 )
 
 // New returns a table without faults over inner.
-func New(inner storage.Table) *Table {
+func NewTable(inner storage.Table) *Table {
 	return &Table{inner: inner}
 }
 
@@ -93,31 +93,31 @@
 
 // LoseNext makes the next n commits take effect, if their conditions hold, and
 // return storage.ErrUnknown.
-func (t *Table) LoseNext(n int) {
+func (t *Table) LoseNextResponses(n int) {
 	t.updateFaults(func(f *faults) { f.lose = n })
 }
 
 // DropNext makes the next n commits have no effect and return
 // storage.ErrUnknown.
-func (t *Table) DropNext(n int) {
+func (t *Table) DropNextCommits(n int) {
 	t.updateFaults(func(f *faults) { f.drop = n })
 }
 
 // DelayNext makes the next n commits return storage.ErrUnknown at once and take
 // effect after d, if their conditions hold then.
-func (t *Table) DelayNext(n int, d time.Duration) {
+func (t *Table) DelayNextCommits(n int, d time.Duration) {
 	t.updateFaults(func(f *faults) { f.late, f.lateDelay = n, d })
 }
 
 // HoldNext makes the next n commits return storage.ErrUnknown at once and take
 // effect at the next Deliver, if their conditions hold then. It replaces
 // DelayNext in tests that use a clock of their own.
-func (t *Table) HoldNext(n int) {
+func (t *Table) HoldNextCommits(n int) {
 	t.updateFaults(func(f *faults) { f.hold = n })
 }
 
 // Deliver applies the held commits in the order of their calls.
-func (t *Table) Deliver() {
+func (t *Table) ApplyHeldCommits() {
 	t.mu.Lock()
 	txns := t.heldTxns
 	t.heldTxns = nil
@@ -156,7 +156,7 @@
 }
 
 // Heal ends all faults. Late and held commits still take effect.
-func (t *Table) Heal() {
+func (t *Table) ClearFaults() {
 	t.updateFaults(func(f *faults) { *f = faults{} })
 }
 
--- a/storage/faulty/table_test.go
+++ b/storage/faulty/table_test.go
@@ -21,7 +21,7 @@
 )
 
 func TestConformance(t *testing.T) {
-	storagetest.TestTable(t, func(*testing.T) storage.Table { return faulty.New(memory.New()) })
+	storagetest.TestTable(t, func(*testing.T) storage.Table { return faulty.NewTable(memory.NewTable()) })
 	storagetest.TestObjects(t, faulty.NewObjects(memory.NewObjects()))
 }
 
@@ -38,29 +38,29 @@
 	}{
 		{desc: "no fault", fault: func(*faulty.Table) {}, exists: true, existsLater: true},
 		{desc: "down", fault: func(f *faulty.Table) { f.SetDown(true) }, want: storage.ErrUnavailable},
-		{desc: "lost answer", fault: func(f *faulty.Table) { f.LoseNext(1) }, want: storage.ErrUnknown, exists: true, existsLater: true},
-		{desc: "dropped", fault: func(f *faulty.Table) { f.DropNext(1) }, want: storage.ErrUnknown},
-		{desc: "late", fault: func(f *faulty.Table) { f.DelayNext(1, delay) }, want: storage.ErrUnknown, existsLater: true},
-		{desc: "held", fault: func(f *faulty.Table) { f.HoldNext(1) }, want: storage.ErrUnknown, existsLater: true},
+		{desc: "lost answer", fault: func(f *faulty.Table) { f.LoseNextResponses(1) }, want: storage.ErrUnknown, exists: true, existsLater: true},
+		{desc: "dropped", fault: func(f *faulty.Table) { f.DropNextCommits(1) }, want: storage.ErrUnknown},
+		{desc: "late", fault: func(f *faulty.Table) { f.DelayNextCommits(1, delay) }, want: storage.ErrUnknown, existsLater: true},
+		{desc: "held", fault: func(f *faulty.Table) { f.HoldNextCommits(1) }, want: storage.ErrUnknown, existsLater: true},
 		{desc: "slow", fault: func(f *faulty.Table) { f.SetDelay(delay) }, exists: true, existsLater: true},
 		{desc: "slow, timeout before the effect", fault: func(f *faulty.Table) { f.SetDelay(delay) }, timeout: delay / 4, want: storage.ErrUnknown},
 		{desc: "slow, timeout after the effect", fault: func(f *faulty.Table) { f.SetDelay(delay) }, timeout: 3 * delay / 4, want: storage.ErrUnknown, exists: true, existsLater: true},
 		{desc: "healed", fault: func(f *faulty.Table) {
 			f.SetDown(true)
 			f.SetDelay(delay)
-			f.LoseNext(1)
-			f.DropNext(1)
-			f.DelayNext(1, delay)
-			f.HoldNext(1)
-			f.Heal()
+			f.LoseNextResponses(1)
+			f.DropNextCommits(1)
+			f.DelayNextCommits(1, delay)
+			f.HoldNextCommits(1)
+			f.ClearFaults()
 		}, exists: true, existsLater: true},
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				inner := memory.New()
-				table := faulty.New(inner)
+				inner := memory.NewTable()
+				table := faulty.NewTable(inner)
 				test.fault(table)
 				ctx := t.Context()
 				if test.timeout > 0 {
@@ -68,11 +68,11 @@
 					ctx, cancel = context.WithTimeout(ctx, test.timeout)
 					defer cancel()
 				}
-				_, err := table.Commit(ctx, storagetest.Put(key, "value"))
-				is.True(storagetest.IsClass(err, test.want)) // class of the error
+				_, err := table.Commit(ctx, storagetest.PutTxn(key, "value"))
+				is.True(storagetest.HasErrorClass(err, test.want)) // class of the error
 				is.Equal(rowExists(t, inner), test.exists)
 				time.Sleep(2 * delay)
-				table.Deliver()
+				table.ApplyHeldCommits()
 				is.Equal(rowExists(t, inner), test.existsLater)
 				is.Equal(table.Counts(), faulty.Counts{Commits: 1})
 			})
@@ -84,12 +84,12 @@
 // returns.
 func TestHooks(t *testing.T) {
 	is := is.New(t)
-	inner := memory.New()
-	table := faulty.New(inner)
+	inner := memory.NewTable()
+	table := faulty.NewTable(inner)
 	var seen []bool
 	recordRow := func() { seen = append(seen, rowExists(t, inner)) }
 	table.SetHooks(recordRow, recordRow)
-	_, err := table.Commit(t.Context(), storagetest.Put(key, "value"))
+	_, err := table.Commit(t.Context(), storagetest.PutTxn(key, "value"))
 	is.NoErr(err)
 	_, err = table.Get(t.Context(), key)
 	is.NoErr(err)
@@ -104,15 +104,15 @@
 func TestLateCommitChecksConditionsOnArrival(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		inner := memory.New()
-		table := faulty.New(inner)
-		table.DelayNext(1, delay)
-		late := storagetest.Put(key, "value")
+		inner := memory.NewTable()
+		table := faulty.NewTable(inner)
+		table.DelayNextCommits(1, delay)
+		late := storagetest.PutTxn(key, "value")
 		late.Conditions = []storage.Condition{{Key: key}}
 		_, err := table.Commit(t.Context(), late)
-		is.True(storagetest.IsClass(err, storage.ErrUnknown))
+		is.True(storagetest.HasErrorClass(err, storage.ErrUnknown))
 		late.Puts[0].Value[0] = 'x' // the caller may reuse its buffers
-		revision, err := table.Commit(t.Context(), storagetest.Put(key, "value"))
+		revision, err := table.Commit(t.Context(), storagetest.PutTxn(key, "value"))
 		is.NoErr(err)
 		time.Sleep(2 * delay)
 		row, err := table.Get(t.Context(), key)
@@ -124,19 +124,19 @@
 func TestReadFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		table := faulty.New(memory.New())
-		table.LoseNext(1) // concerns commits only
+		table := faulty.NewTable(memory.NewTable())
+		table.LoseNextResponses(1) // concerns commits only
 		_, err := table.Get(t.Context(), key)
-		is.True(storagetest.IsClass(err, storage.ErrNotFound))
+		is.True(storagetest.HasErrorClass(err, storage.ErrNotFound))
 		table.SetDown(true)
 		_, err = table.Get(t.Context(), key)
-		is.True(storagetest.IsClass(err, storage.ErrUnavailable))
+		is.True(storagetest.HasErrorClass(err, storage.ErrUnavailable))
 		table.SetDown(false)
 		table.SetDelay(delay)
 		ctx, cancel := context.WithTimeout(t.Context(), delay/2+1)
 		defer cancel()
 		_, err = table.List(ctx, "", "", 1)
-		is.True(storagetest.IsClass(err, storage.ErrUnavailable))
+		is.True(storagetest.HasErrorClass(err, storage.ErrUnavailable))
 		is.True(errors.Is(err, context.DeadlineExceeded))
 		is.Equal(table.Counts(), faulty.Counts{Gets: 2, Lists: 1})
 	})
@@ -146,17 +146,17 @@
 	is := is.New(t)
 	objects := faulty.NewObjects(memory.NewObjects())
 	objects.SetDown(true)
-	is.True(storagetest.IsClass(objects.Write(t.Context(), key, nil), storage.ErrUnavailable))
+	is.True(storagetest.HasErrorClass(objects.Write(t.Context(), key, nil), storage.ErrUnavailable))
 	objects.SetDown(false)
 	_, err := objects.Read(t.Context(), key)
-	is.True(storagetest.IsClass(err, storage.ErrNotFound)) // the write had no effect
+	is.True(storagetest.HasErrorClass(err, storage.ErrNotFound)) // the write had no effect
 	is.NoErr(objects.Write(t.Context(), key, nil))
 }
 
 func rowExists(t *testing.T, table storage.Table) bool {
 	t.Helper()
 	_, err := table.Get(t.Context(), key)
-	if err != nil && !storagetest.IsClass(err, storage.ErrNotFound) {
+	if err != nil && !storagetest.HasErrorClass(err, storage.ErrNotFound) {
 		t.Fatal(err)
 	}
 	return err == nil
--- a/storage/groupcommit/committer_test.go
+++ b/storage/groupcommit/committer_test.go
@@ -38,7 +38,7 @@
 
 // setup returns a committer over a table with faults, in a synctest bubble.
 func setup(t *testing.T, options groupcommit.Options) (*groupcommit.Committer, *faulty.Table) {
-	table := faulty.New(memory.New())
+	table := faulty.NewTable(memory.NewTable())
 	c := groupcommit.New(table, options)
 	t.Cleanup(func() { _ = c.Close() })
 	return c, table
@@ -118,8 +118,8 @@
 		written     bool
 	}{
 		{"down", func(f *faulty.Table) { f.SetDown(true) }, storage.ErrUnavailable, false},
-		{"answer lost after the effect", func(f *faulty.Table) { f.LoseNext(1) }, storage.ErrUnknown, true},
-		{"lost before the effect", func(f *faulty.Table) { f.DropNext(1) }, storage.ErrUnknown, false},
+		{"answer lost after the effect", func(f *faulty.Table) { f.LoseNextResponses(1) }, storage.ErrUnknown, true},
+		{"lost before the effect", func(f *faulty.Table) { f.DropNextCommits(1) }, storage.ErrUnknown, false},
 		{"slower than the timeout", func(f *faulty.Table) { f.SetDelay(time.Minute) }, storage.ErrUnknown, false},
 	}
 	for _, tt := range tests {
@@ -133,7 +133,7 @@
 					txns[i] = create(fmt.Sprint("row/", i))
 				}
 				_, errs := commitAll(t.Context(), c, txns)
-				table.Heal()
+				table.ClearFaults()
 				for i, err := range errs {
 					is.True(errors.Is(err, tt.want))
 					_, err := c.Get(t.Context(), fmt.Sprint("row/", i))
--- a/storage/groupcommit/main_test.go
+++ b/storage/groupcommit/main_test.go
@@ -15,7 +15,7 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func Example() {
-	committer := groupcommit.New(memory.New(), groupcommit.Options{})
+	committer := groupcommit.New(memory.NewTable(), groupcommit.Options{})
 	defer func() { _ = committer.Close() }()
 	txn := storage.Txn{
 		Conditions: []storage.Condition{{Key: "greeting"}},
--- a/storage/memory/example_test.go
+++ b/storage/memory/example_test.go
@@ -12,7 +12,7 @@
 // A row can be created only once: the second attempt conflicts.
 func ExampleTable() {
 	ctx := context.Background()
-	table := memory.New()
+	table := memory.NewTable()
 	create := storage.Txn{
 		Conditions: []storage.Condition{{Key: "lease"}},
 		Puts:       []storage.Put{{Key: "lease", Value: []byte("host-1")}},
--- a/storage/memory/history_test.go
+++ b/storage/memory/history_test.go
@@ -11,9 +11,9 @@
 func TestTableIsLinearizable(t *testing.T) {
 	for _, lost := range []int{0, 4} {
 		for seed := range uint64(5) {
-			table := faulty.New(memory.New())
-			table.LoseNext(lost)
-			table.DropNext(lost)
+			table := faulty.NewTable(memory.NewTable())
+			table.LoseNextResponses(lost)
+			table.DropNextCommits(lost)
 			recorder := storagetest.NewRecorder(table)
 			storagetest.Workload{Clients: 8, Rounds: 60, Keys: 3, Seed: seed}.Run(t.Context(), recorder)
 			storagetest.CheckTable(t, recorder.History())
--- a/storage/memory/memory_test.go
+++ b/storage/memory/memory_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestConformance(t *testing.T) {
-	storagetest.TestTable(t, func(*testing.T) storage.Table { return memory.New() })
+	storagetest.TestTable(t, func(*testing.T) storage.Table { return memory.NewTable() })
 	storagetest.TestObjects(t, memory.NewObjects())
 }
 
--- a/storage/memory/table.go
+++ b/storage/memory/table.go
@@ -24,7 +24,7 @@
 }
 
 // New returns an empty table at revision zero.
-func New() *Table {
+func NewTable() *Table {
 	return &Table{rows: make(map[string]storage.Row)}
 }
 
--- a/storage/protocol/protocol.go
+++ b/storage/protocol/protocol.go
@@ -46,18 +46,18 @@
 )
 
 // Rows is the response to PathRows.
-type Rows struct {
+type RowsResponse struct {
 	Rows []storage.Row `json:"rows"`
 }
 
 // Committed is the response to PathCommit.
-type Committed struct {
+type CommitResponse struct {
 	// Revision is the revision of the transaction, at least 1.
 	Revision uint64 `json:"revision"`
 }
 
 // Hosts is the response to PathHosts.
-type Hosts struct {
+type HostsResponse struct {
 	// Cursor identifies this state of the list, for QuerySince of a later call.
 	Cursor string `json:"cursor"`
 	// Full reports whether Hosts holds the whole list. Otherwise the response
@@ -79,6 +79,6 @@
 
 // Problem is the body of a response with an error status. It is for logs only;
 // callers don't depend on it.
-type Problem struct {
+type ErrorResponse struct {
 	Error string `json:"error"`
 }
--- a/storage/storage.go
+++ b/storage/storage.go
@@ -112,7 +112,7 @@
 	State   HostState `json:"state"`
 	// Fenced reports whether the host rejects commands whose fencing number is
 	// lower than one it has received.
-	Fenced bool `json:"fenced,omitempty"`
+	ChecksFencing bool `json:"fenced,omitempty"`
 }
 
 // HostList is the platform's list of hosts. Changes appear in it with a delay.
--- a/storage/storagetest/conformance.go
+++ b/storage/storagetest/conformance.go
@@ -14,7 +14,7 @@
 
 // IsClass reports whether err wraps want, one of the error classes of package
 // storage, and no other class. If want is nil, err must be nil.
-func IsClass(err, want error) bool {
+func HasErrorClass(err, want error) bool {
 	classes := []error{storage.ErrConflict, storage.ErrUnavailable, storage.ErrUnknown, storage.ErrNotFound}
 	for _, class := range classes {
 		if errors.Is(err, class) != (class == want) {
@@ -25,7 +25,7 @@
 }
 
 // Put returns a transaction that writes a row without a condition.
-func Put(key, value string) storage.Txn {
+func PutTxn(key, value string) storage.Txn {
 	return storage.Txn{Puts: []storage.Put{{Key: key, Value: []byte(value)}}}
 }
 
@@ -41,7 +41,7 @@
 func testList(t *testing.T, table storage.Table) {
 	is := is.New(t)
 	for _, key := range []string{"b/2", "a/ä&=", "b/1", "c", "b", "b/3"} {
-		_, err := table.Commit(t.Context(), Put(key, key))
+		_, err := table.Commit(t.Context(), PutTxn(key, key))
 		is.NoErr(err)
 	}
 	tests := []struct {
@@ -73,19 +73,19 @@
 func testConditions(t *testing.T, table storage.Table) {
 	is := is.New(t)
 	write := func(version uint64) (uint64, error) {
-		txn := Put("a", "1")
+		txn := PutTxn("a", "1")
 		txn.Puts = append(txn.Puts, storage.Put{Key: "b"})
 		txn.Conditions = []storage.Condition{{Key: "a", Version: version}}
 		return table.Commit(t.Context(), txn)
 	}
 	_, err := write(7)
-	is.True(IsClass(err, storage.ErrConflict)) // the row is absent
+	is.True(HasErrorClass(err, storage.ErrConflict)) // the row is absent
 	_, err = table.Get(t.Context(), "b")
-	is.True(IsClass(err, storage.ErrNotFound)) // nothing was written
+	is.True(HasErrorClass(err, storage.ErrNotFound)) // nothing was written
 	first, err := write(0)
 	is.NoErr(err)
 	_, err = write(0)
-	is.True(IsClass(err, storage.ErrConflict)) // the row exists
+	is.True(HasErrorClass(err, storage.ErrConflict)) // the row exists
 	second, err := write(first)
 	is.NoErr(err)
 	is.True(second > first)
@@ -100,7 +100,7 @@
 func testValues(t *testing.T, table storage.Table) {
 	is := is.New(t)
 	const want = "\x00\xff one"
-	txn := Put("ä&=", want)
+	txn := PutTxn("ä&=", want)
 	revision, err := table.Commit(t.Context(), txn)
 	is.NoErr(err)
 	txn.Puts[0].Value[0] = 'x'
@@ -117,11 +117,11 @@
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err := table.Commit(ctx, Put("a", ""))
-	is.True(IsClass(err, storage.ErrUnavailable))
+	_, err := table.Commit(ctx, PutTxn("a", ""))
+	is.True(HasErrorClass(err, storage.ErrUnavailable))
 	is.True(errors.Is(err, context.Canceled))
 	_, err = table.Get(t.Context(), "a")
-	is.True(IsClass(err, storage.ErrNotFound))
+	is.True(HasErrorClass(err, storage.ErrNotFound))
 }
 
 // TestObjects checks the behaviour required of every object store without faults.
@@ -131,10 +131,10 @@
 	for _, data := range [][]byte{{}, []byte("\x00\xff data")} {
 		name := fmt.Sprintf("a/%d?&", len(data))
 		_, err := objects.Read(t.Context(), name)
-		is.True(IsClass(err, storage.ErrNotFound))
+		is.True(HasErrorClass(err, storage.ErrNotFound))
 		is.NoErr(objects.Write(t.Context(), name, data))
 		is.NoErr(objects.Write(t.Context(), name, data))
-		is.True(IsClass(objects.Write(t.Context(), name, []byte("x")), storage.ErrConflict))
+		is.True(HasErrorClass(objects.Write(t.Context(), name, []byte("x")), storage.ErrConflict))
 		read, err := objects.Read(t.Context(), name)
 		is.NoErr(err)
 		is.Equal(string(read), string(data))
--- a/storage/storagetest/example_test.go
+++ b/storage/storagetest/example_test.go
@@ -13,7 +13,7 @@
 // The calls of concurrent clients of a table are recorded, and their history is
 // checked.
 func ExampleRecorder() {
-	recorder := storagetest.NewRecorder(memory.New())
+	recorder := storagetest.NewRecorder(memory.NewTable())
 	storagetest.Workload{Clients: 3, Rounds: 10, Keys: 2}.Run(context.Background(), recorder)
 	fmt.Println(porcupine.CheckOperations(storagetest.Model(), recorder.History()))
 	// Output: true
--- a/storage/storagetest/faults.go
+++ b/storage/storagetest/faults.go
@@ -15,7 +15,7 @@
 	commits := func(t *rapid.T) int { return rapid.IntRange(1, maxFaultyCommits).Draw(t, "commits") }
 	return map[string]func(*rapid.T){
 		"outage":          func(t *rapid.T) { table.SetDown(rapid.Bool().Draw(t, "down")) },
-		"answers lost":    func(t *rapid.T) { table.LoseNext(commits(t)) },
-		"commits dropped": func(t *rapid.T) { table.DropNext(commits(t)) },
+		"answers lost":    func(t *rapid.T) { table.LoseNextResponses(commits(t)) },
+		"commits dropped": func(t *rapid.T) { table.DropNextCommits(commits(t)) },
 	}
 }
--- a/storage/storagetest/history.go
+++ b/storage/storagetest/history.go
@@ -26,13 +26,13 @@
 func (h *History) Tick() int64 { return h.clock.Add(1) }
 
 // End adds an operation of a client that returns now, and returns it.
-func (h *History) End(client int, start int64, input, output any) porcupine.Operation {
+func (h *History) AddCompleted(client int, start int64, input, output any) porcupine.Operation {
 	return h.Add(client, start, h.Tick(), input, output)
 }
 
 // Open adds an operation that may take effect at any time after its start, and
 // returns it.
-func (h *History) Open(client int, start int64, input, output any) porcupine.Operation {
+func (h *History) AddPending(client int, start int64, input, output any) porcupine.Operation {
 	return h.Add(client, start, math.MaxInt64, input, output)
 }
 
--- a/storage/storagetest/recorder.go
+++ b/storage/storagetest/recorder.go
@@ -83,8 +83,8 @@
 
 func (r *Recorder) record(start int64, input any, out output) {
 	if out.unknown {
-		r.history.Open(0, start, input, out)
+		r.history.AddPending(0, start, input, out)
 		return
 	}
-	r.history.End(0, start, input, out)
+	r.history.AddCompleted(0, start, input, out)
 }
--- a/upstream/cut_test.go
+++ b/upstream/cut_test.go
@@ -176,7 +176,7 @@
 
 func TestNoConnectionIsNotRun(t *testing.T) {
 	is := is.New(t)
-	address, release, err := freeport.Refused("127.0.0.1")
+	address, release, err := freeport.RefusingAddress("127.0.0.1")
 	is.NoErr(err)
 	defer func() { _ = release() }()
 	target := upstream.Target{Address: address}
--- a/upstream/stream_test.go
+++ b/upstream/stream_test.go
@@ -100,7 +100,7 @@
 	if strings.HasSuffix(response, hangMarker) {
 		<-r.Context().Done()
 	}
-	cut.Now()
+	cut.Abort()
 }
 
 // TestStreamDeliversCorrectPrefix sends random events over connections that break
