--- a/internal/e2e/gatewaysoak_test.go
+++ b/internal/e2e/gatewaysoak_test.go
@@ -45,6 +45,9 @@
 	restoreRand *rand.Rand
 	// limitRand decides which upstreams send limits, and when.
 	limitRand *rand.Rand
+	// limited is the added upstream that sends a limit, or the one in its place after a
+	// crash; nil if the seed has no limits.
+	limited *platformtest.Upstream
 	// crashed has the upstreams that a poison request crashed and that weren't replaced yet.
 	crashed chan *platformtest.Upstream
 	// crashes counts the upstreams that a poison request crashed.
@@ -139,7 +142,7 @@
 		}
 		callers.Go(func() { s.sendPoison(stop) })
 	}
-	limited := s.scheduleLimits()
+	s.scheduleLimits(poisoned)
 	version := 10
 	if s.restoreRand.IntN(2) == 0 {
 		callers.Go(func() { s.restoreBackups(stop) })
@@ -150,8 +153,8 @@
 		time.Sleep(time.Duration(50+s.faultRand.IntN(250)) * time.Millisecond)
 	}
 	s.endFaults()
-	if limited != nil {
-		s.checkLimit(limited)
+	if s.limited != nil {
+		s.checkLimit()
 	}
 	close(stop)
 	callers.Wait()
@@ -174,10 +177,11 @@
 const soakLimit = 1.5
 
 // scheduleLimits makes one added upstream send a limit from some time on, and two others
-// for a short time. It returns the added one, or nil if the seed has no limits.
-func (s *soak) scheduleLimits() *platformtest.Upstream {
+// for a short time. If poison requests are sent, the added one crashes too: an upstream
+// that answered them would end each suspicion of them.
+func (s *soak) scheduleLimits(poisoned bool) {
 	if s.limitRand.IntN(2) == 0 {
-		return nil
+		return
 	}
 	after := func(most int, do func()) time.Duration {
 		wait := time.Duration(s.limitRand.IntN(most)) * time.Millisecond
@@ -191,19 +195,24 @@
 		s.logFault("upstream %s sends the limit %s from %v to %v", u.ID, limit, from, until)
 	}
 	u := s.addUpstream("pool", "v1", zone(0))
+	if poisoned {
+		s.crashOnPoison(u)
+	}
 	from := after(3000, func() { u.SetLimit(fmt.Sprint(soakLimit)) })
 	s.logFault("upstream %s sends a limit from %v on", u.ID, from)
-	return u
+	s.limited = u
 }
 
 // limitSettleTime is the time after the last fault until a limit must be kept: the hosts
 // that started last need to find their hubs, and hubs to receive the limit.
 const limitSettleTime = 5 * time.Second
 
-// checkLimit checks that the hosts together keep the upstream's limit once no fault is
-// active.
-func (s *soak) checkLimit(u *platformtest.Upstream) {
+// checkLimit checks that the hosts together keep the limit of the limited upstream once no
+// fault is active.
+func (s *soak) checkLimit() {
 	s.t.Helper()
+	s.replaceCrashed()
+	u := s.limited
 	time.Sleep(limitSettleTime)
 	from := time.Now()
 	time.Sleep(limitWindow)
@@ -251,7 +260,8 @@
 	})
 }
 
-// replaceCrashed starts an upstream in place of each one that a poison request crashed.
+// replaceCrashed starts an upstream in place of each one that a poison request crashed. The
+// one in place of the limited upstream sends the same limit.
 func (s *soak) replaceCrashed() {
 	for {
 		select {
@@ -259,7 +269,12 @@
 			if _, replaced := s.leftAt[u.ID]; !replaced {
 				s.leftAt[u.ID] = time.Now()
 				s.store.Remove("servers", u.ID)
-				s.crashOnPoison(s.addUpstream(u.Service, u.Version, u.Zone))
+				added := s.addUpstream(u.Service, u.Version, u.Zone)
+				s.crashOnPoison(added)
+				if u == s.limited {
+					added.SetLimit(fmt.Sprint(soakLimit))
+					s.limited = added
+				}
 			}
 		default:
 			return
