--- a/balance/balance.go
+++ b/balance/balance.go
@@ -97,7 +97,7 @@
 	Score(req *Request, u *Upstream, now time.Time) float64
 }
 
-// Weighted is a scorer and its weight in the total score.
+// WeightedScorer is a scorer and its weight in the total score.
 type WeightedScorer struct {
 	Scorer Scorer
 	// Weight is at least 0.
@@ -131,14 +131,15 @@
 // Selector is a chain of filters, scorers and a picker.
 type Selector struct {
 	Filters []Filter
-	// Affinity scorers rate every candidate. For each scorer, the best among
-	// the candidates whose load is within Bound is added to the picker's sample.
+	// AffinityScorers rate every candidate. For each scorer, the best among the
+	// candidates whose load is within AffinityBound is added to the picker's
+	// sample.
 	AffinityScorers []WeightedScorer
 	// Scorers rate the candidates in the picker's sample, including those that
 	// affinity scorers added.
 	Scorers []WeightedScorer
 	Picker  Picker
-	// Bound is the maximum load of candidates that affinity scorers add.
+	// AffinityBound is the maximum load of candidates that affinity scorers add.
 	AffinityBound LoadBound
 }
 
--- a/balance/pool.go
+++ b/balance/pool.go
@@ -43,9 +43,9 @@
 
 // Outcome is the result of a request at an upstream.
 type Outcome struct {
-	// Err reports whether the request failed at the upstream.
+	// Failed reports whether the request failed at the upstream.
 	Failed bool
-	// FirstToken is the time to the first token; 0 if there was none.
+	// TimeToFirstToken is the time to the first token; 0 if there was none.
 	TimeToFirstToken time.Duration
 	// Refused reports whether the upstream temporarily refused the request.
 	Refused bool
--- a/balance/prefix_index.go
+++ b/balance/prefix_index.go
@@ -82,7 +82,7 @@
 	return p
 }
 
-// Sent records that a prompt with these block hashes was sent to the upstream.
+// RecordSent records that a prompt with these block hashes was sent to the upstream.
 func (p *PrefixIndex) RecordSent(upstreamID string, hashes []uint64) {
 	if len(hashes) == 0 {
 		return
--- a/cascade/policy.go
+++ b/cascade/policy.go
@@ -12,7 +12,7 @@
 // Unrated is the value that stands for the rating of an answer that wasn't rated.
 const Unrated = -1.0
 
-// Accept reports whether a rating reaches the target.
+// IsAccepted reports whether a rating reaches the target.
 func IsAccepted(rating, target float64) bool { return rating >= target }
 
 // StepInfo holds the cost and latency that are expected of a step before there
--- a/claim/store.go
+++ b/claim/store.go
@@ -32,7 +32,7 @@
 	sweepAfter string
 }
 
-// New returns a Store. The caller must run Run in a goroutine.
+// NewStore returns a Store. The caller must run Run in a goroutine.
 func NewStore(options Options) *Store {
 	options = options.withDefaults()
 	return &Store{
--- a/config/confirm.go
+++ b/config/confirm.go
@@ -20,7 +20,7 @@
 	At     time.Time `json:"at"`
 }
 
-// InForce lists which hosts have confirmed a head.
+// ConfirmationReport lists which hosts have confirmed a head.
 type ConfirmationReport struct {
 	// Confirmed hosts had the head or a later one in force when they wrote their
 	// row. A host never returns to an earlier head.
@@ -88,8 +88,8 @@
 	return c, nil
 }
 
-// Report returns which of the hosts have confirmed head or a later one, sorted by
-// name.
+// ReportConfirmations returns which of the hosts have confirmed head or a later
+// one, sorted by name.
 func (s *Store) ReportConfirmations(ctx context.Context, head Head, hosts []string) (ConfirmationReport, error) {
 	epochs := map[string]uint64{}
 	err := s.forEachConfirmation(ctx, func(row storage.Row, c confirmation) error {
--- a/config/doc.go
+++ b/config/doc.go
@@ -6,5 +6,6 @@
 //
 // The entry host embeds both. Hosts that can reach neither the table nor any host
 // that reads it can keep accepting requests with an older manifest if they are a
-// majority; Store.Report returns which hosts have confirmed the newest one.
+// majority; Store.ReportConfirmations returns which hosts have confirmed the
+// newest one.
 package config
--- a/config/head.go
+++ b/config/head.go
@@ -59,9 +59,9 @@
 
 // Errors of the Store, besides those of package storage.
 var (
-	// ErrToken means that a submission's token is empty or too long.
+	// ErrInvalidToken means that a submission's token is empty or too long.
 	ErrInvalidToken = errors.New("config: the token is empty or too long")
-	// ErrDamaged means that a stored row or body is corrupt.
+	// ErrCorrupt means that a stored row or body is corrupt.
 	ErrCorrupt = errors.New("config: corrupt data")
 )
 
--- a/config/peers_test.go
+++ b/config/peers_test.go
@@ -36,8 +36,8 @@
 }
 
 // A known limitation of the majority rule: if only a minority of the hosts can reach the
-// table, the majority doesn't learn of a new manifest. Report must list the hosts of the
-// majority as unconfirmed, and once they can query the minority they must put the new
+// table, the majority doesn't learn of a new manifest. ReportConfirmations must list the hosts
+// of the majority as unconfirmed, and once they can query the minority they must put the new
 // manifest in force.
 func TestOnlyAMinorityReachesTheTable(t *testing.T) {
 	runWithFixture(t, func(t *testing.T, is *is.I, f *fixture) {
--- a/config/watcher.go
+++ b/config/watcher.go
@@ -71,15 +71,15 @@
 	Peers Peers
 	// Bodies is the source of bodies if the object store fails; it may be nil.
 	Bodies Bodies
-	// Poll is the interval between reads of the head; default 1 s. It is longer
-	// if ReadsPerSecond requires it.
+	// PollInterval is the interval between reads of the head; default 1 s. It is
+	// longer if ReadsPerSecond requires it.
 	PollInterval time.Duration
-	// Bound is the maximum age of the evidence that the manifest in force is the
-	// newest; default 5 s.
+	// FreshnessBound is the maximum age of the evidence that the manifest in
+	// force is the newest; default 5 s.
 	FreshnessBound time.Duration
 	// ReadsPerSecond is the budget of reads of the head for all hosts together;
-	// default 200. At least two reads per host start within Bound even if that
-	// exceeds the budget.
+	// default 200. At least two reads per host start within FreshnessBound even
+	// if that exceeds the budget.
 	ReadsPerSecond int
 	// ConfirmsPerSecond is the budget of confirmations for all hosts together;
 	// default 40. A host whose manifest changes more often than its share of the
--- a/history/billing.go
+++ b/history/billing.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// BilledOnce compares the bills in the ledger with the answers that callers
+// CheckBilling compares the bills in the ledger with the answers that callers
 // received. Requests with the same key share a bill, unless their senders
 // expected different bill IDs; a bill belongs to the group of its request,
 // whatever its own ID. For each group: a complete answer has one bill with its
--- a/history/manifest.go
+++ b/history/manifest.go
@@ -2,7 +2,7 @@
 
 import "github.com/quetzalweir/quetzalweir/manifest"
 
-// Accepted returns the event for the acceptance of a manifest document, with
+// NewManifestAccepted returns the event for the acceptance of a manifest document, with
 // lists of the versions that the document permits and withdraws.
 func NewManifestAccepted(epoch uint64, digest string, document manifest.Document) Event {
 	return Event{
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -184,7 +184,7 @@
 // errNoOtherHost means that no other host is available to hold bills or to lend slots.
 var errNoOtherHost = errors.New("no other host is up")
 
-// Hold implements ledger.Holder.
+// Replicate implements ledger.Replicator.
 func (p *peerHolders) Replicate(ctx context.Context, owner string, seq uint64, bills []ledger.Bill) (string, error) {
 	data, err := ledger.EncodeBills(bills)
 	if err != nil {
@@ -244,7 +244,7 @@
 	return xxhash.Sum64String(self + "\x00" + other)
 }
 
-// Drop implements ledger.Holder.
+// Release implements ledger.Replicator.
 func (p *peerHolders) Release(ctx context.Context, holder, owner string, upTo uint64) error {
 	m, ok := p.host.members.Lookup(holder)
 	if !ok {
--- a/internal/exchange/assign.go
+++ b/internal/exchange/assign.go
@@ -22,7 +22,7 @@
 	appointmentDelay = 500 * time.Millisecond
 	// failedHubBackoff is how long a host accepts no assignment to a hub that failed to answer
 	// it. The seed may still assign hosts to that hub, since the hub's last report counts for
-	// WorkAge.
+	// MaxWorkAge.
 	failedHubBackoff = 2 * time.Second
 )
 
--- a/internal/exchange/evidence.go
+++ b/internal/exchange/evidence.go
@@ -25,17 +25,17 @@
 	t.BadUpstreamBits |= o.BadUpstreamBits
 }
 
-// AddSource records the upstream that gave a failed or slow answer.
+// AddBadUpstream records the upstream that gave a failed or slow answer.
 func (t *Tally) AddBadUpstream(upstream string) {
 	t.BadUpstreamBits |= 1 << (hash(upstream) % 64)
 }
 
-// Sources returns a lower bound of the number of upstreams that gave failed or slow answers.
-// Two upstreams may have the same bit.
+// MinBadUpstreams returns a lower bound of the number of upstreams that gave failed or slow
+// answers. Two upstreams may have the same bit.
 func (t *Tally) MinBadUpstreams() int { return bits.OnesCount64(t.BadUpstreamBits) }
 
-// Versions holds, for one route, the counts of the version that is being rolled out and of the
-// previous one.
+// VersionTallies holds, for one route, the counts of the version that is being rolled out and of
+// the previous one.
 type VersionTallies struct {
 	Old Tally `json:"old"`
 	New Tally `json:"new"`
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -28,7 +28,7 @@
 	// callTimeout bounds one exchange, which is a report and its reply. The latency between
 	// hosts is a few milliseconds.
 	callTimeout = 600 * time.Millisecond
-	// WorkAge is the maximum age at which a report, or a hub's sum, still counts. It allows for
+	// MaxWorkAge is the maximum age at which a report, or a hub's sum, still counts. It allows for
 	// one exchange that times out and the next one.
 	MaxWorkAge = 900 * time.Millisecond
 	// minHostsPerHub is the number of hosts, including the hub, from which a hub relays table
--- a/internal/exchange/exchangeloop.go
+++ b/internal/exchange/exchangeloop.go
@@ -156,7 +156,7 @@
 	}
 }
 
-// deliverPrefixes passes the prefixes that other hosts sent to upstreams to OnReads. It also
+// deliverPrefixes passes the prefixes that other hosts sent to upstreams to OnSentPrefixes. It also
 // drops this host's unsent prefixes, which the hub has received by then.
 func (m *Member) deliverPrefixes(prefixes SentPrefixes) {
 	m.unsentPrefixes = make(SentPrefixes)
--- a/internal/exchange/hub.go
+++ b/internal/exchange/hub.go
@@ -254,7 +254,7 @@
 	return n
 }
 
-// dropExpired drops the reports that are older than WorkAge. The caller holds the lock.
+// dropExpired drops the reports that are older than MaxWorkAge. The caller holds the lock.
 func (h *hub) dropExpired() {
 	for host, received := range h.reports {
 		if boottime.Since(received.at) > MaxWorkAge {
--- a/internal/exchange/member.go
+++ b/internal/exchange/member.go
@@ -41,9 +41,9 @@
 	// OnHostCount receives the number of hosts that this host has data of, including itself. It
 	// may be nil.
 	OnHostCount func(n int)
-	// Reads returns the shared prompt prefixes that this host has sent to upstreams for the
-	// first time since the last call. OnReads receives those of the other hosts. Both may be
-	// nil.
+	// SentPrefixes returns the shared prompt prefixes that this host has sent to upstreams for the
+	// first time since the last call. OnSentPrefixes receives those of the other hosts. Both may
+	// be nil.
 	SentPrefixes   func() SentPrefixes
 	OnSentPrefixes func(SentPrefixes)
 	// Timings returns the speeds of models that this host measured. OnTimings receives the sums
@@ -98,11 +98,11 @@
 	// answers were counted twice, they could stop a sound version.
 	hubChosenAt time.Time
 
-	// unsentPrefixes holds the prefixes from Options.Reads that the hub hasn't received yet.
+	// unsentPrefixes holds the prefixes from Options.SentPrefixes that the hub hasn't received yet.
 	// hubPrefixSeq is the sequence number of the last entry in the hub's prefix log that this
 	// host received. For a host with followers, ownHubPrefixSeq is the sequence number of the
-	// last entry in its own hub's prefix log that was passed to OnReads, and forwardedPrefixSeq
-	// that of the last one that was forwarded to the hub that it reports to.
+	// last entry in its own hub's prefix log that was passed to OnSentPrefixes, and
+	// forwardedPrefixSeq that of the last one that was forwarded to the hub that it reports to.
 	unsentPrefixes     SentPrefixes
 	hubPrefixSeq       uint64
 	ownHubPrefixSeq    uint64
@@ -164,7 +164,7 @@
 	return ""
 }
 
-// Followers returns the number of hosts that report to this one, including itself.
+// ReporterCount returns the number of hosts that report to this one, including itself.
 func (m *Member) ReporterCount() int { return m.ownHub.reporterCount() }
 
 // Run takes part in the exchange until the context ends.
--- a/internal/exchange/quarantinewire.go
+++ b/internal/exchange/quarantinewire.go
@@ -67,11 +67,11 @@
 	return err
 }
 
-// Endings lists terminated upstreams on the wire.
+// Terminations lists terminated upstreams on the wire.
 type Terminations []Termination
 
-// Ending is a terminated upstream: its incarnation, the time since it terminated, and whether a
-// request with a verdict ran there, which explains the termination.
+// Termination is a terminated upstream: its incarnation, the time since it terminated, and whether
+// a request with a verdict ran there, which explains the termination.
 type Termination struct {
 	Incarnation quarantine.Incarnation
 	Age         time.Duration
--- a/internal/exchange/work.go
+++ b/internal/exchange/work.go
@@ -54,12 +54,12 @@
 	return nil
 }
 
-// Reads lists, by upstream, the shared prompt prefixes that hosts sent to the upstream for the
-// first time.
+// SentPrefixes lists, by upstream, the shared prompt prefixes that hosts sent to the upstream for
+// the first time.
 type SentPrefixes map[IDHash][]placement.PrefixKey
 
-// prefixEntrySize is the size of an encoded entry of Reads in bytes, before base64: two hashes,
-// of the upstream and of the prefix.
+// prefixEntrySize is the size of an encoded entry of SentPrefixes in bytes, before base64: two
+// hashes, of the upstream and of the prefix.
 const prefixEntrySize = 8
 
 // MarshalJSON implements json.Marshaler.
--- a/internal/experiment/path/client.go
+++ b/internal/experiment/path/client.go
@@ -57,7 +57,7 @@
 // Usage holds the processor time and allocations of a process since its start,
 // and its resident memory now.
 type Usage struct {
-	// CPU is in seconds, Resident in bytes; Mallocs is a count.
+	// CPUSeconds is processor time, ResidentBytes resident memory; Mallocs is a count.
 	CPUSeconds    float64
 	Mallocs       float64
 	ResidentBytes float64
--- a/internal/experiment/path/path.go
+++ b/internal/experiment/path/path.go
@@ -15,7 +15,7 @@
 
 // Host holds the addresses of an entry host.
 type Host struct {
-	// Callers and Operators are the IP and port at which it serves callers and
+	// CallerAddr and OperatorAddr are the IP and port at which it serves callers and
 	// operators.
 	CallerAddr   string
 	OperatorAddr string
@@ -27,15 +27,15 @@
 	// which stores its bills.
 	Entry  Host
 	Others []Host
-	// Engine is the IP and port of the only engine.
+	// EngineAddr is the IP and port of the only engine.
 	EngineAddr string
-	// Key is the account key.
+	// AccountKey is the account key.
 	AccountKey string
 	// Model is the model that callers request from the entry host, Version the
 	// "model@version" that direct requests name to the engine.
 	Model   string
 	Version string
-	// Shares are the loads of the measured host, as fractions of the requests a
+	// CoreLoads are the loads of the measured host, as fractions of the requests a
 	// second that one core can process.
 	CoreLoads []float64
 	// Period is how long each load lasts. Default: 4 s.
@@ -65,7 +65,7 @@
 const (
 	defaultPeriod = 4 * time.Second
 	// costRate is the load, in requests a second, at which the processor time
-	// of a request is measured. Options.Shares are relative to it.
+	// of a request is measured. Options.CoreLoads are relative to it.
 	costRate = 300
 	// costTokens is the number of tokens for which processor time is reported.
 	costTokens = 10_000
@@ -80,7 +80,7 @@
 }
 
 // Run measures the cost of a request, then the latency at each load of
-// options.Shares, then streams.
+// options.CoreLoads, then streams.
 func Run(ctx context.Context, options Options) ([]Figure, error) {
 	if options.Period == 0 {
 		options.Period = defaultPeriod
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -40,7 +40,7 @@
 	Clock time.Duration
 }
 
-// Received is called with the size in bytes of each part of an answer when the part arrives.
+// OnReceived is called with the size in bytes of each part of an answer when the part arrives.
 type OnReceived func(bytes int)
 
 // Source reads tables of the store. Its calls end when the context ends.
--- a/internal/feed/relay.go
+++ b/internal/feed/relay.go
@@ -141,7 +141,7 @@
 	return time.Duration(relayHoldFraction * float64(w.options.ApplyTime))
 }
 
-// UsesRelay reports whether the last update from another host is recent enough to rely on.
+// HasFreshUpdate reports whether the last update from another host is recent enough to rely on.
 func (w *Watcher) HasFreshUpdate() bool {
 	_, _, ok := w.freshUpdate()
 	return ok
--- a/internal/feed/watcher.go
+++ b/internal/feed/watcher.go
@@ -155,7 +155,7 @@
 	return w.failingSince.Load() != 0 || w.options.Link.unreachable()
 }
 
-// RecoveredWithin reports whether the store is unreachable or was at some time within the last
+// UnreachableWithin reports whether the store is unreachable or was at some time within the last
 // span, as shown by the calls of this watcher or of another one on the link.
 func (w *Watcher) UnreachableWithin(within time.Duration) bool {
 	return w.failingSince.Load() != 0 || w.options.Link.unreachableWithin(within)
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -24,8 +24,8 @@
 	// ReadyPath is the path that responds with status 200 while the host accepts new connections.
 	ReadyPath string
 
-	// Source reads the tables that the gateway follows; Statuses is the table to which it writes
-	// the statuses of roll-outs.
+	// TableSource reads the tables that the gateway follows; StatusTable is the table to which it
+	// writes the statuses of roll-outs.
 	TableSource feed.Source
 	StatusTable storage.Table
 	Tables      Tables
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -235,9 +235,9 @@
 
 // Attribution holds the callbacks for an interrupted response.
 type Attribution struct {
-	// Version is called if no request with a verdict explains the interruption, so that only the
-	// upstream's version can be the cause. Request is called if such a request ran at the
-	// upstream when it terminated; it may be nil.
+	// OnVersionCause is called if no request with a verdict explains the interruption, so that only
+	// the upstream's version can be the cause. OnRequestCause is called if such a request ran at
+	// the upstream when it terminated; it may be nil.
 	OnVersionCause func()
 	OnRequestCause func()
 }
@@ -265,5 +265,5 @@
 // Verdicts returns the verdicts that this host has.
 func (g *Guard) Verdicts() []quarantine.Entry { return g.register.All() }
 
-// Len returns the number of verdicts.
+// VerdictCount returns the number of verdicts.
 func (g *Guard) VerdictCount() int { return g.register.Len() }
--- a/internal/guard/verdictrows.go
+++ b/internal/guard/verdictrows.go
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// RowRemoved processes the removal of a verdict's row from the store.
+// ApplyRowRemoval processes the removal of a verdict's row from the store.
 func (g *Guard) ApplyRowRemoval(key string) error {
 	d, err := g.verdictRows.digestFromKey(key)
 	if err != nil {
@@ -109,8 +109,8 @@
 // written again.
 func (g *Guard) MarkRowsUnsaved() { g.verdictRows.register.MarkUnsaved() }
 
-// LiftMissingRows drops the verdicts that were stored and whose row isn't among the keys, which
-// are those of all rows in the store.
+// DropMissingVerdicts drops the verdicts that were stored and whose row isn't among the keys,
+// which are those of all rows in the store.
 func (g *Guard) DropMissingVerdicts(keys map[string]bool) { g.verdictRows.dropMissing(keys) }
 
 // digestFromKey returns the digest in a row's key.
--- a/internal/logline/bounded.go
+++ b/internal/logline/bounded.go
@@ -11,8 +11,8 @@
 // busy host logs in a second.
 const queueLines = 4096
 
-// Bounded is a writer that queues lines and writes them to its output in the background. If the
-// queue is full, it drops and counts further lines, so that Write never blocks.
+// BoundedWriter is a writer that queues lines and writes them to its output in the background. If
+// the queue is full, it drops and counts further lines, so that Write never blocks.
 type BoundedWriter struct {
 	out       io.Writer
 	lines     chan []byte
@@ -21,7 +21,7 @@
 	drained   chan struct{}
 }
 
-// NewBounded returns a writer to out. Close stops it.
+// NewBoundedWriter returns a writer to out. Close stops it.
 func NewBoundedWriter(out io.Writer) *BoundedWriter {
 	b := &BoundedWriter{out: out, lines: make(chan []byte, queueLines), drained: make(chan struct{})}
 	go b.run()
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -23,7 +23,7 @@
 	killed  bool
 }
 
-// New returns a running process.
+// NewProcess returns a running process.
 func NewProcess() *Process {
 	p := &Process{running: make(chan struct{})}
 	close(p.running)
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -60,7 +60,7 @@
 // Reader reports what is read from an answer, in parts of at most 16 KB.
 type Reader struct {
 	io.Reader
-	// Received is called with the size of each part, in bytes.
+	// OnReceived is called with the size of each part, in bytes.
 	OnReceived func(bytes int)
 }
 
--- a/internal/standin/cut/cut.go
+++ b/internal/standin/cut/cut.go
@@ -79,7 +79,7 @@
 	return c.plan.Frames
 }
 
-// Now aborts the HTTP handler that calls it, which closes its connection.
+// Abort aborts the HTTP handler that calls it, which closes its connection.
 func Abort() {
 	panic(http.ErrAbortHandler)
 }
--- a/internal/standin/cut/limit.go
+++ b/internal/standin/cut/limit.go
@@ -17,14 +17,14 @@
 // bytes.
 type LimitListener struct {
 	net.Listener
-	// Plan returns the limits of the next connection.
+	// NextLimits returns the limits of the next connection.
 	NextLimits func() Limits
 
 	requestBytes, answerBytes atomic.Int64
 }
 
-// Passed returns the total number of bytes read from (requests) and written to
-// (answers) all connections.
+// BytesPassed returns the total number of bytes read from (requests) and written
+// to (answers) all connections.
 func (l *LimitListener) BytesPassed() (requestBytes, answerBytes int64) {
 	return l.requestBytes.Load(), l.answerBytes.Load()
 }
--- a/internal/standin/engine/answer.go
+++ b/internal/standin/engine/answer.go
@@ -10,8 +10,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// BadMark is the prefix of every answer of a version with the fault Bad, so
-// that the rater's stand-in can give the answer a low score.
+// BadAnswerPrefix is the prefix of every answer of a version with the fault Bad,
+// so that the rater's stand-in can give the answer a low score.
 const BadAnswerPrefix = "[bad]"
 
 // lengthPrefix is the prefix of a word in a prompt that sets the length of the
--- a/internal/standin/engine/faults.go
+++ b/internal/standin/engine/faults.go
@@ -39,7 +39,7 @@
 	ErrorRate float64 `json:"error_rate,omitempty"`
 	// Slow multiplies the times of prefill and of output tokens; 0 means 1.
 	Slow float64 `json:"slow,omitempty"`
-	// Bad puts BadMark in front of each answer.
+	// Bad puts BadAnswerPrefix in front of each answer.
 	Bad bool `json:"bad,omitempty"`
 }
 
--- a/internal/standin/engine/options.go
+++ b/internal/standin/engine/options.go
@@ -57,9 +57,9 @@
 	Fenced bool
 	// LoadTime is how long it takes to load a version. Default: 0.
 	LoadTime time.Duration
-	// Fatal is a text that makes a request a poison request: End is called
-	// FatalAfter after the start of a run whose prompt contains it. Default:
-	// none.
+	// PoisonText is a text that makes a request a poison request: OnPoison is
+	// called PoisonDelay after the start of a run whose prompt contains it.
+	// Default: none.
 	PoisonText  string
 	PoisonDelay time.Duration
 	OnPoison    func()
--- a/internal/standin/freeport/refused.go
+++ b/internal/standin/freeport/refused.go
@@ -11,8 +11,8 @@
 // ErrNotIPv4 means that the given IP isn't an IPv4 address.
 var ErrNotIPv4 = errors.New("freeport: not an IPv4 address")
 
-// Refused returns an address on the IPv4 address ip that refuses connections until release is
-// called. A socket stays bound to the port without listening: the system may assign a port that
+// RefusingAddress returns an address on the IPv4 address ip that refuses connections until release
+// is called. A socket stays bound to the port without listening: the system may assign a port that
 // was only closed to the next listener, which would accept the connections.
 func RefusingAddress(ip string) (address string, release func() error, err error) {
 	v4 := net.ParseIP(ip).To4()
--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// Silence holds back all bytes of one direction until Heal; connections stay open.
+// Block holds back all bytes of one direction until Heal; connections stay open.
 func (r *Relay) Block(d Direction) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -45,7 +45,7 @@
 	// Capacity is the capacity in the load report; it isn't enforced. Default:
 	// 64.
 	Capacity int
-	// Time is the duration of each run. Default: 0.
+	// RunTime is the duration of each run. Default: 0.
 	RunTime time.Duration
 }
 
--- a/lease/manager.go
+++ b/lease/manager.go
@@ -46,7 +46,7 @@
 	at      time.Time
 }
 
-// New returns a Manager that stores leases in options.Table.
+// NewManager returns a Manager that stores leases in options.Table.
 func NewManager(options Options) *Manager {
 	if options.Clock == nil {
 		options.Clock = boottime.Now
--- a/lease/orders.go
+++ b/lease/orders.go
@@ -9,7 +9,7 @@
 type Receiver struct {
 	// ID identifies the receiver.
 	ID string
-	// Fenced is true if the receiver rejects an order whose fencing number is
+	// ChecksFencing is true if the receiver rejects an order whose fencing number is
 	// lower than one that it has received before. It must be false if it isn't
 	// known whether the receiver does so.
 	ChecksFencing bool
--- a/ledger/bench_test.go
+++ b/ledger/bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/quetzalweir/quetzalweir/storage/memory"
 )
 
-// localPeer is a Holder in the same process, without a network.
+// localPeer is a Replicator in the same process, without a network.
 type localPeer struct{ custody *CopyStore }
 
 func (p localPeer) Replicate(_ context.Context, owner string, seq uint64, bills []Bill) (string, error) {
--- a/ledger/custody.go
+++ b/ledger/custody.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// DefaultMaxHeld is the maximum number of bills that a host holds for its
+	// DefaultMaxCopies is the maximum number of bills that a host stores for its
 	// peers.
 	DefaultMaxCopies = 20_000
 	// DefaultMaxAge is the time since the last message of an owner after which
@@ -20,22 +20,22 @@
 	DefaultMaxAge = time.Minute
 )
 
-// ErrCustodyFull means that a host already holds the maximum number of bills
+// ErrCopyStoreFull means that a host already stores the maximum number of bills
 // for its peers.
 var ErrCopyStoreFull = errors.New("ledger: too many bills held for other hosts")
 
-// CustodyOptions configure a Custody.
+// CopyStoreOptions configure a CopyStore.
 type CopyStoreOptions struct {
-	// MaxBills bounds the held bills; default DefaultMaxHeld.
+	// MaxBills bounds the number of stored bills; default DefaultMaxCopies.
 	MaxBills int
 	// MaxAge is the time since the last message of an owner after which Sweep
 	// writes its bills; default DefaultMaxAge.
 	MaxAge time.Duration
 }
 
-// Custody is the receiving side of Holder: it stores copies of other hosts'
-// bills and writes them to the table when their owner is down. It is safe for
-// concurrent use.
+// CopyStore is the receiving side of Replicator: it stores copies of other
+// hosts' bills and writes them to the table when their owner is down. It is safe
+// for concurrent use.
 type CopyStore struct {
 	ledger *Ledger
 	opts   CopyStoreOptions
@@ -58,15 +58,15 @@
 	lastContact time.Time
 }
 
-// NewCustody returns a Custody that writes through l.
+// NewCopyStore returns a CopyStore that writes through l.
 func NewCopyStore(l *Ledger, opts CopyStoreOptions) *CopyStore {
 	defaults.Positive(&opts.MaxBills, DefaultMaxCopies)
 	defaults.Positive(&opts.MaxAge, DefaultMaxAge)
 	return &CopyStore{ledger: l, opts: opts, owners: make(map[string]*ownerCopies)}
 }
 
-// Hold stores copies of the owner's bills in message seq. It returns
-// ErrCustodyFull, and stores none, if they would exceed MaxBills.
+// Store stores copies of the owner's bills in message seq. It returns
+// ErrCopyStoreFull, and stores none, if they would exceed MaxBills.
 func (c *CopyStore) Store(owner string, seq uint64, bills []Bill) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// Drop deletes the copies of the owner's messages up to number upTo.
+// Release deletes the copies of the owner's messages up to number upTo.
 func (c *CopyStore) Release(owner string, upTo uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,15 +91,15 @@
 	c.release(o, upTo)
 }
 
-// Held returns the number of bills held.
+// Count returns the number of stored bills.
 func (c *CopyStore) Count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.held
 }
 
-// Settle writes the bills held for a host that is down. host is a host's name
-// or the Owner of one of its incarnations. The bills move to this host's ledger,
+// TakeOver writes the bills stored for a host that is down. host is a host's
+// name or the Owner of one of its incarnations. The bills move to this host's ledger,
 // which copies them to another peer and retries until they are written; an
 // error means only that they aren't written yet.
 func (c *CopyStore) TakeOver(ctx context.Context, host string) error {
@@ -128,7 +128,7 @@
 
 // moveToLedger adds the bills of the owners that match to the ledger, removes
 // these owners and reports whether there was a bill to move. It adds the bills
-// to the ledger before it releases Custody.mu, so that no caller finds a bill in
+// to the ledger before it releases CopyStore.mu, so that no caller finds a bill in
 // neither of the two.
 func (c *CopyStore) moveToLedger(match func(name string, o *ownerCopies) bool) bool {
 	c.mu.Lock()
@@ -148,7 +148,7 @@
 }
 
 // release removes the batches of messages up to number upTo and returns them.
-// Custody.mu is held.
+// CopyStore.mu is held.
 func (c *CopyStore) release(o *ownerCopies, upTo uint64) []copyBatch {
 	released := o.release(upTo)
 	for _, b := range released {
@@ -158,7 +158,7 @@
 }
 
 // owner returns the record of an owner, creating it if needed, and updates its
-// lastContact. Custody.mu is held.
+// lastContact. CopyStore.mu is held.
 func (c *CopyStore) owner(name string) *ownerCopies {
 	o := c.owners[name]
 	if o == nil {
--- a/ledger/custody_test.go
+++ b/ledger/custody_test.go
@@ -27,8 +27,8 @@
 	is.Equal(c.Count(), 1) // the bill of h00, which isn't an incarnation of h0
 }
 
-// TestCustodyPacks checks that Drop and Settle treat packed and unpacked copies
-// alike.
+// TestCustodyPacks checks that Release and TakeOver treat packed and unpacked
+// copies alike.
 func TestCustodyPacks(t *testing.T) {
 	const bills = 3*packThreshold + 10
 	for _, dropped := range []int{0, 1, packThreshold, packThreshold + 1, bills - 1, bills} {
--- a/ledger/helper_test.go
+++ b/ledger/helper_test.go
@@ -36,7 +36,7 @@
 	hosts   []*testHost
 }
 
-// testReplicator is the Holder of one host. It tries the other hosts in turn.
+// testReplicator is the Replicator of one host. It tries the other hosts in turn.
 type testReplicator struct {
 	cluster *testCluster
 	self    int
@@ -107,7 +107,7 @@
 	}()
 }
 
-// sweepLoop calls Custody.Sweep periodically, as a host does.
+// sweepLoop calls CopyStore.Sweep periodically, as a host does.
 func (h *testHost) sweepLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		_ = wait.For(ctx, 10*time.Second)
--- a/ledger/hold.go
+++ b/ledger/hold.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// HolderDown records that a peer is down and the copies on it are lost. Bills
+// PeerDown records that a peer is down and the copies on it are lost. Bills
 // of which it had the copy are sent to another peer, unless they are in the
 // table.
 func (l *Ledger) PeerDown(host string) {
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -38,14 +38,14 @@
 	maxMessageBills = 512
 )
 
-// Holder sends copies of bills to peers in other availability zones.
+// Replicator sends copies of bills to peers in other availability zones.
 type Replicator interface {
-	// Hold sends the bills of message seq to a peer that the implementation
+	// Replicate sends the bills of message seq to a peer that the implementation
 	// selects and returns the name of that peer's host. If it returns both an
 	// error and a host name, that host may have stored the bills. After a
 	// failed call an implementation selects another peer.
 	Replicate(ctx context.Context, owner string, seq uint64, bills []Bill) (holder string, err error)
-	// Drop tells holder that the owner's bills in the messages up to and
+	// Release tells holder that the owner's bills in the messages up to and
 	// including number upTo are in the table, so their copies can be deleted.
 	Release(ctx context.Context, holder, owner string, upTo uint64) error
 }
@@ -56,7 +56,7 @@
 	Objects storage.Objects
 	// Host is this host's name.
 	Host string
-	// Holders copies bills to peers. It is nil if there are no peers; Record
+	// Replicator copies bills to peers. It is nil if there are no peers; Record
 	// then waits for a flush.
 	Replicator Replicator
 	// FlushInterval is the time between flushes; default DefaultFlushInterval.
@@ -72,7 +72,7 @@
 	MaxPending int
 	// RecordTimeout is how long Record waits; default DefaultRecordTimeout.
 	RecordTimeout time.Duration
-	// ReplicateTimeout bounds one call of Holders; default
+	// ReplicateTimeout bounds one call of the Replicator; default
 	// DefaultReplicateTimeout.
 	ReplicateTimeout time.Duration
 	// WriteTimeout bounds the write of one segment; default
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -152,7 +152,7 @@
 	}
 }
 
-// TestSetFlushEvery checks the number of commits in ten minutes.
+// TestSetFlushInterval checks the number of commits in ten minutes.
 func TestSetFlushInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(3, Options{})
--- a/ledger/period.go
+++ b/ledger/period.go
@@ -7,14 +7,14 @@
 // small part of them.
 const maxFlushRate = 50
 
-// FlushPeriod returns the time between flushes for a number of hosts. It is
+// FlushIntervalFor returns the time between flushes for a number of hosts. It is
 // DefaultFlushInterval for up to maxFlushRate hosts and grows with their number
 // above that. Until the flush a copy on a peer protects each bill.
 func FlushIntervalFor(hosts int) time.Duration {
 	return max(DefaultFlushInterval, time.Duration(hosts)*time.Second/maxFlushRate)
 }
 
-// SetFlushEvery changes the time between flushes, from the next flush on.
+// SetFlushInterval changes the time between flushes, from the next flush on.
 // Callers adjust it when the number of hosts changes.
 func (l *Ledger) SetFlushInterval(d time.Duration) {
 	if d > 0 {
--- a/ledger/refusal.go
+++ b/ledger/refusal.go
@@ -27,7 +27,7 @@
 	counts map[refusalKey]int
 }
 
-// Refuse counts a request that was refused before anything was sent to an
+// CountRefusal counts a request that was refused before anything was sent to an
 // upstream.
 func (l *Ledger) CountRefusal(account string, epoch uint64, code int) {
 	l.refusals.add(refusalKey{account: account, epoch: epoch, code: code}, 1)
--- a/manifest/limits.go
+++ b/manifest/limits.go
@@ -3,7 +3,7 @@
 // Limits of a document. They bound the cost of parsing one and are far above
 // the largest fleet that the system is designed for.
 const (
-	// MaxBytes is the largest size of a document's text, in bytes.
+	// MaxDocumentBytes is the largest size of a document's text, in bytes.
 	MaxDocumentBytes = 8 << 20
 	// MaxDepth is the largest nesting depth of objects and arrays.
 	MaxDepth = 16
--- a/manifest/policy.go
+++ b/manifest/policy.go
@@ -172,9 +172,9 @@
 	return m, ok
 }
 
-// Permitted returns the versions of a model that an account may use and that
-// aren't withdrawn, in document order. The list is empty if there are none or if
-// the account or model doesn't exist.
+// PermittedVersions returns the versions of a model that an account may use and
+// that aren't withdrawn, in document order. The list is empty if there are none or
+// if the account or model doesn't exist.
 func (p *Policy) PermittedVersions(account, model string) []Version {
 	entry, ok := p.accounts[account]
 	if !ok {
--- a/membership/options.go
+++ b/membership/options.go
@@ -42,7 +42,7 @@
 	// Transport sends the messages.
 	Transport Transport
 
-	// Interval is the time between rounds; default 1 s, jittered by a tenth.
+	// RoundInterval is the time between rounds; default 1 s, jittered by a tenth.
 	RoundInterval time.Duration
 	// ProbeTimeout is the timeout of one exchange; default 500 ms.
 	ProbeTimeout time.Duration
--- a/placement/escalation.go
+++ b/placement/escalation.go
@@ -7,7 +7,7 @@
 type Escalation struct {
 	// Threshold is the confidence threshold set by the operators, from 0 to 100.
 	Threshold float64
-	// Expected is the expected time from the request's arrival to the better model's first
+	// ExpectedTime is the expected time from the request's arrival to the better model's first
 	// event. Target is the target for that time; 0 means none.
 	ExpectedTime time.Duration
 	Target       time.Duration
--- a/placement/place.go
+++ b/placement/place.go
@@ -36,7 +36,7 @@
 type Choice struct {
 	// Index is the engine's index in the list of candidates.
 	Index int
-	// Expected is the expected time to the first event.
+	// ExpectedTime is the expected time to the first event.
 	ExpectedTime time.Duration
 	// ExpectedUnqueued is the expected time to the first event without queued work.
 	// PrefillTime is the portion of it during which the engine works on this prompt alone and
@@ -45,7 +45,7 @@
 	PrefillTime      time.Duration
 	// UncachedTokens is the number of tokens to prefill.
 	UncachedTokens int
-	// Owner reports whether the engine is the owner of the prompt's shared parts.
+	// IsOwner reports whether the engine is the owner of the prompt's shared parts.
 	IsOwner bool
 }
 
--- a/quarantine/register.go
+++ b/quarantine/register.go
@@ -31,16 +31,16 @@
 // Verdict keeps a request away from upstreams until the verdict expires.
 type Verdict struct {
 	Digest Digest
-	// By is the host that made the verdict. Events and Upstreams are the evidence, as in
+	// MadeBy is the host that made the verdict. Events and Upstreams are the evidence, as in
 	// Finding.
 	MadeBy    string
 	Events    int
 	Upstreams int
-	// Judged and Until are when the verdict was made and when it expires, on the clock that all
-	// hosts share.
+	// MadeAt and ExpiresAt are when the verdict was made and when it expires, on the clock that
+	// all hosts share.
 	MadeAt    time.Duration
 	ExpiresAt time.Duration
-	// Trials is the number of trials so far: sends of the request after the verdict expired.
+	// TrialCount is the number of trials so far: sends of the request after the verdict expired.
 	TrialCount int
 }
 
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -294,7 +294,7 @@
 	t.getOrAddUpstream(Loss{Incarnation: t.resolveIncarnation(Loss{Incarnation: i, At: at}), At: at}).explained = true
 }
 
-// Events returns the number of unexplained events in which upstreams terminated with the
+// EventCount returns the number of unexplained events in which upstreams terminated with the
 // request.
 func (t *Tracker) EventCount(d Digest, now time.Duration) int {
 	t.mu.Lock()
--- a/ratelease/bound.go
+++ b/ratelease/bound.go
@@ -1,6 +1,6 @@
 package ratelease
 
-// Bound is the load that operators permit for a cold upstream.
+// ColdBound is the load that operators permit for a cold upstream.
 type ColdBound struct {
 	// Rate is the rate that one cold upstream tolerates, in requests a second; 0 if the service
 	// has no cold upstreams.
--- a/ratelease/doc.go
+++ b/ratelease/doc.go
@@ -2,7 +2,7 @@
 //
 // It serves two cases. An upstream that has just started is idle, so every host ranks it as the
 // best place for its next request; while it is cold it tolerates only a few requests a second,
-// and at a rate well above that it terminates (Bound). An overloaded upstream names in its
+// and at a rate well above that it terminates (ColdBound). An overloaded upstream names in its
 // responses the rate that it accepts from all hosts together (Limit); each host learns the rate
 // from its own responses only, and dozens of hosts that each keep to it send dozens of times as
 // much.
--- a/ratelease/lease.go
+++ b/ratelease/lease.go
@@ -36,8 +36,8 @@
 // upstream's requests.
 type Grant struct {
 	Upstream UpstreamID
-	// Parts is the number of parts granted, by one root or more. Of is the number of parts into
-	// which each root splits the requests.
+	// Parts is the number of parts granted, by one root or more. PartsPerRoot is the number of
+	// parts into which each root splits the requests.
 	Parts        int
 	PartsPerRoot int
 }
@@ -47,8 +47,8 @@
 	return evenhash.Mix(uint64(g.Upstream) ^ uint64(g.Parts)<<32 ^ uint64(g.PartsPerRoot))
 }
 
-// Digest returns a hash of a list of grants that doesn't depend on their order; it is 0 for an
-// empty list.
+// GrantsDigest returns a hash of a list of grants that doesn't depend on their order; it is 0 for
+// an empty list.
 func GrantsDigest(grants []Grant) uint64 {
 	sum := uint64(0)
 	for _, g := range grants {
@@ -80,7 +80,7 @@
 // Lease is the right to use grants, or to lease them to other hosts.
 type Lease struct {
 	Grants []Grant
-	// For is the duration of the lease, counted from when it was requested.
+	// Duration is the duration of the lease, counted from when it was requested.
 	Duration time.Duration
 	// Roots is the number of root hubs that grant leases.
 	Roots int
@@ -95,13 +95,13 @@
 // Share is the fraction of an upstream's requests that a host may send.
 type Share struct {
 	// Parts is the number of parts that the host holds, from all roots together. Each of the
-	// Roots roots splits the upstream's requests into Of parts.
+	// Roots roots splits the upstream's requests into PartsPerRoot parts.
 	Parts, PartsPerRoot, Roots int
 	// Since is the time from which the host has held the share without interruption.
 	Since time.Time
 }
 
-// Part returns the share as a fraction of all requests for the upstream.
+// Fraction returns the share as a fraction of all requests for the upstream.
 func (s Share) Fraction() float64 {
 	if s.PartsPerRoot == 0 || s.Roots == 0 {
 		return 0
--- a/ratelease/limitstate.go
+++ b/ratelease/limitstate.go
@@ -49,7 +49,7 @@
 // yet.
 func NewHubContact(startedAt time.Time) HubContact { return HubContact{rootSeenAt: startedAt} }
 
-// Answered returns the contact after a reply from the hub, where rootSeenAt is when the hub was
+// WithReply returns the contact after a reply from the hub, where rootSeenAt is when the hub was
 // last connected to a root hub.
 func (c HubContact) WithReply(now, rootSeenAt time.Time) HubContact {
 	if now.Sub(c.repliedAt) > LeaseDuration {
--- a/ratelease/log.go
+++ b/ratelease/log.go
@@ -17,8 +17,8 @@
 	minReplacedEntries = 256
 )
 
-// LogCursor is a position in a hub's log. Epoch identifies the run of the hub, Last is the sequence
-// number of the last update received.
+// LogCursor is a position in a hub's log. Epoch identifies the run of the hub, LastSeq is the
+// sequence number of the last update received.
 type LogCursor struct {
 	Epoch   uint64 `json:"epoch,omitempty"`
 	LastSeq uint64 `json:"last,omitempty"`
--- a/rollout/answers.go
+++ b/rollout/answers.go
@@ -47,7 +47,7 @@
 	e.own.Granted = uint64(e.rule.Budget / t.hostCount())
 }
 
-// Return refunds an answer that was taken and whose request was never sent to
+// Refund refunds an answer that was taken and whose request was never sent to
 // an upstream.
 func (t *Tracker) Refund(model, version string) {
 	t.withEntry(Key{model, version}, func(_ *shard, e *entry, _ time.Time) {
@@ -67,7 +67,7 @@
 }
 
 // Observe records the outcome of an answer. Each answer taken ends with one
-// call of Observe, Abandon or Return.
+// call of Observe, Abandon or Refund.
 func (t *Tracker) Observe(model, version string, outcome Outcome) {
 	t.withEntry(Key{model, version}, func(s *shard, e *entry, now time.Time) {
 		e.endInFlight()
--- a/rollout/compare.go
+++ b/rollout/compare.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// Sample holds the number of answers of one version and of the bad ones among
+// AnswerCounts holds the number of answers of one version and of the bad ones among
 // them.
 type AnswerCounts struct {
 	Bad   int
@@ -15,13 +15,13 @@
 	return []uint64{uint64(max(0, s.Total-s.Bad)), uint64(s.Bad)}
 }
 
-// Worse reports whether the candidate version's rate of bad answers is higher than that of
+// IsWorse reports whether the candidate version's rate of bad answers is higher than that of
 // the baseline version over the same time, so that an outage that affects both versions
 // counts against neither. It is a sequential test, which may be evaluated after every
 // answer. It depends on sums only, so the counts of many hosts can be added. The baseline's
 // rate is an estimate, so a standard error is added to it.
 //
-// For a candidate that is as good as the baseline, Worse ever returns true with a probability
+// For a candidate that is as good as the baseline, IsWorse ever returns true with a probability
 // of about alpha. The probability is higher if both versions have the same number of answers
 // and half of these are bad: up to two percent with an alpha of 0.002. With this alpha, a
 // candidate with 50% bad answers is found worse after 7 to 16 of its answers if the baseline
@@ -32,8 +32,8 @@
 	return test.logWealth(candidate.counts()) >= math.Log(1/alpha)
 }
 
-// NotWorse reports whether the candidate's rate of bad answers exceeds the baseline's by less
-// than tolerance. For a candidate whose rate exceeds it by more, NotWorse ever returns true
+// IsNotWorse reports whether the candidate's rate of bad answers exceeds the baseline's by less
+// than tolerance. For a candidate whose rate exceeds it by more, IsNotWorse ever returns true
 // with a probability of at most alpha. It is the sequential probability ratio test of the
 // baseline's rate against one that is higher by the tolerance. With a tolerance of 0.2 and an
 // alpha of 0.05, it returns true for a healthy candidate after 15 answers, and for one as good
@@ -46,7 +46,7 @@
 	return ratio >= math.Log(1/alpha)
 }
 
-// minHealthyRate is the lowest rate of bad answers that NotWorse assumes for a healthy
+// minHealthyRate is the lowest rate of bad answers that IsNotWorse assumes for a healthy
 // candidate.
 const minHealthyRate = 0.01
 
--- a/rollout/compare_test.go
+++ b/rollout/compare_test.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// Worse depends on sums only, so the counts of several hosts may be added in any order.
+// IsWorse depends on sums only, so the counts of several hosts may be added in any order.
 func TestComparisonDependsOnSums(t *testing.T) {
 	tests := []struct {
 		desc                string
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -16,9 +16,9 @@
 type VersionRule struct {
 	Model   string
 	Version string
-	// Epoch numbers the roll-outs of the version. It isn't the epoch of the
-	// manifest: a new manifest with the same number keeps the budget, the
-	// evidence and the stop, a higher number starts with a full budget, no
+	// Round numbers the roll-outs of the version. It isn't the epoch of the
+	// manifest: a new manifest with the same round keeps the budget, the
+	// evidence and the stop, a higher round starts with a full budget, no
 	// evidence and no stop.
 	Round uint64
 	// Budget is the number of answers that all hosts together may give before
@@ -46,7 +46,7 @@
 	// arrives later is passed to Tracker.Rate.
 	Rating float64
 	Rated  bool
-	// FirstToken is the time to first token; 0 if it wasn't measured.
+	// TimeToFirstToken is the time to first token; 0 if it wasn't measured.
 	FirstToken time.Duration
 }
 
--- a/session/choose.go
+++ b/session/choose.go
@@ -24,12 +24,12 @@
 	return toUnitInterval(d.Sum64())
 }
 
-// Choose selects the version of a new session by weighted rendezvous hashing;
-// sessionHash is the result of SessionHash. Each version gets a score from a hash
-// of sessionHash and the version's name, scaled by the version's share, and Choose
-// returns the version with the lowest score. The choice doesn't depend on the order
-// of the versions or on versions without a share. Choose returns false if no
-// version accepts new sessions.
+// ChooseVersion selects the version of a new session by weighted rendezvous
+// hashing; sessionHash is the result of SessionHash. Each version gets a score
+// from a hash of sessionHash and the version's name, scaled by the version's
+// share, and ChooseVersion returns the version with the lowest score. The choice
+// doesn't depend on the order of the versions or on versions without a share.
+// ChooseVersion returns false if no version accepts new sessions.
 func ChooseVersion(versions []manifest.Version, sessionHash float64) (manifest.Version, bool) {
 	best := -1
 	lowest := math.Inf(1)
@@ -57,7 +57,7 @@
 }
 
 // versionHash returns a hash of sessionHash and the version name in (0,1]. It is
-// never 0, since Choose takes its logarithm.
+// never 0, since ChooseVersion takes its logarithm.
 func versionHash(sessionHash float64, name string) float64 {
 	var d xxhash.Digest
 	d.Reset()
--- a/session/session.go
+++ b/session/session.go
@@ -2,8 +2,8 @@
 //
 // The binding is carried in a signed token, which any host can verify without
 // I/O (Codec). If a caller sends only a session ID, the binding is stored in a
-// row of the platform's table (Registry). Choose selects the version of a new
-// session. It is a pure function of the session's identity and the versions'
+// row of the platform's table (Registry). ChooseVersion selects the version of a
+// new session. It is a pure function of the session's identity and the versions'
 // shares.
 //
 // The entry host uses all three. A session without a token that starts on two
--- a/storage/client/options.go
+++ b/storage/client/options.go
@@ -39,12 +39,12 @@
 	// MaxBody bounds the body of a request and of a response, in bytes; default
 	// DefaultMaxBody.
 	MaxBody int64
-	// Observe is called after each call, in the caller's goroutine, for metrics
+	// OnCall is called after each call, in the caller's goroutine, for metrics
 	// and logs; default none.
 	OnCall func(CallResult)
 }
 
-// Observation describes one call that has ended.
+// CallResult describes one call that has returned.
 type CallResult struct {
 	// Op names the call: "get", "list", "commit", "write object", "read object",
 	// "list hosts" or "rate".
--- a/storage/faulty/random.go
+++ b/storage/faulty/random.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Bounds holds the upper bounds, all exclusive, of the faults that SetRandom
-// draws.
+// Bounds holds the upper bounds, all exclusive, of the faults that
+// SetRandomFault draws.
 type Bounds struct {
 	// Commits bounds the number of commits that a fault affects; at least 2.
 	Commits int
@@ -16,7 +16,7 @@
 	Late time.Duration
 }
 
-// SetRandom sets one random fault or ends all faults, each with the same
+// SetRandomFault sets one random fault or ends all faults, each with the same
 // probability. A new fault is added to those set before.
 func (t *Table) SetRandomFault(random *rand.Rand, bounds Bounds) {
 	commits := 1 + random.IntN(bounds.Commits-1)
--- a/storage/faulty/table.go
+++ b/storage/faulty/table.go
@@ -38,7 +38,7 @@
 	faults faults
 	counts Counts
 	hooks  hooks
-	// heldTxns holds the transactions that Deliver commits.
+	// heldTxns holds the transactions that ApplyHeldCommits commits.
 	heldTxns []storage.Txn
 }
 
@@ -71,11 +71,11 @@
 	faultLose
 	// faultLate loses the response and applies the commit later.
 	faultLate
-	// faultHold loses the response and applies the commit at the next Deliver.
+	// faultHold loses the response; the next ApplyHeldCommits applies the commit.
 	faultHold
 )
 
-// New returns a table without faults over inner.
+// NewTable returns a table without faults over inner.
 func NewTable(inner storage.Table) *Table {
 	return &Table{inner: inner}
 }
@@ -91,32 +91,32 @@
 	t.updateFaults(func(f *faults) { f.delay = d })
 }
 
-// LoseNext makes the next n commits take effect, if their conditions hold, and
-// return storage.ErrUnknown.
+// LoseNextResponses makes the next n commits take effect, if their conditions
+// hold, and return storage.ErrUnknown.
 func (t *Table) LoseNextResponses(n int) {
 	t.updateFaults(func(f *faults) { f.lose = n })
 }
 
-// DropNext makes the next n commits have no effect and return
+// DropNextCommits makes the next n commits have no effect and return
 // storage.ErrUnknown.
 func (t *Table) DropNextCommits(n int) {
 	t.updateFaults(func(f *faults) { f.drop = n })
 }
 
-// DelayNext makes the next n commits return storage.ErrUnknown at once and take
-// effect after d, if their conditions hold then.
+// DelayNextCommits makes the next n commits return storage.ErrUnknown at once
+// and take effect after d, if their conditions hold then.
 func (t *Table) DelayNextCommits(n int, d time.Duration) {
 	t.updateFaults(func(f *faults) { f.late, f.lateDelay = n, d })
 }
 
-// HoldNext makes the next n commits return storage.ErrUnknown at once and take
-// effect at the next Deliver, if their conditions hold then. It replaces
-// DelayNext in tests that use a clock of their own.
+// HoldNextCommits makes the next n commits return storage.ErrUnknown at once and
+// take effect at the next ApplyHeldCommits, if their conditions hold then. It
+// replaces DelayNextCommits in tests that use a clock of their own.
 func (t *Table) HoldNextCommits(n int) {
 	t.updateFaults(func(f *faults) { f.hold = n })
 }
 
-// Deliver applies the held commits in the order of their calls.
+// ApplyHeldCommits applies the held commits in the order of their calls.
 func (t *Table) ApplyHeldCommits() {
 	t.mu.Lock()
 	txns := t.heldTxns
@@ -155,7 +155,7 @@
 	return t.hooks
 }
 
-// Heal ends all faults. Late and held commits still take effect.
+// ClearFaults ends all faults. Late and held commits still take effect.
 func (t *Table) ClearFaults() {
 	t.updateFaults(func(f *faults) { *f = faults{} })
 }
--- a/storage/memory/table.go
+++ b/storage/memory/table.go
@@ -23,7 +23,7 @@
 	keys []string
 }
 
-// New returns an empty table at revision zero.
+// NewTable returns an empty table at revision zero.
 func NewTable() *Table {
 	return &Table{rows: make(map[string]storage.Row)}
 }
--- a/storage/protocol/protocol.go
+++ b/storage/protocol/protocol.go
@@ -45,18 +45,18 @@
 	EffectNone = "none"
 )
 
-// Rows is the response to PathRows.
+// RowsResponse is the response to PathRows.
 type RowsResponse struct {
 	Rows []storage.Row `json:"rows"`
 }
 
-// Committed is the response to PathCommit.
+// CommitResponse is the response to PathCommit.
 type CommitResponse struct {
 	// Revision is the revision of the transaction, at least 1.
 	Revision uint64 `json:"revision"`
 }
 
-// Hosts is the response to PathHosts.
+// HostsResponse is the response to PathHosts.
 type HostsResponse struct {
 	// Cursor identifies this state of the list, for QuerySince of a later call.
 	Cursor string `json:"cursor"`
@@ -77,7 +77,7 @@
 	Answer  string `json:"answer"`
 }
 
-// Problem is the body of a response with an error status. It is for logs only;
+// ErrorResponse is the body of a response with an error status. It is for logs only;
 // callers don't depend on it.
 type ErrorResponse struct {
 	Error string `json:"error"`
--- a/storage/storage.go
+++ b/storage/storage.go
@@ -110,7 +110,7 @@
 	// Address is the IP and port for requests.
 	Address string    `json:"address"`
 	State   HostState `json:"state"`
-	// Fenced reports whether the host rejects commands whose fencing number is
+	// ChecksFencing reports whether the host rejects commands whose fencing number is
 	// lower than one it has received.
 	ChecksFencing bool `json:"fenced,omitempty"`
 }
--- a/storage/storagetest/conformance.go
+++ b/storage/storagetest/conformance.go
@@ -12,8 +12,8 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// IsClass reports whether err wraps want, one of the error classes of package
-// storage, and no other class. If want is nil, err must be nil.
+// HasErrorClass reports whether err wraps want, one of the error classes of
+// package storage, and no other class. If want is nil, err must be nil.
 func HasErrorClass(err, want error) bool {
 	classes := []error{storage.ErrConflict, storage.ErrUnavailable, storage.ErrUnknown, storage.ErrNotFound}
 	for _, class := range classes {
@@ -24,7 +24,7 @@
 	return (err == nil) == (want == nil)
 }
 
-// Put returns a transaction that writes a row without a condition.
+// PutTxn returns a transaction that writes a row without a condition.
 func PutTxn(key, value string) storage.Txn {
 	return storage.Txn{Puts: []storage.Put{{Key: key, Value: []byte(value)}}}
 }
--- a/storage/storagetest/history.go
+++ b/storage/storagetest/history.go
@@ -25,13 +25,13 @@
 // operation that is started and never added isn't part of the history.
 func (h *History) Tick() int64 { return h.clock.Add(1) }
 
-// End adds an operation of a client that returns now, and returns it.
+// AddCompleted adds an operation of a client that returns now, and returns it.
 func (h *History) AddCompleted(client int, start int64, input, output any) porcupine.Operation {
 	return h.Add(client, start, h.Tick(), input, output)
 }
 
-// Open adds an operation that may take effect at any time after its start, and
-// returns it.
+// AddPending adds an operation that may take effect at any time after its start,
+// and returns it.
 func (h *History) AddPending(client int, start int64, input, output any) porcupine.Operation {
 	return h.Add(client, start, math.MaxInt64, input, output)
 }
