--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -59,7 +59,7 @@
 	peerServer      *peer.Server
 	claims          *claim.Store
 	ledger          *ledger.Ledger
-	custody         *ledger.CopyStore
+	billCopies      *ledger.CopyStore
 	quota           *quota.Limiter
 	sessionCodec    *session.Codec
 	sessions        *session.Registry
@@ -87,7 +87,7 @@
 	cancelQuota context.CancelFunc
 	quotaDone   chan struct{}
 	// downHosts holds the IDs of hosts that went down and whose bills aren't
-	// settled yet.
+	// taken over yet.
 	downHosts chan string
 	engine    *upstream.EngineClient
 	service   *upstream.ServiceClient
@@ -213,9 +213,9 @@
 		Table:      h.platform.Table,
 		Objects:    h.platform.Objects,
 		Host:       h.settings.ID,
-		Replicator: &peerHolders{host: h},
+		Replicator: &billReplicator{host: h},
 	})
-	h.custody = ledger.NewCopyStore(h.ledger, ledger.CopyStoreOptions{})
+	h.billCopies = ledger.NewCopyStore(h.ledger, ledger.CopyStoreOptions{})
 	h.sessionCodec = session.NewCodec(h.settings.SessionKeys, defaultSessionTTL, nil)
 	h.sessions = session.NewRegistry(session.Options{Table: h.committer})
 }
@@ -297,7 +297,7 @@
 	run("orders", h.unloader.run)
 	run("maintenance", h.maintenance.run)
 	run("ratings", h.sampler.run)
-	run("custody", h.settleDownHosts)
+	run("custody", h.takeOverBills)
 }
 
 // Limits of the HTTP servers for callers and operators.
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -16,14 +16,14 @@
 	// factHead is the key of the membership fact that holds the head of the manifest
 	// in force.
 	factHead = "head"
-	// custodySweepInterval is the time between checks whether this host holds bills
+	// copySweepInterval is the time between checks whether this host holds bills
 	// of hosts that no longer exist.
-	custodySweepInterval = 10 * time.Second
+	copySweepInterval = 10 * time.Second
 	// leaveTimeout is the timeout of the announcement of a planned stop.
 	leaveTimeout = 5 * time.Second
-	// settleQueueSize is the maximum number of hosts that went down and whose bills
-	// wait to be settled.
-	settleQueueSize = 1024
+	// takeOverQueueSize is the maximum number of hosts that went down and whose
+	// bills wait to be taken over.
+	takeOverQueueSize = 1024
 )
 
 // provisionMembers creates the membership.
@@ -52,7 +52,7 @@
 // must be called after all components have been created, since the events are passed
 // to them.
 func (h *Host) watchMembers() {
-	h.downHosts = make(chan string, settleQueueSize)
+	h.downHosts = make(chan string, takeOverQueueSize)
 	h.members.Subscribe(h.handleMemberEvent)
 	h.members.Watch(factHead, func(f membership.Fact) {
 		var head config.Head
@@ -85,38 +85,38 @@
 	if e.Previous == membership.Leaving {
 		h.plannedDepartures.add(e.Member.ID)
 	}
-	h.enqueueSettlement(e.Member.ID)
+	h.enqueueTakeOver(e.Member.ID)
 }
 
-// enqueueSettlement queues a host whose process ended, so that its bills are settled.
-func (h *Host) enqueueSettlement(id string) {
+// enqueueTakeOver queues a host whose process ended, so that its bills are taken over.
+func (h *Host) enqueueTakeOver(id string) {
 	select {
 	case h.downHosts <- id:
-	default: // The queue is full; the next sweep settles the host's bills.
+	default: // The queue is full; the next sweep takes over the host's bills.
 	}
 }
 
-// settleDownHosts takes over the bills that this host holds for hosts that went
-// down, and finds new holders for this host's bills that were held by those hosts.
-func (h *Host) settleDownHosts(ctx context.Context) error {
-	sweep := time.NewTicker(custodySweepInterval)
+// takeOverBills takes over the bills of hosts that went down, of which this host has
+// copies. It also has new copies made of this host's bills whose copies those hosts had.
+func (h *Host) takeOverBills(ctx context.Context) error {
+	sweep := time.NewTicker(copySweepInterval)
 	defer sweep.Stop()
-	var settling sync.WaitGroup
-	defer settling.Wait()
+	var takeOvers sync.WaitGroup
+	defer takeOvers.Wait()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case id := <-h.downHosts:
 			h.ledger.PeerDown(id)
-			settling.Go(func() { h.logCustodyError(h.custody.TakeOver(ctx, id)) })
+			takeOvers.Go(func() { h.logTakeOverError(h.billCopies.TakeOver(ctx, id)) })
 		case <-sweep.C:
-			settling.Go(func() { h.logCustodyError(h.custody.Sweep(ctx)) })
+			takeOvers.Go(func() { h.logTakeOverError(h.billCopies.Sweep(ctx)) })
 		}
 	}
 }
 
-func (h *Host) logCustodyError(err error) {
+func (h *Host) logTakeOverError(err error) {
 	if err != nil {
 		h.log.Warn().Str("event", "custody").Err(err).Msg("")
 	}
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -42,7 +42,7 @@
 	})
 	gauge("quetzalweir_bills_at_risk", func() float64 { return float64(h.ledger.AtRisk()) })
 	gauge("quetzalweir_bills_pending", func() float64 { return float64(h.ledger.Pending()) })
-	gauge("quetzalweir_bills_held_for_others", func() float64 { return float64(h.custody.Count()) })
+	gauge("quetzalweir_bills_held_for_others", func() float64 { return float64(h.billCopies.Count()) })
 	gauge("quetzalweir_claims_pending", func() float64 { return float64(h.claims.Pending()) })
 	gauge("quetzalweir_requests_running", func() float64 { return float64(h.queues.stats().Running) })
 	gauge("quetzalweir_requests_queued", func() float64 { return float64(h.queues.stats().Queued) })
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -20,10 +20,10 @@
 
 // Methods between entry hosts.
 const (
-	methodView = "config.view"
-	methodBody = "config.body"
-	methodHold = "ledger.hold"
-	methodDrop = "ledger.drop"
+	methodView      = "config.view"
+	methodBody      = "config.body"
+	methodReplicate = "ledger.hold"
+	methodRelease   = "ledger.drop"
 )
 
 // empty is the type of empty parameters and results.
@@ -37,14 +37,14 @@
 	Body []byte `json:"body"`
 }
 
-type holdParams struct {
+type replicateParams struct {
 	Owner string `json:"owner"`
 	Seq   uint64 `json:"seq"`
 	// Bills is encoded by ledger.EncodeBills.
 	Bills []byte `json:"bills"`
 }
 
-type dropParams struct {
+type releaseParams struct {
 	Owner string `json:"owner"`
 	UpTo  uint64 `json:"up_to"`
 }
@@ -91,15 +91,15 @@
 		}
 		return bodyResult{Body: body}, nil
 	})
-	peer.Handle(h.peerServer, methodHold, func(_ context.Context, _ string, p holdParams) (empty, error) {
+	peer.Handle(h.peerServer, methodReplicate, func(_ context.Context, _ string, p replicateParams) (empty, error) {
 		bills, err := ledger.DecodeBills(p.Bills)
 		if err != nil {
 			return empty{}, err
 		}
-		return empty{}, h.custody.Store(p.Owner, p.Seq, bills)
+		return empty{}, h.billCopies.Store(p.Owner, p.Seq, bills)
 	})
-	peer.Handle(h.peerServer, methodDrop, func(_ context.Context, _ string, p dropParams) (empty, error) {
-		h.custody.Release(p.Owner, p.UpTo)
+	peer.Handle(h.peerServer, methodRelease, func(_ context.Context, _ string, p releaseParams) (empty, error) {
+		h.billCopies.Release(p.Owner, p.UpTo)
 		return empty{}, nil
 	})
 }
@@ -173,8 +173,8 @@
 	return nil, errNoBody
 }
 
-// peerHolders stores copies of bills on hosts in other availability zones.
-type peerHolders struct {
+// billReplicator stores copies of bills on hosts in other availability zones.
+type billReplicator struct {
 	host *Host
 	// failures is the number of failed calls. Each failure makes another host the
 	// first candidate.
@@ -185,14 +185,14 @@
 var errNoOtherHost = errors.New("no other host is up")
 
 // Replicate implements ledger.Replicator.
-func (p *peerHolders) Replicate(ctx context.Context, owner string, seq uint64, bills []ledger.Bill) (string, error) {
+func (p *billReplicator) Replicate(ctx context.Context, owner string, seq uint64, bills []ledger.Bill) (string, error) {
 	data, err := ledger.EncodeBills(bills)
 	if err != nil {
 		return "", err
 	}
-	params := holdParams{Owner: owner, Seq: seq, Bills: data}
+	params := replicateParams{Owner: owner, Seq: seq, Bills: data}
 	for _, m := range p.candidates() {
-		err = p.host.peers.Call(ctx, m.PeerAddr, methodHold, params, nil)
+		err = p.host.peers.Call(ctx, m.PeerAddr, methodReplicate, params, nil)
 		if err == nil {
 			return m.ID, nil
 		}
@@ -207,7 +207,7 @@
 // candidates returns the hosts that may hold this host's bills, in the order in which
 // to try them: the hosts that are up in other availability zones, or, if there are
 // none, those that are up in the same zone.
-func (p *peerHolders) candidates() []membership.Member {
+func (p *billReplicator) candidates() []membership.Member {
 	var preferred, sameZone []membership.Member
 	for _, m := range sortByRendezvous(p.host.otherHosts(), p.host.settings.ID) {
 		switch {
@@ -245,10 +245,10 @@
 }
 
 // Release implements ledger.Replicator.
-func (p *peerHolders) Release(ctx context.Context, holder, owner string, upTo uint64) error {
+func (p *billReplicator) Release(ctx context.Context, holder, owner string, upTo uint64) error {
 	m, ok := p.host.members.Lookup(holder)
 	if !ok {
 		return nil
 	}
-	return p.host.peers.Call(ctx, m.PeerAddr, methodDrop, dropParams{Owner: owner, UpTo: upTo}, nil)
+	return p.host.peers.Call(ctx, m.PeerAddr, methodRelease, releaseParams{Owner: owner, UpTo: upTo}, nil)
 }
--- a/internal/entry/processes.go
+++ b/internal/entry/processes.go
@@ -70,7 +70,7 @@
 }
 
 // applyProcess records which process a host runs. If the process replaced an earlier
-// one, the bills of the earlier process are settled. The replacement may have been so
+// one, the bills of the earlier process are taken over. The replacement may have been so
 // quick that the host was never detected as down.
 func (h *Host) applyProcess(f membership.Fact) {
 	id := strings.TrimPrefix(f.Key, factProcess)
@@ -78,7 +78,7 @@
 		return
 	}
 	h.log.Info().Str("event", "process").Str("member", id).Str("incarnation", string(f.Value)).Msg("")
-	h.enqueueSettlement(id)
+	h.enqueueTakeOver(id)
 }
 
 // liveness reports whether the process that owns a claim may still be running.
--- a/ledger/bench_test.go
+++ b/ledger/bench_test.go
@@ -11,22 +11,22 @@
 )
 
 // localPeer is a Replicator in the same process, without a network.
-type localPeer struct{ custody *CopyStore }
+type localPeer struct{ copies *CopyStore }
 
 func (p localPeer) Replicate(_ context.Context, owner string, seq uint64, bills []Bill) (string, error) {
-	return "peer", p.custody.Store(owner, seq, bills)
+	return "peer", p.copies.Store(owner, seq, bills)
 }
 
 func (p localPeer) Release(_ context.Context, _, owner string, upTo uint64) error {
-	p.custody.Release(owner, upTo)
+	p.copies.Release(owner, upTo)
 	return nil
 }
 
 func BenchmarkRecord(b *testing.B) {
 	table, objects := memory.NewTable(), memory.NewObjects()
 	peer := New(Options{Table: table, Objects: objects, Host: "h1"})
-	custody := NewCopyStore(peer, CopyStoreOptions{MaxBills: 1 << 30})
-	l := New(Options{Table: table, Objects: objects, Host: "h0", Replicator: localPeer{custody}})
+	copies := NewCopyStore(peer, CopyStoreOptions{MaxBills: 1 << 30})
+	l := New(Options{Table: table, Objects: objects, Host: "h0", Replicator: localPeer{copies}})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error)
 	go func() { done <- l.Run(ctx) }()
@@ -134,9 +134,9 @@
 	}
 }
 
-// BenchmarkHeldMemory reports the memory that a copy held for a peer takes, in
+// BenchmarkCopyMemory reports the memory that a copy stored for a peer takes, in
 // bytes.
-func BenchmarkHeldMemory(b *testing.B) {
+func BenchmarkCopyMemory(b *testing.B) {
 	const n = 20_000
 	for b.Loop() {
 		c := NewCopyStore(New(Options{Host: "h1"}), CopyStoreOptions{})
--- a/ledger/custody.go
+++ b/ledger/copystore.go
@@ -40,9 +40,9 @@
 	ledger *Ledger
 	opts   CopyStoreOptions
 
-	mu     sync.Mutex
-	owners map[string]*ownerCopies
-	held   int
+	mu        sync.Mutex
+	owners    map[string]*ownerCopies
+	billCount int
 }
 
 // ownerCopies holds the copies of one owner's bills.
@@ -70,7 +70,7 @@
 func (c *CopyStore) Store(owner string, seq uint64, bills []Bill) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.held+len(bills) > c.opts.MaxBills {
+	if c.billCount+len(bills) > c.opts.MaxBills {
 		return ErrCopyStoreFull
 	}
 	o := c.owner(owner)
@@ -78,7 +78,7 @@
 		return nil
 	}
 	o.add(seq, bills)
-	c.held += len(bills)
+	c.billCount += len(bills)
 	return nil
 }
 
@@ -95,7 +95,7 @@
 func (c *CopyStore) Count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.held
+	return c.billCount
 }
 
 // TakeOver writes the bills stored for a host that is down. host is a host's
@@ -152,7 +152,7 @@
 func (c *CopyStore) release(o *ownerCopies, upTo uint64) []copyBatch {
 	released := o.release(upTo)
 	for _, b := range released {
-		c.held -= b.count
+		c.billCount -= b.count
 	}
 	return released
 }
--- a/ledger/failure_test.go
+++ b/ledger/failure_test.go
@@ -160,12 +160,12 @@
 		}
 		time.Sleep(5 * time.Minute)              // without new bills
 		is.Equal(c.hosts[1].ledger.Pending(), 0) // the owner is alive, so its bills aren't taken over
-		is.Equal(c.hosts[1].custody.Count(), minutes*6)
+		is.Equal(c.hosts[1].copies.Count(), minutes*6)
 		before := c.table.Counts().Commits
 		c.table.ClearFaults()
 		time.Sleep(time.Minute)
 		is.Equal(len(c.readAll(t)), minutes*6)
-		is.Equal(c.hosts[1].custody.Count(), 0)
+		is.Equal(c.hosts[1].copies.Count(), 0)
 		is.True(c.table.Counts().Commits-before <= minutes+2) // about one segment per minute
 	})
 }
--- a/ledger/helper_test.go
+++ b/ledger/helper_test.go
@@ -21,11 +21,11 @@
 // testHost is one host of a testCluster.
 type testHost struct {
 	*pause.Process
-	name    string
-	ledger  *Ledger
-	custody *CopyStore
-	stop    context.CancelFunc
-	done    chan struct{}
+	name   string
+	ledger *Ledger
+	copies *CopyStore
+	stop   context.CancelFunc
+	done   chan struct{}
 }
 
 // testCluster is a set of hosts that share one table in which faults can be
@@ -61,7 +61,7 @@
 			p.offset++
 			return peer.name, ctx.Err()
 		}
-		return peer.name, peer.custody.Store(owner, seq, bills)
+		return peer.name, peer.copies.Store(owner, seq, bills)
 	}
 	return "", errUnreachable
 }
@@ -69,7 +69,7 @@
 func (p *testReplicator) Release(_ context.Context, holder, owner string, upTo uint64) error {
 	for _, peer := range p.cluster.hosts {
 		if peer.name == holder && peer.running() {
-			peer.custody.Release(owner, upTo)
+			peer.copies.Release(owner, upTo)
 		}
 	}
 	return nil
@@ -86,7 +86,7 @@
 			o.Replicator = &testReplicator{cluster: c, self: i}
 		}
 		h.ledger = New(o)
-		h.custody = NewCopyStore(h.ledger, CopyStoreOptions{})
+		h.copies = NewCopyStore(h.ledger, CopyStoreOptions{})
 		c.hosts = append(c.hosts, h)
 	}
 	for _, h := range c.hosts {
@@ -113,7 +113,7 @@
 		_ = wait.For(ctx, 10*time.Second)
 		if h.running() {
 			// An error means only that the table is still unavailable.
-			_ = h.custody.Sweep(ctx)
+			_ = h.copies.Sweep(ctx)
 		}
 	}
 }
@@ -130,7 +130,7 @@
 		if !h.Killed() {
 			h.ledger.PeerDown(c.hosts[i].name)
 			// An error means only that the table is still unavailable.
-			_ = h.custody.TakeOver(context.Background(), c.hosts[i].name)
+			_ = h.copies.TakeOver(context.Background(), c.hosts[i].name)
 		}
 	}
 }
--- a/ledger/hold.go
+++ b/ledger/replicate.go
@@ -104,15 +104,15 @@
 	l.mu.Lock()
 	l.drainShards()
 	delete(l.holders, host)
-	lostCopies := l.unwrittenHeldBy(host)
+	lostCopies := l.unwrittenCopiedTo(host)
 	l.unreplicated = append(lostCopies, l.unreplicated...)
 	l.mu.Unlock()
 	signal(l.newBills)
 }
 
-// unwrittenHeldBy returns the unwritten bills whose copy is on host. Ledger.mu
+// unwrittenCopiedTo returns the unwritten bills whose copy is on host. Ledger.mu
 // is held.
-func (l *Ledger) unwrittenHeldBy(host string) []*entry {
+func (l *Ledger) unwrittenCopiedTo(host string) []*entry {
 	var list []*entry
 	for _, e := range l.unsegmented {
 		if e.holder == host {
