--- a/rollout/answers.go
+++ b/rollout/answers.go
@@ -39,7 +39,7 @@
 }
 
 // assignEqualPart sets the host's part of the budget to the budget divided by
-// the number of hosts, once for each epoch, unless Options.GrantedOnly is set.
+// the number of hosts, once for each round, unless Options.GrantedOnly is set.
 func (t *Tracker) assignEqualPart(e *entry) {
 	if t.options.GrantedOnly || e.own.Granted > 0 || e.rule.Budget <= 0 {
 		return
--- a/rollout/entry.go
+++ b/rollout/entry.go
@@ -4,7 +4,7 @@
 
 const (
 	// SegmentLength is the length of the segments of time for which evidence is
-	// counted separately, besides the total of the epoch. With the total alone,
+	// counted separately, besides the total of the round. With the total alone,
 	// a long record of good answers would hide that a version has become bad.
 	SegmentLength = 15 * time.Second
 	maxSegments   = 8
@@ -14,7 +14,7 @@
 // tested together: short spans detect a sudden change, long ones a small change.
 var spans = [...]int64{1, 2, 4, maxSegments}
 
-// entry is this host's state of one version in one epoch. own is this host's
+// entry is this host's state of one version in one round. own is this host's
 // evidence, peers holds the evidence received from other hosts, by host ID. The
 // lock of its shard guards an entry.
 type entry struct {
@@ -23,10 +23,10 @@
 	pacing   Pacing
 	own      Evidence
 	peers    map[string]*Evidence
-	// epochSum holds the counters of the whole epoch, summed over all hosts.
+	// roundSum holds the counters of the whole round, summed over all hosts.
 	// spanSums holds the same sums for each of the spans that end with the
 	// segment of the number lastSegment.
-	epochSum    Counters
+	roundSum    Counters
 	spanSums    [len(spans)]Counters
 	lastSegment int64
 	// peersInFlight is the number of answers in flight on all peers, according
@@ -100,7 +100,7 @@
 	for len(e.inFlightSince) > 0 && now.Sub(e.inFlightSince[0]) >= e.pacing.ObserveTimeout {
 		e.abandon()
 	}
-	if len(e.inFlightSince) >= hostPacingBound(e.pacing.Initial, e.pacing.Growth, e.epochSum.good(), hosts) {
+	if len(e.inFlightSince) >= hostPacingBound(e.pacing.Initial, e.pacing.Growth, e.roundSum.good(), hosts) {
 		return false
 	}
 	if e.rule.MinRating <= 0 {
@@ -109,7 +109,7 @@
 	taken := e.own.Taken - e.own.Returned
 	rated := e.own.Total.Rated()
 	unrated := int(taken) - int(rated)
-	return unrated < hostPacingBound(e.pacing.InitialUnrated, e.pacing.UnratedGrowth, e.epochSum.Rated(), hosts)
+	return unrated < hostPacingBound(e.pacing.InitialUnrated, e.pacing.UnratedGrowth, e.roundSum.Rated(), hosts)
 }
 
 // returnUnsent refunds an answer that was taken and whose request was never
@@ -142,7 +142,7 @@
 // and to the sums over all hosts.
 func (e *entry) addObservation(delta *Counters, now time.Time) {
 	e.own.Total.add(delta)
-	e.epochSum.add(delta)
+	e.roundSum.add(delta)
 	if segment := e.own.segment(segmentNumber(now)); segment != nil {
 		segment.add(delta)
 	}
@@ -175,10 +175,10 @@
 
 // recomputeSums recomputes the sums over all hosts.
 func (e *entry) recomputeSums(now time.Time) {
-	e.epochSum = e.own.Total.clone()
+	e.roundSum = e.own.Total.clone()
 	e.peersInFlight = 0
 	for _, p := range e.peers {
-		e.epochSum.add(&p.Total)
+		e.roundSum.add(&p.Total)
 		e.peersInFlight += p.inFlight()
 	}
 	e.recomputeSpanSums(now)
@@ -223,18 +223,18 @@
 	return e.criteria.violatedLimit(&withInFlight, alpha)
 }
 
-// runTests tests the evidence of the epoch and of each span. It returns a stop
+// runTests tests the evidence of the round and of each span. It returns a stop
 // and true if a limit is violated. Otherwise it marks the entry as cleared if
-// the evidence of the epoch shows that all limits are kept.
+// the evidence of the round shows that all limits are kept.
 func (e *entry) runTests(now time.Time) (Stop, bool) {
-	counters := &e.epochSum
+	counters := &e.roundSum
 	reason, strength, violated := e.violatedLimit(counters, e.criteria.confidence.FalseStop)
 	for i := 0; i < len(e.spanSums) && !violated; i++ {
 		counters = &e.spanSums[i]
 		reason, strength, violated = e.violatedLimit(counters, e.criteria.confidence.FalseStopSpan)
 	}
 	if !violated {
-		e.cleared = e.cleared || e.criteria.satisfied(&e.epochSum)
+		e.cleared = e.cleared || e.criteria.satisfied(&e.roundSum)
 		return Stop{}, false
 	}
 	return Stop{
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -34,7 +34,7 @@
 	Answers uint64 `json:"answers"`
 }
 
-// Evidence holds the counts of one host for one version in one epoch. Only that
+// Evidence holds the counts of one host for one version in one round. Only that
 // host increases them; two copies are merged by taking the maximum of each field.
 type Evidence struct {
 	Host    string `json:"host"`
@@ -54,7 +54,7 @@
 	// Denied counts the calls of Take and TakeUnpaced that were refused because
 	// the host's part of the budget was used up.
 	Denied uint64 `json:"denied,omitempty"`
-	// Total covers the whole epoch, Segments the last segments that have
+	// Total covers the whole round, Segments the last segments that have
 	// observations, at most maxSegments of them.
 	Total    Counters  `json:"total"`
 	Segments []Segment `json:"segments,omitempty"`
@@ -138,7 +138,7 @@
 }
 
 // merge sets each counter of e to the maximum of e's and other's. Both have the
-// same host, version and epoch.
+// same host, version and round.
 func (e *Evidence) merge(other *Evidence) {
 	e.Granted = max(e.Granted, other.Granted)
 	e.Taken = max(e.Taken, other.Taken)
--- a/rollout/grant.go
+++ b/rollout/grant.go
@@ -38,7 +38,7 @@
 	GrantGrowth  = 3
 )
 
-// grantRow is the value of the table row for one version and epoch: the number of
+// grantRow is the value of the table row for one version and round: the number of
 // answers granted to each host, by host ID. A restarted host has a new ID.
 type grantRow struct {
 	Granted map[string]uint64 `json:"granted"`
@@ -170,20 +170,20 @@
 	return claims
 }
 
-// Grant sets the total that this host was granted for a version in an epoch.
-// The total of another epoch is ignored. If the total isn't higher than before,
+// Grant sets the total that this host was granted for a version in a round.
+// The total of another round is ignored. If the total isn't higher than before,
 // nothing was left to grant, and Claims omits the version until another good
 // answer is observed.
-func (t *Tracker) Grant(key Key, epoch, total uint64) {
+func (t *Tracker) Grant(key Key, round, total uint64) {
 	s := t.shard(key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := s.entries[key]
-	if e == nil || e.rule.Round != epoch {
+	if e == nil || e.rule.Round != round {
 		return
 	}
 	if total <= e.own.Granted {
-		e.minGoodForClaim = e.epochSum.good() + 1
+		e.minGoodForClaim = e.roundSum.good() + 1
 		return
 	}
 	e.lastGrant = total - e.own.Granted
@@ -212,7 +212,7 @@
 	if e.cleared || e.rule.Budget <= 0 {
 		return false
 	}
-	if e.epochSum.good() < e.minGoodForClaim {
+	if e.roundSum.good() < e.minGoodForClaim {
 		return false
 	}
 	used := e.own.Taken > 0 || e.own.Denied > 0
@@ -225,6 +225,6 @@
 		Round:  e.rule.Round,
 		Budget: e.rule.Budget,
 		Hosts:  hosts,
-		Good:   e.epochSum.good(),
+		Good:   e.roundSum.good(),
 	}
 }
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -79,7 +79,7 @@
 }
 
 // Stop records that a version takes no new requests. It stays in force until a
-// rule of the version with a higher epoch is set.
+// rule of the version with a higher round is set.
 type Stop struct {
 	Model   string  `json:"model"`
 	Version string  `json:"version"`
@@ -96,7 +96,7 @@
 func (s Stop) Key() Key { return Key{Model: s.Model, Version: s.Version} }
 
 // before reports whether s takes precedence over t, a stop of the same version
-// and epoch from another host. All hosts keep the stop that is first in this
+// and round from another host. All hosts keep the stop that is first in this
 // order, so they converge on the same one.
 func (s Stop) before(t Stop) bool {
 	if !s.At.Equal(t.At) {
--- a/rollout/rules.go
+++ b/rollout/rules.go
@@ -7,8 +7,8 @@
 // set.
 const maxVersionsWithoutRule = 256
 
-// SetVersions replaces the rules. A rule with the same epoch keeps its state, a
-// higher epoch starts with new state, and a lower epoch is ignored. A version
+// SetVersions replaces the rules. A rule with the same round keeps its state, a
+// higher round starts with new state, and a lower round is ignored. A version
 // that is no longer in the list is no longer bounded or stopped; to keep a stop
 // in force, keep the rule. A version with budget 0 is tested but not bounded.
 func (t *Tracker) SetVersions(rules []VersionRule) {
@@ -29,7 +29,7 @@
 		}
 	}
 	// Stops and evidence of removed versions are retained, in case an outdated
-	// list restores the version at the same epoch.
+	// list restores the version at the same round.
 	for key, e := range previous {
 		if s.entries[key] == nil {
 			s.storeEvidenceOfRemovedRule(key, e)
@@ -82,7 +82,7 @@
 	}
 }
 
-// storePendingEvidence stores evidence of an epoch for which this host has no
+// storePendingEvidence stores evidence of a round for which this host has no
 // rule, for at most maxVersionsWithoutRule versions.
 func (s *shard) storePendingEvidence(evidence *Evidence) {
 	key := evidence.Key()
@@ -108,12 +108,12 @@
 	var oldest Key
 	lowest := uint64(0)
 	for key, hosts := range s.pendingEvidence {
-		epoch := uint64(0)
+		round := uint64(0)
 		for _, evidence := range hosts {
-			epoch = max(epoch, evidence.Round)
+			round = max(round, evidence.Round)
 		}
-		if lowest == 0 || epoch < lowest {
-			oldest, lowest = key, epoch
+		if lowest == 0 || round < lowest {
+			oldest, lowest = key, round
 		}
 	}
 	delete(s.pendingEvidence, oldest)
--- a/rollout/sequential.go
+++ b/rollout/sequential.go
@@ -9,7 +9,7 @@
 // defaults.
 type Confidence struct {
 	// FalseStop bounds the probability that a version within its limits is
-	// ever stopped by the evidence of the whole epoch.
+	// ever stopped by the evidence of the whole round.
 	FalseStop float64
 	// FalseClear bounds the probability that a version outside a limit is
 	// cleared.
--- a/rollout/stops.go
+++ b/rollout/stops.go
@@ -32,8 +32,8 @@
 }
 
 // AdoptStop stores a stop from another host and reports whether it changed the
-// stored one. The stop applies to rules up to its epoch, including rules that
-// are set later; only a rule with a higher epoch ends it.
+// stored one. The stop applies to rules up to its round, including rules that
+// are set later; only a rule with a higher round ends it.
 func (t *Tracker) AdoptStop(stop Stop) bool {
 	s := t.shard(stop.Key())
 	s.mu.Lock()
@@ -44,7 +44,7 @@
 	return s.addStop(stop)
 }
 
-// stopped returns the stop of a version that has a rule. Stops of lower epochs
+// stopped returns the stop of a version that has a rule. Stops of lower rounds
 // are deleted when a rule is set.
 func (s *shard) stopped(key Key) (Stop, bool) {
 	if s.entries[key] == nil {
@@ -54,7 +54,7 @@
 	return stop, ok
 }
 
-// addStop stores the stop with the highest epoch, and among equal epochs the
+// addStop stores the stop with the highest round, and among equal rounds the
 // earliest. It reports whether the stored stop changed. Stops of versions
 // without a rule are stored up to maxVersionsWithoutRule.
 func (s *shard) addStop(stop Stop) bool {
--- a/rollout/tracker.go
+++ b/rollout/tracker.go
@@ -29,7 +29,7 @@
 	mu      sync.Mutex
 	entries map[Key]*entry
 	stops   map[Key]Stop
-	// pendingEvidence holds, by version and host, the evidence of epochs for
+	// pendingEvidence holds, by version and host, the evidence of rounds for
 	// which this host has no rule.
 	pendingEvidence map[Key]map[string]*Evidence
 }
@@ -64,7 +64,7 @@
 // divided by it and, unless Options.GrantedOnly is set, the budgets too: a host
 // computes its part of a budget once, when it first uses the rule, and later
 // calls of SetHosts don't change it. The sum of the parts then stays within the
-// budget only if no more than n hosts take part in the epoch, a restarted host
+// budget only if no more than n hosts take part in the round, a restarted host
 // counted again. With Options.GrantedOnly the sum always stays within it.
 func (t *Tracker) SetHosts(n int) {
 	t.hosts.Store(int64(max(1, n)))
--- a/rollout/tracker_test.go
+++ b/rollout/tracker_test.go
@@ -93,14 +93,14 @@
 	is.Equal(takeAndObserve(tracker, 700, unrated), DefaultUnratedGrowth+1)
 }
 
-func TestStopHoldsUntilANewEpoch(t *testing.T) {
+func TestStopHoldsUntilANewRound(t *testing.T) {
 	is := is.New(t)
 	tracker := newTracker("a", newClock(), testRule)
 	stop := Stop{Model: "m", Version: "2", Round: testRule.Round, Reason: ReasonErrors, Host: "b", At: start}
 	is.True(tracker.AdoptStop(stop))
 	is.True(!tracker.AdoptStop(stop)) // already stored
 	is.True(!tracker.Take("m", "2"))
-	tracker.SetVersions([]VersionRule{testRule}) // the same epoch
+	tracker.SetVersions([]VersionRule{testRule}) // the same round
 	is.True(!tracker.Take("m", "2"))
 	tracker.SetVersions(nil)
 	tracker.SetVersions([]VersionRule{testRule}) // removed and restored
@@ -112,7 +112,7 @@
 	is.True(tracker.Take("m", "2"))
 	is.True(!tracker.AdoptStop(stop)) // outdated
 	tracker.SetVersions([]VersionRule{testRule})
-	is.True(tracker.Take("m", "2")) // a lower epoch is ignored
+	is.True(tracker.Take("m", "2")) // a lower round is ignored
 }
 
 func TestStopReceivedBeforeItsRuleApplies(t *testing.T) {
