--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -182,13 +182,13 @@
 // TestClaimWriteFaults checks that Acquire returns a claim only if the claim's row is
 // in the table, and that the key can still be claimed after Acquire failed. It checks
 // the results of Acquire during the fault (first) and, on the other host, after it
-// (healed).
+// (afterClear).
 func TestClaimWriteFaults(t *testing.T) {
 	tests := []struct {
-		desc   string
-		fault  func(*faulty.Table)
-		first  string
-		healed string
+		desc       string
+		fault      func(*faulty.Table)
+		first      string
+		afterClear string
 	}{
 		{"down", func(f *faulty.Table) { f.SetDown(true) }, "unavailable", "claimed"},
 		{"response lost", func(f *faulty.Table) { f.LoseNextResponses(1) }, "claimed", "in flight"},
@@ -205,7 +205,7 @@
 				p.table.ClearFaults()
 				is.NoErr(p.a.Flush(t.Context()))
 				time.Sleep(2 * time.Second) // late writes are applied
-				is.Equal(acquireResult(p.b), tt.healed)
+				is.Equal(acquireResult(p.b), tt.afterClear)
 			})
 		})
 	}
--- a/claim/machine_test.go
+++ b/claim/machine_test.go
@@ -129,8 +129,8 @@
 	return actions
 }
 
-// heal ends the faults and flushes the pending writes of both hosts.
-func (m *machine) heal(t *rapid.T) {
+// clearFaults ends the faults and flushes the pending writes of both hosts.
+func (m *machine) clearFaults(t *rapid.T) {
 	m.platform.table.ClearFaults()
 	m.faultsActive = false
 	for _, s := range m.stores {
@@ -146,7 +146,7 @@
 		actions := m.faults()
 		actions["acquire"] = m.acquire
 		actions["settle"] = m.setOutcome
-		actions["heal"] = m.heal
+		actions["heal"] = m.clearFaults
 		t.Repeat(actions)
 	})
 }
--- a/claim/options.go
+++ b/claim/options.go
@@ -80,7 +80,7 @@
 	return o
 }
 
-// alive reports whether the process of the host may still be running.
-func (o Options) alive(host string) bool {
+// hostMayBeRunning reports whether the process of the host may still be running.
+func (o Options) hostMayBeRunning(host string) bool {
 	return o.Liveness == nil || o.Liveness.Alive(host)
 }
--- a/claim/store.go
+++ b/claim/store.go
@@ -128,7 +128,7 @@
 	if rec.Host == s.options.Host {
 		return rec.Process == s.process
 	}
-	return s.options.alive(rec.Host)
+	return s.options.hostMayBeRunning(rec.Host)
 }
 
 func mayHaveRunError(rec record) error {
--- a/config/bench_test.go
+++ b/config/bench_test.go
@@ -44,8 +44,8 @@
 	b.ReportMetric(float64(counts.Commits)/float64(n), "commits/op")
 }
 
-// BenchmarkReport measures ReportConfirmations for different numbers of hosts.
-func BenchmarkReport(b *testing.B) {
+// BenchmarkReportConfirmations measures ReportConfirmations for different numbers of hosts.
+func BenchmarkReportConfirmations(b *testing.B) {
 	for _, hosts := range []int{7, 440} {
 		b.Run(fmt.Sprintf("hosts=%d", hosts), func(b *testing.B) {
 			f := newFixture()
--- a/config/freshness_test.go
+++ b/config/freshness_test.go
@@ -198,7 +198,7 @@
 		{"too many hosts for the budget", 2000, 200, 2500 * time.Millisecond},
 	} {
 		t.Run(tc.desc, func(t *testing.T) {
-			got := sharedInterval(tc.hostCount, tc.perSecond, DefaultPollInterval, DefaultFreshnessBound/readsPerBound)
+			got := sharedInterval(tc.hostCount, tc.perSecond, DefaultPollInterval, DefaultFreshnessBound/readsPerFreshnessBound)
 			is.New(t).Equal(got, tc.want)
 		})
 	}
--- a/config/watcher.go
+++ b/config/watcher.go
@@ -20,22 +20,22 @@
 	DefaultReadsPerSecond    = 200
 	DefaultConfirmsPerSecond = 40
 
-	// readsPerBound is the minimum number of table reads that a host starts within
-	// the bound, so that it keeps accepting requests if one response is lost.
-	readsPerBound = 2
-	// peerPollsPerBound is the minimum number of peer queries that a host starts within
-	// the bound.
-	peerPollsPerBound = 3
+	// readsPerFreshnessBound is the minimum number of table reads that a host starts
+	// within FreshnessBound, so that it keeps accepting requests if one response is lost.
+	readsPerFreshnessBound = 2
+	// peerPollsPerFreshnessBound is the minimum number of peer queries that a host
+	// starts within FreshnessBound.
+	peerPollsPerFreshnessBound = 3
 	// peerViewsPerSecond is the maximum number of peer reports that one host requests
-	// per second, unless that conflicts with peerPollsPerBound.
+	// per second, unless that conflicts with peerPollsPerFreshnessBound.
 	peerViewsPerSecond = 20
-	// loadsPerBound is the number of loads that fit within the bound with the minimum
-	// timeout of a load, which is also the timeout of the first load.
-	loadsPerBound = 4
-	// maxLoadTimeoutInBounds is the maximum timeout of a load from one source, as a
-	// multiple of the bound. With the default bound it is 50 s, in which a link of
-	// 2 Mbit/s transfers 12 MB.
-	maxLoadTimeoutInBounds = 10
+	// loadsPerFreshnessBound is the number of loads that fit within FreshnessBound with
+	// the minimum timeout of a load, which is also the timeout of the first load.
+	loadsPerFreshnessBound = 4
+	// maxLoadTimeoutInFreshnessBounds is the maximum timeout of a load from one source,
+	// as a multiple of FreshnessBound. With the default bound it is 50 s, in which a
+	// link of 2 Mbit/s transfers 12 MB.
+	maxLoadTimeoutInFreshnessBounds = 10
 	// confirmInterval is the interval at which a host rewrites an unchanged
 	// confirmation.
 	confirmInterval = time.Hour
--- a/config/watcher_loops.go
+++ b/config/watcher_loops.go
@@ -27,7 +27,7 @@
 		default: // all slots are in use by slow reads
 		}
 		o := w.options
-		if !sleepJittered(ctx, sharedInterval(w.hostCount(), o.ReadsPerSecond, o.PollInterval, o.FreshnessBound/readsPerBound)) {
+		if !sleepJittered(ctx, sharedInterval(w.hostCount(), o.ReadsPerSecond, o.PollInterval, o.FreshnessBound/readsPerFreshnessBound)) {
 			return
 		}
 	}
@@ -58,7 +58,7 @@
 			w.queryPeers(ctx)
 		}
 		o := w.options
-		if !sleepJittered(ctx, sharedInterval(w.hostCount(), peerViewsPerSecond, o.PollInterval, o.FreshnessBound/peerPollsPerBound)) {
+		if !sleepJittered(ctx, sharedInterval(w.hostCount(), peerViewsPerSecond, o.PollInterval, o.FreshnessBound/peerPollsPerFreshnessBound)) {
 			return
 		}
 	}
@@ -153,11 +153,12 @@
 }
 
 // next returns the timeout of the next attempt.
-func (l *loadTimeout) next() time.Duration { return max(l.current, l.bound/loadsPerBound) }
+func (l *loadTimeout) next() time.Duration { return max(l.current, l.bound/loadsPerFreshnessBound) }
 
-// set sets the timeout, limited to maxLoadTimeoutInBounds times the bound.
+// set sets the timeout, limited to maxLoadTimeoutInFreshnessBounds times the
+// bound.
 func (l *loadTimeout) set(timeout time.Duration) {
-	l.current = min(timeout, maxLoadTimeoutInBounds*l.bound)
+	l.current = min(timeout, maxLoadTimeoutInFreshnessBounds*l.bound)
 }
 
 // try loads from one source with the timeout. A successful load sets the timeout to twice
@@ -236,7 +237,7 @@
 			}
 		}
 		o := w.options
-		if !sleepJittered(ctx, sharedInterval(w.hostCount(), o.ConfirmsPerSecond, o.PollInterval/readsPerBound, confirmInterval)) {
+		if !sleepJittered(ctx, sharedInterval(w.hostCount(), o.ConfirmsPerSecond, o.PollInterval/readsPerFreshnessBound, confirmInterval)) {
 			return
 		}
 	}
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -116,9 +116,9 @@
 	return nil
 }
 
-// fatalAfter is the time from the start of a run whose prompt contains the fatal text to the
+// poisonDelay is the time from the start of a run whose prompt contains the poison text to the
 // end of the engine process; it has sent some of its first frames by then.
-const fatalAfter = 40 * time.Millisecond
+const poisonDelay = 40 * time.Millisecond
 
 type standinEngineCmd struct {
 	registerFlags
@@ -153,7 +153,7 @@
 		TimePerToken:    c.TimePerToken,
 		LoadLag:         c.LoadLag,
 		PoisonText:      c.Fatal,
-		PoisonDelay:     fatalAfter,
+		PoisonDelay:     poisonDelay,
 		OnPoison:        func() { os.Exit(1) },
 		Fenced:          c.Fenced,
 	})
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -103,7 +103,7 @@
 	})
 }
 
-func TestTallyCountsSources(t *testing.T) {
+func TestTallyCountsBadUpstreams(t *testing.T) {
 	is := is.New(t)
 	var one, other Tally
 	one.AddBadUpstream("u1")
@@ -453,9 +453,9 @@
 func TestExchangeStaysWithinItsTrafficBudget(t *testing.T) {
 	tests := []struct {
 		hosts, engines int
-		// reads is the number of shared prompt prefixes per second that are sent to an engine
+		// sentPrefixes is the number of shared prompt prefixes per second that are sent to an engine
 		// for the first time.
-		reads int
+		sentPrefixes int
 	}{
 		{9, 9, 10},
 		{86, 90, 60},
@@ -472,7 +472,7 @@
 					for j := range max(1, test.engines/test.hosts*2) {
 						r.Work[HashID(fmt.Sprintf("i-%010d", (i+j*7)%test.engines))] = 1234
 					}
-					if i < test.reads/7 {
+					if i < test.sentPrefixes/7 {
 						r.SentPrefixes[HashID(fmt.Sprintf("i-%010d", i))] = []placement.PrefixKey{4123456789}
 					}
 					h.record(fmt.Sprint("host-", i), r)
@@ -496,7 +496,7 @@
 	}
 }
 
-func TestWorkAndReadsOnTheWire(t *testing.T) {
+func TestWorkAndSentPrefixesOnTheWire(t *testing.T) {
 	is := is.New(t)
 	report := Report{
 		Work:         Work{HashID("a"): 12.4, HashID("b"): 1e9},
--- a/internal/exchange/quarantinewire.go
+++ b/internal/exchange/quarantinewire.go
@@ -78,15 +78,15 @@
 	Explained   bool
 }
 
-const endingSize = 4 + 2 + 1
+const terminationSize = 4 + 2 + 1
 
 // MarshalJSON implements json.Marshaler.
 func (e Terminations) MarshalJSON() ([]byte, error) {
-	return marshalList(e, endingSize, func(packed []byte, ending Termination) []byte {
-		packed = binary.BigEndian.AppendUint32(packed, uint32(ending.Incarnation))
-		packed = appendAge(packed, ending.Age)
+	return marshalList(e, terminationSize, func(packed []byte, termination Termination) []byte {
+		packed = binary.BigEndian.AppendUint32(packed, uint32(termination.Incarnation))
+		packed = appendAge(packed, termination.Age)
 		explained := byte(0)
-		if ending.Explained {
+		if termination.Explained {
 			explained = 1
 		}
 		packed = append(packed, explained)
@@ -96,7 +96,7 @@
 
 // UnmarshalJSON implements json.Unmarshaler.
 func (e *Terminations) UnmarshalJSON(data []byte) (err error) {
-	*e, err = unmarshalList(data, endingSize, func(entry []byte) Termination {
+	*e, err = unmarshalList(data, terminationSize, func(entry []byte) Termination {
 		return Termination{Incarnation: quarantine.Incarnation(binary.BigEndian.Uint32(entry)), Age: decodeAge(entry[4:]), Explained: entry[6] != 0}
 	})
 	return err
--- a/internal/experiment/deployment/system.go
+++ b/internal/experiment/deployment/system.go
@@ -135,14 +135,14 @@
 	inner storage.Rater
 }
 
-// badMarkPenalty is subtracted from the rating of an answer with the mark.
-const badMarkPenalty = 0.35
+// badAnswerPenalty is subtracted from the rating of an answer with the mark.
+const badAnswerPenalty = 0.35
 
 // Rate implements storage.Rater.
 func (r markedRater) Rate(ctx context.Context, model, version, _, answer string) (storage.Rating, error) {
 	rating, err := r.inner.Rate(ctx, model, version, "", answer)
 	if strings.HasPrefix(answer, engine.BadAnswerPrefix) {
-		rating.Score = max(0, rating.Score-badMarkPenalty)
+		rating.Score = max(0, rating.Score-badAnswerPenalty)
 	}
 	return rating, err
 }
--- a/internal/feed/era_test.go
+++ b/internal/feed/era_test.go
@@ -90,7 +90,7 @@
 	behind.replace(rows(at(0, 90)), at(0, 90), nil)
 	is.True(!behind.applyUpdate(update, time.Now())) // the host must read the table
 	w.lastAnswerAt.Store(1)
-	whole, ok := w.Snapshot(1 << 20)
-	is.True(ok && behind.applyUpdate(whole, time.Now()))
+	snapshot, ok := w.Snapshot(1 << 20)
+	is.True(ok && behind.applyUpdate(snapshot, time.Now()))
 	is.Equal(behind.Revision(), at(1, 20))
 }
--- a/internal/gateway/scale_test.go
+++ b/internal/gateway/scale_test.go
@@ -182,16 +182,16 @@
 func TestRemotePrefixesAreBounded(t *testing.T) {
 	is := is.New(t)
 	f := largeFleet(12_000, 5)
-	reads := make(exchange.SentPrefixes)
+	prefixes := make(exchange.SentPrefixes)
 	key := placement.PrefixKey(0)
 	for i := range 12_000 {
 		for range 4 {
 			key++
 			name := exchange.HashID(fmt.Sprintf("i-%05d", i))
-			reads[name] = append(reads[name], key)
+			prefixes[name] = append(prefixes[name], key)
 		}
 	}
-	f.addRemotePrefixes(reads)
+	f.addRemotePrefixes(prefixes)
 	s := f.shard("svc")
 	is.Equal(s.cachedPrompts.Len(), placement.MaxCachedPrefixes)
 	for _, m := range s.members {
--- a/ratelease/lease_test.go
+++ b/ratelease/lease_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func TestBound(t *testing.T) {
+func TestColdBound(t *testing.T) {
 	tests := []struct {
 		bound           ratelease.ColdBound
 		roots           int
--- a/storage/client/outcome_test.go
+++ b/storage/client/outcome_test.go
@@ -264,19 +264,19 @@
 	is.True(storagetest.HasErrorClass(err, storage.ErrUnavailable))
 }
 
-func TestObserve(t *testing.T) {
+func TestOnCall(t *testing.T) {
 	is := is.New(t)
 	server, url := startStandin(t, unlimitedOptions())
-	var observations []client.CallResult
-	p := newClient(t, url, client.Options{OnCall: func(o client.CallResult) { observations = append(observations, o) }})
+	var results []client.CallResult
+	p := newClient(t, url, client.Options{OnCall: func(o client.CallResult) { results = append(results, o) }})
 	_, err := p.Table().Commit(t.Context(), storagetest.PutTxn(key, "value"))
 	is.NoErr(err)
 	server.Table().LoseNextResponses(1)
 	_, err = p.Table().Commit(t.Context(), storagetest.PutTxn(key, "value"))
-	is.Equal(len(observations), 2)
-	is.Equal(observations[0].Op, "commit")
-	is.True(observations[0].Sent > 0 && observations[0].Received > 0)
-	is.Equal(observations[1].Err, err)
+	is.Equal(len(results), 2)
+	is.Equal(results[0].Op, "commit")
+	is.True(results[0].Sent > 0 && results[0].Received > 0)
+	is.Equal(results[1].Err, err)
 }
 
 // During an outage a read must not report that a row doesn't exist.
--- a/storage/faulty/random_test.go
+++ b/storage/faulty/random_test.go
@@ -40,7 +40,7 @@
 			{unknown: true, exists: true, existsLater: true}: true, // response lost
 			{unknown: true}:                                  true, // dropped
 			{unknown: true, existsLater: true}:               true, // late
-			{exists: true, existsLater: true}:                true, // healed
+			{exists: true, existsLater: true}:                true, // faults cleared
 		})
 	})
 }
