--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -13,11 +13,11 @@
 	"github.com/matryer/is"
 )
 
-// crashDelay is the time from the arrival of a poison request to the end of the upstream.
+// crashDelay is the time from the arrival of a poison request to the termination of the upstream.
 const crashDelay = 80 * time.Millisecond
 
-// startCrashingUpstream starts an upstream that ends when it processes a request with the body
-// "fatal".
+// startCrashingUpstream starts an upstream that terminates when it processes a request with the
+// body "fatal".
 func (tg *testGateway) startCrashingUpstream(id, version string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -39,9 +39,9 @@
 	tg.gateway.fleet.ApplyEntry(Upstream{ID: id, Service: "svc", Address: listener.Addr().String(), Zone: "z1", Version: version, Slots: 8}, 1)
 }
 
-// The ends of upstreams that a poison request caused must not count against their version. An
-// earlier version counted them: one caller's request that ended three upstreams of a new version
-// counted as three bad answers and stopped the roll-out of a sound version.
+// Terminations of upstreams that a poison request caused must not count against the upstreams'
+// version. An earlier version counted them: one caller's request that terminated three upstreams of
+// a new version counted as three bad answers and stopped the roll-out of a sound version.
 func TestPoisonRequestStopsNoRollout(t *testing.T) {
 	is := is.New(t)
 	tg := newTestGateway(t, testDocument())
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -218,8 +218,8 @@
 }
 
 // observeVersion counts the attempt's result as evidence on the upstream's version. If the upstream
-// ended because of a poison request, the result isn't counted: otherwise three upstreams that one
-// poison request ended are enough to stop the roll-out of a sound version.
+// terminated because of a poison request, the result isn't counted: otherwise three upstreams that
+// one poison request terminated are enough to stop the roll-out of a sound version.
 func (d *dispatch) observeVersion(r *Request, a *attempt, result attemptResult) {
 	g := d.gateway
 	if result.outcome != outcomeBroken && result.outcome != outcomeUnknown {
@@ -282,9 +282,9 @@
 }
 
 // maxNotReached bounds the attempts of a request that aren't counted because they didn't reach
-// their upstream. If they were counted, then after the end of a quarter of all upstreams at once,
-// one request in 64 would use up its three attempts on ended upstreams although the others have
-// capacity.
+// their upstream. If they were counted, then after the termination of a quarter of all upstreams at
+// once, one request in 64 would use up its three attempts on terminated upstreams although the
+// others have capacity.
 const maxNotReached = 4
 
 // attemptsLeft reports whether the request may be sent to another upstream. Operators bound the
--- a/internal/gateway/evidence.go
+++ b/internal/gateway/evidence.go
@@ -26,7 +26,7 @@
 	// tolerance passes the test for completion.
 	completionAlpha = 0.05
 	// minBadAnswers is the minimum number of bad answers for which a version is stopped. Two can
-	// coincide by chance when an upstream ends.
+	// coincide by chance when an upstream terminates.
 	minBadAnswers = 3
 	// minBadUpstreams is the number of upstreams of a version that must have given bad answers
 	// before the version is stopped, unless it has fewer upstreams. A bad version gives bad answers
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -102,7 +102,7 @@
 	g.promptSizes.make = func() *promptSizes { return new(promptSizes) }
 	g.guard = guard.New(guard.Options{
 		Host: s.Host, Table: s.StatusTable, Prefix: s.Tables.VerdictsPrefix, Clock: g.storeClock, OnEvent: g.metrics.countGuardEvent, Log: log,
-		OnTermination: func(i quarantine.Incarnation) { g.fleet.ejectEnded(exchange.IDHash(i)) },
+		OnTermination: func(i quarantine.Incarnation) { g.fleet.ejectTerminated(exchange.IDHash(i)) },
 	})
 	g.transport = newTransport()
 	g.pipeline = chain(g.filters())
--- a/internal/gateway/incarnation.go
+++ b/internal/gateway/incarnation.go
@@ -42,7 +42,7 @@
 		m = s.add(&u)
 	}
 	if !m.removedAt.IsZero() && !m.expiredInOutage && u.Sequence > 0 && u.Sequence <= m.Sequence {
-		// A store that was restored from a backup lists upstreams that have ended since the backup.
+		// A store that was restored from a backup lists upstreams that have terminated since the backup.
 		f.logEntry(zerolog.InfoLevel, "upstream-entry-old", &u, revision).Uint64("sequence", u.Sequence).Uint64("known_sequence", m.Sequence).Msg("")
 		return
 	}
@@ -142,7 +142,7 @@
 const sameListingWindow = 500 * time.Millisecond
 
 // markReplaced excludes the upstream that was listed before with the address of a new upstream from
-// requests. Only one upstream listens at an address, and the entry of an upstream that ended
+// requests. Only one upstream listens at an address, and the entry of a terminated upstream
 // remains for seconds. The caller holds the shard's lock.
 func (s *shard) markReplaced(u *Upstream, log zerolog.Logger) {
 	former := s.membersByAddress[u.Address]
@@ -164,15 +164,16 @@
 	}
 }
 
-// endedEjection is how long an upstream that ended is ejected. Its entry expires within that time.
-const endedEjection = 4 * time.Second
+// terminatedEjection is how long a terminated upstream is ejected. Its entry expires within that
+// time.
+const terminatedEjection = 4 * time.Second
 
-// ejectEnded ejects an upstream whose process ended, as this or another host detected. Without
-// this, each host would detect the end only by failed requests of its own.
-func (f *Fleet) ejectEnded(idHash exchange.IDHash) {
+// ejectTerminated ejects an upstream whose process terminated, as this or another host detected.
+// Without this, each host would detect the termination only by failed requests of its own.
+func (f *Fleet) ejectTerminated(idHash exchange.IDHash) {
 	f.eachShard(func(s *shard) {
 		if m := s.membersByHash[idHash]; m != nil {
-			m.ensureUsage().ejectedUntil = boottime.Now().Add(endedEjection)
+			m.ensureUsage().ejectedUntil = boottime.Now().Add(terminatedEjection)
 		}
 	})
 }
--- a/internal/gateway/instantcrash_test.go
+++ b/internal/gateway/instantcrash_test.go
@@ -12,10 +12,10 @@
 	"github.com/matryer/is"
 )
 
-// A poison request that ends upstreams at once must be quarantined after a few ends. In an earlier
-// version it ended nine upstreams: the host sent it to three, one after the other, and their ends
-// within milliseconds counted as one event. Each attempt began after the previous upstream had
-// ended, so each end must count as an event.
+// A poison request that terminates upstreams at once must be quarantined after a few terminations.
+// In an earlier version it terminated nine upstreams: the host sent it to three, one after the
+// other, and their terminations within milliseconds counted as one event. Each attempt began after
+// the previous upstream had terminated, so each termination must count as an event.
 func TestInstantPoisonRequestIsQuarantined(t *testing.T) {
 	is := is.New(t)
 	tg := newTestGateway(t, testDocument())
--- a/internal/gateway/notreached_test.go
+++ b/internal/gateway/notreached_test.go
@@ -15,11 +15,12 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// These tests cover the end of many upstreams at once, for example of a quarter of them. Their
-// entries are removed only seconds later; until then each request may be sent to several upstreams
-// that have ended. At some of their addresses, new upstreams with other ids start.
+// These tests cover the termination of many upstreams at once, for example of a quarter of them.
+// Their entries are removed only seconds later; until then each request may be sent to several
+// terminated upstreams. At some of their addresses, new upstreams with other ids start.
 
-// Attempts that don't reach an upstream, because it has ended, must not count towards MaxAttempts.
+// Attempts that don't reach an upstream, because it has terminated, must not count towards
+// MaxAttempts.
 func TestNotReachedAttemptsAreNotCounted(t *testing.T) {
 	for _, route := range []string{"once", "many"} {
 		t.Run(route, func(t *testing.T) {
@@ -37,7 +38,7 @@
 }
 
 // The number of attempts that don't reach an upstream is bounded, too, so that the request is
-// refused however many upstreams have ended.
+// refused however many upstreams have terminated.
 func TestNotReachedAttemptsAreBounded(t *testing.T) {
 	is := is.New(t)
 	tg := newTestGateway(t, testDocument())
@@ -91,9 +92,9 @@
 	})
 }
 
-// When a host is notified that another host detected the end of an upstream, it ejects the upstream
-// without failed requests of its own.
-func TestUpstreamThatAnotherHostReportedEndedGetsNoRequests(t *testing.T) {
+// When a host is notified that another host detected the termination of an upstream, it ejects the
+// upstream without failed requests of its own.
+func TestUpstreamThatAnotherHostReportedTerminatedGetsNoRequests(t *testing.T) {
 	is := is.New(t)
 	tg := newTestGateway(t, testDocument())
 	near := tg.startUpstream("near", respondOK("near"))
--- a/internal/gateway/restore_test.go
+++ b/internal/gateway/restore_test.go
@@ -139,8 +139,7 @@
 	}
 }
 
-// The backup contains the entry of an upstream that has ended and lacks that of one that is
-// running.
+// The backup contains the entry of a terminated upstream and lacks that of one that is running.
 func TestUpstreamsAfterRestore(t *testing.T) {
 	is := is.New(t)
 	tg := newTestGateway(t, testDocument())
--- a/internal/guard/upstreamcheck.go
+++ b/internal/guard/upstreamcheck.go
@@ -17,10 +17,10 @@
 	// the run. If the upstream terminated, another host's report of it has arrived by then.
 	survivalDelay = 600 * time.Millisecond
 	// checkDelay is how long the interrupted responses of one upstream are collected before it
-	// is checked: the end of a process interrupts all of them within 2 ms.
+	// is checked: the termination of a process interrupts all of them within 2 ms.
 	checkDelay = 5 * time.Millisecond
 	// checkTimeout is the maximum duration of a connection attempt that checks an upstream. If
-	// the upstream's process has ended, connections are refused at once; if there is no reply,
+	// the upstream's process has terminated, connections are refused at once; if there is no reply,
 	// the upstream may be alive behind a network partition.
 	checkTimeout = 250 * time.Millisecond
 )
