--- a/internal/e2e/gatewaysoak_test.go
+++ b/internal/e2e/gatewaysoak_test.go
@@ -71,7 +71,7 @@
 func (s interval) overlaps(from, to time.Time) bool { return s.from.Before(to) && from.Before(s.to) }
 
 // TestGatewaySoak injects random faults into a system of gateways: kills, pauses, planned
-// stops, cut, silenced and slow links to the store, a store that fails or drops its
+// stops, cut, blocked and slow links to the store, a store that fails or drops its
 // history, upstreams that crash, leave and misbehave, and new documents, some of them
 // large. About a third of the hosts have slow links to the store.
 func TestGatewaySoak(t *testing.T) {
@@ -430,7 +430,7 @@
 	s.disruptLink(h.toStore, duration)
 }
 
-// disruptLink cuts the connections of a relay, silences them in one direction or delays
+// disruptLink cuts the connections of a relay, blocks them in one direction or delays
 // them. A fault between hosts excuses no failure: hosts work without each other.
 func (s *soak) disruptLink(link *relay, duration time.Duration) {
 	switch s.faultRand.IntN(4) {
--- a/internal/e2e/quarantine_test.go
+++ b/internal/e2e/quarantine_test.go
@@ -244,9 +244,9 @@
 	after, _ := p.sendsAndCrashes()
 	is.Equal(len(after), len(sends))
 
-	// Operators lift the quarantine by removing its row.
+	// Operators withdraw the verdict by removing its row.
 	for _, key := range s.store.Keys("status", "quarantine/") {
 		s.store.Remove("status", key)
 	}
-	eventually(t, "it is lifted", func() bool { return p.sendPoison(3, 0) == 0 })
+	eventually(t, "the verdict is withdrawn", func() bool { return p.sendPoison(3, 0) == 0 })
 }
--- a/internal/e2e/quarantineserve_test.go
+++ b/internal/e2e/quarantineserve_test.go
@@ -18,7 +18,7 @@
 // Guards against a poison request at entry hosts: like the gateway, they sent it to three
 // engines although each one crashed, and treated each repetition by the caller as a new
 // request. All hosts, also those that start later, must quarantine the request until operators
-// lift that, and must serve other requests.
+// withdraw the verdict, and must serve other requests.
 func TestEntryHostsQuarantinePoisonRequest(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, 3)
@@ -94,5 +94,5 @@
 	req, err := http.NewRequest(http.MethodDelete, "http://"+s.hosts[2].operatorAddr+entry.PathQuarantine+"/"+verdicts[0].Digest.String(), nil)
 	is.NoErr(err)
 	is.NoErr(s.sendToOperatorAPI(req, nil))
-	eventually(t, "the quarantine is lifted", func() bool { return !refusedAsPoison(s.hosts[0]) && !refusedAsPoison(s.hosts[1]) })
+	eventually(t, "the verdict is withdrawn", func() bool { return !refusedAsPoison(s.hosts[0]) && !refusedAsPoison(s.hosts[1]) })
 }
--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -2,7 +2,7 @@
 // limited bandwidth. It stands in for the network between two processes.
 //
 // The end-to-end tests put one on each connection of an entry host. Both ends see a
-// cut as a closed connection. A silenced direction holds its bytes back until Heal, as a
+// cut as a closed connection. A blocked direction holds its bytes back until Heal, as a
 // network partition does.
 package relay
 
@@ -43,7 +43,7 @@
 
 // directionState holds the faults of one direction; delay is added before each chunk.
 type directionState struct {
-	// unblocked is closed unless the direction is silenced.
+	// unblocked is closed unless the direction is blocked.
 	unblocked chan struct{}
 	delay     time.Duration
 }
@@ -150,7 +150,7 @@
 // CutAll closes all connections, and new ones on accept, until Heal.
 func (r *Relay) CutAll() { r.CutFrom(func(string) bool { return true }) }
 
-// Heal ends all cuts, silenced directions and delays.
+// Heal ends all cuts, blocked directions and delays.
 func (r *Relay) Heal() {
 	r.CutFrom(nil)
 	r.mu.Lock()
