--- a/internal/entry/evidence.go
+++ b/internal/entry/evidence.go
@@ -60,13 +60,13 @@
 	cursors map[string]uint64
 	// exchanges is the number of exchanges so far.
 	exchanges int
-	// storedEpochs holds, for each stopped version, the epoch of the stop that is
+	// storedRounds holds, for each stopped version, the round of the stop that is
 	// known to be stored in the table.
-	storedEpochs map[rollout.Key]uint64
+	storedRounds map[rollout.Key]uint64
 }
 
 func newEvidenceExchange(h *Host) *evidenceExchange {
-	e := &evidenceExchange{host: h, cursors: map[string]uint64{}, storedEpochs: map[rollout.Key]uint64{}}
+	e := &evidenceExchange{host: h, cursors: map[string]uint64{}, storedRounds: map[rollout.Key]uint64{}}
 	peer.Handle(h.peerServer, methodEvidence, func(_ context.Context, _ string, p evidenceParams) (empty, error) {
 		e.merge(p)
 		return empty{}, nil
@@ -148,20 +148,20 @@
 // storeStops writes the stopped versions to the table, where they outlive the hosts.
 func (e *evidenceExchange) storeStops(ctx context.Context) {
 	for _, s := range e.host.rollout.Stops() {
-		if e.storedEpochs[s.Key()] >= s.Round {
+		if e.storedRounds[s.Key()] >= s.Round {
 			continue
 		}
 		if err := e.putStop(ctx, s); err != nil {
 			e.host.log.Warn().Str("event", "stop-store").Str("model", s.Model).Str("version", s.Version).Err(err).Msg("")
 			continue
 		}
-		e.storedEpochs[s.Key()] = s.Round
+		e.storedRounds[s.Key()] = s.Round
 		e.host.logStop(s, false)
 	}
 }
 
 // putStop inserts the row for a stopped version. It succeeds as well if another host
-// has already stored a row for the same version and epoch.
+// has already stored a row for the same version and round.
 func (e *evidenceExchange) putStop(ctx context.Context, s rollout.Stop) error {
 	value, err := json.Marshal(s)
 	if err != nil {
