--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -125,7 +125,7 @@
 	// SightingsLast in its sighting log. Only replies to other hubs hold any.
 	Sightings     Sightings `json:"sightings,omitzero"`
 	SightingsLast uint64    `json:"sightings_last,omitempty"`
-	// QuarantineStatus lists the upstreams that terminated, the suspects and the verdicts.
+	// QuarantineStatus lists the terminated upstreams, the suspects and the verdicts.
 	QuarantineStatus QuarantineStatus `json:"standing,omitzero"`
 	// Limits holds the limit updates that the hub has and the receiver doesn't.
 	Limits LimitBatch `json:"limits"`
--- a/internal/exchange/member.go
+++ b/internal/exchange/member.go
@@ -65,7 +65,7 @@
 	Limits      func() []ratelease.LimitUpdate
 	KnownLimits func() []ratelease.LimitUpdate
 	OnLimits    func(updates []ratelease.LimitUpdate, complete bool)
-	// Quarantine tracks the requests that terminate upstreams. It may be nil.
+	// Quarantine tracks poison requests. It may be nil.
 	Quarantine Quarantine
 	// Evidence returns the answers that this host counted in the roll-outs in progress.
 	// OnEvidence receives the sums over the other hosts' counts. Both may be nil.
--- a/internal/exchange/quarantine.go
+++ b/internal/exchange/quarantine.go
@@ -5,9 +5,9 @@
 	"github.com/quetzalweir/quetzalweir/quarantine"
 )
 
-// Quarantine tracks the requests that terminate upstreams. Hosts send their sightings to their
-// hub, and hubs exchange sightings with each other. The hubs that are seeds reach the verdicts.
-// In return, each hub sends its followers the upstreams that terminated, the suspects and the
+// Quarantine tracks poison requests, which terminate upstreams. Hosts send their sightings to
+// their hub, and hubs exchange sightings with each other. The hubs that are seeds reach the
+// verdicts. In return, each hub sends its followers the terminated upstreams, the suspects and the
 // verdicts.
 type Quarantine interface {
 	// Sightings returns this host's sightings since the last call. RecentSightings returns all
@@ -52,7 +52,7 @@
 	return s
 }
 
-// QuarantineStatus lists the upstreams that terminated, the suspects and the verdicts.
+// QuarantineStatus lists the terminated upstreams, the suspects and the verdicts.
 type QuarantineStatus struct {
 	Terminated Terminations         `json:"ended,omitempty"`
 	Suspects   Suspects             `json:"suspects,omitempty"`
--- a/internal/exchange/quarantine_test.go
+++ b/internal/exchange/quarantine_test.go
@@ -205,8 +205,8 @@
 	}
 }
 
-// The verdict on a request that terminated upstreams at three hosts of different zones reaches
-// all hosts in time, even if the hub of a zone fails meanwhile. No other request gets a
+// The verdict on a poison request that terminated upstreams at three hosts of different zones
+// reaches all hosts in time, even if the hub of a zone fails meanwhile. No other request gets a
 // verdict.
 func TestVerdictReachesTheWholeFleet(t *testing.T) {
 	for _, size := range append(fleetSizes(), fleetSize{7, 3}) {
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -42,12 +42,12 @@
 	return tg, limited, other
 }
 
-// lease sets the gateway's leases to one of the given number of parts of each of the upstreams. The
-// gateway has held them for the duration since.
-func (tg *testGateway) lease(since time.Duration, of, roots int, ids ...string) {
+// lease sets the gateway's leases to one part of each of the upstreams, of which each root grants
+// partsPerRoot. The gateway has held them for the duration since.
+func (tg *testGateway) lease(since time.Duration, partsPerRoot, roots int, ids ...string) {
 	var grants []ratelease.Grant
 	for _, id := range ids {
-		grants = append(grants, ratelease.Grant{Upstream: ratelease.NewUpstreamID(id), Parts: 1, PartsPerRoot: of})
+		grants = append(grants, ratelease.Grant{Upstream: ratelease.NewUpstreamID(id), Parts: 1, PartsPerRoot: partsPerRoot})
 	}
 	now := boottime.Now()
 	var holding ratelease.Holding
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -44,12 +44,12 @@
 	return slices.Clone(s.loaded)
 }
 
-// accept records the order and returns true, or returns false if fenced is true
-// and the fencing number is lower than one accepted before.
-func (s *versionSet) accept(o Order, fenced bool) bool {
+// accept records the order and returns true, or returns false if checkFencing is
+// true and the fencing number is lower than one accepted before.
+func (s *versionSet) accept(o Order, checkFencing bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if fenced && o.Fencing < s.fencing {
+	if checkFencing && o.Fencing < s.fencing {
 		return false
 	}
 	s.fencing = max(s.fencing, o.Fencing)
--- a/lease/orders_test.go
+++ b/lease/orders_test.go
@@ -15,11 +15,11 @@
 
 var errOldFencing = errors.New("engine: fencing number is too low")
 
-// fakeEngine executes orders. If fenced is true, it rejects orders whose fencing
-// number is lower than one that it has received before.
+// fakeEngine executes orders. If checksFencing is true, it rejects orders whose
+// fencing number is lower than one that it has received before.
 type fakeEngine struct {
 	mu             sync.Mutex
-	fenced         bool
+	checksFencing  bool
 	highestFencing uint64
 	// executed has the fencing numbers of the executed orders.
 	executed []uint64
@@ -28,7 +28,7 @@
 func (e *fakeEngine) execute(fencing uint64) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.fenced && fencing < e.highestFencing {
+	if e.checksFencing && fencing < e.highestFencing {
 		return errOldFencing
 	}
 	e.highestFencing = max(e.highestFencing, fencing)
@@ -61,8 +61,8 @@
 // holder b acquires the lease and sends its own order.
 func TestPausedHolder(t *testing.T) {
 	tests := []struct {
-		desc   string
-		fenced bool
+		desc          string
+		checksFencing bool
 		// beforeCheck and afterCheck are how long a is paused before and after it
 		// checks its lease.
 		beforeCheck, afterCheck time.Duration
@@ -85,8 +85,8 @@
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
 			withManagerPair(t, func(t *testing.T, is *is.I, p managerPair) {
-				engine := &fakeEngine{fenced: tt.fenced}
-				receiver := lease.Receiver{ID: "engine-1", ChecksFencing: tt.fenced}
+				engine := &fakeEngine{checksFencing: tt.checksFencing}
+				receiver := lease.Receiver{ID: "engine-1", ChecksFencing: tt.checksFencing}
 				a := lease.NewOrders(p.acquireA(t), engine.pausedSend(tt.afterCheck))
 				resultOfA := make(chan error, 1)
 				go func() {
--- a/quarantine/evaluate.go
+++ b/quarantine/evaluate.go
@@ -50,7 +50,7 @@
 	Events, Upstreams, UnexplainedTerminations int
 }
 
-// FindPoisonRequests returns the requests found to terminate upstreams, and records verdicts on
+// FindPoisonRequests returns the requests found to be poison requests, and records verdicts on
 // them.
 //
 // Of the requests lost with an upstream, only the one with the most events counts as the cause:
@@ -74,7 +74,7 @@
 	return findings
 }
 
-// evaluate reports whether the request is found to terminate upstreams, and returns the
+// evaluate reports whether the request is found to be a poison request, and returns the
 // evidence. The lock must be held.
 func (t *Tracker) evaluate(d Digest, history *lossHistory, now time.Duration) (Finding, bool) {
 	losses := t.unexplainedLosses(history, now)
--- a/ratelease/lease.go
+++ b/ratelease/lease.go
@@ -111,8 +111,8 @@
 
 // FullShare returns the share of the only host of an installation: all of the given number of
 // parts.
-func FullShare(of int, since time.Time) Share {
-	return Share{Parts: of, PartsPerRoot: of, Roots: 1, Since: since}
+func FullShare(parts int, since time.Time) Share {
+	return Share{Parts: parts, PartsPerRoot: parts, Roots: 1, Since: since}
 }
 
 // Holding is a lease that a host was granted, with its expiry by the host's own clock.
--- a/ratelease/lease_test.go
+++ b/ratelease/lease_test.go
@@ -206,8 +206,8 @@
 	now := start.Add(ratelease.HandoverDelay)
 	l := ratelease.NewLessor(start)
 	reporters := map[string]int{"a": 1, "b": 1, "c": 1}
-	leasedParts := func(of int) int {
-		l.Assign(ratelease.RootLease([]ratelease.Grant{{Upstream: 7, Parts: of, PartsPerRoot: of}}, 3), reporters, now)
+	leasedParts := func(partsPerRoot int) int {
+		l.Assign(ratelease.RootLease([]ratelease.Grant{{Upstream: 7, Parts: partsPerRoot, PartsPerRoot: partsPerRoot}}, 3), reporters, now)
 		n := 0
 		for name := range reporters {
 			n += countParts(requestLease(l, name, now).Grants)
--- a/ratelease/limit_test.go
+++ b/ratelease/limit_test.go
@@ -40,10 +40,10 @@
 			t.Run(fmt.Sprint(limit, " of ", roots), func(t *testing.T) {
 				is := is.New(t)
 				rnd := rand.New(rand.NewPCG(1, uint64(roots)))
-				of := limit.Parts(roots)
+				partsPerRoot := limit.Parts(roots)
 				var holders []*holder
-				for range roots * of {
-					holders = append(holders, &holder{share: ratelease.Share{Parts: 1, PartsPerRoot: of, Roots: roots, Since: start}})
+				for range roots * partsPerRoot {
+					holders = append(holders, &holder{share: ratelease.Share{Parts: 1, PartsPerRoot: partsPerRoot, Roots: roots, Since: start}})
 				}
 				var sent []time.Time
 				const span = 60 * time.Second
--- a/storage/client/cut_test.go
+++ b/storage/client/cut_test.go
@@ -44,12 +44,12 @@
 	t.Logf("cut at each of %d bytes of the request and %d of the response", baseline.requestBytes, baseline.answerBytes)
 }
 
-// serveCut starts a server whose connections are cut at the limits that plan
-// returns. Closing the server waits for the requests that it has read.
-func serveCut(t testing.TB, handler http.Handler, plan func() cut.Limits) (*httptest.Server, *cut.LimitListener) {
+// serveCut starts a server whose connections are cut at the limits that
+// nextLimits returns. Closing the server waits for the requests that it has read.
+func serveCut(t testing.TB, handler http.Handler, nextLimits func() cut.Limits) (*httptest.Server, *cut.LimitListener) {
 	t.Helper()
 	web := httptest.NewUnstartedServer(handler)
-	listener := &cut.LimitListener{Listener: web.Listener, NextLimits: plan}
+	listener := &cut.LimitListener{Listener: web.Listener, NextLimits: nextLimits}
 	web.Listener = listener
 	web.Start()
 	return web, listener
