--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -16,8 +16,8 @@
 	// factHead is the key of the membership fact that holds the head of the manifest
 	// in force.
 	factHead = "head"
-	// copySweepInterval is the time between checks whether this host holds bills
-	// of hosts that no longer exist.
+	// copySweepInterval is the time between checks whether this host has copies of
+	// bills of hosts that no longer exist.
 	copySweepInterval = 10 * time.Second
 	// leaveTimeout is the timeout of the announcement of a planned stop.
 	leaveTimeout = 5 * time.Second
