--- a/claim/options.go
+++ b/claim/options.go
@@ -37,7 +37,7 @@
 	Objects storage.Objects
 	// Host is the name of this host in rows and for Liveness.
 	Host string
-	// Alive reports which owners may still be running; nil means that all may.
+	// Liveness reports which owners may still be running; nil means that all may.
 	Liveness Liveness
 	// Clock returns the wall time, used for expiry; default time.Now.
 	Clock storage.Clock
@@ -80,7 +80,7 @@
 	return o
 }
 
-// alive reports whether the process of the host may still be running.
-func (o Options) alive(host string) bool {
+// hostMayBeRunning reports whether the process of the host may still be running.
+func (o Options) hostMayBeRunning(host string) bool {
 	return o.Liveness == nil || o.Liveness.Alive(host)
 }
--- a/claim/store.go
+++ b/claim/store.go
@@ -32,7 +32,7 @@
 	sweepAfter string
 }
 
-// New returns a Store. The caller must run Run in a goroutine.
+// NewStore returns a Store. The caller must run Run in a goroutine.
 func NewStore(options Options) *Store {
 	options = options.withDefaults()
 	return &Store{
@@ -128,7 +128,7 @@
 	if rec.Host == s.options.Host {
 		return rec.Process == s.process
 	}
-	return s.options.alive(rec.Host)
+	return s.options.hostMayBeRunning(rec.Host)
 }
 
 func mayHaveRunError(rec record) error {
--- a/config/watcher.go
+++ b/config/watcher.go
@@ -20,22 +20,22 @@
 	DefaultReadsPerSecond    = 200
 	DefaultConfirmsPerSecond = 40
 
-	// readsPerBound is the minimum number of table reads that a host starts within
-	// the bound, so that it keeps accepting requests if one response is lost.
-	readsPerBound = 2
-	// peerPollsPerBound is the minimum number of peer queries that a host starts within
-	// the bound.
-	peerPollsPerBound = 3
+	// readsPerFreshnessBound is the minimum number of table reads that a host starts
+	// within FreshnessBound, so that it keeps accepting requests if one response is lost.
+	readsPerFreshnessBound = 2
+	// peerPollsPerFreshnessBound is the minimum number of peer queries that a host
+	// starts within FreshnessBound.
+	peerPollsPerFreshnessBound = 3
 	// peerViewsPerSecond is the maximum number of peer reports that one host requests
-	// per second, unless that conflicts with peerPollsPerBound.
+	// per second, unless that conflicts with peerPollsPerFreshnessBound.
 	peerViewsPerSecond = 20
-	// loadsPerBound is the number of loads that fit within the bound with the minimum
-	// timeout of a load, which is also the timeout of the first load.
-	loadsPerBound = 4
-	// maxLoadTimeoutInBounds is the maximum timeout of a load from one source, as a
-	// multiple of the bound. With the default bound it is 50 s, in which a link of
-	// 2 Mbit/s transfers 12 MB.
-	maxLoadTimeoutInBounds = 10
+	// loadsPerFreshnessBound is the number of loads that fit within FreshnessBound with
+	// the minimum timeout of a load, which is also the timeout of the first load.
+	loadsPerFreshnessBound = 4
+	// maxLoadTimeoutInFreshnessBounds is the maximum timeout of a load from one source,
+	// as a multiple of FreshnessBound. With the default bound it is 50 s, in which a
+	// link of 2 Mbit/s transfers 12 MB.
+	maxLoadTimeoutInFreshnessBounds = 10
 	// confirmInterval is the interval at which a host rewrites an unchanged
 	// confirmation.
 	confirmInterval = time.Hour
@@ -71,15 +71,15 @@
 	Peers Peers
 	// Bodies is the source of bodies if the object store fails; it may be nil.
 	Bodies Bodies
-	// Poll is the interval between reads of the head; default 1 s. It is longer
-	// if ReadsPerSecond requires it.
+	// PollInterval is the interval between reads of the head; default 1 s. It is
+	// longer if ReadsPerSecond requires it.
 	PollInterval time.Duration
-	// Bound is the maximum age of the evidence that the manifest in force is the
-	// newest; default 5 s.
+	// FreshnessBound is the maximum age of the evidence that the manifest in
+	// force is the newest; default 5 s.
 	FreshnessBound time.Duration
 	// ReadsPerSecond is the budget of reads of the head for all hosts together;
-	// default 200. At least two reads per host start within Bound even if that
-	// exceeds the budget.
+	// default 200. At least two reads per host start within FreshnessBound even
+	// if that exceeds the budget.
 	ReadsPerSecond int
 	// ConfirmsPerSecond is the budget of confirmations for all hosts together;
 	// default 40. A host whose manifest changes more often than its share of the
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -28,7 +28,7 @@
 	// callTimeout bounds one exchange, which is a report and its reply. The latency between
 	// hosts is a few milliseconds.
 	callTimeout = 600 * time.Millisecond
-	// WorkAge is the maximum age at which a report, or a hub's sum, still counts. It allows for
+	// MaxWorkAge is the maximum age at which a report, or a hub's sum, still counts. It allows for
 	// one exchange that times out and the next one.
 	MaxWorkAge = 900 * time.Millisecond
 	// minHostsPerHub is the number of hosts, including the hub, from which a hub relays table
@@ -125,7 +125,7 @@
 	// SightingsLast in its sighting log. Only replies to other hubs hold any.
 	Sightings     Sightings `json:"sightings,omitzero"`
 	SightingsLast uint64    `json:"sightings_last,omitempty"`
-	// QuarantineStatus lists the upstreams that terminated, the suspects and the verdicts.
+	// QuarantineStatus lists the terminated upstreams, the suspects and the verdicts.
 	QuarantineStatus QuarantineStatus `json:"standing,omitzero"`
 	// Limits holds the limit updates that the hub has and the receiver doesn't.
 	Limits LimitBatch `json:"limits"`
--- a/ledger/hold.go
+++ b/ledger/replicate.go
@@ -97,22 +97,22 @@
 	}
 }
 
-// HolderDown records that a peer is down and the copies on it are lost. Bills
+// PeerDown records that a peer is down and the copies on it are lost. Bills
 // of which it had the copy are sent to another peer, unless they are in the
 // table.
 func (l *Ledger) PeerDown(host string) {
 	l.mu.Lock()
 	l.drainShards()
 	delete(l.holders, host)
-	lostCopies := l.unwrittenHeldBy(host)
+	lostCopies := l.unwrittenCopiedTo(host)
 	l.unreplicated = append(lostCopies, l.unreplicated...)
 	l.mu.Unlock()
 	signal(l.newBills)
 }
 
-// unwrittenHeldBy returns the unwritten bills whose copy is on host. Ledger.mu
+// unwrittenCopiedTo returns the unwritten bills whose copy is on host. Ledger.mu
 // is held.
-func (l *Ledger) unwrittenHeldBy(host string) []*entry {
+func (l *Ledger) unwrittenCopiedTo(host string) []*entry {
 	var list []*entry
 	for _, e := range l.unsegmented {
 		if e.holder == host {
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -16,9 +16,9 @@
 type VersionRule struct {
 	Model   string
 	Version string
-	// Epoch numbers the roll-outs of the version. It isn't the epoch of the
-	// manifest: a new manifest with the same number keeps the budget, the
-	// evidence and the stop, a higher number starts with a full budget, no
+	// Round numbers the roll-outs of the version. It isn't the epoch of the
+	// manifest: a new manifest with the same round keeps the budget, the
+	// evidence and the stop, a higher round starts with a full budget, no
 	// evidence and no stop.
 	Round uint64
 	// Budget is the number of answers that all hosts together may give before
@@ -46,7 +46,7 @@
 	// arrives later is passed to Tracker.Rate.
 	Rating float64
 	Rated  bool
-	// FirstToken is the time to first token; 0 if it wasn't measured.
+	// TimeToFirstToken is the time to first token; 0 if it wasn't measured.
 	FirstToken time.Duration
 }
 
@@ -79,7 +79,7 @@
 }
 
 // Stop records that a version takes no new requests. It stays in force until a
-// rule of the version with a higher epoch is set.
+// rule of the version with a higher round is set.
 type Stop struct {
 	Model   string  `json:"model"`
 	Version string  `json:"version"`
@@ -96,7 +96,7 @@
 func (s Stop) Key() Key { return Key{Model: s.Model, Version: s.Version} }
 
 // before reports whether s takes precedence over t, a stop of the same version
-// and epoch from another host. All hosts keep the stop that is first in this
+// and round from another host. All hosts keep the stop that is first in this
 // order, so they converge on the same one.
 func (s Stop) before(t Stop) bool {
 	if !s.At.Equal(t.At) {
