--- a/claim/history_test.go
+++ b/claim/history_test.go
@@ -82,7 +82,7 @@
 
 func newDeadHosts() *deadHosts { return &deadHosts{hosts: make(map[string]bool)} }
 
-func (d *deadHosts) Alive(host string) bool {
+func (d *deadHosts) MayBeRunning(host string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return !d.hosts[host]
--- a/claim/options.go
+++ b/claim/options.go
@@ -21,10 +21,10 @@
 
 // Liveness reports whether the process of a host may still be running.
 type Liveness interface {
-	// Alive returns false only if it is certain that the process has terminated. A
+	// MayBeRunning returns false only if it is certain that the process has terminated. A
 	// wrong value changes the error that a duplicate gets, but never which requests
 	// run.
-	Alive(host string) bool
+	MayBeRunning(host string) bool
 }
 
 // Options configures a Store. Numbers and durations that are zero take their
@@ -82,5 +82,5 @@
 
 // hostMayBeRunning reports whether the process of the host may still be running.
 func (o Options) hostMayBeRunning(host string) bool {
-	return o.Liveness == nil || o.Liveness.Alive(host)
+	return o.Liveness == nil || o.Liveness.MayBeRunning(host)
 }
--- a/internal/e2e/gatewaysoak_test.go
+++ b/internal/e2e/gatewaysoak_test.go
@@ -253,7 +253,7 @@
 
 // crashOnPoison makes the upstream crash when it runs the poison request.
 func (s *soak) crashOnPoison(u *platformtest.Upstream) {
-	u.SetCrashRequest(poisonBody, 30*time.Millisecond, func() {
+	u.SetPoisonRequest(poisonBody, 30*time.Millisecond, func() {
 		s.crashes.Add(1)
 		s.recordHarmfulFault(time.Second)
 		s.crashed <- u
@@ -469,7 +469,7 @@
 	if _, replaced := s.leftAt[old.ID]; replaced {
 		return
 	}
-	if added := s.addUpstream(old.Service, old.Version, old.Zone); old.HasCrashRequest() {
+	if added := s.addUpstream(old.Service, old.Version, old.Zone); old.HasPoisonRequest() {
 		s.crashOnPoison(added)
 	}
 	s.leftAt[old.ID] = time.Now()
--- a/internal/e2e/quarantine_test.go
+++ b/internal/e2e/quarantine_test.go
@@ -53,7 +53,7 @@
 		ID: fmt.Sprintf("u-%d", p.upstreamsAdded), Service: "pool", Version: "v1", Zone: zone,
 		Events: streamEvents, Pause: 30 * time.Millisecond, LowConfidenceModel: "weak", Confidence: 20,
 	}
-	u.SetCrashRequest(poisonBody, 40*time.Millisecond, func() {
+	u.SetPoisonRequest(poisonBody, 40*time.Millisecond, func() {
 		p.mu.Lock()
 		p.crashes = append(p.crashes, time.Now())
 		p.mu.Unlock()
@@ -88,7 +88,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, u := range p.pool {
-		sends = append(sends, u.CrashRequestTimes()...)
+		sends = append(sends, u.PoisonRequestTimes()...)
 	}
 	slices.SortFunc(sends, time.Time.Compare)
 	return sends, slices.Clone(p.crashes)
--- a/internal/e2e/relay_test.go
+++ b/internal/e2e/relay_test.go
@@ -25,4 +25,4 @@
 func (r *relay) cutFrom(match func(ip string) bool) { r.inner.CutFrom(match) }
 func (r *relay) cutAll()                            { r.inner.CutAll() }
 func (r *relay) setRate(bytesPerSecond int)         { r.inner.SetRate(bytesPerSecond) }
-func (r *relay) heal()                              { r.inner.Heal() }
+func (r *relay) heal()                              { r.inner.ClearFaults() }
--- a/internal/entry/processes.go
+++ b/internal/entry/processes.go
@@ -87,9 +87,9 @@
 	processes *processes
 }
 
-// Alive implements claim.Liveness. The owner of a claim is an incarnation: the
+// MayBeRunning implements claim.Liveness. The owner of a claim is an incarnation: the
 // host's ID and the ID of its process.
-func (l *liveness) Alive(incarnation string) bool {
+func (l *liveness) MayBeRunning(incarnation string) bool {
 	id := incarnation[:max(0, strings.LastIndexByte(incarnation, '/'))]
 	m, ok := l.members.Lookup(id)
 	return ok && m.State != membership.Down && !l.processes.replaced(id, incarnation)
--- a/internal/standin/platformd/faults.go
+++ b/internal/standin/platformd/faults.go
@@ -44,8 +44,8 @@
 	applyMilliseconds(f.RaterDelayMS, s.rater.SetDelay)
 }
 
-// Heal ends all faults and resets the lag of the host list to Options.HostLag.
-func (s *Server) Heal() {
+// ClearFaults ends all faults and resets the lag of the host list to Options.HostLag.
+func (s *Server) ClearFaults() {
 	s.table.ClearFaults()
 	s.objects.SetDown(false)
 	s.hosts.SetLag(s.options.HostLag)
@@ -63,7 +63,7 @@
 }
 
 func (s *Server) heal(*http.Request) (response, error) {
-	s.Heal()
+	s.ClearFaults()
 	return response{}, nil
 }
 
--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -2,7 +2,7 @@
 // limited bandwidth. It stands in for the network between two processes.
 //
 // The end-to-end tests put one on each connection of an entry host. Both ends see a
-// cut as a closed connection. A blocked direction holds its bytes back until Heal, as a
+// cut as a closed connection. A blocked direction holds its bytes back until ClearFaults, as a
 // network partition does.
 package relay
 
@@ -75,7 +75,7 @@
 }
 
 // SetRate limits each connection and direction to a rate in bytes per second; 0 means no
-// limit. Heal doesn't change it.
+// limit. ClearFaults doesn't change it.
 func (r *Relay) SetRate(bytesPerSecond int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -98,7 +98,7 @@
 	}
 }
 
-// Block holds back all bytes of one direction until Heal; connections stay open.
+// Block holds back all bytes of one direction until ClearFaults; connections stay open.
 func (r *Relay) Block(d Direction) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -109,7 +109,7 @@
 	}
 }
 
-// Delay delays each chunk of one direction until Heal.
+// Delay delays each chunk of one direction until ClearFaults.
 func (r *Relay) Delay(d Direction, by time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -147,11 +147,11 @@
 	return time.Duration(bytes) * time.Second / time.Duration(rate)
 }
 
-// CutAll closes all connections, and new ones on accept, until Heal.
+// CutAll closes all connections, and new ones on accept, until ClearFaults.
 func (r *Relay) CutAll() { r.CutFrom(func(string) bool { return true }) }
 
-// Heal ends all cuts, blocked directions and delays.
-func (r *Relay) Heal() {
+// ClearFaults ends all cuts, blocked directions and delays.
+func (r *Relay) ClearFaults() {
 	r.CutFrom(nil)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -168,7 +168,7 @@
 // Close stops listening, closes all connections and waits for their goroutines.
 func (r *Relay) Close() error {
 	err := r.listener.Close()
-	r.Heal()
+	r.ClearFaults()
 	r.CutAll()
 	r.serving.Wait()
 	return err
--- a/internal/standin/relay/relay_test.go
+++ b/internal/standin/relay/relay_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// A cut closes the open connections and prevents new ones until Heal.
+// A cut closes the open connections and prevents new ones until ClearFaults.
 func TestCut(t *testing.T) {
 	const other = "127.0.0.9"
 	tests := []struct {
@@ -30,7 +30,7 @@
 		{"all", (*relay.Relay).CutAll, false, true},
 		{"from another host", func(r *relay.Relay) { r.CutFrom(func(ip string) bool { return ip == other }) }, true, false},
 		{"from this host", func(r *relay.Relay) { r.CutFrom(func(ip string) bool { return ip != other }) }, false, true},
-		{"healed", func(r *relay.Relay) { r.CutAll(); r.Heal() }, true, true},
+		{"healed", func(r *relay.Relay) { r.CutAll(); r.ClearFaults() }, true, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.desc, func(t *testing.T) {
--- a/storage/client/outcome_test.go
+++ b/storage/client/outcome_test.go
@@ -56,7 +56,7 @@
 				go cancelAfterCommit(server, cancel)
 			}
 			_, err := p.Table().Commit(ctx, storagetest.PutTxn(key, "value"))
-			server.Heal()
+			server.ClearFaults()
 			if test.rowExists {
 				waitForRow(t, server.Table(), key)
 			}
