--- a/internal/exchange/assign.go
+++ b/internal/exchange/assign.go
@@ -20,9 +20,9 @@
 	// of its hub. It allows stronger hosts of the zone to report too: when all hosts start at
 	// once, all of them report within 300 ms.
 	appointmentDelay = 500 * time.Millisecond
-	// failedHubBackoff is how long a host accepts no assignment to a hub that failed to answer
-	// it. The seed may still assign hosts to that hub, since the hub's last report counts for
-	// MaxWorkAge.
+	// failedHubBackoff is how long a host ignores assignments to a hub that failed to answer its
+	// report. The seed may assign the host to that hub again meanwhile, since the hub's last
+	// report to the seed counts for MaxWorkAge.
 	failedHubBackoff = 2 * time.Second
 )
 
@@ -32,17 +32,17 @@
 	firstReportAt time.Time
 	// appointed holds the names of the hubs in the order of their appointment.
 	appointed []string
-	// recentAssignments counts the hosts that were assigned to each hub since
+	// recentAssignments holds, by hub, the number of hosts assigned to it since
 	// recentAssignmentsSince. The hubs' own reports include these hosts only a moment later.
 	recentAssignments      map[string]int
 	recentAssignmentsSince time.Time
-	// reassignedAt is when each host was assigned to another hub. Its last report here still
-	// counts for a while after that.
+	// reassignedAt holds, by host, when the host was assigned to another hub. The host's last
+	// report to this hub counts for MaxWorkAge after that.
 	reassignedAt map[string]time.Time
 }
 
-// assign returns the address of the hub to which the host should report instead of this one, or
-// "" if the host should stay.
+// assign returns the address of the hub to which the host named by from should report instead of
+// this one, or "" if the host should stay.
 func (h *hub) assign(from string, r Report) string {
 	if r.Address == "" || r.Hosts > 1 {
 		return "" // a hub itself, or a host that can't be one
@@ -50,7 +50,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.dropExpired()
-	z := h.currentZoneHubs(r.Zone)
+	z := h.pruneZoneHubs(r.Zone)
 	if slices.Contains(z.appointed, from) {
 		return ""
 	}
@@ -74,14 +74,15 @@
 	return h.reports[hub].report.Address
 }
 
-// maxDirectHosts returns how many hosts of its own zone this hub serves directly: what
-// maxHostsPerHub leaves beside the hubs that report here. With more reporters than that, the
-// hub would relay tables to some of them only. The caller holds the lock.
+// maxDirectHosts returns the maximum number of hosts of its own zone that this hub serves
+// directly: maxHostsPerHub minus the number of hubs that report here. With more than
+// maxHostsPerHub reporters, the hub would relay tables to only some of them. The caller holds
+// the lock.
 func (h *hub) maxDirectHosts() int { return max(0, maxHostsPerHub-h.countReporters().hubs) }
 
-// currentZoneHubs drops the zone's hubs that no longer report and the assignments that have
+// pruneZoneHubs drops the zone's hubs that no longer report and the assignments that have
 // expired, and returns the zone's record. The caller holds the lock.
-func (h *hub) currentZoneHubs(zone string) *zoneHubs {
+func (h *hub) pruneZoneHubs(zone string) *zoneHubs {
 	z := h.zones[zone]
 	now := boottime.Now()
 	if z == nil {
--- a/internal/exchange/choosehub.go
+++ b/internal/exchange/choosehub.go
@@ -32,8 +32,8 @@
 	m.log.Info().Str("event", "hub-found").Str("hub", m.hubAddress).Str("zone", m.seedZones[m.hubAddress]).Int("reached", len(reached)).Msg("")
 }
 
-// nextProbeDelay returns the time until the next probe of the seeds. While no seed answers, it
-// grows with each probe.
+// nextProbeDelay returns the time until the next probe of the seeds. While no seed answers, the
+// delay grows with each probe.
 func (m *Member) nextProbeDelay(anyAnswered bool) time.Duration {
 	if anyAnswered {
 		m.failedProbes = 0
@@ -44,7 +44,7 @@
 	return delay/2 + rand.N(delay)
 }
 
-// switchHub makes the hub at the address the one that this host reports to; "" stands for none.
+// switchHub makes this host report to the hub at the address, or to none if the address is "".
 func (m *Member) switchHub(address string) {
 	m.ownHub.dropHubData(m.hubAddress)
 	m.hubAddress = address
@@ -80,10 +80,11 @@
 	m.nextProbeAt = time.Time{}
 }
 
-// probeSeeds queries all seeds concurrently, so that several dead ones take no longer than one,
-// and returns those that answered, in the configured order. Once a seed of this host's zone has
-// answered, probeSeeds waits for the others only for otherSeedsWait: when all hosts restart at
-// once, some seeds start to answer later than the one that this host needs.
+// probeSeeds queries all seeds concurrently, so that several dead seeds delay it no longer than
+// one, and returns those that answered, in the configured order. Once a seed of this host's zone
+// has answered, probeSeeds waits for the others only for otherSeedsWait: when all hosts restart
+// at once, some seeds of other zones start to answer later than the seed of this host's zone,
+// which is the one that it chooses.
 func (m *Member) probeSeeds(ctx context.Context, net network) []string {
 	type answer struct{ seed, zone string }
 	answers := make(chan answer, len(m.options.Seeds))
--- a/internal/exchange/evidence.go
+++ b/internal/exchange/evidence.go
@@ -6,8 +6,8 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// Tally counts the answers by one version of a service on one route, and how many of them count
-// as failed and as slow.
+// Tally holds the number of answers that one version of a service gave on one route, and how
+// many of these answers count as failed and as slow.
 type Tally struct {
 	Answers int `json:"answers"`
 	Failed  int `json:"failed,omitempty"`
@@ -51,8 +51,8 @@
 // service.
 type Evidence struct {
 	Service string `json:"service"`
-	// Order is the revision, in the store, of the operator's order for the roll-out. Counts
-	// that belong to different orders aren't added up.
+	// Order is the revision, in the store, of the operator's order for the roll-out. Counts made
+	// under different orders aren't added up.
 	Order storage.Revision `json:"order"`
 	// Routes holds the counts by route.
 	Routes map[string]VersionTallies `json:"routes"`
@@ -64,7 +64,7 @@
 	order   storage.Revision
 }
 
-// addEvidence adds the counts in the list to sums, which holds the counts of each roll-out by
+// addEvidence adds the counts in the list to sums. For each roll-out, sums holds the counts by
 // route.
 func addEvidence(sums map[evidenceKey]map[string]VersionTallies, list []Evidence) {
 	for _, e := range list {
@@ -80,8 +80,8 @@
 	}
 }
 
-// otherEvidence returns the counts for the roll-outs in progress, summed over all hosts of any
-// zone except self.
+// otherEvidence returns the counts for the roll-outs in progress that are sent to the audience,
+// summed over all hosts of any zone except self.
 func (h *hub) otherEvidence(self string, to audience) []Evidence {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -28,25 +28,25 @@
 	// callTimeout bounds one exchange, which is a report and its reply. The latency between
 	// hosts is a few milliseconds.
 	callTimeout = 600 * time.Millisecond
-	// MaxWorkAge is the maximum age at which a report, or a hub's sum, still counts. It allows for
-	// one exchange that times out and the next one.
+	// MaxWorkAge is the maximum age at which a report, or the sums in another hub's reply, still
+	// count. It is long enough for one exchange that times out and the next one.
 	MaxWorkAge = 900 * time.Millisecond
 	// minHostsPerHub is the number of hosts, including the hub, from which a hub relays table
 	// updates, and from which a seed appoints a hub for another zone. A relaying hub queries
-	// the store six times as often as a host does for itself, so with fewer hosts the total
-	// number of calls would rise.
+	// the store six times as often as a host that queries it for itself alone, so with fewer
+	// hosts the total number of calls would rise.
 	minHostsPerHub = 8
-	// maxHostsPerHub bounds the hosts that a hub relays to, including itself, and thereby its
-	// network traffic. Further hosts are assigned to another hub; until then they query the
-	// store themselves.
+	// maxHostsPerHub is the maximum number of hosts that a hub relays to, including itself. It
+	// bounds the hub's network traffic. Further hosts are assigned to another hub; until then
+	// they query the store themselves.
 	maxHostsPerHub = 64
-	// hubRetryInterval is the time between two probes for a better hub, and from a failed query
-	// of another seed to the next one.
+	// hubRetryInterval is the time between two probes for a better hub. It is also the time
+	// between a failed query of another seed and the next query of that seed.
 	hubRetryInterval = 5 * time.Second
 	// noHubRetryInterval is the initial time between two probes by a host without a hub. It
-	// doubles with each probe, up to hubRetryInterval; maxProbeDoublings keeps the shift from
-	// overflowing. When a whole installation starts, the seeds begin to answer about 100 ms
-	// after the other hosts' first probes.
+	// doubles with each probe, up to hubRetryInterval. maxProbeDoublings limits the doublings,
+	// so that the bit shift that computes them doesn't overflow. When a whole installation
+	// starts, the seeds begin to answer about 100 ms after the other hosts' first probes.
 	noHubRetryInterval = 100 * time.Millisecond
 	maxProbeDoublings  = 6
 
@@ -88,13 +88,14 @@
 	Limits       LimitUpdates        `json:"limits,omitempty"`
 	LimitsCursor ratelease.LogCursor `json:"limits_known,omitzero"`
 	GrantsDigest uint64              `json:"holds,omitempty"`
-	// WantTimings requests the speeds of models that the other hosts measured. Timings are the
-	// host's own measurements, which it sends with such a request.
+	// WantTimings requests the speeds of models that the other hosts measured. Timings holds the
+	// host's own measurements; it is set only together with WantTimings.
 	WantTimings bool    `json:"want_timings,omitempty"`
 	Timings     Timings `json:"timings,omitempty"`
-	// Sightings are the losses and survivals that the host and its followers observed since the
-	// last report. SightingsSince is set in queries by other hubs: the sequence number of the
-	// last entry in this hub's sighting log that the querying hub has received.
+	// Sightings are the losses and survivals of requests that the host and its followers
+	// observed since the last report. SightingsSince is set only in queries by other hubs. It is
+	// the sequence number of the last entry in this hub's sighting log that the querying hub has
+	// received.
 	Sightings      Sightings `json:"sightings,omitzero"`
 	SightingsSince uint64    `json:"sightings_since,omitempty"`
 	// Revisions holds, by table name, the newest revision of the store's table that the host
@@ -106,9 +107,9 @@
 type Reply struct {
 	// Zone is the hub's availability zone.
 	Zone string `json:"zone"`
-	// Hosts is the number of hosts that the hub has data of, including the receiver. In a reply
-	// to another hub it counts only the hosts that report to this hub, directly or through
-	// another one.
+	// Hosts is the number of hosts whose data the hub has, including the receiver. In a reply to
+	// another hub it counts only the hosts that report to this hub, directly or through another
+	// one.
 	Hosts int `json:"hosts,omitempty"`
 	// Work is the sum of the other hosts' work in flight, by upstream.
 	Work Work `json:"work,omitempty"`
@@ -119,10 +120,11 @@
 	// the first time, up to the sequence number SentPrefixesLast in the hub's prefix log.
 	SentPrefixes     SentPrefixes `json:"reads,omitempty"`
 	SentPrefixesLast uint64       `json:"reads_last,omitempty"`
-	// Timings holds, for each service and model, the sums over the other hosts' measurements.
+	// Timings holds, for each service and model, the sums of the other hosts' measurements.
 	Timings Timings `json:"timings,omitempty"`
-	// Sightings are the losses and survivals that the hub received, up to the sequence number
-	// SightingsLast in its sighting log. Only replies to other hubs hold any.
+	// Sightings are the losses and survivals of requests that were reported to the hub, up to
+	// the entry of its sighting log with the sequence number SightingsLast. Both fields are set
+	// only in replies to queries by other hubs.
 	Sightings     Sightings `json:"sightings,omitzero"`
 	SightingsLast uint64    `json:"sightings_last,omitempty"`
 	// QuarantineStatus lists the terminated upstreams, the suspects and the verdicts.
@@ -136,9 +138,9 @@
 	// Assigned is the address of the hub to report to from now on; empty to stay with this one.
 	Assigned string `json:"assigned,omitempty"`
 	// Relays reports whether the hub relays table updates to the receiver. Tables holds the
-	// updates by table name. TablePending reports that a table that the receiver doesn't have
-	// yet will probably follow, because the hub is still reading it, or will assign the
-	// receiver to another hub.
+	// updates by table name. TablePending reports that the receiver will probably get a table
+	// that it doesn't have yet: this hub is still reading the table, or will assign the receiver
+	// to another hub that can send it.
 	Relays       bool                   `json:"relays,omitempty"`
 	TablePending bool                   `json:"later,omitempty"`
 	Tables       map[string]TableUpdate `json:"tables,omitempty"`
--- a/internal/exchange/exchangeloop.go
+++ b/internal/exchange/exchangeloop.go
@@ -22,7 +22,7 @@
 }
 
 // exchangeStep makes one exchange with the hub, which may be this host's own. If a probe for a
-// better hub is due, it makes that first.
+// better hub is due, exchangeStep makes the probe first.
 func (m *Member) exchangeStep(ctx context.Context, net network) {
 	if !m.hasBestHub() && boottime.Now().After(m.nextProbeAt) {
 		m.findHub(ctx, net)
@@ -39,7 +39,7 @@
 		m.unsentLimits = m.unsentLimits[len(report.Limits):]
 		m.deliverOwnHubData(report.WantTimings)
 		m.renewRootLease()
-		m.updateHolding()
+		m.renewHolding()
 		m.querySeeds(ctx, net)
 	default:
 		m.exchangeWithHub(ctx, net)
@@ -82,17 +82,17 @@
 	m.acceptAssignment(reply.Assigned)
 }
 
-// forwardedPositions holds the positions up to which a report forwards the logs of this host's
-// own hub to the hub that it reports to: sequence numbers in the prefix log and the sighting
-// log, and a cursor in the limit log.
+// forwardedPositions holds the positions in the logs of ownHub up to which a report forwards the
+// entries to this host's hub: sequence numbers in the prefix log and the sighting log, and a
+// cursor in the limit log.
 type forwardedPositions struct {
 	prefixes, sightings uint64
 	limits              ratelease.LogCursor
 }
 
-// aggregateReport returns the report on behalf of this host and its followers, and the
-// positions up to which it forwards data. It leaves out evidence until the previous hub's copy
-// has expired.
+// aggregateReport returns the report on behalf of this host and its followers, and the positions
+// up to which the report forwards the logs of ownHub. The report holds no evidence until the
+// previous hub's copy of the evidence has expired.
 func (m *Member) aggregateReport(own Report) (report Report, upTo forwardedPositions) {
 	m.recordOwnReport(own)
 	m.unsentPrefixes = make(SentPrefixes) // this host's own hub has them
@@ -133,7 +133,7 @@
 }
 
 // deliverOwnHubData passes the other hosts' data that this host's own hub has to the callbacks
-// in Options; withTimings includes their timings.
+// in Options. The other hosts' timings are included if withTimings is set.
 func (m *Member) deliverOwnHubData(withTimings bool) {
 	sums := m.ownHub.otherSums(m.options.Host, m.ownHubPrefixSeq, toHost)
 	if withTimings {
--- a/internal/exchange/fleet_test.go
+++ b/internal/exchange/fleet_test.go
@@ -57,7 +57,7 @@
 	return s.revision
 }
 
-// storePage is the maximum number of rows in one answer, storeDelay the latency of an answer.
+// storePage is the maximum number of rows in one answer. storeDelay is the latency of an answer.
 const (
 	storePage  = 500
 	storeDelay = 5 * time.Millisecond
--- a/internal/exchange/hub.go
+++ b/internal/exchange/hub.go
@@ -48,8 +48,8 @@
 	lessor *ratelease.Lessor
 	// limits holds the upstreams' limits that this hub has received.
 	limits *ratelease.LimitLog
-	// hasAllLimits reports whether the hub that this host reports to has sent its whole limit
-	// log, or this host is a root hub.
+	// hasAllLimits reports whether this host's hub has sent its whole limit log, or this host is
+	// a root hub.
 	hasAllLimits bool
 	startedAt    time.Time
 	// lastRootedAt is when this host last held grants that derived from a root hub.
@@ -57,8 +57,8 @@
 }
 
 // receivedReport is a host's latest report, or the data about other hosts in a reply from
-// another hub. The map of reports has it under the host's name or the hub's hubKey, and the
-// timings are under the same keys.
+// another hub. hub.reports holds it under the host's name or, for another hub, under the result
+// of hubKey. hub.timings has the same keys.
 type receivedReport struct {
 	report Report
 	at     time.Time
@@ -82,9 +82,9 @@
 // includes reports whether the report's data are sent to the audience.
 func (a audience) includes(r receivedReport) bool { return a == toHost || !r.fromHub }
 
-// maxReportedUpstreams bounds the upstreams in a reply; those with the most work are kept. With
-// 8 bytes for each upstream in each reply, this keeps a host within the 7 KB a second allowed
-// for control traffic.
+// maxReportedUpstreams bounds the upstreams in a reply. The upstreams with the most work are
+// kept. At 8 bytes for each upstream in each reply, this bound keeps a host within the 7 KB a
+// second allowed for control traffic.
 const maxReportedUpstreams = 100
 
 func newHub(options Options, log zerolog.Logger) *hub {
@@ -174,8 +174,8 @@
 	return busiest(sum, maxReportedUpstreams)
 }
 
-// busiest returns the entries of the upstreams with the most work: limit entries, or more if
-// several have the same work as the last of these.
+// busiest returns the entries of the upstreams with the most work: as many as limit, or more if
+// several upstreams have the same work as the last of these.
 func busiest(work Work, limit int) Work {
 	if len(work) <= limit {
 		return work
@@ -191,8 +191,8 @@
 	return kept
 }
 
-// relays reports whether enough hosts depend on this hub for it to relay table updates. It
-// counts the hosts that report here and those that they report for.
+// relays reports whether this hub relays table updates: whether the hosts that report here,
+// together with those that they report for, number at least minHostsPerHub.
 func (h *hub) relays() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -200,8 +200,8 @@
 }
 
 // updateRelaying makes the tables' watchers query the store more often as soon as this hub
-// starts to relay. Without it, a call that the store may hold for a long time would delay the
-// first update.
+// starts to relay, by canceling the calls that the store may hold for a long time. Such a call
+// would delay the first update.
 func (h *hub) updateRelaying() {
 	relays := h.relays()
 	if relays == h.wasRelaying.Swap(relays) || !relays {
--- a/internal/exchange/lease.go
+++ b/internal/exchange/lease.go
@@ -14,7 +14,7 @@
 type Lease struct {
 	Grants Grants `json:"grants,omitempty"`
 	// Unchanged reports that the grants are those whose digest the host sent with its report;
-	// Grants is empty then. ForMs is the duration of the lease in milliseconds, Roots the
+	// Grants is empty then. ForMs is the duration of the lease in milliseconds. Roots is the
 	// number of root hubs.
 	Unchanged bool  `json:"same,omitempty"`
 	ForMs     int64 `json:"for_ms"`
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// leaseFor returns the part of this host's lease that the host with the name is granted.
-// knownDigest is the digest of the grants that it already has.
+// leaseFor returns the lease of the host with the name, which is a part of this host's lease.
+// knownDigest is the digest of the grants that the named host already has.
 func (h *hub) leaseFor(host string, knownDigest uint64) Lease {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -67,8 +67,8 @@
 	return wire
 }
 
-// decode returns the lease. previous holds the grants whose digest the host sent, which are
-// granted again if Unchanged is set.
+// decode returns the lease. previous holds the grants whose digest the host sent with its
+// report. If Unchanged is set, the lease grants these again.
 func (l Lease) decode(previous Grants) ratelease.Lease {
 	grants := l.Grants
 	if l.Unchanged {
@@ -123,11 +123,11 @@
 		m.ownHub.setRootedAt(requestedAt)
 	}
 	m.ownHub.divideLease(lease, requestedAt)
-	m.updateHolding()
+	m.renewHolding()
 }
 
-// renewRootLease renews the lease that a root hub holds by itself, on its own part of all
-// leased upstreams.
+// renewRootLease renews the lease on a root hub's own part of the requests for all leased
+// upstreams. A root hub holds this lease without being granted it.
 func (m *Member) renewRootLease() {
 	if m.options.RootGrants == nil {
 		return
@@ -137,8 +137,9 @@
 	m.ownHub.divideLease(ratelease.RootLease(m.options.RootGrants(roots), roots), boottime.Now())
 }
 
-// updateHolding passes this host's own part of the lease that its own hub divides to OnHolding.
-func (m *Member) updateHolding() {
+// renewHolding computes this host's own part of the lease that ownHub divides, and passes it to
+// OnHolding.
+func (m *Member) renewHolding() {
 	if m.options.OnHolding == nil {
 		return
 	}
--- a/internal/exchange/lease_test.go
+++ b/internal/exchange/lease_test.go
@@ -225,8 +225,8 @@
 	}
 }
 
-// A single host that ignores its leases makes upstreams receive more requests than the bound
-// permits, and the count of these tests shows it.
+// If a single host ignores its leases, upstreams receive more requests than coldBound permits.
+// This shows that the count in these tests detects such a fault.
 func TestNonCompliantHostExceedsTheBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := coldFleet(t, fleetSize{30, 3}, 20)
@@ -282,7 +282,7 @@
 	}, zerolog.Nop())
 	m.hubAddress = "a"
 	share := func() ratelease.Share {
-		m.updateHolding()
+		m.renewHolding()
 		s, _ := held.Share(1, boottime.Now())
 		return s
 	}
--- a/internal/exchange/limits.go
+++ b/internal/exchange/limits.go
@@ -84,8 +84,9 @@
 // to send their limits again. Until then it doesn't mark a batch as complete.
 const limitRelearnDelay = 3 * time.Second
 
-// recordLimits stores limit updates from a host or another hub. complete reports that they are
-// all limits of the hub that this host reports to, so that its other limits have ended.
+// recordLimits stores limit updates from a host or another hub. complete reports that the
+// updates are all limits that this host's hub has, so that any other limit received from a hub
+// has ended.
 func (h *hub) recordLimits(fromHub bool, updates []ratelease.LimitUpdate, complete bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -112,8 +113,8 @@
 	m.deliverLimits(updates, complete)
 }
 
-// requeueLimits makes the next reports repeat all limits of this host and its followers. It is
-// called for a hub that may have none of them.
+// requeueLimits makes the next reports repeat all limits of this host and its followers, for a
+// hub that may have none of them.
 func (m *Member) requeueLimits() {
 	m.forwardedLimitsCursor = ratelease.LogCursor{}
 	if m.options.KnownLimits != nil && !m.hasFollowers {
@@ -130,8 +131,8 @@
 	return m.unsentLimits[:min(maxLimitUpdates, len(m.unsentLimits))]
 }
 
-// setHasAllLimits records whether the hub that this host reports to has sent its whole limit
-// log, or this host is a root hub.
+// setHasAllLimits records whether this host's hub has sent its whole limit log, or this host is
+// a root hub.
 func (h *hub) setHasAllLimits(hasAll bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/exchange/limits_test.go
+++ b/internal/exchange/limits_test.go
@@ -127,11 +127,12 @@
 type limitedUpstream struct {
 	id    ratelease.UpstreamID
 	limit ratelease.Limit
-	// The upstream announces the limit between from and until.
+	// from and until are the times between which the upstream announces the limit.
 	from, until time.Time
 	// informedSends holds the times of the requests by hosts that had observed the limit at
-	// least half a second before, allSends those of all requests, while the upstream announced
-	// the limit. sendsAfterLimit counts the requests while it announces none.
+	// least half a second before. allSends holds the times of all requests. Both cover the time
+	// while the upstream announced the limit; sendsAfterLimit counts the requests while it
+	// announced none.
 	informedSends, allSends []time.Time
 	sendsAfterLimit         int
 }
--- a/internal/exchange/member.go
+++ b/internal/exchange/member.go
@@ -25,7 +25,7 @@
 	// hosts that may be hubs without being appointed; some of the addresses may be out of date.
 	Listen string
 	Seeds  []string
-	// LinkMbps is the bandwidth of this host's network link in Mbit/s, Cores the number of
+	// LinkMbps is the bandwidth of this host's network link in Mbit/s. Cores is the number of
 	// processor cores that the host may use. Each is 0 if unknown.
 	LinkMbps float64
 	Cores    float64
@@ -98,11 +98,12 @@
 	// answers were counted twice, they could stop a sound version.
 	hubChosenAt time.Time
 
-	// unsentPrefixes holds the prefixes from Options.SentPrefixes that the hub hasn't received yet.
-	// hubPrefixSeq is the sequence number of the last entry in the hub's prefix log that this
-	// host received. For a host with followers, ownHubPrefixSeq is the sequence number of the
-	// last entry in its own hub's prefix log that was passed to OnSentPrefixes, and
-	// forwardedPrefixSeq that of the last one that was forwarded to the hub that it reports to.
+	// unsentPrefixes holds the prefixes from Options.SentPrefixes that the hub hasn't received
+	// yet. hubPrefixSeq is the sequence number of the last entry in the hub's prefix log that
+	// this host received. The next two fields are sequence numbers in the prefix log of ownHub,
+	// for a host with followers: ownHubPrefixSeq of the last entry that was passed to
+	// OnSentPrefixes, and forwardedPrefixSeq of the last entry that was forwarded to this host's
+	// hub.
 	unsentPrefixes     SentPrefixes
 	hubPrefixSeq       uint64
 	ownHubPrefixSeq    uint64
@@ -111,9 +112,9 @@
 	// holding is this host's own part of them.
 	hubGrants Grants
 	holding   ratelease.Holding
-	// hubLimitReader reads the limit log of the hub that this host reports to,
-	// ownHubLimitReader that of its own hub. forwardedLimitsCursor is the position in its own
-	// hub's limit log up to which it forwarded the log to the hub that it reports to.
+	// hubLimitReader reads the limit log of this host's hub, and ownHubLimitReader reads that of
+	// ownHub. forwardedLimitsCursor is the position in the limit log of ownHub up to which the
+	// log was forwarded to this host's hub.
 	hubLimitReader, ownHubLimitReader ratelease.LogReader
 	forwardedLimitsCursor             ratelease.LogCursor
 	// unsentLimits holds limit updates that the hub hasn't received yet.
@@ -124,8 +125,8 @@
 	// reportCount is the number of reports since the start.
 	reportCount int
 	// unsentSightings holds the sightings that the hub hasn't received yet. For a host with
-	// followers, forwardedSightingSeq is the sequence number of the last entry in its own hub's
-	// sighting log that was forwarded to the hub that it reports to.
+	// followers, forwardedSightingSeq is the sequence number of the last entry in the sighting
+	// log of ownHub that was forwarded to this host's hub.
 	unsentSightings      Sightings
 	forwardedSightingSeq uint64
 
--- a/internal/exchange/quarantine.go
+++ b/internal/exchange/quarantine.go
@@ -6,9 +6,9 @@
 )
 
 // Quarantine tracks poison requests, which terminate upstreams. Hosts send their sightings to
-// their hub, and hubs exchange sightings with each other. The hubs that are seeds reach the
-// verdicts. In return, each hub sends its followers the terminated upstreams, the suspects and the
-// verdicts.
+// their hub, and hubs exchange sightings with each other. The hubs that are seeds make the
+// verdicts. In return, each hub sends its followers the terminated upstreams, the suspects and
+// the verdicts.
 type Quarantine interface {
 	// Sightings returns this host's sightings since the last call. RecentSightings returns all
 	// recent sightings of this host; a new hub is sent them, since the previous hub may not
@@ -21,12 +21,12 @@
 	// processes the status that another hub sent.
 	Status() QuarantineStatus
 	ApplyStatus(QuarantineStatus)
-	// SetMakesVerdicts sets whether this host reaches verdicts itself. It does if it receives
-	// the sightings of all other hosts, or, without a hub, of none.
+	// SetMakesVerdicts sets whether this host makes verdicts itself. It makes them if it
+	// receives the sightings of all other hosts, or if it has no hub and receives none.
 	SetMakesVerdicts(bool)
 }
 
-// Sightings lists losses, and survivals, which are suspects that were answered.
+// Sightings lists losses of requests, and survivals, which are suspects that were answered.
 type Sightings struct {
 	Losses   Losses  `json:"losses,omitempty"`
 	Answered Digests `json:"answered,omitempty"`
@@ -42,7 +42,7 @@
 
 // maxSightings bounds the losses, and separately the survivals, that a host keeps for its hub;
 // the oldest are dropped first. It also bounds the entries of a sighting log in one message.
-// When a third of 12,000 upstreams is lost, each of 440 hosts has about a hundred.
+// When a third of 12,000 upstreams is lost, each of 440 hosts has about a hundred losses.
 const maxSightings = 256
 
 // bounded returns the newest maxSightings losses and the newest maxSightings survivals.
@@ -52,7 +52,8 @@
 	return s
 }
 
-// QuarantineStatus lists the terminated upstreams, the suspects and the verdicts.
+// QuarantineStatus lists the terminated upstreams, the suspects and the verdicts that a hub
+// sends its followers.
 type QuarantineStatus struct {
 	Terminated Terminations         `json:"ended,omitempty"`
 	Suspects   Suspects             `json:"suspects,omitempty"`
@@ -123,9 +124,9 @@
 	}
 }
 
-// updateMakesVerdicts sets whether this host reaches verdicts. A host that reports to another
-// hub leaves that to the hub: the host has no data about the other requests that ran at the
-// terminated upstreams.
+// updateMakesVerdicts sets whether this host makes verdicts. A host that reports to another host
+// leaves the verdicts to that hub, since it has no data about the requests of other hosts that
+// ran at the terminated upstreams.
 func (m *Member) updateMakesVerdicts() {
 	if m.options.Quarantine != nil {
 		m.options.Quarantine.SetMakesVerdicts(m.hubAddress == "" || m.hubAddress == m.options.Listen)
--- a/internal/exchange/quarantine_test.go
+++ b/internal/exchange/quarantine_test.go
@@ -104,16 +104,16 @@
 // fleetQuarantine is the quarantine of one host. Its verdicts come from the real
 // quarantine.Tracker.
 type fleetQuarantine struct {
-	mu            sync.Mutex
-	tracker       *quarantine.Tracker
-	makesVerdicts bool
-	unsent        Sightings
-	recent        Sightings
-	verdicts      map[quarantine.Digest]quarantine.Verdict
+	mu              sync.Mutex
+	tracker         *quarantine.Tracker
+	verdictsEnabled bool
+	unsent          Sightings
+	recent          Sightings
+	verdicts        map[quarantine.Digest]quarantine.Verdict
 }
 
 func newFleetQuarantine() *fleetQuarantine {
-	return &fleetQuarantine{tracker: quarantine.NewTracker(), makesVerdicts: true, verdicts: make(map[quarantine.Digest]quarantine.Verdict)}
+	return &fleetQuarantine{tracker: quarantine.NewTracker(), verdictsEnabled: true, verdicts: make(map[quarantine.Digest]quarantine.Verdict)}
 }
 
 func (q *fleetQuarantine) recordLoss(d quarantine.Digest, incarnation quarantine.Incarnation) {
@@ -161,7 +161,7 @@
 func (q *fleetQuarantine) Status() QuarantineStatus {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.makesVerdicts {
+	if q.verdictsEnabled {
 		for _, f := range q.tracker.FindPoisonRequests(boottime.Elapsed()) {
 			q.verdicts[f.Digest] = quarantine.NewVerdict(f, "h", time.Hour)
 		}
@@ -182,10 +182,10 @@
 	}
 }
 
-func (q *fleetQuarantine) SetMakesVerdicts(makesVerdicts bool) {
+func (q *fleetQuarantine) SetMakesVerdicts(enabled bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.makesVerdicts = makesVerdicts
+	q.verdictsEnabled = enabled
 }
 
 // verdictDeadline is the time from the third termination that a request causes until every host
--- a/internal/exchange/sightinglog.go
+++ b/internal/exchange/sightinglog.go
@@ -16,7 +16,7 @@
 }
 
 // sighting is a loss or, if answered is set, a survival. For a loss, at is when the upstream
-// terminated, and ran how long the request had been at the upstream by then.
+// terminated, and ran is how long the request had been at the upstream by then.
 type sighting struct {
 	digest      quarantine.Digest
 	incarnation quarantine.Incarnation
@@ -45,10 +45,10 @@
 	}
 }
 
-// since returns the sightings after the sequence number that didn't come from the requester,
-// oldest first, from at most maxSightings entries. It also returns the sequence number of the
-// last of these entries. A number above lastSeq refers to another hub, or to this one before a
-// restart; all entries count as new then.
+// since returns the sightings after the sequence number, oldest first, except those that came
+// from the requester. It reads at most maxSightings entries, and also returns the sequence
+// number of the last entry read. A number above lastSeq refers to another hub, or to this one
+// before a restart; all entries count as new then.
 func (l *sightingLog) since(seq uint64, requester string, now time.Time) (Sightings, uint64) {
 	count := len(l.entries)
 	if seq <= l.lastSeq {
--- a/internal/exchange/subtree.go
+++ b/internal/exchange/subtree.go
@@ -13,8 +13,8 @@
 	h.recordTimings(hubKey(address), r.Timings)
 }
 
-// dropHubData drops the data that the hub at the address sent. It is called when this host
-// stops reporting to that hub, since the next hub's data cover the same hosts.
+// dropHubData drops the data that the hub at the address sent, since this host stops reporting
+// to that hub and the next hub's data cover the same hosts.
 func (h *hub) dropHubData(address string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -35,9 +35,10 @@
 }
 
 // subtreeReport returns the report on behalf of this host and its followers, and the sequence
-// number of the last entry of the prefix log in it. It first drops the report from the hub at
-// hubAddress, which is to receive this report: if two hosts reported to each other and each
-// included the other's report, the sums would grow with each exchange.
+// number of the last entry of the prefix log in it. It first drops the last report that the hub
+// at hubAddress sent to this host, since that hub is to receive the returned report: if two
+// hosts reported to each other and each included the other's report, the sums would grow with
+// each exchange.
 func (h *hub) subtreeReport(own Report, prefixesSince uint64, hubAddress string) (Report, uint64) {
 	h.mu.Lock()
 	for name, received := range h.reports {
--- a/internal/exchange/timings.go
+++ b/internal/exchange/timings.go
@@ -12,8 +12,8 @@
 // sums change slowly and are sent only in one of exchangesPerTimings exchanges.
 type Timings map[IDHash]placement.Timings
 
-// exchangesPerTimings is the number of exchanges of which one carries timings. They take about
-// one second.
+// exchangesPerTimings is the number of exchanges of which one carries timings. That many
+// exchanges take about one second.
 const exchangesPerTimings = 7
 
 // timingsEntrySize is the size of an encoded entry in bytes: a hash and six numbers.
