--- a/internal/feed/answerparts_test.go
+++ b/internal/feed/answerparts_test.go
@@ -84,7 +84,7 @@
 }
 
 // The first part of an answer ends the outage, so that the other watchers call the store again.
-func TestOthersResumeWhenAnAnswerBegins(t *testing.T) {
+func TestOtherWatchersResumeWhenAnAnswerBegins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const down, arriving = time.Second, 4 * time.Second
--- a/internal/feed/applyupdate.go
+++ b/internal/feed/applyupdate.go
@@ -13,7 +13,7 @@
 func (w *Watcher) applyUpdate(update Update, at time.Time) bool {
 	switch {
 	case !w.hasTable && (!update.IsSnapshot || update.Revision < w.revision):
-		return false // after lost history only a snapshot will do, and never an older one
+		return false // after lost history, only a snapshot no older than the watcher's rows is applied
 	case w.hasTable && update.Revision <= w.revision:
 	case update.IsSnapshot, update.Complete && update.Since <= w.revision:
 		if !w.applyRows(update) {
@@ -40,7 +40,7 @@
 	}
 	if update.IsSnapshot {
 		w.log.Info().Str("event", "table-handed-on").Stringer("revision", update.Revision).Int("rows", len(rows)).Int("bytes", len(update.Packed)).Msg("")
-		w.partial = listing{}
+		w.partialListing = listing{}
 		w.replace(rows, update.Revision, update.Packed)
 		return true
 	}
@@ -83,8 +83,9 @@
 // that does so adds to the store's traffic.
 const largeTableWait = time.Second
 
-// awaitSnapshot waits for another host to send the whole table, and reports whether it did. It
-// is called after each page of a table but the last, and waits only the first time.
+// awaitSnapshot waits for another host to send the whole table, and reports whether one did. list
+// calls it after each page of a table but the last. It returns false at once if the hub doesn't
+// answer, or if it has already waited for largeTableWait.
 func (w *Watcher) awaitSnapshot(ctx context.Context) (bool, error) {
 	if w.waitedLargeTable || w.options.HubAnswers == nil || !w.options.HubAnswers() {
 		return false, nil
@@ -115,8 +116,8 @@
 	}
 }
 
-// awaitNextUpdate waits for the next update from another host, or until the last one, which is
-// as of the given time, is too old to rely on.
+// awaitNextUpdate waits for the next update from another host, or until the last one is too old
+// to rely on. at is the time that the last update is as of.
 func (w *Watcher) awaitNextUpdate(ctx context.Context, at time.Time) error {
 	w.options.Link.stopProbing(w)
 	timer := time.NewTimer(w.maxRelayedAge() - boottime.Since(at))
--- a/internal/feed/call.go
+++ b/internal/feed/call.go
@@ -37,8 +37,8 @@
 	kind string
 	hold time.Duration
 	// firstPartTimeout bounds the time until the first part of the answer arrives. Each further
-	// part has answerTimeout, so that the whole answer may take as long as the link needs for
-	// its size.
+	// part must arrive within answerTimeout, so that the whole answer may take as long as the
+	// link needs for its size.
 	firstPartTimeout time.Duration
 	do               func(ctx context.Context, received OnReceived) (Page, error)
 
--- a/internal/feed/heldcall.go
+++ b/internal/feed/heldcall.go
@@ -10,8 +10,8 @@
 // errHoldShortened means that a held call was canceled to make one with a shorter hold.
 var errHoldShortened = errors.New("feed: held call canceled because other hosts now rely on this one")
 
-// heldCall is the call in flight if the store may hold it for longer than a relaying watcher's
-// calls; call is nil otherwise.
+// heldCall holds the call in flight if the store may hold that call for longer than the calls of
+// a relaying watcher. Otherwise call is nil.
 type heldCall struct {
 	mu     sync.Mutex
 	call   *storeCall
@@ -58,8 +58,8 @@
 }
 
 // ShortenHold cancels the call in flight if the store may hold it for longer than a relaying
-// watcher's calls and hasn't begun to answer. It is called when other hosts begin to rely on
-// this one, since they would receive no update until that call ends.
+// watcher's calls and hasn't begun to answer. Otherwise hosts that begin to rely on this one
+// would receive no update until that call ends.
 func (w *Watcher) ShortenHold() {
 	select {
 	case w.holdShortened <- struct{}{}:
--- a/internal/feed/link.go
+++ b/internal/feed/link.go
@@ -120,15 +120,16 @@
 }
 
 // unreachableWithin reports whether the store is unreachable now or was at some time within the
-// last span.
+// given duration before.
 func (l *Link) unreachableWithin(span time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.prober != nil || !l.recoveredAt.IsZero() && boottime.Since(l.recoveredAt) < span
 }
 
-// stopProbing is called when the watcher makes no further calls for now. If it is the prober,
-// another watcher calls the store.
+// stopProbing marks the store as reachable if the watcher is the prober, since the watcher makes
+// no further calls for now. The other watchers then call the store again, and the first one
+// whose call fails becomes the prober.
 func (l *Link) stopProbing(w *Watcher) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/feed/list.go
+++ b/internal/feed/list.go
@@ -11,8 +11,8 @@
 // listing is the state of reading a whole table page by page.
 type listing struct {
 	rows []Row
-	// revision is that of the first page. The watcher follows the changes from there, so that
-	// Changes also returns the changes that were made between two pages.
+	// revision is the revision of the first page. The watcher follows the changes from there, so
+	// that Changes also returns the changes that were made between two pages.
 	revision storage.Revision
 	// answeredAt is when the store answered with the first page, as the time since the
 	// watcher's start; 0 before that.
@@ -43,22 +43,23 @@
 // list reads the whole table. All pages together count as one answer from the store, as of the
 // first page. A page that fails is requested again, and the previous pages are kept. If each
 // failure restarted the listing, a table of many pages might never be read while the store
-// rejects some calls: of 60 pages that fail one time in ten, all succeed one time in 500.
+// rejects some calls: if one call in ten fails, all calls for 60 pages succeed only one time in
+// 500.
 func (w *Watcher) list(ctx context.Context) error {
 	for {
-		page, at, err := w.listPage(ctx, w.partial.nextKey)
+		page, at, err := w.listPage(ctx, w.partialListing.nextKey)
 		if err != nil {
 			return err
 		}
-		if w.partial.add(page, at) {
+		if w.partialListing.add(page, at) {
 			break
 		}
 		if received, err := w.awaitSnapshot(ctx); received || err != nil {
 			return err
 		}
 	}
-	listed := w.partial
-	w.partial = listing{}
+	listed := w.partialListing
+	w.partialListing = listing{}
 	if listed.revision < w.revision {
 		w.log.Warn().Str("event", "old-listing").Stringer("revision", listed.revision).Stringer("known", w.revision).Msg("")
 		return errOldListing
@@ -68,8 +69,8 @@
 	return w.pauseAfterChange(ctx)
 }
 
-// replace passes the whole table to the handler. packed holds the rows in packed form as
-// another host sent them, nil if they come from the store.
+// replace passes the whole table to the handler. packed holds the same rows in packed form if
+// another host sent them so, and is nil if they come from the store.
 func (w *Watcher) replace(rows []Row, revision storage.Revision, packed []byte) {
 	if w.revision != 0 && revision.Era() > w.revision.Era() {
 		w.log.Warn().Str("event", "store-era").Uint64("era", revision.Era()).Stringer("revision", revision).Stringer("known", w.revision).Msg("")
--- a/internal/feed/recent.go
+++ b/internal/feed/recent.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// minRecentRows is the number of latest changed rows that a host always keeps for other
-	// hosts.
-	minRecentRows = 512
-	// recentMaxAge is how long a host that others rely on keeps changed rows beyond
-	// minRecentRows, up to as many as the table has rows. If all upstreams start or terminate
-	// within seconds, hosts that report a moment late can thus still be sent the changes; more
+	// minKeptRows is the number of latest changed rows that a host always keeps for other hosts.
+	minKeptRows = 512
+	// surplusRetention is how long a host that relays the table keeps changed rows beyond
+	// minKeptRows, up to as many as the table has rows. If all upstreams start or terminate
+	// within seconds, more than minKeptRows rows change, and hosts that report a moment late
+	// still receive the changes instead of the whole table. More changed rows than the table has
 	// rows would make a longer message than the whole table.
-	recentMaxAge = 10 * time.Second
+	surplusRetention = 10 * time.Second
 )
 
 // recentChanges holds a table's latest changes in the order of their revisions, and a copy of
@@ -31,7 +31,7 @@
 	revision      storage.Revision
 	hasTable      bool
 	table         tableCopy
-	// packCache holds the result of packChanges, which is the same for several hosts.
+	// packCache holds the last result of packChanges, for further hosts with the same revision.
 	packCache packedChanges
 }
 
@@ -47,8 +47,8 @@
 	packed          []byte
 }
 
-// reset replaces everything by a whole table. packed holds the rows in packed form as another
-// host sent them, nil if they come from the store.
+// reset replaces everything by a whole table. packed holds the same rows in packed form if
+// another host sent them so, and is nil if they come from the store.
 func (r *recentChanges) reset(rows []Row, revision storage.Revision, packed []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -60,7 +60,7 @@
 }
 
 // add appends the changes up to the revision. packed holds the same rows in packed form, or is
-// nil. relays reports whether other hosts rely on this one.
+// nil. relays reports whether this host relays the table to other hosts.
 func (r *recentChanges) add(rows []Row, packed []byte, revision storage.Revision, relays bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -76,11 +76,11 @@
 
 // trim drops the oldest changed rows that need not be kept.
 func (r *recentChanges) trim(relays bool) {
-	for len(r.batches) > 0 && r.rowCount > minRecentRows {
+	for len(r.batches) > 0 && r.rowCount > minKeptRows {
 		first := &r.batches[0]
-		surplus := r.rowCount - minRecentRows
-		if relays && boottime.Since(first.at) <= recentMaxAge {
-			surplus = r.rowCount - max(minRecentRows, r.table.maxRowCount())
+		surplus := r.rowCount - minKeptRows
+		if relays && boottime.Since(first.at) <= surplusRetention {
+			surplus = r.rowCount - max(minKeptRows, r.table.maxRowCount())
 		}
 		if surplus <= 0 {
 			return
@@ -95,8 +95,8 @@
 	}
 }
 
-// updateSince returns the update with the changes after the revision; its Complete is false if
-// some of them were dropped. ok is false before the first listing.
+// updateSince returns the update with the changes after the revision. If some of these changes
+// were dropped, Complete is false in the update. ok is false before the first listing.
 func (r *recentChanges) updateSince(revision storage.Revision) (update Update, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/feed/recent_test.go
+++ b/internal/feed/recent_test.go
@@ -41,7 +41,7 @@
 		sentRevision := storage.Revision(0)
 		for i := 0; i < upstreams; i += batch {
 			r.add(table[i:i+batch], nil, storage.Revision(i+batch), true)
-			is.True(r.rowCount <= max(minRecentRows, 2*(i+batch)))
+			is.True(r.rowCount <= max(minKeptRows, 2*(i+batch)))
 			if i%(5*batch) == 4*batch { // a host is sent an update after every fifth batch
 				update, _ := r.updateSince(sentRevision)
 				is.True(update.Complete)
@@ -50,14 +50,14 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		is.Equal(r.rowCount, upstreams)
-		time.Sleep(2 * recentMaxAge)
+		time.Sleep(2 * surplusRetention)
 		r.add([]Row{entryRow(3, upstreams+1)}, nil, upstreams+1, true)
-		is.Equal(r.rowCount, minRecentRows)
+		is.Equal(r.rowCount, minKeptRows)
 
 		var alone recentChanges // of a host that no other host relies on
 		alone.reset(nil, 0, nil)
 		alone.add(table, nil, upstreams, false)
-		is.Equal(alone.rowCount, minRecentRows)
+		is.Equal(alone.rowCount, minKeptRows)
 	})
 }
 
--- a/internal/feed/relay.go
+++ b/internal/feed/relay.go
@@ -18,14 +18,14 @@
 	// the remaining part of ApplyTime.
 	followerMaxAgeFraction = 0.65
 	// hubMaxAgeFraction, times ApplyTime, is the maximum age of a relayed update at which a
-	// watcher that other hosts rely on in turn makes no calls of its own. It is lower than
-	// followerMaxAgeFraction, so that this watcher has called the store and relayed the answer
-	// before the other hosts' updates become too old. Otherwise all followers of a hub would
-	// call the store at once.
+	// relaying watcher, whose updates its host relays to other hosts in turn, makes no calls of
+	// its own. It is lower than followerMaxAgeFraction, so that this watcher has called the
+	// store and relayed the answer before the other hosts' updates become too old. Otherwise all
+	// followers of a hub would call the store at once.
 	hubMaxAgeFraction = 0.5
-	// relayHoldFraction, times ApplyTime, is how long the store holds a call by a watcher that
-	// other hosts rely on. The answer is relayed a few times a second and passes through two
-	// hosts at most; one failed exchange between hosts must not make it too old.
+	// relayHoldFraction, times ApplyTime, is how long the store holds a call by a relaying
+	// watcher. The answer is relayed a few times a second and passes through two hosts at most;
+	// one failed exchange between hosts must not make it too old.
 	relayHoldFraction = 0.35
 	// RelayBatchDelay is the maximum pause after a change, in place of a longer
 	// Options.BatchDelay, while other hosts rely on the watcher. Its calls serve many hosts, so
@@ -81,9 +81,9 @@
 	r.signal()
 }
 
-// OfferIfDisconnected is Offer for a watcher that other hosts rely on. It stores another host's
-// update only while the watcher's own calls fail: if two hosts relied on each other, the data
-// of both would grow old.
+// OfferIfDisconnected stores another host's update as Offer does, but only while the watcher's
+// own calls fail. It is meant for a relaying watcher: if two hosts relied on each other's
+// updates, the data of both would grow old.
 func (w *Watcher) OfferIfDisconnected(update Update, requestedAt time.Time) {
 	if w.failingSince.Load() != 0 || w.options.Link.unreachable() {
 		w.Offer(update, requestedAt)
@@ -131,7 +131,7 @@
 	return w.followerMaxRelayedAge()
 }
 
-// followerMaxRelayedAge returns the maxRelayedAge of watchers that no other host relies on.
+// followerMaxRelayedAge returns the result of maxRelayedAge for watchers that don't relay.
 func (w *Watcher) followerMaxRelayedAge() time.Duration {
 	return time.Duration(followerMaxAgeFraction * float64(w.options.ApplyTime))
 }
--- a/internal/feed/relay_test.go
+++ b/internal/feed/relay_test.go
@@ -207,7 +207,7 @@
 
 func TestRecentChanges(t *testing.T) {
 	long := strings.Repeat("x", minPackedBytes)
-	many := make([]storage.Revision, minRecentRows+10)
+	many := make([]storage.Revision, minKeptRows+10)
 	for i := range many {
 		many[i] = storage.Revision(11 + i)
 	}
--- a/internal/feed/watcher.go
+++ b/internal/feed/watcher.go
@@ -93,12 +93,12 @@
 	// truncated reports that the store has more changes than its last answer held; only Run
 	// uses it.
 	truncated bool
-	// partial is the listing in progress; only Run uses it.
-	partial listing
+	// partialListing is the listing in progress; only Run uses it.
+	partialListing listing
 
-	// recent holds the data for updates that other hosts are sent, relayed the last update that
-	// was received, and lag the time for which the watcher has been behind a revision that
-	// another host announced.
+	// recent holds the data from which updates for other hosts are made. relayed holds the last
+	// update received from another host. lag records how long the watcher has been behind a
+	// revision that another host announced.
 	recent  recentChanges
 	relayed relayedUpdate
 	lag     lag
@@ -155,8 +155,8 @@
 	return w.failingSince.Load() != 0 || w.options.Link.unreachable()
 }
 
-// UnreachableWithin reports whether the store is unreachable or was at some time within the last
-// span, as shown by the calls of this watcher or of another one on the link.
+// UnreachableWithin reports whether the store is unreachable now or was at some time within the
+// given duration before, as shown by the calls of this watcher or of another one on the link.
 func (w *Watcher) UnreachableWithin(within time.Duration) bool {
 	return w.failingSince.Load() != 0 || w.options.Link.unreachableWithin(within)
 }
@@ -252,8 +252,8 @@
 		}})
 }
 
-// applyChanges passes changes to the handler. packed holds the same rows in packed form as
-// another host sent them, nil if they come from the store.
+// applyChanges passes changes to the handler. packed holds the same rows in packed form if
+// another host sent them so, and is nil if they come from the store.
 func (w *Watcher) applyChanges(rows []Row, packed []byte, revision storage.Revision) {
 	for _, row := range rows {
 		w.handler.Change(row)
