--- a/internal/guard/admit.go
+++ b/internal/guard/admit.go
@@ -19,9 +19,9 @@
 
 // Admit waits until the request may be sent to an upstream of the service; Leave must be called
 // when the attempt is over. A request that was lost with an upstream waits, for maxSuspectWait
-// at most, while this host runs another one with its content, so that they don't terminate
-// several upstreams at once. A request with enough events for a verdict waits for the verdict.
-// The error is ErrQuarantined or the context's.
+// at most, while this host runs another request with the same content, so that such requests
+// don't terminate several upstreams at once. A request with enough events for a verdict waits
+// for the verdict. The error is ErrQuarantined or the context's.
 func (g *Guard) Admit(ctx context.Context, d quarantine.Digest, service string) error {
 	var timeout <-chan time.Time
 	for {
@@ -70,7 +70,7 @@
 // expired, it claims or starts the trial.
 func (g *Guard) quarantined(d quarantine.Digest) bool {
 	entry, ok := g.register.Get(d)
-	return ok && !g.verdictRows.claimOrStartTrial(entry)
+	return ok && !g.verdictStore.claimOrStartTrial(entry)
 }
 
 // tryStart counts the request as running and returns true, or returns false if the request must
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -20,8 +20,8 @@
 
 const (
 	// evaluationInterval is the time between two searches for poison requests, for verdicts to
-	// be written and for survivals: a small part of the time in which a verdict must reach all
-	// hosts.
+	// be written and for survivals. It is a small part of the time in which a verdict must reach
+	// all hosts.
 	evaluationInterval = 100 * time.Millisecond
 	// sweepInterval is the time between two searches for upstreams without runs, whose records
 	// are dropped.
@@ -54,7 +54,9 @@
 	// Table stores the verdicts under keys that begin with Prefix.
 	Table  storage.Table
 	Prefix string
-	// Clock returns the time on the clock that all hosts share, by which verdicts expire.
+	// Clock returns the current time, by which verdicts expire. It must read the same clock at
+	// all hosts that exchange verdicts: either the store's monotonic clock, or the wall clock as
+	// the time since the Unix epoch.
 	Clock func() time.Duration
 	// OnTermination is called once for each upstream that terminated, whichever host observed
 	// it. It may be nil.
@@ -67,22 +69,23 @@
 
 // Guard tracks suspects and enforces verdicts on one host. It is safe for concurrent use.
 type Guard struct {
-	options     Options
-	tracker     *quarantine.Tracker
-	register    *quarantine.Register
-	runs        *runTracker
-	verdictRows *verdictRows
-	log         zerolog.Logger
+	options      Options
+	tracker      *quarantine.Tracker
+	register     *quarantine.Register
+	runs         *runTracker
+	verdictStore *verdictStore
+	log          zerolog.Logger
 
 	mu sync.Mutex
-	// makesVerdicts says that this host makes verdicts, in place of a hub that it reports to.
-	makesVerdicts bool
-	sightings     sightingBuffer
-	hubSuspects   map[quarantine.Digest]hubSuspect
+	// verdictsEnabled reports whether this host makes verdicts. Otherwise its hub makes them.
+	verdictsEnabled bool
+	sightings       sightingBuffer
+	hubSuspects     map[quarantine.Digest]hubSuspect
 	// terminations holds the recent terminations of upstreams, in the order in which this host
 	// recorded them.
 	terminations []termination
-	// cachedStatus is the status last built for followers, at cachedStatusAt.
+	// cachedStatus is the quarantine status last built for followers, and cachedStatusAt is when
+	// it was built.
 	cachedStatus   exchange.QuarantineStatus
 	cachedStatusAt time.Duration
 	// activeAttempts holds the number of attempts that this host has admitted and that aren't
@@ -96,8 +99,8 @@
 // hubSuspect is a suspect that the hub sent.
 type hubSuspect struct {
 	events int
-	// firstAt is the time of the first termination with it. reportedAt is when the host that
-	// counted the events sent the suspect; relaying by hubs doesn't make it later.
+	// firstAt is when the first upstream terminated with the request. reportedAt is when the
+	// host that counted the events sent the suspect; relaying by hubs doesn't make it later.
 	firstAt, reportedAt time.Duration
 }
 
@@ -110,13 +113,13 @@
 	register := quarantine.NewRegister()
 	g := &Guard{
 		options: options, tracker: quarantine.NewTracker(), register: register,
-		runs: newRunTracker(options.Log), verdictRows: newVerdictRows(&options, register), log: options.Log,
-		makesVerdicts: true, hubSuspects: make(map[quarantine.Digest]hubSuspect), activeAttempts: make(map[quarantine.Digest]int),
+		runs: newRunTracker(options.Log), verdictStore: newVerdictStore(&options, register), log: options.Log,
+		verdictsEnabled: true, hubSuspects: make(map[quarantine.Digest]hubSuspect), activeAttempts: make(map[quarantine.Digest]int),
 		stateChanged: make(chan struct{}),
 	}
 	g.runs.onTermination, g.runs.onSurvival = g.recordTermination, g.recordSurvival
 	g.runs.isSuspect = func(d quarantine.Digest) bool { return g.eventCount(d, boottime.Elapsed()) > 1 }
-	g.verdictRows.onVerdict, g.verdictRows.onWithdrawal = g.applyVerdict, g.applyWithdrawal
+	g.verdictStore.onVerdict, g.verdictStore.onWithdrawal = g.applyVerdict, g.applyWithdrawal
 	return g
 }
 
@@ -125,25 +128,25 @@
 	var loops sync.WaitGroup
 	loops.Go(func() { wait.Every(ctx, evaluationInterval, g.makeVerdicts) })
 	loops.Go(func() {
-		wait.Every(ctx, evaluationInterval, func() { g.verdictRows.writeMissing(ctx, g.shouldMakeVerdicts()) })
+		wait.Every(ctx, evaluationInterval, func() { g.verdictStore.writeMissing(ctx, g.shouldMakeVerdicts()) })
 	})
 	loops.Go(func() { wait.Every(ctx, evaluationInterval, g.runs.reportSurvivals) })
 	loops.Go(func() { wait.Every(ctx, sweepInterval, g.runs.sweep) })
 	loops.Wait()
 }
 
-// SetMakesVerdicts sets whether this host makes verdicts. It should if it receives the
+// SetMakesVerdicts sets whether this host makes verdicts. It should make them if it receives the
 // observations of all other hosts, or of none.
-func (g *Guard) SetMakesVerdicts(makesVerdicts bool) {
+func (g *Guard) SetMakesVerdicts(enabled bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.makesVerdicts = makesVerdicts
+	g.verdictsEnabled = enabled
 }
 
 func (g *Guard) shouldMakeVerdicts() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.makesVerdicts
+	return g.verdictsEnabled
 }
 
 // makeVerdicts makes the verdicts that are due, if this host makes verdicts.
@@ -198,7 +201,7 @@
 			continue
 		}
 		g.addLoss(loss)
-		g.verdictRows.renewIfTried(d)
+		g.verdictStore.renewAfterTrial(d)
 		if n := g.tracker.EventCount(d, now); n > 1 {
 			g.log.Warn().Str("event", "request-suspected").Stringer("digest", d).Int("events", n).Str("upstream", u.ID).Msg("")
 		}
@@ -211,7 +214,7 @@
 	now := boottime.Elapsed()
 	events := g.eventCount(d, now)
 	g.tracker.RecordSurvival(d, now)
-	g.verdictRows.withdrawIfTried(d)
+	g.verdictStore.withdrawAfterTrial(d)
 	if events > 0 {
 		g.notifyWaiting()
 	}
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -27,8 +27,7 @@
 	return d
 }
 
-// testGuard is a guard with a table, and with a reading of the clock shared by all hosts that the
-// test sets.
+// testGuard is a guard with a table, whose Options.Clock returns the time that the test sets.
 type testGuard struct {
 	*Guard
 	table storage.Table
@@ -49,7 +48,7 @@
 	return g
 }
 
-// advance advances the guard's reading of the clock shared by all hosts.
+// advance advances the time that the guard's Options.Clock returns.
 func (g *testGuard) advance(d time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -340,7 +339,7 @@
 	table, d := memory.NewTable(), digest(1)
 	g := guardWithVerdict(t, "h1", table, d)
 	is.True(errors.Is(g.Admit(t.Context(), d, "svc"), ErrQuarantined))
-	g.verdictRows.writeMissing(t.Context(), true)
+	g.verdictStore.writeMissing(t.Context(), true)
 
 	laterHost := newTestGuard("h2", table)
 	is.NoErr(laterHost.Admit(t.Context(), d, "svc")) // this host has no verdict or losses yet, so the request doesn't wait
@@ -372,25 +371,26 @@
 	other := newTestGuard("h2", table)
 	other.ApplyStatus(status)
 	is.True(errors.Is(other.Admit(t.Context(), d, "svc"), ErrQuarantined))
-	other.verdictRows.writeMissing(t.Context(), true)
+	other.verdictStore.writeMissing(t.Context(), true)
 	_, err := table.Get(t.Context(), "quarantine/"+d.String())
 	is.True(errors.Is(err, storage.ErrNotFound)) // before takeoverAge, the first host may still write it
 	t.Cleanup(boottime.SimulateSuspension(takeoverAge + time.Second))
-	other.verdictRows.writeMissing(t.Context(), false) // a host that doesn't make verdicts writes no others'
-	other.verdictRows.writeMissing(t.Context(), true)
+	other.verdictStore.writeMissing(t.Context(), false) // a host that doesn't make verdicts writes no others'
+	other.verdictStore.writeMissing(t.Context(), true)
 	_, err = table.Get(t.Context(), "quarantine/"+d.String())
 	is.NoErr(err)
 	t.Cleanup(boottime.SimulateSuspension(storedVerdictTTL + time.Second))
 	is.Equal(len(other.currentStatus().Verdicts), 0) // now followers receive it from the store
 }
 
-// After a verdict's expiry, one host tries the request once. If an upstream terminates with it,
-// the verdict is renewed with a longer term; if it is answered, the verdict is withdrawn.
+// After a verdict's expiry, one host sends the request once more, as a trial. If an upstream
+// terminates with it, the verdict is renewed with a longer term; if it is answered, the verdict
+// is withdrawn.
 func TestTrial(t *testing.T) {
 	is := is.New(t)
 	table, d := memory.NewTable(), digest(1)
 	a := guardWithVerdict(t, "h1", table, d)
-	a.verdictRows.writeMissing(t.Context(), true)
+	a.verdictStore.writeMissing(t.Context(), true)
 	b := newTestGuard("h2", table)
 	b.syncRows(t)
 	u := Upstream{ID: "u", Service: "svc", Incarnation: 77}
@@ -444,10 +444,10 @@
 	is := is.New(t)
 	table := memory.NewTable()
 	g := guardWithVerdict(t, "h1", table, digest(1))
-	g.verdictRows.writeMissing(t.Context(), true)
+	g.verdictStore.writeMissing(t.Context(), true)
 	g.advance(8 * 24 * time.Hour)
 	t.Cleanup(boottime.SimulateSuspension(2 * cleanupInterval))
-	g.verdictRows.writeMissing(t.Context(), true)
+	g.verdictStore.writeMissing(t.Context(), true)
 	is.Equal(g.VerdictCount(), 0)
 	_, err := table.Get(t.Context(), "quarantine/"+digest(1).String())
 	is.True(errors.Is(err, storage.ErrNotFound))
@@ -491,7 +491,7 @@
 	is.Equal(host.eventCount(d, boottime.Elapsed()), 0)
 }
 
-// A suspect expires although two hosts send it to each other. Guards against: each host refreshes
+// A suspect expires although two hosts send it to each other. Guards against hosts that refresh
 // the suspect's age with every message, so that both keep it forever.
 func TestExchangedSuspectsExpire(t *testing.T) {
 	is := is.New(t)
--- a/internal/guard/hubexchange.go
+++ b/internal/guard/hubexchange.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// hubSuspectTTL is how long a suspect that the hub sent counts: several reports and replies,
-	// of which one may be lost.
+	// hubSuspectTTL is how long a suspect that the hub sent counts. It covers several reports
+	// and replies, of which one may be lost.
 	hubSuspectTTL = time.Second
 	// recentRetention is the maximum age of the losses that are sent to hubs.
 	recentRetention = 30 * time.Second
-	// terminationTTL is how long after this host recorded an upstream's termination it is sent
-	// to followers: several reports and replies. A termination that a request with a verdict
-	// explains is sent until explainedTTL after it happened, since the verdict is made later.
-	// maxTerminations bounds the number of stored terminations; the newest are kept.
+	// terminationTTL is how long an upstream's termination is sent to followers after this host
+	// recorded it. It covers several reports and replies. A termination that a request with a
+	// verdict explains is sent until explainedTTL after it happened, since the verdict is made
+	// later. maxTerminations bounds the number of stored terminations; the newest are kept.
 	terminationTTL  = 800 * time.Millisecond
 	explainedTTL    = 5 * time.Second
 	maxTerminations = 128
@@ -42,7 +42,8 @@
 	unsent, recentLosses []sighting
 }
 
-// sighting is a loss, or the answer to a suspect; loss then has only the digest and the time.
+// sighting is a loss of a request or, if answered is set, the answer to a suspect. For an
+// answer, only Digest and At are set in loss.
 type sighting struct {
 	loss     quarantine.Loss
 	answered bool
--- a/internal/guard/runtracker.go
+++ b/internal/guard/runtracker.go
@@ -45,15 +45,16 @@
 type Outcome int
 
 const (
-	// Answered: the upstream sent a complete response, possibly an error.
+	// Answered means that the upstream sent a complete response, possibly an error.
 	Answered Outcome = iota
-	// NotRun: the upstream didn't run the request.
+	// NotRun means that the upstream didn't run the request.
 	NotRun
-	// Unreachable: nothing listened at the upstream's address.
+	// Unreachable means that nothing listened at the upstream's address.
 	Unreachable
-	// Interrupted: the request was sent and the connection ended before a complete response.
+	// Interrupted means that the request was sent and the connection ended before a complete
+	// response.
 	Interrupted
-	// Abandoned: this host ended the attempt or stopped waiting; the run may go on.
+	// Abandoned means that this host ended the attempt or stopped waiting. The run may go on.
 	Abandoned
 )
 
--- a/internal/guard/upstreamcheck.go
+++ b/internal/guard/upstreamcheck.go
@@ -14,7 +14,8 @@
 
 const (
 	// survivalDelay is the time after a response until its upstream counts as having survived
-	// the run. If the upstream terminated, another host's report of it has arrived by then.
+	// the run. If the upstream terminated, another host's report of the termination has arrived
+	// by then.
 	survivalDelay = 600 * time.Millisecond
 	// checkDelay is how long the interrupted responses of one upstream are collected before it
 	// is checked: the termination of a process interrupts all of them within 2 ms.
--- a/internal/guard/verdictrows.go
+++ b/internal/guard/verdictrows.go
@@ -31,26 +31,26 @@
 	cleanupInterval = time.Minute
 )
 
-// verdictRows writes the verdicts to the store, so that they outlast the hosts that made them. It
-// also lets one host at a time try a request again after its verdict has expired: the host that
-// writes the row first.
-type verdictRows struct {
+// verdictStore writes the verdicts to the store, so that they outlast the hosts that made them.
+// It also selects the one host that sends a request again, as a trial, after its verdict has
+// expired: the first host that writes the verdict's row then.
+type verdictStore struct {
 	host     string
 	prefix   string
 	table    storage.Table
 	register *quarantine.Register
 	log      zerolog.Logger
-	// clock returns the time on the clock that all hosts share.
+	// clock is Options.Clock.
 	clock func() time.Duration
-	// onVerdict is called for a verdict that came from the store, onWithdrawal for one that was
-	// dropped because its row was removed.
+	// onVerdict is called for a verdict that came from the store. onWithdrawal is called for a
+	// verdict that was dropped because its row was removed.
 	onVerdict    func(v quarantine.Verdict, source string)
 	onWithdrawal func(d quarantine.Digest)
 
 	mu sync.Mutex
 	// ownTrials holds this host's trials: those that it claims, may start, or has started.
-	// nextWriteAt is the earliest time of the next attempt to write rows, nextCleanupAt that of
-	// the next search for unused rows.
+	// nextWriteAt is the earliest time of the next attempt to write rows. nextCleanupAt is the
+	// earliest time of the next search for unused rows.
 	ownTrials     map[quarantine.Digest]*trial
 	nextWriteAt   time.Time
 	nextCleanupAt time.Time
@@ -58,13 +58,13 @@
 
 // trial is one send of a request whose verdict has expired.
 type trial struct {
-	// claimed says that the store accepted this host's claim of the trial, sent that the request
-	// was admitted as the trial.
+	// claimed reports whether the store accepted this host's claim of the trial. sent reports
+	// whether the request was admitted as the trial.
 	claimed, sent bool
 }
 
-func newVerdictRows(o *Options, register *quarantine.Register) *verdictRows {
-	return &verdictRows{
+func newVerdictStore(o *Options, register *quarantine.Register) *verdictStore {
+	return &verdictStore{
 		host: o.Host, prefix: o.Prefix, table: o.Table, register: register, log: o.Log, clock: o.Clock,
 		ownTrials: make(map[quarantine.Digest]*trial),
 		onVerdict: func(quarantine.Verdict, string) {}, onWithdrawal: func(quarantine.Digest) {},
@@ -76,7 +76,7 @@
 
 // ApplyRow applies a verdict's row from the store.
 func (g *Guard) ApplyRow(key string, data []byte, revision storage.Revision) error {
-	v := g.verdictRows
+	v := g.verdictStore
 	d, err := v.digestFromKey(key)
 	if err != nil {
 		return err
@@ -96,37 +96,37 @@
 
 // ApplyRowRemoval processes the removal of a verdict's row from the store.
 func (g *Guard) ApplyRowRemoval(key string) error {
-	d, err := g.verdictRows.digestFromKey(key)
+	d, err := g.verdictStore.digestFromKey(key)
 	if err != nil {
 		return err
 	}
-	g.verdictRows.dropVerdict(d)
+	g.verdictStore.dropVerdict(d)
 	return nil
 }
 
 // MarkRowsUnsaved marks the verdicts as unsaved, after the store was restored from a backup, which
 // may lack some of their rows. Verdicts whose rows aren't received from the store again are
 // written again.
-func (g *Guard) MarkRowsUnsaved() { g.verdictRows.register.MarkUnsaved() }
+func (g *Guard) MarkRowsUnsaved() { g.verdictStore.register.MarkUnsaved() }
 
 // DropMissingVerdicts drops the verdicts that were stored and whose row isn't among the keys,
 // which are those of all rows in the store.
-func (g *Guard) DropMissingVerdicts(keys map[string]bool) { g.verdictRows.dropMissing(keys) }
+func (g *Guard) DropMissingVerdicts(keys map[string]bool) { g.verdictStore.dropMissing(keys) }
 
 // digestFromKey returns the digest in a row's key.
-func (v *verdictRows) digestFromKey(key string) (quarantine.Digest, error) {
+func (v *verdictStore) digestFromKey(key string) (quarantine.Digest, error) {
 	return quarantine.ParseDigest(strings.TrimPrefix(key, v.prefix))
 }
 
 // dropVerdict removes a verdict from the register, after its row was removed from the store.
-func (v *verdictRows) dropVerdict(d quarantine.Digest) {
+func (v *verdictStore) dropVerdict(d quarantine.Digest) {
 	if v.register.Withdraw(d, boottime.Elapsed()) {
 		v.onWithdrawal(d)
 	}
 }
 
 // dropMissing drops the verdicts that were stored and whose row isn't among the keys.
-func (v *verdictRows) dropMissing(keys map[string]bool) {
+func (v *verdictStore) dropMissing(keys map[string]bool) {
 	for _, e := range v.register.All() {
 		if e.Revision > 0 && !keys[v.key(e.Digest)] {
 			v.dropVerdict(e.Digest)
@@ -134,12 +134,12 @@
 	}
 }
 
-func (v *verdictRows) key(d quarantine.Digest) string { return v.prefix + d.String() }
+func (v *verdictStore) key(d quarantine.Digest) string { return v.prefix + d.String() }
 
 // claimOrStartTrial reports whether a request with a verdict may be sent now as the trial, because
 // the verdict has expired and this host has claimed the trial. The first request after the
 // expiry isn't sent: it only starts the claim, which requires a write to the store.
-func (v *verdictRows) claimOrStartTrial(e quarantine.Entry) bool {
+func (v *verdictStore) claimOrStartTrial(e quarantine.Entry) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if t := v.ownTrials[e.Digest]; t != nil {
@@ -160,7 +160,7 @@
 }
 
 // claim claims the trial in the store.
-func (v *verdictRows) claim(t *trial, e quarantine.Entry) {
+func (v *verdictStore) claim(t *trial, e quarantine.Entry) {
 	err := v.put(context.Background(), e.ForTrial(v.clock()), e.Revision)
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -173,9 +173,9 @@
 	t.claimed = true
 }
 
-// renewIfTried renews the verdict on a request with which an upstream terminated, with a longer
-// term, if this host had sent the request as a trial.
-func (v *verdictRows) renewIfTried(d quarantine.Digest) {
+// renewAfterTrial renews the verdict on a request with which an upstream terminated, with a
+// longer term, if this host had sent the request as a trial.
+func (v *verdictStore) renewAfterTrial(d quarantine.Digest) {
 	e, ok := v.endTrial(d)
 	if !ok {
 		return
@@ -183,9 +183,9 @@
 	go func() { _ = v.put(context.Background(), e.Renewed(v.clock()), e.Revision) }() // the error is logged in commit
 }
 
-// withdrawIfTried withdraws the verdict on a request that was answered, if this host had sent the
-// request as a trial.
-func (v *verdictRows) withdrawIfTried(d quarantine.Digest) {
+// withdrawAfterTrial withdraws the verdict on a request that was answered, if this host had sent
+// the request as a trial.
+func (v *verdictStore) withdrawAfterTrial(d quarantine.Digest) {
 	e, ok := v.endTrial(d)
 	if !ok {
 		return
@@ -194,7 +194,7 @@
 }
 
 // endTrial ends this host's trial, if the request was sent as one, and returns the verdict.
-func (v *verdictRows) endTrial(d quarantine.Digest) (quarantine.Entry, bool) {
+func (v *verdictStore) endTrial(d quarantine.Digest) (quarantine.Entry, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if t := v.ownTrials[d]; t == nil || !t.sent {
@@ -207,7 +207,7 @@
 // writeMissing writes the rows of this host's verdicts that the store may not have. If this host
 // makes verdicts, it also writes those of other hosts, after takeoverAge, and removes unused
 // rows.
-func (v *verdictRows) writeMissing(ctx context.Context, makesVerdicts bool) {
+func (v *verdictStore) writeMissing(ctx context.Context, verdictsEnabled bool) {
 	now := boottime.Now()
 	if now.Before(v.nextWriteAt) {
 		return
@@ -215,7 +215,7 @@
 	wrote := false
 	for _, e := range v.register.All() {
 		own := e.MadeBy == v.host
-		takeover := makesVerdicts && boottime.Elapsed()-e.ReceivedAt > takeoverAge
+		takeover := verdictsEnabled && boottime.Elapsed()-e.ReceivedAt > takeoverAge
 		if e.Unsaved() && (own || takeover) {
 			wrote = true
 			_ = v.put(ctx, e.Verdict, e.Revision) // the error is logged in commit; a later call tries again
@@ -224,7 +224,7 @@
 	if wrote {
 		v.nextWriteAt = now.Add(writeInterval/2 + rand.N(writeInterval))
 	}
-	if makesVerdicts && now.After(v.nextCleanupAt) {
+	if verdictsEnabled && now.After(v.nextCleanupAt) {
 		v.nextCleanupAt = now.Add(cleanupInterval)
 		v.removeUnused(ctx)
 	}
@@ -232,7 +232,7 @@
 
 // removeUnused removes the rows of verdicts that are unused: no request was received for a long
 // time after the expiry.
-func (v *verdictRows) removeUnused(ctx context.Context) {
+func (v *verdictStore) removeUnused(ctx context.Context) {
 	for _, e := range v.register.All() {
 		if e.Revision > 0 && e.Unused(v.clock()) {
 			_ = v.remove(ctx, e) // the error is logged in commit; a later call tries again
@@ -242,7 +242,7 @@
 
 // put writes a verdict's row, unless the row in the store has another revision than the expected
 // one.
-func (v *verdictRows) put(ctx context.Context, verdict quarantine.Verdict, expected storage.Revision) error {
+func (v *verdictStore) put(ctx context.Context, verdict quarantine.Verdict, expected storage.Revision) error {
 	data, err := json.Marshal(verdict)
 	if err != nil {
 		return err
@@ -259,7 +259,7 @@
 }
 
 // remove removes a verdict's row, unless it has changed, and drops the verdict.
-func (v *verdictRows) remove(ctx context.Context, e quarantine.Entry) error {
+func (v *verdictStore) remove(ctx context.Context, e quarantine.Entry) error {
 	key := v.key(e.Digest)
 	_, err := v.commit(ctx, "remove", storage.Txn{
 		Conditions: []storage.Condition{{Key: key, Version: uint64(e.Revision)}},
@@ -271,7 +271,7 @@
 	return err
 }
 
-func (v *verdictRows) commit(ctx context.Context, kind string, txn storage.Txn) (storage.Revision, error) {
+func (v *verdictStore) commit(ctx context.Context, kind string, txn storage.Txn) (storage.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, verdictWriteTimeout)
 	defer cancel()
 	number, err := v.table.Commit(ctx, txn)
@@ -288,5 +288,5 @@
 	if !ok {
 		return nil
 	}
-	return g.verdictRows.remove(ctx, e)
+	return g.verdictStore.remove(ctx, e)
 }
