--- a/quarantine/evaluate.go
+++ b/quarantine/evaluate.go
@@ -9,7 +9,7 @@
 // Suspect is a request with which upstreams terminated in more than one event.
 type Suspect struct {
 	Digest Digest
-	// Events is the number of these events, FirstAt the time of the first.
+	// Events is the number of these events. FirstAt is the time of the first of them.
 	Events  int
 	FirstAt time.Duration
 }
@@ -43,10 +43,10 @@
 // Finding is the evidence for a verdict.
 type Finding struct {
 	Digest Digest
-	// Events is the number of events for which the request is the only likely cause, Upstreams
-	// the number of upstreams that terminated with it. UnexplainedTerminations is the number of
-	// all upstreams that terminated, for no known cause, between the first and the last of
-	// those.
+	// Events is the number of events for which the request is the only likely cause. Upstreams
+	// is the number of upstreams that terminated with the request. UnexplainedTerminations is
+	// the number of all upstreams that terminated, for no known cause, between the first and the
+	// last termination with the request.
 	Events, Upstreams, UnexplainedTerminations int
 }
 
@@ -82,7 +82,7 @@
 		return Finding{}, false
 	}
 	leading := eventTimes(t.leadingLosses(d, history, now))
-	f := Finding{Digest: d, Events: len(leading), Upstreams: len(losses), UnexplainedTerminations: t.countUnexplained(losses[0].at, losses[len(losses)-1].at)}
+	f := Finding{Digest: d, Events: len(leading), Upstreams: len(losses), UnexplainedTerminations: t.countUnexplainedTerminations(losses[0].at, losses[len(losses)-1].at)}
 	required := f.requiredEvents()
 	if at, ok := t.survivedAt.Peek(d); ok && now-at < survivalRetention {
 		required = minEventsAnyShare
@@ -124,9 +124,10 @@
 	return list
 }
 
-// countUnexplained returns the number of upstreams that terminated between the times, or within
-// EventWindow of them, for no known cause. The lock must be held.
-func (t *Tracker) countUnexplained(first, last time.Duration) int {
+// countUnexplainedTerminations returns the number of upstreams that terminated for no known
+// cause between first and last, or within EventWindow before first or after last. The lock must
+// be held.
+func (t *Tracker) countUnexplainedTerminations(first, last time.Duration) int {
 	n := 0
 	for _, upstream := range t.terminated.Values() {
 		if !upstream.explained && upstream.at >= first-EventWindow && upstream.at <= last+EventWindow {
--- a/quarantine/register.go
+++ b/quarantine/register.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// initialTerm is the initial duration of a verdict. Upstreams may be fixed in that time; the
-	// request is then tried once, by one host.
+	// initialTerm is the initial duration of a verdict. Upstreams may be fixed in that time. One
+	// host then sends the request once more, as a trial.
 	initialTerm = 10 * time.Minute
 	// The term is multiplied by termFactor after each trial that terminated an upstream, up to
 	// maxTerm; three trials take more than seven hours.
@@ -24,7 +24,8 @@
 	trialTimeout = time.Minute
 	// unusedRetention is how long an expired verdict is kept if the request isn't received.
 	unusedRetention = 7 * 24 * time.Hour
-	// MaxVerdicts bounds the number of stored verdicts. Three upstreams must terminate for each.
+	// MaxVerdicts bounds the number of stored verdicts. Each verdict requires the termination of
+	// three upstreams.
 	MaxVerdicts = 1000
 )
 
@@ -36,8 +37,9 @@
 	MadeBy    string
 	Events    int
 	Upstreams int
-	// MadeAt and ExpiresAt are when the verdict was made and when it expires, on the clock that
-	// all hosts share.
+	// MadeAt and ExpiresAt are when the verdict was made and when it expires. Both are readings
+	// of the clock whose time callers pass to NewVerdict and to the methods of Verdict. It is
+	// the same clock at all hosts.
 	MadeAt    time.Duration
 	ExpiresAt time.Duration
 	// TrialCount is the number of trials so far: sends of the request after the verdict expired.
@@ -53,7 +55,7 @@
 }
 
 // ForTrial returns the verdict that is in force during a trial. It applies to all hosts but the
-// one that tries the request.
+// one that sends the request as the trial.
 func (v Verdict) ForTrial(now time.Duration) Verdict {
 	v.TrialCount++
 	v.ExpiresAt = now + trialTimeout
--- a/quarantine/register_test.go
+++ b/quarantine/register_test.go
@@ -14,8 +14,8 @@
 	return Verdict{Digest: digest(n), MadeBy: "host", Events: 3, Upstreams: 4, MadeAt: time.Second, ExpiresAt: until}
 }
 
-// A verdict expires. One host then tries the request, and the term of the renewed verdict is
-// longer after each trial that terminated an upstream, up to maxTerm.
+// A verdict expires. One host then sends the request as a trial, and the term of the renewed
+// verdict is longer after each trial that terminated an upstream, up to maxTerm.
 func TestVerdictTerms(t *testing.T) {
 	is := is.New(t)
 	v := NewVerdict(Finding{Digest: digest(1)}, "host", time.Hour)
--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -27,11 +27,11 @@
 	nextIncarnation Incarnation
 	nextKey         uint64
 
-	// soundRequests counts the sound requests, falsePositives those of them that got a verdict.
+	// soundRequests counts the sound requests. falsePositives counts those that got a verdict.
 	soundRequests, falsePositives int
 	poison                        Digest
-	// terminations holds the times when the poison request terminated upstreams, poisonSends
-	// those when it was sent. foundAt is when it got a verdict; -1 before.
+	// terminations holds the times when the poison request terminated upstreams. poisonSends
+	// holds the times when it was sent. foundAt is when it got a verdict; -1 before.
 	terminations, poisonSends []time.Duration
 	foundAt                   time.Duration
 }
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -56,7 +56,8 @@
 	// a request that one version answered may terminate the upstreams of the next.
 	survivalRetention = time.Minute
 
-	// The bounds keep memory at a few MB at most, however many distinct bodies callers send.
+	// The following limits keep the tracker's memory at a few MB at most, however many distinct
+	// bodies callers send.
 	maxLostOnce           = 4096 // requests with one loss
 	maxLostRepeatedly     = 512  // requests with several losses
 	maxLosses             = 8    // losses of one request
@@ -83,8 +84,8 @@
 // times are readings of one monotonic clock.
 type Tracker struct {
 	mu sync.Mutex
-	// lostOnce holds the requests with one loss, lostRepeatedly those with several, survivedAt
-	// the time of the last answer to each request.
+	// lostOnce holds the requests with one loss, and lostRepeatedly holds those with several.
+	// survivedAt holds the time of the last answer to each request.
 	lostOnce       *simplelru.LRU[Digest, *lossHistory]
 	lostRepeatedly map[Digest]*lossHistory
 	terminated     *simplelru.LRU[Incarnation, *terminatedUpstream]
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -23,9 +23,9 @@
 	}
 }
 
-// A request lost with each of three upstreams gets a verdict. The requests next to it don't,
-// though one of them ran at two of the upstreams.
-func TestCommonRequestGetsVerdict(t *testing.T) {
+// A request lost with each of three upstreams gets a verdict. The other requests lost with these
+// upstreams get none, though one of them ran at two of the upstreams.
+func TestRequestLostWithThreeUpstreamsGetsVerdict(t *testing.T) {
 	is := is.New(t)
 	tr := NewTracker()
 	loseAll(tr, 1, 0, 1, 10, 11)
@@ -38,8 +38,8 @@
 	for upstream := Incarnation(1); upstream <= 3; upstream++ {
 		is.True(tr.Explained(upstream))
 	}
-	// Terminations with a request that has a verdict don't count against the requests that ran
-	// next to it, whether they happened before or after the verdict.
+	// Terminations with a request that has a verdict don't count against the other requests that
+	// ran at the same upstreams, whether they happened before or after the verdict.
 	loseAll(tr, 4, time.Second, 1, 11)
 	is.Equal(tr.EventCount(digest(11), time.Second), 0)
 	is.Equal(tr.FindPoisonRequests(10*time.Second), nil)
