--- a/evenhash/evenhash.go
+++ b/evenhash/evenhash.go
@@ -12,7 +12,7 @@
 		_, _ = h.Write([]byte(p))
 		_, _ = h.Write([]byte{0})
 	}
-	// FNV's high bits depend little on the last bytes.
+	// FNV's high bits depend little on the last bytes; Mix spreads these over all bits.
 	return Mix(h.Sum64())
 }
 
--- a/ratelease/lease_test.go
+++ b/ratelease/lease_test.go
@@ -199,8 +199,9 @@
 	is.Equal(total, 1)
 }
 
-// When the size of the parts changes, no part of the new size is leased before the leases of parts
-// of the previous size have expired. Guards against: two halves and a whole are in use at once.
+// When the size of the parts changes, no part of the new size is leased before the leases of
+// parts of the previous size have expired. Guards against a whole that is leased while two
+// halves are still in use.
 func TestPartsOfAnotherSize(t *testing.T) {
 	is := is.New(t)
 	now := start.Add(ratelease.HandoverDelay)
--- a/ratelease/limit.go
+++ b/ratelease/limit.go
@@ -13,8 +13,8 @@
 	// limitWindow.
 	limitOverrun = 1.5
 	limitSpare   = 5
-	// probeRate is the rate, in requests a second, at which an upstream with a lower limit is
-	// still tried, since only a response shows that the limit has ended.
+	// probeRate is the rate, in requests a second, at which hosts still send requests to an
+	// upstream with a lower limit, since only a response shows that the limit has ended.
 	probeRate = 0.25
 	// minPartRate is the minimum rate of a part, in requests a second.
 	minPartRate = 0.5
@@ -51,10 +51,10 @@
 	return Allowance{Rate: part * max(probeRate, float64(l)), Burst: part * l.burst(), Since: s.Since}
 }
 
-// IsolatedAllowance returns the allowance of an isolated host for an upstream with a limit. If all
-// of the given number of hosts are isolated, together they try the upstream at probeRate, so that
-// they learn when its limit ends. The phase, a number in [0, 1) that differs between hosts,
-// spreads their attempts over time.
+// IsolatedAllowance returns the allowance of an isolated host for an upstream with a limit. If
+// all of the given number of hosts are isolated, together they send the upstream requests at
+// probeRate, so that they learn when its limit ends. The phase, a number in [0, 1) that differs
+// between hosts, spreads their requests over time.
 func IsolatedAllowance(hosts int, phase float64, since time.Time) Allowance {
 	rate := probeRate / float64(max(1, hosts))
 	delay := time.Duration(phase / rate * float64(time.Second))
--- a/ratelease/limit_test.go
+++ b/ratelease/limit_test.go
@@ -88,8 +88,8 @@
 	is.True(!ok) // without a share, a host never may send a request
 }
 
-// Isolated hosts together try an upstream with a limit about once in four seconds, which is
-// probeRate.
+// Isolated hosts together send an upstream with a limit about one request in four seconds, which
+// is probeRate.
 func TestIsolatedHostsShareTheProbeRate(t *testing.T) {
 	is := is.New(t)
 	const hosts = 40
--- a/ratelease/limitstate.go
+++ b/ratelease/limitstate.go
@@ -9,8 +9,9 @@
 	// maxPropagationDelay is the maximum time until a hub sends an update back to the host that
 	// reported it, via other hubs.
 	maxPropagationDelay = 3 * time.Second
-	// A limit ends once responsesToEnd responses that name none have arrived and it was last
-	// named at least endDelay ago. After singleResponseEndDelay, a single response is enough.
+	// A limit ends once responsesToEnd responses that name no limit have arrived and the limit
+	// was last named at least endDelay ago. After singleResponseEndDelay, a single such response
+	// is enough.
 	endDelay               = time.Second
 	responsesToEnd         = 2
 	singleResponseEndDelay = 5 * time.Second
@@ -38,8 +39,8 @@
 
 // HubContact records when a host had contact to its hub.
 type HubContact struct {
-	// replyingSince is the start of the hub's replies since the last interruption of more than
-	// LeaseDuration, repliedAt the time of the last reply.
+	// replyingSince is when the hub's replies began to arrive after the last interruption of
+	// more than LeaseDuration. repliedAt is when the last reply arrived.
 	replyingSince, repliedAt time.Time
 	// rootSeenAt is when the hub was last connected to a root hub.
 	rootSeenAt time.Time
@@ -91,8 +92,8 @@
 	// if ownLimitAt is zero.
 	ownLimit   Limit
 	ownLimitAt time.Time
-	// hubLimit is the limit in the hub's last update, if hasHubLimit is set; a host received it
-	// in a response at hubLimitAt.
+	// hubLimit is the limit in the hub's last update; it is valid if hasHubLimit is set.
+	// hubLimitAt is when a host received that limit in a response.
 	hubLimit    Limit
 	hasHubLimit bool
 	hubLimitAt  time.Time
@@ -101,10 +102,10 @@
 	// ended.
 	responsesWithoutLimit int
 	endedAt               time.Time
-	// reportedAt is when the hub was last sent an update, parts the number of parts that a root
-	// splits the limit into.
+	// reportedAt is when the hub was last sent an update. partCount is the number of parts that
+	// a root splits the limit into.
 	reportedAt time.Time
-	parts      int
+	partCount  int
 }
 
 // Limited reports whether the upstream has a limit: by the hub's last update, or in a response to
@@ -124,10 +125,10 @@
 // PartCount returns the number of parts that a root splits the limit into. It changes only by a
 // factor of two or more, since no part is usable for a moment after a change.
 func (s *LimitState) PartCount(roots int) int {
-	if needed := s.Limit().Parts(roots); s.parts == 0 || needed >= 2*s.parts || 2*needed <= s.parts {
-		s.parts = needed
+	if needed := s.Limit().Parts(roots); s.partCount == 0 || needed >= 2*s.partCount || 2*needed <= s.partCount {
+		s.partCount = needed
 	}
-	return s.parts
+	return s.partCount
 }
 
 // Observe processes a response that named a limit. It reports whether the hub must be sent an
@@ -190,4 +191,4 @@
 func (s *LimitState) HasHubLimit() bool { return s.hasHubLimit }
 
 // ResetPartCount resets the number of parts, so that it is computed anew for the next limit.
-func (s *LimitState) ResetPartCount() { s.parts = 0 }
+func (s *LimitState) ResetPartCount() { s.partCount = 0 }
--- a/ratelease/log.go
+++ b/ratelease/log.go
@@ -88,13 +88,13 @@
 	l.current[entry.update.Upstream] = &entry
 	l.entries = append(l.entries, &entry)
 	if len(l.current) > maxLimits {
-		delete(l.current, l.oldest().update.Upstream)
+		delete(l.current, l.trimToOldest().update.Upstream)
 	}
 }
 
-// oldest returns the current entry with the lowest sequence number, and drops the replaced entries
-// before it. The log must not be empty.
-func (l *LimitLog) oldest() *logEntry {
+// trimToOldest drops the replaced entries before the oldest current one, and returns the latter,
+// which is the current entry with the lowest sequence number. The log must not be empty.
+func (l *LimitLog) trimToOldest() *logEntry {
 	i := slices.IndexFunc(l.entries, l.isCurrent)
 	l.entries = l.entries[i:]
 	return l.entries[0]
