--- a/internal/feed/applyupdate.go
+++ b/internal/feed/applyupdate.go
@@ -80,7 +80,7 @@
 // provided that the hub answers. In a fleet of 300 hosts that starts at once, it takes less
 // than a second until the hubs are appointed and all of them have a table of 3,000 rows.
 // Reading such a table from the store takes half a second on a link of 20 Mbit/s, and each host
-// that does so adds to the store's traffic.
+// that reads it adds to the store's traffic.
 const largeTableWait = time.Second
 
 // awaitSnapshot waits for another host to send the whole table, and reports whether one did. list
@@ -97,8 +97,8 @@
 	return w.applyFreshUpdate(), nil
 }
 
-// awaitFreshUpdate waits until another host has sent a recent update, until it is known that
-// none will come, or until the timeout expires.
+// awaitFreshUpdate waits until another host has sent a recent update, until it turns out that
+// the other host doesn't relay the table, or until the timeout expires.
 func (w *Watcher) awaitFreshUpdate(ctx context.Context, timeout time.Duration) error {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
--- a/internal/feed/watcher.go
+++ b/internal/feed/watcher.go
@@ -292,8 +292,8 @@
 	w.clockOffset.Store(int64(clock - at))
 }
 
-// recordSuccess records that the store answered at the given time since the watcher's start. It
-// is called after the answer was applied, so that updates for other hosts are never older than
+// recordSuccess records that the store answered at the given time since the watcher's start. The
+// answer must have been applied before, so that updates for other hosts are never older than
 // their stated age.
 func (w *Watcher) recordSuccess(at time.Duration) {
 	answeredAt := int64(at)
--- a/internal/guard/hubexchange.go
+++ b/internal/guard/hubexchange.go
@@ -31,8 +31,8 @@
 	// suspectTTL is how long after its last loss a suspect is sent to followers. In that time
 	// they hold back other requests with its content, and report to the hub if it is answered.
 	suspectTTL = 5 * time.Second
-	// maxSightings bounds the number of sightings not yet sent to the hub, and that of recent
-	// losses; the newest are kept.
+	// maxSightings bounds the number of sightings not yet sent to the hub, and separately the
+	// number of recent losses; the newest are kept.
 	maxSightings = 256
 )
 
--- a/internal/guard/verdictrows.go
+++ b/internal/guard/verdictrows.go
@@ -205,8 +205,8 @@
 }
 
 // writeMissing writes the rows of this host's verdicts that the store may not have. If this host
-// makes verdicts, it also writes those of other hosts, after takeoverAge, and removes unused
-// rows.
+// makes verdicts, it also writes the rows of other hosts' verdicts, after takeoverAge, and
+// removes unused rows.
 func (v *verdictStore) writeMissing(ctx context.Context, verdictsEnabled bool) {
 	now := boottime.Now()
 	if now.Before(v.nextWriteAt) {
--- a/quarantine/register.go
+++ b/quarantine/register.go
@@ -143,7 +143,8 @@
 	ReceivedAt time.Duration
 }
 
-// Unsaved reports whether the store may have no row of the verdict, or that of an earlier one.
+// Unsaved reports whether the store may have no row of the verdict, or the row of an earlier
+// verdict.
 func (e *Entry) Unsaved() bool { return e.Revision == 0 || e.RowMayBeLost }
 
 // Register holds the verdicts that a host has received. It is safe for concurrent use.
--- a/ratelease/bound.go
+++ b/ratelease/bound.go
@@ -12,7 +12,7 @@
 
 // allocatedFraction is the fraction of the permitted requests that is leased. The rest covers a
 // root hub that not all hosts have in their settings, and requests sent before hosts had
-// received the bound.
+// received the ColdBound of the upstream's service.
 const allocatedFraction = 0.75
 
 // Permitted returns how many requests may reach a cold upstream in any second.
