--- a/ledger/bench_test.go
+++ b/ledger/bench_test.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// BenchmarkFlush measures a flush of 320 bills: those of ten seconds on one of
-// 440 hosts that together serve 14,000 requests per second.
+// BenchmarkFlush measures a flush of 320 bills. One of 440 hosts that together
+// serve 14,000 requests per second has about that many bills in ten seconds.
 func BenchmarkFlush(b *testing.B) {
 	table, objects := memory.NewTable(), memory.NewObjects()
 	l := New(Options{Table: table, Objects: objects, Host: "h0"})
--- a/ledger/bill.go
+++ b/ledger/bill.go
@@ -1,11 +1,12 @@
 // Package ledger stores one bill for each dispatched request.
 //
-// A bill is kept in the memory of the host that ran the request, in that of a
-// peer in another availability zone, and, after the next flush, in the
-// platform's table. Bills form a set keyed by ID: writing one twice, by its
-// owner and by a peer that considered the owner down, changes nothing.
+// A bill is kept in the memory of the host that ran the request, in the memory
+// of a peer in another availability zone, and, after the next flush, in the
+// platform's table. Bills form a set keyed by ID. Writing the same bill twice,
+// by its owner and by a peer that considered the owner down, changes nothing.
 //
-// The entry host embeds the ledger and serves its traces to operators. A bill
+// The entry host embeds the ledger and serves traces (the bills and refusal
+// counts of a manifest, or the bill of a request) to operators. A bill
 // for which Record returned ErrAtRisk is lost if its host is lost before the
 // bill reaches the table or a peer.
 package ledger
@@ -83,8 +84,9 @@
 	Epoch   uint64 `json:"epoch"`
 	Code    int    `json:"code"`
 	Count   int    `json:"count"`
-	// Origin is the key of the segment that first held the count. It keeps a
-	// count from being added twice when a segment is read from two places.
+	// Origin is the key of the segment that first held the count. By it readers
+	// detect a count that they read twice, from the segment and from a compacted
+	// copy, and add it once.
 	Origin string `json:"origin,omitempty"`
 }
 
@@ -109,7 +111,7 @@
 	if c := cmp.Compare(a.Epoch, b.Epoch); c != 0 {
 		return c
 	}
-	return bytes.Compare(canonical(a), canonical(b))
+	return bytes.Compare(canonicalEncoding(a), canonicalEncoding(b))
 }
 
 func failureRank(b Bill) int {
@@ -119,9 +121,9 @@
 	return 1
 }
 
-// canonical returns the encoding that breaks ties in compareBills. Marshal
+// canonicalEncoding returns the encoding that breaks ties in compareBills. Marshal
 // doesn't fail for a Bill.
-func canonical(b Bill) []byte {
+func canonicalEncoding(b Bill) []byte {
 	data, _ := json.Marshal(b)
 	return data
 }
--- a/ledger/codec_test.go
+++ b/ledger/codec_test.go
@@ -9,14 +9,14 @@
 
 func TestSplitJoined(t *testing.T) {
 	is := is.New(t)
-	joined := join([][]byte{{1, 2}, {}, {3}})
+	joined := joinBatches([][]byte{{1, 2}, {}, {3}})
 	var got [][]byte
-	for part, err := range split(joined) {
+	for part, err := range splitBatches(joined) {
 		is.NoErr(err)
 		got = append(got, part)
 	}
 	is.Equal(got, [][]byte{{1, 2}, {}, {3}})
-	for _, err := range split(joined[:len(joined)-1]) {
+	for _, err := range splitBatches(joined[:len(joined)-1]) {
 		if err != nil {
 			is.True(errors.Is(err, ErrCorrupt))
 			return
@@ -38,7 +38,7 @@
 		{"other version", append([]byte{9}, good[1:]...)},
 		{"truncated data", good[:len(good)-4]},
 		{"not compressed", []byte{compressedVersion, 0xff, 0xff, 0xff}},
-		{"joined", join([][]byte{good})},
+		{"joined", joinBatches([][]byte{good})},
 	}
 	for _, tc := range tests {
 		t.Run(tc.desc, func(t *testing.T) {
--- a/ledger/compact.go
+++ b/ledger/compact.go
@@ -65,14 +65,14 @@
 type rowGroup struct {
 	bucket string
 	rows   []storage.Row
-	// bills is the number of bills in the rows, bytes their encoded size.
-	bills, bytes int
+	// billCount is the number of bills in the rows, byteCount is their encoded size.
+	billCount, byteCount int
 }
 
 func (g *rowGroup) add(stored storage.Row, r row) {
 	g.rows = append(g.rows, stored)
-	g.bills += r.Bills
-	g.bytes += r.Bytes
+	g.billCount += r.Bills
+	g.byteCount += r.Bytes
 }
 
 // mergeMinutes merges the rows of each minute before the bucket end.
@@ -93,7 +93,7 @@
 		if r.Index != "" || r.Bytes >= maxCompactBytes {
 			continue
 		}
-		full := len(g.rows) == maxCompactRows || g.bytes+r.Bytes > maxCompactBytes
+		full := len(g.rows) == maxCompactRows || g.byteCount+r.Bytes > maxCompactBytes
 		if name != g.bucket || full {
 			if err := c.mergeRows(ctx, g); err != nil {
 				return err
@@ -126,12 +126,12 @@
 			batches = append(batches, data)
 		}
 	}
-	data := join(batches)
+	data := joinBatches(batches)
 	name, err := c.storeObject(ctx, g.bucket, data)
 	if err != nil {
 		return err
 	}
-	return c.replaceRows(ctx, g, row{Object: name, Bills: g.bills, Bytes: len(data)})
+	return c.replaceRows(ctx, g, row{Object: name, Bills: g.billCount, Bytes: len(data)})
 }
 
 // mergeDays replaces the rows of each day before end by one index row.
@@ -183,7 +183,7 @@
 	if err != nil {
 		return err
 	}
-	return c.replaceRows(ctx, g, row{Index: name, Bills: g.bills, Bytes: g.bytes})
+	return c.replaceRows(ctx, g, row{Index: name, Bills: g.billCount, Bytes: g.byteCount})
 }
 
 // rowObjects returns the names of a row's objects. If the row contains its data
@@ -239,9 +239,10 @@
 	return nil
 }
 
-// key returns a key above those of all rows in the group. Its number is their
-// highest version. That is above the number in any of their keys, because each
-// compacted row was written after the rows whose versions its key is made from.
+// key returns a key that sorts above the keys of all rows in the group. The number
+// in the key is the highest version of these rows. It is higher than the number in
+// the key of any of them that is a compacted row, because that number is the version
+// of a row that was written before the compacted row.
 func (g rowGroup) key(r row) string {
 	number := uint64(0)
 	for _, stored := range g.rows {
--- a/ledger/compaction.go
+++ b/ledger/compaction.go
@@ -50,7 +50,8 @@
 	return o
 }
 
-// RunCompaction compacts at random times until ctx ends, and returns its error.
+// RunCompaction compacts at random times until ctx ends, and returns the error of
+// ctx.
 // Each host waits for a time proportional to the number of hosts, so that they
 // share the work without coordination. Concurrent compactions are safe.
 func RunCompaction(ctx context.Context, opts CompactionOptions) error {
--- a/ledger/copybatch.go
+++ b/ledger/copybatch.go
@@ -30,8 +30,8 @@
 }
 
 // pack replaces the unpacked batches by one block. The block is released when
-// the highest of their message numbers is. A copy that is kept longer than
-// needed does no harm: writing it to the table again changes nothing.
+// the owner releases the highest of their message numbers. A copy that is kept
+// longer than needed does no harm: writing it to the table again changes nothing.
 func (o *ownerCopies) pack() {
 	first := len(o.batches) - o.unpacked
 	var block copyBatch
--- a/ledger/copystore.go
+++ b/ledger/copystore.go
@@ -50,8 +50,8 @@
 	// released is the highest message number that the owner has released. A
 	// message that arrives after its own release is ignored.
 	released uint64
-	// batches are in the order of their arrival. The last of them, as many as
-	// unpacked says, aren't packed yet.
+	// batches holds the copies in the order of their arrival. unpacked is the
+	// number of batches, at the end of the list, that aren't packed yet.
 	batches  []copyBatch
 	unpacked int
 	// lastContact is when the owner's last message arrived.
@@ -128,8 +128,8 @@
 
 // moveToLedger adds the bills of the owners that match to the ledger, removes
 // these owners and reports whether there was a bill to move. It adds the bills
-// to the ledger before it releases CopyStore.mu, so that no caller finds a bill in
-// neither of the two.
+// to the ledger before it releases CopyStore.mu, so that a concurrent caller finds
+// each bill in the store or in the ledger at any time.
 func (c *CopyStore) moveToLedger(match func(name string, o *ownerCopies) bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/ledger/failure_test.go
+++ b/ledger/failure_test.go
@@ -42,14 +42,14 @@
 		{"host killed before its flush", func(t *testing.T, c *testCluster) map[string]Bill {
 			want := record(t, c.hosts[0], 0, 20)
 			c.killHost(0)
-			c.hostDown(0)
+			c.reportHostDown(0)
 			return want
 		}},
 		{"host and table lost together, table back after five minutes", func(t *testing.T, c *testCluster) map[string]Bill {
 			c.table.SetDown(true)
 			want := record(t, c.hosts[0], 0, 20)
 			c.killHost(0)
-			c.hostDown(0)
+			c.reportHostDown(0)
 			time.Sleep(5 * time.Minute)
 			c.table.ClearFaults()
 			time.Sleep(time.Minute)
@@ -59,10 +59,10 @@
 			c.table.SetDown(true)
 			want := record(t, c.hosts[0], 0, 20)
 			c.killHost(1)
-			c.hostDown(1)
+			c.reportHostDown(1)
 			time.Sleep(time.Second)
 			c.killHost(0)
-			c.hostDown(0)
+			c.reportHostDown(0)
 			time.Sleep(time.Minute)
 			c.table.ClearFaults()
 			time.Sleep(time.Minute)
@@ -88,7 +88,7 @@
 			want := record(t, c.hosts[0], 0, 20)
 			c.hosts[0].Pause()
 			time.Sleep(10 * time.Second)
-			c.hostDown(0)
+			c.reportHostDown(0)
 			c.hosts[0].Resume()
 			time.Sleep(10 * time.Second)
 			return want
@@ -98,7 +98,7 @@
 			want := record(t, c.hosts[0], 0, 20)
 			c.killHost(0)
 			c.hosts[1].Resume()
-			c.hostDown(0)
+			c.reportHostDown(0)
 			return want
 		}},
 		{"owner restarted without notice, copies swept", func(t *testing.T, c *testCluster) map[string]Bill {
@@ -125,7 +125,7 @@
 			}
 			c.killHost(0)
 			c.table.ClearFaults()
-			c.hostDown(0)
+			c.reportHostDown(0)
 			return want
 		}},
 	}
@@ -144,10 +144,10 @@
 	}
 }
 
-// TestOutageOfMinutes checks that the bills recorded during a long outage of the
+// TestBillsDuringLongOutage checks that the bills recorded during a long outage of the
 // table are written in few segments, and that peers don't take over the bills of
 // an owner that is alive, which would make copies of copies.
-func TestOutageOfMinutes(t *testing.T) {
+func TestBillsDuringLongOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const minutes = 10
--- a/ledger/flush.go
+++ b/ledger/flush.go
@@ -16,17 +16,19 @@
 	// maxBackoffIntervals bounds the time between flushes while the table is
 	// unavailable, in multiples of FlushInterval.
 	maxBackoffIntervals = 8
-	// maxBackoffWait is a second bound on that time, unless FlushInterval is
-	// longer. It is well below DefaultMaxAge, because each failed flush sends
-	// peers a message, without which they take over the bills after that time.
+	// maxBackoffWait also bounds the time between flushes while the table is
+	// unavailable, unless FlushInterval is longer. It is well below
+	// DefaultMaxAge: each failed flush sends a message to the peers that have
+	// copies, and they take over the bills of an owner that sends no message
+	// for DefaultMaxAge.
 	maxBackoffWait = 15 * time.Second
 	// drainRetryDelay is the pause between the flushes of Drain.
 	drainRetryDelay = 50 * time.Millisecond
 )
 
-// pendingSegment is a segment that isn't known to be in the table, with the
+// unwrittenSegment is a segment that isn't known to be in the table, with the
 // entries of its bills.
-type pendingSegment struct {
+type unwrittenSegment struct {
 	segment
 	entries []*entry
 }
@@ -103,14 +105,14 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	// New segments are built only after the pending ones are written, so that
+	// New segments are built only after the unwritten ones are written, so that
 	// bills recorded during an outage end up in few large segments.
-	if err := l.writePendingSegments(ctx); err != nil {
+	if err := l.writeUnwrittenSegments(ctx); err != nil {
 		l.releaseCopies(ctx, l.lastReleased())
 		return err
 	}
 	upTo := l.buildSegments()
-	if err := l.writePendingSegments(ctx); err != nil {
+	if err := l.writeUnwrittenSegments(ctx); err != nil {
 		l.releaseCopies(ctx, l.lastReleased())
 		return err
 	}
@@ -118,10 +120,10 @@
 	return nil
 }
 
-// writePendingSegments writes the pending segments up to the first error.
-func (l *Ledger) writePendingSegments(ctx context.Context) error {
+// writeUnwrittenSegments writes the unwritten segments up to the first error.
+func (l *Ledger) writeUnwrittenSegments(ctx context.Context) error {
 	l.mu.Lock()
-	segments := slices.Clone(l.pendingSegments)
+	segments := slices.Clone(l.unwrittenSegments)
 	l.mu.Unlock()
 	for _, s := range segments {
 		if err := l.writeSegment(ctx, s); err != nil {
@@ -142,10 +144,10 @@
 	entries := l.unsegmented
 	l.unsegmented = nil
 	for _, group := range l.groupByBucket(entries) {
-		l.pendingSegments = append(l.pendingSegments, l.newSegment(bucket(group[0].bill.At), group, nil))
+		l.unwrittenSegments = append(l.unwrittenSegments, l.newSegment(bucket(group[0].bill.At), group, nil))
 	}
 	if len(refusals) > 0 {
-		l.pendingSegments = append(l.pendingSegments, l.newSegment(bucket(l.opts.Clock()), nil, refusals))
+		l.unwrittenSegments = append(l.unwrittenSegments, l.newSegment(bucket(l.opts.Clock()), nil, refusals))
 	}
 	return l.messageSeq
 }
@@ -168,17 +170,17 @@
 }
 
 // newSegment returns a segment with the next number. Ledger.mu is held.
-func (l *Ledger) newSegment(bucket string, entries []*entry, refusals []RefusalCount) *pendingSegment {
+func (l *Ledger) newSegment(bucket string, entries []*entry, refusals []RefusalCount) *unwrittenSegment {
 	l.segmentSeq++
 	key := segmentKey(bucket, l.opts.Host, l.incarnation, l.segmentSeq)
 	for i := range refusals {
 		refusals[i].Origin = key
 	}
 	content := batch{Bills: billsOf(entries), Refusals: refusals}
-	return &pendingSegment{segment: segment{key: key, batch: content}, entries: entries}
+	return &unwrittenSegment{segment: segment{key: key, batch: content}, entries: entries}
 }
 
-func (l *Ledger) writeSegment(ctx context.Context, s *pendingSegment) error {
+func (l *Ledger) writeSegment(ctx context.Context, s *unwrittenSegment) error {
 	writeCtx, cancel := context.WithTimeout(ctx, l.opts.WriteTimeout)
 	defer cancel()
 	if err := s.write(writeCtx, l.opts.Table, l.opts.Objects); err != nil {
@@ -190,13 +192,13 @@
 		e.flushed = true
 		l.markDurable(e)
 	}
-	l.pendingSegments = withoutSegment(l.pendingSegments, s)
+	l.unwrittenSegments = withoutSegment(l.unwrittenSegments, s)
 	l.pending.Add(-int64(len(s.entries)))
 	return nil
 }
 
-func withoutSegment(list []*pendingSegment, s *pendingSegment) []*pendingSegment {
-	kept := make([]*pendingSegment, 0, len(list))
+func withoutSegment(list []*unwrittenSegment, s *unwrittenSegment) []*unwrittenSegment {
+	kept := make([]*unwrittenSegment, 0, len(list))
 	for _, f := range list {
 		if f != s {
 			kept = append(kept, f)
@@ -223,8 +225,9 @@
 	}
 }
 
-// currentHolders returns the peers that may have copies and removes from
-// l.holders those that have none of messages above upTo.
+// currentHolders returns the peers that may have copies. It removes from
+// l.holders the peers whose last message has a number of at most upTo, since all
+// their copies are released.
 func (l *Ledger) currentHolders(upTo uint64) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -276,7 +279,7 @@
 			n++
 		}
 	}
-	for _, f := range l.pendingSegments {
+	for _, f := range l.unwrittenSegments {
 		for _, e := range f.entries {
 			if !e.isDurable {
 				n++
--- a/ledger/helper_test.go
+++ b/ledger/helper_test.go
@@ -36,7 +36,7 @@
 	hosts   []*testHost
 }
 
-// testReplicator is the Replicator of one host. It tries the other hosts in turn.
+// testReplicator is the Replicator of one host. It sends to the other hosts in turn.
 type testReplicator struct {
 	cluster *testCluster
 	self    int
@@ -124,8 +124,8 @@
 	c.hosts[i].stop()
 }
 
-// hostDown reports a host as down to all hosts that weren't killed.
-func (c *testCluster) hostDown(i int) {
+// reportHostDown reports a host as down to all hosts that weren't killed.
+func (c *testCluster) reportHostDown(i int) {
 	for _, h := range c.hosts {
 		if !h.Killed() {
 			h.ledger.PeerDown(c.hosts[i].name)
--- a/ledger/join.go
+++ b/ledger/join.go
@@ -10,9 +10,9 @@
 // from the first byte of every encoded batch.
 const joinedVersion = 0x80
 
-// join combines encoded batches into the content of one object: joinedVersion,
+// joinBatches combines encoded batches into the content of one object: joinedVersion,
 // then each batch preceded by its length.
-func join(batches [][]byte) []byte {
+func joinBatches(batches [][]byte) []byte {
 	data := []byte{joinedVersion}
 	for _, b := range batches {
 		data = binary.AppendUvarint(data, uint64(len(b)))
@@ -21,9 +21,9 @@
 	return data
 }
 
-// split yields the encoded batches of an object. An object that doesn't start
+// splitBatches yields the encoded batches of an object. An object that doesn't start
 // with joinedVersion is a single batch.
-func split(data []byte) iter.Seq2[[]byte, error] {
+func splitBatches(data []byte) iter.Seq2[[]byte, error] {
 	return func(yield func([]byte, error) bool) {
 		if len(data) == 0 || data[0] != joinedVersion {
 			yield(data, nil)
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -117,8 +117,8 @@
 	unreplicated []*entry
 	// unsegmented are the bills that are in no segment yet.
 	unsegmented []*entry
-	// pendingSegments are the segments that aren't known to be in the table.
-	pendingSegments []*pendingSegment
+	// unwrittenSegments are the segments that aren't known to be in the table.
+	unwrittenSegments []*unwrittenSegment
 	// holders are the peers that may have copies, with the number of the last
 	// message to each.
 	holders map[string]uint64
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -95,7 +95,7 @@
 		l.CountRefusal("valley-auction", 41, 3001)
 		l.CountRefusal("valley-auction", 41, 3001)
 		l.buildSegments()
-		segments := l.pendingSegments
+		segments := l.unwrittenSegments
 		is.NoErr(l.Flush(t.Context()))
 		time.Sleep(48 * time.Hour)
 		for range 3 {
--- a/ledger/reader.go
+++ b/ledger/reader.go
@@ -26,8 +26,10 @@
 	Epoch     uint64
 	// From and To bound Bill.At: from From, up to but not including To.
 	From, To time.Time
-	// Margin is how far outside From and To Read looks for bills that have the
-	// same ID as one inside and take precedence over it; default DefaultMargin.
+	// Margin is the duration before From and after To in which Read also
+	// searches for bills. If a bill there has the same ID as a bill between From
+	// and To and takes precedence over it (see Prefer), Read yields neither.
+	// Default DefaultMargin.
 	Margin time.Duration
 }
 
@@ -144,8 +146,8 @@
 }
 
 // listRows yields the rows of the minutes from From to To, widened by the
-// margin, and the compacted rows of their days. That of the last day sorts after
-// the day's minutes and is read last.
+// margin, and the compacted rows of their days. The compacted rows of the last day
+// sort after the rows of its minutes and are read last.
 func (q Query) listRows(ctx context.Context, table storage.Table) iter.Seq2[storage.Row, error] {
 	return func(yield func(storage.Row, error) bool) {
 		after, last := "", "~"
--- a/ledger/refusal.go
+++ b/ledger/refusal.go
@@ -10,8 +10,8 @@
 	// maxRefusalKeys bounds the combinations of account, epoch and code that are
 	// counted separately between two flushes.
 	maxRefusalKeys = 10_000
-	// OtherAccounts is the account under which refusals beyond that bound are
-	// counted.
+	// OtherAccounts is the account under which refusals of further combinations
+	// are counted once there are maxRefusalKeys.
 	OtherAccounts = "*"
 )
 
--- a/ledger/replicate.go
+++ b/ledger/replicate.go
@@ -38,7 +38,8 @@
 }
 
 // replicateNext sends the next message to a peer. attempted is false if there
-// was nothing to send. Without peers it requests an early flush instead.
+// was nothing to send. If the ledger has no peers, replicateNext requests an
+// early flush instead.
 func (l *Ledger) replicateNext(ctx context.Context) (attempted bool, err error) {
 	entries, seq := l.nextUnreplicated()
 	if len(entries) == 0 {
@@ -97,8 +98,8 @@
 	}
 }
 
-// PeerDown records that a peer is down and the copies on it are lost. Bills
-// of which it had the copy are sent to another peer, unless they are in the
+// PeerDown records that a peer is down and that the copies on it are lost. Bills
+// whose copy was on that peer are sent to another peer, unless they are in the
 // table.
 func (l *Ledger) PeerDown(host string) {
 	l.mu.Lock()
@@ -119,7 +120,7 @@
 			list = append(list, e)
 		}
 	}
-	for _, f := range l.pendingSegments {
+	for _, f := range l.unwrittenSegments {
 		for _, e := range f.entries {
 			if e.holder == host && !e.flushed {
 				list = append(list, e)
--- a/ledger/segment.go
+++ b/ledger/segment.go
@@ -32,7 +32,8 @@
 	Data []byte `json:"data,omitempty"`
 	// Object is the name of an object that contains encoded batches.
 	Object string `json:"object,omitempty"`
-	// Index is the name of an object that contains a list of such names.
+	// Index is the name of an object that lists the names of objects that
+	// contain encoded batches.
 	Index string `json:"index,omitempty"`
 	// Bills is the number of bills, including duplicates.
 	Bills int `json:"bills"`
@@ -57,7 +58,8 @@
 }
 
 // segmentKey returns the key of a segment. It consists of the bucket, the host,
-// the incarnation of the host's process, and the segment's number in it.
+// the incarnation of the host's process, and the number that this process gave
+// the segment.
 func segmentKey(bucket, host, incarnation string, seq uint64) string {
 	return fmt.Sprintf("%s%s/%s/%s/%012d", keyPrefix, bucket, keyPart(host), incarnation, seq)
 }
@@ -173,7 +175,7 @@
 				yield(nil, fmt.Errorf("ledger: read object %s: %w", name, err))
 				return
 			}
-			for part, err := range split(data) {
+			for part, err := range splitBatches(data) {
 				if !yield(part, err) || err != nil {
 					return
 				}
--- a/ledger/sequence_test.go
+++ b/ledger/sequence_test.go
@@ -51,9 +51,9 @@
 	removedHosts int
 	lastID       int
 	mu           sync.Mutex
-	// required are the bills for which Record returned no error. optional are
-	// those for which it returned ErrAtRisk, by host and ID; check moves them to
-	// required if their host wasn't killed.
+	// required holds the bills for which Record returned no error. optional holds
+	// the bills for which it returned ErrAtRisk, by host and ID; check moves them
+	// to required if their host wasn't killed.
 	required, optional map[string]Bill
 }
 
@@ -111,7 +111,7 @@
 	h := s.liveHost(rt)
 	h.Pause()
 	time.Sleep(drawDuration(rt))
-	s.cluster.hostDown(s.index(h))
+	s.cluster.reportHostDown(s.index(h))
 	time.Sleep(drawDuration(rt))
 	h.Resume()
 }
@@ -125,12 +125,12 @@
 	s.removedHosts++
 	i := s.index(s.liveHost(rt))
 	s.cluster.killHost(i)
-	s.cluster.hostDown(i)
+	s.cluster.reportHostDown(i)
 	time.Sleep(5 * time.Second)
 }
 
-// stop drains a host and then kills it, as a planned stop does. It does neither
-// if two hosts are gone, and doesn't kill a host whose drain fails.
+// stop drains a host and then kills it, as a planned stop does. It does nothing if
+// two hosts are gone, and doesn't kill a host whose drain fails.
 func (s *faultSequence) stop(rt *rapid.T) {
 	if s.removedHosts == 2 {
 		return
@@ -143,7 +143,7 @@
 	}
 	s.removedHosts++
 	s.cluster.killHost(s.index(h))
-	s.cluster.hostDown(s.index(h))
+	s.cluster.reportHostDown(s.index(h))
 	time.Sleep(5 * time.Second)
 }
 
@@ -193,10 +193,10 @@
 	}
 }
 
-// TestPreferLaws checks that Prefer is commutative, associative and idempotent,
+// TestPreferIsOrderIndependent checks that Prefer is commutative, associative and idempotent,
 // so that its result doesn't depend on the order in which bills are read or on
 // how often.
-func TestPreferLaws(t *testing.T) {
+func TestPreferIsOrderIndependent(t *testing.T) {
 	bill := rapid.Custom(func(rt *rapid.T) Bill {
 		b := testBill("r1")
 		b.At = time.Unix(int64(rapid.IntRange(1, 2).Draw(rt, "at")), 0).UTC()
--- a/ledger/trace.go
+++ b/ledger/trace.go
@@ -45,7 +45,7 @@
 }
 
 // ByEpoch returns the bills and refusal counts of the requests under the
-// manifest with that epoch.
+// manifest with the given epoch.
 func ByEpoch(ctx context.Context, table storage.Table, objects storage.Objects, epoch uint64) (EpochTrace, error) {
 	s, err := readBillSet(ctx, table, objects, Query{})
 	if err != nil {
