--- a/history/answer.go
+++ b/history/answer.go
@@ -7,7 +7,7 @@
 // that an upstream produced for the request or a request with the same key. It
 // also checks that no request is answered twice.
 func CheckAnswers(events []Event) []Violation {
-	byID, _ := requests(events)
+	byID, _ := requestsByID(events)
 	digests := upstreamDigests(events, byID)
 	answered := make(map[string]bool)
 	var found []Violation
--- a/history/atmostonce.go
+++ b/history/atmostonce.go
@@ -5,7 +5,7 @@
 // CheckAtMostOnce checks that upstreams ran each request that isn't idempotent
 // at most once, counting all requests with the same account and key as one.
 func CheckAtMostOnce(events []Event) []Violation {
-	byID, _ := requests(events)
+	byID, _ := requestsByID(events)
 	runs := make(map[string]int)
 	var found []Violation
 	for _, e := range events {
--- a/history/billing.go
+++ b/history/billing.go
@@ -10,7 +10,7 @@
 // one that wasn't dispatched has none; and if a caller's connection was lost or
 // the run ended before the answer, there is at most one.
 func CheckBilling(events []Event) []Violation {
-	byID, sent := requests(events)
+	byID, sent := requestsByID(events)
 	groups, order := billGroups(byID, sent)
 	var found []Violation
 	for _, e := range events {
--- a/history/config.go
+++ b/history/config.go
@@ -7,9 +7,9 @@
 )
 
 // CheckConfigurations checks that accepted manifests have unique, increasing
-// epochs, that no host reverts to an earlier one, and that each is in force on
-// every host within bound, except on hosts that are impaired or gone in that
-// time.
+// epochs, that no host reverts to an earlier epoch, and that each manifest is in
+// force on every host within bound, except on hosts that are impaired or gone
+// during that period.
 func CheckConfigurations(events []Event, bound time.Duration) []Violation {
 	return slices.Concat(
 		checkEpochs(events),
@@ -51,7 +51,7 @@
 // checkReverts checks that the epoch of each host never decreases, in its own
 // reports and in its answers, including after restarts under the same name.
 func checkReverts(events []Event) []Violation {
-	byID, _ := requests(events)
+	byID, _ := requestsByID(events)
 	current := make(map[string]uint64)
 	// epochAtSend is the epoch in force on a request's host when the request was
 	// sent.
--- a/history/helper_test.go
+++ b/history/helper_test.go
@@ -12,7 +12,7 @@
 	v2 = Version{Model: "quote", Version: "v2"}
 )
 
-// numbered sets the Seq of events. An event without a time gets that of the
+// numbered sets the Seq of events. An event without a time gets the time of the
 // previous event plus one second.
 func numbered(events ...Event) []Event {
 	for i := range events {
@@ -107,7 +107,7 @@
 }
 
 // checkCase is a list of events and the detail of the violation that the checker
-// must report; it is empty if there is none.
+// must report. The detail is empty if the checker must report no violation.
 type checkCase struct {
 	desc   string
 	events []Event
--- a/history/manifest.go
+++ b/history/manifest.go
@@ -9,14 +9,14 @@
 		Kind:      ManifestAccepted,
 		Epoch:     epoch,
 		Digest:    digest,
-		Permits:   permits(document),
-		Withdrawn: withdrawn(document),
+		Permits:   permitsOf(document),
+		Withdrawn: withdrawnVersions(document),
 	}
 }
 
-// permits returns the versions that each account may use. A permission without
+// permitsOf returns the versions that each account may use. A permission without
 // versions covers all versions of its model.
-func permits(document manifest.Document) []Permit {
+func permitsOf(document manifest.Document) []Permit {
 	versions := make(map[string][]string)
 	for _, m := range document.Models {
 		for _, v := range m.Versions {
@@ -38,8 +38,8 @@
 	return list
 }
 
-// withdrawn returns the withdrawn versions.
-func withdrawn(document manifest.Document) []Version {
+// withdrawnVersions returns the versions that the document withdraws.
+func withdrawnVersions(document manifest.Document) []Version {
 	var list []Version
 	for _, m := range document.Models {
 		for _, v := range m.Versions {
--- a/history/manifests.go
+++ b/history/manifests.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// acceptedManifest is an accepted manifest and the time in which it can have
+// acceptedManifest is an accepted manifest and the period in which it can have
 // been in force on a host.
 type acceptedManifest struct {
 	event Event
@@ -16,9 +16,9 @@
 	earliest, latest time.Duration
 }
 
-// manifests returns the accepted manifests in the order of their epochs, each
+// acceptedManifests returns the accepted manifests in the order of their epochs, each
 // epoch once. bound is the time within which a manifest is in force on all hosts.
-func manifests(events []Event, bound time.Duration) []acceptedManifest {
+func acceptedManifests(events []Event, bound time.Duration) []acceptedManifest {
 	submitted := make(map[string]time.Duration)
 	var list []acceptedManifest
 	for _, e := range events {
--- a/history/permitted.go
+++ b/history/permitted.go
@@ -10,8 +10,8 @@
 // the sending and the arrival. Requests to plain services have no model and
 // aren't checked.
 func CheckPermissions(events []Event, inForce time.Duration) []Violation {
-	list := manifests(events, inForce)
-	byID, _ := requests(events)
+	list := acceptedManifests(events, inForce)
+	byID, _ := requestsByID(events)
 	var found []Violation
 	for _, e := range events {
 		if e.Kind != UpstreamArrived || e.Model == "" {
--- a/history/requests.go
+++ b/history/requests.go
@@ -10,9 +10,9 @@
 	runs     []Event
 }
 
-// requests returns the requests by their IDs, and the IDs in the order in
+// requestsByID returns the requests by their IDs, and the IDs in the order in
 // which they were sent.
-func requests(events []Event) (map[string]*request, []string) {
+func requestsByID(events []Event) (map[string]*request, []string) {
 	byID := make(map[string]*request)
 	var order []string
 	for _, e := range events {
@@ -38,8 +38,8 @@
 	return byID, order
 }
 
-// dispatched reports whether an upstream received the request, or whether the
-// run state that the caller received means that one may have.
+// dispatched reports whether an upstream received the request, or may have
+// received it according to the run state that the caller got.
 func (r *request) dispatched() bool {
 	return len(r.arrivals) > 0 || len(r.runs) > 0 || r.answered && r.answer.RunState != notRun
 }
--- a/history/session.go
+++ b/history/session.go
@@ -12,8 +12,8 @@
 // session may change from a version that a manifest withdraws or no longer
 // permits to the account.
 func CheckSessions(events []Event) []Violation {
-	list := manifests(events, 0)
-	byID, _ := requests(events)
+	list := acceptedManifests(events, 0)
+	byID, _ := requestsByID(events)
 	earlier := make(map[sessionID][]Event)
 	var found []Violation
 	for _, e := range events {
@@ -45,9 +45,10 @@
 	return append(answers, e)
 }
 
-// versionRevoked reports whether a manifest submitted before the answer e and
-// accepted after the answer before doesn't permit the account the version of
-// the answer before.
+// versionRevoked reports whether some manifest may have revoked the account's
+// permission for the version of an earlier answer, before, until the answer e. It
+// checks the manifests that were accepted after the earlier answer and submitted
+// before e.
 func versionRevoked(list []acceptedManifest, r *request, before, e Event) bool {
 	for _, m := range list {
 		if m.earliest <= e.At && m.event.At >= before.At && !m.permits(r.sent.Account, before.version()) {
--- a/history/stop.go
+++ b/history/stop.go
@@ -13,7 +13,7 @@
 // CheckPlannedStops checks that a host that stops as planned ends every request
 // that was sent to it before the stop began with a result that isn't a fault.
 func CheckPlannedStops(events []Event) []Violation {
-	byID, order := requests(events)
+	byID, order := requestsByID(events)
 	var found []Violation
 	for host, stopping := range plannedStops(events) {
 		for _, id := range order {
@@ -29,8 +29,8 @@
 	return found
 }
 
-// plannedStops returns when each planned stop began, by host. A host that was
-// restarted under the same name counts as one host with the last stop.
+// plannedStops returns when the planned stop of each host began. For a host that
+// was restarted under the same name it returns the start of the last stop.
 func plannedStops(events []Event) map[string]time.Duration {
 	stops := make(map[string]time.Duration)
 	for _, e := range events {
--- a/history/truthful.go
+++ b/history/truthful.go
@@ -9,7 +9,7 @@
 // run state of a duplicate refers only to the duplicate, not to earlier requests
 // with its key; for those see CheckDuplicateRefusals.
 func CheckRefusals(events []Event) []Violation {
-	byID, order := requests(events)
+	byID, order := requestsByID(events)
 	var found []Violation
 	for _, id := range order {
 		r := byID[id]
@@ -24,7 +24,7 @@
 // request with a key receives "not run" only if no request with that key had
 // arrived at an upstream before.
 func CheckDuplicateRefusals(events []Event) []Violation {
-	byID, _ := requests(events)
+	byID, _ := requestsByID(events)
 	arrived := make(map[string]bool)
 	var found []Violation
 	for _, e := range events {
--- a/history/withdrawn.go
+++ b/history/withdrawn.go
@@ -8,7 +8,7 @@
 // CheckWithdrawn checks that no request arrives for a version at a time when
 // every manifest that can be in force withdraws that version.
 func CheckWithdrawn(events []Event, inForce time.Duration) []Violation {
-	list := manifests(events, inForce)
+	list := acceptedManifests(events, inForce)
 	var found []Violation
 	for _, e := range events {
 		if e.Kind != UpstreamArrived || e.Model == "" {
