--- a/storage/client/hosts.go
+++ b/storage/client/hosts.go
@@ -16,8 +16,9 @@
 // takes megabytes.
 type hostList struct {
 	platform *Platform
-	// lock protects the fields below: a call takes the one token that it holds
-	// and puts it back. With a channel, a waiting call can end with its context.
+	// lock is a channel with one token that protects the fields below: a call
+	// takes the token and puts it back. Unlike with a mutex, a call can stop
+	// waiting when its context ends.
 	lock chan struct{}
 	// cursor identifies the state of the list in hosts; empty if the next call
 	// must fetch the whole list.
@@ -99,8 +100,8 @@
 	l.hosts = slices.Insert(l.hosts, i, host)
 }
 
-// remove removes a host, if it is there. A host that was added and removed
-// between two calls isn't.
+// remove removes a host if it is in the list. A host that was added and removed
+// between two calls isn't in the list.
 func (l *hostList) remove(id string) {
 	i, found := l.find(id)
 	if found {
--- a/storage/faulty/table.go
+++ b/storage/faulty/table.go
@@ -53,9 +53,9 @@
 	down bool
 	// delay is the delay of each call; default 0.
 	delay time.Duration
-	// drop, lose, late and hold are the numbers of coming commits with that
+	// dropCount, loseCount, lateCount and holdCount are the numbers of coming commits with that
 	// fault; a commit uses the first of them that isn't zero. Default 0.
-	drop, lose, late, hold int
+	dropCount, loseCount, lateCount, holdCount int
 	// lateDelay is the time until a late commit takes effect.
 	lateDelay time.Duration
 }
@@ -94,26 +94,26 @@
 // LoseNextResponses makes the next n commits take effect, if their conditions
 // hold, and return storage.ErrUnknown.
 func (t *Table) LoseNextResponses(n int) {
-	t.updateFaults(func(f *faults) { f.lose = n })
+	t.updateFaults(func(f *faults) { f.loseCount = n })
 }
 
 // DropNextCommits makes the next n commits have no effect and return
 // storage.ErrUnknown.
 func (t *Table) DropNextCommits(n int) {
-	t.updateFaults(func(f *faults) { f.drop = n })
+	t.updateFaults(func(f *faults) { f.dropCount = n })
 }
 
 // DelayNextCommits makes the next n commits return storage.ErrUnknown at once
 // and take effect after d, if their conditions hold then.
 func (t *Table) DelayNextCommits(n int, d time.Duration) {
-	t.updateFaults(func(f *faults) { f.late, f.lateDelay = n, d })
+	t.updateFaults(func(f *faults) { f.lateCount, f.lateDelay = n, d })
 }
 
 // HoldNextCommits makes the next n commits return storage.ErrUnknown at once and
 // take effect at the next ApplyHeldCommits, if their conditions hold then. It
 // replaces DelayNextCommits in tests that use a clock of their own.
 func (t *Table) HoldNextCommits(n int) {
-	t.updateFaults(func(f *faults) { f.hold = n })
+	t.updateFaults(func(f *faults) { f.holdCount = n })
 }
 
 // ApplyHeldCommits applies the held commits in the order of their calls.
@@ -279,17 +279,17 @@
 	defer t.mu.Unlock()
 	f := &t.faults
 	switch {
-	case f.drop > 0:
-		f.drop--
+	case f.dropCount > 0:
+		f.dropCount--
 		return faultDrop, 0
-	case f.lose > 0:
-		f.lose--
+	case f.loseCount > 0:
+		f.loseCount--
 		return faultLose, 0
-	case f.late > 0:
-		f.late--
+	case f.lateCount > 0:
+		f.lateCount--
 		return faultLate, f.lateDelay
-	case f.hold > 0:
-		f.hold--
+	case f.holdCount > 0:
+		f.holdCount--
 		return faultHold, 0
 	default:
 		return faultNone, 0
--- a/storage/faulty/table_test.go
+++ b/storage/faulty/table_test.go
@@ -32,8 +32,8 @@
 		// timeout is the timeout of the call; zero for none.
 		timeout time.Duration
 		want    error
-		// exists and existsLater report whether the row exists right after the
-		// call and once late and held commits have been applied.
+		// exists reports whether the row exists right after the call, existsLater
+		// whether it exists once late and held commits have been applied.
 		exists, existsLater bool
 	}{
 		{desc: "no fault", fault: func(*faulty.Table) {}, exists: true, existsLater: true},
--- a/storage/groupcommit/batch.go
+++ b/storage/groupcommit/batch.go
@@ -5,12 +5,12 @@
 // batch collects transactions to commit as one: they touch different rows, and
 // together they stay within maxOps and maxBytes.
 type batch struct {
-	items    []*pendingTxn
-	keys     map[string]struct{}
-	ops      int
-	bytes    int
-	maxOps   int
-	maxBytes int
+	items     []*pendingTxn
+	keys      map[string]struct{}
+	opCount   int
+	byteCount int
+	maxOps    int
+	maxBytes  int
 }
 
 func newBatch(maxOps, maxBytes int) *batch {
@@ -28,13 +28,13 @@
 		b.keys[key] = struct{}{}
 	}
 	b.items = append(b.items, p)
-	b.ops += p.ops()
-	b.bytes += p.bytes
+	b.opCount += p.ops()
+	b.byteCount += p.byteCount
 	return true
 }
 
 func (b *batch) fits(p *pendingTxn) bool {
-	if b.ops+p.ops() > b.maxOps || b.bytes+p.bytes > b.maxBytes {
+	if b.opCount+p.ops() > b.maxOps || b.byteCount+p.byteCount > b.maxBytes {
 		return false
 	}
 	for key := range p.keys {
--- a/storage/groupcommit/committer.go
+++ b/storage/groupcommit/committer.go
@@ -17,7 +17,8 @@
 type Stats struct {
 	// Transactions is the number of transactions sent to the table.
 	Transactions uint64
-	// Commits is the number of commits sent, those of splits included.
+	// Commits is the number of commits sent, including the parts of merged
+	// commits that were split.
 	Commits uint64
 	// Splits is how many of these commits were sent because a merged one
 	// failed on a condition.
@@ -37,10 +38,10 @@
 	inFlightSlots chan struct{}
 	stopped       chan struct{}
 
-	transactions atomic.Uint64
-	commits      atomic.Uint64
-	splits       atomic.Uint64
-	reads        atomic.Uint64
+	transactions     atomic.Uint64
+	commits          atomic.Uint64
+	splitCommitCount atomic.Uint64
+	reads            atomic.Uint64
 }
 
 var _ storage.Table = (*Committer)(nil)
@@ -110,7 +111,7 @@
 	return Stats{
 		Transactions: c.transactions.Load(),
 		Commits:      c.commits.Load(),
-		Splits:       c.splits.Load(),
+		Splits:       c.splitCommitCount.Load(),
 		Reads:        c.reads.Load(),
 	}
 }
@@ -185,8 +186,8 @@
 }
 
 // split commits the halves of a batch that conflicted. If the first half
-// succeeds, the conflict is in the second, which is then split without being
-// tried as a whole: that saves one commit at each level.
+// succeeds, the conflict is in the second half, which is then split again without
+// being committed as a whole first. That saves one commit at each level.
 func (c *Committer) split(items []*pendingTxn) {
 	half := len(items) / 2
 	first, second := items[:half], items[half:]
@@ -200,7 +201,7 @@
 // commitPart commits a part of a batch within the rate limit.
 func (c *Committer) commitPart(items []*pendingTxn) bool {
 	c.waitForRate()
-	c.splits.Add(1)
+	c.splitCommitCount.Add(1)
 	return c.commitBatch(items)
 }
 
--- a/storage/groupcommit/committer_test.go
+++ b/storage/groupcommit/committer_test.go
@@ -49,8 +49,8 @@
 		desc     string
 		size     int
 		existing []int
-		// maxCommits bounds the commits, splits included: 1 + 2*log2(size) for
-		// one conflict at any position in the batch.
+		// maxCommits bounds the commits, including the parts of split commits:
+		// 1 + 2*log2(size) for one conflict at any position in the batch.
 		maxCommits uint64
 		// commitsWithReads is the exact number of commits if rows may be read.
 		commitsWithReads uint64
@@ -81,8 +81,8 @@
 	}
 }
 
-// commitWithConflicts commits size transactions that create one row each at
-// once, and checks the outcome of each. Those whose rows exist must conflict.
+// commitWithConflicts concurrently commits size transactions that each create one
+// row, and checks the outcome of each. Transactions whose rows exist must conflict.
 func commitWithConflicts(t *testing.T, options groupcommit.Options, size int, existing []int) groupcommit.Stats {
 	is := is.New(t)
 	c, table := setup(t, options)
@@ -200,10 +200,11 @@
 	tests := []struct {
 		desc    string
 		options groupcommit.Options
-		// commits is the exact number for 60 transactions of 2 ops at once.
+		// commits is the exact number of commits for 60 concurrent transactions
+		// of 2 operations each.
 		commits uint64
-		// minDuration is the time that the rate limit requires for all but the
-		// burst of 5 and the commit after it.
+		// minDuration is the time that the rate limit requires for all commits
+		// except the burst of 5 and the commit after the burst.
 		minDuration time.Duration
 	}{
 		{"one commit for all", groupcommit.Options{}, 1, 0},
--- a/storage/groupcommit/options.go
+++ b/storage/groupcommit/options.go
@@ -18,8 +18,8 @@
 	DefaultTimeout          = 2 * time.Second
 )
 
-// burstDivisor divides CommitsPerSecond into the number of commits that may be
-// sent at once.
+// burstDivisor is the divisor of CommitsPerSecond that yields the number of
+// commits that may be sent at once.
 const burstDivisor = 4
 
 // Options configures a Committer. Zero values are replaced by the defaults.
@@ -33,13 +33,14 @@
 	// MaxDelay is how long the first transaction of a batch waits for others;
 	// default 5 ms.
 	MaxDelay time.Duration
-	// CommitsPerSecond bounds the commits sent, those of splits included;
-	// default 20. A quarter of it, at least one, may be sent at once.
+	// CommitsPerSecond bounds the commits sent, including the parts of merged
+	// commits that were split; default 20. A quarter of this number, at least
+	// one, may be sent at once.
 	CommitsPerSecond float64
 	// ReadsPerSecond bounds the rows read to find the conflicting transactions
-	// of a merged commit; default 100. As many may be read at once. Beyond it,
-	// batches that conflict are split, which takes more commits. A negative
-	// value disables these reads.
+	// of a merged commit; default 100. The same number may be read at once.
+	// Conflicting batches beyond this rate are split, which takes more commits.
+	// A negative value disables these reads.
 	ReadsPerSecond float64
 	// MaxInFlight bounds the merged commits in progress at a time; default 4,
 	// so that one lost response doesn't delay all others.
--- a/storage/groupcommit/queue.go
+++ b/storage/groupcommit/queue.go
@@ -16,10 +16,10 @@
 // channel has a buffer for the outcome, so that the sender doesn't block if the
 // caller no longer receives.
 type pendingTxn struct {
-	txn   storage.Txn
-	keys  map[string]struct{}
-	bytes int
-	done  chan outcome
+	txn       storage.Txn
+	keys      map[string]struct{}
+	byteCount int
+	done      chan outcome
 }
 
 func newPendingTxn(txn storage.Txn) *pendingTxn {
@@ -42,7 +42,7 @@
 
 func (p *pendingTxn) addKey(key string, valueBytes int) {
 	p.keys[key] = struct{}{}
-	p.bytes += len(key) + valueBytes
+	p.byteCount += len(key) + valueBytes
 }
 
 func (p *pendingTxn) ops() int {
@@ -51,10 +51,10 @@
 
 // queue holds the transactions that haven't been sent to the table.
 type queue struct {
-	mu     sync.Mutex
-	items  []*pendingTxn
-	ops    int
-	closed bool
+	mu      sync.Mutex
+	items   []*pendingTxn
+	opCount int
+	closed  bool
 	// nonEmpty has an element while there may be items that Committer.run hasn't
 	// processed.
 	nonEmpty chan struct{}
@@ -82,9 +82,9 @@
 		return false
 	}
 	q.items = append(q.items, p)
-	q.ops += p.ops()
+	q.opCount += p.ops()
 	signal(q.nonEmpty)
-	if q.ops >= q.maxOps {
+	if q.opCount >= q.maxOps {
 		signal(q.batchReady)
 	}
 	return true
@@ -97,7 +97,7 @@
 	for i, item := range q.items {
 		if item == p {
 			q.items = append(q.items[:i], q.items[i+1:]...)
-			q.ops -= p.ops()
+			q.opCount -= p.ops()
 			return true
 		}
 	}
@@ -114,7 +114,7 @@
 	remaining := q.items[:0:0]
 	for _, p := range q.items {
 		if b.add(p) {
-			q.ops -= p.ops()
+			q.opCount -= p.ops()
 			continue
 		}
 		remaining = append(remaining, p)
@@ -123,7 +123,7 @@
 	if len(remaining) > 0 {
 		signal(q.nonEmpty)
 	}
-	if q.ops < q.maxOps && !q.closed {
+	if q.opCount < q.maxOps && !q.closed {
 		clearSignal(q.batchReady)
 	}
 	return b.items
