--- a/internal/cli/operator.go
+++ b/internal/cli/operator.go
@@ -19,7 +19,8 @@
 	maxOperatorResponseBytes = 256 << 20
 )
 
-// operatorFlags holds the operators' address of an entry host and its key.
+// operatorFlags holds the address of an entry host's operators' API and the
+// operator key.
 type operatorFlags struct {
 	Operator    string `help:"URL of an entry host's operators' address." default:"http://127.0.0.1:8081"`
 	OperatorKey string `help:"Key of the operators' address."`
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -117,7 +117,7 @@
 }
 
 // poisonDelay is the time from the start of a run whose prompt contains the poison text to the
-// end of the engine process; it has sent some of its first frames by then.
+// end of the engine process. By then the process has sent the first frames of the answer.
 const poisonDelay = 40 * time.Millisecond
 
 type standinEngineCmd struct {
--- a/internal/devenv/devenv.go
+++ b/internal/devenv/devenv.go
@@ -63,7 +63,7 @@
 	// Topology lists the upstreams and has the manifest that declares them; nil
 	// means the sample.
 	Topology *Topology
-	// Rater wraps the platform's rater; nil uses that unchanged.
+	// Rater wraps the platform's rater; nil leaves the rater unchanged.
 	Rater func(storage.Rater) storage.Rater
 	// Settings changes the settings of each entry host; nil changes none.
 	Settings func(*entry.Settings)
--- a/internal/devenv/topology.go
+++ b/internal/devenv/topology.go
@@ -18,8 +18,8 @@
 	Platform platformd.Options
 	// Engines has an element for each engine.
 	Engines []Engine
-	// Services has an element for each service instance: the name of its
-	// service. There must be at least one.
+	// Services has an element for each service instance, which is the name of
+	// its service. There must be at least one instance.
 	Services []string
 	// ServiceOptions has the options of every service instance; New sets the id,
 	// name and zone of each.
--- a/manifest/bench_test.go
+++ b/manifest/bench_test.go
@@ -19,7 +19,7 @@
 
 // BenchmarkLoad measures the cost of parsing and compiling a new manifest on a
 // host. Its memory metrics show the growth by accounts and versions: kept-B is the
-// memory of document and policy, policy-B that of the policy alone.
+// memory of the document and the policy, policy-B is the memory of the policy alone.
 func BenchmarkLoad(b *testing.B) {
 	for _, size := range []struct{ accounts, models, versions int }{
 		{10, 4, 4}, {100, 16, 4}, {1000, 16, 4}, {10000, 16, 4}, {1000, 16, 16}, {1000, 64, 16},
--- a/manifest/decode.go
+++ b/manifest/decode.go
@@ -54,9 +54,9 @@
 // as fast as decoder and as strictly: it compares the text with the encoding of
 // the result, so whatever the standard decoder tolerates (unknown fields,
 // duplicate keys, missing fields, nulls, field names in another case, invalid
-// encoding) makes a difference. A negative zero would make none, so text that
-// may hold one is rejected first; no valid number is negative. If the result is
-// false, the content of doc is undefined.
+// encoding) makes a difference. A negative zero would make no difference, so text
+// that may hold a negative zero is rejected first; no valid number is negative. If
+// the result is false, the content of doc is undefined.
 func decodeCanonical(data []byte, doc *Document) bool {
 	if bytes.Contains(data, []byte(":-")) {
 		return false
--- a/manifest/delta.go
+++ b/manifest/delta.go
@@ -84,7 +84,7 @@
 
 // ApplyDelta returns the target of a delta between base and that target. It
 // doesn't verify that base is the text that the delta was made from; the caller
-// does so by the digest of the result.
+// verifies that by the digest of the result.
 func ApplyDelta(base, data []byte) ([]byte, error) {
 	var d delta
 	if err := json.Unmarshal(data, &d); err != nil {
--- a/manifest/policy.go
+++ b/manifest/policy.go
@@ -21,7 +21,7 @@
 	// Document is the document that the policy was compiled from.
 	Document *Document
 
-	// keys maps the first 8 bytes of a key's digest to the keys that share them.
+	// keys maps the first 8 bytes of a digest to the keys whose digests begin with them.
 	keys     map[uint64][]keyEntry
 	models   map[string]*Model
 	versions map[versionKey]*Version
--- a/manifest/refusal_test.go
+++ b/manifest/refusal_test.go
@@ -142,8 +142,9 @@
 	}
 }
 
-// A key that was entered instead of its digest must not reach a log by a problem's text.
-func TestReportHoldsNoKeys(t *testing.T) {
+// A key that was entered in place of its digest must not appear in the text of a problem,
+// which is logged.
+func TestProblemsContainNoKeys(t *testing.T) {
 	is := is.New(t)
 	data := strings.Replace(string(readExample(t)), keyDigest, "secret-key", 1)
 	is.True(!strings.Contains(parseProblems(t, []byte(data)).Error(), "secret"))
