--- a/internal/standin/engine/deliver.go
+++ b/internal/standin/engine/deliver.go
@@ -15,10 +15,10 @@
 	faults Faults
 	w      http.ResponseWriter
 	// resumed is whether the connection resumes an answer that began on another
-	// one.
+	// connection.
 	resumed bool
-	// sent counts the frames of the job sent on this connection, which is cut
-	// after cutAfter of them unless that is noCut.
+	// sent is the number of the job's frames sent on this connection. The
+	// connection is cut after cutAfter frames, or never if cutAfter is noCut.
 	sent     int
 	cutAfter int
 	// delayed holds the numbers of frames to send late, by the number of the
@@ -110,8 +110,8 @@
 	d.cutIfDue()
 }
 
-// sendCrossedFrame sends a frame of another job; if there is none, it makes one
-// up.
+// sendCrossedFrame sends a frame of another job. If there is no other job, it
+// sends a generated frame with another request ID.
 func (d *delivery) sendCrossedFrame(n int) {
 	other := d.engine.jobs.otherThan(d.job)
 	if other == nil {
--- a/internal/standin/engine/run.go
+++ b/internal/standin/engine/run.go
@@ -24,7 +24,7 @@
 	}
 	for _, token := range tokens {
 		e.faults.waitWhileStalled()
-		if wait.For(ctx, e.tokenTime(slowdown)) != nil {
+		if wait.For(ctx, e.currentTimePerToken(slowdown)) != nil {
 			return
 		}
 		j.appendToken(token)
@@ -38,8 +38,9 @@
 	e.scheduleRemoval(j)
 }
 
-// tokenTime returns the time of the next output token at the current batch size.
-func (e *Engine) tokenTime(slowdown float64) time.Duration {
+// currentTimePerToken returns how long the next output token takes at the current
+// batch size.
+func (e *Engine) currentTimePerToken(slowdown float64) time.Duration {
 	running, _ := e.slots.counts()
 	factor := 1 + e.opts.BatchSlowdown*float64(running-1)
 	return scale(e.opts.TimePerToken, factor*slowdown)
--- a/internal/standin/platformd/response.go
+++ b/internal/standin/platformd/response.go
@@ -34,7 +34,8 @@
 // handler executes one call and returns its response.
 type handler func(r *http.Request) (response, error)
 
-// limitRate wraps handle: calls over the limiter's rate get status 429.
+// limitRate returns a handler that responds with status 429 to calls over the
+// limiter's rate and passes other calls to handle.
 func (s *Server) limitRate(limiter *rate.Limiter, h handler) http.Handler {
 	next := s.handle(h)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/standin/relay/relay_test.go
+++ b/internal/standin/relay/relay_test.go
@@ -22,8 +22,8 @@
 	tests := []struct {
 		desc string
 		cut  func(*relay.Relay)
-		// accepts is whether new connections work; broken is whether the one
-		// opened before the cut no longer does.
+		// accepts is whether new connections work; broken is whether the
+		// connection opened before the cut no longer works.
 		accepts, broken bool
 	}{
 		{"none", func(*relay.Relay) {}, true, false},
