--- a/internal/experiment/admission/experiment_test.go
+++ b/internal/experiment/admission/experiment_test.go
@@ -6,9 +6,9 @@
 	"github.com/matryer/is"
 )
 
-// TestAdmissionHoldsUnderOverload checks the conclusions of the experiment with
+// TestSchedulerUnderOverload checks the conclusions of the experiment with
 // one seed; the workload and all policies are deterministic.
-func TestAdmissionHoldsUnderOverload(t *testing.T) {
+func TestSchedulerUnderOverload(t *testing.T) {
 	for _, s := range scenarios() {
 		t.Run(s.name, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/experiment/admission/policy.go
+++ b/internal/experiment/admission/policy.go
@@ -25,10 +25,10 @@
 
 func policies() []namedPolicy {
 	return []namedPolicy{
-		{"FIFO", func() policy { return &rankedQueue{capacity: slots, rank: sameRank} }},
-		{"FIFO, callers leave", func() policy { return &rankedQueue{capacity: slots, rank: sameRank, dropExpired: true} }},
-		{"strict priority", func() policy { return &rankedQueue{capacity: slots, rank: classRank} }},
-		{"strict priority, callers leave", func() policy { return &rankedQueue{capacity: slots, rank: classRank, dropExpired: true} }},
+		{"FIFO", func() policy { return &rankedQueue{capacity: slotCount, rank: sameRank} }},
+		{"FIFO, callers leave", func() policy { return &rankedQueue{capacity: slotCount, rank: sameRank, dropExpired: true} }},
+		{"strict priority", func() policy { return &rankedQueue{capacity: slotCount, rank: classRank} }},
+		{"strict priority, callers leave", func() policy { return &rankedQueue{capacity: slotCount, rank: classRank, dropExpired: true} }},
 		{"admission", func() policy { return newSchedulerPolicy() }},
 	}
 }
@@ -97,7 +97,7 @@
 		classes = append(classes, admission.ClassOptions{Name: l.name, MinShare: l.minShare})
 	}
 	return &schedulerPolicy{
-		scheduler: admission.NewScheduler(admission.Options{Capacity: slots, Classes: classes, MaxQueue: 2048}),
+		scheduler: admission.NewScheduler(admission.Options{Capacity: slotCount, Classes: classes, MaxQueue: 2048}),
 		entries:   make(map[*request]*admission.Entry),
 		requests:  make(map[*admission.Entry]*request),
 	}
--- a/internal/experiment/admission/report.go
+++ b/internal/experiment/admission/report.go
@@ -98,7 +98,7 @@
 
 func availableWork(s scenario) float64 {
 	lost := (s.lossUntil - s.lossFrom).Seconds() / 3
-	return slots * ((runDuration - warmUp).Seconds() - lost)
+	return slotCount * ((runDuration - warmUp).Seconds() - lost)
 }
 
 func printScenario(t *simulate.Tables, s scenario, seeds int) {
--- a/internal/experiment/admission/run.go
+++ b/internal/experiment/admission/run.go
@@ -37,9 +37,9 @@
 		e.request.finished = e.at
 		return p.finish(e.at, e.request)
 	case eventLoss:
-		return p.setCapacity(e.at, slots*2/3)
+		return p.setCapacity(e.at, slotCount*2/3)
 	default:
-		return p.setCapacity(e.at, slots)
+		return p.setCapacity(e.at, slotCount)
 	}
 }
 
--- a/internal/experiment/admission/workload.go
+++ b/internal/experiment/admission/workload.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// slots is the capacity in concurrent requests.
-	slots = 48
+	// slotCount is the number of requests that can run concurrently.
+	slotCount = 48
 	// runDuration is the virtual time of one run; requests that arrive in the
 	// first warmUp of it aren't counted.
 	runDuration = 90 * time.Second
 	warmUp      = 10 * time.Second
 	// estimateSigma and serviceSigma are the standard deviations of the
-	// logarithms of estimate/class median and service time/estimate, both
-	// log-normally distributed.
+	// logarithms of two ratios: the estimate to the median of the class, and the
+	// service time to the estimate. Both ratios are log-normally distributed.
 	estimateSigma = 0.5
 	serviceSigma  = 0.3
 )
@@ -49,7 +49,7 @@
 	// load is the offered work as a multiple of the capacity.
 	load float64
 	// lossFrom and lossUntil bound the period in which a third of the capacity
-	// is missing; if both are zero there is none.
+	// is missing; if both are zero, there is no such period.
 	lossFrom, lossUntil time.Duration
 	accounts            []accountLoad
 }
@@ -108,7 +108,7 @@
 		// The mean of a log-normal distribution is its median times
 		// exp(sigma²/2).
 		mean := l.medianService.Seconds() * math.Exp((estimateSigma*estimateSigma+serviceSigma*serviceSigma)/2)
-		rates[i] = s.load * slots * l.workShare / mean
+		rates[i] = s.load * slotCount * l.workShare / mean
 		total += rates[i]
 	}
 	var all []*request
--- a/internal/experiment/balance/engine.go
+++ b/internal/experiment/balance/engine.go
@@ -16,9 +16,9 @@
 	cacheBlocks      = 3000 // capacity of the prefix cache
 	blockTokens      = 64
 	prefillPerSecond = 9000.0 // uncached tokens/s
-	tokenTime        = 12 * time.Millisecond
+	baseTimePerToken = 12 * time.Millisecond
 	// batchSlowdown is the increase of the time per token in a full batch, as a
-	// multiple of tokenTime.
+	// multiple of baseTimePerToken.
 	batchSlowdown = 1.5
 	failureDelay  = 5 * time.Millisecond
 )
@@ -37,15 +37,15 @@
 
 // request is one simulated request.
 type request struct {
-	account       string
-	session       string
-	hashes        []uint64
-	outputTokens  int // to generate
-	intendedStart time.Time
-	host          int
-	tried         []string
-	cachedBlocks  int // leading blocks found in the engine's cache
-	onProgress    func(firstToken bool, ok bool)
+	account          string
+	session          string
+	hashes           []uint64
+	outputTokens     int // to generate
+	intendedStart    time.Time
+	host             int
+	tried            []string
+	cachedBlockCount int // number of leading blocks found in the engine's cache
+	onProgress       func(firstToken bool, ok bool)
 }
 
 // engine simulates continuous batching: prefills run one after the other, and
@@ -107,8 +107,8 @@
 
 func (e *engine) startPrefill(r *request) {
 	e.prefilling++
-	r.cachedBlocks = e.lookupAndStore(r.hashes)
-	tokens := float64((len(r.hashes)-r.cachedBlocks)*blockTokens + blockTokens)
+	r.cachedBlockCount = e.lookupAndStore(r.hashes)
+	tokens := float64((len(r.hashes)-r.cachedBlockCount)*blockTokens + blockTokens)
 	length := time.Duration(tokens / prefillPerSecond * e.timeFactor() * float64(time.Second))
 	begin := e.queue.Now()
 	if e.prefillEnd.After(begin) {
@@ -153,7 +153,7 @@
 }
 
 func (e *engine) timePerToken(batch int) float64 {
-	return float64(tokenTime) * e.timeFactor() * (1 + batchSlowdown*float64(batch)/batchSlots)
+	return float64(baseTimePerToken) * e.timeFactor() * (1 + batchSlowdown*float64(batch)/batchSlots)
 }
 
 // scheduleFinish schedules the end of the decoding request that ends first, and
--- a/internal/experiment/balance/policies.go
+++ b/internal/experiment/balance/policies.go
@@ -20,8 +20,9 @@
 	newChooser func(rnd *rand.Rand) chooser
 }
 
-// untried returns the upstreams of the pool that the request hasn't tried.
-func untried(pool *choose.Pool, req *choose.Request) []*choose.Upstream {
+// unattempted returns the upstreams of the pool that the request wasn't sent to
+// before.
+func unattempted(pool *choose.Pool, req *choose.Request) []*choose.Upstream {
 	return slices.DeleteFunc(pool.View(), func(u *choose.Upstream) bool {
 		return slices.Contains(req.Exclude, u.ID)
 	})
@@ -29,7 +30,7 @@
 
 func random(rnd *rand.Rand) chooser {
 	return func(pool *choose.Pool, req *choose.Request) (string, bool) {
-		list := untried(pool, req)
+		list := unattempted(pool, req)
 		return list[rnd.IntN(len(list))].ID, true
 	}
 }
@@ -37,7 +38,7 @@
 func roundRobin(rnd *rand.Rand) chooser {
 	next := rnd.IntN(1000)
 	return func(pool *choose.Pool, req *choose.Request) (string, bool) {
-		list := untried(pool, req)
+		list := unattempted(pool, req)
 		next++
 		return list[next%len(list)].ID, true
 	}
@@ -48,7 +49,7 @@
 func lowest(value func(u *choose.Upstream) int) func(rnd *rand.Rand) chooser {
 	return func(rnd *rand.Rand) chooser {
 		return func(pool *choose.Pool, req *choose.Request) (string, bool) {
-			list := untried(pool, req)
+			list := unattempted(pool, req)
 			rnd.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 			best := slices.MinFunc(list, func(a, b *choose.Upstream) int { return value(a) - value(b) })
 			return best.ID, true
--- a/internal/experiment/balance/report.go
+++ b/internal/experiment/balance/report.go
@@ -21,7 +21,7 @@
 const ratePerEngine = 3.6
 
 func settingFor(engines int) setting {
-	return setting{engines: engines, hosts: 7, rate: ratePerEngine * float64(engines)}
+	return setting{engineCount: engines, hostCount: 7, rate: ratePerEngine * float64(engines)}
 }
 
 // Run runs the experiment and prints all tables in Markdown.
@@ -29,7 +29,7 @@
 	if options.Seeds <= 0 {
 		options.Seeds = DefaultSeeds
 	}
-	r := &report{Tables: simulate.NewTables(w), seeds: options.Seeds}
+	r := &report{Tables: simulate.NewTables(w), seedCount: options.Seeds}
 	r.startTable("18 engines, a third of the load")
 	lightLoad := settingFor(18)
 	lightLoad.rate /= 3
@@ -53,7 +53,7 @@
 
 type report struct {
 	*simulate.Tables
-	seeds int
+	seedCount int
 }
 
 func (r *report) startTable(title string) {
@@ -100,15 +100,15 @@
 
 // printRow runs a setting under a policy with all seeds and prints the row.
 func (r *report) printRow(s setting, c namedPolicy) {
-	results := simulate.RunSeeds(r.seeds, func(seed int) result { return run(s, c, seed) })
+	results := simulate.RunSeeds(r.seedCount, func(seed int) result { return run(s, c, seed) })
 	row := []string{c.name}
 	for _, quantile := range []float64{50, 95, 99} {
 		row = append(row, simulate.FormatRange(simulate.Values(results, func(r result) float64 {
 			return float64(r.firstToken.ValueAtQuantile(quantile)) / 1000
 		})))
 	}
-	hits := simulate.Values(results, func(r result) float64 { return float64(r.cached) / float64(r.blocks) })
-	failed := simulate.Values(results, func(r result) float64 { return float64(r.failed) / float64(r.requests) })
+	hits := simulate.Values(results, func(r result) float64 { return float64(r.cached) / float64(r.blockCount) })
+	failed := simulate.Values(results, func(r result) float64 { return float64(r.failed) / float64(r.requestCount) })
 	row = append(row,
 		fmt.Sprintf("%.0f%%", 100*simulate.Summarize(hits).Mean),
 		fmt.Sprintf("%.2f%%", 100*simulate.Summarize(failed).Mean))
--- a/internal/experiment/balance/run_test.go
+++ b/internal/experiment/balance/run_test.go
@@ -12,10 +12,10 @@
 	is := is.New(t)
 	s := settingFor(3)
 	a, b := run(s, fullChain, 2), run(s, fullChain, 2)
-	is.Equal(a.requests, b.requests)
+	is.Equal(a.requestCount, b.requestCount)
 	is.Equal(a.firstToken.Max(), b.firstToken.Max())
 	is.Equal(a.cached, b.cached)
-	is.True(a.requests > 0)
+	is.True(a.requestCount > 0)
 }
 
 // TestEngineModel compares the times of one request with the values computed
@@ -37,7 +37,7 @@
 	e.accept(r)
 	q.Run(runDuration)
 	prefill := 10 * blockTokens / prefillPerSecond
-	perToken := tokenTime.Seconds() * (1 + batchSlowdown/batchSlots)
+	perToken := baseTimePerToken.Seconds() * (1 + batchSlowdown/batchSlots)
 	is.True(approximatelyEqual(firstToken, prefill))
 	is.True(approximatelyEqual(end, prefill+10*perToken))
 	is.Equal(e.lookupAndStore(r.hashes), 9) // the prompt is cached now
--- a/internal/experiment/balance/simulation.go
+++ b/internal/experiment/balance/simulation.go
@@ -32,20 +32,20 @@
 
 // setting holds the parameters of one table row.
 type setting struct {
-	engines int
-	hosts   int
-	rate    float64 // requests/s outside the peak
-	fault   fault   // of the first engine; the others are healthy
-	events  events
+	engineCount int
+	hostCount   int
+	rate        float64 // requests/s outside the peak
+	fault       fault   // of the first engine; the others are healthy
+	events      events
 }
 
 // result holds the results of one run.
 type result struct {
-	firstToken *hdrhistogram.Histogram // microseconds
-	blocks     int
-	cached     int
-	failed     int
-	requests   int
+	firstToken   *hdrhistogram.Histogram // microseconds
+	blockCount   int
+	cached       int
+	failed       int
+	requestCount int
 }
 
 type simulation struct {
@@ -77,10 +77,10 @@
 	}
 	sim.result.firstToken = hdrhistogram.New(minLatency, maxLatency, latencyDigits)
 	list := sim.addEngines()
-	for i := range s.hosts {
+	for i := range s.hostCount {
 		sim.addHost(i, c, list, seed)
 	}
-	t := &traffic{queue: sim.queue, rnd: simulate.NewRand(seed), rate: s.rate, hosts: s.hosts, submit: sim.submit}
+	t := &traffic{queue: sim.queue, rnd: simulate.NewRand(seed), rate: s.rate, hostCount: s.hostCount, submit: sim.submit}
 	t.scheduleSession()
 	sim.queue.Run(runDuration)
 	return sim.result
@@ -88,7 +88,7 @@
 
 func (sim *simulation) addEngines() []storage.Host {
 	var list []storage.Host
-	for i := range sim.setting.engines {
+	for i := range sim.setting.engineCount {
 		e := newEngine(fmt.Sprintf("engine-%02d", i), sim.queue)
 		if i == 0 {
 			e.fault = sim.setting.fault
@@ -112,7 +112,7 @@
 	if c.newSelector != nil {
 		pool.SetSelector(c.newSelector(pool.Index()))
 	}
-	pool.SetHosts(sim.setting.hosts)
+	pool.SetHosts(sim.setting.hostCount)
 	pool.Update(list)
 	sim.pools = append(sim.pools, pool)
 	chooser := chooseByPool
@@ -202,7 +202,7 @@
 func (sim *simulation) recordFailure(r *request) {
 	if sim.isMeasured(r) {
 		sim.result.failed++
-		sim.result.requests++
+		sim.result.requestCount++
 	}
 }
 
@@ -210,9 +210,9 @@
 	if !sim.isMeasured(r) {
 		return
 	}
-	sim.result.requests++
-	sim.result.blocks += len(r.hashes)
-	sim.result.cached += r.cachedBlocks
+	sim.result.requestCount++
+	sim.result.blockCount += len(r.hashes)
+	sim.result.cached += r.cachedBlockCount
 	micros := sim.queue.Now().Sub(r.intendedStart).Microseconds()
 	_ = sim.result.firstToken.RecordValue(min(max(micros, minLatency), maxLatency)) // within bounds
 }
--- a/internal/experiment/balance/traffic.go
+++ b/internal/experiment/balance/traffic.go
@@ -11,7 +11,7 @@
 
 // Parameters of the traffic.
 const (
-	accounts            = 10
+	accountCount        = 10
 	documentsPerAccount = 12  // shared by the account's sessions
 	systemBlocks        = 16  // in an account's system prompt
 	meanDocumentBlocks  = 60  // per document
@@ -30,12 +30,12 @@
 // one starts a think time after the intended start of the one before, whether
 // that was answered or not.
 type traffic struct {
-	queue  *simulate.Queue
-	rnd    *rand.Rand
-	rate   float64 // requests/s outside the peak
-	hosts  int
-	submit func(r *request)
-	lastID int
+	queue     *simulate.Queue
+	rnd       *rand.Rand
+	rate      float64 // requests/s outside the peak
+	hostCount int
+	submit    func(r *request)
+	lastID    int
 }
 
 // scheduleSession schedules the next session.
@@ -55,7 +55,7 @@
 // have most of the sessions.
 func (t *traffic) startSession() {
 	t.lastID++
-	account := int(accounts * math.Pow(t.rnd.Float64(), 2.5))
+	account := int(accountCount * math.Pow(t.rnd.Float64(), 2.5))
 	document := int(documentsPerAccount * math.Pow(t.rnd.Float64(), 1.5))
 	hashes := appendBlocks(nil, systemBlocks, uint64(account+1))
 	size := meanDocumentBlocks/2 + (account*7+document*13)%meanDocumentBlocks
@@ -72,7 +72,7 @@
 		hashes:        hashes,
 		outputTokens:  1 + int(meanOutputTokens*t.rnd.ExpFloat64()),
 		intendedStart: t.queue.Now(),
-		host:          t.rnd.IntN(t.hosts),
+		host:          t.rnd.IntN(t.hostCount),
 	})
 	if t.rnd.Float64() < 1-1/meanTurns {
 		t.queue.After(simulate.Exponential(t.rnd, meanThinkTime), func() { t.sendTurn(account, session, hashes) })
--- a/internal/experiment/cascade/simulation.go
+++ b/internal/experiment/cascade/simulation.go
@@ -15,15 +15,15 @@
 const (
 	requestCount     = 20_000
 	warmUp           = 2_000 // first requests, not counted
-	accounts         = 10
+	accountCount     = 10
 	meanInterval     = 50 * time.Millisecond // between arrivals
 	target           = 0.75
 	raterTimeout     = 1500 * time.Millisecond
 	completionTokens = 250 // per answer
 )
 
-// prices are the costs of 1,000 tokens at each step of the cascade, latencies
-// the median times to its complete answer.
+// prices are the costs of 1,000 tokens at each step of the cascade. latencies are
+// the median times from the start of each step to its complete answer.
 var (
 	prices    = []float64{1, 10}
 	latencies = []time.Duration{1200 * time.Millisecond, 3 * time.Second}
@@ -86,11 +86,11 @@
 // drawRequest draws a request. Accounts differ in difficulty, and those with
 // odd numbers have a higher one for long prompts.
 func drawRequest(rnd *rand.Rand, s setting, progress float64) request {
-	accountNumber := rnd.IntN(accounts)
+	accountNumber := rnd.IntN(accountCount)
 	c := classes[rnd.IntN(len(classes))]
 	req := request{account: fmt.Sprint("account-", accountNumber), class: c}
 	req.promptTokens = int(simulate.LogNormal(rnd, time.Duration(c.medianPrompt), c.promptSigma))
-	difficulty := 0.45*float64(accountNumber)/accounts + 0.2*rnd.Float64()
+	difficulty := 0.45*float64(accountNumber)/accountCount + 0.2*rnd.Float64()
 	if accountNumber%2 == 1 && req.promptTokens > 4*c.medianPrompt/3 {
 		difficulty += 0.25
 	}
--- a/internal/experiment/deployment/capacity.go
+++ b/internal/experiment/deployment/capacity.go
@@ -12,7 +12,7 @@
 const (
 	// capacityCallers is twice the number of engine slots, which keeps all
 	// slots busy and some requests waiting.
-	capacityCallers = 2 * engineCapacity * (smallEngines + largeEngines)
+	capacityCallers = 2 * engineCapacity * (smallEngineCount + largeEngineCount)
 	// capacityWarmUp precedes the measurement, which lasts capacityDuration.
 	capacityWarmUp   = time.Second
 	capacityDuration = 3 * time.Second
--- a/internal/experiment/deployment/cell.go
+++ b/internal/experiment/deployment/cell.go
@@ -47,7 +47,7 @@
 	rnd := rand.New(rand.NewPCG(uint64(seed), 2))
 	draws := make([]int, n)
 	for i := range draws {
-		draws[i] = rnd.IntN(entryHosts)
+		draws[i] = rnd.IntN(entryHostCount)
 	}
 	return draws
 }
--- a/internal/experiment/deployment/deployment_test.go
+++ b/internal/experiment/deployment/deployment_test.go
@@ -17,10 +17,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Runs one small cell on the whole deployment: each request has one outcome,
-// none is lost, and the ledger has one bill for each complete answer and no
-// other.
-func TestCellIsAccountedFor(t *testing.T) {
+// TestCellOutcomesMatchLedger runs one small cell on the whole deployment. Each
+// request must have one outcome, no request may be lost, and the ledger must have
+// one bill for each complete answer and no other bill.
+func TestCellOutcomesMatchLedger(t *testing.T) {
 	is := is.New(t)
 	s, err := newSystem(t.Context(), product, nil, 1)
 	is.NoErr(err)
@@ -38,8 +38,8 @@
 	is.Equal(b.complete, got.all[inTime]+got.all[late]-lateWithoutAnswer(got))
 	is.Equal(b.unbilled, 0)
 	is.Equal(b.billedTwice, 0)
-	// A billed answer may be missing at its caller only if the caller left
-	// while the bill was written.
+	// A caller may lack an answer that was billed only if it left while the bill
+	// was written.
 	is.True(b.callerLeft <= lateWithoutAnswer(got))
 }
 
--- a/internal/experiment/deployment/exposure.go
+++ b/internal/experiment/deployment/exposure.go
@@ -23,8 +23,8 @@
 	exposureLatency = 250 // ms, limit of the 95th percentile of the time to the first token
 	// exposureRate is the load in requests a second, all to the small model.
 	exposureRate = 90
-	// goodTime is the time before the version turns bad.
-	goodTime = 2 * time.Second
+	// goodDuration is how long the version is good before it turns bad.
+	goodDuration = 2 * time.Second
 	// stopPoll is the interval at which hosts are asked for their stops.
 	stopPoll = 50 * time.Millisecond
 )
@@ -81,16 +81,18 @@
 
 // exposureResult holds the results of one run with a version that turned bad.
 type exposureResult struct {
-	// before is the number of runs of the version while it was good, after the
-	// number since.
+	// before is the number of runs of the version while it was good, after is
+	// the number of its runs since it turned bad.
 	before, after float64
-	// stopped is true if all hosts stopped the version within the horizon,
-	// stoppedAfter the time until then, or the horizon.
+	// stopped is true if all hosts stopped the version within the horizon.
+	// stoppedAfter is the time until all had stopped it, or the horizon if
+	// stopped is false.
 	stoppedAfter time.Duration
 	stopped      bool
-	// stoppedHosts is the number of hosts that had stopped it at the end.
-	stoppedHosts int
-	outcomes     outcomeCounts
+	// stoppedHostCount is the number of hosts that had stopped the version at the
+	// end of the run.
+	stoppedHostCount int
+	outcomes         outcomeCounts
 }
 
 func (c exposureCell) run(ctx context.Context, o Options, seed int) (exposureResult, error) {
@@ -110,22 +112,22 @@
 	return result, s.close()
 }
 
-// runExposure runs a load, turns the version bad after goodTime and waits until
+// runExposure runs a load, turns the version bad after goodDuration and waits until
 // all hosts have stopped it.
 func (s *system) runExposure(ctx context.Context, o Options, c exposureCell, seed int) exposureResult {
 	loaded := make(chan *cellStats, 1)
 	loadCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
-		loaded <- s.runCell(loadCtx, cell{label: "exposure", rate: exposureRate, duration: goodTime + o.Horizon, mix: onlyRoute(modelSmall), seed: seed})
+		loaded <- s.runCell(loadCtx, cell{label: "exposure", rate: exposureRate, duration: goodDuration + o.Horizon, mix: onlyRoute(modelSmall), seed: seed})
 	}()
-	time.Sleep(goodTime)
+	time.Sleep(goodDuration)
 	result := exposureResult{before: float64(s.newVersionRuns())}
 	s.injectFault(c)
 	result.stoppedAfter, result.stopped = s.waitStopped(ctx, o.Horizon)
 	cancel()
 	stats := <-loaded
-	result.stoppedHosts = s.countStopped(ctx)
+	result.stoppedHostCount = s.countStopped(ctx)
 	result.after = float64(s.newVersionRuns()) - result.before
 	result.outcomes = stats.all
 	return result
--- a/internal/experiment/deployment/plan.go
+++ b/internal/experiment/deployment/plan.go
@@ -20,7 +20,7 @@
 }
 
 // fromLargeAccount reports whether a large account sends the request.
-func (r request) fromLargeAccount() bool { return r.account < largeAccounts }
+func (r request) fromLargeAccount() bool { return r.account < largeAccountCount }
 
 // routeMix maps each route to its fraction of the requests.
 type routeMix map[string]float64
@@ -35,10 +35,10 @@
 func onlyRoute(route string) routeMix { return routeMix{route: 1} }
 
 const (
-	// documents is the number of documents with which sessions of all accounts
-	// start their prompts; documentWords is the length of each.
-	documents     = 8
-	documentWords = 300
+	// documentCount is the number of documents with which sessions of all accounts
+	// start their prompts; wordsPerDocument is the length of each.
+	documentCount    = 8
+	wordsPerDocument = 300
 	// turnsPerSession is the number of requests of a session.
 	turnsPerSession = 4
 	// sessionsPerAccount is the number of concurrent sessions of each account.
@@ -50,7 +50,7 @@
 	rnd          *rand.Rand
 	mix          routeMix
 	label        string
-	sessions     [accounts][sessionsPerAccount]sessionState
+	sessions     [accountCount][sessionsPerAccount]sessionState
 	sessionCount int
 	requestCount int
 }
@@ -93,12 +93,12 @@
 
 func (p *planner) startSession(s *sessionState) {
 	p.sessionCount++
-	*s = sessionState{id: fmt.Sprintf("%s-%d", p.label, p.sessionCount), prompt: documentText(p.rnd.IntN(documents))}
+	*s = sessionState{id: fmt.Sprintf("%s-%d", p.label, p.sessionCount), prompt: documentText(p.rnd.IntN(documentCount))}
 }
 
 // documentText returns the text of document n.
 func documentText(n int) string {
-	words := make([]string, documentWords)
+	words := make([]string, wordsPerDocument)
 	for i := range words {
 		words[i] = fmt.Sprintf("s%di%d", n, i)
 	}
@@ -107,10 +107,10 @@
 
 func (p *planner) drawAccount() int {
 	x := p.rnd.Float64()
-	if x < largeAccounts*largeShare {
+	if x < largeAccountCount*largeShare {
 		return int(x / largeShare)
 	}
-	return largeAccounts + p.rnd.IntN(accounts-largeAccounts)
+	return largeAccountCount + p.rnd.IntN(accountCount-largeAccountCount)
 }
 
 func (p *planner) drawClass() class {
--- a/internal/experiment/deployment/policy.go
+++ b/internal/experiment/deployment/policy.go
@@ -24,8 +24,8 @@
 	policies       = []policy{product, randomUpstream, noAdmission}
 )
 
-// chooseRandomly makes hosts choose any untried upstream that has the version
-// and isn't leaving.
+// chooseRandomly makes hosts choose at random among the upstreams that have the
+// version, aren't leaving, and didn't get the request before.
 func chooseRandomly(s *entry.Settings) {
 	s.Selector = &balance.Selector{
 		Filters: []balance.Filter{balance.VersionFilter{}, balance.LeavingFilter{}, balance.ExcludedFilter{}},
--- a/internal/experiment/deployment/run.go
+++ b/internal/experiment/deployment/run.go
@@ -83,7 +83,7 @@
 // because it measures counts rather than latencies.
 func (r *report) measureExposures(ctx context.Context) error {
 	r.Section("A version of the small model turns bad in the middle of its roll-out",
-		fmt.Sprintf("%d%% of the sessions, %d requests/s, %v good, then bad until all hosts stopped it or for %v.", exposureShare, exposureRate, goodTime, r.options.Horizon),
+		fmt.Sprintf("%d%% of the sessions, %d requests/s, %v good, then bad until all hosts stopped it or for %v.", exposureShare, exposureRate, goodDuration, r.options.Horizon),
 		loadAverageNote())
 	r.Header(2, "fault", "condition", "answers while good", "answers after", "stopped on all hosts", "after, s", "hosts at the end", "in time %", "lost %")
 	for batch := range slices.Chunk(exposureCells, 2) {
@@ -126,7 +126,7 @@
 		meanAndRange(results, func(e exposureResult) float64 { return e.after }),
 		fmt.Sprintf("%d/%d", stopped, len(results)),
 		meanAndRange(results, func(e exposureResult) float64 { return e.stoppedAfter.Seconds() }),
-		meanAndRange(results, func(e exposureResult) float64 { return float64(e.stoppedHosts) }),
+		meanAndRange(results, func(e exposureResult) float64 { return float64(e.stoppedHostCount) }),
 		meanAndRange(results, func(e exposureResult) float64 { return e.outcomes.percent(inTime) }),
 		meanAndRange(results, func(e exposureResult) float64 { return e.outcomes.percent(lost) }))
 }
--- a/internal/experiment/deployment/stats.go
+++ b/internal/experiment/deployment/stats.go
@@ -39,8 +39,8 @@
 	// firstToken holds the times from the intended start to the first token of
 	// complete answers, in microseconds.
 	firstToken *hdrhistogram.Histogram
-	// refusalTime is the sum of the times from intended start to refusal.
-	refusalTime time.Duration
+	// refusalTimeSum is the sum of the times from the intended start to the refusal.
+	refusalTimeSum time.Duration
 	// refusedWithFreeSlot counts refusals while an engine of the requested
 	// model had a free slot.
 	refusedWithFreeSlot int
@@ -89,7 +89,7 @@
 	s.byClass[r.class.name][o]++
 	s.byAccountSize[r.fromLargeAccount()][o]++
 	if o == refused {
-		s.refusalTime += got.total
+		s.refusalTimeSum += got.total
 		if freeSlots > 0 {
 			s.refusedWithFreeSlot++
 		}
--- a/internal/experiment/deployment/system.go
+++ b/internal/experiment/deployment/system.go
@@ -45,7 +45,7 @@
 		return nil, err
 	}
 	env, err := devenv.New(devenv.Options{
-		Hosts:    entryHosts,
+		Hosts:    entryHostCount,
 		Engine:   engineOptions(seed),
 		Topology: top,
 		Rater:    func(r storage.Rater) storage.Rater { return markedRater{r} },
--- a/internal/experiment/deployment/tables.go
+++ b/internal/experiment/deployment/tables.go
@@ -62,7 +62,7 @@
 
 // msToRefusal returns the mean time to a refusal, in milliseconds.
 func msToRefusal(s *cellStats) float64 {
-	return float64(s.refusalTime.Milliseconds()) / float64(max(1, s.all[refused]))
+	return float64(s.refusalTimeSum.Milliseconds()) / float64(max(1, s.all[refused]))
 }
 
 func (r *report) printCostTable(runs []loadRun) {
--- a/internal/experiment/deployment/topology.go
+++ b/internal/experiment/deployment/topology.go
@@ -17,30 +17,30 @@
 
 // The size of the deployment.
 const (
-	entryHosts   = 7
-	smallEngines = 12
-	largeEngines = 6
-	deskHosts    = 3
-	accounts     = 10
-	// largeAccounts is the number of large accounts, which come first. Each
+	entryHostCount   = 7
+	smallEngineCount = 12
+	largeEngineCount = 6
+	deskHostCount    = 3
+	accountCount     = 10
+	// largeAccountCount is the number of large accounts, which come first. Each
 	// sends the fraction largeShare of the requests; the others send the rest.
-	largeAccounts = 2
-	largeShare    = 0.3
+	largeAccountCount = 2
+	largeShare        = 0.3
 )
 
 // Parameters of the engines, with times scaled down, and of the services.
 const (
-	engineCapacity  = 4
-	smallTokenTime  = 12 * time.Millisecond
-	largeSlowdown   = 2
-	prefillPerToken = 20 * time.Microsecond
-	batchSlowdown   = 0.1
-	loadReportDelay = 500 * time.Millisecond
-	hostListDelay   = 2 * time.Second
+	engineCapacity    = 4
+	smallTimePerToken = 12 * time.Millisecond
+	largeSlowdown     = 2
+	prefillPerToken   = 20 * time.Microsecond
+	batchSlowdown     = 0.1
+	loadReportDelay   = 500 * time.Millisecond
+	hostListDelay     = 2 * time.Second
 	// cacheBlocks is the size of the prefix cache of an engine, enough for
 	// about twelve documents.
 	cacheBlocks = 256
-	deskTime    = 20 * time.Millisecond
+	deskRunTime = 20 * time.Millisecond
 )
 
 // The rater's mean rating and noise for each model, and the target of the
@@ -95,15 +95,15 @@
 	t := &devenv.Topology{
 		Manifest:       document,
 		Platform:       platformd.Options{Rater: raterOptions()},
-		ServiceOptions: service.Options{RunTime: deskTime},
+		ServiceOptions: service.Options{RunTime: deskRunTime},
 	}
-	for range smallEngines {
+	for range smallEngineCount {
 		t.Engines = append(t.Engines, devenv.Engine{Versions: []string{modelSmall + "@" + versionOld, modelSmall + "@" + versionNew}})
 	}
-	for range largeEngines {
+	for range largeEngineCount {
 		t.Engines = append(t.Engines, devenv.Engine{Versions: []string{modelLarge + "@" + versionOld}, Speed: 1.0 / largeSlowdown})
 	}
-	for range deskHosts {
+	for range deskHostCount {
 		t.Services = append(t.Services, serviceDesk)
 	}
 	return t, nil
@@ -113,7 +113,7 @@
 	return engine.Options{
 		Capacity:        engineCapacity,
 		PrefillPerToken: prefillPerToken,
-		TimePerToken:    smallTokenTime,
+		TimePerToken:    smallTimePerToken,
 		BatchSlowdown:   batchSlowdown,
 		CacheBlocks:     cacheBlocks,
 		LoadLag:         loadReportDelay,
@@ -156,7 +156,7 @@
 		names[i] = c.name
 		doc.Classes = append(doc.Classes, manifest.Class{Name: c.name, DeadlineMs: int(c.deadline.Milliseconds()), MinShare: c.minShare})
 	}
-	for i := range accounts {
+	for i := range accountCount {
 		doc.Accounts = append(doc.Accounts, accountEntry(i, names))
 	}
 	return doc
--- a/internal/experiment/path/path.go
+++ b/internal/experiment/path/path.go
@@ -169,12 +169,12 @@
 }
 
 // runLoad sends n requests and fails if any of them failed.
-func (r *run) runLoad(ctx context.Context, rate float64, n, kinds int, kindOf func(int) int) ([]loadgen.Result, error) {
+func (r *run) runLoad(ctx context.Context, rate float64, n, kindCount int, kindOf func(int) int) ([]loadgen.Result, error) {
 	results := loadgen.Run(ctx, loadgen.Options{
 		Rate:     rate,
 		Requests: n,
 		Seed:     r.Seed,
-		Kinds:    kinds,
+		Kinds:    kindCount,
 		Send: func(ctx context.Context, i, kind int) error {
 			return r.send(ctx, kindOf(kind), fmt.Sprintf("request %d at %.0f tokens=1", i, rate))
 		},
--- a/internal/experiment/rollout/canary.go
+++ b/internal/experiment/rollout/canary.go
@@ -33,7 +33,7 @@
 // their own analysis fails.
 func newHostCanaries(s setting, clock func() time.Time) cluster {
 	var c hostCanaries
-	for range s.hosts {
+	for range s.hostCount {
 		c = append(c, &hostCanary{clock: clock, nextAnalysis: clock().Add(canaryInterval)})
 	}
 	return c
--- a/internal/experiment/rollout/comparison.go
+++ b/internal/experiment/rollout/comparison.go
@@ -74,7 +74,7 @@
 }
 
 func (r *report) printComparisonRow(v versionPair) {
-	results := simulate.RunSeeds(r.seeds, func(seed int) []comparison {
+	results := simulate.RunSeeds(r.seedCount, func(seed int) []comparison {
 		rng := rand.New(rand.NewPCG(uint64(seed), 17))
 		runs := make([]comparison, comparisonsPerSeed)
 		for i := range runs {
@@ -93,7 +93,8 @@
 		stops.decidedPercent(), stops.meanAnswers(), clears.decidedPercent(), clears.meanAnswers())
 }
 
-// decisionCounts counts comparisons, those with a decision, and the answers until it.
+// decisionCounts holds the number of comparisons, the number of those that ended with a
+// decision, and the sum of the answers until these decisions.
 type decisionCounts struct {
 	comparisons, decided, answerSum int
 }
--- a/internal/experiment/rollout/report.go
+++ b/internal/experiment/rollout/report.go
@@ -38,7 +38,7 @@
 func usualSetting(version versionBehaviour) setting {
 	return setting{
 		version:          version,
-		hosts:            7,
+		hostCount:        7,
 		exchangeInterval: time.Second,
 		raterDelay:       2 * time.Second,
 		ratedShare:       1,
@@ -50,7 +50,7 @@
 	if options.Seeds <= 0 {
 		options.Seeds = DefaultSeeds
 	}
-	r := &report{Tables: simulate.NewTables(w), seeds: options.Seeds}
+	r := &report{Tables: simulate.NewTables(w), seedCount: options.Seeds}
 	r.printMechanisms()
 	r.printHostCounts()
 	r.printExchangeIntervals()
@@ -64,7 +64,7 @@
 
 type report struct {
 	*simulate.Tables
-	seeds int
+	seedCount int
 }
 
 func (r *report) startTable(title string) {
@@ -93,11 +93,11 @@
 			n++
 		}
 	}
-	return fmt.Sprintf("%d/%d", n, r.seeds)
+	return fmt.Sprintf("%d/%d", n, r.seedCount)
 }
 
 func (r *report) runSeeds(s setting, c namedPolicy) []result {
-	return simulate.RunSeeds(r.seeds, func(seed int) result { return run(s, c.build, seed) })
+	return simulate.RunSeeds(r.seedCount, func(seed int) result { return run(s, c.build, seed) })
 }
 
 func (r *report) printMechanisms() {
@@ -114,7 +114,7 @@
 	for _, v := range badVersions {
 		for _, hosts := range []int{1, 3, 7} {
 			s := usualSetting(v)
-			s.hosts = hosts
+			s.hostCount = hosts
 			r.printRow(fmt.Sprint("hosts: ", hosts), s, sharedPaced)
 		}
 		s := usualSetting(v)
@@ -206,23 +206,23 @@
 
 func isCleared(r result) bool { return r.clearedAfter > 0 }
 
-// largeHosts and largeRate are the size that the system is designed for. A few
-// seeds suffice, since each run has many hosts.
+// largeHostCount and largeRate are the number of hosts and the request rate that the
+// system is designed for. A few seeds suffice, since each run has many hosts.
 const (
-	largeHosts   = 440
-	largeRate    = 14_000.0 / 20 // requests/s to one of 20 models
-	largeSeeds   = 4
-	largeHorizon = time.Minute
-	largeFanout  = 4
+	largeHostCount = 440
+	largeRate      = 14_000.0 / 20 // requests/s to one of 20 models
+	largeSeedCount = 4
+	largeHorizon   = time.Minute
+	largeFanout    = 4
 )
 
 func (r *report) printLargeDeployment() {
 	r.startTable("440 hosts, 700 requests/s to the model, each sends to 4 others every second; 1 minute")
-	seeds := r.seeds
-	r.seeds = min(seeds, largeSeeds)
+	seeds := r.seedCount
+	r.seedCount = min(seeds, largeSeedCount)
 	for _, v := range badVersions {
 		s := usualSetting(v)
-		s.hosts = largeHosts
+		s.hostCount = largeHostCount
 		s.requestRate = largeRate
 		s.fanout = largeFanout
 		s.horizon = largeHorizon
@@ -230,5 +230,5 @@
 			r.printRow("-", s, c)
 		}
 	}
-	r.seeds = seeds
+	r.seedCount = seeds
 }
--- a/internal/experiment/rollout/simulation.go
+++ b/internal/experiment/rollout/simulation.go
@@ -9,7 +9,8 @@
 	"github.com/quetzalweir/quetzalweir/internal/experiment/simulate"
 )
 
-// The limits that the version must keep; budget is in answers.
+// The limits that the version must keep, and its exposure budget: budget is the
+// number of answers that it may give before it is cleared.
 const (
 	maxErrorRate = 0.02
 	minRating    = 0.7
@@ -36,7 +37,7 @@
 	firstTokenSigma float64       // standard deviation of the logarithm of firstToken
 	meanRating      float64       // between 0 and 1
 	// turnsBadAfter is the virtual time from which the version has this
-	// behaviour; before, it behaves like goodVersion.
+	// behaviour; before that time it behaves like goodVersion.
 	turnsBadAfter time.Duration
 }
 
@@ -62,8 +63,9 @@
 	return outcome, rating, outcome.FirstToken + simulate.LogNormal(rnd, medianAnswerTime, answerSigma)
 }
 
-// isBad reports whether an observer who sees the whole answer would call it
-// bad.
+// isBad reports whether a request failed, its first token was late, or its answer
+// has a rating below minRating. It uses the rating of every answer, also of
+// answers that the policies get no rating for.
 func isBad(outcome exposure.Outcome, rating float64) bool {
 	return outcome.Failed || outcome.FirstToken > maxLatency || rating < minRating
 }
@@ -71,7 +73,7 @@
 // setting holds the parameters of one table row.
 type setting struct {
 	version          versionBehaviour
-	hosts            int
+	hostCount        int
 	exchangeInterval time.Duration
 	// partitioned is the number of hosts that cannot reach any other host.
 	partitioned int
@@ -89,7 +91,7 @@
 // result holds the results of one run.
 type result struct {
 	answers      float64 // answers of the version from turnsBadAfter on
-	badAnswers   float64 // of them, those for which isBad is true
+	badAnswers   float64 // answers among these for which isBad is true
 	stopped      bool    // whether every host stopped the version
 	clearedAfter float64 // answers until the first host cleared it; 0 if none did
 }
@@ -120,7 +122,7 @@
 	sim.cluster = build(s, sim.queue.Now)
 	sim.scheduleRequest()
 	sim.queue.Every(s.exchangeInterval, func() bool {
-		sim.cluster.exchange(s.hosts - s.partitioned)
+		sim.cluster.exchange(s.hostCount - s.partitioned)
 		return true
 	})
 	duration := defaultHorizon
@@ -149,7 +151,7 @@
 	}
 	mean := time.Duration(float64(time.Second) / (rate * versionShare))
 	sim.queue.After(simulate.Exponential(sim.rnd, mean), func() {
-		sim.handleRequest(sim.cluster.host(sim.rnd.IntN(sim.setting.hosts)))
+		sim.handleRequest(sim.cluster.host(sim.rnd.IntN(sim.setting.hostCount)))
 		sim.scheduleRequest()
 	})
 }
@@ -193,7 +195,7 @@
 }
 
 func (sim *simulation) allStopped() bool {
-	for i := range sim.setting.hosts {
+	for i := range sim.setting.hostCount {
 		if !sim.cluster.host(i).stopped() {
 			return false
 		}
--- a/internal/experiment/rollout/tracked.go
+++ b/internal/experiment/rollout/tracked.go
@@ -41,18 +41,18 @@
 	hosts    []*exposure.Tracker
 	granters []*exposure.Granter
 	fanout   int
-	// exchanges is the number of exchanges so far.
-	exchanges int
-	rnd       *rand.Rand
-	cursors   []uint64
+	// exchangeCount is the number of exchanges so far.
+	exchangeCount int
+	rnd           *rand.Rand
+	cursors       []uint64
 }
 
 func newTrackers(v variant) clusterBuilder {
 	return func(s setting, clock func() time.Time) cluster {
-		c := &trackerCluster{variant: v, fanout: s.fanout, rnd: simulate.NewRand(s.hosts)}
-		c.cursors = make([]uint64, s.hosts)
+		c := &trackerCluster{variant: v, fanout: s.fanout, rnd: simulate.NewRand(s.hostCount)}
+		c.cursors = make([]uint64, s.hostCount)
 		table := memory.NewTable()
-		for i := range s.hosts {
+		for i := range s.hostCount {
 			name := fmt.Sprint("host-", i)
 			tracker := exposure.New(exposure.Options{
 				Host:        name,
@@ -60,7 +60,7 @@
 				GrantedOnly: v.granted,
 				Pacing:      exposure.Pacing{Off: v.unpaced},
 			})
-			tracker.SetHosts(s.hosts)
+			tracker.SetHosts(s.hostCount)
 			tracker.SetVersions([]exposure.VersionRule{rule})
 			c.hosts = append(c.hosts, tracker)
 			c.granters = append(c.granters, exposure.NewGranter(table, name))
@@ -71,12 +71,13 @@
 
 func (c *trackerCluster) host(i int) policy { return trackerPolicy{c.hosts[i]} }
 
-// exchange sends the changes of each host to others. The hosts from connected
-// on send and receive nothing, but still claim grants from the table.
+// exchange sends the stops and the changed evidence of each host to other hosts.
+// Hosts with a number of connected or more send and receive nothing, but still
+// claim grants from the table.
 func (c *trackerCluster) exchange(connected int) {
-	c.exchanges++
+	c.exchangeCount++
 	for i, from := range c.hosts {
-		if c.variant.granted && !(c.variant.tableDown && c.exchanges > 1) {
+		if c.variant.granted && !(c.variant.tableDown && c.exchangeCount > 1) {
 			// A failed claim is tried again at the next exchange.
 			_ = from.ClaimGrants(context.Background(), c.granters[i])
 		}
@@ -94,8 +95,8 @@
 	}
 }
 
-// exportEvidence returns the evidence that changed since cursor, with that of
-// other hosts only if a host doesn't send to all.
+// exportEvidence returns the evidence that changed since cursor. It includes
+// evidence from other hosts only if a host doesn't send to all hosts.
 func (c *trackerCluster) exportEvidence(from *exposure.Tracker, cursor uint64) ([]exposure.Evidence, uint64) {
 	if c.fanout > 0 {
 		return from.ExportSince(cursor)
--- a/internal/experiment/simulate/simulate.go
+++ b/internal/experiment/simulate/simulate.go
@@ -19,9 +19,9 @@
 // Queue runs events in the order of their times; events with the same time run
 // in the order in which they were added.
 type Queue struct {
-	now        time.Time
-	insertions int
-	events     events
+	now            time.Time
+	insertionCount int
+	events         events
 }
 
 // New returns an empty queue at Epoch.
@@ -32,8 +32,8 @@
 
 // After schedules f to run after d. A negative d counts as 0.
 func (q *Queue) After(d time.Duration, f func()) {
-	q.insertions++
-	heap.Push(&q.events, event{at: q.now.Add(max(0, d)), order: q.insertions, run: f})
+	q.insertionCount++
+	heap.Push(&q.events, event{at: q.now.Add(max(0, d)), order: q.insertionCount, run: f})
 }
 
 // Every schedules f to run every d, first after d, until f returns false.
