--- a/internal/e2e/atmostonce_test.go
+++ b/internal/e2e/atmostonce_test.go
@@ -78,7 +78,7 @@
 func TestBidsRunAtMostOnce(t *testing.T) {
 	t.Parallel()
 	s := startSystem(t, 4)
-	s.addService("lanes-2", "zone-b")
+	s.addServiceInstance("lanes-2", "zone-b")
 	s.submit(devenv.Manifest())
 	s.waitUpstreams()
 	b := newBidder(s)
--- a/internal/e2e/bidder_test.go
+++ b/internal/e2e/bidder_test.go
@@ -64,14 +64,14 @@
 }
 
 const (
-	// bidDeadline is the deadline in a bid's header; the client gives up after
-	// bidTimeout, which is a little longer.
+	// bidDeadline is the deadline in a bid's header. bidTimeout is the time after
+	// which the client ends the attempt; it is a little longer.
 	bidDeadline = 3 * time.Second
 	bidTimeout  = bidDeadline + 500*time.Millisecond
 	// retryInterval is the pause between two attempts of a client.
 	retryInterval = 150 * time.Millisecond
-	// maxTries is the maximum number of attempts for one request.
-	maxTries = 150
+	// maxAttempts is the maximum number of attempts for one request.
+	maxAttempts = 150
 )
 
 func newBidder(s *system) *bidder {
@@ -94,7 +94,7 @@
 func (b *bidder) bodyOf(key string) string { return fmt.Sprintf(`{"bid":%q}`, key) }
 
 func (b *bidder) sendUntilDefinite(key string, firstHost int) {
-	for try := range maxTries {
+	for try := range maxAttempts {
 		hosts := b.hosts.list()
 		a := b.sendOnce(key, hosts[(firstHost+try)%len(hosts)])
 		b.log.add(a)
--- a/internal/e2e/billing_test.go
+++ b/internal/e2e/billing_test.go
@@ -26,7 +26,7 @@
 	// key.
 	billID string
 	// requests are the ids of the requests that led to the answer: several if
-	// the caller repeated it.
+	// the caller repeated the request.
 	requests map[string]bool
 	// costMicro is the price of the tokens in the answer. For a cascade it is
 	// unknown at first, since the caller doesn't see the earlier steps.
@@ -189,7 +189,7 @@
 // false, it sends the request only once and accepts any failure.
 func (b *billedClient) sendWithRetries(h *entryHost, key, model string, c call, mustSucceed bool) {
 	var ids []string
-	for range maxTries {
+	for range maxAttempts {
 		a, err := c.send(h)
 		ids = append(ids, a.get("Quetzalweir-Request-Id"))
 		if err == nil && a.status == http.StatusOK {
--- a/internal/e2e/coldzone_test.go
+++ b/internal/e2e/coldzone_test.go
@@ -15,8 +15,8 @@
 
 const (
 	// coldRate is the number of requests a second that a cold upstream of the pool
-	// tolerates, maxColdRuns the number that may reach it in any second by the hosts'
-	// settings cold_overrun and cold_headroom.
+	// tolerates. maxColdRuns is the number of requests that may reach it in any second
+	// according to the hosts' settings cold_overrun and cold_headroom.
 	coldRate    = 10
 	maxColdRuns = coldRate*1.5 + 5
 	coldStart   = 3 * time.Second
--- a/internal/e2e/config_test.go
+++ b/internal/e2e/config_test.go
@@ -23,9 +23,9 @@
 // errRefused means that a submission was refused and had no effect.
 var errRefused = errors.New("refused")
 
-// trySubmit submits a manifest once. Any error other than errRefused means that
+// submitOnce submits a manifest once. Any error other than errRefused means that
 // the outcome is unknown.
-func (s *system) trySubmit(h *entryHost, data []byte) (config.Head, error) {
+func (s *system) submitOnce(h *entryHost, data []byte) (config.Head, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+h.operatorAddr+entry.PathManifest, bytes.NewReader(data))
 	if err != nil {
 		return config.Head{}, err
@@ -55,7 +55,7 @@
 // submitUntilKnown repeats a submission until its outcome is known.
 func (s *system) submitUntilKnown(h *entryHost, data []byte) (config.Head, error) {
 	for {
-		head, err := s.trySubmit(h, data)
+		head, err := s.submitOnce(h, data)
 		if err == nil || errors.Is(err, errRefused) {
 			return head, err
 		}
@@ -63,11 +63,11 @@
 	}
 }
 
-// TestRacingSubmits checks that exactly one of several concurrent submissions is
+// TestConcurrentSubmissions checks that exactly one of several concurrent submissions is
 // accepted. In each round operators submit different successors of the manifest
 // in force through three hosts, while the table loses responses, loses writes, or
 // applies writes late.
-func TestRacingSubmits(t *testing.T) {
+func TestConcurrentSubmissions(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, 3)
 	current := devenv.Manifest()
@@ -173,7 +173,7 @@
 	checkChat(t, a, "large", "fresh tokens=1")
 
 	second := edit(t, first, withdrawV1)
-	_, err = s.trySubmit(s.hosts[1], second)
+	_, err = s.submitOnce(s.hosts[1], second)
 	is.True(err != nil) // not accepted while the table is down
 	s.setTableUp(true)
 	head, err := s.submitUntilKnown(s.hosts[1], second)
--- a/internal/e2e/faults_test.go
+++ b/internal/e2e/faults_test.go
@@ -28,14 +28,15 @@
 
 func (h *entryHost) thaw() { h.signal(syscall.SIGCONT) }
 
-// addService starts another instance of the sample's service.
-func (s *system) addService(id, zone string) {
+// addServiceInstance starts another instance of the plain service in the sample
+// manifest.
+func (s *system) addServiceInstance(id, zone string) {
 	s.t.Helper()
 	svc := startStandin(s.t, id, "service", "--platform=http://"+s.platform, "--id="+id, "--name=lanes", "--zone="+zone)
 	s.services = append(s.services, svc)
 }
 
-// addEngine starts another engine with the sample's versions.
+// addEngine starts another engine with the versions in the sample manifest.
 func (s *system) addEngine(id, zone string) {
 	s.t.Helper()
 	e := startStandin(s.t, id, "engine", "--platform=http://"+s.platform, "--id="+id, "--zone="+zone,
@@ -43,7 +44,7 @@
 	s.engines = append(s.engines, e)
 }
 
-// serviceFaults sets the faults of all services.
+// setServiceFaults sets the faults of all services.
 func (s *system) setServiceFaults(f service.Faults) {
 	s.t.Helper()
 	for _, svc := range s.services {
@@ -51,7 +52,7 @@
 	}
 }
 
-// engineFaults sets the faults of all engines.
+// setEngineFaults sets the faults of all engines.
 func (s *system) setEngineFaults(f engine.Faults) {
 	s.t.Helper()
 	for _, e := range s.engines {
--- a/internal/e2e/gateway_test.go
+++ b/internal/e2e/gateway_test.go
@@ -43,7 +43,7 @@
 	toHubs         []*relay
 	client         *http.Client
 	upstreamsAdded int
-	requests       atomic.Int64
+	requestCount   atomic.Int64
 	document       map[string]any
 }
 
@@ -93,7 +93,7 @@
 	return s
 }
 
-// maxHubs is the number of hosts that the settings list as seeds.
+// maxHubs is the maximum number of hosts that the settings list as seeds, which become hubs.
 const maxHubs = 3
 
 // seeds returns the addresses of the hubs for the settings of a host: its own address
@@ -217,8 +217,8 @@
 	status     int
 	body       string
 	retryAfter string
-	// host received the request. headAt is when the head of its answer came, limit the
-	// rate in that.
+	// host received the request. headAt is when the head of its answer arrived, limit is
+	// the rate limit in that head.
 	host   string
 	headAt time.Time
 	limit  string
@@ -234,7 +234,7 @@
 
 // sendBody sends a request with the body, or with a unique one if that is empty.
 func (s *gatewaySystem) sendBody(h *gatewayHost, kind, key, body string) gatewayAnswer {
-	a := gatewayAnswer{id: fmt.Sprintf("r-%d", s.requests.Add(1)), kind: kind, host: h.name, began: time.Now()}
+	a := gatewayAnswer{id: fmt.Sprintf("r-%d", s.requestCount.Add(1)), kind: kind, host: h.name, began: time.Now()}
 	if body == "" {
 		body = "body of " + a.id
 	}
@@ -344,7 +344,7 @@
 	is.Equal(s.problems(), nil)
 }
 
-// rollOut rolls out a new version of the pool and waits until that is completed.
+// rollOut rolls out a new version of the pool and waits until the roll-out is completed.
 func (s *gatewaySystem) rollOut(t *testing.T) {
 	t.Helper()
 	var added []*platformtest.Upstream
@@ -452,7 +452,7 @@
 // A growing document must come into force also on hosts with a slow link to the store,
 // although each read takes longer than the time without data after which a host gives up,
 // and on a host that restarts when the document is already large.
-func TestGatewaysWithSmallLinksHaveALargeDocument(t *testing.T) {
+func TestLargeDocumentOverSlowLinks(t *testing.T) {
 	is := is.New(t)
 	s := newGatewaySystem(t, 9, 1)
 	slow := s.gateways[7:]
--- a/internal/e2e/gatewaysoak_test.go
+++ b/internal/e2e/gatewaysoak_test.go
@@ -48,10 +48,11 @@
 	// limited is the added upstream that sends a limit, or the one in its place after a
 	// crash; nil if the seed has no limits.
 	limited *platformtest.Upstream
-	// crashed has the upstreams that a poison request crashed and that weren't replaced yet.
+	// crashed holds the upstreams that a poison request crashed and that haven't been
+	// replaced yet.
 	crashed chan *platformtest.Upstream
-	// crashes counts the upstreams that a poison request crashed.
-	crashes atomic.Int64
+	// crashCount is the number of upstreams that a poison request crashed.
+	crashCount atomic.Int64
 	// staleUntil is the end of the last fault that may leave hosts with an outdated
 	// state, in nanoseconds since 1970.
 	staleUntil atomic.Int64
@@ -177,8 +178,8 @@
 const soakLimit = 1.5
 
 // scheduleLimits makes one added upstream send a limit from some time on, and two others
-// for a short time. If poison requests are sent, the added one crashes too: an upstream
-// that answered them would end each suspicion of them.
+// for a short time. If poison requests are sent, the added upstream crashes on them too: an
+// upstream that completed such a request would clear it as a suspect.
 func (s *soak) scheduleLimits(poisoned bool) {
 	if s.limitRand.IntN(2) == 0 {
 		return
@@ -254,14 +255,14 @@
 // crashOnPoison makes the upstream crash when it runs the poison request.
 func (s *soak) crashOnPoison(u *platformtest.Upstream) {
 	u.SetPoisonRequest(poisonBody, 30*time.Millisecond, func() {
-		s.crashes.Add(1)
+		s.crashCount.Add(1)
 		s.recordHarmfulFault(time.Second)
 		s.crashed <- u
 	})
 }
 
-// replaceCrashed starts an upstream in place of each one that a poison request crashed. The
-// one in place of the limited upstream sends the same limit.
+// replaceCrashed starts a new upstream for each upstream that a poison request crashed. The
+// replacement of the limited upstream sends the same limit.
 func (s *soak) replaceCrashed() {
 	for {
 		select {
@@ -301,7 +302,7 @@
 // as one.
 func (s *soak) checkPoisonQuarantined() {
 	time.Sleep(verdictBound)
-	before := s.crashes.Load()
+	before := s.crashCount.Load()
 	for i := range min(4*len(s.gateways), 40) {
 		s.sendBody(s.gateways[i%len(s.gateways)], "stream", "key-a", poisonBody)
 		s.replaceCrashed()
@@ -311,7 +312,7 @@
 	if before < 3 {
 		permitted += 3 - before
 	}
-	if after := s.crashes.Load(); after-before > permitted {
+	if after := s.crashCount.Load(); after-before > permitted {
 		s.t.Errorf("a poison request that had crashed %d upstreams crashed %d more", before, after-before)
 	}
 	for i := range s.answers {
@@ -319,7 +320,7 @@
 			s.t.Errorf("%s was refused as a poison request", s.answers[i].id)
 		}
 	}
-	s.t.Logf("a poison request crashed %d upstreams, %d of them after all faults", s.crashes.Load(), s.crashes.Load()-before)
+	s.t.Logf("a poison request crashed %d upstreams, %d of them after all faults", s.crashCount.Load(), s.crashCount.Load()-before)
 }
 
 // maxSoakCallers bounds the number of callers, to leave the machine's processors to the
@@ -403,7 +404,7 @@
 }
 
 // newDocument publishes a document with a new route, and in half of the cases with many
-// spare ones, too. The time that a slow link needs for it excuses no failure.
+// spare routes, too. No check is relaxed while slow links transfer the document.
 func (s *soak) newDocument(version int) {
 	if s.documentRand.IntN(2) == 0 {
 		s.addSpareRoutes(1000)
@@ -446,7 +447,7 @@
 }
 
 // disruptLink cuts the connections of a relay, blocks them in one direction or delays
-// them. A fault between hosts excuses no failure: hosts work without each other.
+// them. No check is relaxed for faults between hosts, which must serve without each other.
 func (s *soak) disruptLink(link *relay, duration time.Duration) {
 	switch s.faultRand.IntN(4) {
 	case 0:
--- a/internal/e2e/harness_test.go
+++ b/internal/e2e/harness_test.go
@@ -195,8 +195,8 @@
 	ip           string
 	callerAddr   string
 	operatorAddr string
-	// toPlatform relays its traffic to the platform, fromPeers the traffic from
-	// other entry hosts to it.
+	// toPlatform relays the host's traffic to the platform. fromPeers relays the
+	// traffic from other entry hosts to this host.
 	toPlatform *relay
 	fromPeers  *relay
 }
--- a/internal/e2e/keys_test.go
+++ b/internal/e2e/keys_test.go
@@ -13,10 +13,10 @@
 
 const secondSampleKey = "k2:7765697277656972776569727765697277656972776569727765697277656972"
 
-// TestKeysRotateWithoutACut replaces the keys for peers and session tokens by
+// TestKeyRotationInterruptsNoRequest replaces the keys for peers and session tokens by
 // restarting all hosts three times, one after the other, under load. No request
 // may fail, and a session must keep its version while its tokens change keys.
-func TestKeysRotateWithoutACut(t *testing.T) {
+func TestKeyRotationInterruptsNoRequest(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, 2)
 	head := s.submit(devenv.Manifest())
--- a/internal/e2e/memory_test.go
+++ b/internal/e2e/memory_test.go
@@ -24,10 +24,10 @@
 	maxHeapGrowth = 6 << 20
 )
 
-// TestMemoryReturnsToItsStart checks that a host does not retain memory per
+// TestMemoryDoesNotGrowWithRequests checks that a host does not retain memory per
 // request. It compares the lowest heap after some warm-up requests with that
 // after ten times as many.
-func TestMemoryReturnsToItsStart(t *testing.T) {
+func TestMemoryDoesNotGrowWithRequests(t *testing.T) {
 	is := is.New(t)
 	t.Setenv("GOGC", "20")
 	s := startSystem(t, 2)
--- a/internal/e2e/mixed_test.go
+++ b/internal/e2e/mixed_test.go
@@ -44,8 +44,8 @@
 	poller       *arrivalPoller
 	callers      sync.WaitGroup
 	runCtx       context.Context
-	// current is the last accepted manifest, lastAccepted its epoch and the time
-	// of its acceptance.
+	// current is the last accepted manifest. lastAccepted holds its epoch and the
+	// time at which it was accepted.
 	current      []byte
 	lastAccepted atomic.Pointer[acceptance]
 	// impaired counts the active faults of each host, by its id.
@@ -72,8 +72,8 @@
 // maxPendingChanges is the capacity of the queue of changes.
 const maxPendingChanges = 4096
 
-// mixedBounds has the target for a manifest to come into force, and the time within
-// which a leaving upstream must get no more requests.
+// mixedBounds holds the maximum time until a manifest is in force, and the maximum time
+// until a leaving upstream gets no more requests.
 var mixedBounds = history.Bounds{InForce: 10 * time.Second, Leaving: 5 * time.Second}
 
 // TestMixedFaults sends chats, streams, sessions and bids to three hosts under a
@@ -84,7 +84,7 @@
 	s := startSystem(t, 3)
 	s.addEngine("engine-4", "zone-a")
 	s.addEngine("engine-5", "zone-b")
-	s.addService("lanes-2", "zone-b")
+	s.addServiceInstance("lanes-2", "zone-b")
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	m := newMixed(s, ctx)
@@ -154,7 +154,7 @@
 	}
 	id := manifest.Digest(data)
 	m.timeline.add(history.Event{Kind: history.ManifestSubmitted, Digest: id})
-	for try := range maxTries {
+	for try := range maxAttempts {
 		hosts := m.hosts.list()
 		var got entry.SubmitResponse
 		if err = m.submit(hosts[try%len(hosts)], data, &got); err == nil {
@@ -247,7 +247,8 @@
 	}
 }
 
-// startCaller starts caller i, which sends requests until the run ends. n counts them.
+// startCaller starts caller i, which calls send until the run ends. n is the number of
+// calls of send before.
 func (m *mixed) startCaller(i int, send func(r *rand.Rand, n int)) {
 	m.callers.Go(func() {
 		r := rand.New(rand.NewPCG(*mixedSeed, uint64(i+1)))
@@ -324,7 +325,7 @@
 func (m *mixed) sendBid(r *rand.Rand, key string) {
 	body := fmt.Sprintf(`{"bid":%q}`, key)
 	want := string(service.ExpectedAnswer(http.MethodPost, "/bids", []byte(body)))
-	for range maxTries {
+	for range maxAttempts {
 		h := m.randomHost(r)
 		at := m.timeline.now()
 		o := m.sendWithDeadline(bid(key, body), h)
--- a/internal/e2e/namedlimit_test.go
+++ b/internal/e2e/namedlimit_test.go
@@ -14,19 +14,20 @@
 const (
 	// limitWindow is the length of the windows in which requests to an upstream are counted.
 	limitWindow = 4 * time.Second
-	// limitGrace is the time from a host's first answer with a limit until the host must
-	// keep it, limitDueTime the time from the upstream's first limit to the end of the first
-	// window that is checked.
-	limitGrace   = 500 * time.Millisecond
-	limitDueTime = 3 * time.Second
+	// limitReactionTime is the time from a host's first answer that contains a limit until the
+	// host must keep the limit. limitCheckDelay is the time from when the upstream starts to
+	// send limits to the end of the first window that is checked.
+	limitReactionTime = 500 * time.Millisecond
+	limitCheckDelay   = 3 * time.Second
 )
 
-// maxRunsInWindow returns the number of requests that may reach an upstream with the limit in
-// any window.
+// maxRunsInWindow returns the maximum number of requests that may reach an upstream within
+// limitWindow if it sends the given limit.
 func maxRunsInWindow(limit float64) int { return int(1.5*limitWindow.Seconds()*limit) + 5 }
 
-// limitFirstReceived returns, by host, when its first answer with a limit reached the caller.
-func limitFirstReceived(answers []gatewayAnswer) map[string]time.Time {
+// firstLimitTimes returns, by host, when the host's first answer that contains a limit reached
+// the caller.
+func firstLimitTimes(answers []gatewayAnswer) map[string]time.Time {
 	firstReceived := make(map[string]time.Time)
 	for _, a := range answers {
 		if first, ok := firstReceived[a.host]; a.limit != "" && (!ok || a.headAt.Before(first)) {
@@ -36,17 +37,17 @@
 	return firstReceived
 }
 
-// runsFromInformedHosts returns the start times, in order, of the runs that were sent by hosts
-// which had received a limit more than limitGrace before.
-func runsFromInformedHosts(runs []platformtest.Run, answers []gatewayAnswer) []time.Time {
-	firstReceived := limitFirstReceived(answers)
+// runStartsFromHostsWithLimit returns, in order, the start times of the runs of requests that
+// hosts sent more than limitReactionTime after they had received a limit.
+func runStartsFromHostsWithLimit(runs []platformtest.Run, answers []gatewayAnswer) []time.Time {
+	firstReceived := firstLimitTimes(answers)
 	hosts := make(map[string]string, len(answers))
 	for _, a := range answers {
 		hosts[a.id] = a.host
 	}
 	var at []time.Time
 	for _, r := range runs {
-		if first, ok := firstReceived[hosts[r.ID]]; ok && r.At.After(first.Add(limitGrace)) {
+		if first, ok := firstReceived[hosts[r.ID]]; ok && r.At.After(first.Add(limitReactionTime)) {
 			at = append(at, r.At)
 		}
 	}
@@ -87,9 +88,9 @@
 	answers := stop()
 	runs := limited.StartedRuns()
 	during := slices.DeleteFunc(slices.Clone(runs), func(r platformtest.Run) bool { return r.At.Before(named) || r.At.After(until) })
-	at := runsFromInformedHosts(during, answers)
+	at := runStartsFromHostsWithLimit(during, answers)
 	later := slices.DeleteFunc(slices.Clone(runs), func(r platformtest.Run) bool { return r.At.Before(until.Add(8 * time.Second)) })
-	greatest := maxInWindow(at, named.Add(limitDueTime))
+	greatest := maxInWindow(at, named.Add(limitCheckDelay))
 	t.Logf("%d runs in 12 s, %d by hosts that had the limit; %d in a window at most, %d permitted; %d in two seconds without the limit; %d of %d requests served",
 		len(during), len(at), greatest, maxRunsInWindow(limit), len(later), countServed(answers), len(answers))
 	for _, h := range s.gateways {
--- a/internal/e2e/path_test.go
+++ b/internal/e2e/path_test.go
@@ -17,9 +17,10 @@
 	"github.com/quetzalweir/quetzalweir/internal/standin/service"
 )
 
-// TestWholePath sends streamed and unstreamed requests to three hosts concurrently
-// and checks each answer, its version, its bill and the trace.
-func TestWholePath(t *testing.T) {
+// TestRequestsAreAnsweredBilledAndTraced sends streamed and unstreamed requests to three
+// hosts concurrently and checks each answer, its version, its bill, and the manifest's
+// trace (the bills of the requests under that manifest).
+func TestRequestsAreAnsweredBilledAndTraced(t *testing.T) {
 	s := startSystem(t, 3)
 	head := s.submit(devenv.Manifest())
 
@@ -55,7 +56,7 @@
 	return "small"
 }
 
-// checkChat checks that an answer is complete and what the engines send for the
+// checkChat checks that an answer is complete and equals the engines' answer to the
 // prompt.
 func checkChat(t *testing.T, a answer, model, prompt string) {
 	t.Helper()
--- a/internal/e2e/quarantine_test.go
+++ b/internal/e2e/quarantine_test.go
@@ -17,8 +17,8 @@
 const (
 	// poisonBody is the body of the poison request: an upstream that runs it crashes.
 	poisonBody = "the request that ends upstreams"
-	// verdictBound is the time from the third crash until every host must have the verdict,
-	// maxLateSends how often the request may still be sent after that.
+	// verdictBound is the time from the third crash until every host must have the verdict.
+	// maxLateSends is how often the request may still be sent after that time.
 	verdictBound = 3 * time.Second
 	maxLateSends = 3
 	// quarantinedCode is in the answer to a request that is in quarantine.
@@ -31,9 +31,9 @@
 	*gatewaySystem
 	mu   sync.Mutex
 	pool []*platformtest.Upstream
-	// crashes is when upstreams crashed.
-	crashes []time.Time
-	stopped bool
+	// crashTimes is when upstreams crashed.
+	crashTimes []time.Time
+	stopped    bool
 }
 
 func newCrashingPool(s *gatewaySystem, size int, restartDelay time.Duration) *crashingPool {
@@ -55,7 +55,7 @@
 	}
 	u.SetPoisonRequest(poisonBody, 40*time.Millisecond, func() {
 		p.mu.Lock()
-		p.crashes = append(p.crashes, time.Now())
+		p.crashTimes = append(p.crashTimes, time.Now())
 		p.mu.Unlock()
 		time.AfterFunc(restartDelay, func() {
 			p.mu.Lock()
@@ -82,16 +82,16 @@
 	}
 }
 
-// sendsAndCrashes returns when the poison request arrived at upstreams and when upstreams
+// sendAndCrashTimes returns when the poison request arrived at upstreams and when upstreams
 // crashed, both in order.
-func (p *crashingPool) sendsAndCrashes() (sends []time.Time, crashes []time.Time) {
+func (p *crashingPool) sendAndCrashTimes() (sends []time.Time, crashes []time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, u := range p.pool {
 		sends = append(sends, u.PoisonRequestTimes()...)
 	}
 	slices.SortFunc(sends, time.Time.Compare)
-	return sends, slices.Clone(p.crashes)
+	return sends, slices.Clone(p.crashTimes)
 }
 
 // replacePool replaces the upstreams of the pool by a crashingPool.
@@ -114,7 +114,7 @@
 // countLateSends returns how often the poison request was sent more than verdictBound after
 // the third crash, and how many upstreams crashed.
 func (p *crashingPool) countLateSends() (late, crashed int) {
-	sends, crashes := p.sendsAndCrashes()
+	sends, crashes := p.sendAndCrashTimes()
 	if len(crashes) < 3 {
 		return 0, len(crashes)
 	}
@@ -191,7 +191,7 @@
 			served++
 		}
 	}
-	sends, _ := p.sendsAndCrashes()
+	sends, _ := p.sendAndCrashTimes()
 	t.Logf("%d upstreams crashed, the poison request was sent %d times, %d of them late; %d of %d other requests were served",
 		crashed, len(sends), late, served, len(others))
 	is.True(late <= maxLateSends)
@@ -220,14 +220,14 @@
 }
 
 // A verdict must persist when all hosts restart: they read it from the store.
-func TestVerdictOutlivesAllHosts(t *testing.T) {
+func TestVerdictPersistsAfterRestarts(t *testing.T) {
 	is := is.New(t)
 	s := newGatewaySystem(t, 3, 3)
 	p := s.replacePool()
 	p.sendPoison(20, 100*time.Millisecond)
 	eventually(t, "the request is quarantined", func() bool { return p.sendPoison(3, 0) == 3 })
 	eventually(t, "the store has the verdict", func() bool { return len(s.store.Keys("status", "quarantine/")) == 1 })
-	sends, _ := p.sendsAndCrashes()
+	sends, _ := p.sendAndCrashTimes()
 	for _, h := range s.gateways {
 		h.kill()
 	}
@@ -241,7 +241,7 @@
 			return strings.Contains(s.sendBody(h, "stream", "key-a", poisonBody).body, quarantinedCode)
 		})
 	}
-	after, _ := p.sendsAndCrashes()
+	after, _ := p.sendAndCrashTimes()
 	is.Equal(len(after), len(sends))
 
 	// Operators withdraw the verdict by removing its row.
--- a/internal/e2e/refusal_test.go
+++ b/internal/e2e/refusal_test.go
@@ -18,8 +18,8 @@
 	"github.com/quetzalweir/quetzalweir/resultcode"
 )
 
-// arrivalCounts has the number of heads that upstreams read for one request, and of
-// its runs.
+// arrivalCounts holds the number of request headers that upstreams read for one
+// request, and the number of its runs.
 type arrivalCounts struct {
 	heads, runs int
 }
@@ -43,8 +43,8 @@
 	id       string
 }
 
-// longDeadline is a deadline that no refusal may wait for. A refusal must come
-// within refusalBound, which is far below it.
+// longDeadline is a deadline that no refusal may wait for: a refusal must arrive
+// within refusalBound, which is much shorter.
 const (
 	longDeadline = 25 * time.Second
 	refusalBound = 10 * time.Second
@@ -160,8 +160,8 @@
 	// engines and services are the faults of the upstreams.
 	engines  engine.Faults
 	services service.Faults
-	// replaced is true if the upstreams don't recover, and others are started
-	// instead.
+	// replaced is true if the upstreams don't recover, and new upstreams are
+	// started in their place.
 	replaced bool
 }
 
@@ -190,13 +190,14 @@
 }
 
 // TestRefusalsMatchWhatArrived cuts connections to engines and services at each
-// boundary, and makes these leave, while requests with a long deadline are sent.
-// The run state in each refusal must match what arrived at upstreams, and a request
-// that was refused with a Retry-After header must be served after the fault.
+// boundary, and makes engines and services leave, while requests with a long
+// deadline are sent. The run state in each refusal must match what arrived at
+// upstreams, and a request that was refused with a Retry-After header must be
+// served after the fault.
 func TestRefusalsMatchWhatArrived(t *testing.T) {
 	t.Parallel()
 	s := startSystem(t, 2)
-	s.addService("lanes-2", "zone-b")
+	s.addServiceInstance("lanes-2", "zone-b")
 	s.submit(devenv.Manifest())
 	s.waitUpstreams()
 	for _, test := range refusalCases() {
@@ -206,7 +207,7 @@
 		outcomes := s.sendAll(calls, longDeadline)
 		if test.replaced {
 			s.addEngine("engine-new", "zone-a")
-			s.addService("lanes-new", "zone-a")
+			s.addServiceInstance("lanes-new", "zone-a")
 		} else {
 			s.setEngineFaults(engine.Faults{})
 			s.setServiceFaults(service.Faults{})
--- a/internal/e2e/schedule_test.go
+++ b/internal/e2e/schedule_test.go
@@ -57,8 +57,8 @@
 
 // schedule injects faults for a duration, two or three at a time and sometimes one of
 // them twice. In the first rounds sessions are shifted to another version, a version
-// is withdrawn, and two engines leave; the rest of the run shows whether these still
-// get requests.
+// is withdrawn, and two engines leave; the rest of the run shows whether the withdrawn
+// version and these engines still get requests.
 func (m *mixed) schedule(r *rand.Rand, duration time.Duration) {
 	steps := []func(){m.shift, m.withdraw, m.makeEngineLeave, m.makeEngineLeave}
 	faults := &faultShuffle{random: r, all: mixedFaults()}
@@ -89,9 +89,9 @@
 	time.Sleep(time.Duration(ms/2+r.IntN(ms)) * time.Millisecond)
 }
 
-// startNextChange queues the next of the steps, or, without one, a manifest that differs
-// only in its build. It doesn't wait for the change, which so coincides with the
-// faults of the round.
+// startNextChange queues the next of the steps, or, if no step is left, a manifest that
+// differs only in its build label. It doesn't wait for the change, so that the change
+// coincides with the faults of the round.
 func (m *mixed) startNextChange(steps *[]func(), round int) {
 	next := func() {
 		m.submitUntilAccepted(edit(m.s.t, m.current, func(doc *manifest.Document) { doc.Build = fmt.Sprintf("round %d", round) }))
@@ -111,7 +111,7 @@
 	return end
 }
 
-// impair records that a host isn't expected to receive new manifests for now.
+// impair records a fault that may keep a host from receiving new manifests.
 func (m *mixed) impair(id string) {
 	m.impaired[id]++
 	if m.impaired[id] == 1 {
@@ -255,7 +255,7 @@
 func (m *mixed) withdraw() { m.submitUntilAccepted(edit(m.s.t, m.current, withdrawV1)) }
 
 // makeEngineLeave makes the last engine that isn't leaving leave. The engine reports
-// that itself, and operators inform one host.
+// itself as leaving, and operators inform one host.
 func (m *mixed) makeEngineLeave() {
 	id := m.markNextLeaving()
 	ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
--- a/internal/e2e/stop_test.go
+++ b/internal/e2e/stop_test.go
@@ -17,12 +17,12 @@
 )
 
 // balancer picks among the hosts that were ready at its last check. Like the
-// platform's balancer, it still picks a host for a while after that stopped being
-// ready.
+// platform's balancer, it still picks a host for a while after the host stopped
+// being ready.
 type balancer struct {
-	mu    sync.Mutex
-	ready []*entryHost
-	picks int
+	mu        sync.Mutex
+	ready     []*entryHost
+	pickCount int
 }
 
 // balancerInterval is the time between the balancer's readiness checks. The setting
@@ -70,13 +70,13 @@
 	if len(b.ready) == 0 {
 		return nil
 	}
-	b.picks++
-	return b.ready[b.picks%len(b.ready)]
+	b.pickCount++
+	return b.ready[b.pickCount%len(b.ready)]
 }
 
-// TestRollThroughAllHosts replaces every host, one after the other, under a load
+// TestRollingRestartOfAllHosts replaces every host, one after the other, under a load
 // with long streams. No request may fail and no bill may be lost.
-func TestRollThroughAllHosts(t *testing.T) {
+func TestRollingRestartOfAllHosts(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, 3)
 	head := s.submit(devenv.Manifest())
@@ -225,10 +225,10 @@
 	}
 }
 
-// TestSecondSignalCutsShort sends a host two SIGTERM while a stream runs that would
-// take minutes. The host must log how many requests it broke off and exit with an
+// TestSecondSignalForcesStop sends a host two SIGTERM signals during a stream that
+// would take minutes. The host must log how many requests it broke off and exit with an
 // error. The caller must get an incomplete answer and must not be charged.
-func TestSecondSignalCutsShort(t *testing.T) {
+func TestSecondSignalForcesStop(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, 2)
 	head := s.submit(devenv.Manifest())
--- a/internal/e2e/timeline_test.go
+++ b/internal/e2e/timeline_test.go
@@ -64,16 +64,17 @@
 type arrival struct {
 	upstream string
 	key      string
-	// model and version are empty for services, and if the body wasn't read.
+	// model and version are empty for services, and if the upstream didn't read
+	// the body.
 	model, version string
 	runs           int
-	// at is the last time at which it had not yet arrived.
+	// at is when the last complete poll without this arrival began.
 	at time.Duration
 }
 
 // arrivalPoller polls the arrivals at upstreams. The time that it records for an arrival
 // is a lower bound. That is sufficient, since the rules on arrivals only forbid late
-// ones.
+// arrivals.
 type arrivalPoller struct {
 	system   *system
 	timeline *timeline
@@ -189,8 +190,8 @@
 const maxArrivalDelay = 10 * time.Second
 
 // withArrivals adds the arrivals to the events. Requests whose id no caller got are
-// recorded as sent maxArrivalDelay before their arrival; there can't be more of them
-// than requests without an answer.
+// recorded as sent maxArrivalDelay before their arrival. There can't be more such
+// requests than requests without an answer.
 func (v *callerRecord) withArrivals(events []history.Event, arrivals map[string]*arrival) []history.Event {
 	unidentified := map[string]bool{}
 	for name, a := range arrivals {
--- a/internal/e2e/versions_test.go
+++ b/internal/e2e/versions_test.go
@@ -49,8 +49,8 @@
 }
 
 // staleManifestBound is how long after the acceptance of a manifest a host may still
-// serve requests by the previous one: the freshness bound of 5 s, and a second for a
-// request that was being routed at that time.
+// serve requests by the previous manifest: the freshness bound of 5 s, and a second for
+// a request that was being routed at the end of that bound.
 const staleManifestBound = 6 * time.Second
 
 // runsOf returns the number of requests that began to run on a version, on all
@@ -72,7 +72,8 @@
 
 // TestWithdrawnVersionUnderFaults withdraws a version while one host is frozen and
 // another is cut from the platform and from its peers. After staleManifestBound no host,
-// not even the thawed or the cut off one, may send requests for the version.
+// not even the thawed host or the one that was cut off, may send requests for the
+// version.
 func TestWithdrawnVersionUnderFaults(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, 4)
@@ -121,8 +122,8 @@
 }
 
 // TestSessionsKeepTheirVersion opens sessions, assigns all new ones to another version
-// and kills a host. Every session must keep its version until that is withdrawn, and
-// the answer must report when a session was moved.
+// and kills a host. Every session must keep its version until the version is withdrawn,
+// and the answer must report when a session was moved.
 func TestSessionsKeepTheirVersion(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, 3)
@@ -197,7 +198,7 @@
 }
 
 // leavingBound is how long other hosts may still send requests to an upstream after
-// one host was informed that it leaves.
+// operators informed one host that the upstream leaves.
 const leavingBound = 3 * time.Second
 
 // TestLeavingUpstreamGetsNoNewWork informs one host that an engine leaves. The other
@@ -232,9 +233,9 @@
 	return len(arrivals.Arrivals)
 }
 
-// TestServiceThatLeavesIsReported has a service report in its load that it leaves. Calls
+// TestLeavingServiceRefusesCalls has a service report in its load that it leaves. Calls
 // must be refused without delay, as not run, and with a Retry-After header.
-func TestServiceThatLeavesIsReported(t *testing.T) {
+func TestLeavingServiceRefusesCalls(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, 2)
 	s.submit(devenv.Manifest())
