--- a/internal/e2e/atmostonce_test.go
+++ b/internal/e2e/atmostonce_test.go
@@ -58,8 +58,8 @@
 	return steps
 }
 
-// killAndReplace kills a host, with its bids in flight, and starts another in its
-// place.
+// killAndReplace kills a host while it has bids in flight, and starts another host in
+// its place.
 func killAndReplace(i int) func(*system, *bidder) {
 	return func(s *system, b *bidder) {
 		old := s.hosts[i]
--- a/internal/e2e/billing_test.go
+++ b/internal/e2e/billing_test.go
@@ -41,8 +41,8 @@
 	byID map[string]*charge
 }
 
-// add records the charge for a complete answer. ids are those of the requests
-// that led to it.
+// add records the charge for a complete answer. ids holds the ids of the requests
+// that led to the answer.
 func (c *charges) add(key, model string, a answer, ids []string) {
 	ch := charge{billID: a.get("Quetzalweir-Request-Id"), requests: map[string]bool{}}
 	for _, id := range ids {
--- a/internal/e2e/coldzone_test.go
+++ b/internal/e2e/coldzone_test.go
@@ -157,8 +157,8 @@
 	is := is.New(t)
 	s := newGatewaySystem(t, 9, 1)
 	backup := s.store.Backup()
-	// Written after the backup: the removal of a key, an upstream, and more revisions than
-	// are assigned again at first.
+	// After the backup a key is removed and the row of an upstream is written repeatedly,
+	// which takes more revisions than the restored store assigns again at first.
 	s.document["tenants"] = []any{map[string]any{"name": "acme", "api_keys": []string{"key-a"}}}
 	s.publish(5)
 	for range 20 {
--- a/internal/e2e/config_test.go
+++ b/internal/e2e/config_test.go
@@ -102,8 +102,8 @@
 	s.checkEpochsOnlyRise()
 }
 
-// checkHistory checks the number of accepted manifests and that each one's parent
-// is the one before it.
+// checkHistory checks the number of accepted manifests and that the parent of each
+// is the manifest accepted before it.
 func (s *system) checkHistory(epochs int) {
 	s.t.Helper()
 	var heads []config.Head
--- a/internal/e2e/gateway_test.go
+++ b/internal/e2e/gateway_test.go
@@ -21,7 +21,8 @@
 	"github.com/quetzalweir/quetzalweir/platform/platformtest"
 )
 
-// gatewayDrain and gatewayGrace are drain_ms and grace_s in the gateways' settings.
+// gatewayDrain and gatewayGrace are the values of drain_ms and grace_s in the gateways'
+// settings.
 const (
 	gatewayDrain = 2 * time.Second
 	gatewayGrace = 4 * time.Second
@@ -163,7 +164,7 @@
 	return s.addColdUpstream(service, version, zone, 0)
 }
 
-// addColdUpstream adds an upstream that reports itself cold for a time.
+// addColdUpstream adds an upstream that reports itself cold for the duration coldFor.
 func (s *gatewaySystem) addColdUpstream(service, version, zone string, coldFor time.Duration) *platformtest.Upstream {
 	s.t.Helper()
 	s.upstreamsAdded++
--- a/internal/e2e/keys_test.go
+++ b/internal/e2e/keys_test.go
@@ -51,7 +51,8 @@
 }
 
 // TestUnknownCallerGetsUnauthorized checks that a caller without an account gets
-// the status 401 whatever its body is, and so no information about valid bodies.
+// the status 401 whatever the request body is, so that the status reveals nothing
+// about which bodies are valid.
 func TestUnknownCallerGetsUnauthorized(t *testing.T) {
 	s := startSystem(t, 1)
 	s.submit(devenv.Manifest())
--- a/internal/e2e/memory_test.go
+++ b/internal/e2e/memory_test.go
@@ -25,8 +25,8 @@
 )
 
 // TestMemoryDoesNotGrowWithRequests checks that a host does not retain memory per
-// request. It compares the lowest heap after some warm-up requests with that
-// after ten times as many.
+// request. It compares the lowest heap after some warm-up requests with the lowest
+// heap after ten times as many requests.
 func TestMemoryDoesNotGrowWithRequests(t *testing.T) {
 	is := is.New(t)
 	t.Setenv("GOGC", "20")
--- a/internal/e2e/mixed_test.go
+++ b/internal/e2e/mixed_test.go
@@ -315,7 +315,7 @@
 	e.Model, e.Version = o.get("Quetzalweir-Model"), o.get("Quetzalweir-Version")
 	e.Epoch, _ = strconv.ParseUint(o.get("Quetzalweir-Epoch"), 10, 64)
 	if e.Code != 0 && e.RunState == "not-run" {
-		// No version ran the request, so its session isn't bound to one by it.
+		// No version ran the request, so it doesn't bind its session to a version.
 		e.Model, e.Version = "", ""
 	}
 	return e
--- a/internal/e2e/quarantine_test.go
+++ b/internal/e2e/quarantine_test.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// sendAndCrashTimes returns when the poison request arrived at upstreams and when upstreams
-// crashed, both in order.
+// sendAndCrashTimes returns the times at which the poison request arrived at upstreams and
+// the times at which upstreams crashed, each list in order.
 func (p *crashingPool) sendAndCrashTimes() (sends []time.Time, crashes []time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
