--- a/internal/e2e/atmostonce_test.go
+++ b/internal/e2e/atmostonce_test.go
@@ -58,8 +58,8 @@
 	return steps
 }
 
-// killAndReplace kills a host, with its bids in flight, and starts another in its
-// place.
+// killAndReplace kills a host while it has bids in flight, and starts another host in
+// its place.
 func killAndReplace(i int) func(*system, *bidder) {
 	return func(s *system, b *bidder) {
 		old := s.hosts[i]
@@ -78,7 +78,7 @@
 func TestBidsRunAtMostOnce(t *testing.T) {
 	t.Parallel()
 	s := startSystem(t, 4)
-	s.addService("lanes-2", "zone-b")
+	s.addServiceInstance("lanes-2", "zone-b")
 	s.submit(devenv.Manifest())
 	s.waitUpstreams()
 	b := newBidder(s)
--- a/internal/e2e/coldzone_test.go
+++ b/internal/e2e/coldzone_test.go
@@ -15,8 +15,8 @@
 
 const (
 	// coldRate is the number of requests a second that a cold upstream of the pool
-	// tolerates, maxColdRuns the number that may reach it in any second by the hosts'
-	// settings cold_overrun and cold_headroom.
+	// tolerates. maxColdRuns is the number of requests that may reach it in any second
+	// according to the hosts' settings cold_overrun and cold_headroom.
 	coldRate    = 10
 	maxColdRuns = coldRate*1.5 + 5
 	coldStart   = 3 * time.Second
@@ -157,8 +157,8 @@
 	is := is.New(t)
 	s := newGatewaySystem(t, 9, 1)
 	backup := s.store.Backup()
-	// Written after the backup: the removal of a key, an upstream, and more revisions than
-	// are assigned again at first.
+	// After the backup a key is removed and the row of an upstream is written repeatedly,
+	// which takes more revisions than the restored store assigns again at first.
 	s.document["tenants"] = []any{map[string]any{"name": "acme", "api_keys": []string{"key-a"}}}
 	s.publish(5)
 	for range 20 {
--- a/internal/e2e/keys_test.go
+++ b/internal/e2e/keys_test.go
@@ -13,10 +13,10 @@
 
 const secondSampleKey = "k2:7765697277656972776569727765697277656972776569727765697277656972"
 
-// TestKeysRotateWithoutACut replaces the keys for peers and session tokens by
+// TestKeyRotationInterruptsNoRequest replaces the keys for peers and session tokens by
 // restarting all hosts three times, one after the other, under load. No request
 // may fail, and a session must keep its version while its tokens change keys.
-func TestKeysRotateWithoutACut(t *testing.T) {
+func TestKeyRotationInterruptsNoRequest(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, 2)
 	head := s.submit(devenv.Manifest())
@@ -51,7 +51,8 @@
 }
 
 // TestUnknownCallerGetsUnauthorized checks that a caller without an account gets
-// the status 401 whatever its body is, and so no information about valid bodies.
+// the status 401 whatever the request body is, so that the status reveals nothing
+// about which bodies are valid.
 func TestUnknownCallerGetsUnauthorized(t *testing.T) {
 	s := startSystem(t, 1)
 	s.submit(devenv.Manifest())
