--- a/admission/class.go
+++ b/admission/class.go
@@ -7,14 +7,15 @@
 type class struct {
 	name     string
 	minShare float64
-	// rank is the position in strict order; 0 is the highest class.
+	// rank is the position of the class in the strict order of priority; 0 is
+	// the highest class.
 	rank int
 	// credit is the unused service time from the minimum share, for which the
 	// class is served before higher classes.
 	credit time.Duration
-	// arrivals is the decayed rate at which entries arrive, measured by their
-	// expected service time, in seconds per second.
-	arrivals decayedRate
+	// arrivalRate is the decayed rate at which entries arrive, measured by
+	// their expected service time, in seconds per second.
+	arrivalRate decayedRate
 
 	flows map[string]*flow
 	// startOrder orders backlogged flows by virtual start time.
@@ -59,12 +60,12 @@
 	if a.virtualStart != b.virtualStart {
 		return a.virtualStart < b.virtualStart
 	}
-	return a.head().arrival < b.head().arrival
+	return a.head().arrivalNumber < b.head().arrivalNumber
 }
 
-// flowOf returns the account's flow, created if needed, and sets its weight to
-// that of the ticket.
-func (c *class) flowOf(t Ticket) *flow {
+// ensureFlow returns the account's flow, which it creates if needed, and sets
+// the flow's weight to that of the ticket.
+func (c *class) ensureFlow(t Ticket) *flow {
 	f, ok := c.flows[t.Account]
 	if !ok {
 		f = newFlow(c, t.Account)
--- a/admission/dispatch.go
+++ b/admission/dispatch.go
@@ -14,7 +14,7 @@
 		}
 		c.chargeStart(e.flow, e)
 		s.start(now, e)
-		s.decided = append(s.decided, e)
+		s.startedOrRefused = append(s.startedOrRefused, e)
 	}
 }
 
--- a/admission/entry.go
+++ b/admission/entry.go
@@ -39,8 +39,8 @@
 	// prev and next link the entries of one level of a flow.
 	prev, next *Entry
 	level      *level
-	// arrival numbers the waiting entries in order of arrival.
-	arrival uint64
+	// arrivalNumber numbers the waiting entries in order of arrival.
+	arrivalNumber uint64
 	// heapIndex is the index in the heap by latest start while the entry waits,
 	// and in the heap by expected end while it runs.
 	heapIndex int
--- a/admission/flow.go
+++ b/admission/flow.go
@@ -16,7 +16,7 @@
 	// waitingWork is the expected service time of all waiting entries.
 	waitingWork time.Duration
 	// virtualStart is the virtual start time of the first entry. The flow with
-	// the lowest one is served first.
+	// the lowest virtual start time is served first.
 	virtualStart float64
 	// virtualFinish is the virtual finish time of the last entry that started.
 	virtualFinish float64
--- a/admission/predict.go
+++ b/admission/predict.go
@@ -48,7 +48,8 @@
 	return min(fairWork, c.waitingWork)
 }
 
-// forecast holds what determines the waits of a class's entries at one time.
+// forecast holds the quantities from which the waits of a class's entries are
+// predicted at one time.
 type forecast struct {
 	// higherWork is the waiting work of higher classes.
 	higherWork time.Duration
@@ -75,7 +76,7 @@
 		switch {
 		case other.rank < c.rank:
 			result.higherWork += other.waitingWork
-			result.slots -= other.arrivals.valueAt(now)
+			result.slots -= other.arrivalRate.valueAt(now)
 		case other.rank > c.rank && other.waiting > 0:
 			result.slots -= other.minShare * float64(s.capacity)
 		}
@@ -196,7 +197,7 @@
 		case a.predictedStart > b.predictedStart:
 			return 1
 		}
-		return cmp.Compare(a.arrival, b.arrival)
+		return cmp.Compare(a.arrivalNumber, b.arrivalNumber)
 	})
 	return s.serviceOrder
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -77,7 +77,8 @@
 	q.apply(func(now time.Time) []*Entry { return q.scheduler.SetClasses(now, classes) })
 }
 
-// Stats returns the current numbers of slots, running and waiting requests.
+// Stats returns the current number of slots and the current numbers of running
+// and waiting requests.
 func (q *Queue) Stats() Stats {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -121,8 +122,8 @@
 }
 
 // notify unblocks the callers of the entries, which were started or refused.
-func (q *Queue) notify(decided []*Entry) {
-	for _, e := range decided {
+func (q *Queue) notify(startedOrRefused []*Entry) {
+	for _, e := range startedOrRefused {
 		if e.ready != nil {
 			close(e.ready)
 		}
--- a/admission/retry.go
+++ b/admission/retry.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// Deposit counts a first attempt.
+// Deposit adds the retries that the budget allows for one first attempt.
 func (b *RetryBudget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/admission/scheduler.go
+++ b/admission/scheduler.go
@@ -9,7 +9,8 @@
 	// recheckInterval is the interval at which the waits of waiting entries are
 	// predicted again.
 	recheckInterval = 20 * time.Millisecond
-	// unbounded is an infinite wait, and the latest start without a deadline.
+	// unbounded stands for an infinite wait, and for the latest start of an
+	// entry without a deadline.
 	unbounded = time.Duration(math.MaxInt64)
 	// creditWindow is the time over which a class can accumulate the unused part
 	// of its minimum share.
@@ -57,12 +58,12 @@
 	// correction is the decayed ratio of actual to estimated service times.
 	correction float64
 
-	// The slices below are reused by each call: decided holds the entries that
-	// waited and that the call started or refused, serviceOrder holds the result
-	// of inServiceOrder.
+	// The slices below are reused by each call: startedOrRefused holds the
+	// entries that waited and that the call started or refused, serviceOrder
+	// holds the result of inServiceOrder.
 
-	decided      []*Entry
-	serviceOrder []*Entry
+	startedOrRefused []*Entry
+	serviceOrder     []*Entry
 }
 
 // NewScheduler returns an empty Scheduler; it doesn't use Options.Clock.
@@ -96,44 +97,44 @@
 	c, ok := s.byName[e.Ticket.Class]
 	if !ok {
 		s.refuse(e, ErrUnknownClass)
-		return s.decided
+		return s.startedOrRefused
 	}
 	e.estimate = s.estimate(e.Ticket)
 	e.latestStart = s.latestStart(e)
 	s.refuseExpired(now)
-	e.flow = c.flowOf(e.Ticket)
+	e.flow = c.ensureFlow(e.Ticket)
 	wait := s.predictWait(now, e.flow, e.estimate)
 	if e.missesDeadline(now, wait) {
 		s.refuse(e, s.unmeetableError(now, e, wait))
-		return s.decided
+		return s.startedOrRefused
 	}
 	if s.running < s.capacity && s.queued == 0 {
-		c.arrivals.add(now, e.estimate.Seconds())
+		c.arrivalRate.add(now, e.estimate.Seconds())
 		c.chargeImmediateStart(e)
 		s.start(now, e)
-		return s.decided
+		return s.startedOrRefused
 	}
 	if s.queued >= s.maxQueue && !s.evictFor(e) {
 		s.refuse(e, &FullError{RetryAfter: s.drainTime()})
-		return s.decided
+		return s.startedOrRefused
 	}
 	s.enqueue(now, e)
 	s.dispatch(now)
-	return s.decided
+	return s.startedOrRefused
 }
 
 // Finish releases the slot of a running entry.
 func (s *Scheduler) Finish(at time.Time, e *Entry) []*Entry {
 	now := s.startCall(at)
 	if e.state != Running {
-		return s.decided
+		return s.startedOrRefused
 	}
 	e.state = Finished
 	s.release(e)
 	s.updateEstimates(now-e.startedAt, e.Ticket.Estimate)
 	s.refuseExpired(now)
 	s.dispatch(now)
-	return s.decided
+	return s.startedOrRefused
 }
 
 // Cancel removes a running or waiting entry.
@@ -146,11 +147,11 @@
 	case Waiting:
 		s.dequeue(e)
 	default:
-		return s.decided
+		return s.startedOrRefused
 	}
 	e.state = Finished
 	s.dispatch(now)
-	return s.decided
+	return s.startedOrRefused
 }
 
 // SetCapacity changes the maximum number of running entries. Running entries
@@ -161,7 +162,7 @@
 	s.refuseExpired(now)
 	s.dispatch(now)
 	s.recheck(now)
-	return s.decided
+	return s.startedOrRefused
 }
 
 // SetClasses replaces the classes. Entries that wait in a removed class are
@@ -170,7 +171,7 @@
 	now := s.startCall(at)
 	s.setClasses(classes)
 	s.dispatch(now)
-	return s.decided
+	return s.startedOrRefused
 }
 
 // Advance refuses the waiting entries that can't meet their deadlines, as of the
@@ -181,7 +182,7 @@
 	if s.queued > 0 && now >= s.recheckAt {
 		s.recheck(now)
 	}
-	return s.decided
+	return s.startedOrRefused
 }
 
 // Next returns when Advance should be called; ok is false if nothing waits.
@@ -197,14 +198,16 @@
 	return s.epoch.Add(next), true
 }
 
-// Stats holds the numbers of slots, running and waiting entries at one time.
+// Stats holds the number of slots and the numbers of running and waiting
+// entries at one time.
 type Stats struct {
 	Capacity int
 	Running  int
 	Queued   int
 }
 
-// Stats returns the current numbers of slots, running and waiting entries.
+// Stats returns the current number of slots and the current numbers of running
+// and waiting entries.
 func (s *Scheduler) Stats() Stats {
 	return Stats{Capacity: s.capacity, Running: s.running, Queued: s.queued}
 }
@@ -216,8 +219,8 @@
 		s.epoch = at
 		s.started = true
 	}
-	clear(s.decided)
-	s.decided = s.decided[:0]
+	clear(s.startedOrRefused)
+	s.startedOrRefused = s.startedOrRefused[:0]
 	return at.Sub(s.epoch)
 }
 
@@ -252,8 +255,8 @@
 	}
 	e.state = Waiting
 	s.lastArrival++
-	e.arrival = s.lastArrival
-	e.flow.class.arrivals.add(now, e.estimate.Seconds())
+	e.arrivalNumber = s.lastArrival
+	e.flow.class.arrivalRate.add(now, e.estimate.Seconds())
 	e.flow.class.add(e)
 	s.queued++
 	s.byLatestStart.push(e)
@@ -274,10 +277,11 @@
 	}
 }
 
-// refuseWaiting refuses an entry that waited and adds it to the call's result.
+// refuseWaiting refuses a waiting entry and adds it to startedOrRefused, which
+// the current method call returns.
 func (s *Scheduler) refuseWaiting(e *Entry, err error) {
 	s.refuse(e, err)
-	s.decided = append(s.decided, e)
+	s.startedOrRefused = append(s.startedOrRefused, e)
 }
 
 func (s *Scheduler) refuse(e *Entry, err error) {
--- a/admission/scheduler_test.go
+++ b/admission/scheduler_test.go
@@ -52,8 +52,8 @@
 	now := start
 	for range n {
 		now = now.Add(second)
-		decided := s.Finish(now, running)
-		for _, e := range decided {
+		startedOrRefused := s.Finish(now, running)
+		for _, e := range startedOrRefused {
 			if e.State() == Running {
 				running = e
 				order = append(order, e.Ticket.Account)
@@ -161,8 +161,8 @@
 		for range 4 {
 			waiting = append(waiting, submit(s, 0, ticket("a", "report", second, 2500*time.Millisecond)))
 		}
-		decided := s.SetCapacity(start, 1)
-		is.True(len(decided) >= 2) // at least the last two are refused immediately
+		startedOrRefused := s.SetCapacity(start, 1)
+		is.True(len(startedOrRefused) >= 2) // at least the last two are refused immediately
 		is.Equal(waiting[0].State(), Waiting)
 		is.True(errors.As(waiting[3].Err(), &unmeetable))
 		s.SetCapacity(start, 0)
