--- a/balance/balance.go
+++ b/balance/balance.go
@@ -70,7 +70,8 @@
 	// PrefixHashes are the block hashes of the prompt, as returned by the
 	// function PrefixHashes.
 	PrefixHashes []uint64
-	// Exclude lists the IDs of upstreams already tried.
+	// Exclude lists the IDs of upstreams that aren't selected because the
+	// request was already sent to them.
 	Exclude []string
 }
 
@@ -159,8 +160,8 @@
 		return choice, false
 	}
 	sample := s.Picker.Sample(len(candidates), rnd)
-	preferred := s.preferred(req, candidates, now)
-	choice.Upstream, choice.Score = s.best(req, candidates, sample, preferred, now)
+	preferred := s.affinityPreferences(req, candidates, now)
+	choice.Upstream, choice.Score = s.bestCandidate(req, candidates, sample, preferred, now)
 	return choice, true
 }
 
@@ -171,9 +172,9 @@
 	bonus float64
 }
 
-// preferred returns the best candidate of each affinity scorer among those
-// whose load is within the bound.
-func (s *Selector) preferred(req *Request, candidates []*Upstream, now time.Time) []preference {
+// affinityPreferences returns, for each affinity scorer, its best candidate
+// among those whose load is within AffinityBound.
+func (s *Selector) affinityPreferences(req *Request, candidates []*Upstream, now time.Time) []preference {
 	var preferred []preference
 	limit := s.AffinityBound.limit(candidates)
 	for _, w := range s.AffinityScorers {
@@ -203,10 +204,10 @@
 	return best, bestScore
 }
 
-// best returns the sampled or preferred candidate with the highest weighted
-// score. The score of an affinity scorer is added for its preferred candidate
-// only.
-func (s *Selector) best(req *Request, candidates []*Upstream, sample []int, preferred []preference, now time.Time) (*Upstream, float64) {
+// bestCandidate returns the sampled or preferred candidate with the highest
+// weighted score. The score of an affinity scorer is added for its preferred
+// candidate only.
+func (s *Selector) bestCandidate(req *Request, candidates []*Upstream, sample []int, preferred []preference, now time.Time) (*Upstream, float64) {
 	var best *Upstream
 	var bestScore float64
 	consider := func(i int) {
--- a/balance/pool.go
+++ b/balance/pool.go
@@ -123,7 +123,7 @@
 // Choose selects an upstream for the request; ok is false if there is none. It
 // reserves no capacity; the caller must call Begin before it sends the request.
 func (p *Pool) Choose(req *Request) (choice Choice, ok bool) {
-	p.random.use(func(rnd *rand.Rand) {
+	p.random.withSource(func(rnd *rand.Rand) {
 		choice, ok = p.selector.Select(req, p.View(), p.options.Clock(), rnd)
 	})
 	return choice, ok
@@ -134,7 +134,7 @@
 // ignored.
 func (p *Pool) Report(id string, load upstream.Load, now time.Time) {
 	takenAt := now.Add(-time.Duration(load.AgeMs) * time.Millisecond)
-	p.change(id, func(e *poolEntry) { e.applyReport(load, takenAt) })
+	p.changeEntry(id, func(e *poolEntry) { e.applyReport(load, takenAt) })
 }
 
 // SetLeaving applies a leaving fact: it marks the upstream as leaving. The
@@ -173,26 +173,26 @@
 // the host list or leaving, it returns false and the request must not be sent.
 func (p *Pool) Begin(id string) bool {
 	begun := false
-	p.change(id, func(e *poolEntry) { begun = e.begin(p.options.Clock()) })
+	p.changeEntry(id, func(e *poolEntry) { begun = e.begin(p.options.Clock()) })
 	return begun
 }
 
 // End records the outcome of a request that Begin counted.
 func (p *Pool) End(id string, outcome Outcome) {
-	p.change(id, func(e *poolEntry) {
+	p.changeEntry(id, func(e *poolEntry) {
 		e.end(outcome, p.options.Clock(), p.options.Ejection, p.jitter())
 	})
 }
 
 // jitter returns a random number from 0 to 1.
 func (p *Pool) jitter() (jitter float64) {
-	p.random.use(func(rnd *rand.Rand) { jitter = rnd.Float64() })
+	p.random.withSource(func(rnd *rand.Rand) { jitter = rnd.Float64() })
 	return jitter
 }
 
-// change calls f with the upstream's entry under the lock of its shard, and
-// publishes the changed state. It does nothing if there is no entry.
-func (p *Pool) change(id string, f func(e *poolEntry)) {
+// changeEntry calls f with the upstream's entry under the lock of its shard,
+// and publishes the changed state. It does nothing if there is no entry.
+func (p *Pool) changeEntry(id string, f func(e *poolEntry)) {
 	shard := p.shard(id)
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
--- a/balance/pool_entry.go
+++ b/balance/pool_entry.go
@@ -14,8 +14,8 @@
 	latencyGain = 0.1
 	// errorGain is the weight of a new outcome in the error rate.
 	errorGain = 0.1
-	// errorHalfLife is the half-life of an error rate without new outcomes.
-	// The decay lets an upstream that has recovered be tried again.
+	// errorHalfLife is the half-life of an error rate without new outcomes. The
+	// decay lets an upstream that has recovered receive requests again.
 	errorHalfLife = 10 * time.Second
 )
 
--- a/balance/prefix_index.go
+++ b/balance/prefix_index.go
@@ -65,7 +65,7 @@
 type blockEntry struct {
 	// confirmedAt is when the block was last sent or reported as stored.
 	confirmedAt time.Time
-	// gaps is the value of cachedBlocks.gaps at that time.
+	// gaps is the value of cachedBlocks.gaps at confirmedAt.
 	gaps uint32
 }
 
--- a/balance/random.go
+++ b/balance/random.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// use calls f with exclusive access to one of the sources.
-func (r *randomSources) use(f func(rnd *rand.Rand)) {
+// withSource calls f with exclusive access to one of the sources.
+func (r *randomSources) withSource(f func(rnd *rand.Rand)) {
 	s := &r.sources[r.next.Add(1)%randomSourceCount]
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -16,9 +16,9 @@
 // Subset limits the upstreams that a host sends to, separately for each pool or
 // service. A host uses the upstreams of its own availability zone. If there are
 // fewer than Min it adds upstreams of other zones, and if there are more than
-// Max it omits some. The added and the omitted ones are selected by rendezvous
-// hashing of the IDs of host and upstream, so that a change of the host list
-// changes few of them.
+// Max it omits some. The upstreams to add and to omit are selected by
+// rendezvous hashing of the IDs of host and upstream, so that a change of the
+// host list changes few of them.
 type Subset struct {
 	// Min and Max are numbers of upstreams of one pool or service; 0 means the
 	// default.
