--- a/cascade/learner.go
+++ b/cascade/learner.go
@@ -41,7 +41,8 @@
 	PromptTokens int
 	// Step is the index of the step among all steps of the cascade.
 	Step int
-	// Escalated is true if the previous step was tried first.
+	// Escalated is true if the request was escalated to this step from the
+	// previous one.
 	Escalated bool
 	// Rating is from 0 to 1, or Unrated.
 	Rating float64
@@ -55,7 +56,7 @@
 	policy Policy
 	clock  storage.Clock
 	shards [learnerShards]shard
-	rater  raterState
+	rater  raterRecord
 	random randomSource
 }
 
@@ -117,9 +118,9 @@
 	return l
 }
 
-// Learn records an answer of a step. It is Observe for callers that don't
-// distinguish cascades and prompt lengths. An answer of a step above 0 counts as
-// escalated.
+// Learn records an answer of a step. Callers that don't distinguish cascades
+// and prompt lengths use it in place of Observe. An answer of a step above 0
+// counts as escalated.
 func (l *Learner) Learn(account, class string, step int, rating float64, latency time.Duration) {
 	l.Observe(Sample{
 		Account:   account,
@@ -199,9 +200,9 @@
 func (r *groupRecord) refineEstimates(estimates []StepStats, target float64) {
 	for i := range min(len(estimates), len(r.steps)) {
 		step, estimate := &r.steps[i], &estimates[i]
-		estimate.AcceptProbability = step.first.probability(target, estimate.AcceptProbability)
-		estimate.EscalatedAcceptProbability = step.escalated.probability(target, estimate.EscalatedAcceptProbability)
-		estimate.Samples = step.first.total
+		estimate.AcceptProbability = step.startedRatings.probability(target, estimate.AcceptProbability)
+		estimate.EscalatedAcceptProbability = step.escalatedRatings.probability(target, estimate.EscalatedAcceptProbability)
+		estimate.Samples = step.startedRatings.total
 		if step.latency > 0 {
 			estimate.Latency = time.Duration(step.latency * float64(time.Second))
 		}
--- a/cascade/policy.go
+++ b/cascade/policy.go
@@ -27,8 +27,8 @@
 // StepStats holds the measured statistics of a step.
 type StepStats struct {
 	// AcceptProbability is the probability that the answer reaches the target
-	// if the request starts at this step, EscalatedAcceptProbability the same
-	// if the request was escalated from the previous step.
+	// if the request starts at this step, EscalatedAcceptProbability is the
+	// same probability if the request was escalated from the previous step.
 	AcceptProbability          float64
 	EscalatedAcceptProbability float64
 	// Latency is the mean time to the complete answer; 0 if not measured.
--- a/cascade/stats.go
+++ b/cascade/stats.go
@@ -15,8 +15,8 @@
 	// statsHalfLife is the time in which the weight of a rating halves if no
 	// later ones arrive.
 	statsHalfLife = 30 * time.Minute
-	// priorWeight is the weight of the estimate from the next wider group: as
-	// much as that of so many ratings.
+	// priorWeight is the weight of the estimate from the next wider group, in
+	// ratings.
 	priorWeight = 8
 	// latencySampleWeight is the weight of a new measurement in the moving
 	// average of the latency.
@@ -63,12 +63,12 @@
 	return (h.acceptedWeight(target) + priorWeight*prior) / (h.total + priorWeight)
 }
 
-// stepRecord holds the statistics of one step. first counts the ratings of answers
-// to requests that started at the step, escalated those of requests that were
-// escalated to it.
+// stepRecord holds the statistics of one step. startedRatings counts the
+// ratings of answers to requests that started at the step. escalatedRatings
+// counts those of answers to requests that were escalated to the step.
 type stepRecord struct {
-	first     histogram
-	escalated histogram
+	startedRatings   histogram
+	escalatedRatings histogram
 	// latency is the moving average of the time to the complete answer, in
 	// seconds; 0 if not measured.
 	latency float64
@@ -89,8 +89,8 @@
 	r.decayedAt = now
 	factor := math.Exp2(-float64(elapsed) / float64(statsHalfLife))
 	for i := range r.steps {
-		r.steps[i].first.scale(factor)
-		r.steps[i].escalated.scale(factor)
+		r.steps[i].startedRatings.scale(factor)
+		r.steps[i].escalatedRatings.scale(factor)
 	}
 }
 
@@ -116,10 +116,10 @@
 		return
 	}
 	if s.Escalated {
-		step.escalated.add(s.Rating)
+		step.escalatedRatings.add(s.Rating)
 		return
 	}
-	step.first.add(s.Rating)
+	step.startedRatings.add(s.Rating)
 }
 
 func (s *stepRecord) observeLatency(seconds float64) {
