--- a/membership/discover.go
+++ b/membership/discover.go
@@ -22,8 +22,9 @@
 	abandonedTTLs = 10
 	// staleTTLs is the age of a row, in TTLs, from which its lease counts as
 	// expired. A host that reads such a row for the first time doesn't add its
-	// member; there the age is by the wall clock, and two TTLs allow for clocks
-	// that differ by one TTL.
+	// member. For this first reading, the age is the difference between the
+	// wall clocks of two hosts, and two TTLs allow these clocks to differ by
+	// one TTL.
 	staleTTLs = 2
 )
 
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -24,9 +24,9 @@
 	// jitterFraction is the maximum random deviation from an interval, as a
 	// fraction of it.
 	jitterFraction = 0.1
-	// maxPeersWithoutIsolation is the number of other live members up to which a
-	// host never counts as isolated, because so few members may have failed at
-	// the same time.
+	// maxPeersWithoutIsolation is the number of other live members up to which
+	// a host never counts as isolated, because it is plausible that all of so
+	// few members have failed at the same time.
 	maxPeersWithoutIsolation = 2
 	// isolationIntervals is the number of intervals between rounds without a
 	// message from another host after which a host counts as isolated.
@@ -127,7 +127,7 @@
 	if err != nil {
 		return err
 	}
-	m.recordSent(sent)
+	m.countTransmissions(sent)
 	m.requeue(answer.Wanted)
 	switch {
 	case len(answer.Buckets) > 0:
@@ -270,8 +270,8 @@
 	return added
 }
 
-// recordSent counts a transmission of each record after the receiver has answered.
-func (m *Membership) recordSent(records []*record) {
+// countTransmissions counts a transmission of each record after the receiver has answered.
+func (m *Membership) countTransmissions(records []*record) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	countSent(records)
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -4,10 +4,11 @@
 //
 // Hosts exchange messages directly, at a fixed rate that doesn't depend on the
 // size of the system: with neighbours in their availability zone, which probe
-// each other, and with hosts in other zones. Messages carry updates and a digest
-// that shows whether two hosts store the same records. Hosts use the table to
-// discover the first other hosts, and while they are isolated, to detect failures
-// by expired leases. Nothing else depends on it.
+// each other, and with hosts in other zones. Messages carry updates and a
+// digest that shows whether two hosts store the same records. Hosts use the
+// platform's table for two purposes: to discover the first other hosts to
+// exchange messages with, and, while they are isolated, to detect failures by
+// expired leases. Nothing else in the package depends on the table.
 //
 // Records of members and facts have versions that only increase, so delayed and
 // repeated messages have no effect.
@@ -109,8 +110,10 @@
 		lastContact: now,
 	}
 	// Hosts have no disks to store the incarnations of earlier processes. The
-	// current time exceeds these unless the clock has stepped back; refutation
-	// handles that case.
+	// current time in Unix milliseconds exceeds them unless the clock has been
+	// set back. In that case another host sends the record of the earlier
+	// process, and this host refutes it with an incarnation that is higher
+	// still.
 	m.announce(uint64(max(time.Now().UnixMilli(), 1)), now)
 	return m, nil
 }
--- a/membership/message.go
+++ b/membership/message.go
@@ -27,7 +27,8 @@
 // Message is the request or the answer of an exchange.
 type Message struct {
 	Kind Kind `json:"k"`
-	// From is the sender's id, Version the version of the sender's own record.
+	// From is the sender's id; Version is the version of the sender's own
+	// member record.
 	From    string `json:"f"`
 	Version uint64 `json:"v"`
 	// To is the id that the sender expects at the address; empty for a seed.
--- a/membership/notify.go
+++ b/membership/notify.go
@@ -88,8 +88,9 @@
 	n.queue = append(n.queue, change)
 }
 
-// flush delivers the queued notifications. If another goroutine is delivering, it
-// returns at once, because that goroutine also delivers the new ones.
+// flush delivers the queued notifications. If another goroutine is delivering
+// notifications, flush returns at once, because that goroutine also delivers
+// those that are queued in the meantime.
 func (n *notifier) flush() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -101,7 +102,7 @@
 	for len(n.queue) > 0 {
 		change := n.queue[0]
 		n.queue = n.queue[1:]
-		calls := n.calls(change)
+		calls := n.callbacksFor(change)
 		n.mu.Unlock()
 		for _, call := range calls {
 			call()
@@ -110,8 +111,9 @@
 	}
 }
 
-// calls returns the calls of subscribers or watchers for a notification.
-func (n *notifier) calls(change notification) []func() {
+// callbacksFor returns the callbacks of the subscribers or watchers of a change,
+// each bound to the change as its argument.
+func (n *notifier) callbacksFor(change notification) []func() {
 	var calls []func()
 	if !change.isFact {
 		for _, f := range n.subscribers {
--- a/membership/presence.go
+++ b/membership/presence.go
@@ -69,7 +69,8 @@
 }
 
 // renew writes the row on condition that its version hasn't changed. After a
-// conflict or a lost answer of the table it reads the row and tries once more.
+// conflict or a lost answer of the table it reads the row and repeats the write
+// once.
 func (m *Membership) renew(ctx context.Context) error {
 	p := m.presence
 	p.mu.Lock()
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -76,7 +76,7 @@
 	return chosen
 }
 
-// newRequest is newMessage for callers that don't hold the lock.
+// newRequest takes the lock and returns the message that newMessage composes.
 func (m *Membership) newRequest(kind Kind, to string) Message {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -133,8 +133,8 @@
 	return now.Sub(m.lastContact) > isolationIntervals*m.options.RoundInterval
 }
 
-// sweep applies the timeouts of suspicions, of the retention of records, and of
-// facts.
+// sweep declares members Down whose suspicion timeout has passed, expires facts
+// at the end of their lifetimes, and removes records whose retention has ended.
 func (m *Membership) sweep(now time.Time) {
 	m.mu.Lock()
 	isolated := m.isolated(now)
--- a/membership/push.go
+++ b/membership/push.go
@@ -112,7 +112,7 @@
 	if err != nil {
 		return false
 	}
-	m.recordSent(added)
+	m.countTransmissions(added)
 	m.requeue(answer.Wanted)
 	return true
 }
--- a/membership/stats.go
+++ b/membership/stats.go
@@ -2,8 +2,9 @@
 
 // Stats holds the counters of a host since its start.
 type Stats struct {
-	// Rounds counts rounds, Exchanges the messages sent to other hosts, and
-	// Failures those that weren't answered.
+	// Rounds counts the rounds that this host ran, Exchanges counts the
+	// messages that it sent to other hosts, and Failures counts the messages
+	// without an answer.
 	Rounds    uint64
 	Exchanges uint64
 	Failures  uint64
@@ -24,7 +25,8 @@
 	FactsDropped uint64
 }
 
-// countChange counts a member's change to a state.
+// countChange increments Suspected or DeclaredDown if a member has changed to
+// Suspect or Down.
 func (s *Stats) countChange(state State) {
 	switch state {
 	case Suspect:
--- a/membership/store.go
+++ b/membership/store.go
@@ -21,8 +21,8 @@
 type record struct {
 	key    string
 	bucket uint8
-	// sum is the record's contribution to its bucket's sum; zero if the digest
-	// excludes it.
+	// sum is the record's contribution to its bucket's sum. It is zero if the
+	// digest excludes the record.
 	sum uint64
 	// version and hash are the record's Entry.Version and Entry.Hash in listings.
 	version uint64
@@ -49,8 +49,9 @@
 	sourceHost string
 }
 
-// inDigest reports whether digests include the record. They exclude members that
-// are Down and expired facts, because hosts remove these at different times.
+// inDigest reports whether digests include the record. They exclude members
+// that are Down and expired facts, because hosts remove these at different
+// times and their digests would otherwise differ in the meantime.
 func (r *record) inDigest() bool {
 	if r.isMember {
 		return r.member.alive()
--- a/membership/sync.go
+++ b/membership/sync.go
@@ -85,8 +85,9 @@
 	return records
 }
 
-// answerListing adds to the answer the records of the listed buckets that are newer
-// here than in the listing, and the keys of those that may be newer in the listing.
+// answerListing adds to the answer the records of the listed buckets that are
+// newer on this host than in the listing, and the keys of the records that may
+// be newer on the sender of the listing.
 func (m *Membership) answerListing(answer *Message, listing *Listing, now time.Time) {
 	if listing == nil {
 		return
@@ -113,8 +114,9 @@
 	m.addRecords(answer, newer, "", m.options.MaxSyncBytes, now)
 }
 
-// entryMayBeNewer reports whether the record of an entry may be newer than the one
-// here. If two values have the same version, each host requests the other's value.
+// entryMayBeNewer reports whether the record of an entry may be newer than the
+// one that this host stores. If two values have the same version, each host
+// requests the other's value.
 func (m *Membership) entryMayBeNewer(entry Entry) bool {
 	r := m.store.get(entry.Key)
 	if r == nil {
--- a/membership/targets.go
+++ b/membership/targets.go
@@ -13,9 +13,10 @@
 // hosts compute the same order, so each member is probed by as many members as it
 // probes.
 type rings struct {
-	// zone and global hold the other live members of this host's zone and of all
-	// zones, the successor of this host first. otherZones holds the live members
-	// outside the zone, and down those that are Down.
+	// zone and global hold the other live members of this host's zone and of
+	// all zones, in ring order from the successor of this host. otherZones
+	// holds the live members outside the zone, and down holds the members that
+	// are Down.
 	zone, global, otherZones []Member
 	down                     []Member
 }
@@ -135,8 +136,10 @@
 	return best
 }
 
-// maxTransmissions returns how often a host sends the current version of a record:
-// slightly more than the number of doublings that it takes to reach all members.
+// maxTransmissions returns how often a host sends the current version of a
+// record: slightly more than the base-2 logarithm of the number of members,
+// which is the number of rounds to reach all of them if the number of hosts
+// with the record doubles in each round.
 func maxTransmissions(members int) int {
 	const margin = 2
 	return bits.Len(uint(members)) + margin
