--- a/placement/escalation.go
+++ b/placement/escalation.go
@@ -29,10 +29,10 @@
 )
 
 // RequiredConfidence returns the confidence from which the cheaper model's answer is accepted;
-// below it the request is escalated. If the better answer would be in time, it is Threshold at
-// any load. Lowering it under pressure, or by the cost of the better model's prefill, would
-// serve callers worse: it would accept answers of medium confidence, and most answers below the
-// usual threshold are poor.
+// below it the request is escalated. If the better model's first event is expected in time, the
+// required confidence is Threshold at any load. Lowering it under pressure, or by the cost of the
+// better model's prefill, would serve callers worse: answers of medium confidence would be
+// accepted, although most answers below the usual threshold are poor.
 func (e *Escalation) RequiredConfidence() float64 {
 	if e.Target <= 0 || float64(e.ExpectedTime) <= lateFraction*float64(e.Target) {
 		return e.Threshold
--- a/placement/place_test.go
+++ b/placement/place_test.go
@@ -81,8 +81,8 @@
 	return uint64(PrefixKeys(subject, &Prompt{Parts: []Part{{ID: fmt.Sprint("engine ", engine)}}})[0])
 }
 
-// sharedPrompt returns a prompt with a part of 10,000 tokens that all prompts on the subject
-// share and a part of 1,000 tokens of its own.
+// sharedPrompt returns a prompt of two parts: 10,000 tokens identified by subject, which prompts
+// with the same subject share, and 1,000 tokens identified by unique.
 func sharedPrompt(subject, unique int) *Prompt {
 	return &Prompt{
 		Parts:  []Part{{ID: fmt.Sprint("subject ", subject), Tokens: 10_000}, {ID: fmt.Sprint("own ", unique), Tokens: 1_000}},
@@ -90,7 +90,8 @@
 	}
 }
 
-// replay sends n prompts on random subjects at random times with the given mean interval.
+// replay sends n prompts at random times with the given mean interval. The subject of each is a
+// random number below subjects.
 func (f *fleet) replay(n, subjects int, interval time.Duration) {
 	for i := range n {
 		f.now += time.Duration(f.rng.ExpFloat64() * float64(interval))
@@ -98,7 +99,7 @@
 	}
 }
 
-func leastQueued(_ *fleet, _ *Request, list []Candidate) int {
+func leastQueuedEngine(_ *fleet, _ *Request, list []Candidate) int {
 	best := 0
 	for i := range list {
 		if list[i].QueuedWork < list[best].QueuedWork {
@@ -113,7 +114,7 @@
 func TestSharedPartsArePrefilledOnce(t *testing.T) {
 	is := is.New(t)
 	f, baseline := newFleet(8), newFleet(8)
-	baseline.selectEngine = leastQueued
+	baseline.selectEngine = leastQueuedEngine
 	for _, fleet := range []*fleet{f, baseline} {
 		fleet.replay(400, 60, 60*time.Millisecond) // warm up the caches
 		fleet.lateRequests = 0
--- a/placement/prefill_estimator.go
+++ b/placement/prefill_estimator.go
@@ -89,8 +89,8 @@
 	return mean
 }
 
-// Observe adds an answer whose prompt was hardly queued. tokens is the number of prefilled
-// tokens, took the time to the first event.
+// Observe adds an answer whose prompt was hardly queued. tokens is the number of prefilled tokens,
+// and took is the time to the first event.
 func (p *PrefillEstimator) Observe(model string, tokens int, took time.Duration, now time.Time) {
 	if took <= overhead {
 		return
--- a/placement/rank_admission.go
+++ b/placement/rank_admission.go
@@ -31,10 +31,10 @@
 	r.arrivalRates[clampRank(rank)] += math.Ln2 / arrivalHalfLife.Seconds()
 }
 
-// Admits reports whether a request is admitted when supply, the capacity in requests per
-// second, doesn't suffice for all. The more urgent ranks are served first. draw is a random
-// number in [0, 1): if the remaining supply suffices for a fraction of the request's rank, that
-// fraction of the draws is admitted.
+// Admits reports whether a request is admitted when supply, the capacity in requests per second,
+// doesn't suffice for all. The more urgent ranks are served first. draw is a random number in
+// [0, 1): if the supply that remains after the more urgent ranks suffices for only a fraction of
+// the requests of this rank, the request is admitted if draw is below this fraction.
 func (r *RankAdmission) Admits(rank int, supply, draw float64, now time.Time) bool {
 	r.decay(now)
 	rank = clampRank(rank)
--- a/placement/timings.go
+++ b/placement/timings.go
@@ -35,11 +35,12 @@
 }
 
 const (
-	// maxSlowdown is the upper limit of an observed time, in multiples of the expected time.
-	// It keeps queueing that the expected time doesn't include, for example if it triples the
-	// time of one answer in ten, from changing the estimate much; a lasting slowdown of the
-	// engines still does. The expected time divided by maxSpeedup is the lower limit: shorter
-	// times occur if the engine had cached parts that it was expected to prefill.
+	// maxSlowdown is the upper limit of an observed time, in multiples of the expected time. The
+	// expected time doesn't include unknown queueing, which may for example triple the time of one
+	// answer in ten. The limit keeps such queueing from changing the estimate much, but a lasting
+	// slowdown of the engines still changes it. The expected time divided by maxSpeedup is the
+	// lower limit: shorter times occur if the engine had cached parts that it was expected to
+	// prefill.
 	maxSlowdown = 1.6
 	maxSpeedup  = 4
 	// weightWithoutEstimate is the weight of an answer that arrives before there is an
