--- a/quota/adjust.go
+++ b/quota/adjust.go
@@ -108,9 +108,9 @@
 	return err
 }
 
-// recordUnresolved records a commit whose outcome is unknown, which would set the
-// holding to held. It limits the host to the slots that it holds whether or not
-// this commit, or an earlier unresolved one, takes effect.
+// recordUnresolved records a commit that sets the holding to held and whose
+// outcome is unknown. It limits the host to the slots that it holds whether or
+// not this commit, or an earlier unresolved one, takes effect.
 func (l *Limiter) recordUnresolved(b *bucket, baseVersion uint64, held int) {
 	state := &b.state
 	if state.unresolved != nil && state.unresolved.baseVersion == baseVersion {
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -10,9 +10,9 @@
 // current slots can never allow.
 const defaultRetryAfter = time.Second
 
-// Up to toleratedRefusalRatio times the requests plus toleratedRefusals refused
-// requests in a measurement period are attributed to random variation, not to a
-// lack of slots.
+// If the number of refused requests in a measurement period is at most
+// toleratedRefusalRatio times the number of requests plus toleratedRefusals,
+// the refusals are attributed to random variation, not to a lack of slots.
 const (
 	toleratedRefusalRatio = 0.02
 	toleratedRefusals     = 2
@@ -22,12 +22,12 @@
 // average of the demand.
 const demandWeight = 0.25
 
-// demandJumpFactor is the ratio between recent and average demand, whichever is
-// higher, above which the recent demand is used. A smaller difference is
+// demandJumpFactor is the ratio of the higher to the lower of recent and
+// average demand above which the recent demand is used. A smaller difference is
 // attributed to random variation.
 const demandJumpFactor = 2
 
-// timedSlots is a number of slots that is valid until a time.
+// timedSlots holds a number of slots and the time at which they expire.
 type timedSlots struct {
 	slots int
 	until time.Time
@@ -46,8 +46,8 @@
 	// ownSlots is the number of slots that the row certainly assigns to this
 	// host, whatever the outcome of an unresolved commit.
 	ownSlots int
-	// lentSlots holds the slots of this host lent to other hosts, borrowedSlots
-	// those borrowed from other hosts.
+	// lentSlots holds the slots that this host lent to other hosts,
+	// borrowedSlots holds those that it borrowed from other hosts.
 	lentSlots, borrowedSlots []timedSlots
 	tokens                   float64
 	filledAt                 time.Time
--- a/quota/decide.go
+++ b/quota/decide.go
@@ -4,13 +4,14 @@
 	// demandHeadroom is the ratio of a host's target holding to the slots whose
 	// rate equals its demand.
 	demandHeadroom = 1.5
-	// scarceHeadroom is the same ratio while other hosts are short of slots.
+	// scarceHeadroom is the ratio used in place of demandHeadroom while other
+	// hosts are short of slots.
 	scarceHeadroom = 1.2
 	// hysteresisDivisor determines which changes of a holding are committed:
 	// those by more than the holding divided by it.
 	hysteresisDivisor = 4
-	// scarceHysteresisDivisor is the same divisor while other hosts are short
-	// of slots.
+	// scarceHysteresisDivisor is the divisor used in place of hysteresisDivisor
+	// while other hosts are short of slots.
 	scarceHysteresisDivisor = 16
 )
 
@@ -18,13 +19,14 @@
 // account.
 type decisionInput struct {
 	demandStats
-	// held is the host's number of slots according to the row, free the number
-	// that no host holds.
+	// held is the host's number of slots according to the row; free is the
+	// number of slots that no host holds.
 	held, free int
 	// hosts is the number of hosts with a lease, including this one.
 	hosts int
-	// othersShortage is the number of slots that other hosts are short of,
-	// othersEntitled the part of it that brings them up to the fair share.
+	// othersShortage is the number of slots that other hosts are short of.
+	// othersEntitled is the part of these slots that the hosts need to reach
+	// the fair share.
 	othersShortage, othersEntitled int
 	// othersExcess is the number of slots that other hosts hold above the fair
 	// share, summed over these hosts.
@@ -98,9 +100,10 @@
 	return max(int(scarceHeadroom*in.demandSlots), in.minSlots)
 }
 
-// takeable returns the number of free slots that the host may take: those that
-// it lacks to meet its need, up to the fair share, and beyond these only what
-// others aren't short of.
+// takeable returns the number of free slots that the host may take. It may take
+// free slots that other hosts need until it reaches its own need or the fair
+// share, whichever is lower. Beyond that, it may take only free slots that
+// exceed the shortage of the other hosts.
 func (in decisionInput) takeable(fair int) int {
 	untilNeed := max(0, min(fair, in.need())-in.held)
 	return min(in.free, max(untilNeed, in.free-in.othersShortage))
@@ -119,9 +122,9 @@
 	return missing
 }
 
-// surplus returns the number of slots that the host holds beyond its need, but at
-// most what others are short of beyond the free slots. It is 0 if that is too
-// small a change to commit.
+// surplus returns the number of slots that the host holds beyond its need, but
+// at most the number by which the shortage of other hosts exceeds the free
+// slots. It returns 0 if the number is too small a change to commit.
 func (in decisionInput) surplus() int {
 	unneeded := min(in.othersShortage-in.free, in.held-in.need())
 	if unneeded <= in.held/scarceHysteresisDivisor {
--- a/quota/lease.go
+++ b/quota/lease.go
@@ -21,8 +21,8 @@
 	ttl   time.Duration
 }
 
-// end returns when the lease expires, by a clock that advances during
-// suspension; the zero time if l is nil.
+// end returns when the lease expires by Options.Clock, which advances while the
+// machine is suspended. It returns the zero time if l is nil.
 func (l *lease) end() time.Time {
 	if l == nil {
 		return time.Time{}
@@ -30,8 +30,8 @@
 	return l.start.Add(l.ttl)
 }
 
-// leaseEnd returns when the host's holdings expire; the zero time if it holds no
-// lease or is leaving.
+// leaseEnd returns when the host's holdings expire. It returns the zero time if
+// the host holds no lease or is leaving.
 func (l *Limiter) leaseEnd() time.Time {
 	if l.leaving.Load() {
 		return time.Time{}
@@ -89,8 +89,8 @@
 	})
 }
 
-// resolveRenewal reads the host row to determine whether a renewal took effect
-// that was refused or whose outcome is unknown.
+// resolveRenewal reads the host row to determine whether a renewal that was
+// refused, or whose outcome is unknown, took effect.
 func (l *Limiter) resolveRenewal(ctx context.Context, next lease, current *lease) error {
 	row, err := l.get(ctx, hostKey(next.id))
 	if errors.Is(err, storage.ErrNotFound) {
--- a/quota/loan.go
+++ b/quota/loan.go
@@ -16,9 +16,10 @@
 }
 
 // Loan is a number of slots lent for a term. The borrower counts the term from
-// before it sent the request, the lender from after it received it and with a
-// margin for clock speeds. So at most one host uses the slots at any time, even
-// if the response is lost.
+// before it sent the request, the lender from after it received the request,
+// with a margin for different clock speeds. The term therefore ends at the
+// borrower before it ends at the lender, and at most one host uses the slots at
+// any time, even if the response is lost.
 type Loan struct {
 	Slots int `json:"slots"`
 	// Term is the duration of the loan, in nanoseconds.
--- a/quota/measure_test.go
+++ b/quota/measure_test.go
@@ -67,9 +67,9 @@
 	commits, reads, loans float64
 }
 
-// measurement runs a load pattern in virtual time, with reconciliations at the
-// times at which Run makes them.
-type measurement struct {
+// loadSimulation runs several hosts under a load pattern in virtual time and
+// reconciles them at the times at which Run would.
+type loadSimulation struct {
 	*sim
 	rng           *rand.Rand
 	load          loadPattern
@@ -81,7 +81,7 @@
 	result        result
 }
 
-func measure(hosts, accounts int, load loadPattern, seed uint64) result {
+func simulateLoad(hosts, accounts int, load loadPattern, seed uint64) result {
 	var limits []Limit
 	for i := range accounts {
 		// The limit grows with the number of hosts, so that each host's part of it
@@ -89,7 +89,7 @@
 		scale := float64(hosts) / 7
 		limits = append(limits, Limit{Account: fmt.Sprint("account-", i), Rate: 100 * scale, Burst: 50 * scale})
 	}
-	m := &measurement{sim: newSim(0, limits), rng: rand.New(rand.NewPCG(seed, 2)), load: load}
+	m := &loadSimulation{sim: newSim(0, limits), rng: rand.New(rand.NewPCG(seed, 2)), load: load}
 	m.ttl = DefaultTTL
 	for i := range hosts {
 		m.hosts = append(m.hosts, m.newHost(i))
@@ -105,7 +105,7 @@
 	return m.result
 }
 
-func (m *measurement) run() {
+func (m *loadSimulation) run() {
 	counts := m.table.Counts()
 	for at := time.Duration(0); at < measureWarmUp+*measureTime; at += measureStep {
 		m.now = simStart.Add(at)
@@ -135,7 +135,7 @@
 	}
 }
 
-func (m *measurement) step(host int, at time.Duration) {
+func (m *loadSimulation) step(host int, at time.Duration) {
 	ctx := context.Background()
 	l := m.hosts[host]
 	if m.now.Sub(m.lastReconcile[host]) >= DefaultInterval {
@@ -163,7 +163,7 @@
 	}
 }
 
-func (m *measurement) request(l *Limiter, account int, name string) {
+func (m *loadSimulation) request(l *Limiter, account int, name string) {
 	m.result.requested++
 	if m.singleBuckets[account].allows(m.now, 1) {
 		m.singleBuckets[account].spend(m.now, 1)
@@ -198,7 +198,7 @@
 	for _, load := range loads {
 		t.Run(load.desc, func(t *testing.T) {
 			for seed := range *measureSeeds {
-				report(t, measure(7, 10, load, seed+1))
+				report(t, simulateLoad(7, 10, load, seed+1))
 			}
 		})
 	}
@@ -211,7 +211,7 @@
 		b.Run(fmt.Sprintf("hosts=%d/accounts=%d", size.hosts, size.accounts), func(b *testing.B) {
 			var r result
 			for range b.N {
-				r = measure(size.hosts, size.accounts, loadPattern{factor: 0.8, share: unevenLoad}, 1)
+				r = simulateLoad(size.hosts, size.accounts, loadPattern{factor: 0.8, share: unevenLoad}, 1)
 			}
 			b.ReportMetric(r.commits, "commits/s")
 			b.ReportMetric(r.reads, "reads/s")
--- a/quota/recent.go
+++ b/quota/recent.go
@@ -6,8 +6,8 @@
 // lasts longer if there are no calls at its end.
 const rateWindow = 2 * time.Second
 
-// recentRate measures the rate in the current window, which began at start and
-// has the given count so far, and in the previous one.
+// recentRate measures the rate in the current and in the previous window. The
+// current window began at start, and count is its sum so far.
 type recentRate struct {
 	start    time.Time
 	count    float64
--- a/quota/reconcile.go
+++ b/quota/reconcile.go
@@ -27,15 +27,16 @@
 // unresolvedCommit is a commit whose outcome is unknown and that would set this
 // host's holding to held. It may still take effect, but only while the row has
 // the version baseVersion. If several such commits are unresolved, held is the
-// lowest of theirs.
+// lowest holding that any of them would set.
 type unresolvedCommit struct {
 	baseVersion uint64
 	held        int
 }
 
-// reconcile renews the lease and adjusts the holdings of all accounts. Loans are
-// requested only if that fails. While the table is reachable they would do harm:
-// slots that are lent out can't be reassigned until the loan expires.
+// reconcile renews the lease and adjusts the holdings of all accounts. It
+// requests loans only if that fails, for example because the table can't be
+// reached. While the table is reachable, loans would do harm, because slots that
+// are lent out can't be reassigned until the loan expires.
 func (l *Limiter) reconcile(ctx context.Context) error {
 	err := l.reconcileAll(ctx)
 	if err != nil {
