--- a/rollout/compare.go
+++ b/rollout/compare.go
@@ -15,10 +15,10 @@
 	return []uint64{uint64(max(0, s.Total-s.Bad)), uint64(s.Bad)}
 }
 
-// IsWorse reports whether the candidate version's rate of bad answers is higher than that of
-// the baseline version over the same time, so that an outage that affects both versions
-// counts against neither. It is a sequential test, which may be evaluated after every
-// answer. It depends on sums only, so the counts of many hosts can be added. The baseline's
+// IsWorse reports whether the candidate version's rate of bad answers is higher than that of the
+// baseline version over the same time, so that an outage that affects both versions counts against
+// neither. It is a sequential test, which may be evaluated after every answer. The test depends
+// only on the total counts of answers, so the counts of many hosts can be added. The baseline's
 // rate is an estimate, so a standard error is added to it.
 //
 // For a candidate that is as good as the baseline, IsWorse ever returns true with a probability
@@ -50,8 +50,9 @@
 // candidate.
 const minHealthyRate = 0.01
 
-// maxTestedRate caps the rate of bad answers that a candidate is tested against: no candidate
-// could be above a rate of 1.
+// maxTestedRate caps the rate of bad answers that a candidate is tested against. With a rate of 1,
+// IsWorse would never return true, because no candidate's rate is higher, and IsNotWorse would
+// divide by zero. A candidate with only bad answers is above 0.95 and can still be found worse.
 const maxTestedRate = 0.95
 
 // upperRate returns the estimated rate of bad answers plus a standard error. Five answers, one
@@ -64,8 +65,9 @@
 	return rate + math.Sqrt(rate*(1-rate)/total)
 }
 
-// lowerRate returns the rate of bad answers, estimated low for small samples, so that a few
-// early bad answers of the baseline don't clear a bad candidate.
+// lowerRate returns the rate of bad answers after adding priorGoodAnswers good ones, which makes
+// the estimate low for small samples. Otherwise a few early bad answers of the baseline would raise
+// the rate that IsNotWorse allows so far that a bad candidate is cleared.
 func lowerRate(s AnswerCounts) float64 {
 	const priorGoodAnswers = 10
 	return float64(s.Bad) / float64(s.Total+priorGoodAnswers)
--- a/rollout/criteria.go
+++ b/rollout/criteria.go
@@ -7,7 +7,7 @@
 type criterion struct {
 	reason Reason
 	counts func(c *Counters) []uint64
-	// stop tests whether the limit is violated, clear whether it is kept.
+	// stop tests whether the limit is violated, clear tests whether it is kept.
 	stop  *meanTest
 	clear *meanTest
 }
@@ -54,8 +54,8 @@
 	})
 }
 
-// maxTestedRating caps the limit of the mean rating: no rating could be above a
-// limit of 1.
+// maxTestedRating caps the limit of the mean rating. With a limit of 1, no
+// ratings could show that the limit is kept, because no mean rating is above 1.
 const maxTestedRating = 0.999
 
 // addMeanRating adds a limit that the mean rating must stay above. Both tests
--- a/rollout/entry.go
+++ b/rollout/entry.go
@@ -10,9 +10,10 @@
 	maxSegments   = 8
 )
 
-// spans are the numbers of segments, up to the current one, whose evidence is
-// tested together: short spans detect a sudden change, long ones a small change.
-var spans = [...]int64{1, 2, 4, maxSegments}
+// spanLengths holds the lengths, in segments, of the spans of time up to the
+// current segment. The evidence of each span is tested as a whole: short spans
+// detect a sudden change, long ones a small change.
+var spanLengths = [...]int64{1, 2, 4, maxSegments}
 
 // entry is this host's state of one version in one round. own is this host's
 // evidence, peers holds the evidence received from other hosts, by host ID. The
@@ -27,7 +28,7 @@
 	// spanSums holds the same sums for each of the spans that end with the
 	// segment of the number lastSegment.
 	roundSum    Counters
-	spanSums    [len(spans)]Counters
+	spanSums    [len(spanLengths)]Counters
 	lastSegment int64
 	// peersInFlight is the number of answers in flight on all peers, according
 	// to their evidence.
@@ -188,7 +189,7 @@
 // that end with the current segment.
 func (e *entry) recomputeSpanSums(now time.Time) {
 	e.lastSegment = segmentNumber(now)
-	for i, span := range spans {
+	for i, span := range spanLengths {
 		e.spanSums[i] = Counters{}
 		oldest := e.lastSegment - span + 1
 		addSegmentsFrom(&e.spanSums[i], &e.own, oldest)
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -12,8 +12,8 @@
 type Counters struct {
 	Answers uint64 `json:"answers"`
 	Errors  uint64 `json:"errors,omitempty"`
-	// Timed counts the answers whose time to first token was measured, Slow
-	// those of them that exceeded the latency limit.
+	// Timed counts the answers whose time to first token was measured. Slow
+	// counts those of them that exceeded the latency limit.
 	Timed   uint64  `json:"timed,omitempty"`
 	Slow    uint64  `json:"slow,omitempty"`
 	Ratings Ratings `json:"ratings,omitempty"`
@@ -27,8 +27,8 @@
 	Counters Counters `json:"counters"`
 }
 
-// Transfer holds the total number of answers of its part of the budget that a
-// host transferred to the host with the ID To.
+// Transfer holds how many answers of its part of the budget a host has
+// transferred in total to the host with the ID To.
 type Transfer struct {
 	To      string `json:"to"`
 	Answers uint64 `json:"answers"`
@@ -41,12 +41,13 @@
 	Model   string `json:"model"`
 	Version string `json:"version"`
 	Round   uint64 `json:"epoch"`
-	// Granted is the number of answers that the host was granted of the budget,
-	// Transfers what it transferred of them to other hosts.
+	// Granted is the number of answers of the budget that were granted to the
+	// host. Transfers holds how many of these it transferred to other hosts.
 	Granted   uint64     `json:"granted"`
 	Transfers []Transfer `json:"given,omitempty"`
-	// Taken counts the answers charged to the budget, Returned those of them
-	// that were refunded because the request was never sent to an upstream.
+	// Taken counts the answers charged to the budget. Returned counts those of
+	// them that were refunded because the request was never sent to an
+	// upstream.
 	Taken    uint64 `json:"taken"`
 	Returned uint64 `json:"returned,omitempty"`
 	// Abandoned counts the answers that ended without an observation.
@@ -54,8 +55,8 @@
 	// Denied counts the calls of Take and TakeUnpaced that were refused because
 	// the host's part of the budget was used up.
 	Denied uint64 `json:"denied,omitempty"`
-	// Total covers the whole round, Segments the last segments that have
-	// observations, at most maxSegments of them.
+	// Total holds the counters of the whole round. Segments holds those of the
+	// last segments that have observations, at most maxSegments of them.
 	Total    Counters  `json:"total"`
 	Segments []Segment `json:"segments,omitempty"`
 }
@@ -86,8 +87,9 @@
 	return sum / float64(n)
 }
 
-// good returns the number of answers that neither failed nor were slow, or a
-// lower one if answers did both.
+// good returns the number of answers that neither failed nor were slow. An
+// answer that failed and was slow is subtracted twice, so the result may be too
+// low.
 func (c *Counters) good() uint64 {
 	return c.Answers - min(c.Answers, c.Errors+c.Slow)
 }
@@ -181,8 +183,8 @@
 	return e.Granted + e.transferredTotal() + e.Taken + e.Returned + e.Abandoned + e.Denied + total
 }
 
-// transferredTo returns the number of answers of its part of the budget that the
-// host transferred to another.
+// transferredTo returns how many answers of its part of the budget the host has
+// transferred to the given host.
 func (e *Evidence) transferredTo(host string) uint64 {
 	for _, t := range e.Transfers {
 		if t.To == host {
--- a/rollout/exchange.go
+++ b/rollout/exchange.go
@@ -32,10 +32,10 @@
 // earlier ones were exported when they were current.
 const ownExportSegments = 2
 
-// ExportOwn is ExportSince restricted to this host's own evidence and to the last
-// segments of it. It is enough if every host sends it to every other host, but a
-// host that missed messages or joined late also needs the result of Export from
-// time to time.
+// ExportOwn is ExportSince restricted to this host's own evidence and to the
+// last segments of it. Its result suffices if every host sends it to every
+// other host. A host that missed messages or joined late also needs the result
+// of Export from time to time.
 func (t *Tracker) ExportOwn(since uint64) (evidence []Evidence, next uint64) {
 	changed, next := t.ExportSince(since)
 	for i := range changed {
--- a/rollout/grant.go
+++ b/rollout/grant.go
@@ -126,10 +126,10 @@
 	return sum
 }
 
-// nextGrant returns the number of answers granted for the claim, if all hosts
-// were granted the given number before. It is at least 1, and only a fraction of
-// what is left, so that the last answers are spread over many hosts; it is 0 if
-// nothing is left.
+// nextGrant returns the number of answers to grant for the claim, given the
+// number already granted to all hosts together. It grants at least 1 but only a
+// fraction of the answers that are left, so that the last ones are spread over
+// many hosts. It returns 0 if none are left.
 func (c Claim) nextGrant(granted uint64) uint64 {
 	limit := min(uint64(max(0, c.Budget)), GrantInitial+GrantGrowth*c.Good)
 	if granted >= limit {
--- a/rollout/pacing.go
+++ b/rollout/pacing.go
@@ -21,12 +21,12 @@
 type Pacing struct {
 	// Off disables pacing.
 	Off bool
-	// Initial is the number of answers that may be in flight at first, Growth
-	// the number by which each good answer increases it.
+	// Initial is the number of answers that may be in flight at first. Growth
+	// is the number by which each good answer increases it.
 	Initial float64
 	Growth  float64
-	// InitialUnrated is the number of answers that may be unrated at first,
-	// UnratedGrowth the number by which each rated answer increases it. Both
+	// InitialUnrated is the number of answers that may be unrated at first.
+	// UnratedGrowth is the number by which each rated answer increases it. Both
 	// apply only to rules with a MinRating. If fewer than one answer in
 	// UnratedGrowth is rated, the arrival of ratings limits the rate of
 	// answers.
--- a/rollout/rules.go
+++ b/rollout/rules.go
@@ -9,8 +9,9 @@
 
 // SetVersions replaces the rules. A rule with the same round keeps its state, a
 // higher round starts with new state, and a lower round is ignored. A version
-// that is no longer in the list is no longer bounded or stopped; to keep a stop
-// in force, keep the rule. A version with budget 0 is tested but not bounded.
+// without a rule in the new list has no exposure budget and isn't stopped; to
+// keep a stop in force, keep the rule. A version with budget 0 is tested, but
+// the number of its answers isn't limited.
 func (t *Tracker) SetVersions(rules []VersionRule) {
 	for i := range t.shards {
 		t.setShardRules(&t.shards[i], rules)
