--- a/membership/example_test.go
+++ b/membership/example_test.go
@@ -7,15 +7,16 @@
 	"github.com/quetzalweir/quetzalweir/membership"
 )
 
-// direct is a transport that calls a Membership in the same process.
-type direct struct{ to *membership.Membership }
+// inProcessTransport is a transport that calls a Membership in the same
+// process.
+type inProcessTransport struct{ to *membership.Membership }
 
-func (d *direct) Exchange(ctx context.Context, _ membership.Member, m membership.Message) (membership.Message, error) {
+func (d *inProcessTransport) Exchange(ctx context.Context, _ membership.Member, m membership.Message) (membership.Message, error) {
 	return d.to.HandleExchange(ctx, m)
 }
 
 func Example() {
-	toSecond := &direct{}
+	toSecond := &inProcessTransport{}
 	first, err := membership.New(membership.Options{
 		Self:      membership.Member{ID: "entry-1", Zone: "a", PeerAddr: "127.0.0.1:7946"},
 		Seeds:     []string{"127.0.0.2:7946"},
@@ -27,7 +28,7 @@
 	}
 	second, err := membership.New(membership.Options{
 		Self:      membership.Member{ID: "entry-2", Zone: "b", PeerAddr: "127.0.0.2:7946"},
-		Transport: &direct{to: first},
+		Transport: &inProcessTransport{to: first},
 	})
 	if err != nil {
 		fmt.Println(err)
--- a/membership/fact_test.go
+++ b/membership/fact_test.go
@@ -117,7 +117,7 @@
 
 func TestFactsAreBounded(t *testing.T) {
 	is := is.New(t)
-	m, err := New(Options{Self: Member{ID: "self"}, Transport: unreachable{}, MaxFacts: 1})
+	m, err := New(Options{Self: Member{ID: "self"}, Transport: unreachableTransport{}, MaxFacts: 1})
 	is.NoErr(err)
 	is.NoErr(m.Put(Fact{Key: "a", Version: 1}))
 	is.True(errors.Is(m.Put(Fact{Key: "b", Version: 1}), ErrFull))
--- a/membership/faults_test.go
+++ b/membership/faults_test.go
@@ -12,14 +12,14 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// history holds the versions of each fact or member that each host stored, in the
-// order of their arrival.
-type history struct {
+// versionHistory holds, for each host and each fact or member, the versions
+// that the host stored, in the order of their arrival.
+type versionHistory struct {
 	mu       sync.Mutex
 	versions map[string][]uint64
 }
 
-func (h *history) add(host, key string, version uint64) {
+func (h *versionHistory) add(host, key string, version uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	name := host + " " + key
@@ -27,7 +27,7 @@
 }
 
 // check returns an error if a host stored a lower version after a higher one.
-func (h *history) check() error {
+func (h *versionHistory) check() error {
 	for name, versions := range h.versions {
 		for i := 1; i < len(versions); i++ {
 			if versions[i] < versions[i-1] {
@@ -40,7 +40,7 @@
 
 func TestHistoryCheckRejectsDecreasingVersion(t *testing.T) {
 	is := is.New(t)
-	h := history{versions: make(map[string][]uint64)}
+	h := versionHistory{versions: make(map[string][]uint64)}
 	for _, version := range []uint64{1, 2, 2, 5} {
 		h.add("host", "key", version)
 	}
@@ -57,7 +57,7 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			runNetwork(t, hostCount, zoneCount, func(t *testing.T, n *network, hosts []*host) {
 				is := is.New(t)
-				observed := &history{versions: make(map[string][]uint64)}
+				observed := &versionHistory{versions: make(map[string][]uint64)}
 				for i, host := range hosts {
 					host.Watch("", func(f Fact) { observed.add(hostID(i), f.Key, f.Version) })
 					host.Subscribe(func(e Event) { observed.add(hostID(i), e.Member.ID, e.Member.version()) })
@@ -70,7 +70,7 @@
 					hosts[rng.IntN(hostCount)].Put(Fact{Key: "head", Version: version})
 					time.Sleep(time.Duration(rng.IntN(8000)) * time.Millisecond)
 				}
-				n.heal()
+				n.clearFaults()
 				version++
 				is.NoErr(hosts[0].Put(Fact{Key: "head", Version: version}))
 				took := waitFor(t, 30*time.Second, "agreement", func() bool {
@@ -89,7 +89,8 @@
 	}
 }
 
-// injectFault begins or ends one fault; earlier faults continue.
+// injectFault starts or ends one random fault. Faults that started earlier
+// continue.
 func injectFault(n *network, hosts []*host, rng *rand.Rand) {
 	target := hosts[rng.IntN(len(hosts))]
 	switch rng.IntN(7) {
@@ -114,8 +115,8 @@
 	}
 }
 
-// heal ends all faults.
-func (n *network) heal() {
+// clearFaults ends all faults.
+func (n *network) clearFaults() {
 	n.setLossRate(0)
 	n.setPartition(nil)
 	n.table.setFail(nil)
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -20,8 +20,8 @@
 	// maxDisseminationTime is the target for the time until an update has reached
 	// hostCount hosts.
 	maxDisseminationTime = time.Second
-	// probeDuration is the longest duration of the interval between rounds, a
-	// direct and an indirect probe together.
+	// probeDuration is the maximum time for the interval between rounds, a
+	// direct probe and an indirect probe in sequence.
 	probeDuration = 2500 * time.Millisecond
 )
 
@@ -225,10 +225,10 @@
 	}
 }
 
-// unreachable is a transport whose exchanges all fail.
-type unreachable struct{}
+// unreachableTransport is a transport whose exchanges all fail.
+type unreachableTransport struct{}
 
-func (unreachable) Exchange(context.Context, Member, Message) (Message, error) {
+func (unreachableTransport) Exchange(context.Context, Member, Message) (Message, error) {
 	return Message{}, errUnreachable
 }
 
@@ -236,7 +236,7 @@
 // isn't called.
 func newWithoutPeers(t testing.TB) *Membership {
 	t.Helper()
-	m, err := New(Options{Self: Member{ID: "self", Zone: "z"}, Transport: unreachable{}, Seed: 1})
+	m, err := New(Options{Self: Member{ID: "self", Zone: "z"}, Transport: unreachableTransport{}, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/membership/presence_test.go
+++ b/membership/presence_test.go
@@ -87,10 +87,10 @@
 	})
 }
 
-// slowTable is a table whose listings time out.
-type slowTable struct{ *memoryTable }
+// slowListingTable is a table whose listings time out.
+type slowListingTable struct{ *memoryTable }
 
-func (slowTable) List(ctx context.Context, _, _ string, _ int) ([]storage.Row, error) {
+func (slowListingTable) List(ctx context.Context, _, _ string, _ int) ([]storage.Row, error) {
 	<-ctx.Done()
 	return nil, storage.ErrUnavailable
 }
@@ -102,7 +102,7 @@
 		var hosts []*host
 		for i := range hostCount {
 			hosts = append(hosts, n.startHost(t, i, zoneCount, func(o *Options) {
-				o.Table = slowTable{n.table}
+				o.Table = slowListingTable{n.table}
 				o.Seeds = []string{"127.1.0.0:7946"}
 			}))
 		}
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -8,8 +8,8 @@
 )
 
 // probe performs an exchange with a target. If the exchange fails, other hosts
-// probe the target. If none of them reaches it, applyFailedProbe may change its
-// state.
+// probe the target. If none of them reaches it, applyFailedProbe may change the
+// target's state.
 func (m *Membership) probe(ctx context.Context, target Member, pauseEpoch uint64) {
 	defer func() {
 		m.mu.Lock()
