--- a/quota/recent.go
+++ b/quota/recent.go
@@ -3,7 +3,7 @@
 import "time"
 
 // rateWindow is the length of the windows in which recentRate counts. A window
-// lasts longer if there are no calls at its end.
+// lasts longer if there is no call when it should end.
 const rateWindow = 2 * time.Second
 
 // recentRate measures the rate in the current and in the previous window. The
--- a/rollout/answers.go
+++ b/rollout/answers.go
@@ -90,7 +90,8 @@
 	t.evaluate(s, e, now)
 }
 
-// outcomeCounters returns the counters of one answer with the given outcome.
+// outcomeCounters returns the counters that an answer with the given outcome
+// adds to the evidence.
 func outcomeCounters(outcome Outcome, maxLatencyMs int) *Counters {
 	c := &Counters{Answers: 1}
 	if outcome.Failed {
--- a/rollout/budget_test.go
+++ b/rollout/budget_test.go
@@ -44,13 +44,13 @@
 	for range n {
 		c.hosts = append(c.hosts, nil)
 		c.granters = append(c.granters, nil)
-		c.replace(len(c.hosts) - 1)
+		c.replaceHost(len(c.hosts) - 1)
 	}
 	return c
 }
 
-// replace replaces a host by one with a new ID and without any evidence.
-func (c *cluster) replace(i int) {
+// replaceHost replaces a host by one with a new ID and without any evidence.
+func (c *cluster) replaceHost(i int) {
 	name := fmt.Sprint("host-", c.nextHostID)
 	c.nextHostID++
 	c.hosts[i] = New(Options{Host: name, Clock: c.clock.Now, GrantedOnly: c.grantedOnly, Pacing: Pacing{Off: true}})
@@ -86,7 +86,7 @@
 		},
 	}
 	if c.grantedOnly {
-		actions["replace"] = func(t *rapid.T) { c.replace(pick(t)) }
+		actions["replace"] = func(t *rapid.T) { c.replaceHost(pick(t)) }
 		actions["refill"] = func(t *rapid.T) { c.claimGrants(t, pick(t)) }
 	}
 	return actions
--- a/rollout/compare_test.go
+++ b/rollout/compare_test.go
@@ -60,9 +60,10 @@
 	}
 }
 
-// repeat returns the proportions of runs that were stopped and cleared, and the mean number of
-// the candidate's answers in the runs that were stopped.
-func (versions simulatedVersions) repeat(runs int) (stopped, cleared, answers float64) {
+// compareRepeatedly calls compare for each run. It returns the proportions of runs in which the
+// candidate was stopped and cleared, and the mean number of the candidate's answers in the runs
+// that were stopped.
+func (versions simulatedVersions) compareRepeatedly(runs int) (stopped, cleared, answers float64) {
 	rng := rand.New(rand.NewPCG(7, 11))
 	for range runs {
 		result := versions.compare(rng)
@@ -84,7 +85,7 @@
 		for _, share := range []float64{0.03, 0.18, 0.5} {
 			t.Run(fmt.Sprint(rate, share), func(t *testing.T) {
 				is := is.New(t)
-				stopped, cleared, _ := simulatedVersions{rate, rate, share}.repeat(1000)
+				stopped, cleared, _ := simulatedVersions{rate, rate, share}.compareRepeatedly(1000)
 				maxStopped := 2 * testAlpha
 				if rate == 0.5 && share == 0.5 {
 					maxStopped = 10 * testAlpha // the baseline's rate is as uncertain as the candidate's
@@ -116,7 +117,7 @@
 	for _, test := range tests {
 		t.Run(fmt.Sprint(test.simulatedVersions), func(t *testing.T) {
 			is := is.New(t)
-			stopped, cleared, answers := test.repeat(1000)
+			stopped, cleared, answers := test.compareRepeatedly(1000)
 			is.True(stopped > 0.99)
 			is.True(answers <= test.maxMeanAnswers)
 			is.True(cleared <= 1.4*testClearAlpha) // allows for the variance of 1000 runs
@@ -124,7 +125,8 @@
 	}
 }
 
-// IsWorse depends on sums only, so the counts of several hosts may be added in any order.
+// IsWorse depends only on the total counts of answers, so the counts of several hosts may be added
+// in any order.
 func TestComparisonDependsOnSums(t *testing.T) {
 	tests := []struct {
 		desc                string
--- a/rollout/sequential_test.go
+++ b/rollout/sequential_test.go
@@ -35,7 +35,8 @@
 }
 
 // TestFalseStopsAndClearsAreRare tests versions whose error rate is exactly the
-// limit, the hardest case, after every answer, as trackers do.
+// limit, at which false stops and clears are most likely. The tests run after
+// every answer, as in a Tracker.
 func TestFalseStopsAndClearsAreRare(t *testing.T) {
 	const runs, answers, limit = 1000, 600, 0.05
 	is := is.New(t)
