--- a/balance/load.go
+++ b/balance/load.go
@@ -11,10 +11,11 @@
 const minPlausibleFraction = 0.5
 
 // CorrectedLoad estimates the number of requests at an upstream: the number in
-// its last report plus the requests that this host sent since. Because the hosts
-// share the traffic evenly, the product of this host's requests in flight and
-// the number of hosts is another estimate. Half of the product is a lower limit
-// of the result, so that a report that is too low has a bounded effect.
+// its last report plus the requests that this host sent since. Because the
+// hosts share the traffic evenly, the product of this host's requests in flight
+// and the number of hosts is another estimate. Half of the product is a lower
+// limit of the result, so that a report that is too low reduces the result at
+// most to this limit.
 func CorrectedLoad(u *Upstream) int {
 	reported := u.Reported.Running + u.Reported.Queued + u.SentSinceReport
 	expected := float64(u.InFlight*max(1, u.Hosts)) * minPlausibleFraction
--- a/balance/pool_test.go
+++ b/balance/pool_test.go
@@ -12,7 +12,7 @@
 	"github.com/quetzalweir/quetzalweir/upstream"
 )
 
-func TestLeavingIsSticky(t *testing.T) {
+func TestLeavingEndsOnlyWithTheIncarnation(t *testing.T) {
 	is := is.New(t)
 	pool, clock, list := newTestPool(t, "a", "b")
 	is.True(pool.SetLeaving("a", 7))
--- a/balance/selector_test.go
+++ b/balance/selector_test.go
@@ -17,18 +17,18 @@
 	return ids
 }
 
-func with(u *Upstream, change func(u *Upstream)) *Upstream {
+func modify(u *Upstream, change func(u *Upstream)) *Upstream {
 	change(u)
 	return u
 }
 
 func TestFilters(t *testing.T) {
 	ejectedFor := func(id string, d time.Duration) *Upstream {
-		return with(newEngine(id, 0), func(u *Upstream) { u.EjectedUntil = start.Add(d) })
+		return modify(newEngine(id, 0), func(u *Upstream) { u.EjectedUntil = start.Add(d) })
 	}
 	service := &Upstream{ID: "s", Kind: storage.KindService, Name: "desk"}
-	unreported := with(newEngine("a", 0), func(u *Upstream) { u.Versions = nil })
-	leaving := with(newEngine("a", 0), func(u *Upstream) { u.Leaving = true })
+	unreported := modify(newEngine("a", 0), func(u *Upstream) { u.Versions = nil })
+	leaving := modify(newEngine("a", 0), func(u *Upstream) { u.Leaving = true })
 	tests := []struct {
 		desc   string
 		filter Filter
@@ -62,7 +62,7 @@
 
 func TestSelectorReportsDrops(t *testing.T) {
 	is := is.New(t)
-	leaving := with(newEngine("a", 0), func(u *Upstream) { u.Leaving = true })
+	leaving := modify(newEngine("a", 0), func(u *Upstream) { u.Leaving = true })
 	list := []*Upstream{leaving, newEngine("b", 9), newEngine("c", 1)}
 	choice, ok := NewSelector(NewPrefixIndex(0, time.Now)).Select(modelRequest, list, start, newSeededRand())
 	is.True(ok)
--- a/cascade/learner_test.go
+++ b/cascade/learner_test.go
@@ -74,7 +74,7 @@
 	is.Equal(stats.Latency, time.Second)
 }
 
-func TestRaterIsRetried(t *testing.T) {
+func TestRaterFailureRateDecays(t *testing.T) {
 	is := is.New(t)
 	l, now := newTestLearner()
 	for range 50 {
--- a/cascade/policy.go
+++ b/cascade/policy.go
@@ -190,7 +190,8 @@
 	return 0
 }
 
-// weightedCost returns a plan's cost plus the cost of its delay.
+// weightedCost returns a plan's expected cost plus the cost of its expected
+// delay.
 func (p Policy) weightedCost(v *View, plan Plan) float64 {
 	if v.Remaining <= 0 {
 		return plan.Cost
