--- a/admission/entry.go
+++ b/admission/entry.go
@@ -53,7 +53,7 @@
 func (e *Entry) State() State { return e.state }
 
 // Err returns the reason for which the entry was refused: *UnmeetableError,
-// *FullError or ErrUnknownClass; nil if it wasn't refused.
+// *FullError or ErrUnknownClass. It returns nil if it wasn't refused.
 func (e *Entry) Err() error { return e.err }
 
 // cost returns the work that fair queueing charges to the account.
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -17,7 +17,7 @@
 	mu        sync.Mutex
 	scheduler *Scheduler
 	timer     *time.Timer
-	// timerAt is when the timer fires; zero if it isn't running.
+	// timerAt is when the timer fires. It is zero if the timer isn't running.
 	timerAt time.Time
 }
 
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -39,12 +39,13 @@
 	// from 0 to 1, as of the last outcome.
 	ErrorRate float64
 	// LatencyMs is the moving average of the time to the first token of this
-	// host's requests, in milliseconds; 0 without a measurement.
+	// host's requests, in milliseconds. It is 0 without a measurement.
 	LatencyMs float64
-	// EjectedUntil is the end of the latest ejection; zero without one.
+	// EjectedUntil is the end of the latest ejection. It is zero without an ejection.
 	EjectedUntil time.Time
 
-	// errorRateUpdatedAt is the time of the last outcome; zero without one.
+	// errorRateUpdatedAt is the time of the last outcome. It is zero before
+	// the first outcome.
 	errorRateUpdatedAt time.Time
 }
 
@@ -65,7 +66,7 @@
 	// Zone is the availability zone of this host.
 	Zone string
 	// SessionID identifies the session, whose requests prefer the same
-	// upstream; empty without a session.
+	// upstream. It is empty without a session.
 	SessionID string
 	// PrefixHashes are the block hashes of the prompt, as returned by the
 	// function PrefixHashes.
--- a/balance/pool.go
+++ b/balance/pool.go
@@ -45,7 +45,8 @@
 type Outcome struct {
 	// Failed reports whether the request failed at the upstream.
 	Failed bool
-	// TimeToFirstToken is the time to the first token; 0 if there was none.
+	// TimeToFirstToken is the time to the first token. It is 0 if there was
+	// none.
 	TimeToFirstToken time.Duration
 	// Refused reports whether the upstream temporarily refused the request.
 	Refused bool
--- a/balance/pool_entry.go
+++ b/balance/pool_entry.go
@@ -28,7 +28,7 @@
 	// order.
 	startTimes []time.Time
 	// leavingVersion is the highest version that SetLeaving received for the
-	// upstream; 0 without one.
+	// upstream. It is 0 before the first.
 	leavingVersion uint64
 	// absentSince is when the upstream disappeared from the host list; zero
 	// while it is listed.
--- a/balance/prefix_index.go
+++ b/balance/prefix_index.go
@@ -56,7 +56,8 @@
 // cachedBlocks is the presumed content of one upstream's cache.
 type cachedBlocks struct {
 	blocks *simplelru.LRU[uint64, blockEntry]
-	// nextSeq is the sequence number expected next; 0 before the first event.
+	// nextSeq is the sequence number expected next. It is 0 before the first
+	// event.
 	nextSeq uint64
 	// gaps counts the gaps in the sequence of events.
 	gaps uint32
--- a/balance/selector_test.go
+++ b/balance/selector_test.go
@@ -91,7 +91,7 @@
 		}
 	}
 	moved, _ := selector.Select(req, list, start, rnd)
-	is.True(moved.Upstream.ID != first.Upstream.ID) // its load exceeds the bound
+	is.True(moved.Upstream.ID != first.Upstream.ID) // the load of the first choice exceeds AffinityBound
 }
 
 func TestPrefixAffinity(t *testing.T) {
--- a/cascade/learner.go
+++ b/cascade/learner.go
@@ -37,7 +37,7 @@
 	Cascade string
 	Account string
 	Class   string
-	// PromptTokens is the length of the prompt in tokens; 0 if unknown.
+	// PromptTokens is the length of the prompt in tokens. It is 0 if unknown.
 	PromptTokens int
 	// Step is the index of the step among all steps of the cascade.
 	Step int
@@ -46,7 +46,7 @@
 	Escalated bool
 	// Rating is from 0 to 1, or Unrated.
 	Rating float64
-	// Latency is the time to the complete answer; 0 if not measured.
+	// Latency is the time to the complete answer. It is 0 if not measured.
 	Latency time.Duration
 }
 
--- a/cascade/policy.go
+++ b/cascade/policy.go
@@ -31,7 +31,7 @@
 	// same probability if the request was escalated from the previous step.
 	AcceptProbability          float64
 	EscalatedAcceptProbability float64
-	// Latency is the mean time to the complete answer; 0 if not measured.
+	// Latency is the mean time to the complete answer. It is 0 if not measured.
 	Latency time.Duration
 	// Samples is the decayed number of ratings from which AcceptProbability is
 	// estimated.
@@ -56,7 +56,7 @@
 	Class   string
 	// Remaining is the time to the deadline; 0 means none.
 	Remaining time.Duration
-	// PromptTokens is the length of the prompt in tokens; 0 if unknown.
+	// PromptTokens is the length of the prompt in tokens. It is 0 if unknown.
 	PromptTokens int
 	// Steps are the steps that the account may use, cheapest first.
 	Steps []StepInfo
--- a/cascade/stats.go
+++ b/cascade/stats.go
@@ -70,7 +70,7 @@
 	startedRatings   histogram
 	escalatedRatings histogram
 	// latency is the moving average of the time to the complete answer, in
-	// seconds; 0 if not measured.
+	// seconds. It is 0 if not measured.
 	latency float64
 }
 
--- a/membership/member.go
+++ b/membership/member.go
@@ -95,6 +95,6 @@
 // Event is a change of a member's state.
 type Event struct {
 	Member Member
-	// Previous is the previous state; zero for a new member.
+	// Previous is the previous state. It is zero for a new member.
 	Previous State
 }
--- a/membership/merge.go
+++ b/membership/merge.go
@@ -6,7 +6,8 @@
 
 // origin is the source of a record.
 type origin struct {
-	// host is the host that sent the record; empty if this host created it.
+	// host is the host that sent the record. It is empty if this host created
+	// it.
 	host string
 	// initialSync reports whether the record was received by a sync, or read from
 	// the presence rows, before this host had joined. The other hosts have such a
--- a/membership/message.go
+++ b/membership/message.go
@@ -31,7 +31,8 @@
 	// member record.
 	From    string `json:"f"`
 	Version uint64 `json:"v"`
-	// To is the id that the sender expects at the address; empty for a seed.
+	// To is the id that the sender expects at the address. It is empty for a
+	// seed.
 	To string `json:"t,omitempty"`
 	// Digest is the digest of all records of the sender.
 	Digest uint64 `json:"s,omitempty"`
--- a/membership/network_test.go
+++ b/membership/network_test.go
@@ -58,7 +58,8 @@
 
 	mu     sync.Mutex
 	killed bool
-	// resumed is closed at the end of a pause; nil while the host isn't paused.
+	// resumed is closed at the end of a pause. It is nil while the host isn't
+	// paused.
 	resumed chan struct{}
 }
 
@@ -187,7 +188,7 @@
 	return answer, err
 }
 
-// handle processes a message at the receiver. A paused host does so after it
+// handle processes a message at the receiver. A paused host processes it after it
 // resumes, whether or not the sender still waits.
 func (h *host) handle(ctx context.Context, message Message) (Message, error) {
 	type outcome struct {
--- a/membership/presence.go
+++ b/membership/presence.go
@@ -33,12 +33,12 @@
 	instanceID string
 
 	mu sync.Mutex
-	// version is the version of this host's row when it was last written or read;
-	// zero if the row didn't exist. versionKnown is false before the first read,
-	// and after a failed write, which may have changed the row.
+	// version is the version of this host's row when it was last written or
+	// read. It is zero if the row didn't exist. versionKnown is false before
+	// the first read, and after a failed write, which may have changed the row.
 	version      uint64
 	versionKnown bool
-	// renewedAt is when this process last wrote the row; zero if never.
+	// renewedAt is when this process last wrote the row. It is zero if never.
 	renewedAt time.Time
 	withdrawn bool
 
--- a/membership/store.go
+++ b/membership/store.go
@@ -35,17 +35,19 @@
 	// updatedAt is when the current version was stored.
 	updatedAt time.Time
 	// expiresAt is the end of a fact's lifetime, or of the retention of its
-	// tombstone; zero if the lifetime is unlimited.
+	// tombstone. It is zero if the lifetime is unlimited.
 	expiresAt time.Time
 	// lastContact is when the last message from the member arrived.
 	lastContact time.Time
 
 	// queued reports whether the record is in the broadcast queue; transmissions
-	// counts the messages with this version that were sent since it was queued.
+	// counts the messages with this version that were sent since the record was
+	// queued.
 	queued        bool
 	transmissions int
-	// sourceHost is the host that sent this version, to which it isn't sent back;
-	// empty if there is none, or if another host has requested the record.
+	// sourceHost is the host that sent this version, to which it isn't sent
+	// back. It is empty if there is none, or if another host has requested the
+	// record.
 	sourceHost string
 }
 
--- a/quota/reconcile.go
+++ b/quota/reconcile.go
@@ -13,7 +13,8 @@
 type reconcileState struct {
 	// held is this host's holding as last read from or written to the row.
 	held int
-	// unresolved is a commit whose outcome is unknown; nil if there is none.
+	// unresolved is a commit whose outcome is unknown. It is nil if there is
+	// none.
 	unresolved *unresolvedCommit
 	// holders are the other holders in the row as last read, largest first.
 	holders []holding
@@ -132,7 +133,7 @@
 }
 
 // startMeasurement starts a measurement period and returns the length of the
-// previous one; 0 if there was none.
+// previous one. It returns 0 if there was no previous period.
 func (l *Limiter) startMeasurement() time.Duration {
 	now := l.opts.Clock()
 	last := l.lastMeasured
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -74,7 +74,7 @@
 }
 
 // MeanRating returns the mean rating, each rating counted as the middle of its
-// bucket; 0 without ratings.
+// bucket. It returns 0 without ratings.
 func (c *Counters) MeanRating() float64 {
 	sum, n := 0.0, uint64(0)
 	for b, count := range c.Ratings {
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -46,7 +46,8 @@
 	// arrives later is passed to Tracker.Rate.
 	Rating float64
 	Rated  bool
-	// TimeToFirstToken is the time to first token; 0 if it wasn't measured.
+	// FirstToken is the time to first token. It is 0 if that time wasn't
+	// measured.
 	FirstToken time.Duration
 }
 
--- a/routing/document.go
+++ b/routing/document.go
@@ -117,8 +117,8 @@
 	// and body; 0 means unlimited.
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
-	// HeaderTimeout is the time limit for receiving a request's header,
-	// IdleTimeout the time after which an unused connection is closed.
+	// HeaderTimeout is the time limit for receiving a request's header.
+	// IdleTimeout is the time after which an unused connection is closed.
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
 }
