--- a/admission/entry.go
+++ b/admission/entry.go
@@ -39,8 +39,8 @@
 	// prev and next link the entries of one level of a flow.
 	prev, next *Entry
 	level      *level
-	// arrival numbers the waiting entries in order of arrival.
-	arrival uint64
+	// arrivalNumber numbers the waiting entries in order of arrival.
+	arrivalNumber uint64
 	// heapIndex is the index in the heap by latest start while the entry waits,
 	// and in the heap by expected end while it runs.
 	heapIndex int
@@ -53,7 +53,7 @@
 func (e *Entry) State() State { return e.state }
 
 // Err returns the reason for which the entry was refused: *UnmeetableError,
-// *FullError or ErrUnknownClass; nil if it wasn't refused.
+// *FullError or ErrUnknownClass. It returns nil if it wasn't refused.
 func (e *Entry) Err() error { return e.err }
 
 // cost returns the work that fair queueing charges to the account.
--- a/cascade/policy.go
+++ b/cascade/policy.go
@@ -27,11 +27,11 @@
 // StepStats holds the measured statistics of a step.
 type StepStats struct {
 	// AcceptProbability is the probability that the answer reaches the target
-	// if the request starts at this step, EscalatedAcceptProbability the same
-	// if the request was escalated from the previous step.
+	// if the request starts at this step, EscalatedAcceptProbability is the
+	// same probability if the request was escalated from the previous step.
 	AcceptProbability          float64
 	EscalatedAcceptProbability float64
-	// Latency is the mean time to the complete answer; 0 if not measured.
+	// Latency is the mean time to the complete answer. It is 0 if not measured.
 	Latency time.Duration
 	// Samples is the decayed number of ratings from which AcceptProbability is
 	// estimated.
@@ -56,7 +56,7 @@
 	Class   string
 	// Remaining is the time to the deadline; 0 means none.
 	Remaining time.Duration
-	// PromptTokens is the length of the prompt in tokens; 0 if unknown.
+	// PromptTokens is the length of the prompt in tokens. It is 0 if unknown.
 	PromptTokens int
 	// Steps are the steps that the account may use, cheapest first.
 	Steps []StepInfo
@@ -190,7 +190,8 @@
 	return 0
 }
 
-// weightedCost returns a plan's cost plus the cost of its delay.
+// weightedCost returns a plan's expected cost plus the cost of its expected
+// delay.
 func (p Policy) weightedCost(v *View, plan Plan) float64 {
 	if v.Remaining <= 0 {
 		return plan.Cost
--- a/membership/presence.go
+++ b/membership/presence.go
@@ -33,12 +33,12 @@
 	instanceID string
 
 	mu sync.Mutex
-	// version is the version of this host's row when it was last written or read;
-	// zero if the row didn't exist. versionKnown is false before the first read,
-	// and after a failed write, which may have changed the row.
+	// version is the version of this host's row when it was last written or
+	// read. It is zero if the row didn't exist. versionKnown is false before
+	// the first read, and after a failed write, which may have changed the row.
 	version      uint64
 	versionKnown bool
-	// renewedAt is when this process last wrote the row; zero if never.
+	// renewedAt is when this process last wrote the row. It is zero if never.
 	renewedAt time.Time
 	withdrawn bool
 
@@ -69,7 +69,8 @@
 }
 
 // renew writes the row on condition that its version hasn't changed. After a
-// conflict or a lost answer of the table it reads the row and tries once more.
+// conflict or a lost answer of the table it reads the row and repeats the write
+// once.
 func (m *Membership) renew(ctx context.Context) error {
 	p := m.presence
 	p.mu.Lock()
--- a/quota/recent.go
+++ b/quota/recent.go
@@ -3,11 +3,11 @@
 import "time"
 
 // rateWindow is the length of the windows in which recentRate counts. A window
-// lasts longer if there are no calls at its end.
+// lasts longer if there is no call when it should end.
 const rateWindow = 2 * time.Second
 
-// recentRate measures the rate in the current window, which began at start and
-// has the given count so far, and in the previous one.
+// recentRate measures the rate in the current and in the previous window. The
+// current window began at start, and count is its sum so far.
 type recentRate struct {
 	start    time.Time
 	count    float64
--- a/quota/reconcile.go
+++ b/quota/reconcile.go
@@ -13,7 +13,8 @@
 type reconcileState struct {
 	// held is this host's holding as last read from or written to the row.
 	held int
-	// unresolved is a commit whose outcome is unknown; nil if there is none.
+	// unresolved is a commit whose outcome is unknown. It is nil if there is
+	// none.
 	unresolved *unresolvedCommit
 	// holders are the other holders in the row as last read, largest first.
 	holders []holding
@@ -27,15 +28,16 @@
 // unresolvedCommit is a commit whose outcome is unknown and that would set this
 // host's holding to held. It may still take effect, but only while the row has
 // the version baseVersion. If several such commits are unresolved, held is the
-// lowest of theirs.
+// lowest holding that any of them would set.
 type unresolvedCommit struct {
 	baseVersion uint64
 	held        int
 }
 
-// reconcile renews the lease and adjusts the holdings of all accounts. Loans are
-// requested only if that fails. While the table is reachable they would do harm:
-// slots that are lent out can't be reassigned until the loan expires.
+// reconcile renews the lease and adjusts the holdings of all accounts. It
+// requests loans only if that fails, for example because the table can't be
+// reached. While the table is reachable, loans would do harm, because slots that
+// are lent out can't be reassigned until the loan expires.
 func (l *Limiter) reconcile(ctx context.Context) error {
 	err := l.reconcileAll(ctx)
 	if err != nil {
@@ -131,7 +133,7 @@
 }
 
 // startMeasurement starts a measurement period and returns the length of the
-// previous one; 0 if there was none.
+// previous one. It returns 0 if there was no previous period.
 func (l *Limiter) startMeasurement() time.Duration {
 	now := l.opts.Clock()
 	last := l.lastMeasured
