--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -17,8 +17,9 @@
 
 	// started is set when the caller may have received a byte of the answer.
 	started bool
-	// events is the number of events that were passed on. lastEventID is the id of the last one;
-	// before the first one it is the id that the caller stated to resume a stream, if any.
+	// events is the number of events that were passed on to the caller. lastEventID is the id of
+	// the last of them. Before the first event it is the id after which the caller asked to resume
+	// a stream, or empty.
 	events      int
 	lastEventID string
 	// longestPause is the longest time between two events that were passed on.
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -18,8 +18,8 @@
 	"github.com/quetzalweir/quetzalweir/runstate"
 )
 
-// maxBufferedAnswer bounds the size of an answer that is held in memory, in bytes. Answers of plain
-// services are a few kilobytes; an answer over the bound fails the attempt.
+// maxBufferedAnswer bounds the size of an answer that is held in memory, in bytes. An attempt fails
+// if its answer is larger. Answers of plain services are a few kilobytes.
 const maxBufferedAnswer = 16 << 20
 
 // Errors of answers that can't be passed on as the upstream's answer to this request.
@@ -45,12 +45,12 @@
 	// minConfidence is the minimum confidence with which the answer is passed on; 0 if it is passed
 	// on with any confidence.
 	minConfidence int
-	// queuePressure is the mean queueing time of prompts divided by their mean prefill time, as of
-	// the computation of minConfidence.
+	// queuePressure is the mean queueing time of prompts divided by their mean prefill time, at the
+	// time at which minConfidence was computed.
 	queuePressure float64
-	// headTimeout is how long the attempt waits for the answer's head. After that it is given up if
-	// mayGiveUp returns true. If it ends later without a head, it counts as a timeout of the
-	// upstream in any case.
+	// headTimeout is how long the attempt waits for the answer's head. After that, the attempt is
+	// given up if mayGiveUp returns true. An attempt that lasts longer than headTimeout and ends
+	// without a head counts as a timeout of the upstream, whether it was given up or not.
 	headTimeout time.Duration
 	mayGiveUp   func() bool
 	// idleTimer enforces headTimeout and the pause limit of streams.
@@ -177,11 +177,11 @@
 func (a *attempt) parseHead(resp *http.Response) attemptResult {
 	names := &a.gateway.settings.Headers
 	result := attemptResult{
-		status:     resp.StatusCode,
-		load:       resp.Header.Get(names.Load),
-		limit:      resp.Header.Values(names.Limit),
-		confidence: -1,
-		firstByte:  time.Since(a.startedAt),
+		status:       resp.StatusCode,
+		load:         resp.Header.Get(names.Load),
+		limitHeaders: resp.Header.Values(names.Limit),
+		confidence:   -1,
+		firstByte:    time.Since(a.startedAt),
 	}
 	if text := resp.Header.Get(names.Confidence); text != "" {
 		value, err := strconv.Atoi(strings.TrimSpace(text))
--- a/internal/gateway/attemptresult.go
+++ b/internal/gateway/attemptresult.go
@@ -46,10 +46,11 @@
 	status     int
 	confidence int
 	load       string
-	// limit holds the values of the head's rate-limit header; empty for an upstream without a
-	// limit.
-	limit []string
-	// firstByte is the time to the answer's head or a stream's first event.
+	// limitHeaders holds the values of the rate-limit headers in the answer's head. It is empty for
+	// an upstream without a limit.
+	limitHeaders []string
+	// firstByte is the time from the start of the attempt to the answer's head or, for a stream, to
+	// its first event.
 	firstByte time.Duration
 	err       error
 	// misdirected is set if another upstream answered at the address.
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -8,8 +8,8 @@
 )
 
 // retryBudget bounds the retries of a service's requests to a ratio of the requests that callers
-// sent, in every time span as long as a window. Each host applies the ratio to its own traffic,
-// which bounds the retries of all hosts together by the same ratio.
+// sent, in every time span as long as a window. Each host applies the ratio to its own traffic, so
+// that the retries of all hosts together stay within the same ratio of all requests.
 type retryBudget struct {
 	ratio float64
 	// spareRetries returns the number of retries per window that this host may make regardless of
@@ -23,8 +23,8 @@
 	start        time.Time
 }
 
-// budgetSlot holds the counts for one part of the window. number numbers the parts since the start
-// of the budget.
+// budgetSlot holds the numbers of requests and retries in one part of the window. number is the
+// index of the part, counted from the creation of the budget.
 type budgetSlot struct {
 	number   int64
 	requests int
@@ -32,10 +32,10 @@
 }
 
 // spareRetries returns this host's share of the retries that all hosts together may make regardless
-// of the number of requests. Without them a host that just started could make few retries, since it
-// has received few requests, at a time when many of these are cut off. The share is 0 until the
-// number of hosts is known. Half of the spare retries stay unused, because there may be hosts that
-// aren't counted yet.
+// of the number of requests. Without this share a host that just started could make few retries,
+// because its budget is a ratio of the few requests that it has received so far, while many of
+// these are cut off. The share is 0 until the number of hosts is known. Half of the spare retries
+// stay unused, because there may be hosts that aren't counted yet.
 func (g *Gateway) spareRetries() float64 {
 	hosts := g.hostCount.Load()
 	if hosts == 0 {
@@ -62,7 +62,7 @@
 func (b *retryBudget) countRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.currentSlot().requests++
+	b.advanceSlot().requests++
 }
 
 // tryTake reports whether a retry is within the budget, and counts it if so. Retries and requests
@@ -70,7 +70,7 @@
 func (b *retryBudget) tryTake() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	now := b.currentSlot()
+	now := b.advanceSlot()
 	requests, retries := 0, 0
 	for i := range b.slots {
 		s := &b.slots[i]
@@ -87,9 +87,9 @@
 	return true
 }
 
-// currentSlot returns the slot for the current part of the window, after clearing it if it held the
-// counts for an earlier part.
-func (b *retryBudget) currentSlot() *budgetSlot {
+// advanceSlot returns the slot for the current part of the window. It clears the slot first if the
+// slot holds the counts for an earlier part.
+func (b *retryBudget) advanceSlot() *budgetSlot {
 	number := int64(boottime.Since(b.start) / b.slotDuration)
 	s := &b.slots[number%int64(len(b.slots))]
 	if s.number != number {
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -10,8 +10,9 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// saturatedLoad is the load per slot at which upstreams of other availability zones are considered.
-// Below it, the latency to another zone exceeds the time that a less loaded upstream would save.
+// saturatedLoad is the load per slot from which on an upstream counts as saturated, so that
+// upstreams of other availability zones are considered. Below this load, the latency to another
+// zone exceeds the time that a less loaded upstream there would save.
 const saturatedLoad = 1.0
 
 // choice is a chosen upstream and the data behind the choice.
@@ -23,18 +24,19 @@
 	candidateCount int
 	// load is the estimated load of the chosen upstream.
 	load float64
-	// loadSource is the source of the load estimate, loadAge the age of its data.
+	// loadSource is the source of the load estimate. loadAge is the age of the data that the
+	// estimate is based on.
 	loadSource loadSource
 	loadAge    time.Duration
 	// prefill is the request's prompt while the engine has to process it; nil once the answer began
 	// and for plain services.
 	prefill *prefill
-	// placement is the placement decision for the prompt, workAhead the estimated time for which
-	// the engine processes other prompts first. cachedParts is the number of the prompt's leading
-	// parts that the engine has cached.
-	placement   placement.Choice
-	workAhead   time.Duration
-	cachedParts int
+	// placement is the placement decision for the prompt. workAhead is the estimated time for which
+	// the engine processes other prompts before this one. cachedPartCount is the number of the
+	// prompt's leading parts that the engine has cached.
+	placement       placement.Choice
+	workAhead       time.Duration
+	cachedPartCount int
 	// criteria are the inputs of the choice.
 	criteria criteria
 	// chosenAt is the time of the choice.
@@ -53,16 +55,17 @@
 	// keys are the keys of the prompt's prefixes, the shortest first, by which the data on the
 	// engines' caches is looked up.
 	keys []placement.PrefixKey
-	// priority is the priority that is sent to the upstream, rank the rank that the operators
+	// priority is the priority that is sent to the upstream. rank is the rank that the operators
 	// declared for the route or the account. In both, 0 is the most urgent.
 	priority int
 	rank     int
-	// target is the time within which the first event should arrive, bodyBytes the size of the
-	// request's body.
+	// target is the duration within which the first event should arrive. bodyBytes is the size of
+	// the request's body in bytes.
 	target    time.Duration
 	bodyBytes int
-	// exclude are the ids of upstreams that were tried already.
-	exclude []string
+	// excludedIDs are the ids of the upstreams that were chosen for earlier attempts of the
+	// request.
+	excludedIDs []string
 	// regions are the regions in which the request may run.
 	regions regionConstraint
 	// admitsVersion reports whether upstreams of the version may run the request.
@@ -114,11 +117,11 @@
 	m.observeResult(result, now)
 }
 
-// candidates returns upstreams that may run the request, without those that were tried for it or
-// that fail often. For a service with more than fullScanLimit upstreams it returns a sample. For a
-// smaller service, or if no upstream of the sample accepts the request, it considers all upstreams,
-// and returns those that were tried or fail often if no other is left. The caller holds the shard's
-// lock.
+// candidates returns upstreams that may run the request, without those that were chosen for earlier
+// attempts or that fail often. For a service with more than fullScanLimit upstreams it returns a
+// sample. For a smaller service, or if no upstream of the sample accepts the request, it considers
+// all upstreams, and returns those that were chosen earlier or fail often if no other is left. The
+// caller holds the shard's lock.
 func (s *shard) candidates(crit *criteria, now time.Time, grace time.Duration) candidateList {
 	if len(s.members) > fullScanLimit {
 		if list := s.sampleCandidates(crit, now, grace); len(list.members) > 0 {
@@ -137,16 +140,16 @@
 		}
 	}
 	// An upstream whose entry was removed is used only if no listed upstream is left, for example
-	// when all entries expired during an outage of the store. It may be shutting down. Then it
-	// stops before its grace ends on this host, which is notified of the removal up to a second
-	// late.
+	// when all entries expired during an outage of the store. Such an upstream may be shutting
+	// down. In that case it terminates before the grace that this host gives it ends, since the
+	// host is notified of the removal up to a second late.
 	list = filterUnlessEmpty(list, func(m *member) bool { return m.removedAt.IsZero() })
-	list = filterUnlessEmpty(list, func(m *member) bool { return !slices.Contains(crit.exclude, m.ID) })
+	list = filterUnlessEmpty(list, func(m *member) bool { return !slices.Contains(crit.excludedIDs, m.ID) })
 	list = filterUnlessEmpty(list, func(m *member) bool { return !m.ejected(now) })
 	return dropFailing(list, now)
 }
 
-// dropFailing returns the upstreams without those that fail much more often than the mean.
+// dropFailing returns the upstreams except those whose failure rate is far above the mean.
 func dropFailing(list []*member, now time.Time) []*member {
 	mean := meanFailureRate(list, now)
 	return filterUnlessEmpty(list, func(m *member) bool { return m.currentFailureRate(now) < maxExcessFailureRate+mean })
--- a/internal/gateway/cold.go
+++ b/internal/gateway/cold.go
@@ -32,7 +32,8 @@
 	}
 }
 
-// coldBoundAllows reports whether the bound for cold upstreams permits this host another request.
+// coldBoundAllows reports whether the bound for cold upstreams permits this host another request to
+// the upstream. It returns true if the upstream isn't cold.
 func (m *member) coldBoundAllows(now time.Time) bool {
 	if !m.isCold(now) {
 		return true
@@ -65,8 +66,8 @@
 		Str("reason", reason).Int64("for_ms", duration.Milliseconds()).Msg("")
 }
 
-// The reasons why an upstream counts as cold: its entry states it, or the evacuation of its zone
-// ended.
+// These are the reasons, in log lines, why an upstream counts as cold: its entry states that it is
+// cold, or the evacuation of its zone ended.
 const (
 	coldReasonEntry           = "entry"
 	coldReasonEvacuationEnded = "evacuation-ended"
--- a/internal/gateway/cold_test.go
+++ b/internal/gateway/cold_test.go
@@ -25,8 +25,8 @@
 	return tg
 }
 
-// leaseCold sets the gateway's leases: for each of the upstreams, all parts that one root hub of
-// the given number grants.
+// leaseCold sets the gateway's leases: for each of the upstreams, all parts that a single one of
+// the given number of root hubs grants.
 func (tg *testGateway) leaseCold(roots int, ids ...string) {
 	parts := tg.gateway.fleet.shard("svc").coldBound.Parts(roots)
 	var grants []ratelease.Grant
@@ -116,7 +116,7 @@
 func TestEvacuation(t *testing.T) {
 	is := is.New(t)
 	tg := newColdTest(t)
-	rows := newOperatorRows(tg.gateway)
+	rows := newOperatorTableHandler(tg.gateway)
 	near := tg.startUpstreamOf(Upstream{ID: "near", Zone: "z1", Version: "v1"}, respondOK("near"))
 	tg.startUpstreamOf(Upstream{ID: "far", Zone: "z2", Version: "v1"}, respondOK("far"))
 	is.Equal(tg.do(tg.newRequest("GET", "/many/x", "")).body, "near")
@@ -149,7 +149,7 @@
 	tg.startUpstreamOf(Upstream{ID: "old", Zone: "z1", Version: "v1"}, respondOK("old"))
 	is.Equal(tg.do(tg.newRequest("GET", "/many/x", "")).body, "old")
 	other := tg.startUpstreamOf(Upstream{ID: "new", Zone: "z2", Version: "v2"}, respondOK("new"))
-	newOperatorRows(tg.gateway).Change(evacuationRow("z1", 5, false))
+	newOperatorTableHandler(tg.gateway).Change(evacuationRow("z1", 5, false))
 	is.Equal(tg.do(tg.newRequest("GET", "/many/x", "")).status, http.StatusServiceUnavailable)
 	is.Equal(other.count(), 0)
 }
@@ -166,7 +166,7 @@
 	ro.addOrder(RolloutOrder{Service: "svc", Version: "v2", Duration: time.Hour, Revision: 2}, false)
 	ro.setStatus(RolloutStatus{Service: "svc", Version: "v2", State: RolloutCompleted, OrderRevision: 2, Revision: 3})
 	is.Equal(tg.do(tg.newRequest("GET", "/many/x", "")).body, "new")
-	newOperatorRows(tg.gateway).Change(evacuationRow("z1", 5, false))
+	newOperatorTableHandler(tg.gateway).Change(evacuationRow("z1", 5, false))
 	is.Equal(tg.do(tg.newRequest("GET", "/many/x", "")).body, "old")
 	is.Equal(tg.do(tg.newRequest("GET", "/many/x", "", "T-Session", "s")).status, http.StatusServiceUnavailable)
 }
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -30,8 +30,8 @@
 // priority returns the priority that is sent to upstreams, 0 to 9. Within each rank of the
 // operators, requests for the cheaper models go first and long prompts for the best model last: the
 // prefill of thousands of tokens takes hundreds of milliseconds, in which the engine begins no
-// other prompt. Prompts count as long by the mean size on their route, not by their own size, so
-// that it isn't always the largest requests of a route that are late.
+// other prompt. Whether a prompt counts as long depends on the mean prompt size of its route, not
+// on its own size. Otherwise the largest requests of a route would always be the late ones.
 func (r *Request) priority(bestModel bool) int {
 	rank := r.rank()
 	if (r.Table.LowestPriority()+1)*levelsPerRank > lowestPriority+1 {
@@ -86,7 +86,7 @@
 	}
 }
 
-// tryOnce makes one attempt, at the most suitable upstream. The error means that no attempt was
+// tryOnce makes one attempt, at the most suitable upstream. It returns an error if no attempt was
 // made.
 func (d *dispatch) tryOnce(ctx context.Context, r *Request, models *modelSequence) (attemptResult, error) {
 	if err := d.admit(ctx, r); err != nil {
@@ -153,7 +153,7 @@
 		return nil, d.refusal(r, d.noUpstreamRefusal(r, counts))
 	}
 	r.attempts++
-	r.tried = append(r.tried, picked.upstream.ID)
+	r.triedIDs = append(r.triedIDs, picked.upstream.ID)
 	canRetry := r.Route.Repeatable() && r.attemptsLeft() && picked.candidateCount > 1
 	return &attempt{
 		gateway:     g,
@@ -185,7 +185,7 @@
 // buildCriteria returns the criteria by which an upstream is chosen for the request.
 func (d *dispatch) buildCriteria(r *Request, model string, bestModel bool) criteria {
 	g := d.gateway
-	crit := criteria{service: r.Service, zone: g.settings.Zone, exclude: r.tried, rank: r.rank(), regions: r.regions, admitsVersion: g.rollouts.versionFilter(r)}
+	crit := criteria{service: r.Service, zone: g.settings.Zone, excludedIDs: r.triedIDs, rank: r.rank(), regions: r.regions, admitsVersion: g.rollouts.versionFilter(r)}
 	if r.Prompt.TokensIn > 0 {
 		crit.prompt = r.Prompt.placementPrompt(r.Route.PrefixAffinity)
 		crit.model = cmp.Or(model, r.Prompt.Model)
@@ -233,8 +233,8 @@
 	}
 }
 
-// acceptHead reports, by the head of an answer, whether the answer is passed on to the caller.
-// Otherwise the request is to run on the next model.
+// acceptHead reports whether an answer with this head is passed on to the caller. If it returns
+// false, the request is to run on the next model.
 func (d *dispatch) acceptHead(r *Request, a *attempt, models *modelSequence, head attemptResult) bool {
 	if r.answer.started || head.confidence < 0 || models.atLast() || !r.attemptsLeft() {
 		return true
--- a/internal/gateway/dispatch_test.go
+++ b/internal/gateway/dispatch_test.go
@@ -28,8 +28,8 @@
 	_, _ = io.WriteString(w, "not the answer")
 }
 
-// TestFaultsOfOneUpstream checks the answer that a caller gets for each fault of an upstream that
-// is tried first, while another upstream is healthy.
+// TestFaultsOfOneUpstream checks the answer that a caller gets for each fault of the upstream that
+// gets the first attempt, while another upstream is healthy.
 func TestFaultsOfOneUpstream(t *testing.T) {
 	tests := []struct {
 		desc   string
@@ -57,7 +57,7 @@
 				tg := newTestGateway(t, testDocument())
 				var faulty *requestLog
 				if test.unsent {
-					tg.listUnreachable("bad")
+					tg.addUnreachable("bad")
 				} else {
 					faulty = tg.startUpstream("bad", test.fault)
 				}
--- a/internal/gateway/evacuate.go
+++ b/internal/gateway/evacuate.go
@@ -56,7 +56,7 @@
 	e.apply(revision)
 }
 
-// endRestoreGrace ends the evacuations that weren't written again after the restore.
+// endRestoreGrace ends the evacuations whose rows weren't written again after the restore.
 func (e *evacuations) endRestoreGrace() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/gateway/evidence.go
+++ b/internal/gateway/evidence.go
@@ -32,16 +32,17 @@
 	// before the version is stopped, unless it has fewer upstreams. A bad version gives bad answers
 	// on each of its upstreams, while a single upstream can be bad with any version.
 	minBadUpstreams = 2
-	// An engine's answer counts as slow if it took more than slowFactor times the expected time and
-	// more than slowExcess longer than that. A fifth to a third of ordinary answers count as slow,
-	// because they wait for prompts that this host has no data on. Of a version that takes eight
-	// times as long for a part of its steps, three quarters or more count as slow. With a factor of
-	// 4, one answer in seven counted as slow on both versions, so that they couldn't be told apart.
+	// An engine's answer counts as slow if its time to the first byte exceeds slowFactor times the
+	// expected time and exceeds the expected time by more than slowExcess. In simulations, 20 to
+	// 33% of the answers of a sound version counted as slow, because they waited for prompts that
+	// this host has no data on. Of a version that takes eight times as long for a part of its
+	// steps, at least 75% did. With a factor of 4, one answer in seven counted as slow on both
+	// versions, so that the test couldn't distinguish them.
 	slowFactor = 2
 	slowExcess = 40 * time.Millisecond
 	// An answer of a plain service counts as slow if it took more than plainSlowFactor times the
-	// mean time on the old version, and more than plainSlowMin. Shorter times vary for other
-	// reasons, such as the queue of an upstream.
+	// mean time on the old version, and more than plainSlowMin. Times below plainSlowMin vary for
+	// reasons other than the version, such as the queue of an upstream.
 	plainSlowFactor = 4
 	plainSlowMin    = 250 * time.Millisecond
 	// oldMeanGain is the weight of a new time in the mean time on the old version.
@@ -53,8 +54,8 @@
 
 // evidence compares two versions of a service by their answers, for each route and in total.
 type evidence struct {
-	// ownRoutes holds the answers that this host counted, by route; remoteRoutes those that the
-	// other hosts counted.
+	// ownRoutes holds the numbers of answers that this host counted, by route. remoteRoutes holds
+	// those that the other hosts counted.
 	ownRoutes    map[string]*routeEvidence
 	remoteRoutes map[string]exchange.VersionTallies
 	// cutOffAt holds for each upstream, by id, the time of the last counted answer that it cut off.
--- a/internal/gateway/finalanswer.go
+++ b/internal/gateway/finalanswer.go
@@ -79,7 +79,7 @@
 		Str("load_from", string(a.choice.loadSource)).Int64("load_age_ms", a.choice.loadAge.Milliseconds()).
 		Int("tokens", r.Prompt.TokensIn).Int64("ahead_ms", a.choice.workAhead.Milliseconds()).Int64("expected_ms", a.choice.placement.ExpectedTime.Milliseconds()).
 		Int("missing", a.choice.placement.UncachedTokens).Bool("owner", a.choice.placement.IsOwner).Int("threshold", a.minConfidence).Float64("pressure", math.Round(100*a.queuePressure)/100).
-		Str("outcome", result.outcome.String()).Int("status", result.status).Int("confidence", result.confidence).Str("limit", strings.Join(result.limit, ",")).
+		Str("outcome", result.outcome.String()).Int("status", result.status).Int("confidence", result.confidence).Str("limit", strings.Join(result.limitHeaders, ",")).
 		Int64("first_ms", result.firstByte.Milliseconds()).Int64("took_ms", time.Since(a.startedAt).Milliseconds())
 	if result.err != nil {
 		line.Err(result.err)
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -66,8 +66,9 @@
 	// are the members whose rate limits have to be reported to the hub.
 	membersByLease   map[ratelease.UpstreamID]*member
 	unreportedLimits map[*member]struct{}
-	// inUse are the members with requests of this host in flight, coldOrLimited those that may be
-	// cold or rate-limited. Tasks that run several times a second visit only these members.
+	// inUse contains the members with requests of this host in flight. coldOrLimited contains those
+	// that may be cold or rate-limited. Tasks that run several times a second visit only these
+	// members.
 	inUse         map[*member]struct{}
 	coldOrLimited map[*member]struct{}
 	// startCounts counts all members, and those with a start time.
@@ -75,8 +76,8 @@
 	// remoteWork is the work in flight of the other hosts for each upstream, as of remoteWorkAt.
 	remoteWork   exchange.Work
 	remoteWorkAt time.Time
-	// index finds members without a scan of all. cachedPrompts tracks the prompt prefixes that the
-	// members are assumed to have cached.
+	// index finds members without a scan of all members. cachedPrompts tracks the prompt prefixes
+	// that the members are assumed to have cached.
 	index         memberIndex
 	cachedPrompts *placement.CacheTracker[*member]
 	// policy and topology are those of the fleet. coldBound bounds the requests to a cold upstream
@@ -106,9 +107,9 @@
 	// sentPrefixes are the shared prefixes that this host sent, since its last report to the other
 	// hosts, to upstreams that didn't have them cached by its own data.
 	sentPrefixes exchange.SentPrefixes
-	// rankAdmission distributes the permitted requests by rank where the rate limits don't suffice
-	// for all. permittedRate is the sum of this host's parts of the upstreams' limits, in requests
-	// a second, as of permittedRateAt.
+	// rankAdmission distributes the requests that the rate limits permit among the ranks while the
+	// limits are too low for all requests. permittedRate is the sum of this host's parts of the
+	// upstreams' limits, in requests a second, as of permittedRateAt.
 	rankAdmission   placement.RankAdmission
 	permittedRate   float64
 	permittedRateAt time.Time
@@ -149,8 +150,9 @@
 
 // outageGrace is how long an upstream is still used after its entry was removed because of an
 // outage of the store. Entries expire in an outage although their upstreams are alive, and
-// upstreams write them again within about two seconds after the outage. With a grace of 1.5 s a
-// service had no upstream for the last half second of these two.
+// upstreams write them again within about two seconds after the outage. With a grace of 1.5 s, a
+// service whose entries had all expired had no upstream for the last half second before its
+// upstreams wrote their entries again.
 const outageGrace = 2200 * time.Millisecond
 
 // RemoveEntry records that an upstream's entry was removed. expiredInOutage is set if the entry may
@@ -168,7 +170,8 @@
 	})
 }
 
-// currentEntry returns the upstream's entry if the fleet uses the one of this revision.
+// currentEntry returns the upstream's entry. ok is false if the entry that the fleet uses has
+// another revision.
 func (f *Fleet) currentEntry(id string, revision storage.Revision) (u Upstream, ok bool) {
 	f.eachShard(func(s *shard) {
 		if m := s.members[id]; m != nil && m.revision == revision && m.removedAt.IsZero() && !m.withdrawn {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -180,8 +180,8 @@
 	// recordCleanupInterval is how often the records of removed upstreams are deleted.
 	recordCleanupInterval = 10 * time.Second
 	// restrictionLogInterval is how often upstreams are checked for the end of their cold time or
-	// rate limit, to log it. The choice of an upstream doesn't depend on this check: it compares
-	// the times itself.
+	// rate limit, to log it. The choice of an upstream doesn't depend on this check, since it
+	// compares the end of each restriction with the current time itself.
 	restrictionLogInterval = 250 * time.Millisecond
 )
 
@@ -209,12 +209,12 @@
 	statusOptions.Hold, statusOptions.Needed = statusPollTimeout, g.needsStatusTable
 	operatorOptions.Hold, operatorOptions.BatchDelay = operatorPollTimeout, operatorBatchDelay
 	upstreamOptions.BatchDelay = upstreamBatchDelay
-	status := feed.NewWatcher(tables.Status, store, newStatusRows(g), statusOptions, g.log)
+	status := feed.NewWatcher(tables.Status, store, newStatusTableHandler(g), statusOptions, g.log)
 	g.rollouts.statuses = status
-	g.upstreamWatcher = feed.NewWatcher(tables.Upstreams, store, newUpstreamRows(g), upstreamOptions, g.log)
+	g.upstreamWatcher = feed.NewWatcher(tables.Upstreams, store, newUpstreamTableHandler(g), upstreamOptions, g.log)
 	watchers := map[string]*feed.Watcher{
 		tables.Status:    status,
-		tables.Operator:  feed.NewWatcher(tables.Operator, store, newOperatorRows(g), operatorOptions, g.log),
+		tables.Operator:  feed.NewWatcher(tables.Operator, store, newOperatorTableHandler(g), operatorOptions, g.log),
 		tables.Upstreams: g.upstreamWatcher,
 	}
 	group := new(sync.WaitGroup)
@@ -267,7 +267,7 @@
 	return g.upstreamWatcher != nil && g.upstreamWatcher.UnreachableWithin(outageRecoveryWindow)
 }
 
-// storeClock returns the store's monotonic clock; 0 while it is unknown.
+// storeClock returns the current reading of the store's monotonic clock, or 0 while it is unknown.
 func (g *Gateway) storeClock() time.Duration {
 	if g.rollouts.statuses == nil {
 		return 0
--- a/internal/gateway/helpers_test.go
+++ b/internal/gateway/helpers_test.go
@@ -61,7 +61,7 @@
 		t.Fatal(err)
 	}
 	g.routingTable.Store(table)
-	g.rollouts.statuses = feed.NewWatcher("status", store, newStatusRows(g), feed.Options{}, zerolog.Nop())
+	g.rollouts.statuses = feed.NewWatcher("status", store, newStatusTableHandler(g), feed.Options{}, zerolog.Nop())
 	tg := &testGateway{t: t, gateway: g, store: store, client: &http.Client{Transport: &http.Transport{}}}
 	tg.frontend = httptest.NewServer(g)
 	t.Cleanup(func() {
@@ -173,8 +173,8 @@
 	return log
 }
 
-// listUnreachable lists an upstream with an address where nothing listens.
-func (tg *testGateway) listUnreachable(id string) {
+// addUnreachable adds an upstream at an address that refuses connections.
+func (tg *testGateway) addUnreachable(id string) {
 	address, release, err := freeport.RefusingAddress("127.0.0.1")
 	if err != nil {
 		tg.t.Fatal(err)
--- a/internal/gateway/idletimer.go
+++ b/internal/gateway/idletimer.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// pauseFactor times the permitted pause between two events is the time after which a stream is
-// resumed at another upstream. Nothing else detects an upstream that stopped responding for good.
-// The factor is above 1 because overloaded engines exceed the permitted pause, and giving up their
-// streams sooner would add to the load.
+// pauseFactor is a multiple of the permitted pause between two events: a stream that receives no
+// event for that long is resumed at another upstream. Nothing else detects an upstream that stopped
+// responding for good. The factor is above 1 because overloaded engines exceed the permitted pause,
+// and giving up their streams sooner would add to the load.
 const pauseFactor = 1.5
 
 // idleTimer ends an attempt when no data was received from the upstream within a limit, if
-// mayGiveUp returns true. Otherwise it calls mayGiveUp again after the same time, since a retry may
-// be permitted by then.
+// mayGiveUp returns true. If mayGiveUp returns false, the timer waits for the limit again and then
+// repeats the call, since a retry may be permitted by then.
 type idleTimer struct {
 	mayGiveUp func() bool
 	cancel    context.CancelCauseFunc
@@ -53,8 +53,9 @@
 	t.timer.Stop()
 }
 
-// expire is called when the limit has passed. It releases the lock while mayGiveUp runs, since that
-// takes other locks.
+// expire ends the attempt if it still waits for data after the limit and mayGiveUp returns true. If
+// mayGiveUp returns false, expire restarts the timer. It releases the lock while mayGiveUp runs,
+// since mayGiveUp takes other locks.
 func (t *idleTimer) expire() {
 	t.mu.Lock()
 	waiting := t.waiting
--- a/internal/gateway/idletimer_test.go
+++ b/internal/gateway/idletimer_test.go
@@ -69,7 +69,7 @@
 
 // If mayGiveUp returns false at the limit, it is called again after each further limit, and the
 // attempt ends when it returns true.
-func TestIdleTimerAsksAgain(t *testing.T) {
+func TestIdleTimerCallsMayGiveUpAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancelCause(t.Context())
--- a/internal/gateway/incarnation.go
+++ b/internal/gateway/incarnation.go
@@ -17,9 +17,9 @@
 )
 
 // ApplyEntry applies an upstream's entry of the given revision. If the upstream restarted, the
-// state of its former incarnation is dropped: cached prompts, failures and that it was leaving. An
-// entry of a former incarnation that arrives late is ignored. Within an incarnation, an upstream
-// that is leaving stays so.
+// state of its former incarnation is dropped: its cached prompts, its failures and its announcement
+// that it is leaving. An entry of a former incarnation that arrives late is ignored. Within an
+// incarnation, an upstream that is leaving stays so.
 func (f *Fleet) ApplyEntry(u Upstream, revision storage.Revision) {
 	u.internStrings()
 	f.withdrawFromOtherServices(u, revision)
--- a/internal/gateway/incarnation_test.go
+++ b/internal/gateway/incarnation_test.go
@@ -58,7 +58,7 @@
 	m = f.memberOf("svc", "e")
 	is.True(m.inService(now, 0))                                          // it isn't leaving
 	is.Equal(m.inFlight, 0)                                               // it has no requests in flight
-	is.Equal(m.cachedParts(former.criteria.keys), 0)                      // it has nothing cached
+	is.Equal(m.cachedPartCount(former.criteria.keys), 0)                  // it has nothing cached
 	is.Equal(m.currentFailureRate(now), 0.0)                              // it has no failures
 	is.True(!m.ejected(now))                                              // it isn't ejected
 	is.True(m.idHash != exchange.HashID(former.upstream.incarnationID())) // its id in messages between hosts is another one
@@ -69,7 +69,7 @@
 	is.Equal(m.inFlight, 0)
 	is.Equal(m.currentFailureRate(now), 0.0)
 	is.True(!m.ejected(now))
-	is.Equal(m.cachedParts(former.criteria.keys), 0)
+	is.Equal(m.cachedPartCount(former.criteria.keys), 0)
 }
 
 // Work and prefixes that other hosts reported for a former incarnation aren't applied to the new
@@ -85,7 +85,7 @@
 	f.addRemotePrefixes(exchange.SentPrefixes{formerName: keys})
 	m := f.memberOf("svc", "e")
 	is.Equal(m.remainingRemoteWork(time.Now()), time.Duration(0))
-	is.Equal(m.cachedParts(keys), 0)
+	is.Equal(m.cachedPartCount(keys), 0)
 }
 
 func TestLateEntryOfAFormerIncarnation(t *testing.T) {
@@ -139,12 +139,12 @@
 // If the row of an upstream can't be decoded, or lacks the start time that all others have, the
 // upstream is withdrawn. This is logged once for each change of the row, and other upstreams aren't
 // affected.
-func TestEntriesOfAnotherWriter(t *testing.T) {
+func TestUnusableEntriesAreWithdrawn(t *testing.T) {
 	is := is.New(t)
 	var log bytes.Buffer
 	tg := newTestGateway(t, testDocument())
 	tg.gateway.log = zerolog.New(&log)
-	rows := newUpstreamRows(tg.gateway)
+	rows := newUpstreamTableHandler(tg.gateway)
 	any := func(string) bool { return true }
 	good := func(key string, revision storage.Revision) feed.Row {
 		return feed.Row{Key: key, Revision: revision, Data: []byte(`{"Service":"svc","Incarnation":5,"Address":"127.0.0.1:9","Zone":"z1","Version":"v1"}`)}
@@ -173,7 +173,7 @@
 func TestEntriesWithoutStartTime(t *testing.T) {
 	is := is.New(t)
 	tg := newTestGateway(t, testDocument())
-	rows := newUpstreamRows(tg.gateway)
+	rows := newUpstreamTableHandler(tg.gateway)
 	for i, key := range []string{"a", "b", "c"} {
 		rows.Change(feed.Row{Key: key, Revision: storage.Revision(i + 1), Data: []byte(`{"Service":"svc","Address":"127.0.0.1:9"}`)})
 	}
@@ -187,7 +187,7 @@
 	tg := newTestGateway(t, testDocument())
 	ro := tg.gateway.rollouts
 	ro.addOrder(RolloutOrder{Service: "svc", Version: "v2", Duration: time.Minute, Revision: 1}, false)
-	rows := newStatusRows(tg.gateway)
+	rows := newStatusTableHandler(tg.gateway)
 	for _, data := range []string{"{", `{"Service":"other","Version":"v2"}`} {
 		revision := ro.byService["svc"].status.Revision + 3
 		rows.Change(feed.Row{Key: "order/svc", Revision: revision, Data: []byte(data)})
@@ -199,7 +199,7 @@
 func TestOrderUnderAnotherKey(t *testing.T) {
 	is := is.New(t)
 	tg := newTestGateway(t, testDocument())
-	rows := newOperatorRows(tg.gateway)
+	rows := newOperatorTableHandler(tg.gateway)
 	rows.Change(feed.Row{Key: "order/other", Revision: 3, Data: []byte(`{"Service":"svc","Version":"v2"}`)})
 	is.Equal(len(tg.gateway.rollouts.byService), 0)
 	is.Equal(tg.gateway.metrics.unreadableRows("operator").Get(), uint64(1))
--- a/internal/gateway/limit.go
+++ b/internal/gateway/limit.go
@@ -82,7 +82,8 @@
 
 // limitRetryAfter returns the time after which a request to the service that was refused because of
 // rate limits should be retried: the shortest time until a limit permits this host a request, but
-// at most maxLimitRetryAfter, since another host may be permitted one earlier.
+// at most maxLimitRetryAfter, since the retry may reach another host whose part of a limit permits
+// it earlier.
 func (f *Fleet) limitRetryAfter(service string) time.Duration {
 	s := f.shard(service)
 	s.mu.Lock()
@@ -150,8 +151,8 @@
 	m.logLimit(now, log)
 }
 
-// takeLimitUpdates returns the limit updates that have to be reported to the hub since the last
-// call.
+// takeLimitUpdates returns the limit updates since the last call, which have to be reported to the
+// hub.
 func (f *Fleet) takeLimitUpdates() []ratelease.LimitUpdate {
 	var reports []ratelease.LimitUpdate
 	now := boottime.Now()
--- a/internal/gateway/member.go
+++ b/internal/gateway/member.go
@@ -44,7 +44,8 @@
 	// that the entry was removed; zero while the entry exists.
 	revision  storage.Revision
 	removedAt time.Time
-	// listedAt is when the first entry was received, updatedAt when the newest was.
+	// listedAt is when the upstream's first entry was received. updatedAt is when its newest entry
+	// was received.
 	listedAt  time.Time
 	updatedAt time.Time
 	// leaseID identifies the upstream in leases.
@@ -68,10 +69,12 @@
 // the decayed fraction of failed attempts as of failureRateAt.
 type usage struct {
 	// prefills are the prompts from this host whose prefill the engine hasn't finished, oldest
-	// first. lastPrefillEnd is when it last finished the prefill of a prompt from this host.
+	// first. lastPrefillEnd is when the engine last finished the prefill of a prompt from this
+	// host.
 	prefills       []*prefill
 	lastPrefillEnd time.Time
-	// sent counts the most recent requests of this host, to keep the bound for cold upstreams.
+	// sent counts the most recent requests of this host to the upstream, by which the bound for
+	// cold upstreams is enforced.
 	sent ratelease.Window
 
 	// reportedLoad is the number of requests, running and waiting, that the upstream reported at
@@ -210,8 +213,8 @@
 	u.failureRateAt = now
 }
 
-// eject ejects the upstream. The time doubles with each ejection since the last successful attempt,
-// up to 8 times ejectionTime.
+// eject excludes the upstream from requests for ejectionTime. The duration doubles with each
+// ejection since the last successful attempt, up to 8 times ejectionTime.
 func (m *member) eject(now time.Time) {
 	const maxDoublings = 3
 	u := m.ensureUsage()
--- a/internal/gateway/memberindex.go
+++ b/internal/gateway/memberindex.go
@@ -22,8 +22,9 @@
 	fullScanLimit = 16
 	// sameZoneDraws is the number of upstreams that are drawn at random from the host's own
 	// availability zone, otherZoneDraws the number drawn from all zones of its region. A few draws
-	// balance the load best, since the load data is 150 to 450 ms old and an engine processes one
-	// prompt in that time.
+	// balance the load best: the load data is 150 to 450 ms old, and an engine processes one prompt
+	// in that time, so that with many draws the hosts would choose the same upstreams, which are no
+	// longer idle.
 	sameZoneDraws  = 4
 	otherZoneDraws = 3
 	// otherRegionDraws is the number of the otherZoneDraws that are made among the zones of all
@@ -76,9 +77,9 @@
 	member *member
 }
 
-// currentIndex returns the shard's index, after updating it if members changed and the last update
-// was at least indexMaxAge ago. The caller holds the shard's lock.
-func (s *shard) currentIndex(now time.Time) *memberIndex {
+// refreshIndex updates the shard's index if members changed and the last update was at least
+// indexMaxAge ago, and returns the index. The caller holds the shard's lock.
+func (s *shard) refreshIndex(now time.Time) *memberIndex {
 	idx := &s.index
 	if len(idx.added) == 0 && !idx.stale || now.Sub(idx.builtAt) < indexMaxAge {
 		return idx
@@ -156,20 +157,20 @@
 	}
 }
 
-// firstPoint returns the index of the first point at or after the subject, a hash of a prefix; the
-// number of points if there is none.
-func (z *zoneIndex) firstPoint(subject uint64) int {
-	i, _ := slices.BinarySearchFunc(z.ring, subject, func(p ringPoint, at uint64) int { return cmp.Compare(p.at, at) })
+// firstPoint returns the index of the first ring point at or after prefixHash, the hash of a prompt
+// prefix. It returns the number of points if there is none.
+func (z *zoneIndex) firstPoint(prefixHash uint64) int {
+	i, _ := slices.BinarySearchFunc(z.ring, prefixHash, func(p ringPoint, at uint64) int { return cmp.Compare(p.at, at) })
 	return i
 }
 
-// owner returns the first usable member at or after the subject, a hash of a prefix, in the rings
-// of all zones, which are searched as one ring. It returns nil if none of the first maxRingProbes
-// points belongs to a usable member.
-func (zs zoneIndexes) owner(subject uint64, usable func(*member) bool) *member {
+// owner returns the first usable member at or after prefixHash, the hash of a prompt prefix, in the
+// rings of all zones, which are searched as one ring. It returns nil if none of the first
+// maxRingProbes points belongs to a usable member.
+func (zs zoneIndexes) owner(prefixHash uint64, usable func(*member) bool) *member {
 	starts, passed := make([]int, len(zs)), make([]int, len(zs))
 	for i, z := range zs {
-		starts[i] = z.firstPoint(subject)
+		starts[i] = z.firstPoint(prefixHash)
 	}
 	for range maxRingProbes {
 		var nearest *member
@@ -178,10 +179,10 @@
 			if passed[i] == len(z.ring) {
 				continue
 			}
-			// The unsigned subtraction wraps around, so that points before the subject come after
+			// The unsigned subtraction wraps around, so that points before prefixHash come after
 			// all others.
 			p := z.ring[(starts[i]+passed[i])%len(z.ring)]
-			if distance := p.at - subject; zone < 0 || distance < shortest {
+			if distance := p.at - prefixHash; zone < 0 || distance < shortest {
 				nearest, zone, shortest = p.member, i, distance
 			}
 		}
@@ -200,8 +201,8 @@
 type candidateList struct {
 	members []*member
 	// owner is the engine that owns the prompt's shared prefix among all availability zones of the
-	// host's region, zoneOwner the one among the host's own zone. Both are nil if members contains
-	// all upstreams of the service; these are then ranked by hash.
+	// host's region, and zoneOwner is the one that owns it among those of the host's own zone. Both
+	// are nil if members contains all upstreams of the service; these are then ranked by hash.
 	owner, zoneOwner *member
 }
 
@@ -214,10 +215,10 @@
 // sampleCandidates returns a sample of the upstreams that accept the request. The sample can be
 // empty although some upstreams accept the request. The caller holds the shard's lock.
 func (s *shard) sampleCandidates(crit *criteria, now time.Time, grace time.Duration) candidateList {
-	idx := s.currentIndex(now)
+	idx := s.refreshIndex(now)
 	near, region, all := idx.zonesFor(crit, s.topology)
 	usable := func(m *member) bool {
-		return m.removedAt.IsZero() && crit.admitsVersion(m.Version) && !slices.Contains(crit.exclude, m.ID) &&
+		return m.removedAt.IsZero() && crit.admitsVersion(m.Version) && !slices.Contains(crit.excludedIDs, m.ID) &&
 			!m.ejected(now) && m.acceptsRequests(now, grace)
 	}
 	list := candidateList{members: make([]*member, 0, maxCacheHolders+sameZoneDraws+otherZoneDraws+2)}
@@ -234,9 +235,9 @@
 	return list
 }
 
-// zonesFor returns the zones in which the request may run. near is the host's own zone; empty if
-// the request may not run there. region are the zones of the host's region; all zones if none of
-// them is permitted.
+// zonesFor returns the zones in which the request may run. near is the host's own zone. It is empty
+// if the request may not run there. region contains the permitted zones of the host's region, or
+// all permitted zones if there are none in that region.
 func (idx *memberIndex) zonesFor(crit *criteria, t *zoneTopology) (near, region, all zoneIndexes) {
 	all = idx.zones
 	if crit.regions.restricted() {
@@ -287,7 +288,7 @@
 }
 
 // addCacheHolders adds engines that have parts of the prompt cached: those with the longest cached
-// prefix first, and among those with the same prefix in an order that starts at a random one.
+// prefix first. Among engines with the same prefix, it starts at a random one.
 func (s *shard) addCacheHolders(list *candidateList, crit *criteria, usable func(*member) bool) {
 	for i := len(crit.keys) - 1; i >= 0; i-- {
 		holders := s.cachedPrompts.Engines(crit.keys[i])
@@ -306,8 +307,8 @@
 	}
 }
 
-// ownerRank returns the rank of a candidate for the prompt's shared prefix. Owners rank above all
-// others.
+// ownerRank returns the rank of a candidate as an owner of the prompt's shared prefix, which
+// subject identifies. Owners rank above all others.
 func (l *candidateList) ownerRank(m *member, subject string) uint64 {
 	switch {
 	case m == l.owner:
--- a/internal/gateway/memberindex_test.go
+++ b/internal/gateway/memberindex_test.go
@@ -42,7 +42,7 @@
 	is.True(c.candidateCount <= maxCacheHolders+sameZoneDraws+otherZoneDraws+2)
 	again, _ := f.choose(crit)
 	is.Equal(again.upstream.ID, c.upstream.ID) // it has the prefix cached
-	is.Equal(again.cachedParts, 2)
+	is.Equal(again.cachedPartCount, 2)
 }
 
 // Hosts with the same list of upstreams must compute the same owners of a shared prefix and send a
@@ -176,7 +176,7 @@
 	var points []ringPoint
 	s := f.shard("svc")
 	s.index.builtAt = time.Time{}
-	for _, z := range s.currentIndex(time.Now()).zones {
+	for _, z := range s.refreshIndex(time.Now()).zones {
 		points = append(points, z.ring...)
 	}
 	slices.SortFunc(points, func(a, b ringPoint) int { return cmp.Compare(a.at, b.at) })
@@ -247,6 +247,6 @@
 	for i := 0; b.Loop(); i++ {
 		f.ApplyEntry(Upstream{ID: fmt.Sprint("new-", i), Service: "svc", Zone: "z1", Version: "v1", Slots: 32}, 2)
 		now = now.Add(indexMaxAge)
-		s.currentIndex(now)
+		s.refreshIndex(now)
 	}
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -95,7 +95,7 @@
 // countAttempt counts an attempt and its duration.
 func (m *gatewayMetrics) countAttempt(r *Request, result attemptResult, took time.Duration) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`quetzalweir_gateway_attempts_total{service=%q,outcome=%q}`, r.Service, result.outcome)).Inc()
-	if len(result.limit) > 0 {
+	if len(result.limitHeaders) > 0 {
 		m.set.GetOrCreateCounter(fmt.Sprintf(`quetzalweir_gateway_limits_named_total{service=%q}`, r.Service)).Inc()
 	}
 	m.set.GetOrCreateHistogram(fmt.Sprintf(`quetzalweir_gateway_attempt_seconds{service=%q}`, r.Service)).Update(took.Seconds())
--- a/internal/gateway/models_test.go
+++ b/internal/gateway/models_test.go
@@ -79,7 +79,7 @@
 	is.True(m.load(now.Add(time.Minute)) >= 15)
 }
 
-func TestEjectedUpstreamIsTriedAgain(t *testing.T) {
+func TestEjectedUpstreamGetsRequestsAgain(t *testing.T) {
 	is := is.New(t)
 	m := &member{shard: &shard{}}
 	now := time.Now()
--- a/internal/gateway/notreached_test.go
+++ b/internal/gateway/notreached_test.go
@@ -27,7 +27,7 @@
 			is := is.New(t)
 			tg := newTestGateway(t, testDocument()) // MaxAttempts is 3
 			for i := range maxNotReached {
-				tg.listUnreachable("gone-" + strconv.Itoa(i))
+				tg.addUnreachable("gone-" + strconv.Itoa(i))
 			}
 			tg.startUpstreamOf(Upstream{ID: "there", Zone: "z2", Version: "v1"}, respondOK("ok"))
 			got := tg.do(tg.newRequest("POST", "/"+route+"/x", "body"))
@@ -43,7 +43,7 @@
 	is := is.New(t)
 	tg := newTestGateway(t, testDocument())
 	for i := range 40 {
-		tg.listUnreachable("gone-" + strconv.Itoa(i))
+		tg.addUnreachable("gone-" + strconv.Itoa(i))
 	}
 	got := tg.do(tg.newRequest("POST", "/once/x", "body"))
 	is.Equal(got.status, http.StatusServiceUnavailable)
@@ -59,7 +59,7 @@
 
 // After one attempt that found another upstream at the address of the chosen one, other requests
 // must not be sent there.
-func TestUpstreamThatWasReplacedIsTriedOnce(t *testing.T) {
+func TestReplacedUpstreamGetsOneAttempt(t *testing.T) {
 	is := is.New(t)
 	tg := newTestGateway(t, testDocument())
 	former := tg.startUpstream("former", respondStatus(http.StatusMisdirectedRequest))
@@ -109,7 +109,7 @@
 
 // An upstream that restarted, or whose address changed, is replaced by the next upstream that is
 // listed with its current address, but not by one with its former address.
-func TestUpstreamThatMoved(t *testing.T) {
+func TestUpstreamThatChangedItsAddress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		fleet := NewFleet(time.Second, zerolog.Nop())
@@ -131,9 +131,9 @@
 	})
 }
 
-// BenchmarkSetEntries measures how long a host takes to apply the entries of 3,000 upstreams. In an
-// installation of 301 hosts that all restart, each host does so at the same time, on a fifth of a
-// core.
+// BenchmarkSetEntries measures how long a host takes to apply the entries of 3,000 upstreams. When
+// all 301 hosts of an installation restart, they all apply the entries at the same time, each host
+// on a fifth of a core.
 func BenchmarkSetEntries(b *testing.B) {
 	const upstreams = 3000
 	entries := make([]Upstream, upstreams)
--- a/internal/gateway/operatorrows.go
+++ b/internal/gateway/operatorrows.go
@@ -10,15 +10,15 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// operatorRows applies the operators' table.
-type operatorRows struct {
+// operatorTableHandler applies the rows of the operators' table.
+type operatorTableHandler struct {
 	gateway     *Gateway
 	unreadable  unreadableRows
 	evacuations *evacuations
 }
 
-func newOperatorRows(g *Gateway) *operatorRows {
-	return &operatorRows{
+func newOperatorTableHandler(g *Gateway) *operatorTableHandler {
+	return &operatorTableHandler{
 		gateway: g, unreadable: newUnreadableRows(g, g.settings.Tables.Operator),
 		evacuations: newEvacuations(g.settings.Tables.EvacuationsPrefix, g.fleet),
 	}
@@ -27,7 +27,7 @@
 // Replace implements feed.Handler. If the row of the document was removed, the document stays in
 // force, since operators replace documents and don't withdraw them. If the row of an evacuation was
 // removed, the evacuation ends, unless the store was restored from a backup that lacks the row.
-func (h *operatorRows) Replace(rows []feed.Row, revision storage.Revision) {
+func (h *operatorTableHandler) Replace(rows []feed.Row, revision storage.Revision) {
 	h.evacuations.replace(rows, revision)
 	for _, row := range rows {
 		h.apply(row, true)
@@ -35,7 +35,7 @@
 }
 
 // Change implements feed.Handler.
-func (h *operatorRows) Change(row feed.Row) {
+func (h *operatorTableHandler) Change(row feed.Row) {
 	if !h.evacuations.change(row) {
 		h.apply(row, false)
 	}
@@ -43,7 +43,7 @@
 
 // apply applies the row of a document or an order. listed is set if the row was received with the
 // whole table.
-func (h *operatorRows) apply(row feed.Row, listed bool) {
+func (h *operatorTableHandler) apply(row feed.Row, listed bool) {
 	g := h.gateway
 	tables := &g.settings.Tables
 	switch {
@@ -57,7 +57,7 @@
 
 // recordResult records whether a row could be applied: err is nil if so. If not, the previous
 // content of the row stays in force.
-func (h *operatorRows) recordResult(row feed.Row, err error) {
+func (h *operatorTableHandler) recordResult(row feed.Row, err error) {
 	if err != nil {
 		h.unreadable.report(row, err)
 		return
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -40,7 +40,7 @@
 		Random:     rand.Float64(),
 	}, candidates)
 	picked := &candidates[c.placement.Index]
-	c.workAhead, c.cachedParts = picked.QueuedWork, picked.CachedParts
+	c.workAhead, c.cachedPartCount = picked.QueuedWork, picked.CachedParts
 	return list.members[c.placement.Index]
 }
 
@@ -75,9 +75,9 @@
 // timingsKey returns the key of a model of a service in messages between hosts.
 func timingsKey(service, model string) exchange.IDHash { return exchange.HashID(service + "/" + model) }
 
-// queueStats holds decayed means over the prompts of a service, in nanoseconds: queued is the time
-// for which a prompt is queued at its engine, prefill the time that the engine needs for its
-// prefill.
+// queueStats holds decayed means over the prompts of a service, in nanoseconds: queued is the mean
+// time for which a prompt is queued at its engine, and prefill is the mean time that the engine
+// needs for its prefill.
 type queueStats struct {
 	queued  float64
 	prefill float64
@@ -86,8 +86,8 @@
 // queueStatsGain is the weight of a new answer in the means of queueStats.
 const queueStatsGain = 0.03
 
-// observe records the time to an answer's head. prefillTime is the part of it that the engine
-// needed, by estimate, without queueing.
+// observe records the time from sending a prompt to its answer's head. prefillTime is the estimated
+// part of that time in which the engine processed the prompt. The rest counts as queueing.
 func (q *queueStats) observe(took, prefillTime time.Duration) {
 	q.queued += queueStatsGain * (float64(max(0, took-prefillTime)) - q.queued)
 	q.prefill += queueStatsGain * (float64(prefillTime) - q.prefill)
@@ -108,7 +108,7 @@
 	for i, m := range list.members {
 		c := &candidates[i]
 		c.QueuedWork = m.workAhead(crit.priority, now)
-		c.CachedParts = m.cachedParts(crit.keys)
+		c.CachedParts = m.cachedPartCount(crit.keys)
 		c.OwnerRank = list.ownerRank(m, subject)
 		c.OtherZone = m.Zone != crit.zone
 		c.OtherRegion = !s.topology.sameRegion(m.Zone)
--- a/internal/gateway/promptsizes.go
+++ b/internal/gateway/promptsizes.go
@@ -14,7 +14,8 @@
 }
 
 // observe records the size of a prompt and returns the mean size of the route's prompts divided by
-// that of the service's prompts; 1 before the first prompt.
+// that of the service's prompts. It returns 1 while the service's mean is 0, which means that no
+// prompt with a known size was observed.
 func (p *promptSizes) observe(route string, tokens int) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -29,8 +30,8 @@
 	return p.routeMeans[route] / p.serviceMean
 }
 
-// movingMean returns the decayed mean after another value. A mean of 0 means that there was no
-// value.
+// movingMean returns the decayed mean updated with the value. A mean of 0 means that no value was
+// observed yet; the result is then the value itself.
 func movingMean(mean float64, value int) float64 {
 	if mean == 0 {
 		return float64(value)
--- a/internal/gateway/regions_test.go
+++ b/internal/gateway/regions_test.go
@@ -187,7 +187,7 @@
 
 // A request that may run in any region runs in the region of its host while that has upstreams in
 // service.
-func TestOwnRegionComesFirst(t *testing.T) {
+func TestOwnRegionIsPreferred(t *testing.T) {
 	is := is.New(t)
 	f := NewFleet(time.Second, newTestGateway(t, testDocument()).gateway.log)
 	f.topology = zoneTopology{zone: "z1", regions: map[string]string{"z0": "south", "z1": "south", "z2": "north", "z3": "north"}}
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -50,12 +50,12 @@
 	answer *answerWriter
 	// runState is the highest run state of all attempts.
 	runState runstate.Tracker
-	// attempts is the number of attempts, notReached the number of those that didn't reach the
+	// attempts is the number of attempts. notReached is the number of those that didn't reach the
 	// chosen upstream.
 	attempts   int
 	notReached int
-	// tried are the ids of the upstreams that were tried.
-	tried []string
+	// triedIDs are the ids of the upstreams that were chosen for attempts of the request.
+	triedIDs []string
 	// model is the model that the gateway chose for the request; empty if the caller chose it and
 	// for plain services.
 	model string
--- a/internal/gateway/responsetime.go
+++ b/internal/gateway/responsetime.go
@@ -8,28 +8,28 @@
 const (
 	// meanTimeGain is the weight of a new time in a mean.
 	meanTimeGain = 0.05
-	// timeoutFactor times the mean response time is how long an attempt waits for an answer's head
-	// before the request is sent to another upstream. In a service that queues requests, one answer
-	// in a hundred takes that long.
+	// timeoutFactor is the head timeout as a multiple of the mean response time. The head timeout
+	// is how long an attempt waits for an answer's head before the request is sent to another
+	// upstream. In a service that queues requests, one answer in a hundred takes that long.
 	timeoutFactor = 4
-	// minHeadTimeout is the lower bound of that timeout, as a fraction of the route's target, since
-	// the times of ordinary answers vary by that much. There is no upper bound: where all upstreams
-	// are slow because of load, giving up attempts would add to the load.
+	// minHeadTimeout is the lower bound of the head timeout, as a fraction of the route's target,
+	// since the times of ordinary answers vary by that much. There is no upper bound: where all
+	// upstreams are slow because of load, giving up attempts would add to the load.
 	minHeadTimeout = 0.4
-	// initialHeadTimeout is the timeout while no mean response time is known, as a fraction of the
-	// target. The rest of the target is left for an attempt at another upstream.
+	// initialHeadTimeout is the head timeout while no mean response time is known, as a fraction of
+	// the target. The rest of the target is left for an attempt at another upstream.
 	initialHeadTimeout = 0.7
 	// expectedFactor times the time that was expected for the prompt is another lower bound of the
-	// timeout. The prefill of a long prompt takes longer than the mean, and after giving it up the
-	// prefill would begin again at another engine.
+	// head timeout. The prefill of a long prompt takes longer than the mean, and if the attempt
+	// were given up, the prefill would begin again at another engine.
 	expectedFactor = 3
 	// defaultTarget is the target of routes that declare none.
 	defaultTarget = time.Second
 )
 
-// meanTime is a decayed mean of times: those to the first byte of answers, or the longest pauses of
-// streams. An attempt that was given up is included with the time until then, so that the mean
-// rises if all upstreams are slow.
+// meanTime is a decayed mean of durations: the times to the first byte of answers, or the longest
+// pauses of streams. An attempt that was given up contributes the time for which it waited, so that
+// the mean rises if all upstreams are slow.
 type meanTime struct {
 	mu   sync.Mutex
 	mean time.Duration
@@ -45,8 +45,8 @@
 	t.mean += time.Duration(meanTimeGain * float64(took-t.mean))
 }
 
-// observeTimeout records an attempt that was given up after the given time. It is ignored before
-// the first answer, since it doesn't show how long answers take.
+// observeTimeout records an attempt that was given up after the given time. It does nothing before
+// the first answer was observed, since a timeout alone doesn't show how long answers take.
 func (t *meanTime) observeTimeout(waited time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/gateway/restore.go
+++ b/internal/gateway/restore.go
@@ -40,9 +40,9 @@
 }
 
 // adoptReissuedOrder reports whether an order must not begin a new roll-out because the store was
-// restored from a backup within restoreGrace. That is so if operators wrote the current order
-// again, whose roll-out then continues under the order's new revision, and if the order is an
-// earlier one that the backup contains.
+// restored from a backup within restoreGrace. It returns true in two cases: operators wrote the
+// current order again, and its roll-out then continues under the order's new revision; or the order
+// is an earlier one that the backup contains.
 func (ro *rollouts) adoptReissuedOrder(current *serviceRollout, o RolloutOrder, listed bool) bool {
 	current.era.observe(o.Revision)
 	if !current.era.inRestoreGrace() {
--- a/internal/gateway/restore_test.go
+++ b/internal/gateway/restore_test.go
@@ -143,7 +143,7 @@
 func TestUpstreamsAfterRestore(t *testing.T) {
 	is := is.New(t)
 	tg := newTestGateway(t, testDocument())
-	rows := newUpstreamRows(tg.gateway)
+	rows := newUpstreamTableHandler(tg.gateway)
 	row := func(id, sequence string, revision storage.Revision) feed.Row {
 		return feed.Row{Key: id, Revision: revision, Data: []byte(`{"Service":"svc","Address":"127.0.0.1:9","Zone":"z1","Version":"v1","Slots":8,"Sequence":` + sequence + `}`)}
 	}
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -74,8 +74,8 @@
 	// receivedAt is when this host received the order.
 	receivedAt time.Time
 	evidence   evidence
-	// inconclusive is set if the roll-out could be completed by its time and the evidence doesn't
-	// suffice for that.
+	// inconclusive is set if enough of the roll-out's duration has passed to complete it, but the
+	// evidence doesn't suffice for that.
 	inconclusive bool
 	// writing is set while this host writes a status and during the pause after the write. writeAt
 	// is when this host is to write the status that is due; zero if none is due.
--- a/internal/gateway/rollouts_test.go
+++ b/internal/gateway/rollouts_test.go
@@ -220,8 +220,8 @@
 	eventually(t, "stopped everywhere", func() bool { return h.share(false) == 0 })
 }
 
-// While a host can't receive whether other hosts stopped the version, it doesn't raise the
-// version's share. It does so once the store is available again.
+// While a host can't receive the statuses that show whether other hosts stopped the version, it
+// doesn't raise the version's share. It raises the share once the store is available again.
 func TestShareIsKeptWhileTheStoreIsUnavailable(t *testing.T) {
 	is := is.New(t)
 	h := newRolloutHosts(t, 1)
@@ -355,7 +355,7 @@
 func TestOlderDocumentIsIgnored(t *testing.T) {
 	is := is.New(t)
 	tg := newTestGateway(t, testDocument())
-	rows := newOperatorRows(tg.gateway)
+	rows := newOperatorTableHandler(tg.gateway)
 	store := newFakeStore()
 	doc := testDocument()
 	doc.Version = 6
--- a/internal/gateway/rolloutstatus.go
+++ b/internal/gateway/rolloutstatus.go
@@ -75,8 +75,8 @@
 
 // writeDelay returns the time until this host should write a status that is due. Hosts with
 // followers are few and receive each other's writes first, so they write first. A follower waits
-// until a status that its hub wrote should have reached it. Without this order, 195 hosts wrote the
-// first status of a roll-out 92 times within a second.
+// until a status that its hub wrote should have reached it. When all hosts wrote without such
+// delays, 195 hosts wrote the first status of a roll-out 92 times within a second.
 func (ro *rollouts) writeDelay(next RolloutState) time.Duration {
 	final := next != RolloutRunning
 	switch {
--- a/internal/gateway/rolloutstatus_test.go
+++ b/internal/gateway/rolloutstatus_test.go
@@ -52,7 +52,7 @@
 }
 
 // A host whose writes the store refuses waits longer after each attempt.
-func TestWritesThatFailArePaced(t *testing.T) {
+func TestPauseGrowsWithFailedWrites(t *testing.T) {
 	is := is.New(t)
 	ro, sr := &rollouts{}, &serviceRollout{}
 	sum := time.Duration(0)
--- a/internal/gateway/scale_test.go
+++ b/internal/gateway/scale_test.go
@@ -62,8 +62,8 @@
 // memory that doesn't grow with the number of upstreams.
 const maxUpstreamBytes = 32 << 20 / 4 / 12_000
 
-// Guards against records of upstreams that are too large: with 10,000 engines, hosts once used 57
-// MB, which made memory their scarcest resource.
+// The records of upstreams must stay small: with 10,000 engines, hosts once used 57 MB, which made
+// memory their scarcest resource.
 func TestMemoryOfAnUpstream(t *testing.T) {
 	if testing.CoverMode() != "" || underRace {
 		t.Skip("the instrumentation distorts the heap size")
@@ -76,7 +76,7 @@
 	for i, row := range rows {
 		f.ApplyEntry(decodeEntry(t, row), storage.Revision(i+1))
 	}
-	f.shard("svc").currentIndex(boottime.Now().Add(indexMaxAge))
+	f.shard("svc").refreshIndex(boottime.Now().Add(indexMaxAge))
 	bytesPerUpstream := int(heapInUse()-before) / upstreams
 	t.Logf("%d B per upstream", bytesPerUpstream)
 	is.True(bytesPerUpstream <= maxUpstreamBytes)
@@ -162,7 +162,7 @@
 		decoded++
 		return decode(id, data)
 	}
-	rows := newUpstreamRows(tg.gateway)
+	rows := newUpstreamTableHandler(tg.gateway)
 	table := make([]feed.Row, 100)
 	for i := range table {
 		table[i] = feed.Row{Key: fmt.Sprint("i-", i), Revision: storage.Revision(i + 1), Data: []byte(`{"Service":"svc","Incarnation":5,"Address":"127.0.0.1:9"}`)}
--- a/internal/gateway/sendpolicy.go
+++ b/internal/gateway/sendpolicy.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// LeaseGrants returns a grant for each upstream in service that is cold or rate-limited. Each
-// consists of all parts that one root hub grants if there is the given number of root hubs.
+// LeaseGrants returns a grant for each upstream in service that is cold or rate-limited. Each grant
+// consists of all parts that a single root hub grants if there is the given number of root hubs.
 func (f *Fleet) LeaseGrants(roots int) []ratelease.Grant {
 	var grants []ratelease.Grant
 	now := boottime.Now()
--- a/internal/gateway/start_memory_test.go
+++ b/internal/gateway/start_memory_test.go
@@ -66,7 +66,7 @@
 	store := &pagedStore{pages: make(chan []feed.Row)}
 	options := feed.Options{Relays: func() bool { return true }, BatchDelay: time.Millisecond}
 	hub := feed.NewWatcher("upstreams", store, discardRows{}, options, zerolog.Nop())
-	host := feed.NewWatcher("upstreams", emptyStore{}, newUpstreamRows(tg.gateway), feed.Options{FirstUpdateWait: 5 * time.Second}, zerolog.Nop())
+	host := feed.NewWatcher("upstreams", emptyStore{}, newUpstreamTableHandler(tg.gateway), feed.Options{FirstUpdateWait: 5 * time.Second}, zerolog.Nop())
 	var running sync.WaitGroup
 	ctx, stop := context.WithCancel(t.Context())
 	running.Go(func() { hub.Run(ctx) })
--- a/internal/gateway/statusrows.go
+++ b/internal/gateway/statusrows.go
@@ -8,20 +8,21 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// statusRows applies the table of statuses.
-type statusRows struct {
+// statusTableHandler applies the rows of the status table: the statuses of roll-outs and the
+// quarantine verdicts.
+type statusTableHandler struct {
 	gateway    *Gateway
 	unreadable unreadableRows
 	era        eraTracker
 }
 
-func newStatusRows(g *Gateway) *statusRows {
-	return &statusRows{gateway: g, unreadable: newUnreadableRows(g, g.settings.Tables.Status)}
+func newStatusTableHandler(g *Gateway) *statusTableHandler {
+	return &statusTableHandler{gateway: g, unreadable: newUnreadableRows(g, g.settings.Tables.Status)}
 }
 
-// Replace implements feed.Handler. After a restore of the store from a backup, hosts write the rows
-// again that the backup lacks.
-func (h *statusRows) Replace(rows []feed.Row, revision storage.Revision) {
+// Replace implements feed.Handler. After a restore of the store from a backup, it marks this host's
+// statuses and verdicts to be written again, since the backup may lack them.
+func (h *statusTableHandler) Replace(rows []feed.Row, revision storage.Revision) {
 	if h.era.observe(revision) {
 		h.gateway.rollouts.resetStoredStatuses()
 		h.gateway.guard.MarkRowsUnsaved()
@@ -35,7 +36,7 @@
 }
 
 // applyVerdict applies the row of a quarantine verdict. A row that can't be decoded is ignored.
-func (h *statusRows) applyVerdict(row feed.Row) {
+func (h *statusTableHandler) applyVerdict(row feed.Row) {
 	var err error
 	if row.Deleted {
 		err = h.gateway.guard.ApplyRowRemoval(row.Key)
@@ -51,7 +52,7 @@
 
 // Change implements feed.Handler. If a status can't be decoded, its revision is still applied,
 // since writes are conditional on it and no host could replace the row without it.
-func (h *statusRows) Change(row feed.Row) {
+func (h *statusTableHandler) Change(row feed.Row) {
 	g := h.gateway
 	if strings.HasPrefix(row.Key, g.settings.Tables.VerdictsPrefix) {
 		h.applyVerdict(row)
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -96,7 +96,7 @@
 	is.Equal(req.Header.Get("T-Last-Event"), "7")
 }
 
-func TestLowConfidenceTriesTheBestModel(t *testing.T) {
+func TestBestModelAnswersAfterLowConfidence(t *testing.T) {
 	answerBy := func(text string) http.HandlerFunc {
 		return func(w http.ResponseWriter, req *http.Request) {
 			confidence := text
@@ -154,7 +154,7 @@
 	is.Equal(log.count(), 1)
 }
 
-func TestNamedModelIsKept(t *testing.T) {
+func TestModelNamedByTheCallerIsKept(t *testing.T) {
 	is := is.New(t)
 	tg := newTestGateway(t, testDocument())
 	log := tg.startUpstream("a", streamEvents(1, 1, false, "T-Confidence", "1"))
--- a/internal/gateway/upstreamrows.go
+++ b/internal/gateway/upstreamrows.go
@@ -7,21 +7,21 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// upstreamRows applies the table of the upstreams' entries.
-type upstreamRows struct {
+// upstreamTableHandler applies the rows of the upstreams' table, which contain their entries.
+type upstreamTableHandler struct {
 	gateway    *Gateway
 	unreadable unreadableRows
 	era        eraTracker
 }
 
-func newUpstreamRows(g *Gateway) *upstreamRows {
-	return &upstreamRows{gateway: g, unreadable: newUnreadableRows(g, g.settings.Tables.Upstreams)}
+func newUpstreamTableHandler(g *Gateway) *upstreamTableHandler {
+	return &upstreamTableHandler{gateway: g, unreadable: newUnreadableRows(g, g.settings.Tables.Upstreams)}
 }
 
 // Replace implements feed.Handler. After a restore of the store from a backup, upstreams whose
 // entries the backup lacks write them again, so missing entries count as expired because of an
 // outage.
-func (h *upstreamRows) Replace(rows []feed.Row, revision storage.Revision) {
+func (h *upstreamTableHandler) Replace(rows []feed.Row, revision storage.Revision) {
 	expiredInOutage := h.era.observe(revision) || h.era.inRestoreGrace() || h.gateway.storeRecentlyRecovered()
 	keys := make(map[string]bool, len(rows))
 	entries := make([]entry, 0, len(rows))
@@ -54,7 +54,7 @@
 }
 
 // Change implements feed.Handler.
-func (h *upstreamRows) Change(row feed.Row) {
+func (h *upstreamTableHandler) Change(row feed.Row) {
 	if row.Deleted {
 		h.unreadable.clear(row.Key)
 		h.gateway.fleet.RemoveEntry(row.Key, row.Revision, h.gateway.storeRecentlyRecovered())
@@ -66,7 +66,7 @@
 }
 
 // decode decodes the row of an upstream. If it can't be decoded, the upstream is withdrawn.
-func (h *upstreamRows) decode(row feed.Row) (Upstream, bool) {
+func (h *upstreamTableHandler) decode(row feed.Row) (Upstream, bool) {
 	u, err := h.gateway.settings.Codec.Upstream(row.Key, row.Data)
 	if err != nil {
 		h.reject(row, err)
@@ -81,7 +81,7 @@
 
 // set applies an entry. Where most upstreams have a start time, it rejects an entry without one,
 // which something other than an upstream must have written.
-func (h *upstreamRows) set(e entry, mostHaveStart bool) {
+func (h *upstreamTableHandler) set(e entry, mostHaveStart bool) {
 	if mostHaveStart && e.upstream.Incarnation == 0 {
 		h.reject(e.row, errNoStart)
 		return
@@ -90,7 +90,7 @@
 	h.gateway.fleet.ApplyEntry(e.upstream, e.row.Revision)
 }
 
-func (h *upstreamRows) reject(row feed.Row, err error) {
+func (h *upstreamTableHandler) reject(row feed.Row, err error) {
 	h.unreadable.report(row, err)
 	h.gateway.fleet.WithdrawUpstream(row.Key, row.Revision)
 }
--- a/internal/gateway/work.go
+++ b/internal/gateway/work.go
@@ -26,7 +26,7 @@
 )
 
 // prefill is a prompt that was sent to an engine whose answer hasn't begun. work is the estimated
-// time that the engine needs for the prefill, priority the priority that was sent to the engine.
+// time that the engine needs for the prefill. priority is the priority that was sent to the engine.
 type prefill struct {
 	work     time.Duration
 	priority int
@@ -59,7 +59,7 @@
 	if c.prefill != nil {
 		// The answer never began, so the prompt may not be cached.
 		m.removePrefill(c)
-		m.shard.cachedPrompts.Remove(m, c.criteria.keys[c.cachedParts:]...)
+		m.shard.cachedPrompts.Remove(m, c.criteria.keys[c.cachedPartCount:]...)
 	}
 }
 
@@ -208,14 +208,14 @@
 func (m *member) recordCached(c *choice) {
 	crit := &c.criteria
 	m.shard.cachedPrompts.Add(m, crit.keys...)
-	if shared := crit.prompt.SharedParts; c.cachedParts < shared {
+	if shared := crit.prompt.SharedParts; c.cachedPartCount < shared {
 		m.shard.sentPrefixes[m.idHash] = append(m.shard.sentPrefixes[m.idHash], crit.keys[shared-1])
 	}
 }
 
-// cachedParts returns the number of leading parts, of the prompt with the keys, that the engine has
-// cached.
-func (m *member) cachedParts(keys []placement.PrefixKey) int {
+// cachedPartCount returns the number of a prompt's leading parts that the engine has cached. keys
+// are the keys of the prompt's prefixes, the shortest first.
+func (m *member) cachedPartCount(keys []placement.PrefixKey) int {
 	return m.shard.cachedPrompts.CachedParts(m, keys)
 }
 
--- a/internal/gateway/work_test.go
+++ b/internal/gateway/work_test.go
@@ -25,9 +25,9 @@
 
 // unsharedPromptCriteria returns the criteria of a request whose prompt has the given number of
 // tokens and no shared part.
-func unsharedPromptCriteria(tokens int, exclude ...string) criteria {
+func unsharedPromptCriteria(tokens int, excludedIDs ...string) criteria {
 	return criteria{
-		service: "svc", zone: "z1", admitsVersion: anyVersion, exclude: exclude, model: "m", priority: 5,
+		service: "svc", zone: "z1", admitsVersion: anyVersion, excludedIDs: excludedIDs, model: "m", priority: 5,
 		prompt: &placement.Prompt{Tokens: tokens},
 	}
 }
@@ -80,9 +80,9 @@
 	crit.prompt = &placement.Prompt{Tokens: 10_000, SharedParts: 1, Parts: []placement.Part{{ID: "p", Tokens: 9_000}, {ID: "q", Tokens: 1_000}}}
 	crit.keys = placement.PrefixKeys(crit.model, crit.prompt)
 	c, _ := f.choose(crit)
-	is.Equal(f.shard("svc").members["b"].cachedParts(crit.keys), 2)
+	is.Equal(f.shard("svc").members["b"].cachedPartCount(crit.keys), 2)
 	f.release(c, attemptResult{outcome: outcomeUnknown})
-	is.Equal(f.shard("svc").members["b"].cachedParts(crit.keys), 0)
+	is.Equal(f.shard("svc").members["b"].cachedPartCount(crit.keys), 0)
 	is.Equal(f.shard("svc").members["b"].workAhead(9, time.Now()), time.Duration(0))
 }
 
@@ -98,7 +98,7 @@
 }
 
 // A host records which shared prefixes engines have cached because of other hosts' requests.
-func TestRemotePrefixesAreKnown(t *testing.T) {
+func TestRemotePrefixesAreRecorded(t *testing.T) {
 	is := is.New(t)
 	prompt := &placement.Prompt{Tokens: 10_000, SharedParts: 1, Parts: []placement.Part{{ID: "p", Tokens: 9_000}, {ID: "q", Tokens: 1_000}}}
 	crit := unsharedPromptCriteria(0)
@@ -107,7 +107,7 @@
 	c, _ := one.choose(crit)
 	other.addRemotePrefixes(one.takeSentPrefixes())
 	is.Equal(len(one.takeSentPrefixes()), 0) // reported once
-	is.Equal(other.shard("svc").members[c.upstream.ID].cachedParts(crit.keys), 1)
+	is.Equal(other.shard("svc").members[c.upstream.ID].cachedPartCount(crit.keys), 1)
 	again, _ := other.choose(crit)
 	is.Equal(again.upstream.ID, c.upstream.ID)
 	is.Equal(again.placement.UncachedTokens, 1_000)
