--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -12,8 +12,8 @@
 	writer  http.ResponseWriter
 	request *http.Request
 	control *http.ResponseController
-	// closing is set if the connection to the caller is closed after this answer.
-	closing bool
+	// closesConnection is set if the connection to the caller is closed after this answer.
+	closesConnection bool
 
 	// started is set when the caller may have received a byte of the answer.
 	started bool
@@ -30,13 +30,13 @@
 // callerWriteTimeout bounds the time for writing an event to a caller that doesn't read.
 const callerWriteTimeout = 10 * time.Second
 
-func newAnswerWriter(w http.ResponseWriter, req *http.Request, closing bool, lastEventID string) *answerWriter {
+func newAnswerWriter(w http.ResponseWriter, req *http.Request, closesConnection bool, lastEventID string) *answerWriter {
 	return &answerWriter{
-		writer:      w,
-		request:     req,
-		control:     http.NewResponseController(w),
-		closing:     closing,
-		lastEventID: lastEventID,
+		writer:           w,
+		request:          req,
+		control:          http.NewResponseController(w),
+		closesConnection: closesConnection,
+		lastEventID:      lastEventID,
 	}
 }
 
@@ -60,7 +60,7 @@
 	if _, ok := out["Content-Type"]; !ok {
 		out["Content-Type"] = nil // disables content sniffing by the server library
 	}
-	if w.closing {
+	if w.closesConnection {
 		out.Set("Connection", "close")
 	}
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -112,8 +112,8 @@
 		Header:        names.forUpstream(r.Header),
 		ContentLength: int64(len(r.Body)),
 	}).WithContext(ctx)
-	// Without GetBody the transport can't send a body again on its own. If it sends a request
-	// without a body again, the sealed call refuses the second write.
+	// The transport can't send a body a second time, since GetBody isn't set. If it sends a request
+	// without a body a second time, sealedCall makes the second write fail.
 	req.Body = io.NopCloser(bytes.NewReader(r.Body))
 	if len(r.Body) == 0 {
 		req.Body = http.NoBody
--- a/internal/gateway/dispatch.go
+++ b/internal/gateway/dispatch.go
@@ -67,7 +67,7 @@
 	for {
 		previous := result
 		var err error
-		result, err = d.tryOnce(ctx, r, models)
+		result, err = d.makeAttempt(ctx, r, models)
 		switch {
 		case err != nil && r.attempts > 0 && errors.Is(err, errNoneAvailable):
 			return d.finalAnswer(ctx, r, previous) // the answer of the previous attempt, if it had one
@@ -86,9 +86,9 @@
 	}
 }
 
-// tryOnce makes one attempt, at the most suitable upstream. It returns an error if no attempt was
-// made.
-func (d *dispatch) tryOnce(ctx context.Context, r *Request, models *modelSequence) (attemptResult, error) {
+// makeAttempt makes one attempt, at the most suitable upstream. It returns an error if no attempt
+// was made.
+func (d *dispatch) makeAttempt(ctx context.Context, r *Request, models *modelSequence) (attemptResult, error) {
 	if err := d.admit(ctx, r); err != nil {
 		return attemptResult{}, err
 	}
@@ -234,7 +234,7 @@
 }
 
 // acceptHead reports whether an answer with this head is passed on to the caller. If it returns
-// false, the request is to run on the next model.
+// false, it has charged the retry budget, and the request is to run on the next model.
 func (d *dispatch) acceptHead(r *Request, a *attempt, models *modelSequence, head attemptResult) bool {
 	if r.answer.started || head.confidence < 0 || models.atLast() || !r.attemptsLeft() {
 		return true
@@ -254,8 +254,8 @@
 }
 
 // shouldRetry reports whether another attempt is permitted: the request didn't run or may be
-// repeated, and the attempts, the time and the retry budget aren't used up. If needed, it charges
-// the retry budget.
+// repeated, and the permitted attempts, the time until the deadline and the retry budget aren't
+// used up. It charges the retry budget unless the attempt was charged already or sent nothing.
 func (d *dispatch) shouldRetry(ctx context.Context, r *Request, result attemptResult) bool {
 	if ctx.Err() != nil || !r.attemptsLeft() {
 		return false
--- a/internal/gateway/dispatch_test.go
+++ b/internal/gateway/dispatch_test.go
@@ -32,11 +32,11 @@
 // gets the first attempt, while another upstream is healthy.
 func TestFaultsOfOneUpstream(t *testing.T) {
 	tests := []struct {
-		desc   string
-		fault  http.HandlerFunc
-		once   int // the status that the caller gets on a route whose requests must not run twice
-		many   int // the status on a route whose requests may be repeated
-		unsent bool
+		desc             string
+		fault            http.HandlerFunc
+		statusOnce       int // the status that the caller gets on a route whose requests must not run twice
+		statusRepeatable int // the status on a route whose requests may be repeated
+		unsent           bool
 	}{
 		{"refused as not run", respondNotRun, 200, 200, false},
 		{"wrong instance", respondStatus(http.StatusMisdirectedRequest), 200, 200, false},
@@ -51,7 +51,7 @@
 		{"unreachable", nil, 200, 200, true},
 	}
 	for _, test := range tests {
-		for route, want := range map[string]int{"once": test.once, "many": test.many} {
+		for route, want := range map[string]int{"once": test.statusOnce, "many": test.statusRepeatable} {
 			t.Run(test.desc+", "+route, func(t *testing.T) {
 				is := is.New(t)
 				tg := newTestGateway(t, testDocument())
--- a/internal/gateway/evacuate.go
+++ b/internal/gateway/evacuate.go
@@ -53,7 +53,7 @@
 		}
 	}
 	e.zones = listed
-	e.apply(revision)
+	e.applyToFleet(revision)
 }
 
 // endRestoreGrace ends the evacuations whose rows weren't written again after the restore.
@@ -65,7 +65,7 @@
 			delete(e.zones, zone)
 		}
 	}
-	e.apply(e.era.newest)
+	e.applyToFleet(e.era.newest)
 }
 
 // change applies a changed row. It reports whether it is the row of an evacuation.
@@ -81,12 +81,12 @@
 	} else {
 		e.zones[zone] = row.Revision
 	}
-	e.apply(row.Revision)
+	e.applyToFleet(row.Revision)
 	return true
 }
 
-// apply passes the evacuated zones to the fleet. The caller holds the lock.
-func (e *evacuations) apply(revision storage.Revision) {
+// applyToFleet passes the evacuated zones to the fleet. The caller holds the lock.
+func (e *evacuations) applyToFleet(revision storage.Revision) {
 	zones := make(map[string]bool, len(e.zones))
 	for zone := range e.zones {
 		zones[zone] = true
--- a/internal/gateway/evidence.go
+++ b/internal/gateway/evidence.go
@@ -62,7 +62,7 @@
 	cutOffAt map[string]time.Time
 }
 
-// routeEvidence holds the answers that this host counted on one route.
+// routeEvidence holds the numbers of answers that this host counted on one route.
 type routeEvidence struct {
 	exchange.VersionTallies
 	// oldMeanTime is the decayed mean time to the first byte on the old version, without slow
@@ -74,8 +74,8 @@
 	return evidence{ownRoutes: make(map[string]*routeEvidence), cutOffAt: make(map[string]time.Time)}
 }
 
-// observation describes the attempt whose answer is counted. isNew is set if its upstream runs the
-// new version.
+// observation describes the attempt whose answer is counted. isNew is set if the attempt's upstream
+// runs the new version.
 type observation struct {
 	route    string
 	upstream string
@@ -159,7 +159,7 @@
 	}
 }
 
-// ownCounts returns the answers that this host counted per version, by route.
+// ownCounts returns the numbers of answers that this host counted per version, by route.
 func (e *evidence) ownCounts() map[string]exchange.VersionTallies {
 	routes := make(map[string]exchange.VersionTallies, len(e.ownRoutes))
 	for name, re := range e.ownRoutes {
@@ -168,7 +168,7 @@
 	return routes
 }
 
-// allCounts returns the answers counted per version, by route, summed over all hosts.
+// allCounts returns the numbers of answers per version, by route, summed over all hosts.
 func (e *evidence) allCounts() map[string]exchange.VersionTallies {
 	routes := e.ownCounts()
 	for name, counts := range e.remoteRoutes {
--- a/internal/gateway/frontend.go
+++ b/internal/gateway/frontend.go
@@ -70,7 +70,7 @@
 		Int("code", int(code)).Str("result", code.String()).Str("run_state", r.runState.State().String()).
 		Int("attempts", r.attempts).Str("model", r.model).Str("account", r.accountName()).Str("session", r.Session).
 		Uint64("document", version).Int("events", r.answer.events).Int64("pause_ms", r.answer.longestPause.Milliseconds()).
-		Int64("took_ms", elapsed.Milliseconds()).Bool("stopping", r.answer.closing).Msg("")
+		Int64("took_ms", elapsed.Milliseconds()).Bool("stopping", r.answer.closesConnection).Msg("")
 	if err != nil {
 		g.refuse(r, resultcode.FromError(err))
 	}
@@ -95,7 +95,7 @@
 	if retry := retryAfter(e); retry > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(retry.Seconds(), 'f', 2, 64))
 	}
-	if r.answer.closing {
+	if r.answer.closesConnection {
 		header.Set("Connection", "close")
 	}
 	r.answer.writer.WriteHeader(resultcode.Lookup(e.Code).Status)
--- a/internal/gateway/idletimer.go
+++ b/internal/gateway/idletimer.go
@@ -63,12 +63,12 @@
 	if !waiting {
 		return
 	}
-	agreed := t.mayGiveUp()
+	giveUp := t.mayGiveUp()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
 	case !t.waiting:
-	case agreed:
+	case giveUp:
 		t.ended = true
 		t.cancel(errResponseTimeout)
 	default:
--- a/internal/gateway/incarnation_test.go
+++ b/internal/gateway/incarnation_test.go
@@ -158,7 +158,7 @@
 	rows.Replace([]feed.Row{bad, good("b", 2)}, 2)
 	is.True(!f.memberOf("svc", "a").inService(time.Now(), time.Minute))
 	is.Equal(bytes.Count(log.Bytes(), []byte("row-unreadable")), 1)
-	is.Equal(tg.gateway.metrics.unreadableRows("upstreams").Get(), uint64(1))
+	is.Equal(tg.gateway.metrics.unreadableRowCounter("upstreams").Get(), uint64(1))
 
 	rows.Change(feed.Row{Key: "c", Revision: 4, Data: []byte(`{"Service":"svc","Address":"127.0.0.1:9"}`)})
 	is.True(f.memberOf("svc", "c") == nil) // all other entries have a start time
@@ -202,7 +202,7 @@
 	rows := newOperatorTableHandler(tg.gateway)
 	rows.Change(feed.Row{Key: "order/other", Revision: 3, Data: []byte(`{"Service":"svc","Version":"v2"}`)})
 	is.Equal(len(tg.gateway.rollouts.byService), 0)
-	is.Equal(tg.gateway.metrics.unreadableRows("operator").Get(), uint64(1))
+	is.Equal(tg.gateway.metrics.unreadableRowCounter("operator").Get(), uint64(1))
 }
 
 func TestDialAddress(t *testing.T) {
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// unreadableRows returns the counter of a table's rows that couldn't be decoded.
-func (m *gatewayMetrics) unreadableRows(table string) *metrics.Counter {
+// unreadableRowCounter returns the counter of a table's rows that couldn't be decoded.
+func (m *gatewayMetrics) unreadableRowCounter(table string) *metrics.Counter {
 	return m.set.GetOrCreateCounter(fmt.Sprintf(`quetzalweir_gateway_rows_unreadable_total{table=%q}`, table))
 }
 
--- a/internal/gateway/operatorrows.go
+++ b/internal/gateway/operatorrows.go
@@ -13,13 +13,13 @@
 // operatorTableHandler applies the rows of the operators' table.
 type operatorTableHandler struct {
 	gateway     *Gateway
-	unreadable  unreadableRows
+	unreadable  unreadableRowTracker
 	evacuations *evacuations
 }
 
 func newOperatorTableHandler(g *Gateway) *operatorTableHandler {
 	return &operatorTableHandler{
-		gateway: g, unreadable: newUnreadableRows(g, g.settings.Tables.Operator),
+		gateway: g, unreadable: newUnreadableRowTracker(g, g.settings.Tables.Operator),
 		evacuations: newEvacuations(g.settings.Tables.EvacuationsPrefix, g.fleet),
 	}
 }
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -75,12 +75,12 @@
 // timingsKey returns the key of a model of a service in messages between hosts.
 func timingsKey(service, model string) exchange.IDHash { return exchange.HashID(service + "/" + model) }
 
-// queueStats holds decayed means over the prompts of a service, in nanoseconds: queued is the mean
-// time for which a prompt is queued at its engine, and prefill is the mean time that the engine
-// needs for its prefill.
+// queueStats holds decayed means over the prompts of a service, in nanoseconds. meanQueueTime is
+// the time for which a prompt is queued at its engine. meanPrefillTime is the time that the engine
+// needs for the prompt's prefill.
 type queueStats struct {
-	queued  float64
-	prefill float64
+	meanQueueTime   float64
+	meanPrefillTime float64
 }
 
 // queueStatsGain is the weight of a new answer in the means of queueStats.
@@ -89,16 +89,16 @@
 // observe records the time from sending a prompt to its answer's head. prefillTime is the estimated
 // part of that time in which the engine processed the prompt. The rest counts as queueing.
 func (q *queueStats) observe(took, prefillTime time.Duration) {
-	q.queued += queueStatsGain * (float64(max(0, took-prefillTime)) - q.queued)
-	q.prefill += queueStatsGain * (float64(prefillTime) - q.prefill)
+	q.meanQueueTime += queueStatsGain * (float64(max(0, took-prefillTime)) - q.meanQueueTime)
+	q.meanPrefillTime += queueStatsGain * (float64(prefillTime) - q.meanPrefillTime)
 }
 
 // pressure returns the mean queueing time divided by the mean prefill time; 0 before any answer.
 func (q *queueStats) pressure() float64 {
-	if q.prefill == 0 {
+	if q.meanPrefillTime == 0 {
 		return 0
 	}
-	return q.queued / q.prefill
+	return q.meanQueueTime / q.meanPrefillTime
 }
 
 // placementCandidates returns the candidates in the form that package placement takes.
--- a/internal/gateway/race_off_test.go
+++ b/internal/gateway/race_off_test.go
@@ -2,5 +2,5 @@
 
 package gateway
 
-// underRace is true if the race detector is enabled.
-const underRace = false
+// raceEnabled is true if the race detector is enabled.
+const raceEnabled = false
--- a/internal/gateway/regions_test.go
+++ b/internal/gateway/regions_test.go
@@ -32,10 +32,10 @@
 
 // startUpstreamsIn starts the given number of upstreams in each of the zones. It returns their logs
 // by zone.
-func (tg *testGateway) startUpstreamsIn(each int, handler http.HandlerFunc, zones ...string) map[string][]*requestLog {
+func (tg *testGateway) startUpstreamsIn(countPerZone int, handler http.HandlerFunc, zones ...string) map[string][]*requestLog {
 	logs := make(map[string][]*requestLog)
 	for _, zone := range zones {
-		for i := range each {
+		for i := range countPerZone {
 			u := Upstream{ID: fmt.Sprint(zone, "-", i), Zone: zone, Version: "v1"}
 			logs[zone] = append(logs[zone], tg.startUpstreamOf(u, handler))
 		}
@@ -57,7 +57,7 @@
 	tests := []struct {
 		desc           string
 		route, account []string
-		served         []string // the zones that may get the requests; empty if they are refused
+		permittedZones []string // the zones that may get the requests; empty if they are refused
 	}{
 		{"no restriction", nil, nil, []string{"z1"}},
 		{"the route, own region", []string{"south"}, nil, []string{"z1"}},
@@ -75,7 +75,7 @@
 			for range 30 {
 				began := time.Now()
 				got := tg.do(tg.newRequest("POST", "/once/x", "body"))
-				if len(test.served) > 0 {
+				if len(test.permittedZones) > 0 {
 					is.Equal(got.status, http.StatusOK)
 					continue
 				}
@@ -84,12 +84,12 @@
 				is.True(time.Since(began) < 500*time.Millisecond) // at once, not at the deadline
 			}
 			sum := 0
-			for _, zone := range test.served {
+			for _, zone := range test.permittedZones {
 				sum += requestsIn(logs, zone)
 			}
-			is.Equal(sum, 30*min(1, len(test.served)))
+			is.Equal(sum, 30*min(1, len(test.permittedZones)))
 			for _, zone := range []string{"z1", "z2", "z3", "z4"} {
-				if len(test.served) == 0 {
+				if len(test.permittedZones) == 0 {
 					is.Equal(requestsIn(logs, zone), 0)
 				}
 			}
--- a/internal/gateway/restore_test.go
+++ b/internal/gateway/restore_test.go
@@ -103,9 +103,9 @@
 // to write its row again.
 func TestEvacuationsAfterRestore(t *testing.T) {
 	tests := []struct {
-		desc  string
-		again bool // it is written again
-		ended bool // and then removed
+		desc      string
+		rewritten bool // it is written again
+		removed   bool // and then removed
 	}{
 		{"written again", true, false},
 		{"written again and removed", true, true},
@@ -122,15 +122,15 @@
 				e.replace(nil, revisionInEra(1, 3))
 				is.True(fleet.policy.isEvacuated("z1"))
 				time.Sleep(restoreGrace / 2)
-				if test.again {
+				if test.rewritten {
 					e.change(evacuationRow("z1", revisionInEra(1, 6), false))
 				}
-				if test.ended {
+				if test.removed {
 					e.change(evacuationRow("z1", revisionInEra(1, 7), true))
 					is.True(!fleet.policy.isEvacuated("z1"))
 				}
 				time.Sleep(restoreGrace)
-				is.Equal(fleet.policy.isEvacuated("z1"), test.again && !test.ended)
+				is.Equal(fleet.policy.isEvacuated("z1"), test.rewritten && !test.removed)
 				// Within an era, a removed row ends the evacuation.
 				e.replace(nil, revisionInEra(1, 9))
 				is.True(!fleet.policy.isEvacuated("z1"))
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -34,7 +34,8 @@
 	maxStatusAge = 3 * time.Second
 	// statusWriteTimeout bounds the time for a write of a status.
 	statusWriteTimeout = time.Second
-	// rolloutInterval is the interval at which roll-outs are processed.
+	// rolloutInterval is the interval at which the shares of roll-outs are raised and their due
+	// statuses written.
 	rolloutInterval = 100 * time.Millisecond
 )
 
@@ -199,8 +200,8 @@
 	return ro.fleet.hasAvailable(r.Service, r.regions, matches)
 }
 
-// versionWithdrawn reports whether the new version must not get requests, because this host stopped
-// it or the roll-out was reverted.
+// versionWithdrawn reports whether this host stopped the new version or the roll-out was reverted,
+// so that the version must not get requests.
 func (ro *rollouts) versionWithdrawn(sr *serviceRollout) bool {
 	return sr.stopped || sr.hasStatus() && sr.status.State == RolloutReverted
 }
@@ -263,7 +264,7 @@
 	ro.evaluate(sr)
 }
 
-// ownEvidence returns the answers that this host counted for each roll-out in progress.
+// ownEvidence returns the numbers of answers that this host counted for each roll-out in progress.
 func (ro *rollouts) ownEvidence() []exchange.Evidence {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
@@ -276,7 +277,8 @@
 	return list
 }
 
-// setRemoteEvidence sets the answers that the other hosts counted for roll-outs in progress.
+// setRemoteEvidence sets the numbers of answers that the other hosts counted for roll-outs in
+// progress.
 func (ro *rollouts) setRemoteEvidence(list []exchange.Evidence) {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
@@ -310,12 +312,13 @@
 	return float64(elapsed) / float64(max(sr.order.Duration, time.Millisecond))
 }
 
-// run processes the roll-outs until the context ends.
+// run raises the shares of the roll-outs and writes their due statuses, every rolloutInterval until
+// the context ends.
 func (ro *rollouts) run(ctx context.Context) {
-	wait.Every(ctx, rolloutInterval, func() { ro.tick(ctx) })
+	wait.Every(ctx, rolloutInterval, func() { ro.processAll(ctx) })
 }
 
-func (ro *rollouts) tick(ctx context.Context) {
+func (ro *rollouts) processAll(ctx context.Context) {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
 	for _, sr := range ro.byService {
@@ -332,7 +335,8 @@
 	}
 }
 
-// raiseShares raises the shares to those of the current time, if the status data is recent.
+// raiseShares raises the roll-out's shares to the values of its ramps at the current time, if the
+// status data is recent.
 func (ro *rollouts) raiseShares(sr *serviceRollout) {
 	if !sr.hasStatus() {
 		return
--- a/internal/gateway/rollouts_test.go
+++ b/internal/gateway/rollouts_test.go
@@ -271,7 +271,7 @@
 	ro := tg.gateway.rollouts
 	ro.addOrder(RolloutOrder{Service: "svc", Version: "v2", Duration: time.Minute, Revision: 5}, false)
 	for range 20 {
-		ro.tick(t.Context())
+		ro.processAll(t.Context())
 		time.Sleep(firstWriteSpread / 10)
 	}
 	is.Equal(tg.store.calls["commit"], 0)
--- a/internal/gateway/scale_test.go
+++ b/internal/gateway/scale_test.go
@@ -65,7 +65,7 @@
 // The records of upstreams must stay small: with 10,000 engines, hosts once used 57 MB, which made
 // memory their scarcest resource.
 func TestMemoryOfAnUpstream(t *testing.T) {
-	if testing.CoverMode() != "" || underRace {
+	if testing.CoverMode() != "" || raceEnabled {
 		t.Skip("the instrumentation distorts the heap size")
 	}
 	is := is.New(t)
--- a/internal/gateway/start_memory_test.go
+++ b/internal/gateway/start_memory_test.go
@@ -57,7 +57,7 @@
 // page. With 10,000 upstreams, hosts once used 42 MB for copies of rows, for tables that were
 // compressed again with each page, and for decompressed bytes.
 func TestMemoryOfAHostThatReceivesAllUpstreams(t *testing.T) {
-	if testing.CoverMode() != "" || underRace {
+	if testing.CoverMode() != "" || raceEnabled {
 		t.Skip("the instrumentation distorts the heap size")
 	}
 	is := is.New(t)
--- a/internal/gateway/startwait_test.go
+++ b/internal/gateway/startwait_test.go
@@ -41,9 +41,9 @@
 // missing after startupPeriod.
 func TestRequestsWithoutTablesAreRefused(t *testing.T) {
 	tests := []struct {
-		desc        string
-		started     time.Duration // ago
-		least, most time.Duration
+		desc             string
+		timeSinceStart   time.Duration // from the start of the host to the request
+		minWait, maxWait time.Duration
 	}{
 		{"the host is starting", 0, maxStartWait, 2 * maxStartWait},
 		{"the store is unavailable", startupPeriod, 0, maxStartWait / 2},
@@ -53,13 +53,13 @@
 			is := is.New(t)
 			tg := newTestGateway(t, routing.Document{})
 			tg.gateway.routingTable.Store(nil)
-			tg.gateway.startedAt = boottime.Now().Add(-test.started)
+			tg.gateway.startedAt = boottime.Now().Add(-test.timeSinceStart)
 			began := time.Now()
 			got := tg.do(tg.newRequest("POST", "/once/x", "body"))
 			took := time.Since(began)
 			is.Equal(got.status, http.StatusServiceUnavailable)
 			is.True(got.header.Get("Retry-After") != "")
-			is.True(took >= test.least && took < test.most)
+			is.True(took >= test.minWait && took < test.maxWait)
 		})
 	}
 }
--- a/internal/gateway/statusrows.go
+++ b/internal/gateway/statusrows.go
@@ -12,12 +12,12 @@
 // quarantine verdicts.
 type statusTableHandler struct {
 	gateway    *Gateway
-	unreadable unreadableRows
+	unreadable unreadableRowTracker
 	era        eraTracker
 }
 
 func newStatusTableHandler(g *Gateway) *statusTableHandler {
-	return &statusTableHandler{gateway: g, unreadable: newUnreadableRows(g, g.settings.Tables.Status)}
+	return &statusTableHandler{gateway: g, unreadable: newUnreadableRowTracker(g, g.settings.Tables.Status)}
 }
 
 // Replace implements feed.Handler. After a restore of the store from a backup, it marks this host's
--- a/internal/gateway/suspend_test.go
+++ b/internal/gateway/suspend_test.go
@@ -28,7 +28,7 @@
 		sent := make(chan struct{})
 		// The host is suspended after it has received the request's head and before the body.
 		req := tg.newRequest("POST", "/many/x", "")
-		req.Body, req.ContentLength = &slowBody{Reader: strings.NewReader("body"), before: func() {
+		req.Body, req.ContentLength = &slowBody{Reader: strings.NewReader("body"), onFirstRead: func() {
 			time.Sleep(50 * time.Millisecond)
 			endSuspension = boottime.SimulateSuspension(d)
 			close(sent)
@@ -49,16 +49,16 @@
 	}
 }
 
-// slowBody is a request body that calls before when its first byte is read.
+// slowBody is a request body that calls onFirstRead at its first read, before it returns any byte.
 type slowBody struct {
 	*strings.Reader
-	before func()
+	onFirstRead func()
 }
 
 func (b *slowBody) Read(p []byte) (int, error) {
-	if b.before != nil {
-		b.before()
-		b.before = nil
+	if b.onFirstRead != nil {
+		b.onFirstRead()
+		b.onFirstRead = nil
 	}
 	return b.Reader.Read(p)
 }
--- a/internal/gateway/upstreamrows.go
+++ b/internal/gateway/upstreamrows.go
@@ -10,12 +10,12 @@
 // upstreamTableHandler applies the rows of the upstreams' table, which contain their entries.
 type upstreamTableHandler struct {
 	gateway    *Gateway
-	unreadable unreadableRows
+	unreadable unreadableRowTracker
 	era        eraTracker
 }
 
 func newUpstreamTableHandler(g *Gateway) *upstreamTableHandler {
-	return &upstreamTableHandler{gateway: g, unreadable: newUnreadableRows(g, g.settings.Tables.Upstreams)}
+	return &upstreamTableHandler{gateway: g, unreadable: newUnreadableRowTracker(g, g.settings.Tables.Upstreams)}
 }
 
 // Replace implements feed.Handler. After a restore of the store from a backup, upstreams whose
@@ -41,7 +41,7 @@
 		}
 	}
 	for _, e := range entries {
-		h.set(e, starts.mostHaveStart())
+		h.applyEntry(e, starts.mostHaveStart())
 	}
 	h.unreadable.retain(keys)
 	h.gateway.fleet.RemoveUnlistedEntries(keys, revision, expiredInOutage)
@@ -61,7 +61,7 @@
 		return
 	}
 	if u, ok := h.decode(row); ok {
-		h.set(entry{upstream: u, row: row}, u.Incarnation == 0 && h.gateway.fleet.startCounts().mostHaveStart())
+		h.applyEntry(entry{upstream: u, row: row}, u.Incarnation == 0 && h.gateway.fleet.startCounts().mostHaveStart())
 	}
 }
 
@@ -79,9 +79,9 @@
 // have one.
 var errNoStart = errors.New("gateway: the entry has no start time of the upstream")
 
-// set applies an entry. Where most upstreams have a start time, it rejects an entry without one,
-// which something other than an upstream must have written.
-func (h *upstreamTableHandler) set(e entry, mostHaveStart bool) {
+// applyEntry applies an entry. Where most upstreams have a start time, it rejects an entry without
+// one, which something other than an upstream must have written.
+func (h *upstreamTableHandler) applyEntry(e entry, mostHaveStart bool) {
 	if mostHaveStart && e.upstream.Incarnation == 0 {
 		h.reject(e.row, errNoStart)
 		return
