--- a/internal/gateway/cold.go
+++ b/internal/gateway/cold.go
@@ -89,7 +89,8 @@
 }
 
 // logEndedRestrictions logs which upstreams are no longer cold and which rate limits expired, and
-// deletes their state. Other ends of limits are logged when an answer shows them.
+// deletes their state. A limit that ends before it expires is logged when an answer without a limit
+// arrives.
 func (f *Fleet) logEndedRestrictions() {
 	now := boottime.Now()
 	f.eachShard(func(s *shard) {
--- a/internal/gateway/evidence.go
+++ b/internal/gateway/evidence.go
@@ -47,8 +47,8 @@
 	plainSlowMin    = 250 * time.Millisecond
 	// oldMeanGain is the weight of a new time in the mean time on the old version.
 	oldMeanGain = 0.1
-	// crashWindow is the time within which the answers that one upstream cut off count as one,
-	// since a crash cuts off all requests in progress.
+	// crashWindow is the time within which all answers that one upstream cut off count as one bad
+	// answer, since a crash cuts off all requests in progress.
 	crashWindow = time.Second
 )
 
@@ -110,7 +110,8 @@
 			re.countAnswer(o, true, false)
 		}
 	case outcomeSilent:
-		// The attempt was given up after several times the expected time.
+		// The upstream sent no response within the head timeout, which is several times the
+		// expected time.
 		re.countAnswer(o, false, true)
 	}
 }
@@ -124,8 +125,8 @@
 	return re
 }
 
-// isSlow reports whether a time to the first byte is far above the expected one. For a plain
-// service it also adds the times on the old version that aren't slow to oldMeanTime.
+// isSlow reports whether an answer with this time to its first byte counts as slow. For a plain
+// service it also adds the times of the old version's answers that aren't slow to oldMeanTime.
 func (re *routeEvidence) isSlow(o observation, took time.Duration) bool {
 	if o.expected > 0 {
 		return took > o.expected+slowExcess && took > slowFactor*o.expected
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -42,8 +42,8 @@
 	return tg, limited, other
 }
 
-// lease sets the gateway's leases to one part of each of the upstreams, of which each root grants
-// partsPerRoot. The gateway has held them for the duration since.
+// lease sets the gateway's leases to one part of each upstream's requests. Each root hub grants
+// partsPerRoot parts of each. The gateway has held the leases for the duration since.
 func (tg *testGateway) lease(since time.Duration, partsPerRoot, roots int, ids ...string) {
 	var grants []ratelease.Grant
 	for _, id := range ids {
@@ -89,7 +89,9 @@
 	tg.sendServedRequests(1)
 	tg.lease(10*time.Second, 2, 3, "limited", "other")
 	tg.sendServedRequests(40)
-	// A sixth of three quarters of 29, in one burst.
+	// The upstream may get 77 requests in 4 s (1.5 times the limit, plus 5), which is 29 more than
+	// at the rate of the limit. Three quarters of these 29 are leased for bursts, a sixth of them
+	// to this gateway.
 	is.True(limited.count() >= 1+3 && limited.count() <= 1+5)
 }
 
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -125,8 +125,8 @@
 	return p.Parts[p.SharedParts-1].ID
 }
 
-// escalation returns what is expected of running the request now on the model of the criteria, at
-// the most suitable engine; ok is false if none is available.
+// escalation returns the estimates for running the request now on the criteria's model, at the most
+// suitable engine. ok is false if no engine is available.
 func (f *Fleet) escalation(crit criteria) (u placement.Escalation, ok bool) {
 	now := boottime.Now()
 	s := f.shard(crit.service)
--- a/internal/gateway/restore.go
+++ b/internal/gateway/restore.go
@@ -13,8 +13,8 @@
 // within a few seconds. Until then, hosts keep the data that they have.
 const restoreGrace = 5 * time.Second
 
-// eraTracker detects by the revisions of a table that the store was restored from a backup. newest
-// is the highest revision that was observed.
+// eraTracker detects restores of the store from a backup: the revisions of a table then have a
+// higher era. newest is the highest revision that was observed.
 type eraTracker struct {
 	newest storage.Revision
 	// restoredAt is when a revision of the current era was first observed; zero if no restore was
--- a/internal/gateway/rolloutstatus_test.go
+++ b/internal/gateway/rolloutstatus_test.go
@@ -14,7 +14,7 @@
 )
 
 // When a status becomes due on many hosts at once, only a few hosts write it: those with followers
-// write first, and the others receive the status before their own delay has passed.
+// write first, and the others receive the status before their own write delays have passed.
 func TestFewHostsWriteAStatus(t *testing.T) {
 	const (
 		hubs, followers = 5, 190
--- a/internal/gateway/start_memory_test.go
+++ b/internal/gateway/start_memory_test.go
@@ -53,7 +53,7 @@
 // it is for memory outside the heap.
 const maxControlMemory = 32 << 20
 
-// Guards against using too much memory while a host receives the entries of all upstreams page by
+// A host must stay within its memory limit while it receives the entries of all upstreams page by
 // page. With 10,000 upstreams, hosts once used 42 MB for copies of rows, for tables that were
 // compressed again with each page, and for decompressed bytes.
 func TestMemoryOfAHostThatReceivesAllUpstreams(t *testing.T) {
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -18,7 +18,8 @@
 
 // stop stops the server for callers. It first reports that the host isn't ready, so that the load
 // balancer sends no new connections, and then accepts no new connections or requests and waits for
-// the answers in progress. Those that aren't complete by the deadline are cut off.
+// the answers in progress. Answers that aren't complete by killMargin before the end of StopTimeout
+// are cut off.
 func (g *Gateway) stop(callers *http.Server) {
 	deadline := time.Now().Add(g.settings.StopTimeout - killMargin)
 	g.stopping.Store(true)
