--- a/internal/gateway/evidence.go
+++ b/internal/gateway/evidence.go
@@ -32,36 +32,37 @@
 	// before the version is stopped, unless it has fewer upstreams. A bad version gives bad answers
 	// on each of its upstreams, while a single upstream can be bad with any version.
 	minBadUpstreams = 2
-	// An engine's answer counts as slow if it took more than slowFactor times the expected time and
-	// more than slowExcess longer than that. A fifth to a third of ordinary answers count as slow,
-	// because they wait for prompts that this host has no data on. Of a version that takes eight
-	// times as long for a part of its steps, three quarters or more count as slow. With a factor of
-	// 4, one answer in seven counted as slow on both versions, so that they couldn't be told apart.
+	// An engine's answer counts as slow if its time to the first byte exceeds slowFactor times the
+	// expected time and exceeds the expected time by more than slowExcess. In simulations, 20 to
+	// 33% of the answers of a sound version counted as slow, because they waited for prompts that
+	// this host has no data on. Of a version that takes eight times as long for a part of its
+	// steps, at least 75% did. With a factor of 4, one answer in seven counted as slow on both
+	// versions, so that the test couldn't distinguish them.
 	slowFactor = 2
 	slowExcess = 40 * time.Millisecond
 	// An answer of a plain service counts as slow if it took more than plainSlowFactor times the
-	// mean time on the old version, and more than plainSlowMin. Shorter times vary for other
-	// reasons, such as the queue of an upstream.
+	// mean time on the old version, and more than plainSlowMin. Times below plainSlowMin vary for
+	// reasons other than the version, such as the queue of an upstream.
 	plainSlowFactor = 4
 	plainSlowMin    = 250 * time.Millisecond
 	// oldMeanGain is the weight of a new time in the mean time on the old version.
 	oldMeanGain = 0.1
-	// crashWindow is the time within which the answers that one upstream cut off count as one,
-	// since a crash cuts off all requests in progress.
+	// crashWindow is the time within which all answers that one upstream cut off count as one bad
+	// answer, since a crash cuts off all requests in progress.
 	crashWindow = time.Second
 )
 
 // evidence compares two versions of a service by their answers, for each route and in total.
 type evidence struct {
-	// ownRoutes holds the answers that this host counted, by route; remoteRoutes those that the
-	// other hosts counted.
+	// ownRoutes holds the numbers of answers that this host counted, by route. remoteRoutes holds
+	// those that the other hosts counted.
 	ownRoutes    map[string]*routeEvidence
 	remoteRoutes map[string]exchange.VersionTallies
 	// cutOffAt holds for each upstream, by id, the time of the last counted answer that it cut off.
 	cutOffAt map[string]time.Time
 }
 
-// routeEvidence holds the answers that this host counted on one route.
+// routeEvidence holds the numbers of answers that this host counted on one route.
 type routeEvidence struct {
 	exchange.VersionTallies
 	// oldMeanTime is the decayed mean time to the first byte on the old version, without slow
@@ -73,8 +74,8 @@
 	return evidence{ownRoutes: make(map[string]*routeEvidence), cutOffAt: make(map[string]time.Time)}
 }
 
-// observation describes the attempt whose answer is counted. isNew is set if its upstream runs the
-// new version.
+// observation describes the attempt whose answer is counted. isNew is set if the attempt's upstream
+// runs the new version.
 type observation struct {
 	route    string
 	upstream string
@@ -109,7 +110,8 @@
 			re.countAnswer(o, true, false)
 		}
 	case outcomeSilent:
-		// The attempt was given up after several times the expected time.
+		// The upstream sent no response within the head timeout, which is several times the
+		// expected time.
 		re.countAnswer(o, false, true)
 	}
 }
@@ -123,8 +125,8 @@
 	return re
 }
 
-// isSlow reports whether a time to the first byte is far above the expected one. For a plain
-// service it also adds the times on the old version that aren't slow to oldMeanTime.
+// isSlow reports whether an answer with this time to its first byte counts as slow. For a plain
+// service it also adds the times of the old version's answers that aren't slow to oldMeanTime.
 func (re *routeEvidence) isSlow(o observation, took time.Duration) bool {
 	if o.expected > 0 {
 		return took > o.expected+slowExcess && took > slowFactor*o.expected
@@ -158,7 +160,7 @@
 	}
 }
 
-// ownCounts returns the answers that this host counted per version, by route.
+// ownCounts returns the numbers of answers that this host counted per version, by route.
 func (e *evidence) ownCounts() map[string]exchange.VersionTallies {
 	routes := make(map[string]exchange.VersionTallies, len(e.ownRoutes))
 	for name, re := range e.ownRoutes {
@@ -167,7 +169,7 @@
 	return routes
 }
 
-// allCounts returns the answers counted per version, by route, summed over all hosts.
+// allCounts returns the numbers of answers per version, by route, summed over all hosts.
 func (e *evidence) allCounts() map[string]exchange.VersionTallies {
 	routes := e.ownCounts()
 	for name, counts := range e.remoteRoutes {
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -40,7 +40,7 @@
 		Random:     rand.Float64(),
 	}, candidates)
 	picked := &candidates[c.placement.Index]
-	c.workAhead, c.cachedParts = picked.QueuedWork, picked.CachedParts
+	c.workAhead, c.cachedPartCount = picked.QueuedWork, picked.CachedParts
 	return list.members[c.placement.Index]
 }
 
@@ -75,30 +75,30 @@
 // timingsKey returns the key of a model of a service in messages between hosts.
 func timingsKey(service, model string) exchange.IDHash { return exchange.HashID(service + "/" + model) }
 
-// queueStats holds decayed means over the prompts of a service, in nanoseconds: queued is the time
-// for which a prompt is queued at its engine, prefill the time that the engine needs for its
-// prefill.
+// queueStats holds decayed means over the prompts of a service, in nanoseconds. meanQueueTime is
+// the time for which a prompt is queued at its engine. meanPrefillTime is the time that the engine
+// needs for the prompt's prefill.
 type queueStats struct {
-	queued  float64
-	prefill float64
+	meanQueueTime   float64
+	meanPrefillTime float64
 }
 
 // queueStatsGain is the weight of a new answer in the means of queueStats.
 const queueStatsGain = 0.03
 
-// observe records the time to an answer's head. prefillTime is the part of it that the engine
-// needed, by estimate, without queueing.
+// observe records the time from sending a prompt to its answer's head. prefillTime is the estimated
+// part of that time in which the engine processed the prompt. The rest counts as queueing.
 func (q *queueStats) observe(took, prefillTime time.Duration) {
-	q.queued += queueStatsGain * (float64(max(0, took-prefillTime)) - q.queued)
-	q.prefill += queueStatsGain * (float64(prefillTime) - q.prefill)
+	q.meanQueueTime += queueStatsGain * (float64(max(0, took-prefillTime)) - q.meanQueueTime)
+	q.meanPrefillTime += queueStatsGain * (float64(prefillTime) - q.meanPrefillTime)
 }
 
 // pressure returns the mean queueing time divided by the mean prefill time; 0 before any answer.
 func (q *queueStats) pressure() float64 {
-	if q.prefill == 0 {
+	if q.meanPrefillTime == 0 {
 		return 0
 	}
-	return q.queued / q.prefill
+	return q.meanQueueTime / q.meanPrefillTime
 }
 
 // placementCandidates returns the candidates in the form that package placement takes.
@@ -108,7 +108,7 @@
 	for i, m := range list.members {
 		c := &candidates[i]
 		c.QueuedWork = m.workAhead(crit.priority, now)
-		c.CachedParts = m.cachedParts(crit.keys)
+		c.CachedParts = m.cachedPartCount(crit.keys)
 		c.OwnerRank = list.ownerRank(m, subject)
 		c.OtherZone = m.Zone != crit.zone
 		c.OtherRegion = !s.topology.sameRegion(m.Zone)
@@ -125,8 +125,8 @@
 	return p.Parts[p.SharedParts-1].ID
 }
 
-// escalation returns what is expected of running the request now on the model of the criteria, at
-// the most suitable engine; ok is false if none is available.
+// escalation returns the estimates for running the request now on the criteria's model, at the most
+// suitable engine. ok is false if no engine is available.
 func (f *Fleet) escalation(crit criteria) (u placement.Escalation, ok bool) {
 	now := boottime.Now()
 	s := f.shard(crit.service)
--- a/internal/gateway/restore.go
+++ b/internal/gateway/restore.go
@@ -13,8 +13,8 @@
 // within a few seconds. Until then, hosts keep the data that they have.
 const restoreGrace = 5 * time.Second
 
-// eraTracker detects by the revisions of a table that the store was restored from a backup. newest
-// is the highest revision that was observed.
+// eraTracker detects restores of the store from a backup: the revisions of a table then have a
+// higher era. newest is the highest revision that was observed.
 type eraTracker struct {
 	newest storage.Revision
 	// restoredAt is when a revision of the current era was first observed; zero if no restore was
@@ -40,9 +40,9 @@
 }
 
 // adoptReissuedOrder reports whether an order must not begin a new roll-out because the store was
-// restored from a backup within restoreGrace. That is so if operators wrote the current order
-// again, whose roll-out then continues under the order's new revision, and if the order is an
-// earlier one that the backup contains.
+// restored from a backup within restoreGrace. It returns true in two cases: operators wrote the
+// current order again, and its roll-out then continues under the order's new revision; or the order
+// is an earlier one that the backup contains.
 func (ro *rollouts) adoptReissuedOrder(current *serviceRollout, o RolloutOrder, listed bool) bool {
 	current.era.observe(o.Revision)
 	if !current.era.inRestoreGrace() {
--- a/internal/gateway/rolloutstatus_test.go
+++ b/internal/gateway/rolloutstatus_test.go
@@ -14,7 +14,7 @@
 )
 
 // When a status becomes due on many hosts at once, only a few hosts write it: those with followers
-// write first, and the others receive the status before their own delay has passed.
+// write first, and the others receive the status before their own write delays have passed.
 func TestFewHostsWriteAStatus(t *testing.T) {
 	const (
 		hubs, followers = 5, 190
@@ -52,7 +52,7 @@
 }
 
 // A host whose writes the store refuses waits longer after each attempt.
-func TestWritesThatFailArePaced(t *testing.T) {
+func TestPauseGrowsWithFailedWrites(t *testing.T) {
 	is := is.New(t)
 	ro, sr := &rollouts{}, &serviceRollout{}
 	sum := time.Duration(0)
--- a/internal/gateway/start_memory_test.go
+++ b/internal/gateway/start_memory_test.go
@@ -53,11 +53,11 @@
 // it is for memory outside the heap.
 const maxControlMemory = 32 << 20
 
-// Guards against using too much memory while a host receives the entries of all upstreams page by
+// A host must stay within its memory limit while it receives the entries of all upstreams page by
 // page. With 10,000 upstreams, hosts once used 42 MB for copies of rows, for tables that were
 // compressed again with each page, and for decompressed bytes.
 func TestMemoryOfAHostThatReceivesAllUpstreams(t *testing.T) {
-	if testing.CoverMode() != "" || underRace {
+	if testing.CoverMode() != "" || raceEnabled {
 		t.Skip("the instrumentation distorts the heap size")
 	}
 	is := is.New(t)
@@ -66,7 +66,7 @@
 	store := &pagedStore{pages: make(chan []feed.Row)}
 	options := feed.Options{Relays: func() bool { return true }, BatchDelay: time.Millisecond}
 	hub := feed.NewWatcher("upstreams", store, discardRows{}, options, zerolog.Nop())
-	host := feed.NewWatcher("upstreams", emptyStore{}, newUpstreamRows(tg.gateway), feed.Options{FirstUpdateWait: 5 * time.Second}, zerolog.Nop())
+	host := feed.NewWatcher("upstreams", emptyStore{}, newUpstreamTableHandler(tg.gateway), feed.Options{FirstUpdateWait: 5 * time.Second}, zerolog.Nop())
 	var running sync.WaitGroup
 	ctx, stop := context.WithCancel(t.Context())
 	running.Go(func() { hub.Run(ctx) })
