--- a/internal/entry/admit.go
+++ b/internal/entry/admit.go
@@ -50,8 +50,8 @@
 	return contextError(ctx, err)
 }
 
-// contextError wraps err with the result code for an expired deadline or a
-// disconnected caller, or as an internal error if ctx hasn't ended.
+// contextError wraps err with a result code: that of an expired deadline or of a
+// disconnected caller if ctx has ended, and that of an internal error otherwise.
 func contextError(ctx context.Context, err error) error {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
--- a/internal/entry/bufferedanswer.go
+++ b/internal/entry/bufferedanswer.go
@@ -8,8 +8,8 @@
 	"github.com/quetzalweir/quetzalweir/upstream"
 )
 
-// bufferedAnswer is the complete answer of a cascade's step that hasn't been sent to
-// the caller.
+// bufferedAnswer is the complete answer of one step of a cascade. It hasn't been sent
+// to the caller.
 type bufferedAnswer struct {
 	sink    *bufferSink
 	score   float64
@@ -92,8 +92,8 @@
 // Text implements Sink.
 func (s *bufferSink) Text() string { return string(s.text) }
 
-// Answer implements Sink. It returns the zero value, because a claim stores the answer
-// of the caller's sink.
+// Answer implements Sink. It returns the zero value. Answer is called only to store the
+// answer in a claim, and by then the request's sink is the caller's sink.
 func (s *bufferSink) Answer(*Request) upstream.ServiceResponse { return upstream.ServiceResponse{} }
 
 // Replay implements Sink. It does nothing: replays go to the caller's sink.
--- a/internal/entry/chooseversion.go
+++ b/internal/entry/chooseversion.go
@@ -59,10 +59,10 @@
 }
 
 // settleExposure records the result of a request that took an answer from its
-// version's exposure budget. It is called once for all attempts together. If nothing
-// was sent to an upstream, the answer is returned to the budget. If the caller or the
-// deadline ended the request, the answer doesn't count against the version. A
-// successful answer is queued for rating.
+// version's exposure budget. It must be called once per request, after the last
+// attempt. If nothing was sent to an upstream, the answer is returned to the budget. If
+// the caller or the deadline ended the request, the answer doesn't count against the
+// version. A successful answer is queued for rating.
 func (f *chooseVersion) settleExposure(ctx context.Context, r *Request, started time.Time, sent bool, err error) {
 	model, version := r.Model, r.Version.Name
 	switch {
@@ -194,9 +194,10 @@
 	return f.keepVersion(ctx, r, eligible, bound)
 }
 
-// returnExposure returns an answer to the version's exposure budget after chooseByShare
-// took one from it and the session uses another version or couldn't be bound.
-// Otherwise the answer would stay open, since no result would ever be recorded for it.
+// returnExposure returns an answer that chooseByShare took from the version's exposure
+// budget. It must be called if the session uses another version or couldn't be bound:
+// no result would ever be recorded for the answer, so it would use up the budget
+// permanently.
 func (f *chooseVersion) returnExposure(model string, v manifest.Version) {
 	if hasExposureBudget(v) {
 		f.rollout.Refund(model, v.Name)
--- a/internal/entry/claimonce.go
+++ b/internal/entry/claimonce.go
@@ -16,8 +16,9 @@
 	"github.com/quetzalweir/quetzalweir/upstream"
 )
 
-// claimFinishTimeout is the maximum time that an answer is held back until its claim
-// is finished in the table. After that, the claim is finished in the background.
+// claimFinishTimeout is the maximum time for which an answer is held back while the
+// outcome of its request is written to the claim's row. After this timeout, the write is
+// retried in the background.
 const claimFinishTimeout = 500 * time.Millisecond
 
 // claimOnce ensures that a call that must not be repeated runs at most once. It
@@ -75,8 +76,8 @@
 		r.keyUnresolved = false
 		return resultcode.Wrap(resultcode.KeyReused, err, "the request key was used with another request")
 	default:
-		// Without a claim nothing is sent. An earlier request with the key may
-		// have run, so that keyUnresolved stays set.
+		// Without a claim, this request isn't sent. But an earlier request with the
+		// key may have run, so keyUnresolved stays set.
 		return resultcode.Wrap(resultcode.StoreUnavailable, err, "the claim couldn't be recorded")
 	}
 }
--- a/internal/entry/classify.go
+++ b/internal/entry/classify.go
@@ -8,7 +8,7 @@
 	"github.com/quetzalweir/quetzalweir/resultcode"
 )
 
-// classify sets the request's class, priority and deadline.
+// classify is the filter that sets the request's class, priority and deadline.
 type classify struct{}
 
 // Serve implements Filter.
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -29,8 +29,8 @@
 )
 
 // dispatch picks an upstream, sends the request and copies the answer to the sink. It
-// retries a request only until the first byte of an answer was sent to the caller,
-// and only if the request certainly didn't run or may be repeated.
+// retries a request only before the first byte of an answer is sent to the caller, and
+// only if the request certainly didn't run or may be repeated.
 type dispatch struct {
 	watcher *config.Watcher
 	pool    *balance.Pool
@@ -73,15 +73,15 @@
 	}
 }
 
-// notAttemptedError wraps the error of a request that was refused before an attempt
-// was made.
+// notAttemptedError wraps an error that refuses the request before an attempt has
+// begun.
 type notAttemptedError struct{ error }
 
 // Unwrap returns the wrapped error.
 func (e notAttemptedError) Unwrap() error { return e.error }
 
-// tryAttempt makes one attempt, unless the request is quarantined or no upstream can
-// be chosen for it.
+// tryAttempt chooses an upstream and makes one attempt. It returns an error without an
+// attempt if the request is quarantined or no upstream can be chosen.
 func (f *dispatch) tryAttempt(ctx context.Context, r *Request, exclude []string) (balance.Choice, error) {
 	if err := f.checkQuarantine(ctx, r); err != nil {
 		return balance.Choice{}, notAttemptedError{err}
@@ -274,9 +274,10 @@
 	return o
 }
 
-// mayRetry reports whether the request may be sent again. An attempt that couldn't
-// connect put no load on an upstream, so a retry after it isn't charged to the retry
-// budget. Otherwise the budget would run out when many upstreams fail at once.
+// mayRetry reports whether the request may be sent again, and charges the retry to the
+// retry budget if necessary. An attempt that couldn't connect put no load on an upstream,
+// so a retry after such an attempt isn't charged. If it were, the budget would run out
+// when many upstreams fail at once.
 func (f *dispatch) mayRetry(ctx context.Context, r *Request, attempt int, err error) bool {
 	switch {
 	case ctx.Err() != nil, attempt >= maxAttempts, r.Sink.Started(), f.guard.VerdictDue(r.digest):
--- a/internal/entry/evidence.go
+++ b/internal/entry/evidence.go
@@ -20,12 +20,12 @@
 const (
 	// exchangeInterval is the time between exchanges of roll-out evidence.
 	exchangeInterval = 250 * time.Millisecond
-	// exchangesPerRelay is the number of exchanges of which one sends all evidence,
-	// including that of other hosts, to a random host.
+	// exchangesPerRelay is the interval, in exchanges, at which a random host receives
+	// all evidence that this host holds, including that of other hosts.
 	exchangesPerRelay = 8
 	// exchangeTimeout is the timeout of an exchange with one host.
 	exchangeTimeout = time.Second
-	// refillInterval is the maximum time between two attempts to claim grants of the
+	// refillInterval is the maximum wait before the next attempt to claim grants of the
 	// exposure budgets.
 	refillInterval = time.Second
 	// minRefillInterval is the minimum time between two attempts to claim grants. It
@@ -42,8 +42,8 @@
 // PathStops is the path that lists the versions that the hosts stopped automatically.
 const PathStops = "/v1/stops"
 
-// evidenceParams holds evidence on versions that roll in, and the stopped versions
-// that the sender stores.
+// evidenceParams holds evidence on versions that roll in, and the stops of versions
+// that the sender has recorded.
 type evidenceParams struct {
 	Evidence []rollout.Evidence `json:"evidence,omitempty"`
 	Stops    []rollout.Stop     `json:"stops,omitempty"`
@@ -51,14 +51,15 @@
 
 // evidenceExchange sends this host's evidence to the other hosts. Each host receives
 // only the evidence that changed since the last successful call to it. cursors holds,
-// by host ID, the change number up to which the host has received the evidence. From
-// time to time a random host receives all evidence, including that of other hosts, for
-// the sake of hosts that can't reach each other or that joined late.
+// by host ID, the change number up to which the host has received the evidence. In
+// every exchangesPerRelay-th exchange, a random host receives all evidence, including
+// that of other hosts, so that evidence also spreads between hosts that can't reach
+// each other and to hosts that joined late.
 type evidenceExchange struct {
 	host    *Host
 	mu      sync.Mutex
 	cursors map[string]uint64
-	// exchanges is the number of exchanges so far.
+	// exchanges is the number of exchanges since the host's start.
 	exchanges int
 	// storedRounds holds, for each stopped version, the round of the stop that is
 	// known to be stored in the table.
@@ -178,9 +179,9 @@
 	return err
 }
 
-// loadStops reads the stopped versions from the table. The host isn't ready before
-// the first attempt to do so. If the attempt fails, the host still receives the
-// stopped versions from other hosts.
+// loadStops reads the stopped versions from the table. The host isn't ready until
+// loadStops has returned once, with or without an error. After an error the host still
+// receives the stopped versions from other hosts.
 func (e *evidenceExchange) loadStops(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -198,9 +199,9 @@
 }
 
 // refillExposure claims grants of the exposure budgets for this host until ctx ends,
-// at intervals and whenever the host needs a further grant. If it only claimed at
-// intervals, this host would refuse requests in sessions that another host has bound
-// to a version of which this host has no grant yet.
+// at intervals and whenever the host needs a further grant. If it claimed grants only
+// at intervals, this host would meanwhile refuse requests of sessions that another
+// host has bound to a version for which this host holds no grant.
 func (h *Host) refillExposure(ctx context.Context) error {
 	granter := rollout.NewGranter(h.platform.Table, h.incarnation)
 	for {
--- a/internal/entry/headers.go
+++ b/internal/entry/headers.go
@@ -35,7 +35,8 @@
 	headerSessionMoved = "Quetzalweir-Session-Moved"
 	// headerBelowTarget is set if a cascade's answer is below its target rating.
 	headerBelowTarget = "Quetzalweir-Below-Target"
-	// headerSessionTransient is set if only the session's token holds the binding.
+	// headerSessionTransient is set if the session's binding couldn't be stored in the
+	// table, so that only the session token holds it.
 	headerSessionTransient = "Quetzalweir-Session-Transient"
 )
 
@@ -163,14 +164,14 @@
 	writeJSON(w, newErrorResponse(r, e))
 }
 
-// incompleteRetryDelay is the retry delay sent to the caller of a repeatable request
-// that reached an upstream and got no complete answer.
+// incompleteRetryDelay is the Retry-After in the error response for a repeatable
+// request that was sent to an upstream and got no complete answer.
 const incompleteRetryDelay = time.Second
 
-// retryAfter returns the time after which the caller should retry, or zero if a
+// retryAfter returns the delay after which the caller should retry, or zero if a
 // retry can't succeed. A claimed request that may have run is never run again. A
-// repeatable request whose answer is incomplete may be retried, although its result
-// code alone rules that out.
+// repeatable request whose answer is incomplete may be retried, although the spec of
+// its result code has no Retry-After.
 func retryAfter(r *Request, e *resultcode.Error) time.Duration {
 	sent := r.state.State() != runstate.NotRun
 	switch {
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -43,8 +43,8 @@
 // Host is one entry host. All entry hosts have the same role.
 type Host struct {
 	settings Settings
-	// incarnation identifies this process by the host's ID and a random part, since
-	// a restarted host keeps its ID.
+	// incarnation identifies this process: it consists of the host's ID and a random
+	// part. The ID alone isn't enough, since a restarted host keeps it.
 	incarnation string
 	platform    Platform
 	log         zerolog.Logger
@@ -81,8 +81,8 @@
 	// forceStopCtx is canceled by ForceStop, when a planned stop has to end at once.
 	forceStopCtx context.Context
 	forceStop    context.CancelFunc
-	// quotaCtx ends runQuota in a planned stop, before the other background tasks
-	// end; quotaDone is closed when runQuota has returned.
+	// quotaCtx is the context of runQuota. A planned stop cancels it before the other
+	// background tasks end. quotaDone is closed when runQuota has returned.
 	quotaCtx    context.Context
 	cancelQuota context.CancelFunc
 	quotaDone   chan struct{}
@@ -93,11 +93,12 @@
 	service   *upstream.ServiceClient
 
 	pipeline Next
-	// notReady makes the readiness check fail, so that the balancer sends no new
-	// connections; stopping makes the host refuse requests.
+	// notReady is set at the start of a planned stop. It makes the readiness check fail,
+	// so that the balancer sends no new connections. stopping is set later and makes the
+	// host refuse requests.
 	notReady atomic.Bool
-	// upstreamsLoaded is set once a host list with upstreams was read and the load
-	// of these upstreams was requested.
+	// upstreamsLoaded is set once the host has read a host list that contains upstreams
+	// and has requested the load of these upstreams.
 	upstreamsLoaded atomic.Bool
 	// stopsLoaded is set after the first attempt to load the stopped versions.
 	stopsLoaded      atomic.Bool
--- a/internal/entry/identify.go
+++ b/internal/entry/identify.go
@@ -7,7 +7,7 @@
 	"github.com/quetzalweir/quetzalweir/resultcode"
 )
 
-// identify sets the request's client account, which it looks up by the account key.
+// identify is the filter that looks up the request's client account by the account key.
 type identify struct{}
 
 // Serve implements Filter.
--- a/internal/entry/maintenance.go
+++ b/internal/entry/maintenance.go
@@ -21,10 +21,11 @@
 	// claimsPerRound is the maximum number of claims that one round checks.
 	claimsPerRound = 500
 	// minSegmentAge is the age from which ledger segments are compacted. It is
-	// far longer than a host takes to write its pending bills.
+	// much longer than a host takes to write its pending bills, so that few rows
+	// are written after their minute was compacted.
 	minSegmentAge = 10 * time.Minute
-	// confirmationTTL is the age at which the confirmation of a manifest by a host
-	// that no longer exists is deleted.
+	// confirmationTTL is the age at which a host's confirmation of a manifest is
+	// deleted. A running host renews its confirmation before that.
 	confirmationTTL = 24 * time.Hour
 )
 
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -16,13 +16,13 @@
 	// factHead is the key of the membership fact that holds the head of the manifest
 	// in force.
 	factHead = "head"
-	// copySweepInterval is the time between checks whether this host has copies of
-	// bills of hosts that no longer exist.
+	// copySweepInterval is the interval between sweeps, each of which takes over the
+	// bills of hosts that no longer exist if this host has copies of them.
 	copySweepInterval = 10 * time.Second
-	// leaveTimeout is the timeout of the announcement of a planned stop.
+	// leaveTimeout is the timeout of announcing a planned stop to the other hosts.
 	leaveTimeout = 5 * time.Second
-	// takeOverQueueSize is the maximum number of hosts that went down and whose
-	// bills wait to be taken over.
+	// takeOverQueueSize is the capacity of the queue of hosts that went down and whose
+	// bills are to be taken over.
 	takeOverQueueSize = 1024
 )
 
@@ -71,8 +71,8 @@
 	if err != nil {
 		return
 	}
-	// Put fails if this host has received a head with a higher epoch. The given head
-	// is outdated then.
+	// Put fails if this host has received a head with a higher epoch. The error is
+	// ignored, since head is outdated in that case.
 	_ = h.members.Put(membership.Fact{Key: factHead, Version: head.Epoch, Value: value})
 }
 
@@ -96,8 +96,9 @@
 	}
 }
 
-// takeOverBills takes over the bills of hosts that went down, of which this host has
-// copies. It also has new copies made of this host's bills whose copies those hosts had.
+// takeOverBills takes over the bills of each host that went down, if this host has
+// copies of them, until ctx ends. It also makes the ledger replace the copies of this
+// host's bills that were stored on a host that went down.
 func (h *Host) takeOverBills(ctx context.Context) error {
 	sweep := time.NewTicker(copySweepInterval)
 	defer sweep.Stop()
--- a/internal/entry/members_test.go
+++ b/internal/entry/members_test.go
@@ -13,10 +13,10 @@
 	"github.com/quetzalweir/quetzalweir/storage/memory"
 )
 
-// Guards against taking over the bills of one host after those of another. Two hosts
-// go down in succession while the table doesn't respond. The bills stored for the
-// second host must be taken over although the bills of the first can't be written yet.
-// They are then copied to another host before this host may fail as well.
+// Guards against taking over the bills of hosts one host at a time. Two hosts go down in
+// succession while the table doesn't respond. The bills of the second host must be taken
+// over although the bills of the first can't be written yet, so that they are copied to
+// another host before this host may fail as well.
 func TestBillsOfHostsThatGoDownTogetherAreTakenOverTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/entry/operatorapi.go
+++ b/internal/entry/operatorapi.go
@@ -40,8 +40,8 @@
 	// Head is the head of the manifest that was accepted instead of the submitted
 	// one.
 	Head *config.Head `json:"head,omitempty"`
-	// Outcome is "none" if the call had no effect and "unknown" if it may have had
-	// one. Submitting again with the same token resolves an unknown outcome.
+	// Outcome is "none" if the call had no effect and "unknown" if it may have had an
+	// effect. Submitting again with the same token resolves an unknown outcome.
 	Outcome string `json:"outcome"`
 }
 
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -56,7 +56,7 @@
 }
 
 // isOperatorKey reports whether key is one of keys. It compares the digests of all
-// keys in constant time, so that the duration doesn't reveal anything about them.
+// keys in constant time, so that the duration doesn't reveal anything about the keys.
 func isOperatorKey(key string, keys []string) bool {
 	sum := sha256.Sum256([]byte(key))
 	match := 0
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -121,9 +121,9 @@
 	host *Host
 }
 
-// HostCount implements config.Peers. It counts hosts that are down unless they left
-// by a planned stop. Otherwise an isolated host, to which all others appear down,
-// would be a majority by itself.
+// HostCount implements config.Peers. It also counts hosts that are down, except those
+// that left by a planned stop. If it didn't count them, an isolated host, to which all
+// others appear down, would count one host and be a majority by itself.
 func (p *peerViews) HostCount() int {
 	return max(1, p.host.plannedDepartures.countRemaining(p.host.members.Members()))
 }
@@ -140,8 +140,8 @@
 			if p.host.peers.Call(ctx, m.PeerAddr, methodView, empty{}, &view) != nil {
 				return
 			}
-			// The peer may have created the view at any time since the call began, so
-			// the age of its table read may be greater by the duration of the call.
+			// The peer may have created the view at any time since the call began. The
+			// duration of the call is therefore added to the age of its table read.
 			if view.HasTableRead {
 				view.TableReadAge += boottime.Since(calledAt)
 			}
@@ -176,8 +176,8 @@
 // billReplicator stores copies of bills on hosts in other availability zones.
 type billReplicator struct {
 	host *Host
-	// failures is the number of failed calls. Each failure makes another host the
-	// first candidate.
+	// failures is the number of failed calls of Replicate. After each failure another
+	// host is the first candidate.
 	failures atomic.Uint64
 }
 
@@ -204,9 +204,9 @@
 	return "", errors.Join(errNoOtherHost, err)
 }
 
-// candidates returns the hosts that may hold this host's bills, in the order in which
-// to try them: the hosts that are up in other availability zones, or, if there are
-// none, those that are up in the same zone.
+// candidates returns the hosts that may hold copies of this host's bills, the preferred
+// host first: the hosts that are up in other availability zones or, if there are none,
+// those that are up in the same zone.
 func (p *billReplicator) candidates() []membership.Member {
 	var preferred, sameZone []membership.Member
 	for _, m := range sortByRendezvous(p.host.otherHosts(), p.host.settings.ID) {
@@ -229,9 +229,9 @@
 }
 
 // sortByRendezvous returns the hosts sorted by the rendezvous hash of each host's ID
-// with self, the ID of this host. This order distributes the bills evenly over the
-// hosts that hold them, whatever the IDs look like, and few hosts change their holder
-// when a host joins or leaves.
+// and self, the ID of this host. The first host holds the copies of this host's bills.
+// With this order, the copies of all hosts are distributed evenly, whatever the IDs look
+// like, and few hosts change their holder when a host joins or leaves.
 func sortByRendezvous(list []membership.Member, self string) []membership.Member {
 	ranked := slices.Clone(list)
 	slices.SortFunc(ranked, func(a, b membership.Member) int {
--- a/internal/entry/processes.go
+++ b/internal/entry/processes.go
@@ -13,8 +13,8 @@
 	// factProcess is the key prefix, before a host's ID, of the membership fact that
 	// names the process running under that ID.
 	factProcess = "process/"
-	// processTTL is the lifetime of the fact that names a process. It covers the time
-	// in which a host that receives a repeat of a request has to determine whether the
+	// processTTL is the lifetime of the fact that names a process. It covers the period
+	// in which a host may receive a repeat of a request and has to determine whether the
 	// process that ran the request still exists.
 	processTTL = 24 * time.Hour
 )
@@ -26,9 +26,10 @@
 	incarnations map[string]string // host id to incarnation
 }
 
-// update records the process that a host announced. It reports whether the process
-// differs from the last one recorded for the host, if any. If it does, an earlier
-// process of the host is gone, even if this host never received its announcement.
+// update records the process that a host announced. It reports whether this process
+// differs from the last recorded process of the host, or whether none was recorded. In
+// both cases an earlier process of the host, if there was one, has ended, even if this
+// host never received its announcement.
 func (p *processes) update(id string, f membership.Fact) (changed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -69,9 +70,10 @@
 	})
 }
 
-// applyProcess records which process a host runs. If the process replaced an earlier
-// one, the bills of the earlier process are taken over. The replacement may have been so
-// quick that the host was never detected as down.
+// applyProcess records which process a host runs. If the recorded process changes,
+// applyProcess queues the host, so that the bills of an earlier process are taken over.
+// Membership events don't suffice, since a host that restarts quickly is never detected
+// as down.
 func (h *Host) applyProcess(f membership.Fact) {
 	id := strings.TrimPrefix(f.Key, factProcess)
 	if !h.processes.update(id, f) || id == h.settings.ID {
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	// sightingsInterval is the time between checks for new sightings to send to the
-	// other hosts. A poison request must be known on all hosts within 3 s.
+	// sightingsInterval is the interval between checks for new sightings to send to the
+	// other hosts. All hosts must block a poison request within 3 s.
 	sightingsInterval = 200 * time.Millisecond
 	// verdictsInterval is the time between two reads of the table's rows for
 	// verdicts. While this host has verdicts, it reads the rows repeatedly, since
@@ -37,7 +37,8 @@
 // followed by a digest withdraws the verdict on the requests with that digest.
 const PathQuarantine = "/v1/quarantine"
 
-// sightingsParams holds the sightings, suspects and verdicts that one host sends.
+// sightingsParams holds the sightings that one host sends to another, that is, the
+// losses and survivals of requests, and its suspects and verdicts.
 type sightingsParams struct {
 	Sightings exchange.Sightings        `json:"sightings,omitzero"`
 	Status    exchange.QuarantineStatus `json:"standing,omitzero"`
@@ -63,7 +64,8 @@
 	e := &quarantineExchange{host: h, sentAt: make(map[quarantine.Digest]time.Time)}
 	e.guard = guard.New(guard.Options{
 		Host: h.incarnation, Table: h.platform.Table, Prefix: verdictsPrefix, Log: h.log,
-		// The wall clock is the only clock whose times can be compared across hosts.
+		// Sightings of several hosts are compared by their times. Only times of the wall
+		// clock, counted from the Unix epoch, can be compared across hosts.
 		Clock:   func() time.Duration { return time.Duration(time.Now().UnixNano()) },
 		OnEvent: h.metrics.countGuardEvent,
 	})
@@ -98,8 +100,8 @@
 	for _, m := range e.host.otherHosts() {
 		calls.Go(func() {
 			if err := e.host.peers.Call(ctx, m.PeerAddr, methodSightings, params, nil); err != nil {
-				// The member that wasn't reached reads the verdict from the table, or
-				// reaches it by itself after enough of its own upstreams terminated.
+				// The other host can still read the verdict from the table, or reach the
+				// same verdict by itself after enough of its own upstreams terminated.
 				e.host.log.Debug().Str("event", "sightings-untold").Str("member", m.ID).Err(err).Msg("")
 			}
 		})
--- a/internal/entry/queues.go
+++ b/internal/entry/queues.go
@@ -10,17 +10,17 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// queues holds an admission queue for each pool. A pool is the engines with a model or
-// the upstreams of a service. Requests for a full pool don't block those for other
-// pools. max is the maximum capacity of a queue, and maxQueue the maximum number of
-// requests that wait in it.
+// queues holds an admission queue for each pool. A pool consists of the engines that
+// serve a model or the upstreams of a service. Requests for a full pool don't block
+// those for other pools. max is the maximum capacity of a queue, and maxQueue is the
+// maximum number of requests that wait in a queue.
 type queues struct {
 	max      int
 	maxQueue int
 	// queueFactor is Settings.QueueFactor. Its default is above 1, since hosts
 	// don't receive equal parts of the traffic and engines have queues of their
-	// own. It must not be much larger, since requests queued at an engine can no
-	// longer be refused or overtaken.
+	// own. It must not be much larger than 1, since a request in an engine's queue can
+	// no longer be refused by this host or overtaken by a request of higher priority.
 	queueFactor int
 	mu          sync.RWMutex
 	classes     []admission.ClassOptions
@@ -82,9 +82,9 @@
 	}
 }
 
-// hostShare returns this host's share of a pool's capacity times queueFactor. For a
-// pool without capacity it returns the maximum, so that requests aren't queued but
-// fail at once because there is no upstream.
+// hostShare returns this host's share of a pool's capacity, multiplied by queueFactor.
+// For a pool without capacity it returns q.max, so that requests aren't queued: they
+// are admitted at once and then fail, because no upstream can be chosen.
 func (q *queues) hostShare(pool string) int {
 	capacity := poolCapacity(pool, q.fleet.reachable)
 	if capacity == 0 {
--- a/internal/entry/recordbill.go
+++ b/internal/entry/recordbill.go
@@ -15,7 +15,7 @@
 )
 
 // recordBill records one bill for each request that was sent to an upstream, before
-// the end of the answer goes to the caller. The bill of a request that ended with an
+// the end of the answer is sent to the caller. The bill of a request that ended with an
 // error has a cost of zero.
 type recordBill struct {
 	ledger *ledger.Ledger
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -99,14 +99,14 @@
 	// first use.
 	prefixHashes []uint64
 	state        runstate.Tracker
-	// keyUnresolved is set while an earlier request with the same key may have run,
-	// because the key's claim hasn't been read yet.
+	// keyUnresolved is set for a request with a key until the key's claim has been read.
+	// Until then an earlier request with the same key may have run.
 	keyUnresolved bool
 }
 
-// RunState returns the run state reported to the caller. With a request key whose
-// claim isn't resolved it is at least MayHaveRun, since an earlier request with the
-// same key may have run.
+// RunState returns the run state reported to the caller. While keyUnresolved is set, the
+// run state is at least MayHaveRun, since an earlier request with the same key may have
+// run.
 func (r *Request) RunState() runstate.State {
 	s := r.state.State()
 	if r.keyUnresolved && s == runstate.NotRun {
@@ -141,8 +141,8 @@
 	return r.Account.Name
 }
 
-// Epoch returns the epoch of the manifest that applies to the request, or 0 before one
-// does.
+// Epoch returns the epoch of the manifest that applies to the request, or 0 if no
+// manifest has been assigned to the request yet.
 func (r *Request) Epoch() uint64 {
 	if r.Policy == nil {
 		return 0
--- a/internal/entry/runcascade.go
+++ b/internal/entry/runcascade.go
@@ -55,7 +55,8 @@
 	if err == nil || best == nil || caller.Started() || ctx.Err() != nil {
 		return err
 	}
-	// The last step failed. An answer below the target is better than none.
+	// The last step failed, so the buffered answer with the highest rating is sent
+	// although it wasn't accepted.
 	f.logStep(r, last, "failed", 0, err)
 	caller.Reset()
 	r.BelowTarget = true
@@ -146,8 +147,9 @@
 	return newBufferedAnswer(r, buffer, score), accepted, nil
 }
 
-// acceptsAnswer reports whether a step's answer meets the cascade's target. If the
-// rater failed, the manifest determines whether the answer is accepted.
+// acceptsAnswer reports whether a step's answer is accepted: if its score meets the
+// cascade's target or, if the rater failed with err, if the manifest sets
+// OnRaterFailure to Accept.
 func acceptsAnswer(c *manifest.Cascade, score float64, err error) bool {
 	if err != nil {
 		return c.OnRaterFailure == manifest.Accept
--- a/internal/entry/sampler.go
+++ b/internal/entry/sampler.go
@@ -13,15 +13,16 @@
 	// samplerQueueSize is the maximum number of answers that wait for a rating.
 	// Further answers aren't rated.
 	samplerQueueSize = 64
-	// samplerWorkers is the number of ratings that run concurrently. If too few
-	// answers are rated, the roll-out of a good version is delayed.
+	// samplerWorkers is the number of ratings that run concurrently. If it is too small,
+	// too few answers are rated, which delays the roll-out of a good version.
 	samplerWorkers = 8
 	// samplerTimeout is the timeout of one rating.
 	samplerTimeout = 5 * time.Second
 )
 
-// sampler rates answers of versions that roll in. It does so after the request, so
-// that a slow rater causes samples to be dropped but never delays an answer.
+// sampler rates answers of versions that roll in. It rates an answer only after the
+// request has ended, so that a slow rater never delays an answer. If too many answers
+// wait for a slow rater, further answers aren't rated.
 type sampler struct {
 	rater   storage.Rater
 	rollout *rollout.Tracker
--- a/internal/entry/settings.go
+++ b/internal/entry/settings.go
@@ -41,8 +41,8 @@
 	// QueueFactor is the ratio of the number of requests that all hosts together
 	// admit to a pool at once to the number that the pool runs at once. Default 2.
 	QueueFactor int
-	// Selector chooses upstreams. Default nil, which selects the chain of
-	// balance.NewSelector. Measurements set other selectors for comparison.
+	// Selector chooses upstreams. Nil, the default, means the selector that
+	// balance.NewSelector returns. Benchmarks set other selectors for comparison.
 	Selector *balance.Selector
 	// SessionKeys sign the session tokens. The first key signs new tokens; tokens
 	// signed with any of the keys are accepted.
@@ -66,12 +66,12 @@
 	PollLoad time.Duration
 	// CallerWriteTimeout is the timeout of one write to a slow caller. Default 30 s.
 	CallerWriteTimeout time.Duration
-	// BalancerLag is how long the balancer may still send connections after the
-	// readiness check began to fail. Zero is valid, so that Provision doesn't set
-	// the default, 3 s.
+	// BalancerLag is how long the balancer may still send new connections to the host
+	// after the readiness check began to fail. Zero is a valid value, so Provision
+	// doesn't replace it by DefaultBalancerLag, 3 s.
 	BalancerLag time.Duration
 	// StopTimeout is the maximum time for which a planned stop waits for requests in
-	// flight. Requests that still run after it are aborted. Default 10 min.
+	// flight. Requests that still run at its end are aborted. Default 10 min.
 	StopTimeout time.Duration
 }
 
--- a/internal/entry/stop.go
+++ b/internal/entry/stop.go
@@ -15,7 +15,8 @@
 const drainTimeout = 30 * time.Second
 
 const (
-	// abortTimeout is the maximum wait for aborted requests to end.
+	// abortTimeout is the maximum time for which the host waits until aborted requests
+	// have ended.
 	abortTimeout = 5 * time.Second
 	// abortPollInterval is the time between checks whether aborted requests ended.
 	abortPollInterval = 10 * time.Millisecond
@@ -25,9 +26,9 @@
 // bills and claims are written at once.
 func (h *Host) ForceStop() { h.forceStop() }
 
-// stop makes a planned stop. First it makes the readiness check fail. The host then
-// accepts requests as long as the balancer may still send them, and finally finishes
-// those in flight.
+// stop makes a planned stop. First it makes the readiness check fail. For the duration
+// of BalancerLag the host still accepts requests, since the balancer may still send
+// them. It then waits for the requests in flight.
 func (h *Host) stop(callers, operators *http.Server) error {
 	h.notReady.Store(true)
 	h.log.Info().Str("event", "stopping").Dur("balancer_lag_ms", h.settings.BalancerLag).Msg("")
--- a/internal/entry/trace.go
+++ b/internal/entry/trace.go
@@ -37,8 +37,8 @@
 	return list
 }
 
-// traceRequest responds with a request's bill and the head of the manifest that the
-// request ran under.
+// traceRequest responds with a request's bill and the head of the manifest that applied
+// to the request.
 func (h *Host) traceRequest(w http.ResponseWriter, req *http.Request) {
 	bill, err := ledger.ByRequest(req.Context(), h.platform.Table, h.platform.Objects, req.PathValue("request"))
 	if err != nil {
--- a/internal/entry/unloader.go
+++ b/internal/entry/unloader.go
@@ -20,9 +20,9 @@
 	ordersLease = "orders"
 	// ordersTTL is the duration of the lease for sending orders.
 	ordersTTL = 10 * time.Second
-	// ordersInterval is the time between checks for versions to unload.
+	// ordersInterval is the interval between checks for versions to unload.
 	ordersInterval = time.Second
-	// orderTimeout is the timeout of one order, and of releasing a lease.
+	// orderTimeout is the timeout of sending one order, and of releasing the lease.
 	orderTimeout = 2 * time.Second
 )
 
--- a/internal/entry/upstreams.go
+++ b/internal/entry/upstreams.go
@@ -176,8 +176,8 @@
 }
 
 // runPeriodically calls f at once and then at the interval until ctx ends. A random
-// jitter makes each pause up to a tenth of the interval shorter or longer, so that the
-// hosts don't call f at the same time.
+// jitter makes each pause between two calls up to a tenth of the interval shorter or
+// longer, so that the hosts don't call f at the same time.
 func runPeriodically(ctx context.Context, interval time.Duration, f func()) error {
 	const jitterDivisor = 5
 	for {
