--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -39,8 +39,8 @@
 	MinBackoff, MaxBackoff time.Duration
 }
 
-// Client calls other hosts over one connection per address. Its links are kept by
-// address.
+// Client calls other hosts over one connection per address. The field links holds the
+// link to each address.
 type Client struct {
 	options ClientOptions
 	traffic *traffic
--- a/internal/peer/key.go
+++ b/internal/peer/key.go
@@ -4,8 +4,8 @@
 
 const (
 	// MinSecretBytes is the minimum length of a secret. Anyone who sends a hello
-	// receives a proof that allows guessing the secret offline, so the secret must be
-	// random and long.
+	// receives a MAC that depends on the secret, and can check guesses of the secret
+	// against this MAC offline. The secret must therefore be random and long.
 	MinSecretBytes = 32
 	// MaxKeys is the maximum number of keys that are valid at the same time.
 	MaxKeys = 8
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -23,8 +23,9 @@
 	conn   *clientConn
 	// dialing is closed when the dial in progress ends; nil if there is none.
 	dialing <-chan struct{}
-	// failures counts consecutive failed dials; retryAt is the earliest time of
-	// the next dial; lastErr is the error of the last dial, nil if it succeeded.
+	// failures is the number of consecutive failed dials. retryAt is the earliest time
+	// of the next dial. lastErr is the error of the last dial, or nil if that dial
+	// succeeded.
 	failures int
 	retryAt  time.Time
 	lastErr  error
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -99,7 +99,8 @@
 	FrameTimeout time.Duration
 	// IdleTimeout is how long a server waits for a frame; default 2 min. The client
 	// waits half as long, so that it doesn't send a call on a connection that the
-	// server is about to close. A call whose response takes longer than that fails.
+	// server is about to close. A call whose response takes longer than the client waits
+	// fails.
 	IdleTimeout time.Duration
 }
 
--- a/internal/peer/traffic.go
+++ b/internal/peer/traffic.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// handshakeMethod and unknownMethod are the names under which handshakes and
-	// unregistered methods are counted.
+	// handshakeMethod and unknownMethod are the method names under which handshakes and
+	// calls of unregistered methods are counted.
 	handshakeMethod = "(handshake)"
 	unknownMethod   = "(unknown)"
 )
@@ -82,9 +82,9 @@
 	return s
 }
 
-// trafficMeter counts the frames of one connection by method. It finds the method
-// of a response by the request id: pendingMethods holds the methods of the received
-// requests whose responses haven't been sent yet.
+// trafficMeter counts the frames of one connection by method. pendingMethods maps the ids
+// of received requests whose responses haven't been sent yet to their methods. With it,
+// trafficMeter determines the method of each response that is sent.
 type trafficMeter struct {
 	traffic *traffic
 	stream  *stream
--- a/internal/sealedconn/conn.go
+++ b/internal/sealedconn/conn.go
@@ -7,7 +7,8 @@
 
 // trackedConn reports its writes to the call attached to it.
 // httptrace.ClientTrace.WroteHeaders can't be used instead, because the transport
-// calls it after a write to a buffer, long before or after the bytes are sent.
+// calls it after it has written the headers to a buffer. The bytes may be sent long
+// before or after that.
 type trackedConn struct {
 	net.Conn
 
--- a/internal/sealedconn/transport.go
+++ b/internal/sealedconn/transport.go
@@ -9,7 +9,7 @@
 
 // NewTransport returns an HTTP/1.1 transport whose writes a Call can track. It
 // ignores proxy settings of the environment and doesn't request compression. The
-// caller sets the limits of the connection pool and headers.
+// caller sets the limits of the connection pool and of the header size.
 func NewTransport(dialTimeout time.Duration) *http.Transport {
 	dialer := newDialer(dialTimeout)
 	protocols := new(http.Protocols)
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -53,14 +53,15 @@
 
 func newResponseConn(ctx context.Context, readTimeout func() time.Duration) *responseConn {
 	ctx, cancel := context.WithCancelCause(ctx)
-	timer := time.AfterFunc(noTimeout, func() { cancel(errStalled) })
+	timer := time.AfterFunc(placeholderTimeout, func() { cancel(errStalled) })
 	timer.Stop()
 	return &responseConn{ctx: ctx, cancel: cancel, timer: timer, readTimeout: readTimeout}
 }
 
-// noTimeout is the duration, in nanoseconds, with which a timer is created that is
-// reset before each read. It is longer than any connection stays open.
-const noTimeout = 1 << 62
+// placeholderTimeout is the duration, in nanoseconds, with which a timer is created. The
+// timer is stopped at once and reset before each read. The duration is longer than any
+// connection stays open.
+const placeholderTimeout = 1 << 62
 
 // Read implements io.Reader.
 func (c *responseConn) Read(p []byte) (int, error) {
--- a/upstream/cut_test.go
+++ b/upstream/cut_test.go
@@ -16,8 +16,8 @@
 	"github.com/quetzalweir/quetzalweir/upstream"
 )
 
-// received counts how often a stand-in received the request header of one call and
-// how often it ran the call.
+// received holds the number of times that a stand-in received the request header of one
+// call, and the number of times that it ran the call.
 type received struct {
 	heads, runs int
 }
@@ -69,8 +69,8 @@
 	{cut.MidAnswer, runstate.Ran, received{heads: 1, runs: 1}},
 }
 
-// connKinds lists the kinds of connections that a call can use. The connection is
-// pooled if an earlier call opened it.
+// connKinds lists the kinds of connections that a call can use: a new connection, or a
+// pooled connection that an earlier call opened.
 var connKinds = []struct {
 	desc   string
 	pooled bool
@@ -106,8 +106,8 @@
 	}
 }
 
-// retriableCalls lists calls of which net/http would resend some by itself after the
-// connection broke.
+// retriableCalls lists calls with different methods, bodies and request keys. After the
+// connection broke, net/http would resend some of them by itself.
 var retriableCalls = []struct {
 	method string
 	body   string
--- a/upstream/engine.go
+++ b/upstream/engine.go
@@ -56,8 +56,8 @@
 	// expires, the stream is resumed on another connection. Default: 10 s.
 	StallTimeout time.Duration
 	// GapTimeout applies instead of StallTimeout while the next frame is missing
-	// and later frames have already arrived, so that a lost frame delays those
-	// only briefly. Default: 250 ms.
+	// and later frames have already arrived, so that a lost frame delays the later
+	// frames only briefly. Default: 250 ms.
 	GapTimeout time.Duration
 	// MaxFrame limits the size of one frame, in bytes. Default: 1 MiB.
 	MaxFrame int
--- a/upstream/resume.go
+++ b/upstream/resume.go
@@ -101,7 +101,8 @@
 	return nil
 }
 
-// maxBackoffShift limits the doubling so that the delay doesn't overflow.
+// maxBackoffShift is the maximum number of times that the mean delay doubles, so that
+// the delay doesn't overflow.
 const maxBackoffShift = 10
 
 // isPermanent reports whether further attempts to resume would fail with the same
--- a/upstream/stream_test.go
+++ b/upstream/stream_test.go
@@ -68,8 +68,8 @@
 func allZero(s upstream.EngineStats) bool                  { return s == upstream.EngineStats{} }
 
 // scriptedEngine responds to each request with the next of its responses and then
-// breaks the connection. A response in the form VERSION|TEXT is TEXT sent with the
-// given model version; all others are sent with the version of the engine.
+// breaks the connection. For a response in the form VERSION|TEXT, it sends TEXT with the
+// given model version. It sends all other responses with the version of the engine.
 type scriptedEngine struct {
 	version   string
 	responses []string
