--- a/claim/attempt.go
+++ b/claim/attempt.go
@@ -90,8 +90,8 @@
 	return 0, true, a.store.duplicateError(ctx, found, a.claim.record.Digest)
 }
 
-// setExpectedVersion sets the row version that the next write expects. It is called
-// if the row that was read shows that no request with the key has run.
+// setExpectedVersion sets the row version that the next write expects. It must be
+// called only if the row that was read shows that no request with the key has run.
 func (a *attempt) setExpectedVersion(version uint64) {
 	a.version = version
 	a.contended = false
@@ -112,7 +112,8 @@
 		a.store.enqueue(&cancellation{record: a.claim.record})
 	}
 	if a.contended {
-		// There is or was a row of this key, so a request with it may have run.
+		// A write conflicted, so the key has or had a row, and a request with the key
+		// may have run.
 		return &InFlightError{}
 	}
 	return unavailableError(err)
--- a/claim/backlog.go
+++ b/claim/backlog.go
@@ -16,7 +16,8 @@
 // pendingWrite is a write that is retried until it is in the table.
 type pendingWrite interface {
 	write(ctx context.Context, s *Store) error
-	// complete is called once, after write succeeded or the row expired.
+	// complete ends the retries of the write. It is called once, after write succeeded
+	// or the row expired.
 	complete(s *Store)
 	// resultBytes returns the size of the result held in memory, in bytes.
 	resultBytes() int
--- a/claim/cancellation.go
+++ b/claim/cancellation.go
@@ -8,9 +8,9 @@
 )
 
 // cancellation is the pending write that prevents the row write of a failed Acquire
-// from taking effect later. It isn't enough to find the row absent, since that write
-// may still be in transit. The cancellation therefore writes a row in state released,
-// with which the late write conflicts.
+// from taking effect later. An absent row doesn't show that the row write has failed,
+// since it may still be in transit. The cancellation therefore writes a row in state
+// released, with which the late row write conflicts.
 type cancellation struct {
 	// record is the row value that the failed Acquire wrote.
 	record record
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -65,8 +65,8 @@
 	version uint64
 }
 
-// write writes the outcome. It may be retried after an error, because the condition
-// on the row's version lets only one write succeed.
+// write writes the outcome to the claim's row. It may be retried after an error: each
+// attempt requires the row version that the claim wrote, so only one attempt succeeds.
 func (w *outcomeWrite) write(ctx context.Context, s *Store) error {
 	rec, err := s.results.storeIfLarge(ctx, w.outcome)
 	if err != nil {
@@ -96,7 +96,7 @@
 	}
 	if found.version == w.version {
 		// The outcome isn't written yet. A write that is still in transit and the
-		// next one can't both succeed, since both expect this version.
+		// next attempt can't both succeed, since both expect this version.
 		return cause
 	}
 	if w.outcome.State == released {
--- a/claim/doc.go
+++ b/claim/doc.go
@@ -10,7 +10,7 @@
 // flight, or that it may have run. docs/design/0008-claims.md describes the
 // design and its costs.
 //
-// The entry host uses it. It isn't guaranteed that a request runs: after a failure,
-// a duplicate may get only the error that the request may have run. Once the row of a key
-// has expired and been swept, the key can be used again.
+// The entry host uses this package. It isn't guaranteed that a request runs: after a
+// failure, a duplicate may get only the error that the request may have run. Once the row
+// of a key has expired and been swept, the key can be used again.
 package claim
--- a/claim/sweep.go
+++ b/claim/sweep.go
@@ -33,9 +33,9 @@
 // Sweep reads up to limit rows, starting where the last call stopped, or at the
 // first row if the last call reached the end. Rows whose claim is older than
 // Retention are replaced by tombstones, unless the owner may still be running
-// the request, and released rows of that age are deleted. Tombstones whose claim
-// is older than TombstoneRetention are deleted. Rows that change concurrently
-// are left for the next pass.
+// the request. Released rows whose claim is older than Retention are deleted, and
+// tombstones whose claim is older than TombstoneRetention are deleted. Rows that
+// change concurrently are left for the next pass.
 func (s *Store) Sweep(ctx context.Context, limit int) (SweepResult, error) {
 	s.sweepMu.Lock()
 	defer s.sweepMu.Unlock()
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -38,8 +38,8 @@
 	version uint64
 	// renewedAt is when the last successful write was started.
 	renewedAt time.Time
-	// endReason is the error with which the lease ended; nil as long as no call
-	// has found that it ended.
+	// endReason is the error with which the lease ended. It is nil until a call has
+	// found that the lease ended.
 	endReason error
 }
 
--- a/lease/manager.go
+++ b/lease/manager.go
@@ -39,8 +39,8 @@
 	observed map[string]observation
 }
 
-// observation is the time at which a row was first read with a version. A Manager
-// keeps that of each row's current version, by the name of the lease.
+// observation is a row's version and the time at which this version was first read. A
+// Manager keeps one observation per lease name, that of the row's current version.
 type observation struct {
 	version uint64
 	at      time.Time
--- a/lease/orders.go
+++ b/lease/orders.go
@@ -11,7 +11,7 @@
 	ID string
 	// ChecksFencing is true if the receiver rejects an order whose fencing number is
 	// lower than one that it has received before. It must be false if it isn't
-	// known whether the receiver does so.
+	// known whether the receiver rejects such orders.
 	ChecksFencing bool
 }
 
@@ -25,7 +25,7 @@
 // holder. For other receivers, the first order of a new holder is delayed by the
 // predecessor's TTL and margin after the acquisition, so that any order that the
 // predecessor was sending has arrived or failed by then. If the predecessor is
-// paused for longer than that between its check of the lease and its write, only
+// paused for longer than this delay between its check of the lease and its write, only
 // the receiver could reject its late order. The new holder must therefore repeat its
 // order to a receiver without fencing while it holds the lease, so that the last
 // order that the receiver executes is the new holder's.
--- a/session/cache.go
+++ b/session/cache.go
@@ -10,8 +10,8 @@
 // cacheShards is the number of independently locked shards, a power of two.
 const cacheShards = 16
 
-// cachedBinding is a cached copy of a binding. Its readAt is the start of the call
-// of Bind or Rebind that cached it.
+// cachedBinding is a cached copy of a binding. readAt is the time at which the call of
+// Bind or Rebind that cached the binding started.
 type cachedBinding struct {
 	record record
 	// durable is true if the binding was read from or written to its row.
--- a/session/registry.go
+++ b/session/registry.go
@@ -18,7 +18,8 @@
 	rowPrefix = "session/"
 	// rowTTLFactor is the lifetime of a row after its last write, in TTLs. The
 	// first use that is at least one TTL after the last write rewrites the row.
-	// So each row lasts for at least one TTL after each use, without a write per
+	// A use that doesn't rewrite the row therefore leaves it at least one more TTL,
+	// so each row lasts for at least one TTL after each use, without a write per
 	// use.
 	rowTTLFactor = 2
 	// maxAttempts is the maximum number of attempts of one Bind or Rebind to write
@@ -179,9 +180,9 @@
 
 // readOrInsert returns the row's value. It inserts the proposal if the row is
 // absent or expired. It reads before it writes, since most sessions that are
-// new to a host have a row, and commits are scarcer than reads. If the response
-// to a write is lost, the row needs no token that identifies the writer, because
-// the value that is read afterwards is the binding, whichever host wrote it.
+// new to a host have a row, and commits are scarcer than reads. Rows need no token
+// that identifies the writer: if the response to a write is lost, the row is read
+// again, and its value is the binding, whichever host wrote it.
 func (r *Registry) readOrInsert(ctx context.Context, key string, proposal record, now time.Time) (record, error) {
 	for range maxAttempts {
 		current, version, err := r.read(ctx, key)
--- a/session/session.go
+++ b/session/session.go
@@ -6,9 +6,9 @@
 // new session. It is a pure function of the session's identity and the versions'
 // shares.
 //
-// The entry host uses all three. A session without a token that starts on two
-// hosts while the table is unreachable can get two versions. Bind then reports
-// that the binding isn't durable.
+// The entry host uses Codec, Registry and ChooseVersion. A session without a token that
+// starts on two hosts while the table is unreachable can get two versions. Bind then
+// reports that the binding isn't durable.
 package session
 
 import (
