--- a/config/confirm.go
+++ b/config/confirm.go
@@ -35,8 +35,9 @@
 	confirmPageSize = 500
 )
 
-// Confirm records that host has put head in force. The row's epoch never decreases, so
-// that a late write of an older head has no effect.
+// Confirm records in the host's row that host has put head in force. The row's epoch
+// never decreases: Confirm doesn't change a row with a later head, and a late write of an
+// older head fails because the row's version has changed.
 func (s *Store) Confirm(ctx context.Context, host string, head Head) error {
 	var err error
 	for attempt := range confirmAttempts {
--- a/config/freshness.go
+++ b/config/freshness.go
@@ -49,9 +49,9 @@
 	// tableReadAt is the start of the newest read of the table, by this host or a
 	// peer, that returned no newer head than that of policy; zero if there was none.
 	tableReadAt time.Time
-	// quorumQueriedAt is the time up to which a peer query has shown that a majority
-	// of the member hosts have policy in force and no newer head: the start of the
-	// query less the age of the reports. It is zero if there was no such query.
+	// quorumQueriedAt is a time at which a majority of the member hosts had policy in
+	// force and no newer head, according to a peer query: the start of the query less
+	// the age of the reports. It is zero if no query has shown that.
 	quorumQueriedAt time.Time
 	// newest is the newest head that the host has learned of; its epoch isn't below
 	// that of policy.
@@ -128,9 +128,9 @@
 	return fmt.Errorf("%w: epoch %d has digests %s and %s", ErrFork, head.Epoch, v.newest.Digest, head.Digest)
 }
 
-// withOwnTableRead is withTableRead for this host's own reads. For an epoch that
-// isn't in force yet, the head that the table returned replaces the head that a peer
-// reported.
+// withOwnTableRead returns the same view as withTableRead, for a read by this host itself.
+// For an epoch that isn't in force yet, the head that the table returned replaces the head
+// that a peer reported.
 func (v view) withOwnTableRead(head Head, at time.Time) (view, error) {
 	err := error(nil)
 	if head.Epoch == v.newest.Epoch && head.Epoch > v.epoch() {
@@ -165,8 +165,8 @@
 }
 
 // withPolicy returns the view after the manifest p was loaded. A manifest that isn't
-// newer than the one in force changes nothing. Evidence that there was no newer head
-// than that of the previous manifest also holds for p.
+// newer than the one in force changes nothing. The view keeps its evidence times: if there
+// was no newer head than that of the previous manifest, there was none newer than p either.
 func (v view) withPolicy(p *manifest.Policy, now time.Time) view {
 	if p.Epoch <= v.epoch() {
 		return v
--- a/config/freshness_test.go
+++ b/config/freshness_test.go
@@ -117,7 +117,7 @@
 }
 
 // checkInvariants checks that no host's epoch decreases, and that a host that accepts
-// requests has every manifest that was accepted longer ago than the bound.
+// requests has every manifest that was accepted longer ago than the freshness bound.
 func (s *simulation) checkInvariants(t *rapid.T) {
 	for i := range s.hosts {
 		epoch := s.hosts[i].epoch()
--- a/config/head.go
+++ b/config/head.go
@@ -17,7 +17,7 @@
 	Epoch uint64 `json:"epoch"`
 	// Digest is the digest of the document's canonical encoding.
 	Digest string `json:"digest"`
-	// Parent is the digest of the previous head; empty for the first.
+	// Parent is the digest of the previous head; empty for the first head.
 	Parent string `json:"parent,omitempty"`
 	// Build is the label that the operator's pipeline gave the document.
 	Build string `json:"build,omitempty"`
--- a/config/submit.go
+++ b/config/submit.go
@@ -19,7 +19,7 @@
 	// submitAttempts is the maximum number of table transactions, and of body
 	// writes, in one call.
 	submitAttempts = 8
-	// minBackoff and maxBackoff bound the wait between two attempts.
+	// minBackoff and maxBackoff limit the delay between two attempts.
 	minBackoff = 20 * time.Millisecond
 	maxBackoff = time.Second
 )
@@ -88,8 +88,9 @@
 	}
 }
 
-// writeBody stores the body before any row refers to it. It can be repeated, as the
-// object's name is the body's digest.
+// writeBody writes the body to the object store. It must succeed before a transaction
+// adds a row that refers to the body. It can be repeated, since the object's name is the
+// body's digest.
 func (s *Store) writeBody(ctx context.Context, p *proposal) error {
 	var err error
 	for attempt := range submitAttempts {
@@ -136,9 +137,10 @@
 }
 
 // tryCommit reads the head and the row of the document's digest, and sends one
-// transaction if the document's parent is the head. The head must be read first: if it
-// isn't the parent and the digest's row is absent afterwards, no delayed transaction can
-// still add the document, since each of them requires an older version of the head's row.
+// transaction if the document's parent is the head. The head must be read first: if the
+// head isn't the parent and the digest's row is absent afterwards, no delayed transaction
+// of this proposal can still add the document, since each of them requires an older
+// version of the head's row.
 func (s *Store) tryCommit(ctx context.Context, p *proposal) (Submission, error) {
 	head, version, err := s.readHead(ctx)
 	if err != nil {
--- a/config/watcher_helpers_test.go
+++ b/config/watcher_helpers_test.go
@@ -57,5 +57,5 @@
 	synctest.Wait()
 }
 
-// beyondBound is a duration after which evidence is older than the bound.
+// beyondBound is a duration after which evidence is older than the freshness bound.
 const beyondBound = config.DefaultFreshnessBound + 2*time.Second
--- a/config/watcher_loops.go
+++ b/config/watcher_loops.go
@@ -11,9 +11,9 @@
 	"github.com/quetzalweir/quetzalweir/manifest"
 )
 
-// pollTable starts reads of the head at intervals. Reads overlap if the table is
-// slow: a response that takes most of the bound is still useful, and the next read
-// shouldn't wait for it.
+// pollTable starts reads of the head at intervals. Reads overlap if the table is slow:
+// a response that arrives just within the freshness bound is still useful evidence, and
+// the next read shouldn't wait for that response.
 func (w *Watcher) pollTable(ctx context.Context) {
 	var reads sync.WaitGroup
 	defer reads.Wait()
@@ -46,9 +46,9 @@
 }
 
 // pollPeers queries the other hosts at intervals, while this host has no manifest in force
-// or its newest table read is older than half the bound. A table read that returns the head
-// of a newer manifest doesn't count until that manifest is loaded, so that a host that can't
-// load it also queries the others.
+// or its newest table read is older than half the freshness bound. A table read that
+// returns the head of a newer manifest doesn't count until that manifest is loaded.
+// Therefore a host that can't load the newer manifest also queries the other hosts.
 func (w *Watcher) pollPeers(ctx context.Context) {
 	if w.options.Peers == nil {
 		return
@@ -97,8 +97,8 @@
 }
 
 // applyPeerView updates the view with a peer's report from the query that began at start.
-// The peer started its table read before that, by the age of the report plus the age of the
-// read.
+// The peer made the report p.Age before start, and started its table read p.TableReadAge
+// before it made the report.
 func (w *Watcher) applyPeerView(p PeerView, start time.Time) {
 	if !p.HasTableRead {
 		w.ObserveHead(p.head())
@@ -142,10 +142,10 @@
 }
 
 // loadTimeout is the timeout of a load of a manifest from one source. With a fixed timeout,
-// a body that takes longer to transfer would be cut off at the same byte in each attempt,
-// and the host would never accept requests again. So a load that times out doubles the
-// timeout. The timeout is kept when the digest to load changes, since manifests may change
-// faster than one of them can be loaded.
+// a body that takes longer to transfer would be cut off at the same byte in each attempt.
+// The host could then never put a newer manifest in force, and would never accept requests
+// again. So a load that times out doubles the timeout. The timeout is kept when the digest
+// to load changes, since manifests may change faster than one of them can be loaded.
 type loadTimeout struct {
 	bound time.Duration
 	// current is the timeout that the last load set; 0 before the first load.
@@ -155,7 +155,7 @@
 // next returns the timeout of the next attempt.
 func (l *loadTimeout) next() time.Duration { return max(l.current, l.bound/loadsPerFreshnessBound) }
 
-// set sets the timeout, limited to maxLoadTimeoutInFreshnessBounds times the
+// set sets the timeout, limited to maxLoadTimeoutInFreshnessBounds times the freshness
 // bound.
 func (l *loadTimeout) set(timeout time.Duration) {
 	l.current = min(timeout, maxLoadTimeoutInFreshnessBounds*l.bound)
--- a/config/watcher_test.go
+++ b/config/watcher_test.go
@@ -55,7 +55,7 @@
 }
 
 // A host without peers must stop accepting requests when its last table read is older than
-// the bound, and must accept them again when the table has recovered.
+// the freshness bound, and must accept them again when the table has recovered.
 func TestWatcherUnderTableFaults(t *testing.T) {
 	for _, tc := range []struct {
 		desc  string
@@ -90,8 +90,8 @@
 	}
 }
 
-// A host that has learned of a newer head but can't load its manifest must stop accepting
-// requests when its evidence is older than the bound.
+// A host that has learned of a newer head but can't load the manifest of that head must
+// stop accepting requests when its evidence is older than the freshness bound.
 func TestWatcherStopsOnAHeadThatItCannotLoad(t *testing.T) {
 	runWithFixture(t, func(t *testing.T, is *is.I, f *fixture) {
 		first := f.submit(t, config.Head{}, "1")
@@ -169,9 +169,9 @@
 	return body, nil
 }
 
-// While the object store hangs, each of eight manifests must be loaded from a peer within
-// the bound. A fast load from a peer must therefore reset the timeout, which grows when the
-// object store doesn't respond.
+// While the object store hangs, eight manifests are accepted one after the other, and each
+// must be loaded from a peer and put in force within the freshness bound. The load timeout
+// grows when the object store doesn't respond, so a fast load from a peer must reset it.
 func TestLoadFromPeerResetsTimeout(t *testing.T) {
 	runWithFixture(t, func(t *testing.T, is *is.I, f *fixture) {
 		bodies := peerBodies{}
@@ -229,8 +229,8 @@
 	})
 }
 
-// A host must keep its confirmations within the budget by skipping epochs, and must
-// rewrite an unchanged one every hour.
+// A host must keep the rate of its confirmations within ConfirmsPerSecond by skipping
+// epochs, and must rewrite an unchanged confirmation every hour.
 func TestConfirmationsStayWithinBudget(t *testing.T) {
 	runWithFixture(t, func(t *testing.T, is *is.I, f *fixture) {
 		head := f.submit(t, config.Head{}, "0")
