--- a/claim/store.go
+++ b/claim/store.go
@@ -28,21 +28,21 @@
 	dropped atomic.Uint64
 
 	sweepMu sync.Mutex
-	// sweepAfter is the last row key that Sweep read.
-	sweepAfter string
+	// sweepCursor is the last row key that Sweep read.
+	sweepCursor string
 }
 
 // NewStore returns a Store. The caller must run Run in a goroutine.
 func NewStore(options Options) *Store {
 	options = options.withDefaults()
 	return &Store{
-		options:    options,
-		rows:       rowStore{table: options.Table},
-		results:    resultStore{objects: options.Objects, inlineBytes: options.InlineBytes},
-		process:    uuid.NewString(),
-		active:     newActiveClaims(),
-		backlog:    newBacklog(options.MaxPending, options.MaxPendingBytes),
-		sweepAfter: sweepStart(options.Host),
+		options:     options,
+		rows:        rowStore{table: options.Table},
+		results:     resultStore{objects: options.Objects, inlineBytes: options.InlineBytes},
+		process:     uuid.NewString(),
+		active:      newActiveClaims(),
+		backlog:     newBacklog(options.MaxPending, options.MaxPendingBytes),
+		sweepCursor: sweepStart(options.Host),
 	}
 }
 
--- a/claim/sweep.go
+++ b/claim/sweep.go
@@ -39,13 +39,13 @@
 func (s *Store) Sweep(ctx context.Context, limit int) (SweepResult, error) {
 	s.sweepMu.Lock()
 	defer s.sweepMu.Unlock()
-	found, err := s.options.Table.List(ctx, rowPrefix, s.sweepAfter, limit)
+	found, err := s.options.Table.List(ctx, rowPrefix, s.sweepCursor, limit)
 	if err != nil {
 		return SweepResult{}, err
 	}
-	s.sweepAfter = ""
+	s.sweepCursor = ""
 	if len(found) == limit {
-		s.sweepAfter = found[len(found)-1].Key
+		s.sweepCursor = found[len(found)-1].Key
 	}
 	return s.sweepRows(ctx, found)
 }
--- a/config/body_test.go
+++ b/config/body_test.go
@@ -14,18 +14,18 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// countedObjects counts the bytes that are read. damage, if it isn't nil, replaces the
-// result of reading a delta.
+// countedObjects counts the bytes that are read. If replaceDelta isn't nil, it gets each
+// delta that is read and returns what Read returns instead.
 type countedObjects struct {
 	storage.Objects
-	read   atomic.Int64
-	damage func(data []byte) ([]byte, error)
+	read         atomic.Int64
+	replaceDelta func(data []byte) ([]byte, error)
 }
 
 func (c *countedObjects) Read(ctx context.Context, name string) ([]byte, error) {
 	data, err := c.Objects.Read(ctx, name)
-	if c.damage != nil && err == nil && strings.HasPrefix(name, "manifest-delta/") {
-		data, err = c.damage(data)
+	if c.replaceDelta != nil && err == nil && strings.HasPrefix(name, "manifest-delta/") {
+		data, err = c.replaceDelta(data)
 	}
 	c.read.Add(int64(len(data)))
 	return data, err
@@ -36,9 +36,9 @@
 func TestHostReadsDeltas(t *testing.T) {
 	const accounts = 500
 	for _, tc := range []struct {
-		desc   string
-		damage func([]byte) ([]byte, error)
-		whole  bool
+		desc         string
+		replaceDelta func([]byte) ([]byte, error)
+		wantFullBody bool
 	}{
 		{"delta", nil, false},
 		{"no delta", func([]byte) ([]byte, error) { return nil, storage.ErrNotFound }, true},
@@ -55,7 +55,7 @@
 						Classes: []string{"normal"}, Weight: 1,
 					})
 				}
-				objects := &countedObjects{Objects: f.objects, damage: tc.damage}
+				objects := &countedObjects{Objects: f.objects, replaceDelta: tc.replaceDelta}
 				w := run(t, config.WatcherOptions{Store: config.NewStore(f.table, objects)})
 				first, err := f.store.Submit(t.Context(), manifest.Encode(doc), "1")
 				is.NoErr(err)
@@ -68,7 +68,7 @@
 				settle()
 				is.Equal(w.Current().Digest, second.Head.Digest)
 				change := objects.read.Load()
-				is.Equal(change >= whole, tc.whole)
+				is.Equal(change >= whole, tc.wantFullBody)
 				t.Logf("whole manifest: %d bytes, one delta: %d bytes", whole, change)
 			})
 		})
--- a/config/watcher_loops.go
+++ b/config/watcher_loops.go
@@ -161,13 +161,13 @@
 	l.current = min(timeout, maxLoadTimeoutInFreshnessBounds*l.bound)
 }
 
-// try loads from one source with the timeout. A successful load sets the timeout to twice
-// its own duration, even if another source took longer before.
-func (l *loadTimeout) try(ctx context.Context, load func(context.Context) (*manifest.Policy, error)) (*manifest.Policy, error) {
+// load calls fetch, which loads a manifest from one source, with the timeout. A successful
+// load sets the timeout to twice its own duration, even if another source took longer before.
+func (l *loadTimeout) load(ctx context.Context, fetch func(context.Context) (*manifest.Policy, error)) (*manifest.Policy, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.next())
 	defer cancel()
 	start := boottime.Now()
-	policy, err := load(ctx)
+	policy, err := fetch(ctx)
 	if err == nil {
 		l.set(2 * boottime.Since(start))
 	}
@@ -193,13 +193,13 @@
 // fetch loads the manifest from the object store or, if that fails, from a peer, each
 // with the timeout.
 func (w *Watcher) fetch(ctx context.Context, head Head, timeout *loadTimeout) (*manifest.Policy, error) {
-	policy, err := timeout.try(ctx, func(ctx context.Context) (*manifest.Policy, error) {
+	policy, err := timeout.load(ctx, func(ctx context.Context) (*manifest.Policy, error) {
 		return w.options.Store.LoadFrom(ctx, head, w.Current())
 	})
 	if err == nil || w.options.Bodies == nil {
 		return policy, err
 	}
-	policy, peerErr := timeout.try(ctx, func(ctx context.Context) (*manifest.Policy, error) {
+	policy, peerErr := timeout.load(ctx, func(ctx context.Context) (*manifest.Policy, error) {
 		return w.fetchFromPeer(ctx, head)
 	})
 	if peerErr != nil {
--- a/session/codec.go
+++ b/session/codec.go
@@ -34,8 +34,8 @@
 
 // keyring is an immutable set of keys.
 type keyring struct {
-	signer Key
-	byID   map[string]Key
+	signingKey Key
+	byID       map[string]Key
 }
 
 // NewCodec returns a Codec whose tokens are valid for ttl after they are
@@ -64,7 +64,7 @@
 	if err := checkKeys(keys); err != nil {
 		return err
 	}
-	ring := &keyring{signer: keys[0], byID: make(map[string]Key, len(keys))}
+	ring := &keyring{signingKey: keys[0], byID: make(map[string]Key, len(keys))}
 	for _, k := range keys {
 		ring.byID[k.ID] = k
 	}
@@ -81,7 +81,7 @@
 	if b.IssuedAt.IsZero() {
 		b.IssuedAt = c.clock()
 	}
-	signer := c.keys.Load().signer
+	signer := c.keys.Load().signingKey
 	raw := make([]byte, 0, 128)
 	raw = append(raw, tokenFormat)
 	raw = appendField(raw, signer.ID)
--- a/session/cost_test.go
+++ b/session/cost_test.go
@@ -55,8 +55,8 @@
 				wg.Wait()
 				counts := table.Counts()
 				commits := float64(counts.Commits) / seconds
-				t.Logf("commits/s %.0f reads/s %.0f longest bind %v, bindings not durable %d", commits, float64(counts.Gets)/seconds, stats.longest, stats.notDurable)
-				is.New(t).Equal(stats.notDurable, 0)
+				t.Logf("commits/s %.0f reads/s %.0f longest bind %v, bindings not durable %d", commits, float64(counts.Gets)/seconds, stats.maxLatency, stats.notDurableCount)
+				is.New(t).Equal(stats.notDurableCount, 0)
 				is.New(t).True(commits <= tc.maxCommitRate)
 			})
 		})
@@ -65,9 +65,9 @@
 
 // bindStats collects statistics of concurrent Bind calls.
 type bindStats struct {
-	mu         sync.Mutex
-	longest    time.Duration
-	notDurable int
+	mu              sync.Mutex
+	maxLatency      time.Duration
+	notDurableCount int
 }
 
 func (s *bindStats) measureBind(t *testing.T, r *Registry, session string) {
@@ -77,9 +77,9 @@
 	_, durable, _ := r.Bind(t.Context(), b)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.longest = max(s.longest, time.Since(begin))
+	s.maxLatency = max(s.maxLatency, time.Since(begin))
 	if !durable {
-		s.notDurable++
+		s.notDurableCount++
 	}
 }
 
--- a/session/sweep.go
+++ b/session/sweep.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		return after, 0, err
 	}
-	txn := r.deletionOfExpired(rows)
+	txn := r.expiredRowsTxn(rows)
 	if len(rows) == sweepPage {
 		next = rows[len(rows)-1].Key
 	}
@@ -50,7 +50,7 @@
 	}
 }
 
-func (r *Registry) deletionOfExpired(rows []storage.Row) storage.Txn {
+func (r *Registry) expiredRowsTxn(rows []storage.Row) storage.Txn {
 	var txn storage.Txn
 	now := r.opts.Clock()
 	for _, row := range rows {
