--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -45,8 +45,8 @@
 	options ClientOptions
 	traffic *traffic
 
-	// closing is cancelled by Close and aborts dials in progress.
-	closing    context.Context
+	// closeCtx is cancelled by Close and aborts dials in progress.
+	closeCtx   context.Context
 	cancel     context.CancelFunc
 	background sync.WaitGroup
 
@@ -67,11 +67,11 @@
 	defaults.Positive(&options.MaxBackoff, DefaultMaxBackoff)
 	closing, cancel := context.WithCancel(context.Background())
 	return &Client{
-		options: options,
-		traffic: newTraffic(),
-		closing: closing,
-		cancel:  cancel,
-		links:   make(map[string]*link),
+		options:  options,
+		traffic:  newTraffic(),
+		closeCtx: closing,
+		cancel:   cancel,
+		links:    make(map[string]*link),
 	}, nil
 }
 
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -136,7 +136,7 @@
 
 func (l *link) dial() (*clientConn, error) {
 	o := l.client.options
-	ctx, cancel := context.WithTimeout(l.client.closing, o.DialTimeout)
+	ctx, cancel := context.WithTimeout(l.client.closeCtx, o.DialTimeout)
 	defer cancel()
 	var dialer net.Dialer
 	if o.LocalIP != nil {
@@ -146,7 +146,7 @@
 	if err != nil {
 		return nil, err
 	}
-	stop := context.AfterFunc(l.client.closing, func() { conn.Close() })
+	stop := context.AfterFunc(l.client.closeCtx, func() { conn.Close() })
 	defer stop()
 	s, err := clientHandshake(conn, o.Self, o.Keys, o.Limits.HandshakeTimeout)
 	if err != nil {
@@ -163,7 +163,7 @@
 	limits.IdleTimeout /= 2
 	stream := newStream(conn, s, limits)
 	meter := newTrafficMeter(l.client.traffic, stream, func(string) bool { return true })
-	rpc := jsonrpc2.NewConn(context.Background(), stream, rejectCalls{}, append(meter.options(), discardLogs())...)
+	rpc := jsonrpc2.NewConn(context.Background(), stream, callRejecter{}, append(meter.connOptions(), discardLogs())...)
 	return &clientConn{
 		rpc:          rpc,
 		stream:       stream,
@@ -182,10 +182,10 @@
 	}
 }
 
-// rejectCalls closes a connection on which the server calls the client.
-type rejectCalls struct{}
+// callRejecter closes a connection on which the server calls the client.
+type callRejecter struct{}
 
 // Handle implements jsonrpc2.Handler.
-func (rejectCalls) Handle(_ context.Context, conn *jsonrpc2.Conn, _ *jsonrpc2.Request) {
+func (callRejecter) Handle(_ context.Context, conn *jsonrpc2.Conn, _ *jsonrpc2.Request) {
 	conn.Close()
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -182,8 +182,8 @@
 	s.traffic.addHandshake(session)
 	stream := newStream(conn, session, s.options.Limits)
 	meter := newTrafficMeter(s.traffic, stream, s.hasHandler)
-	c := &serverConn{server: s, from: session.peer, callSlots: make(chan struct{}, s.options.Limits.MaxConcurrentCalls)}
-	rpc := jsonrpc2.NewConn(serveCtx, stream, c, append(meter.options(), discardLogs())...)
+	c := &serverConn{server: s, callerID: session.peer, callSlots: make(chan struct{}, s.options.Limits.MaxConcurrentCalls)}
+	rpc := jsonrpc2.NewConn(serveCtx, stream, c, append(meter.connOptions(), discardLogs())...)
 	<-rpc.DisconnectNotify()
 	s.notifyDisconnect(session.peer, stream.err())
 }
--- a/internal/peer/serverconn.go
+++ b/internal/peer/serverconn.go
@@ -12,7 +12,7 @@
 // that holds one element for each running call.
 type serverConn struct {
 	server    *Server
-	from      string
+	callerID  string
 	callSlots chan struct{}
 }
 
@@ -64,7 +64,7 @@
 	if request.Params != nil {
 		params = *request.Params
 	}
-	return handler.Handle(ctx, c.from, params)
+	return handler.Handle(ctx, c.callerID, params)
 }
 
 func wireError(err error) *jsonrpc2.Error {
--- a/internal/peer/traffic.go
+++ b/internal/peer/traffic.go
@@ -41,7 +41,7 @@
 	return &traffic{methods: make(map[string]*MethodTraffic)}
 }
 
-func (t *traffic) methodTraffic(method string) *MethodTraffic {
+func (t *traffic) getOrCreate(method string) *MethodTraffic {
 	e, ok := t.methods[method]
 	if !ok {
 		e = &MethodTraffic{Method: method}
@@ -53,7 +53,7 @@
 func (t *traffic) addIn(method string, size int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.methodTraffic(method)
+	e := t.getOrCreate(method)
 	e.BytesIn += uint64(size)
 	e.FramesIn++
 }
@@ -61,7 +61,7 @@
 func (t *traffic) addOut(method string, size int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.methodTraffic(method)
+	e := t.getOrCreate(method)
 	e.BytesOut += uint64(size)
 	e.FramesOut++
 }
@@ -106,8 +106,8 @@
 	return m
 }
 
-// options returns the hooks to install on the connection.
-func (m *trafficMeter) options() []jsonrpc2.ConnOpt {
+// connOptions returns the hooks to install on the connection.
+func (m *trafficMeter) connOptions() []jsonrpc2.ConnOpt {
 	return []jsonrpc2.ConnOpt{jsonrpc2.OnRecv(m.onReceive), jsonrpc2.OnSend(m.onSend)}
 }
 
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -22,9 +22,9 @@
 // reset clears the deadline for the next frame.
 func (w *frameWait) reset() { w.deadline = time.Time{} }
 
-// remaining returns the time until the deadline, which the first call after
-// reset sets.
-func (w *frameWait) remaining() time.Duration {
+// startAndGetRemaining returns the time until the deadline. The first call after reset
+// starts the wait and sets the deadline.
+func (w *frameWait) startAndGetRemaining() time.Duration {
 	if w.deadline.IsZero() {
 		w.deadline = time.Now().Add(w.frameTimeout)
 		return w.frameTimeout
@@ -36,9 +36,9 @@
 // hasGap is true if later frames have already arrived.
 func (w *frameWait) readTimeout(hasGap bool) time.Duration {
 	if hasGap {
-		return min(w.remaining(), w.gapTimeout)
+		return min(w.startAndGetRemaining(), w.gapTimeout)
 	}
-	return min(w.remaining(), w.stallTimeout)
+	return min(w.startAndGetRemaining(), w.stallTimeout)
 }
 
 // responseConn reads the response on one connection. A read that takes longer
--- a/upstream/cut_test.go
+++ b/upstream/cut_test.go
@@ -16,15 +16,15 @@
 	"github.com/quetzalweir/quetzalweir/upstream"
 )
 
-// received holds the number of times that a stand-in received the request header of one
+// receivedCounts holds the number of times that a stand-in received the request header of one
 // call, and the number of times that it ran the call.
-type received struct {
+type receivedCounts struct {
 	heads, runs int
 }
 
 // checkRunState returns an error if the run state contradicts what the stand-in
 // received, or if the call was received or run more than once.
-func checkRunState(state runstate.State, got received) error {
+func checkRunState(state runstate.State, got receivedCounts) error {
 	if got.heads > 1 || got.runs > 1 {
 		return fmt.Errorf("the call was received %d times and ran %d times", got.heads, got.runs)
 	}
@@ -41,12 +41,12 @@
 	tests := []struct {
 		desc  string
 		state runstate.State
-		got   received
+		got   receivedCounts
 	}{
-		{"sent twice", runstate.MayHaveRun, received{heads: 2, runs: 1}},
-		{"ran twice", runstate.Ran, received{heads: 1, runs: 2}},
-		{"not run, but received", runstate.NotRun, received{heads: 1}},
-		{"ran, but never started", runstate.Ran, received{heads: 1}},
+		{"sent twice", runstate.MayHaveRun, receivedCounts{heads: 2, runs: 1}},
+		{"ran twice", runstate.Ran, receivedCounts{heads: 1, runs: 2}},
+		{"not run, but received", runstate.NotRun, receivedCounts{heads: 1}},
+		{"ran, but never started", runstate.Ran, receivedCounts{heads: 1}},
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
@@ -60,13 +60,13 @@
 var cutTests = []struct {
 	at    cut.Boundary
 	state runstate.State
-	got   received
+	got   receivedCounts
 }{
-	{cut.BeforeHead, runstate.MayHaveRun, received{}},
-	{cut.AfterHead, runstate.MayHaveRun, received{heads: 1}},
-	{cut.MidBody, runstate.MayHaveRun, received{heads: 1}},
-	{cut.BeforeAnswer, runstate.MayHaveRun, received{heads: 1, runs: 1}},
-	{cut.MidAnswer, runstate.Ran, received{heads: 1, runs: 1}},
+	{cut.BeforeHead, runstate.MayHaveRun, receivedCounts{}},
+	{cut.AfterHead, runstate.MayHaveRun, receivedCounts{heads: 1}},
+	{cut.MidBody, runstate.MayHaveRun, receivedCounts{heads: 1}},
+	{cut.BeforeAnswer, runstate.MayHaveRun, receivedCounts{heads: 1, runs: 1}},
+	{cut.MidAnswer, runstate.Ran, receivedCounts{heads: 1, runs: 1}},
 }
 
 // connKinds lists the kinds of connections that a call can use: a new connection, or a
@@ -91,7 +91,7 @@
 				var state runstate.Tracker
 				text, err := openAndRead(t.Context(), c, target, engineCall("r1"), &state)
 				a := standin.Arrival("r1")
-				got := received{heads: a.Heads, runs: a.Began}
+				got := receivedCounts{heads: a.Heads, runs: a.Began}
 				is.NoErr(checkRunState(state.State(), got))
 				is.Equal(state.State(), test.state)
 				is.Equal(got, test.got)
@@ -141,7 +141,7 @@
 					var state runstate.Tracker
 					_, err := c.Do(t.Context(), target, serviceCall("r1", call.method, call.body, call.key), &state)
 					a := standin.Arrival("r1")
-					got := received{heads: a.Heads, runs: a.Runs}
+					got := receivedCounts{heads: a.Heads, runs: a.Runs}
 					is.NoErr(checkRunState(state.State(), got))
 					is.Equal(state.State(), test.state)
 					is.Equal(got, test.got)
--- a/upstream/header.go
+++ b/upstream/header.go
@@ -28,8 +28,8 @@
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// endToEnd returns a copy of h without the hop-by-hop headers.
-func endToEnd(h http.Header) http.Header {
+// endToEndHeaders returns a copy of h without the hop-by-hop headers.
+func endToEndHeaders(h http.Header) http.Header {
 	out := h.Clone()
 	if out == nil {
 		out = make(http.Header)
--- a/upstream/resume.go
+++ b/upstream/resume.go
@@ -84,7 +84,7 @@
 // most interruptions are over by then. The delay of later attempts is random with a
 // mean that doubles each time.
 func (s *engineStream) backoff() error {
-	if s.frameWait.remaining() <= 0 {
+	if s.frameWait.startAndGetRemaining() <= 0 {
 		return errFrameTimeout
 	}
 	if s.resumeAttempts <= 1 {
@@ -92,7 +92,7 @@
 	}
 	mean := s.client.opts.ResumeDelay << min(s.resumeAttempts-2, maxBackoffShift)
 	delay := mean/2 + rand.N(mean)
-	if delay >= s.frameWait.remaining() {
+	if delay >= s.frameWait.startAndGetRemaining() {
 		return errFrameTimeout
 	}
 	if wait.For(s.ctx, delay) != nil {
--- a/upstream/service.go
+++ b/upstream/service.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		return ServiceResponse{}, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	req.Header = endToEnd(call.Header)
+	req.Header = endToEndHeaders(call.Header)
 	req.Header.Set(HeaderRequestID, call.RequestID)
 	if call.Idempotent {
 		allowTransportRetry(req, call.Body)
@@ -96,7 +96,7 @@
 	if err != nil {
 		return ServiceResponse{}, err
 	}
-	return ServiceResponse{Status: resp.StatusCode, Header: endToEnd(resp.Header), Body: body}, nil
+	return ServiceResponse{Status: resp.StatusCode, Header: endToEndHeaders(resp.Header), Body: body}, nil
 }
 
 // headerIdempotencyKey is a header whose presence in a request makes the transport
--- a/upstream/stream.go
+++ b/upstream/stream.go
@@ -38,8 +38,8 @@
 	usage   Usage
 	load    Load
 	hasLoad bool
-	// err is the final error of Next; nil while the stream is open.
-	err error
+	// finalErr is the final error of Next; nil while the stream is open.
+	finalErr error
 }
 
 func newStream(ctx context.Context, cancel context.CancelCauseFunc, e *EngineClient, target Target, call Call) *engineStream {
@@ -70,8 +70,8 @@
 
 // Next implements Stream.
 func (s *engineStream) Next() (Frame, error) {
-	if s.err != nil {
-		return Frame{}, s.err
+	if s.finalErr != nil {
+		return Frame{}, s.finalErr
 	}
 	s.frameWait.reset()
 	for {
@@ -143,10 +143,10 @@
 // finish ends a complete stream. It reads the rest of the body so that the
 // connection can be reused.
 func (s *engineStream) finish() error {
-	s.err = io.EOF
+	s.finalErr = io.EOF
 	s.drain()
 	s.release()
-	return s.err
+	return s.finalErr
 }
 
 // Limits on reading the body after the end marker.
@@ -162,10 +162,10 @@
 
 func (s *engineStream) fail(err error) error {
 	s.client.counters.incomplete.Add(1)
-	s.err = err
+	s.finalErr = err
 	s.release()
 	s.client.cancelStream(s.target, s.call.RequestID)
-	return s.err
+	return s.finalErr
 }
 
 func (s *engineStream) release() {
@@ -181,10 +181,10 @@
 
 // Close implements Stream. It doesn't wait for the engine to cancel the request.
 func (s *engineStream) Close() error {
-	if s.err != nil {
+	if s.finalErr != nil {
 		return nil
 	}
-	s.err = fmt.Errorf("%w: %w", ErrIncomplete, errClosed)
+	s.finalErr = fmt.Errorf("%w: %w", ErrIncomplete, errClosed)
 	s.release()
 	s.client.cancelStream(s.target, s.call.RequestID)
 	return nil
--- a/upstream/stream_test.go
+++ b/upstream/stream_test.go
@@ -73,8 +73,8 @@
 type scriptedEngine struct {
 	version   string
 	responses []string
-	// resumed holds the Last-Event-ID of each request to resume the stream.
-	resumed []string
+	// lastEventIDs holds the Last-Event-ID of each request to resume the stream.
+	lastEventIDs []string
 }
 
 func (s *scriptedEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -82,7 +82,7 @@
 		return
 	}
 	if r.Method == http.MethodGet {
-		s.resumed = append(s.resumed, r.Header.Get(upstream.HeaderLastEventID))
+		s.lastEventIDs = append(s.lastEventIDs, r.Header.Get(upstream.HeaderLastEventID))
 	}
 	if len(s.responses) == 0 {
 		http.Error(w, "gone", http.StatusNotFound)
@@ -219,7 +219,7 @@
 			is.NoErr(c.Close())
 			is.True(errors.Is(err, test.want))
 			is.Equal(text, test.text)
-			is.Equal(s.resumed, test.resumed)
+			is.Equal(s.lastEventIDs, test.resumed)
 			is.Equal(state.State(), runstate.Ran)
 		})
 	}
