--- a/internal/entry/admit.go
+++ b/internal/entry/admit.go
@@ -16,7 +16,7 @@
 
 // Serve implements Filter.
 func (f *admit) Serve(ctx context.Context, r *Request, next Next) error {
-	grant, err := f.queues.queue(r.poolName()).Admit(ctx, newTicket(r))
+	grant, err := f.queues.getOrCreateQueue(r.poolName()).Admit(ctx, newTicket(r))
 	if err != nil {
 		return admissionError(ctx, err)
 	}
--- a/internal/entry/bufferedanswer.go
+++ b/internal/entry/bufferedanswer.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// higherScore returns the answer with the higher score. Either may be nil.
-func higherScore(a, b *bufferedAnswer) *bufferedAnswer {
+// higherScored returns the answer with the higher score. Either may be nil.
+func higherScored(a, b *bufferedAnswer) *bufferedAnswer {
 	if a == nil || (b != nil && b.score > a.score) {
 		return b
 	}
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -178,8 +178,8 @@
 	leases := lease.NewManager(lease.Options{Table: h.platform.Table})
 	h.unloader = &unloader{host: h, leases: leases}
 	h.maintenance = &maintenance{host: h, leases: leases}
-	h.handlePeers()
-	h.handleLoans()
+	h.registerPeerMethods()
+	h.registerLoanMethod()
 	h.watchMembers()
 	h.registerGauges()
 	return nil
--- a/internal/entry/members.go
+++ b/internal/entry/members.go
@@ -60,7 +60,7 @@
 			h.manifestWatcher.ObserveHead(head)
 		}
 	})
-	h.members.Watch(factLeaving, h.applyLeaving)
+	h.members.Watch(factLeaving, h.applyLeavingFact)
 	h.members.Watch(factProcess, h.applyProcess)
 }
 
@@ -146,9 +146,9 @@
 	d.ids[id] = true
 }
 
-// countRemaining returns the number of members that haven't left by a planned stop.
+// pruneAndCount returns the number of members that haven't left by a planned stop.
 // It removes from d the hosts that are no longer members or that have returned.
-func (d *departures) countRemaining(members []membership.Member) int {
+func (d *departures) pruneAndCount(members []membership.Member) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	departed := make(map[string]bool, len(d.ids))
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -32,7 +32,7 @@
 	handle("GET "+PathManifest, h.showCurrent)
 	handle("GET "+PathHistory, h.showHistory)
 	handle("GET "+PathEpoch, h.showEpoch)
-	handle("GET "+PathInForce, h.showInForce)
+	handle("GET "+PathInForce, h.showConfirmations)
 	handle("GET "+PathTraceEpoch, h.traceEpoch)
 	handle("GET "+PathTraceRequest, h.traceRequest)
 	handle("GET "+PathHosts, h.showHosts)
@@ -181,7 +181,7 @@
 
 // setLeaving takes an upstream out of service on all hosts.
 func (h *Host) setLeaving(w http.ResponseWriter, req *http.Request) {
-	h.upstreamLeaving(req.PathValue("upstream"))
+	h.setUpstreamLeaving(req.PathValue("upstream"))
 	w.WriteHeader(http.StatusNoContent)
 }
 
@@ -206,13 +206,13 @@
 	writeJSON(w, OperatorError{Message: err.Error(), Outcome: OutcomeNone})
 }
 
-// showInForce responds with the hosts that confirmed the manifest of an epoch.
-func (h *Host) showInForce(w http.ResponseWriter, req *http.Request) {
+// showConfirmations responds with the hosts that confirmed the manifest of an epoch.
+func (h *Host) showConfirmations(w http.ResponseWriter, req *http.Request) {
 	epoch, ok := parseEpoch(w, req)
 	if !ok {
 		return
 	}
-	head, err := h.headAt(req.Context(), epoch)
+	head, err := h.headOfEpoch(req.Context(), epoch)
 	if err != nil {
 		writeOperatorError(w, httpStatus(err), err)
 		return
@@ -239,8 +239,8 @@
 	metrics.WriteProcessMetrics(w)
 }
 
-// headAt returns the head of the manifest that was accepted with the given epoch.
-func (h *Host) headAt(ctx context.Context, epoch uint64) (config.Head, error) {
+// headOfEpoch returns the head of the manifest that was accepted with the given epoch.
+func (h *Host) headOfEpoch(ctx context.Context, epoch uint64) (config.Head, error) {
 	heads, err := h.manifestStore.History(ctx, epoch-1, 1)
 	if err != nil {
 		return config.Head{}, err
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -63,14 +63,14 @@
 	h.peers, err = peer.NewClient(peer.ClientOptions{
 		Self:    h.settings.ID,
 		Keys:    h.settings.PeerKeys,
-		LocalIP: peerIP(h.settings.Peers),
+		LocalIP: localPeerIP(h.settings.Peers),
 	})
 	return err
 }
 
-// peerIP returns the local IP for calls to peers. It is the listener's IP, or nil if
+// localPeerIP returns the local IP for calls to peers. It is the listener's IP, or nil if
 // that is unspecified.
-func peerIP(listen string) net.IP {
+func localPeerIP(listen string) net.IP {
 	host, _, _ := net.SplitHostPort(listen)
 	ip := net.ParseIP(host)
 	if ip.IsUnspecified() {
@@ -79,8 +79,8 @@
 	return ip
 }
 
-// handlePeers registers the methods that other hosts call.
-func (h *Host) handlePeers() {
+// registerPeerMethods registers the methods that other hosts call.
+func (h *Host) registerPeerMethods() {
 	peer.Handle(h.peerServer, methodView, func(context.Context, string, empty) (config.PeerView, error) {
 		return h.manifestWatcher.View(h.settings.ID), nil
 	})
@@ -125,7 +125,7 @@
 // that left by a planned stop. If it didn't count them, an isolated host, to which all
 // others appear down, would count one host and be a majority by itself.
 func (p *peerViews) HostCount() int {
-	return max(1, p.host.plannedDepartures.countRemaining(p.host.members.Members()))
+	return max(1, p.host.plannedDepartures.pruneAndCount(p.host.members.Members()))
 }
 
 // QueryViews implements config.Peers.
--- a/internal/entry/pipeline.go
+++ b/internal/entry/pipeline.go
@@ -68,7 +68,7 @@
 			service:   h.service,
 			retries:   h.retries,
 			guard:     h.quarantine.guard,
-			onLeaving: h.upstreamLeaving,
+			onLeaving: h.setUpstreamLeaving,
 			log:       h.log,
 			zone:      h.settings.Zone,
 		},
--- a/internal/entry/policy.go
+++ b/internal/entry/policy.go
@@ -13,8 +13,8 @@
 // into force.
 const defaultSessionTTL = time.Hour
 
-// percent is the sum of the shares in a manifest.
-const percent = 100
+// shareSum is the sum of the shares in a manifest.
+const shareSum = 100
 
 // applyPolicy applies a manifest that came into force to the components that keep
 // state derived from it. The filters read the manifest directly.
@@ -40,7 +40,7 @@
 func classOptions(classes []manifest.Class) []admission.ClassOptions {
 	list := make([]admission.ClassOptions, len(classes))
 	for i, c := range classes {
-		list[i] = admission.ClassOptions{Name: c.Name, MinShare: float64(c.MinShare) / percent}
+		list[i] = admission.ClassOptions{Name: c.Name, MinShare: float64(c.MinShare) / shareSum}
 	}
 	return list
 }
--- a/internal/entry/queues.go
+++ b/internal/entry/queues.go
@@ -44,9 +44,9 @@
 	return &queues{max: s.Capacity, maxQueue: s.MaxQueue, queueFactor: s.QueueFactor, byPool: make(map[string]*admission.Queue)}
 }
 
-// queue returns the queue of a pool and creates it if there is none. The pool's name
-// must come from the manifest, so that the number of queues is bounded.
-func (q *queues) queue(pool string) *admission.Queue {
+// getOrCreateQueue returns the queue of a pool and creates it if there is none. The
+// pool's name must come from the manifest, so that the number of queues is bounded.
+func (q *queues) getOrCreateQueue(pool string) *admission.Queue {
 	q.mu.RLock()
 	queue := q.byPool[pool]
 	q.mu.RUnlock()
@@ -56,7 +56,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if queue = q.byPool[pool]; queue == nil {
-		queue = admission.New(admission.Options{Capacity: q.hostShare(pool), MaxQueue: q.maxQueue, Classes: q.classes})
+		queue = admission.New(admission.Options{Capacity: q.hostCapacity(pool), MaxQueue: q.maxQueue, Classes: q.classes})
 		q.byPool[pool] = queue
 	}
 	return queue
@@ -78,14 +78,14 @@
 	defer q.mu.Unlock()
 	q.fleet = fleetSize{reachable: reachable, total: total, hosts: max(1, hosts)}
 	for pool, queue := range q.byPool {
-		queue.SetCapacity(q.hostShare(pool))
+		queue.SetCapacity(q.hostCapacity(pool))
 	}
 }
 
-// hostShare returns this host's share of a pool's capacity, multiplied by queueFactor.
+// hostCapacity returns this host's share of a pool's capacity, multiplied by queueFactor.
 // For a pool without capacity it returns q.max, so that requests aren't queued: they
 // are admitted at once and then fail, because no upstream can be chosen.
-func (q *queues) hostShare(pool string) int {
+func (q *queues) hostCapacity(pool string) int {
 	capacity := poolCapacity(pool, q.fleet.reachable)
 	if capacity == 0 {
 		return q.max
--- a/internal/entry/quota.go
+++ b/internal/entry/quota.go
@@ -36,8 +36,8 @@
 	return h.quota.Leave(ctx)
 }
 
-// handleLoans registers the method by which other hosts borrow slots.
-func (h *Host) handleLoans() {
+// registerLoanMethod registers the method by which other hosts borrow slots.
+func (h *Host) registerLoanMethod() {
 	peer.Handle(h.peerServer, methodBorrow, func(_ context.Context, _ string, r quota.LoanRequest) (quota.Loan, error) {
 		return h.quota.Lend(r)
 	})
--- a/internal/entry/request_test.go
+++ b/internal/entry/request_test.go
@@ -60,11 +60,11 @@
 		{ID: "c", State: membership.Down}, // left by a planned stop
 	}
 	d.add("c")
-	is.Equal(d.countRemaining(members), 2)
+	is.Equal(d.pruneAndCount(members), 2)
 	members[2].State = membership.Up // c returned with the same ID
-	is.Equal(d.countRemaining(members), 3)
+	is.Equal(d.pruneAndCount(members), 3)
 	members[2].State = membership.Down // c failed, without a planned stop
-	is.Equal(d.countRemaining(members), 3)
+	is.Equal(d.pruneAndCount(members), 3)
 }
 
 func TestHostsSpreadOverHolders(t *testing.T) {
--- a/internal/entry/runcascade.go
+++ b/internal/entry/runcascade.go
@@ -47,7 +47,7 @@
 		if accepted {
 			return answer.deliver(r, caller)
 		}
-		best = higherScore(best, answer)
+		best = higherScored(best, answer)
 	}
 	r.Model = steps[last]
 	r.Sink = caller
--- a/internal/entry/trace.go
+++ b/internal/entry/trace.go
@@ -14,7 +14,7 @@
 	if !ok {
 		return
 	}
-	head, err := h.headAt(req.Context(), epoch)
+	head, err := h.headOfEpoch(req.Context(), epoch)
 	if err != nil {
 		writeOperatorError(w, httpStatus(err), err)
 		return
@@ -45,7 +45,7 @@
 		writeOperatorError(w, httpStatus(err), err)
 		return
 	}
-	head, err := h.headAt(req.Context(), bill.Epoch)
+	head, err := h.headOfEpoch(req.Context(), bill.Epoch)
 	if err != nil {
 		writeOperatorError(w, httpStatus(err), err)
 		return
--- a/internal/entry/upstreams.go
+++ b/internal/entry/upstreams.go
@@ -143,18 +143,18 @@
 		h.log.Debug().Str("event", "load").Str("upstream", target.ID).Err(err).Msg("")
 		return
 	}
-	// upstreamLeaving must precede Report, which also takes the upstream out of
+	// setUpstreamLeaving must precede Report, which also takes the upstream out of
 	// service. After Report, SetLeaving would find no change, and the other hosts
 	// wouldn't be informed.
 	if load.Leaving {
-		h.upstreamLeaving(target.ID)
+		h.setUpstreamLeaving(target.ID)
 	}
 	h.pool.Report(target.ID, load, requestedAt)
 }
 
-// upstreamLeaving takes an upstream out of service and informs the other hosts,
+// setUpstreamLeaving takes an upstream out of service and informs the other hosts,
 // since the platform's host list contains the change only later.
-func (h *Host) upstreamLeaving(id string) {
+func (h *Host) setUpstreamLeaving(id string) {
 	version := uint64(time.Now().UnixMilli())
 	if !h.pool.SetLeaving(id, version) {
 		return
@@ -163,9 +163,9 @@
 	h.members.Put(membership.Fact{Key: factLeaving + id, Version: version, TTL: balance.DefaultAbsentFor})
 }
 
-// applyLeaving takes an upstream out of service after another host reported that the
+// applyLeavingFact takes an upstream out of service after another host reported that the
 // upstream is leaving.
-func (h *Host) applyLeaving(f membership.Fact) {
+func (h *Host) applyLeavingFact(f membership.Fact) {
 	if f.Expired() {
 		return
 	}
