--- a/claim/active.go
+++ b/claim/active.go
@@ -15,8 +15,8 @@
 type activeClaim struct {
 	// record is the row value of the claim; it is immutable.
 	record record
-	// outcome is the record that replaces the row; nil until the outcome of the
-	// request is known. It is guarded by the lock of the claim's shard.
+	// outcome is the record that replaces the row. It is nil until the outcome of
+	// the request is known. It is guarded by the lock of the claim's shard.
 	outcome *record
 }
 
--- a/claim/backlog.go
+++ b/claim/backlog.go
@@ -89,11 +89,11 @@
 func (s *Store) enqueue(w pendingWrite) {
 	if !s.backlog.fitsResult(w.resultBytes()) {
 		w.dropResult(s)
-		s.dropped.Add(1)
+		s.droppedCount.Add(1)
 	}
 	if !s.backlog.push(w) {
 		w.dropResult(s)
-		s.dropped.Add(1)
+		s.droppedCount.Add(1)
 	}
 }
 
@@ -103,7 +103,7 @@
 
 // Dropped returns the number of results and writes that were dropped because the
 // backlog was full.
-func (s *Store) Dropped() uint64 { return s.dropped.Load() }
+func (s *Store) Dropped() uint64 { return s.droppedCount.Load() }
 
 // Run retries pending writes until ctx ends. It returns the error of ctx.
 func (s *Store) Run(ctx context.Context) error {
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -181,7 +181,7 @@
 
 // TestClaimWriteFaults checks that Acquire returns a claim only if the claim's row is
 // in the table, and that the key can still be claimed after Acquire failed. It checks
-// the results of Acquire during the fault (first) and, on the other host, after it
+// the results of Acquire during the fault (first) and, on the other host, after the fault
 // (afterClear).
 func TestClaimWriteFaults(t *testing.T) {
 	tests := []struct {
--- a/claim/history_test.go
+++ b/claim/history_test.go
@@ -31,8 +31,8 @@
 // historyTotals counts events over a set of histories. acquireResults counts the
 // results of Acquire by their names from describeAcquire.
 type historyTotals struct {
-	histories, runs, killedHosts int
-	acquireResults               map[string]int
+	historyCount, runCount, killedHostCount int
+	acquireResults                          map[string]int
 }
 
 // TestHistories sends requests with a few keys to several hosts, while the table has
@@ -175,7 +175,7 @@
 		if i == 0 && !process.Killed() { // only host 0 is killed, so that the others finish
 			process.Kill()
 			s.dead.set(hostName(i), true)
-			total.killedHosts++
+			total.killedHostCount++
 		}
 	default:
 		s.table.SetRandomFault(random, faulty.Bounds{Commits: 5, Delay: 1500 * time.Millisecond, Late: 3 * time.Second})
@@ -214,21 +214,21 @@
 	for _, rec := range s.recorders {
 		for request, arrivalHost := range rec.hosts {
 			if arrivalHost == i {
-				rec.end(historyClients, rec.Tick(), operation{action: actFlush, request: request})
+				rec.addEnded(historyClients, rec.Tick(), operation{action: actFlush, request: request})
 			}
 		}
 	}
 }
 
 func (s *simulation) check(t *testing.T, total *historyTotals) {
-	total.histories += len(s.recorders)
+	total.historyCount += len(s.recorders)
 	for key, rec := range s.recorders {
 		history := rec.history()
 		storagetest.CheckModel(t, fmt.Sprintf("seed %d, key %d", s.seed, key), model, history)
 		if rec.runs > 1 {
 			t.Errorf("seed %d, key %d: ran %d times", s.seed, key, rec.runs)
 		}
-		total.runs += rec.runs
+		total.runCount += rec.runs
 		for _, op := range history {
 			if result := op.Input.(operation).result; result != "" {
 				total.acquireResults[result]++
@@ -269,9 +269,9 @@
 	if err == nil {
 		rec.setStaleRow(request, false)
 	}
-	rec.end(client, call, acquireOperation(request, err))
+	rec.addEnded(client, call, acquireOperation(request, err))
 	if c != nil && random != nil {
-		s.runClaimed(ctx, c, claimedRequest{rec: rec, process: h.process, request: request, client: client, random: random})
+		s.runClaimed(ctx, c, claimedRequest{recorder: rec, process: h.process, request: request, client: client, random: random})
 	}
 }
 
@@ -282,22 +282,22 @@
 	var mayHaveRun *claim.MayHaveRunError
 	switch {
 	case errors.As(err, &done):
-		op.subject, op.body = done.Result.RequestID, done.Result.Body
+		op.resultRequest, op.body = done.Result.RequestID, done.Result.Body
 	case errors.As(err, &inFlight):
-		op.subject = inFlight.RequestID
+		op.resultRequest = inFlight.RequestID
 	case errors.As(err, &mayHaveRun):
-		op.subject = mayHaveRun.RequestID
+		op.resultRequest = mayHaveRun.RequestID
 	}
 	return op
 }
 
 // claimedRequest is a request whose claim was acquired.
 type claimedRequest struct {
-	rec     *recorder
-	process *pause.Process
-	request string
-	client  int
-	random  *rand.Rand
+	recorder *recorder
+	process  *pause.Process
+	request  string
+	client   int
+	random   *rand.Rand
 }
 
 func (s *simulation) runClaimed(ctx context.Context, c *claim.Claim, r claimedRequest) {
@@ -307,7 +307,7 @@
 	}
 	time.Sleep(time.Duration(r.random.IntN(500)) * time.Millisecond)
 	r.process.Checkpoint()
-	r.rec.end(r.client, r.rec.Tick(), operation{action: actRun, request: r.request})
+	r.recorder.addEnded(r.client, r.recorder.Tick(), operation{action: actRun, request: r.request})
 	time.Sleep(time.Duration(r.random.IntN(500)) * time.Millisecond)
 	r.process.Checkpoint()
 	if r.random.IntN(3) == 0 {
@@ -326,18 +326,18 @@
 func (r claimedRequest) recordOutcome(ctx context.Context, op operation, do func(context.Context) error) {
 	op.request = r.request
 	op.pending = true
-	call, back := r.rec.Tick(), int64(math.MaxInt64)
+	call, back := r.recorder.Tick(), int64(math.MaxInt64)
 	defer func() {
 		if op.pending && op.action == actRelease {
-			r.rec.setStaleRow(r.request, true)
+			r.recorder.setStaleRow(r.request, true)
 		}
-		r.rec.add(r.client, call, back, op)
+		r.recorder.add(r.client, call, back, op)
 		if !op.pending && op.action != actRelease {
-			r.rec.add(r.client, call, back, operation{action: actRecord, request: r.request})
+			r.recorder.add(r.client, call, back, operation{action: actRecord, request: r.request})
 		}
 	}()
 	err := do(ctx)
 	r.process.Checkpoint()
 	op.pending = err != nil
-	back = r.rec.Tick()
+	back = r.recorder.Tick()
 }
--- a/claim/machine_test.go
+++ b/claim/machine_test.go
@@ -13,13 +13,13 @@
 	"github.com/quetzalweir/quetzalweir/storage/storagetest"
 )
 
-// expectation is the expected state of a key. host is the number of the host that
+// expectedKeyState is the expected state of a key. host is the number of the host that
 // claimed the key, and runs the number of runs of its request.
-type expectation struct {
+type expectedKeyState struct {
 	owner *claim.Claim
 	host  int
 	runs  int
-	// body is the response body; nil until Finish was called.
+	// body is the response body. It is nil until Finish was called.
 	body []byte
 	// outcomeUnknown is true once MayHaveRun was called.
 	outcomeUnknown bool
@@ -28,17 +28,17 @@
 // machine is a state machine test of two hosts with table faults. Calls aren't
 // concurrent.
 type machine struct {
-	platform     *testPlatform
-	stores       []*claim.Store
-	keys         map[claim.Key]*expectation
-	faultsActive bool
+	platform       *testPlatform
+	stores         []*claim.Store
+	expectedStates map[claim.Key]*expectedKeyState
+	faultsActive   bool
 }
 
 func newMachine() *machine {
 	p := newTestPlatform(claim.Options{})
-	m := &machine{platform: p, stores: []*claim.Store{p.a, p.b}, keys: make(map[claim.Key]*expectation)}
+	m := &machine{platform: p, stores: []*claim.Store{p.a, p.b}, expectedStates: make(map[claim.Key]*expectedKeyState)}
 	for i := range 3 {
-		m.keys[claim.Key{Account: "a", RequestKey: fmt.Sprint(i)}] = &expectation{}
+		m.expectedStates[claim.Key{Account: "a", RequestKey: fmt.Sprint(i)}] = &expectedKeyState{}
 	}
 	return m
 }
@@ -50,7 +50,7 @@
 // acquire claims a key on a host and checks the result.
 func (m *machine) acquire(t *rapid.T) {
 	key, host := drawKey(t), rapid.IntRange(0, 1).Draw(t, "host")
-	want := m.keys[key]
+	want := m.expectedStates[key]
 	c, err := m.stores[host].Acquire(context.Background(), key, testDigest, "req")
 	var done *claim.DoneError
 	switch {
@@ -74,7 +74,7 @@
 
 // checkResult checks the exact result of Acquire unless writes are pending. It is
 // called only while there are no faults.
-func (m *machine) checkResult(t *rapid.T, want *expectation, err error) {
+func (m *machine) checkResult(t *rapid.T, want *expectedKeyState, err error) {
 	if m.stores[0].Pending()+m.stores[1].Pending() > 0 {
 		return
 	}
@@ -96,7 +96,7 @@
 
 // setOutcome sets the outcome of a claimed key.
 func (m *machine) setOutcome(t *rapid.T) {
-	want := m.keys[drawKey(t)]
+	want := m.expectedStates[drawKey(t)]
 	if want.owner == nil || want.body != nil || want.outcomeUnknown {
 		t.Skip("no open claim")
 	}
@@ -116,9 +116,9 @@
 	}
 }
 
-// faults returns the actions that inject table faults. They set faultsActive, since
+// faultActions returns the actions that inject table faults. They set faultsActive, since
 // Acquire may then return less specific errors than checkResult expects.
-func (m *machine) faults() map[string]func(*rapid.T) {
+func (m *machine) faultActions() map[string]func(*rapid.T) {
 	actions := storagetest.FaultActions(m.platform.table)
 	for name, set := range actions {
 		actions[name] = func(t *rapid.T) {
@@ -143,7 +143,7 @@
 func TestStateMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMachine()
-		actions := m.faults()
+		actions := m.faultActions()
 		actions["acquire"] = m.acquire
 		actions["settle"] = m.setOutcome
 		actions["heal"] = m.clearFaults
--- a/claim/model_test.go
+++ b/claim/model_test.go
@@ -39,21 +39,21 @@
 	request string
 	// result is the result of Acquire, as named by describeAcquire.
 	result string
-	// subject is the ID of the request that the result refers to.
-	subject string
+	// resultRequest is the ID of the request that the result refers to.
+	resultRequest string
 	// body is the response body passed to Finish or returned by Acquire.
 	body []byte
 	// pending is true if a method of Claim returned an error or didn't return.
 	pending bool
-	// staleRow is true if the request with the ID subject never ran but its row may
-	// still exist, because its Acquire returned no claim or its Release is pending.
+	// staleRow is true if resultRequest never ran but its row may still exist, because
+	// its Acquire returned no claim or its Release is pending.
 	staleRow bool
-	// onOwnerHost is true if Acquire was called on the host that the request with the
-	// ID subject arrived at.
+	// onOwnerHost is true if Acquire was called on the host that resultRequest arrived
+	// at.
 	onOwnerHost bool
-	// mayLag is true if the host that the request with the ID subject arrived at may
-	// return that it is in flight although it isn't, because its Acquire or Release is
-	// still running or its effect isn't in the table yet.
+	// mayLag is true if the host that resultRequest arrived at may report this request
+	// as in flight although it isn't, because its Acquire or Release is still running
+	// or the effect of that call isn't in the table yet.
 	mayLag bool
 }
 
@@ -117,35 +117,35 @@
 }
 
 func stepAcquire(s keyState, op operation) (bool, keyState) {
-	subjectIsOwner := s.owner == op.subject
+	resultIsOfOwner := s.owner == op.resultRequest
 	switch op.result {
 	case "claimed":
 		return s.phase == free, keyState{phase: claimed, owner: op.request}
 	case "done":
 		// The owner's host may return the result from memory. From another host,
 		// the result shows that it is in the table.
-		same := s.phase == done && subjectIsOwner && s.body == string(op.body)
+		same := s.phase == done && resultIsOfOwner && s.body == string(op.body)
 		s.durable = s.durable || !op.onOwnerHost
 		return same, s
 	case "in flight":
-		if op.subject == "" || op.mayLag {
+		if op.resultRequest == "" || op.mayLag {
 			return true, s
 		}
-		return outcomeMayBeUnknown(s, op, subjectIsOwner), s
+		return outcomeMayBeUnknown(s, op, resultIsOfOwner), s
 	case "may have run":
-		return s.phase == mayHaveRun && subjectIsOwner || outcomeMayBeUnknown(s, op, subjectIsOwner), s
+		return s.phase == mayHaveRun && resultIsOfOwner || outcomeMayBeUnknown(s, op, resultIsOfOwner), s
 	default:
 		return op.result == "unavailable", s
 	}
 }
 
 // outcomeMayBeUnknown reports whether the host on which op's Acquire was called may
-// not yet have the outcome of the request with the ID op.subject.
-func outcomeMayBeUnknown(s keyState, op operation, subjectIsOwner bool) bool {
+// not yet have the outcome of op.resultRequest.
+func outcomeMayBeUnknown(s keyState, op operation, resultIsOfOwner bool) bool {
 	if s.phase == free {
 		return op.staleRow
 	}
-	return subjectIsOwner && !s.durable
+	return resultIsOfOwner && !s.durable
 }
 
 // recorder records the history of one key and counts its runs.
@@ -165,8 +165,8 @@
 	return &recorder{hosts: make(map[string]int), staleRows: make(map[string]bool), rowChanges: make(map[string][]porcupine.Operation)}
 }
 
-// end adds an operation that ends now.
-func (r *recorder) end(client int, start int64, op operation) {
+// addEnded adds an operation that ends now.
+func (r *recorder) addEnded(client int, start int64, op operation) {
 	r.add(client, start, r.Tick(), op)
 }
 
@@ -203,9 +203,9 @@
 	ops := r.Operations()
 	for i := range ops {
 		op := ops[i].Input.(operation)
-		op.staleRow = r.staleRows[op.subject]
-		op.onOwnerHost = r.hosts[op.subject] == r.hosts[op.request]
-		op.mayLag = op.onOwnerHost && (op.staleRow || r.overlapsRowChange(op.subject, ops[i]))
+		op.staleRow = r.staleRows[op.resultRequest]
+		op.onOwnerHost = r.hosts[op.resultRequest] == r.hosts[op.request]
+		op.mayLag = op.onOwnerHost && (op.staleRow || r.overlapsRowChange(op.resultRequest, ops[i]))
 		ops[i].Input = op
 	}
 	return ops
@@ -224,7 +224,7 @@
 
 func TestModelRejectsBadHistories(t *testing.T) {
 	acquire := func(request, result, subject string) operation {
-		return operation{action: actAcquire, request: request, result: result, subject: subject}
+		return operation{action: actAcquire, request: request, result: result, resultRequest: subject}
 	}
 	run := func(request string) operation { return operation{action: actRun, request: request} }
 	finish := func(request, body string) operation {
@@ -262,7 +262,7 @@
 		t.Run(tt.desc, func(t *testing.T) {
 			rec := newRecorder()
 			for client, op := range tt.ops {
-				rec.end(client, rec.Tick(), op)
+				rec.addEnded(client, rec.Tick(), op)
 			}
 			rec.hosts = map[string]int{"1": 1, "2": 2, "3": 3}
 			is.New(t).Equal(storagetest.IsLinearizable(model, rec.history()), tt.want)
--- a/claim/options.go
+++ b/claim/options.go
@@ -37,7 +37,7 @@
 	Objects storage.Objects
 	// Host is the name of this host in rows and for Liveness.
 	Host string
-	// Liveness reports which owners may still be running; nil means that all may.
+	// Liveness reports which owners may still be running. Nil means that all may.
 	Liveness Liveness
 	// Clock returns the wall time, used for expiry; default time.Now.
 	Clock storage.Clock
--- a/claim/record.go
+++ b/claim/record.go
@@ -40,8 +40,8 @@
 	Header []byte `json:"header,omitempty"`
 	// Body is the complete response body.
 	Body []byte `json:"body,omitempty"`
-	// Model and Version are the model and version that the request ran on; empty
-	// for services without models.
+	// Model and Version are the model and version that the request ran on. They are
+	// empty for services without models.
 	Model   string `json:"model,omitempty"`
 	Version string `json:"version,omitempty"`
 	// Upstream is the ID of the upstream that responded.
--- a/claim/store.go
+++ b/claim/store.go
@@ -25,7 +25,7 @@
 	active  *activeClaims
 	backlog *backlog
 
-	dropped atomic.Uint64
+	droppedCount atomic.Uint64
 
 	sweepMu sync.Mutex
 	// sweepCursor is the last row key that Sweep read.
--- a/lease/history_test.go
+++ b/lease/history_test.go
@@ -20,12 +20,12 @@
 	"github.com/quetzalweir/quetzalweir/storage/storagetest"
 )
 
-// kind is the kind of operation in a history.
-type kind int
+// operationKind is the kind of operation in a history.
+type operationKind int
 
 const (
 	// acquired is a successful call of Acquire.
-	acquired kind = iota
+	acquired operationKind = iota
 	// valid is a call of Valid that returned true.
 	valid
 	// released is a call of Release, with any result.
@@ -34,7 +34,7 @@
 
 // operation is one operation with the fencing number of its lease.
 type operation struct {
-	kind    kind
+	kind    operationKind
 	fencing uint64
 }
 
@@ -75,7 +75,7 @@
 }
 
 func TestModelRejectsBadHistories(t *testing.T) {
-	at := func(client int, k kind, fencing uint64, call, back int64) porcupine.Operation {
+	at := func(client int, k operationKind, fencing uint64, call, back int64) porcupine.Operation {
 		return porcupine.Operation{ClientId: client, Input: operation{k, fencing}, Call: call, Return: back}
 	}
 	tests := []struct {
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -24,7 +24,8 @@
 	name    string
 	// acquiredAt is when the response to Acquire's write was received.
 	acquiredAt time.Time
-	// predecessorTTL is the TTL of the previous holder; zero if there was none.
+	// predecessorTTL is the TTL of the previous holder. It is zero if there was
+	// none.
 	predecessorTTL time.Duration
 
 	// writeSlot is a semaphore that admits one Renew or Release at a time. It is
--- a/lease/manager.go
+++ b/lease/manager.go
@@ -42,8 +42,8 @@
 // observation is a row's version and the time at which this version was first read. A
 // Manager keeps one observation per lease name, that of the row's current version.
 type observation struct {
-	version uint64
-	at      time.Time
+	version     uint64
+	firstReadAt time.Time
 }
 
 // NewManager returns a Manager that stores leases in options.Table.
@@ -114,10 +114,10 @@
 	now := m.clock()
 	first := m.observed[name]
 	if first.version != found.version {
-		first = observation{version: found.version, at: now}
+		first = observation{version: found.version, firstReadAt: now}
 		m.observed[name] = first
 	}
-	return found.TTL - now.Sub(first.at)
+	return found.TTL - now.Sub(first.firstReadAt)
 }
 
 // margin returns the safety margin of a lease with the TTL.
--- a/lease/orders.go
+++ b/lease/orders.go
@@ -63,7 +63,7 @@
 }
 
 // unfencedWait returns how much longer orders to receivers without fencing must be
-// delayed; zero or less if they may be sent.
+// delayed; the result is zero or less if they may be sent.
 func (l *Lease) unfencedWait() time.Duration {
 	if l.predecessorTTL == 0 {
 		return 0
@@ -72,8 +72,8 @@
 	return totalWait - l.manager.clock().Sub(l.acquiredAt)
 }
 
-// currentEndReason returns the error with which the lease ended; nil if no call has
-// found that it ended.
+// currentEndReason returns the error with which the lease ended. It returns nil if no
+// call has found that it ended.
 func (l *Lease) currentEndReason() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/lease/orders_test.go
+++ b/lease/orders_test.go
@@ -21,8 +21,8 @@
 	mu             sync.Mutex
 	checksFencing  bool
 	highestFencing uint64
-	// executed has the fencing numbers of the executed orders.
-	executed []uint64
+	// executedFencing has the fencing numbers of the executed orders.
+	executedFencing []uint64
 }
 
 func (e *fakeEngine) execute(fencing uint64) error {
@@ -32,7 +32,7 @@
 		return errOldFencing
 	}
 	e.highestFencing = max(e.highestFencing, fencing)
-	e.executed = append(e.executed, fencing)
+	e.executedFencing = append(e.executedFencing, fencing)
 	return nil
 }
 
@@ -41,10 +41,10 @@
 func (e *fakeEngine) lastExecuted() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if len(e.executed) == 0 {
+	if len(e.executedFencing) == 0 {
 		return 0
 	}
-	return e.executed[len(e.executed)-1]
+	return e.executedFencing[len(e.executedFencing)-1]
 }
 
 // pausedSend returns a SendFunc that sleeps for d just before it sends the order,
@@ -105,7 +105,7 @@
 	}
 }
 
-// takeOver retries until b acquires the lease, and renews it.
+// takeOver retries until b has acquired the lease. It then renews the lease.
 func takeOver(t *testing.T, p managerPair) *lease.Lease {
 	for {
 		l, err := p.b.Acquire(t.Context(), name, "host-b", ttl)
--- a/lease/rows.go
+++ b/lease/rows.go
@@ -32,8 +32,8 @@
 }
 
 // write stores rec if the row has the given version, and returns the row's new
-// version. If the outcome of the commit is unknown, write reads the row to determine
-// it.
+// version. If the outcome of the commit is unknown, write reads the row to
+// determine the outcome.
 func (r rowStore) write(ctx context.Context, name string, rec record, version uint64) (uint64, error) {
 	value, err := rec.encode()
 	if err != nil {
--- a/session/choose_test.go
+++ b/session/choose_test.go
@@ -74,7 +74,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.desc, func(t *testing.T) {
-			before, after := versions(tc.before...), versions(tc.after...)
+			before, after := versionsWithShares(tc.before...), versionsWithShares(tc.after...)
 			minimum := minMovedFraction(before, after)
 			rendezvous := movedFraction(ChooseVersion, before, after)
 			intervals := movedFraction(chooseByInterval, before, after)
@@ -86,7 +86,7 @@
 
 func TestChooseFollowsShares(t *testing.T) {
 	is := is.New(t)
-	vs := versions(60, 30, 9, 1)
+	vs := versionsWithShares(60, 30, 9, 1)
 	count := map[string]int{}
 	for i := range sampledSessions {
 		v, _ := ChooseVersion(vs, SessionHash("acme", fmt.Sprint(i), "small"))
--- a/session/cost_test.go
+++ b/session/cost_test.go
@@ -40,7 +40,7 @@
 				table.SetDelay(tableDelay)
 				var registries []*Registry
 				for range hosts {
-					registries = append(registries, testRegistry(withGroupCommit(t, table, tc.grouped)))
+					registries = append(registries, newTestRegistry(withGroupCommit(t, table, tc.grouped)))
 				}
 				stats := new(bindStats)
 				var wg sync.WaitGroup
@@ -72,7 +72,7 @@
 
 func (s *bindStats) measureBind(t *testing.T, r *Registry, session string) {
 	begin := time.Now()
-	b := proposal("v1")
+	b := newProposal("v1")
 	b.SessionID = session
 	_, durable, _ := r.Bind(t.Context(), b)
 	s.mu.Lock()
--- a/session/registry.go
+++ b/session/registry.go
@@ -42,7 +42,7 @@
 // Options configures a Registry.
 type Options struct {
 	Table storage.Table
-	// Clock returns the current time; nil means time.Now.
+	// Clock returns the current time. Nil means time.Now.
 	Clock storage.Clock
 	// TTL is the lifetime of a binding after its last use; default 30 min.
 	// SetTTL changes it.
@@ -118,7 +118,7 @@
 		proposal = cached.record.Binding
 	}
 	candidate := r.newRecord(proposal, now)
-	if !r.tableUsable(now) {
+	if !r.mayCallTable(now) {
 		return r.bindLocally(key, candidate, hit && cached.durable, now)
 	}
 	current, err := r.readOrInsert(ctx, key, candidate, now)
@@ -146,7 +146,7 @@
 	key := rowKey(replacement)
 	now := r.now()
 	candidate := r.newRecord(replacement, now)
-	if !r.tableUsable(now) {
+	if !r.mayCallTable(now) {
 		return r.bindLocally(key, candidate, false, now)
 	}
 	current, err := r.replace(ctx, key, old.Version, candidate, now)
@@ -271,7 +271,7 @@
 	return r.opts.Clock().UTC().Truncate(time.Millisecond)
 }
 
-func (r *Registry) tableUsable(now time.Time) bool {
+func (r *Registry) mayCallTable(now time.Time) bool {
 	return now.UnixNano() >= r.backoffUntil.Load()
 }
 
--- a/session/registry_test.go
+++ b/session/registry_test.go
@@ -22,7 +22,7 @@
 
 const testTTL = time.Hour
 
-func testRegistry(table storage.Table) *Registry {
+func newTestRegistry(table storage.Table) *Registry {
 	return NewRegistry(Options{Table: table, TTL: testTTL})
 }
 
@@ -32,7 +32,7 @@
 	synctest.Test(t, func(t *testing.T) { test(t, is.New(t), faulty.NewTable(memory.NewTable())) })
 }
 
-func proposal(version string) Binding {
+func newProposal(version string) Binding {
 	b := testBinding
 	b.Version = version
 	b.IssuedAt = time.Time{}
@@ -41,7 +41,7 @@
 
 func mustBind(t *testing.T, r *Registry, version string) (string, bool) {
 	t.Helper()
-	b, durable, err := r.Bind(t.Context(), proposal(version))
+	b, durable, err := r.Bind(t.Context(), newProposal(version))
 	is.New(t).NoErr(err)
 	return b.Version, durable
 }
@@ -69,7 +69,7 @@
 				var wg sync.WaitGroup
 				for i := range hosts {
 					wg.Go(func() {
-						got[i], durable[i], _ = testRegistry(table).Bind(t.Context(), proposal(fmt.Sprint("v", i)))
+						got[i], durable[i], _ = newTestRegistry(table).Bind(t.Context(), newProposal(fmt.Sprint("v", i)))
 					})
 				}
 				wg.Wait()
@@ -78,7 +78,7 @@
 					is.Equal(got[i], got[0]) // all concurrent first requests get the same version
 				}
 				time.Sleep(2 * time.Second) // the delayed commit has been applied
-				later, _ := mustBind(t, testRegistry(table), "later")
+				later, _ := mustBind(t, newTestRegistry(table), "later")
 				is.Equal(later, got[0].Version) // a new proposal doesn't move the session
 			})
 		})
@@ -87,7 +87,7 @@
 
 func TestBindWithoutTable(t *testing.T) {
 	withTable(t, func(t *testing.T, is *is.I, table *faulty.Table) {
-		hostA, hostB := testRegistry(table), testRegistry(table)
+		hostA, hostB := newTestRegistry(table), newTestRegistry(table)
 		table.SetDown(true)
 		v, durable := mustBind(t, hostA, "v1")
 		is.Equal(v, "v1")
@@ -114,39 +114,39 @@
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, _, err := testRegistry(memory.NewTable()).Bind(ctx, proposal("v1"))
+	_, _, err := newTestRegistry(memory.NewTable()).Bind(ctx, newProposal("v1"))
 	is.True(errors.Is(err, context.Canceled))
-	_, _, err = testRegistry(memory.NewTable()).Bind(t.Context(), Binding{})
+	_, _, err = newTestRegistry(memory.NewTable()).Bind(t.Context(), Binding{})
 	is.True(errors.Is(err, ErrInvalidBinding))
 }
 
 func TestRowLastsTTLAfterUse(t *testing.T) {
 	withTable(t, func(t *testing.T, is *is.I, table *faulty.Table) {
-		mustBind(t, testRegistry(table), "v1")
+		mustBind(t, newTestRegistry(table), "v1")
 		for range 50 {
 			time.Sleep(testTTL / 5)
-			v, _ := mustBind(t, testRegistry(table), "v2")
+			v, _ := mustBind(t, newTestRegistry(table), "v2")
 			is.Equal(v, "v1") // the row hasn't expired
 		}
 		is.True(table.Counts().Commits <= 12) // not every use writes the row
-		_, deleted, err := testRegistry(table).Sweep(t.Context(), "")
+		_, deleted, err := newTestRegistry(table).Sweep(t.Context(), "")
 		is.NoErr(err)
 		is.Equal(deleted, 0)
 		time.Sleep(testTTL)
-		v, _ := mustBind(t, testRegistry(table), "v2")
+		v, _ := mustBind(t, newTestRegistry(table), "v2")
 		is.Equal(v, "v1") // the row still exists one TTL after the last use
 		time.Sleep(rowTTLFactor * testTTL)
-		_, deleted, err = testRegistry(table).Sweep(t.Context(), "")
+		_, deleted, err = newTestRegistry(table).Sweep(t.Context(), "")
 		is.NoErr(err)
 		is.Equal(deleted, 1)
-		v, _ = mustBind(t, testRegistry(table), "v2")
+		v, _ = mustBind(t, newTestRegistry(table), "v2")
 		is.Equal(v, "v2") // the expired row was deleted
 	})
 }
 
 func TestRowsKeepTheirTTL(t *testing.T) {
 	withTable(t, func(t *testing.T, is *is.I, table *faulty.Table) {
-		long, short := testRegistry(table), testRegistry(table)
+		long, short := newTestRegistry(table), newTestRegistry(table)
 		long.SetTTL(24 * time.Hour)
 		mustBind(t, long, "v1")
 		time.Sleep(5 * testTTL)
@@ -161,10 +161,10 @@
 
 func TestSweepsCoverAllPages(t *testing.T) {
 	withTable(t, func(t *testing.T, is *is.I, table *faulty.Table) {
-		r := testRegistry(table)
+		r := newTestRegistry(table)
 		const sessions = 2*sweepPage + 10
 		for i := range sessions {
-			b := proposal("v1")
+			b := newProposal("v1")
 			b.SessionID = fmt.Sprint(i, "/%2F")
 			_, _, err := r.Bind(t.Context(), b)
 			is.NoErr(err)
@@ -182,20 +182,20 @@
 
 func TestRebind(t *testing.T) {
 	withTable(t, func(t *testing.T, is *is.I, table *faulty.Table) {
-		hostA, hostB := testRegistry(table), testRegistry(table)
+		hostA, hostB := newTestRegistry(table), newTestRegistry(table)
 		mustBind(t, hostA, "v1")
 		mustBind(t, hostB, "v1")
-		b, durable, err := hostA.Rebind(t.Context(), proposal("v1"), proposal("v2"))
+		b, durable, err := hostA.Rebind(t.Context(), newProposal("v1"), newProposal("v2"))
 		is.NoErr(err)
 		is.True(durable)
 		is.Equal(b.Version, "v2")
-		b, _, err = hostB.Rebind(t.Context(), proposal("v1"), proposal("v3"))
+		b, _, err = hostB.Rebind(t.Context(), newProposal("v1"), newProposal("v3"))
 		is.NoErr(err)
 		is.Equal(b.Version, "v2") // the first host to move the session determines the version
-		third := testRegistry(table)
+		third := newTestRegistry(table)
 		mustBind(t, third, "v1")
 		table.LoseNextResponses(1)
-		b, durable, err = third.Rebind(t.Context(), proposal("v2"), proposal("v4"))
+		b, durable, err = third.Rebind(t.Context(), newProposal("v2"), newProposal("v4"))
 		is.NoErr(err)
 		is.True(durable)
 		is.Equal(b.Version, "v4")
@@ -205,13 +205,13 @@
 		v, _ = mustBind(t, hostA, "v1")
 		is.Equal(v, "v4")
 		table.SetDown(true)
-		b, durable, err = hostA.Rebind(t.Context(), proposal("v4"), proposal("v5"))
+		b, durable, err = hostA.Rebind(t.Context(), newProposal("v4"), newProposal("v5"))
 		is.NoErr(err)
 		is.True(!durable)
 		is.Equal(b.Version, "v5") // a withdrawn version isn't used, even without the table
-		other := proposal("v1")
+		other := newProposal("v1")
 		other.SessionID = "another"
-		_, _, err = hostA.Rebind(t.Context(), proposal("v1"), other)
+		_, _, err = hostA.Rebind(t.Context(), newProposal("v1"), other)
 		is.True(errors.Is(err, ErrInvalidBinding))
 	})
 }
@@ -232,7 +232,7 @@
 			"bind": func(t *rapid.T) {
 				i := rapid.IntRange(0, len(hosts)-1).Draw(t, "host")
 				version := rapid.SampledFrom([]string{"v1", "v2", "v3"}).Draw(t, "version")
-				b, durable, err := hosts[i].Bind(context.Background(), proposal(version))
+				b, durable, err := hosts[i].Bind(context.Background(), newProposal(version))
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -255,7 +255,7 @@
 				// Each step is followed by a use, so that the session doesn't expire.
 				now = now.Add(time.Duration(rapid.IntRange(1, 59).Draw(t, "minutes")) * time.Minute)
 				table.ClearFaults()
-				b, durable, err := hosts[0].Bind(context.Background(), proposal("v9"))
+				b, durable, err := hosts[0].Bind(context.Background(), newProposal("v9"))
 				if err != nil || !durable {
 					t.Skip("the table is in backoff after a failed call")
 				}
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -164,7 +164,7 @@
 	})
 }
 
-func versions(shares ...int) []manifest.Version {
+func versionsWithShares(shares ...int) []manifest.Version {
 	vs := make([]manifest.Version, len(shares))
 	for i, s := range shares {
 		vs[i] = manifest.Version{Name: fmt.Sprintf("v%d", i+1), State: manifest.Serving, Share: s}
@@ -174,7 +174,7 @@
 
 func TestChooseReturnsOnlyVersionsThatAcceptNewSessions(t *testing.T) {
 	is := is.New(t)
-	vs := versions(30, 50, 10, 10, 0)
+	vs := versionsWithShares(30, 50, 10, 10, 0)
 	vs[1].State = manifest.Withdrawn
 	vs[2].State = manifest.RollingOut
 	vs[3].State = manifest.RollingIn
@@ -209,7 +209,7 @@
 }
 
 func BenchmarkChoose(b *testing.B) {
-	vs := versions(60, 30, 10)
+	vs := versionsWithShares(60, 30, 10)
 	b.ReportAllocs()
 	for b.Loop() {
 		ChooseVersion(vs, SessionHash("acme", "s-1", "small"))
