--- a/config/body_test.go
+++ b/config/body_test.go
@@ -18,7 +18,7 @@
 // delta that is read and returns what Read returns instead.
 type countedObjects struct {
 	storage.Objects
-	read         atomic.Int64
+	bytesRead    atomic.Int64
 	replaceDelta func(data []byte) ([]byte, error)
 }
 
@@ -27,7 +27,7 @@
 	if c.replaceDelta != nil && err == nil && strings.HasPrefix(name, "manifest-delta/") {
 		data, err = c.replaceDelta(data)
 	}
-	c.read.Add(int64(len(data)))
+	c.bytesRead.Add(int64(len(data)))
 	return data, err
 }
 
@@ -60,14 +60,14 @@
 				first, err := f.store.Submit(t.Context(), manifest.Encode(doc), "1")
 				is.NoErr(err)
 				settle()
-				whole := objects.read.Swap(0)
+				whole := objects.bytesRead.Swap(0)
 
 				doc.Parent, doc.Accounts[accounts/2].Weight = first.Head.Digest, 2
 				second, err := f.store.Submit(t.Context(), manifest.Encode(doc), "2")
 				is.NoErr(err)
 				settle()
 				is.Equal(w.Current().Digest, second.Head.Digest)
-				change := objects.read.Load()
+				change := objects.bytesRead.Load()
 				is.Equal(change >= whole, tc.wantFullBody)
 				t.Logf("whole manifest: %d bytes, one delta: %d bytes", whole, change)
 			})
--- a/config/freshness.go
+++ b/config/freshness.go
@@ -46,8 +46,8 @@
 	policy *manifest.Policy
 	// installedAt is the time at which policy was put in force.
 	installedAt time.Time
-	// tableReadAt is the start of the newest read of the table, by this host or a
-	// peer, that returned no newer head than that of policy; zero if there was none.
+	// tableReadAt is the start of the newest read of the table, by this host or a peer,
+	// that returned no newer head than that of policy. It is zero if there was no such read.
 	tableReadAt time.Time
 	// quorumQueriedAt is a time at which a majority of the member hosts had policy in
 	// force and no newer head, according to a peer query: the start of the query less
@@ -69,8 +69,8 @@
 	return v.policy.Epoch
 }
 
-// evidenceTime returns the latest time for which the host has evidence that policy was
-// the newest manifest; zero if it has none.
+// evidenceTime returns the latest time for which the host has evidence that policy was the
+// newest manifest. It returns the zero time if there is none.
 func (v *view) evidenceTime() time.Time {
 	return latest(v.tableReadAt, v.quorumQueriedAt)
 }
@@ -182,7 +182,7 @@
 // PeerView is another host's report about its manifest.
 type PeerView struct {
 	Host string `json:"host"`
-	// Epoch and Digest name the manifest in force; zero if there is none.
+	// Epoch and Digest name the manifest in force. They are zero and empty if there is none.
 	Epoch  uint64 `json:"epoch"`
 	Digest string `json:"digest"`
 	// Newest is the newest epoch that the host has learned of. It may be zero if
@@ -193,8 +193,8 @@
 	// start of the read.
 	HasTableRead bool          `json:"has_word"`
 	TableReadAge time.Duration `json:"word_age_ns"`
-	// Age is how long before the call of QueryViews the host made this report; zero if
-	// the host made it in response to that call.
+	// Age is how long before the call of QueryViews the host made this report. It is zero
+	// if the host made it in response to that call.
 	Age time.Duration `json:"age_ns"`
 }
 
--- a/config/freshness_test.go
+++ b/config/freshness_test.go
@@ -44,8 +44,8 @@
 
 func (s *simulation) head() Head { return Head{Epoch: uint64(len(s.accepted))} }
 
-// acceptedBefore returns the newest epoch that was accepted before the time at; zero if
-// there was none.
+// acceptedBefore returns the newest epoch that was accepted before the time at. It
+// returns zero if there was none.
 func (s *simulation) acceptedBefore(at time.Time) uint64 {
 	epoch := uint64(0)
 	for _, t := range s.accepted {
--- a/config/head.go
+++ b/config/head.go
@@ -12,12 +12,12 @@
 
 // Head identifies an accepted manifest.
 type Head struct {
-	// Epoch is the number of the accepted manifest, counted from 1; zero means
-	// that there is none.
+	// Epoch is the number of the accepted manifest, counted from 1. Zero means that
+	// there is none.
 	Epoch uint64 `json:"epoch"`
 	// Digest is the digest of the document's canonical encoding.
 	Digest string `json:"digest"`
-	// Parent is the digest of the previous head; empty for the first head.
+	// Parent is the digest of the previous head. It is empty for the first head.
 	Parent string `json:"parent,omitempty"`
 	// Build is the label that the operator's pipeline gave the document.
 	Build string `json:"build,omitempty"`
--- a/config/helpers_test.go
+++ b/config/helpers_test.go
@@ -31,8 +31,8 @@
 
 func digestOf(data []byte) string { return manifest.DigestCanonical(data) }
 
-// fixture holds a table and an object store with fault injection, and a config.Store
-// over both.
+// fixture holds a table and an object store with fault injection, and a config.Store that
+// uses them.
 type fixture struct {
 	// rawTable is the table without fault injection.
 	rawTable storage.Table
--- a/config/peers_test.go
+++ b/config/peers_test.go
@@ -35,10 +35,10 @@
 	})
 }
 
-// A known limitation of the majority rule: if only a minority of the hosts can reach the
-// table, the majority doesn't learn of a new manifest. ReportConfirmations must list the hosts
-// of the majority as unconfirmed, and once they can query the minority they must put the new
-// manifest in force.
+// A known limitation of the majority rule: if only a minority of the hosts can reach
+// the table, the majority doesn't learn of a new manifest. ReportConfirmations must
+// list the hosts of the majority as unconfirmed, and once they can query the minority
+// they must put the new manifest in force.
 func TestOnlyAMinorityReachesTheTable(t *testing.T) {
 	runWithFixture(t, func(t *testing.T, is *is.I, f *fixture) {
 		first := f.submit(t, config.Head{}, "1")
@@ -88,8 +88,8 @@
 		desc string
 		// peer is the report of a peer while the table is down.
 		peer config.PeerView
-		// want is the error that OnError must get; nil for none. stale is whether the
-		// host's evidence must have expired.
+		// want is the error that OnError must get. It is nil if OnError must not be
+		// called. stale is whether the host's evidence must have expired.
 		want  error
 		stale bool
 	}{
--- a/config/watcher.go
+++ b/config/watcher.go
@@ -122,7 +122,7 @@
 	readSlots chan struct{}
 }
 
-// NewWatcher returns a Watcher that has no manifest in force; Run starts it.
+// NewWatcher returns a Watcher that has no manifest in force. Run starts the Watcher.
 func NewWatcher(options WatcherOptions) *Watcher {
 	o := options.withDefaults()
 	w := &Watcher{
--- a/resultcode/resultcode.go
+++ b/resultcode/resultcode.go
@@ -80,7 +80,7 @@
 	Status int
 	// States are the run states that a response with this code can have.
 	States []runstate.State
-	// Retry is the default Retry-After; zero means that retrying the same request
+	// Retry is the default Retry-After. Zero means that retrying the same request
 	// doesn't help.
 	Retry time.Duration
 	// Meaning is the description of the code in docs/RESULT-CODES.md.
@@ -195,7 +195,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Retry returns the time after which the caller should retry; zero means that it
+// Retry returns the time after which the caller should retry. Zero means that it
 // shouldn't.
 func (e *Error) Retry() time.Duration {
 	if e.RetryAfter > 0 {
