--- a/internal/entry/operatorapi.go
+++ b/internal/entry/operatorapi.go
@@ -28,7 +28,7 @@
 // SubmitResponse is the response to a submitted manifest.
 type SubmitResponse struct {
 	Head config.Head `json:"head"`
-	// Already is set if the same manifest was accepted before.
+	// Already is set if the same manifest was accepted before this submission.
 	Already bool `json:"already"`
 }
 
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -23,9 +23,9 @@
 	// sightingsInterval is the interval between checks for new sightings to send to the
 	// other hosts. All hosts must block a poison request within 3 s.
 	sightingsInterval = 200 * time.Millisecond
-	// verdictsInterval is the time between two reads of the table's rows for
-	// verdicts. While this host has verdicts, it reads the rows repeatedly, since
-	// operators may delete them.
+	// verdictsInterval is the interval between reads of the table's rows for
+	// verdicts. This host reads the rows repeatedly while it has verdicts, since
+	// operators may delete the rows.
 	verdictsInterval = 5 * time.Second
 	// verdictsPrefix starts the keys of the rows for verdicts.
 	verdictsPrefix = "quarantine/"
@@ -52,10 +52,10 @@
 	guard *guard.Guard
 
 	mu sync.Mutex
-	// sentAt holds the time when each suspect or verdict was last sent to the other
-	// hosts. Entries older than resendInterval are removed.
+	// sentAt holds, by digest, the time when a suspect or verdict was last sent to the
+	// other hosts. Entries older than resendInterval are removed.
 	sentAt map[quarantine.Digest]time.Time
-	// readAt is when the rows for verdicts were last read; zero before the first
+	// readAt is when the rows for verdicts were last read. It is zero before the first
 	// read.
 	readAt time.Time
 }
@@ -221,8 +221,8 @@
 	writeJSON(w, verdicts)
 }
 
-// withdrawVerdict withdraws the verdict on a digest. The other hosts do the same when
-// they next read the table, within verdictsInterval.
+// withdrawVerdict withdraws the verdict on a digest. The other hosts withdraw the verdict
+// when they next read the table, within verdictsInterval.
 func (h *Host) withdrawVerdict(w http.ResponseWriter, req *http.Request) {
 	d, err := quarantine.ParseDigest(req.PathValue("digest"))
 	if err != nil {
--- a/internal/entry/readsession.go
+++ b/internal/entry/readsession.go
@@ -90,8 +90,8 @@
 	// Transient is set if the binding of a session that the caller gave as a bare ID
 	// couldn't be stored, so that only the session token holds it.
 	Transient bool
-	// MovedFrom is the bound version, as "model@version", that the session was
-	// moved away from; empty if it wasn't moved.
+	// MovedFrom is the bound version, as "model@version", that the session was moved
+	// away from. It is empty if it wasn't moved.
 	MovedFrom string
 }
 
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -36,9 +36,9 @@
 	Arrived    time.Time
 	AccountKey string // account key; a secret that must not be logged
 	ClassArg   string // class header; empty selects the account's default
-	// Patience is the caller's timeout; zero selects the class's default.
+	// Patience is the caller's timeout. Zero selects the class's default.
 	Patience time.Duration
-	// RequestKey identifies the request across retries; empty if none was given.
+	// RequestKey identifies the request across retries. It is empty if none was given.
 	RequestKey string
 	// SessionArg is the session header: session tokens, a bare session ID, "new" or
 	// empty.
@@ -77,8 +77,8 @@
 	// Usage is the token usage of the last model run.
 	Usage    upstream.Usage
 	Attempts int
-	// FirstFrame is when the first frame of the last attempt arrived; zero before
-	// that.
+	// FirstFrame is when the first frame of the last attempt arrived. It is zero before
+	// a frame arrived.
 	FirstFrame time.Time
 	// Faulted is set if an attempt failed in a way that counts against the version,
 	// even if another attempt succeeded.
--- a/internal/entry/upstreams.go
+++ b/internal/entry/upstreams.go
@@ -78,7 +78,7 @@
 		}
 		h.upstreams.set(hosts)
 		h.pool.Update(hosts)
-		h.fetchLoads(ctx, withoutReport(h.pool.View()))
+		h.fetchLoads(ctx, upstreamsWithoutReport(h.pool.View()))
 		h.updateFleetSize()
 		// A list without upstreams doesn't make the host ready, since no request could
 		// be served with it.
@@ -88,8 +88,8 @@
 	})
 }
 
-// withoutReport returns the upstreams that haven't reported their load yet.
-func withoutReport(list []*balance.Upstream) []*balance.Upstream {
+// upstreamsWithoutReport returns the upstreams that haven't reported their load yet.
+func upstreamsWithoutReport(list []*balance.Upstream) []*balance.Upstream {
 	return slices.DeleteFunc(list, func(u *balance.Upstream) bool { return !u.ReportedAt.IsZero() })
 }
 
@@ -101,8 +101,8 @@
 	})
 }
 
-// updateFleetSize passes the numbers of upstreams and entry hosts to the components
-// that depend on them.
+// updateFleetSize passes the reachable upstreams and the numbers of upstreams and entry
+// hosts to the components that use them.
 func (h *Host) updateFleetSize() {
 	hosts := h.countHostsUp()
 	h.pool.SetHosts(hosts)
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -24,9 +24,9 @@
 	Keys []Key
 	// Limits applies to each connection.
 	Limits Limits
-	// LocalIP is the source address of connections; nil lets the system choose.
-	// On a host with several addresses, setting it makes peers and middleboxes see
-	// the same source address for all connections from the host.
+	// LocalIP is the source address of connections. Nil lets the system choose. On a
+	// host with several addresses, setting it makes peers and middleboxes see the
+	// same source address for all connections from the host.
 	LocalIP net.IP
 	// DialTimeout limits the time to establish the TCP connection; default 1 s.
 	DialTimeout time.Duration
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -21,7 +21,7 @@
 	mu     sync.Mutex
 	closed bool
 	conn   *clientConn
-	// dialing is closed when the dial in progress ends; nil if there is none.
+	// dialing is closed when the dial in progress ends. It is nil if no dial is in progress.
 	dialing <-chan struct{}
 	// failures is the number of consecutive failed dials. retryAt is the earliest time
 	// of the next dial. lastErr is the error of the last dial, or nil if that dial
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -105,7 +105,7 @@
 	}, nil
 }
 
-// Handle registers the handler for a method and replaces an earlier one.
+// Handle registers the handler for a method. It replaces an earlier handler of the method.
 func (s *Server) Handle(method string, handler Handler) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/sealedconn/call.go
+++ b/internal/sealedconn/call.go
@@ -41,11 +41,11 @@
 
 	mu     sync.Mutex
 	sealed bool
-	// lastConn is the connection that the transport last selected for the call; nil
-	// before it has selected one.
+	// lastConn is the connection that the transport last selected for the call. It is
+	// nil before the first selection.
 	lastConn *trackedConn
-	// writtenConn is the connection of the call's latest write; nil before the first
-	// write.
+	// writtenConn is the connection of the call's latest write. It is nil before the
+	// first write.
 	writtenConn *trackedConn
 	// pendingWrites counts the writes that have not returned yet.
 	pendingWrites int
--- a/internal/sealedconn/conn.go
+++ b/internal/sealedconn/conn.go
@@ -13,8 +13,8 @@
 	net.Conn
 
 	mu sync.Mutex
-	// call is the call attached to the connection; nil before a call is attached, for
-	// example during the TLS handshake.
+	// call is the call attached to the connection. It is nil before a call is
+	// attached, for example during the TLS handshake.
 	call *Call
 }
 
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -15,7 +15,7 @@
 	// connection, and gapTimeout the wait on one connection while later frames
 	// have already arrived.
 	frameTimeout, stallTimeout, gapTimeout time.Duration
-	// deadline is when the whole wait expires; zero before the first read.
+	// deadline is when the whole wait expires. It is zero before the first read.
 	deadline time.Time
 }
 
--- a/upstream/reorder.go
+++ b/upstream/reorder.go
@@ -31,7 +31,7 @@
 	maxBytes      int
 	bufferedBytes int
 	buffered      map[uint64][]byte
-	// endSeq is the number of the end marker; zero until it is received.
+	// endSeq is the number of the end marker. It is zero until it is received.
 	endSeq uint64
 }
 
--- a/upstream/stream.go
+++ b/upstream/stream.go
@@ -38,7 +38,7 @@
 	usage   Usage
 	load    Load
 	hasLoad bool
-	// finalErr is the final error of Next; nil while the stream is open.
+	// finalErr is the final error of Next. It is nil while the stream is open.
 	finalErr error
 }
 
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -46,7 +46,8 @@
 	Leaving bool
 	// NotRun reports that, according to the upstream, the request wasn't started.
 	NotRun bool
-	// RetryAfter is the value of the Retry-After header; zero if there is none.
+	// RetryAfter is the value of the Retry-After header. It is zero if the response has
+	// no such header.
 	RetryAfter time.Duration
 	// Message is the start of the response body.
 	Message string
@@ -104,8 +105,8 @@
 	Running  int `json:"running"`
 	Queued   int `json:"queued"`
 	Capacity int `json:"capacity"`
-	// Versions lists the loaded versions as "model@version"; nil if the upstream
-	// didn't report them.
+	// Versions lists the loaded versions as "model@version". It is nil if the
+	// upstream didn't report them.
 	Versions []string `json:"versions"`
 	Leaving  bool     `json:"leaving"`
 	// AgeMs is how old the report was when it was sent, in milliseconds.
