--- a/internal/entry/chatsink.go
+++ b/internal/entry/chatsink.go
@@ -19,8 +19,8 @@
 // outcomeTrailers lists the trailers of a streamed answer, for the Trailer header.
 const outcomeTrailers = headerRunState + ", " + headerResultCode
 
-// chatSink writes a chat answer to the caller: each frame as it arrives if the
-// caller asked for a stream, else the complete answer at the end.
+// chatSink writes a chat answer to the caller. If the caller asked for a stream, it
+// writes each frame as it arrives. Otherwise it writes the complete answer at the end.
 type chatSink struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
@@ -28,7 +28,7 @@
 	started bool
 	text    strings.Builder
 	// completion is the complete answer as JSON. It is set once all frames have
-	// arrived, or by Replay, for an answer without frames.
+	// arrived, or by Replay, which gets a complete answer instead of frames.
 	completion []byte
 	eventBuf   []byte
 }
@@ -185,8 +185,8 @@
 	}
 }
 
-// replayChunk converts a complete answer to the only chunk of a replay that the
-// caller asked to be streamed.
+// replayChunk converts a complete answer to a chunk. The chunk is the only one of the
+// stream if the caller asked for a stream and the answer is a replay.
 func replayChunk(answer []byte) []byte {
 	var c completion
 	if json.Unmarshal(answer, &c) != nil || len(c.Choices) == 0 {
--- a/internal/entry/maintenance.go
+++ b/internal/entry/maintenance.go
@@ -31,13 +31,13 @@
 
 // maintenance limits the size of the table: it deletes expired claims, sessions and
 // confirmations and compacts the ledger. One host at a time does this, under a
-// lease. Each step is safe to run on several hosts at once, so that the expiry of the
-// lease during a round only causes duplicate work.
+// lease. Each step may safely run on several hosts at once. If the lease expires during
+// a round and another host starts its own round, this only causes duplicate work.
 type maintenance struct {
 	host   *Host
 	leases *lease.Manager
 	held   *lease.Lease
-	// sessionCursor is the key after which the next round scans sessions.
+	// sessionCursor is the row key after which the next round continues to sweep sessions.
 	sessionCursor string
 }
 
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -11,7 +11,7 @@
 
 // requestMetrics holds the host's metrics, such as the number of requests by class and
 // result code. Account keys, request keys and session IDs are never used as labels,
-// because the number of a label's values must be bounded.
+// because their number isn't bounded, and each label value adds a time series.
 type requestMetrics struct {
 	set *metrics.Set
 }
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -206,7 +206,8 @@
 	writeJSON(w, OperatorError{Message: err.Error(), Outcome: OutcomeNone})
 }
 
-// showConfirmations responds with the hosts that confirmed the manifest of an epoch.
+// showConfirmations responds with the hosts that have confirmed the manifest of an epoch
+// and the hosts that haven't.
 func (h *Host) showConfirmations(w http.ResponseWriter, req *http.Request) {
 	epoch, ok := parseEpoch(w, req)
 	if !ok {
--- a/internal/entry/pipeline.go
+++ b/internal/entry/pipeline.go
@@ -37,8 +37,8 @@
 // may state "not run" only after the host has determined whether an earlier request
 // with the same key ran. The version is chosen after admission, so that a request
 // that waited is subject to the manifest in force when it leaves the queue. The
-// filter that records the bill comes after the one for the claim, so that a claim is
-// finished only after its bill is stored safely.
+// filter recordBill is inside the filter claimOnce, so that a claim is finished only
+// after the request's bill has been recorded.
 func (h *Host) filters() []Filter {
 	return []Filter{
 		&countRequest{ledger: h.ledger, metrics: h.metrics, log: h.log},
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -80,8 +80,8 @@
 	// FirstFrame is when the first frame of the last attempt arrived. It is zero before
 	// a frame arrived.
 	FirstFrame time.Time
-	// Faulted is set if an attempt failed in a way that counts against the version,
-	// even if another attempt succeeded.
+	// Faulted is set if any attempt failed with an error that counts against the version,
+	// even if a later attempt succeeded.
 	Faulted bool
 	// BelowTarget is set if the rating of a cascade's answer is below the target. Such
 	// an answer is sent only if the cascade's last step failed.
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -32,7 +32,7 @@
 	})
 }
 
-// decode checks the account key and then reads the request, so that no body is read
+// decode checks the account key before it reads the request, so that no body is read
 // for callers without an account.
 func (h *Host) decode(frontend Frontend, w http.ResponseWriter, req *http.Request) (*Request, error) {
 	policy, err := currentPolicy(h.manifestWatcher)
@@ -99,6 +99,6 @@
 }
 
 func writeJSON(w io.Writer, v any) {
-	// An error means that the caller disconnected, so that it can't be reported.
+	// An error means that the caller disconnected, so the error can't be reported to it.
 	_ = json.NewEncoder(w).Encode(v)
 }
