--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -212,7 +212,7 @@
 }
 
 // TestOutcomeFaults checks that an outcome is kept in memory until it is in the
-// table, and that it answers duplicates on the owner's host meanwhile.
+// table, and that duplicates on the owner's host meanwhile get this outcome.
 func TestOutcomeFaults(t *testing.T) {
 	tests := []struct {
 		desc    string
--- a/claim/errors.go
+++ b/claim/errors.go
@@ -12,8 +12,7 @@
 	// must not be sent. The returned error also wraps the table's error.
 	ErrUnavailable = errors.New("claim: not recorded")
 	// ErrPending means that the outcome isn't in the table yet. It is kept in
-	// memory, where it answers duplicates on this host, and Run retries the
-	// write.
+	// memory, so that duplicates on this host get it, and Run retries the write.
 	ErrPending = errors.New("claim: outcome not recorded yet")
 	// ErrOutcomeSet means that the outcome of the claim was already set.
 	ErrOutcomeSet = errors.New("claim: outcome already set")
--- a/config/peers_test.go
+++ b/config/peers_test.go
@@ -132,7 +132,7 @@
 }
 
 // If a peer and the table report different digests for an epoch, the host must use the
-// table's.
+// digest from the table.
 func TestTableOverridesPeer(t *testing.T) {
 	runWithFixture(t, func(t *testing.T, is *is.I, f *fixture) {
 		f.submit(t, config.Head{}, "1")
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -30,9 +30,9 @@
 //	tag, 16 bytes: HMAC-SHA256 over sequence number and payload, truncated
 //	payload: one JSON-RPC message
 //
-// Each side counts the frames itself, and the sequence number isn't transmitted.
-// The tag of a frame therefore doesn't verify if the frame is repeated or
-// reordered, or if one before it is omitted.
+// Each side counts the frames itself, and the sequence number isn't transmitted. If a
+// frame is repeated, reordered or omitted, the receiver computes the tag with another
+// sequence number than the sender, and the tag doesn't verify.
 //
 // If onWrite is set, it is called after each frame is written, with the frame's
 // size in bytes.
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -3,9 +3,9 @@
 // a message authentication code over a sequence number and the payload in each
 // frame.
 //
-// A connection is used in one direction: the host that dialled it sends calls, the
-// host that accepted it responds. A call is sent at most once; the error indicates
-// whether it may have reached the other host.
+// A connection is used in one direction: the host that dialled it sends calls, and the
+// host that accepted it responds. A call is sent at most once. If a call fails, its error
+// indicates whether the call may have reached the other host.
 //
 // The entry hosts use it for membership, manifests, roll-out evidence, quarantine
 // sightings, copies of bills and loans of quota. Frames are authenticated but not
--- a/session/codec.go
+++ b/session/codec.go
@@ -58,8 +58,8 @@
 
 // Rotate atomically replaces the keys for all later calls. To rotate without
 // invalidating tokens, add the new key to all hosts in second position, then
-// move it to the first, and remove the old key one TTL later. If the new keys
-// are invalid, the old ones stay in use.
+// move it to the first position, and remove the old key one TTL later. If the new
+// keys are invalid, the old keys stay in use.
 func (c *Codec) Rotate(keys []Key) error {
 	if err := checkKeys(keys); err != nil {
 		return err
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -11,8 +11,8 @@
 // the frame, not with the previous frame, so that the time that a slow caller takes
 // between frames isn't attributed to the engine.
 type frameWait struct {
-	// frameTimeout limits the whole wait, stallTimeout the wait on one
-	// connection, and gapTimeout the wait on one connection while later frames
+	// frameTimeout limits the whole wait. stallTimeout limits the wait on one
+	// connection. gapTimeout limits the wait on one connection while later frames
 	// have already arrived.
 	frameTimeout, stallTimeout, gapTimeout time.Duration
 	// deadline is when the whole wait expires. It is zero before the first read.
--- a/upstream/reorder.go
+++ b/upstream/reorder.go
@@ -2,7 +2,7 @@
 
 import "bytes"
 
-// frameStatus says how the reorder buffer handled a received frame.
+// frameStatus is how the reorder buffer handled a received frame.
 type frameStatus int
 
 const (
@@ -12,7 +12,7 @@
 	// before it arrive.
 	frameBuffered
 	// frameDuplicate means that the frame was already delivered or buffered, or that
-	// its number isn't below that of the end marker.
+	// its sequence number isn't below the sequence number of the end marker.
 	frameDuplicate
 	// frameBeyondWindow means that the frame exceeds the window or the byte limit
 	// and isn't kept.
