--- a/claim/backlog.go
+++ b/claim/backlog.go
@@ -16,7 +16,8 @@
 // pendingWrite is a write that is retried until it is in the table.
 type pendingWrite interface {
 	write(ctx context.Context, s *Store) error
-	// complete is called once, after write succeeded or the row expired.
+	// complete ends the retries of the write. It is called once, after write succeeded
+	// or the row expired.
 	complete(s *Store)
 	// resultBytes returns the size of the result held in memory, in bytes.
 	resultBytes() int
@@ -88,11 +89,11 @@
 func (s *Store) enqueue(w pendingWrite) {
 	if !s.backlog.fitsResult(w.resultBytes()) {
 		w.dropResult(s)
-		s.dropped.Add(1)
+		s.droppedCount.Add(1)
 	}
 	if !s.backlog.push(w) {
 		w.dropResult(s)
-		s.dropped.Add(1)
+		s.droppedCount.Add(1)
 	}
 }
 
@@ -102,7 +103,7 @@
 
 // Dropped returns the number of results and writes that were dropped because the
 // backlog was full.
-func (s *Store) Dropped() uint64 { return s.dropped.Load() }
+func (s *Store) Dropped() uint64 { return s.droppedCount.Load() }
 
 // Run retries pending writes until ctx ends. It returns the error of ctx.
 func (s *Store) Run(ctx context.Context) error {
--- a/config/freshness_test.go
+++ b/config/freshness_test.go
@@ -44,8 +44,8 @@
 
 func (s *simulation) head() Head { return Head{Epoch: uint64(len(s.accepted))} }
 
-// acceptedBefore returns the newest epoch that was accepted before the time at; zero if
-// there was none.
+// acceptedBefore returns the newest epoch that was accepted before the time at. It
+// returns zero if there was none.
 func (s *simulation) acceptedBefore(at time.Time) uint64 {
 	epoch := uint64(0)
 	for _, t := range s.accepted {
@@ -117,7 +117,7 @@
 }
 
 // checkInvariants checks that no host's epoch decreases, and that a host that accepts
-// requests has every manifest that was accepted longer ago than the bound.
+// requests has every manifest that was accepted longer ago than the freshness bound.
 func (s *simulation) checkInvariants(t *rapid.T) {
 	for i := range s.hosts {
 		epoch := s.hosts[i].epoch()
--- a/internal/entry/admit.go
+++ b/internal/entry/admit.go
@@ -16,7 +16,7 @@
 
 // Serve implements Filter.
 func (f *admit) Serve(ctx context.Context, r *Request, next Next) error {
-	grant, err := f.queues.queue(r.poolName()).Admit(ctx, newTicket(r))
+	grant, err := f.queues.getOrCreateQueue(r.poolName()).Admit(ctx, newTicket(r))
 	if err != nil {
 		return admissionError(ctx, err)
 	}
@@ -50,8 +50,8 @@
 	return contextError(ctx, err)
 }
 
-// contextError wraps err with the result code for an expired deadline or a
-// disconnected caller, or as an internal error if ctx hasn't ended.
+// contextError wraps err with a result code: that of an expired deadline or of a
+// disconnected caller if ctx has ended, and that of an internal error otherwise.
 func contextError(ctx context.Context, err error) error {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
--- a/internal/entry/maintenance.go
+++ b/internal/entry/maintenance.go
@@ -21,22 +21,23 @@
 	// claimsPerRound is the maximum number of claims that one round checks.
 	claimsPerRound = 500
 	// minSegmentAge is the age from which ledger segments are compacted. It is
-	// far longer than a host takes to write its pending bills.
+	// much longer than a host takes to write its pending bills, so that few rows
+	// are written after their minute was compacted.
 	minSegmentAge = 10 * time.Minute
-	// confirmationTTL is the age at which the confirmation of a manifest by a host
-	// that no longer exists is deleted.
+	// confirmationTTL is the age at which a host's confirmation of a manifest is
+	// deleted. A running host renews its confirmation before that.
 	confirmationTTL = 24 * time.Hour
 )
 
 // maintenance limits the size of the table: it deletes expired claims, sessions and
 // confirmations and compacts the ledger. One host at a time does this, under a
-// lease. Each step is safe to run on several hosts at once, so that the expiry of the
-// lease during a round only causes duplicate work.
+// lease. Each step may safely run on several hosts at once. If the lease expires during
+// a round and another host starts its own round, this only causes duplicate work.
 type maintenance struct {
 	host   *Host
 	leases *lease.Manager
 	held   *lease.Lease
-	// sessionCursor is the key after which the next round scans sessions.
+	// sessionCursor is the row key after which the next round continues to sweep sessions.
 	sessionCursor string
 }
 
--- a/internal/entry/operatorapi.go
+++ b/internal/entry/operatorapi.go
@@ -28,7 +28,7 @@
 // SubmitResponse is the response to a submitted manifest.
 type SubmitResponse struct {
 	Head config.Head `json:"head"`
-	// Already is set if the same manifest was accepted before.
+	// Already is set if the same manifest was accepted before this submission.
 	Already bool `json:"already"`
 }
 
@@ -40,8 +40,8 @@
 	// Head is the head of the manifest that was accepted instead of the submitted
 	// one.
 	Head *config.Head `json:"head,omitempty"`
-	// Outcome is "none" if the call had no effect and "unknown" if it may have had
-	// one. Submitting again with the same token resolves an unknown outcome.
+	// Outcome is "none" if the call had no effect and "unknown" if it may have had an
+	// effect. Submitting again with the same token resolves an unknown outcome.
 	Outcome string `json:"outcome"`
 }
 
--- a/internal/entry/queues.go
+++ b/internal/entry/queues.go
@@ -10,17 +10,17 @@
 	"github.com/quetzalweir/quetzalweir/storage"
 )
 
-// queues holds an admission queue for each pool. A pool is the engines with a model or
-// the upstreams of a service. Requests for a full pool don't block those for other
-// pools. max is the maximum capacity of a queue, and maxQueue the maximum number of
-// requests that wait in it.
+// queues holds an admission queue for each pool. A pool consists of the engines that
+// serve a model or the upstreams of a service. Requests for a full pool don't block
+// those for other pools. max is the maximum capacity of a queue, and maxQueue is the
+// maximum number of requests that wait in a queue.
 type queues struct {
 	max      int
 	maxQueue int
 	// queueFactor is Settings.QueueFactor. Its default is above 1, since hosts
 	// don't receive equal parts of the traffic and engines have queues of their
-	// own. It must not be much larger, since requests queued at an engine can no
-	// longer be refused or overtaken.
+	// own. It must not be much larger than 1, since a request in an engine's queue can
+	// no longer be refused by this host or overtaken by a request of higher priority.
 	queueFactor int
 	mu          sync.RWMutex
 	classes     []admission.ClassOptions
@@ -44,9 +44,9 @@
 	return &queues{max: s.Capacity, maxQueue: s.MaxQueue, queueFactor: s.QueueFactor, byPool: make(map[string]*admission.Queue)}
 }
 
-// queue returns the queue of a pool and creates it if there is none. The pool's name
-// must come from the manifest, so that the number of queues is bounded.
-func (q *queues) queue(pool string) *admission.Queue {
+// getOrCreateQueue returns the queue of a pool and creates it if there is none. The
+// pool's name must come from the manifest, so that the number of queues is bounded.
+func (q *queues) getOrCreateQueue(pool string) *admission.Queue {
 	q.mu.RLock()
 	queue := q.byPool[pool]
 	q.mu.RUnlock()
@@ -56,7 +56,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if queue = q.byPool[pool]; queue == nil {
-		queue = admission.New(admission.Options{Capacity: q.hostShare(pool), MaxQueue: q.maxQueue, Classes: q.classes})
+		queue = admission.New(admission.Options{Capacity: q.hostCapacity(pool), MaxQueue: q.maxQueue, Classes: q.classes})
 		q.byPool[pool] = queue
 	}
 	return queue
@@ -78,14 +78,14 @@
 	defer q.mu.Unlock()
 	q.fleet = fleetSize{reachable: reachable, total: total, hosts: max(1, hosts)}
 	for pool, queue := range q.byPool {
-		queue.SetCapacity(q.hostShare(pool))
+		queue.SetCapacity(q.hostCapacity(pool))
 	}
 }
 
-// hostShare returns this host's share of a pool's capacity times queueFactor. For a
-// pool without capacity it returns the maximum, so that requests aren't queued but
-// fail at once because there is no upstream.
-func (q *queues) hostShare(pool string) int {
+// hostCapacity returns this host's share of a pool's capacity, multiplied by queueFactor.
+// For a pool without capacity it returns q.max, so that requests aren't queued: they
+// are admitted at once and then fail, because no upstream can be chosen.
+func (q *queues) hostCapacity(pool string) int {
 	capacity := poolCapacity(pool, q.fleet.reachable)
 	if capacity == 0 {
 		return q.max
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -36,9 +36,9 @@
 	Arrived    time.Time
 	AccountKey string // account key; a secret that must not be logged
 	ClassArg   string // class header; empty selects the account's default
-	// Patience is the caller's timeout; zero selects the class's default.
+	// Patience is the caller's timeout. Zero selects the class's default.
 	Patience time.Duration
-	// RequestKey identifies the request across retries; empty if none was given.
+	// RequestKey identifies the request across retries. It is empty if none was given.
 	RequestKey string
 	// SessionArg is the session header: session tokens, a bare session ID, "new" or
 	// empty.
@@ -77,11 +77,11 @@
 	// Usage is the token usage of the last model run.
 	Usage    upstream.Usage
 	Attempts int
-	// FirstFrame is when the first frame of the last attempt arrived; zero before
-	// that.
+	// FirstFrame is when the first frame of the last attempt arrived. It is zero before
+	// a frame arrived.
 	FirstFrame time.Time
-	// Faulted is set if an attempt failed in a way that counts against the version,
-	// even if another attempt succeeded.
+	// Faulted is set if any attempt failed with an error that counts against the version,
+	// even if a later attempt succeeded.
 	Faulted bool
 	// BelowTarget is set if the rating of a cascade's answer is below the target. Such
 	// an answer is sent only if the cascade's last step failed.
@@ -99,14 +99,14 @@
 	// first use.
 	prefixHashes []uint64
 	state        runstate.Tracker
-	// keyUnresolved is set while an earlier request with the same key may have run,
-	// because the key's claim hasn't been read yet.
+	// keyUnresolved is set for a request with a key until the key's claim has been read.
+	// Until then an earlier request with the same key may have run.
 	keyUnresolved bool
 }
 
-// RunState returns the run state reported to the caller. With a request key whose
-// claim isn't resolved it is at least MayHaveRun, since an earlier request with the
-// same key may have run.
+// RunState returns the run state reported to the caller. While keyUnresolved is set, the
+// run state is at least MayHaveRun, since an earlier request with the same key may have
+// run.
 func (r *Request) RunState() runstate.State {
 	s := r.state.State()
 	if r.keyUnresolved && s == runstate.NotRun {
@@ -141,8 +141,8 @@
 	return r.Account.Name
 }
 
-// Epoch returns the epoch of the manifest that applies to the request, or 0 before one
-// does.
+// Epoch returns the epoch of the manifest that applies to the request, or 0 if no
+// manifest has been assigned to the request yet.
 func (r *Request) Epoch() uint64 {
 	if r.Policy == nil {
 		return 0
--- a/internal/entry/trace.go
+++ b/internal/entry/trace.go
@@ -14,7 +14,7 @@
 	if !ok {
 		return
 	}
-	head, err := h.headAt(req.Context(), epoch)
+	head, err := h.headOfEpoch(req.Context(), epoch)
 	if err != nil {
 		writeOperatorError(w, httpStatus(err), err)
 		return
@@ -37,15 +37,15 @@
 	return list
 }
 
-// traceRequest responds with a request's bill and the head of the manifest that the
-// request ran under.
+// traceRequest responds with a request's bill and the head of the manifest that applied
+// to the request.
 func (h *Host) traceRequest(w http.ResponseWriter, req *http.Request) {
 	bill, err := ledger.ByRequest(req.Context(), h.platform.Table, h.platform.Objects, req.PathValue("request"))
 	if err != nil {
 		writeOperatorError(w, httpStatus(err), err)
 		return
 	}
-	head, err := h.headAt(req.Context(), bill.Epoch)
+	head, err := h.headOfEpoch(req.Context(), bill.Epoch)
 	if err != nil {
 		writeOperatorError(w, httpStatus(err), err)
 		return
--- a/internal/entry/upstreams.go
+++ b/internal/entry/upstreams.go
@@ -78,7 +78,7 @@
 		}
 		h.upstreams.set(hosts)
 		h.pool.Update(hosts)
-		h.fetchLoads(ctx, withoutReport(h.pool.View()))
+		h.fetchLoads(ctx, upstreamsWithoutReport(h.pool.View()))
 		h.updateFleetSize()
 		// A list without upstreams doesn't make the host ready, since no request could
 		// be served with it.
@@ -88,8 +88,8 @@
 	})
 }
 
-// withoutReport returns the upstreams that haven't reported their load yet.
-func withoutReport(list []*balance.Upstream) []*balance.Upstream {
+// upstreamsWithoutReport returns the upstreams that haven't reported their load yet.
+func upstreamsWithoutReport(list []*balance.Upstream) []*balance.Upstream {
 	return slices.DeleteFunc(list, func(u *balance.Upstream) bool { return !u.ReportedAt.IsZero() })
 }
 
@@ -101,8 +101,8 @@
 	})
 }
 
-// updateFleetSize passes the numbers of upstreams and entry hosts to the components
-// that depend on them.
+// updateFleetSize passes the reachable upstreams and the numbers of upstreams and entry
+// hosts to the components that use them.
 func (h *Host) updateFleetSize() {
 	hosts := h.countHostsUp()
 	h.pool.SetHosts(hosts)
@@ -143,18 +143,18 @@
 		h.log.Debug().Str("event", "load").Str("upstream", target.ID).Err(err).Msg("")
 		return
 	}
-	// upstreamLeaving must precede Report, which also takes the upstream out of
+	// setUpstreamLeaving must precede Report, which also takes the upstream out of
 	// service. After Report, SetLeaving would find no change, and the other hosts
 	// wouldn't be informed.
 	if load.Leaving {
-		h.upstreamLeaving(target.ID)
+		h.setUpstreamLeaving(target.ID)
 	}
 	h.pool.Report(target.ID, load, requestedAt)
 }
 
-// upstreamLeaving takes an upstream out of service and informs the other hosts,
+// setUpstreamLeaving takes an upstream out of service and informs the other hosts,
 // since the platform's host list contains the change only later.
-func (h *Host) upstreamLeaving(id string) {
+func (h *Host) setUpstreamLeaving(id string) {
 	version := uint64(time.Now().UnixMilli())
 	if !h.pool.SetLeaving(id, version) {
 		return
@@ -163,9 +163,9 @@
 	h.members.Put(membership.Fact{Key: factLeaving + id, Version: version, TTL: balance.DefaultAbsentFor})
 }
 
-// applyLeaving takes an upstream out of service after another host reported that the
+// applyLeavingFact takes an upstream out of service after another host reported that the
 // upstream is leaving.
-func (h *Host) applyLeaving(f membership.Fact) {
+func (h *Host) applyLeavingFact(f membership.Fact) {
 	if f.Expired() {
 		return
 	}
@@ -176,8 +176,8 @@
 }
 
 // runPeriodically calls f at once and then at the interval until ctx ends. A random
-// jitter makes each pause up to a tenth of the interval shorter or longer, so that the
-// hosts don't call f at the same time.
+// jitter makes each pause between two calls up to a tenth of the interval shorter or
+// longer, so that the hosts don't call f at the same time.
 func runPeriodically(ctx context.Context, interval time.Duration, f func()) error {
 	const jitterDivisor = 5
 	for {
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -24,9 +24,9 @@
 	Keys []Key
 	// Limits applies to each connection.
 	Limits Limits
-	// LocalIP is the source address of connections; nil lets the system choose.
-	// On a host with several addresses, setting it makes peers and middleboxes see
-	// the same source address for all connections from the host.
+	// LocalIP is the source address of connections. Nil lets the system choose. On a
+	// host with several addresses, setting it makes peers and middleboxes see the
+	// same source address for all connections from the host.
 	LocalIP net.IP
 	// DialTimeout limits the time to establish the TCP connection; default 1 s.
 	DialTimeout time.Duration
@@ -39,14 +39,14 @@
 	MinBackoff, MaxBackoff time.Duration
 }
 
-// Client calls other hosts over one connection per address. Its links are kept by
-// address.
+// Client calls other hosts over one connection per address. The field links holds the
+// link to each address.
 type Client struct {
 	options ClientOptions
 	traffic *traffic
 
-	// closing is cancelled by Close and aborts dials in progress.
-	closing    context.Context
+	// closeCtx is cancelled by Close and aborts dials in progress.
+	closeCtx   context.Context
 	cancel     context.CancelFunc
 	background sync.WaitGroup
 
@@ -67,11 +67,11 @@
 	defaults.Positive(&options.MaxBackoff, DefaultMaxBackoff)
 	closing, cancel := context.WithCancel(context.Background())
 	return &Client{
-		options: options,
-		traffic: newTraffic(),
-		closing: closing,
-		cancel:  cancel,
-		links:   make(map[string]*link),
+		options:  options,
+		traffic:  newTraffic(),
+		closeCtx: closing,
+		cancel:   cancel,
+		links:    make(map[string]*link),
 	}, nil
 }
 
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -24,7 +24,8 @@
 	name    string
 	// acquiredAt is when the response to Acquire's write was received.
 	acquiredAt time.Time
-	// predecessorTTL is the TTL of the previous holder; zero if there was none.
+	// predecessorTTL is the TTL of the previous holder. It is zero if there was
+	// none.
 	predecessorTTL time.Duration
 
 	// writeSlot is a semaphore that admits one Renew or Release at a time. It is
@@ -38,8 +39,8 @@
 	version uint64
 	// renewedAt is when the last successful write was started.
 	renewedAt time.Time
-	// endReason is the error with which the lease ended; nil as long as no call
-	// has found that it ended.
+	// endReason is the error with which the lease ended. It is nil until a call has
+	// found that the lease ended.
 	endReason error
 }
 
--- a/lease/manager.go
+++ b/lease/manager.go
@@ -39,11 +39,11 @@
 	observed map[string]observation
 }
 
-// observation is the time at which a row was first read with a version. A Manager
-// keeps that of each row's current version, by the name of the lease.
+// observation is a row's version and the time at which this version was first read. A
+// Manager keeps one observation per lease name, that of the row's current version.
 type observation struct {
-	version uint64
-	at      time.Time
+	version     uint64
+	firstReadAt time.Time
 }
 
 // NewManager returns a Manager that stores leases in options.Table.
@@ -114,10 +114,10 @@
 	now := m.clock()
 	first := m.observed[name]
 	if first.version != found.version {
-		first = observation{version: found.version, at: now}
+		first = observation{version: found.version, firstReadAt: now}
 		m.observed[name] = first
 	}
-	return found.TTL - now.Sub(first.at)
+	return found.TTL - now.Sub(first.firstReadAt)
 }
 
 // margin returns the safety margin of a lease with the TTL.
--- a/lease/orders.go
+++ b/lease/orders.go
@@ -11,7 +11,7 @@
 	ID string
 	// ChecksFencing is true if the receiver rejects an order whose fencing number is
 	// lower than one that it has received before. It must be false if it isn't
-	// known whether the receiver does so.
+	// known whether the receiver rejects such orders.
 	ChecksFencing bool
 }
 
@@ -25,7 +25,7 @@
 // holder. For other receivers, the first order of a new holder is delayed by the
 // predecessor's TTL and margin after the acquisition, so that any order that the
 // predecessor was sending has arrived or failed by then. If the predecessor is
-// paused for longer than that between its check of the lease and its write, only
+// paused for longer than this delay between its check of the lease and its write, only
 // the receiver could reject its late order. The new holder must therefore repeat its
 // order to a receiver without fencing while it holds the lease, so that the last
 // order that the receiver executes is the new holder's.
@@ -63,7 +63,7 @@
 }
 
 // unfencedWait returns how much longer orders to receivers without fencing must be
-// delayed; zero or less if they may be sent.
+// delayed; the result is zero or less if they may be sent.
 func (l *Lease) unfencedWait() time.Duration {
 	if l.predecessorTTL == 0 {
 		return 0
@@ -72,8 +72,8 @@
 	return totalWait - l.manager.clock().Sub(l.acquiredAt)
 }
 
-// currentEndReason returns the error with which the lease ended; nil if no call has
-// found that it ended.
+// currentEndReason returns the error with which the lease ended. It returns nil if no
+// call has found that it ended.
 func (l *Lease) currentEndReason() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/session/registry.go
+++ b/session/registry.go
@@ -18,7 +18,8 @@
 	rowPrefix = "session/"
 	// rowTTLFactor is the lifetime of a row after its last write, in TTLs. The
 	// first use that is at least one TTL after the last write rewrites the row.
-	// So each row lasts for at least one TTL after each use, without a write per
+	// A use that doesn't rewrite the row therefore leaves it at least one more TTL,
+	// so each row lasts for at least one TTL after each use, without a write per
 	// use.
 	rowTTLFactor = 2
 	// maxAttempts is the maximum number of attempts of one Bind or Rebind to write
@@ -41,7 +42,7 @@
 // Options configures a Registry.
 type Options struct {
 	Table storage.Table
-	// Clock returns the current time; nil means time.Now.
+	// Clock returns the current time. Nil means time.Now.
 	Clock storage.Clock
 	// TTL is the lifetime of a binding after its last use; default 30 min.
 	// SetTTL changes it.
@@ -117,7 +118,7 @@
 		proposal = cached.record.Binding
 	}
 	candidate := r.newRecord(proposal, now)
-	if !r.tableUsable(now) {
+	if !r.mayCallTable(now) {
 		return r.bindLocally(key, candidate, hit && cached.durable, now)
 	}
 	current, err := r.readOrInsert(ctx, key, candidate, now)
@@ -145,7 +146,7 @@
 	key := rowKey(replacement)
 	now := r.now()
 	candidate := r.newRecord(replacement, now)
-	if !r.tableUsable(now) {
+	if !r.mayCallTable(now) {
 		return r.bindLocally(key, candidate, false, now)
 	}
 	current, err := r.replace(ctx, key, old.Version, candidate, now)
@@ -179,9 +180,9 @@
 
 // readOrInsert returns the row's value. It inserts the proposal if the row is
 // absent or expired. It reads before it writes, since most sessions that are
-// new to a host have a row, and commits are scarcer than reads. If the response
-// to a write is lost, the row needs no token that identifies the writer, because
-// the value that is read afterwards is the binding, whichever host wrote it.
+// new to a host have a row, and commits are scarcer than reads. Rows need no token
+// that identifies the writer: if the response to a write is lost, the row is read
+// again, and its value is the binding, whichever host wrote it.
 func (r *Registry) readOrInsert(ctx context.Context, key string, proposal record, now time.Time) (record, error) {
 	for range maxAttempts {
 		current, version, err := r.read(ctx, key)
@@ -270,7 +271,7 @@
 	return r.opts.Clock().UTC().Truncate(time.Millisecond)
 }
 
-func (r *Registry) tableUsable(now time.Time) bool {
+func (r *Registry) mayCallTable(now time.Time) bool {
 	return now.UnixNano() >= r.backoffUntil.Load()
 }
 
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -11,20 +11,20 @@
 // the frame, not with the previous frame, so that the time that a slow caller takes
 // between frames isn't attributed to the engine.
 type frameWait struct {
-	// frameTimeout limits the whole wait, stallTimeout the wait on one
-	// connection, and gapTimeout the wait on one connection while later frames
+	// frameTimeout limits the whole wait. stallTimeout limits the wait on one
+	// connection. gapTimeout limits the wait on one connection while later frames
 	// have already arrived.
 	frameTimeout, stallTimeout, gapTimeout time.Duration
-	// deadline is when the whole wait expires; zero before the first read.
+	// deadline is when the whole wait expires. It is zero before the first read.
 	deadline time.Time
 }
 
 // reset clears the deadline for the next frame.
 func (w *frameWait) reset() { w.deadline = time.Time{} }
 
-// remaining returns the time until the deadline, which the first call after
-// reset sets.
-func (w *frameWait) remaining() time.Duration {
+// startAndGetRemaining returns the time until the deadline. The first call after reset
+// starts the wait and sets the deadline.
+func (w *frameWait) startAndGetRemaining() time.Duration {
 	if w.deadline.IsZero() {
 		w.deadline = time.Now().Add(w.frameTimeout)
 		return w.frameTimeout
@@ -36,9 +36,9 @@
 // hasGap is true if later frames have already arrived.
 func (w *frameWait) readTimeout(hasGap bool) time.Duration {
 	if hasGap {
-		return min(w.remaining(), w.gapTimeout)
+		return min(w.startAndGetRemaining(), w.gapTimeout)
 	}
-	return min(w.remaining(), w.stallTimeout)
+	return min(w.startAndGetRemaining(), w.stallTimeout)
 }
 
 // responseConn reads the response on one connection. A read that takes longer
@@ -53,14 +53,15 @@
 
 func newResponseConn(ctx context.Context, readTimeout func() time.Duration) *responseConn {
 	ctx, cancel := context.WithCancelCause(ctx)
-	timer := time.AfterFunc(noTimeout, func() { cancel(errStalled) })
+	timer := time.AfterFunc(placeholderTimeout, func() { cancel(errStalled) })
 	timer.Stop()
 	return &responseConn{ctx: ctx, cancel: cancel, timer: timer, readTimeout: readTimeout}
 }
 
-// noTimeout is the duration, in nanoseconds, with which a timer is created that is
-// reset before each read. It is longer than any connection stays open.
-const noTimeout = 1 << 62
+// placeholderTimeout is the duration, in nanoseconds, with which a timer is created. The
+// timer is stopped at once and reset before each read. The duration is longer than any
+// connection stays open.
+const placeholderTimeout = 1 << 62
 
 // Read implements io.Reader.
 func (c *responseConn) Read(p []byte) (int, error) {
