--- a/internal/gateway/evidence.go
+++ b/internal/gateway/evidence.go
@@ -33,11 +33,11 @@
 	// on each of its upstreams, while a single upstream can be bad with any version.
 	minBadUpstreams = 2
 	// An engine's answer counts as slow if its time to the first byte exceeds slowFactor times the
-	// expected time and exceeds the expected time by more than slowExcess. In simulations, 20 to
-	// 33% of the answers of a sound version counted as slow, because they waited for prompts that
-	// this host has no data on. Of a version that takes eight times as long for a part of its
-	// steps, at least 75% did. With a factor of 4, one answer in seven counted as slow on both
-	// versions, so that the test couldn't distinguish them.
+	// expected time and exceeds the expected time by more than slowExcess. Of the answers of an
+	// ordinary version, 20 to 33% count as slow, because they wait for prompts that this host has no
+	// data on. Of a version that takes eight times as long for a part of its steps, at least 75% do.
+	// With a factor of 4, one answer in seven counted as slow on both versions, so that the test
+	// couldn't distinguish them.
 	slowFactor = 2
 	slowExcess = 40 * time.Millisecond
 	// An answer of a plain service counts as slow if it took more than plainSlowFactor times the
